--- a/src/hoistmoor/core/__init__.py
+++ b/src/hoistmoor/core/__init__.py
@@ -1,7 +1,8 @@
-"""Decisions without input, output, clock, randomness or event loop.
+"""Pure decision logic: no I/O, clock, randomness or event loop.
 
-Every module here takes typed messages and the time as arguments and returns
-typed results. Sockets, files and timers live in the packages round it.
+Modules in this package take typed messages and the current time as arguments
+and return typed results. Sockets, files and timers belong to the packages that
+call it.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/core/codec.py
+++ b/src/hoistmoor/core/codec.py
@@ -1,7 +1,7 @@
-"""JSON encoding of the records that hosts write on the log and to each other.
+"""JSON encoding of the records that hosts append to the log and exchange.
 
-A record is an attrs class registered under a short type name. On the wire it
-is a JSON object with the record's fields and a ``type`` member.
+A record is an attrs class registered under a short type name. It is encoded as
+a JSON object with the fields of the record and a ``type`` member.
 """
 
 from __future__ import annotations
@@ -23,10 +23,11 @@
 
 
 def register(name: str, cls: type[Any]) -> None:
-    """Makes ``cls`` encodable under ``name``.
+    """Registers a record class under a type name.
 
     Args:
-        name: The record's type name on the wire; it must never change.
+        name: Type name of the record on the wire. It must never change,
+            because stored records refer to it.
         cls: An attrs class.
     """
     _name_by_class[cls] = name
@@ -34,18 +35,18 @@
 
 
 def encode(record: object) -> bytes:
-    """Returns the JSON form of a registered record."""
+    """Returns the JSON encoding of a registered record."""
     fields = converter.unstructure(record)
     fields[_TYPE_FIELD] = _name_by_class[type(record)]
     return orjson.dumps(fields, option=orjson.OPT_SORT_KEYS)
 
 
 def decode(payload: bytes) -> Any:
-    """Returns the record that ``payload`` holds.
+    """Returns the record encoded in ``payload``.
 
     Raises:
-        CodecError: The bytes are not JSON, or of no registered type, or lack
-            a field. Readers of the log skip and count such records.
+        CodecError: The payload is not valid JSON, has no registered type or
+            lacks a required field. Log readers skip and count such records.
     """
     try:
         fields = orjson.loads(payload)
@@ -54,10 +55,10 @@
     except Exception as error:
         raise errors.CodecError(
             f"cannot decode {payload[:60]!r}: {error!r}",
-            "Check which program and version wrote it.",
+            "Check which program and version wrote the record.",
         ) from error
 
 
 def structure(fields: Any, cls: type[_T]) -> _T:
-    """Returns ``fields`` as an instance of ``cls``."""
+    """Converts ``fields`` to an instance of ``cls``."""
     return converter.structure(fields, cls)
--- a/src/hoistmoor/core/errors.py
+++ b/src/hoistmoor/core/errors.py
@@ -1,17 +1,17 @@
-"""The root of the exception tree.
+"""Base classes of the exception hierarchy.
 
-Each message says what went wrong and then what to do about it.
+Each message states the problem, followed by the action to take.
 """
 
 from __future__ import annotations
 
 
 class HoistmoorError(Exception):
-    """Base of every error that the project raises on purpose.
+    """Base class of all exceptions raised by this project.
 
     Attributes:
-        problem: What went wrong, one sentence without a full stop.
-        remedy: What the reader should do next, one sentence.
+        problem: What went wrong, as one sentence without a full stop.
+        remedy: What the reader should do next, as one sentence.
     """
 
     def __init__(self, problem: str, remedy: str) -> None:
@@ -21,59 +21,60 @@
 
 
 class ConfigurationError(HoistmoorError):
-    """A flag, an environment variable or a table cell has a bad value."""
+    """A flag, environment variable or table cell has an invalid value."""
 
 
 class CodecError(HoistmoorError):
-    """Bytes from outside do not decode to a known record."""
+    """External data cannot be decoded to a known record."""
 
 
 class PlatformError(HoistmoorError):
-    """A service of the platform did not do what was asked."""
+    """A platform service did not perform the requested operation."""
 
 
 class LogUnavailableError(PlatformError):
-    """The log service refused or could not be reached: nothing was stored."""
+    """The log service is unreachable or refused the call: nothing stored."""
 
 
 class LogOutcomeUnknownError(PlatformError):
-    """An append got no reply: it may or may not have taken effect."""
+    """An append got no reply, so it may or may not have taken effect."""
 
 
 class LogRewoundError(LogOutcomeUnknownError):
     """The log has lost records that it had acknowledged.
 
-    What rests on them, such as claims on calls that may run once, can no
-    longer be kept to.
+    Guarantees that depend on these records, such as claims on non-idempotent
+    calls, no longer hold.
     """
 
     def __init__(self, stream: str, known: int, now: int) -> None:
         super().__init__(
-            f"stream {stream} was known up to {known} and gave {now} again",
-            "Find out what was lost, then restart this host.",
+            f"stream {stream} had reached offset {known} but assigned offset "
+            f"{now} again",
+            "Find out which records were lost, then restart this host.",
         )
 
 
 class LogHistoryChangedError(PlatformError):
-    """The log came back from an older copy: places before it mean nothing."""
+    """The log was restored from an older copy, so older offsets are invalid."""
 
     def __init__(self, stream: str, known: int, now: int) -> None:
         super().__init__(
-            f"stream {stream} is in history {now}, and {known} was asked for",
-            "Read its newest records.",
+            f"stream {stream} is in era {now}, but era {known} was requested",
+            "Read the newest records of the stream.",
         )
 
 
 class LogOffsetExpiredError(PlatformError):
-    """The wanted offset is older than the log's retention.
+    """The requested offset is older than the retention period of the log.
 
     Attributes:
-        first_offset: The oldest offset that can still be read.
+        first_offset: Oldest offset that can still be read.
     """
 
-    def __init__(self, stream: str, wanted: int, first_offset: int) -> None:
+    def __init__(self, stream: str, offset: int, first_offset: int) -> None:
         super().__init__(
-            f"offset {wanted} of stream {stream} is past its retention",
-            f"Read from offset {first_offset} on.",
+            f"offset {offset} of stream {stream} is older than its retention",
+            f"Read from offset {first_offset}.",
         )
         self.first_offset = first_offset
--- a/src/hoistmoor/core/identity.py
+++ b/src/hoistmoor/core/identity.py
@@ -7,41 +7,41 @@
 
 @attrs.frozen
 class Incarnation:
-    """One run of one process on one host.
+    """One run of a process on a host.
 
     Attributes:
-        host: Name of the host, from its settings; no ``.`` in it.
-        number: Start time in milliseconds since the epoch. A later run of the
-            same host has a higher number.
+        host: Name of the host from its settings; must not contain ``.``.
+        number: Start time in milliseconds since the Unix epoch. A later run
+            on the same host has a higher number.
     """
 
     host: str
     number: int
 
     def __str__(self) -> str:
-        """Returns the form used in ids: ``host.number``."""
+        """Returns the form used in ids: ``host.number`` with a hex number."""
         return f"{self.host}.{self.number:x}"
 
 
 @attrs.frozen
 class RequestId:
-    """Names one request, and the incarnation that decided on it.
+    """Identifies a request and the process that handled it.
 
     Attributes:
-        incarnation: The process that took the request in.
-        serial: Counts that process's requests from 1.
+        incarnation: Process that received the request.
+        serial: Sequence number of the request in that process, from 1.
     """
 
     incarnation: Incarnation
     serial: int
 
     def __str__(self) -> str:
-        """Returns the form shown to callers: ``host.number.serial``."""
+        """Returns the form shown to clients: ``host.number.serial``."""
         return f"{self.incarnation}.{self.serial:x}"
 
     @classmethod
     def parse(cls, text: str) -> RequestId:
-        """Returns the id that ``text`` spells.
+        """Parses a request id.
 
         Raises:
             ValueError: ``text`` is not of the form ``host.number.serial``.
@@ -52,11 +52,11 @@
 
 @attrs.frozen
 class AttemptId:
-    """Names one dispatch of a request to a backend server.
+    """Identifies one attempt to send a request to a backend server.
 
     Attributes:
-        request: The request served.
-        ordinal: Counts the request's attempts from 1.
+        request: Id of the request.
+        ordinal: Sequence number of the attempt within the request, from 1.
     """
 
     request: RequestId
--- a/src/hoistmoor/core/outcomes.py
+++ b/src/hoistmoor/core/outcomes.py
@@ -1,7 +1,7 @@
-"""What may be said of a request whose exchange with a backend server ended.
+"""Outcome of a request after its exchange with a backend server ended.
 
-Once a byte of a request may have reached a backend server, only that server's
-own word makes the request ``not_run``.
+Once any byte of a request may have reached a backend server, the request
+counts as ``not_run`` only if that server explicitly declined it.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What became of a request, as told to its caller."""
+    """Outcome of a request as reported to the client."""
 
     NOT_RUN = "not_run"
     DONE = "done"
@@ -18,14 +18,14 @@
 
 
 class ExchangeState(enum.Enum):
-    """How far the exchange with one backend server had come."""
+    """Progress of the exchange with a backend server."""
 
-    UNSENT = enum.auto()  # No byte of the request has left this host.
-    SENDING = enum.auto()  # A byte may have left.
-    SENT = enum.auto()  # All bytes left; no byte of an answer came.
-    ANSWERING = enum.auto()  # Part of an answer came.
-    ANSWERED = enum.auto()  # The whole answer came, end mark included.
-    DECLINED = enum.auto()  # The backend server said that it did not run it.
+    UNSENT = enum.auto()  # No byte of the request was sent.
+    SENDING = enum.auto()  # Part of the request may have been sent.
+    SENT = enum.auto()  # Request sent in full; no byte of a response yet.
+    ANSWERING = enum.auto()  # Part of the response arrived.
+    ANSWERED = enum.auto()  # The response arrived in full, with its end marker.
+    DECLINED = enum.auto()  # The server reported that it did not run it.
 
 
 OUTCOME_BY_STATE = {
@@ -39,7 +39,12 @@
 
 
 def may_resend(state: ExchangeState, idempotent: bool) -> bool:
-    """Returns whether another attempt is allowed after this one failed."""
+    """Returns whether a failed request may be sent again.
+
+    Args:
+        state: Progress of the exchange that failed.
+        idempotent: Whether the request may run more than once.
+    """
     if OUTCOME_BY_STATE[state] is Outcome.NOT_RUN:
         return True
     return idempotent and state is not ExchangeState.ANSWERED
--- a/src/hoistmoor/core/pacing.py
+++ b/src/hoistmoor/core/pacing.py
@@ -1,8 +1,8 @@
-"""How often a stream of the log is read, and how a reader backs off.
+"""Polling intervals and retry backoff of log stream readers.
 
-A read that waits for a record costs the same for one record as for a hundred.
-So a reader that nobody waits for leaves a period between two polls, in which
-records gather. See docs/design/streams.md.
+A long poll costs the same whether it returns one record or a hundred. A reader
+with no waiters therefore leaves a minimum interval between two polls, so that
+records accumulate. See docs/design/streams.md.
 """
 
 from __future__ import annotations
@@ -12,16 +12,18 @@
 
 @attrs.frozen
 class Pace:
-    """How one stream is read.
+    """Polling parameters of one stream.
 
     Attributes:
-        period: Seconds at least from the start of a poll to the next, unless
-            somebody waits for a record or there is more to read.
-        hold: Seconds that the log may hold a read back.
-        page: Records a read, at most.
-        retry: Seconds before the first new attempt in an outage.
-        most_retry: Seconds between two attempts, at most.
-        burst: Records taken between two chances for other tasks to run.
+        period: Minimum seconds between the starts of two polls, unless a task
+            waits for a record or more records are available.
+        hold: Long-poll timeout in seconds: how long the log may delay its
+            reply while there is no new record.
+        page: Maximum number of records per read.
+        retry: Delay in seconds before the first retry after a failure.
+        most_retry: Maximum delay in seconds between two retries.
+        burst: Number of records processed before the reader yields to other
+            tasks.
     """
 
     period: float
@@ -32,34 +34,37 @@
     burst: int = 20
 
     def pause(self, since_poll: float, is_needed: bool) -> float:
-        """Returns seconds to wait before the next poll.
+        """Returns the seconds to wait before the next poll.
 
         Args:
-            since_poll: Seconds since the last poll began.
-            is_needed: Whether somebody waits for a record now.
+            since_poll: Seconds since the last poll started.
+            is_needed: Whether a task currently waits for a record.
         """
         if is_needed:
             return 0.0
         return max(self.period - since_poll, 0.0)
 
     def retry_pause(self, failures: int, draw: float) -> float:
-        """Returns seconds to wait after failures in a row.
+        """Returns the seconds to wait before a retry: exponential with jitter.
 
         Args:
-            failures: How many there were; at least 1.
-            draw: From 0 to 1; spreads hosts after an outage.
+            failures: Number of consecutive failures; at least 1.
+            draw: Random number from 0 to 1. The jitter keeps hosts from
+                retrying simultaneously after an outage.
         """
-        doubled = self.retry * 2.0 ** min(failures - 1, 10)
-        return min(doubled, self.most_retry) * (1 - draw / 4)
+        delay = self.retry * 2.0 ** min(failures - 1, 10)
+        return min(delay, self.most_retry) * (1 - draw / 4)
 
 
-# A claim of this host's own hurries its reader; others' may come late.
+# A pending claim of this host triggers a poll at once; claims of other hosts
+# may be read later.
 CLAIMS = Pace(period=0.25, hold=10.0)
 EVIDENCE = Pace(period=0.5, hold=2.0)
 LIMITS = Pace(period=0.25, hold=10.0)
 STEWARD = Pace(period=0.25, hold=5.0, retry=0.25)
-# Edits are few, and each should be in force at once: no pause. The log vouches
-# for the table at least every ``hold``. Taking an edit may be slow.
+# Edits are rare and should take effect immediately, so there is no minimum
+# interval. Each reply confirms that the table is current, at least once per
+# ``hold``. Applying an edit may be slow, so the reader yields after each one.
 TABLE = Pace(
     period=0.0, hold=1.0, page=200, retry=0.25, most_retry=0.5, burst=1
 )
--- a/src/hoistmoor/core/refusals.py
+++ b/src/hoistmoor/core/refusals.py
@@ -1,4 +1,4 @@
-"""Every reason for which a request is refused, in one state table."""
+"""Reasons for refusing a request, and how each is reported to clients."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Machine-readable reason of a refusal."""
+    """Machine-readable reason for a refusal."""
 
     NO_KEY = "no_key"
     WRONG_KEY = "wrong_key"
@@ -57,13 +57,13 @@
 
 @attrs.frozen
 class Rule:
-    """How a reason is shown to callers.
+    """How a refusal reason is reported to clients.
 
     Attributes:
         status: HTTP status code.
-        retry_after: Seconds until a retry makes sense. A request that will
-            be refused until somebody changes something gets an hour.
-        remedy: What the caller should do next.
+        retry_after: Seconds after which a retry is useful. Requests that stay
+            refused until the request or the configuration changes get an hour.
+        remedy: What the client should do next.
     """
 
     status: HTTPStatus
@@ -72,47 +72,58 @@
 
     @property
     def retryable(self) -> bool:
-        """Whether the same request may succeed later with no change to it."""
-        return self.retry_after < _FIX
+        """Whether the unchanged request may succeed later."""
+        return self.retry_after < _AFTER_CHANGE
 
 
-_FIX = 3600
+# Values of the Retry-After header, in seconds.
+_AFTER_CHANGE = 3600
 _SOON = 1
 _LATER = 5
 
 RULES: dict[Reason, Rule] = {
     Reason.NO_KEY: Rule(
-        HTTPStatus.UNAUTHORIZED, _FIX, "Send an Authorization: Bearer header."
+        HTTPStatus.UNAUTHORIZED,
+        _AFTER_CHANGE,
+        "Send an Authorization: Bearer header.",
     ),
     Reason.WRONG_KEY: Rule(
-        HTTPStatus.UNAUTHORIZED, _FIX, "Ask the operators for a valid key."
+        HTTPStatus.UNAUTHORIZED,
+        _AFTER_CHANGE,
+        "Ask the operators for a valid key.",
     ),
     Reason.NOT_GRANTED: Rule(
-        HTTPStatus.FORBIDDEN, _FIX, "Ask the operators for a grant."
+        HTTPStatus.FORBIDDEN, _AFTER_CHANGE, "Ask the operators for a grant."
     ),
     Reason.UNKNOWN_MODEL: Rule(
-        HTTPStatus.NOT_FOUND, _FIX, "Choose a model listed at /v1/models."
+        HTTPStatus.NOT_FOUND,
+        _AFTER_CHANGE,
+        "Choose a model listed at /v1/models.",
     ),
     Reason.UNKNOWN_SERVICE: Rule(
-        HTTPStatus.NOT_FOUND, _FIX, "Check the service's name."
+        HTTPStatus.NOT_FOUND, _AFTER_CHANGE, "Check the service's name."
     ),
     Reason.UNKNOWN_CALL: Rule(
-        HTTPStatus.NOT_FOUND, _FIX, "Check the method and the path."
+        HTTPStatus.NOT_FOUND, _AFTER_CHANGE, "Check the method and the path."
     ),
     Reason.VERSION_WITHDRAWN: Rule(
-        HTTPStatus.GONE, _FIX, "Choose another version or no version."
+        HTTPStatus.GONE, _AFTER_CHANGE, "Choose another version or no version."
     ),
     Reason.BAD_HEADER: Rule(
-        HTTPStatus.BAD_REQUEST, _FIX, "Correct the named header."
+        HTTPStatus.BAD_REQUEST, _AFTER_CHANGE, "Correct the named header."
     ),
     Reason.BAD_BODY: Rule(
-        HTTPStatus.BAD_REQUEST, _FIX, "Correct the body as the detail says."
+        HTTPStatus.BAD_REQUEST,
+        _AFTER_CHANGE,
+        "Correct the body as the detail says.",
     ),
     Reason.BODY_TOO_LARGE: Rule(
-        HTTPStatus.REQUEST_ENTITY_TOO_LARGE, _FIX, "Send a smaller body."
+        HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
+        _AFTER_CHANGE,
+        "Send a smaller body.",
     ),
     Reason.DEADLINE_PAST: Rule(
-        HTTPStatus.BAD_REQUEST, _FIX, "Send a deadline in the future."
+        HTTPStatus.BAD_REQUEST, _AFTER_CHANGE, "Send a deadline in the future."
     ),
     Reason.DEADLINE_EXCEEDED: Rule(
         HTTPStatus.GATEWAY_TIMEOUT, _SOON, "Try again with a later deadline."
@@ -145,25 +156,37 @@
         HTTPStatus.CONFLICT, _SOON, "Ask again with the same key."
     ),
     Reason.KEY_REUSED: Rule(
-        HTTPStatus.UNPROCESSABLE_ENTITY, _FIX, "Use a new key for a new body."
+        HTTPStatus.UNPROCESSABLE_ENTITY,
+        _AFTER_CHANGE,
+        "Use a new key for a new body.",
     ),
     Reason.KEY_OUTCOME_UNKNOWN: Rule(
-        HTTPStatus.CONFLICT, _FIX, "Look at the service before asking again."
+        HTTPStatus.CONFLICT,
+        _AFTER_CHANGE,
+        "Look at the service before asking again.",
     ),
     Reason.KEY_DONE: Rule(
-        HTTPStatus.CONFLICT, _FIX, "It was done once; do not send it again."
+        HTTPStatus.CONFLICT,
+        _AFTER_CHANGE,
+        "It was done once; do not send it again.",
     ),
     Reason.CLAIM_UNAVAILABLE: Rule(
         HTTPStatus.SERVICE_UNAVAILABLE, _SOON, "Try again, same key, or ticket."
     ),
     Reason.TICKET_INVALID: Rule(
-        HTTPStatus.BAD_REQUEST, _FIX, "Take a new ticket at /v1/tickets."
+        HTTPStatus.BAD_REQUEST,
+        _AFTER_CHANGE,
+        "Take a new ticket at /v1/tickets.",
     ),
     Reason.TICKET_EXPIRED: Rule(
-        HTTPStatus.GONE, _FIX, "Take a new ticket if the call was not done."
+        HTTPStatus.GONE,
+        _AFTER_CHANGE,
+        "Take a new ticket if the call was not done.",
     ),
     Reason.TICKET_ISSUER_GONE: Rule(
-        HTTPStatus.CONFLICT, _FIX, "Look at the service before asking again."
+        HTTPStatus.CONFLICT,
+        _AFTER_CHANGE,
+        "Look at the service before asking again.",
     ),
     Reason.BILL_UNSECURED: Rule(
         HTTPStatus.SERVICE_UNAVAILABLE, _SOON, "Try another host or wait."
@@ -182,7 +205,7 @@
     ),
     Reason.CRASHES_SERVERS: Rule(
         HTTPStatus.SERVICE_UNAVAILABLE,
-        _FIX,
+        _AFTER_CHANGE,
         "Change the request; servers that ran it have crashed.",
     ),
     Reason.SERVERS_LEAVING: Rule(
@@ -209,15 +232,17 @@
 
 @attrs.frozen
 class Refusal:
-    """The final word on a request that got no whole answer.
+    """Final result of a request that got no complete response.
 
     Attributes:
-        reason: Why.
-        outcome: Whether this attempt of the caller's ran.
-        detail: One sentence for people; holds no key and no body text.
-        retry_after: Seconds until a retry makes sense; None for the rule's.
-        key_outcome: What is known of all attempts under the same idempotency
-            key; None where the request had no key.
+        reason: Why the request was refused.
+        outcome: Whether this attempt of the client ran.
+        detail: Human-readable explanation in one sentence. It must contain no
+            API key and no part of the body.
+        retry_after: Seconds after which a retry is useful; None to use the
+            default of the rule.
+        key_outcome: Combined outcome of all attempts with the same idempotency
+            key; None if the request had no key.
     """
 
     reason: Reason
@@ -228,12 +253,12 @@
 
     @property
     def rule(self) -> Rule:
-        """How the reason is shown to callers."""
+        """Reporting rule of the reason."""
         return RULES[self.reason]
 
     @property
     def wait(self) -> int:
-        """Seconds for the Retry-After header."""
+        """Value of the Retry-After header in seconds."""
         if self.retry_after is not None:
             return math.ceil(self.retry_after)
         return self.rule.retry_after
--- a/src/hoistmoor/core/relay/__init__.py
+++ b/src/hoistmoor/core/relay/__init__.py
@@ -1,3 +1,3 @@
-"""Decisions of the relay: requests passed on unread, by host and path."""
+"""Decision logic of the relay, a reverse proxy that routes by host and path."""
 
 from __future__ import annotations
--- a/src/hoistmoor/core/streams.py
+++ b/src/hoistmoor/core/streams.py
@@ -1,10 +1,10 @@
-"""Names of the log's streams and what each carries."""
+"""Names of the log streams."""
 
 from __future__ import annotations
 
-TABLE = "table"  # Edits and snapshots of the operators' table.
-CLAIMS = "claims"  # Claims on callers' idempotency keys, and their outcomes.
-BILLS = "bills"  # Batches of bills.
-STEWARD = "steward"  # Leases, roll-out steps and orders.
-EVIDENCE = "evidence"  # Counts of rated answers per version.
-DECISIONS = "decisions"  # Explanations that outlive their host.
+TABLE = "table"  # Edits and snapshots of the configuration table.
+CLAIMS = "claims"  # Claims on idempotency keys, and their outcomes.
+BILLS = "bills"  # Batches of billing records.
+STEWARD = "steward"  # Leases, rollout steps and operator orders.
+EVIDENCE = "evidence"  # Number of rated answers per version.
+DECISIONS = "decisions"  # Routing decisions, kept after their host has stopped.
