--- a/src/hoistmoor/core/relay/answers/__init__.py
+++ b/src/hoistmoor/core/relay/answers/__init__.py
@@ -1,6 +1,6 @@
-"""Answers as they come: durations, order of events, confidence in them.
+"""Evaluation of backend responses: latency, event order and confidence.
 
-The machine of a request and the router use them.
+The request state machine and the router use these modules.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/core/relay/answers/cascade.py
+++ b/src/hoistmoor/core/relay/answers/cascade.py
@@ -1,9 +1,10 @@
-"""Which model size answers, and when a small one's answer is dropped.
+"""Model cascade: when a request is escalated from a small to the large model.
 
-A small model costs a fraction of a large one and tells how sure it is before
-the first event goes out. Its answer is dropped for the largest model's where
-that is worth more: a small answer may be wrong, a large one may be late. The
-sizes between cost much and add little.
+A small model costs a fraction of a large one and reports its confidence before
+the first event is forwarded. Its response is discarded in favor of the largest
+model if the expected value of that is higher: the small model may be wrong, the
+large one may be late. Intermediate sizes are skipped, as they cost much and add
+little.
 """
 
 from __future__ import annotations
@@ -12,48 +13,54 @@
 
 ANY_MODEL = "*"
 
-# Chance that an answer is right, by the model's confidence in it: a logistic
-# curve. Nobody rates the relay's answers, so the curve is an assumption. At a
-# midpoint of 34 instead of 42, answers of large models that are late fall from
-# 10 to 8 in 100 and one request in 200 more earns its worth; at 50 it is 1 in
-# 100 less (means of 15 played days with disturbances each).
-MIDPOINT = 34.0  # Confidence at which one answer in two is right.
-SPREAD = 6.0
-WRONG_WORTH = 0.05  # Worth of a wrong answer, as a share of a right one's.
-LATE_WORTH = 0.1  # Worth of a right answer that is late.
-LARGE_WORTH = 0.9  # Worth of a large model's answer, less its cost.
-# Least gain for which a second run is made: it delays everybody else's.
-LEAST_GAIN = 0.05
-# Worth lost to other requests where a large answer takes all the time left,
-# and with its square below that: a long wait shows that the large model's
-# engines are behind, and each request more puts them further behind.
+# Logistic curve of the probability that an answer is correct, by the confidence
+# of the model. Answers of the relay are not rated, so the curve is an
+# assumption. With a midpoint of 34 instead of 42, late answers of large models
+# drop from 10% to 8%, and 0.5% more requests get a useful answer; with 50, it
+# is 1% fewer (means of 15 simulated days with failures each).
+CONFIDENCE_MIDPOINT = (
+    34.0  # Confidence at which half of the answers are correct.
+)
+CONFIDENCE_SCALE = 6.0
+# Values of answers, relative to a correct answer in time.
+WRONG_VALUE = 0.05
+LATE_VALUE = 0.1  # Correct but late.
+LARGE_VALUE = 0.9  # From a large model, after deduction of its cost.
+# Minimum gain that justifies a second run, which delays other requests.
+MIN_GAIN = 0.05
+# Value lost to other requests if the large model needs all the remaining time.
+# The loss grows with the square of the expected delay: a long delay means that
+# the engines of the large model are overloaded, and every additional request
+# adds to the backlog.
 DELAY_COST = 0.5
-# How sharply the chance to be late rises about the expected delay.
-LATE_POWER = 3.0
+# Steepness of the probability of being late around the expected delay.
+LATE_EXPONENT = 3.0
 
 
 def first_size(sizes: tuple[str, ...]) -> str:
-    """Returns the model to begin with."""
+    """Returns the model that is asked first."""
     return sizes[0]
 
 
-def is_right(confidence: float) -> float:
-    """Returns the chance that an answer is right, 0 to 1."""
-    return 1.0 / (1.0 + math.exp((MIDPOINT - confidence) / SPREAD))
+def _correct_probability(confidence: float) -> float:
+    """Returns the probability that an answer is correct, from 0 to 1."""
+    return 1.0 / (
+        1.0 + math.exp((CONFIDENCE_MIDPOINT - confidence) / CONFIDENCE_SCALE)
+    )
 
 
-def is_late(expected: float, left: float) -> float:
-    """Returns the chance that an answer begins too late, 0 to 1.
+def _late_probability(expected: float, left: float) -> float:
+    """Returns the probability that a response starts too late, from 0 to 1.
 
     Args:
-        expected: Seconds that its first part is expected to take.
-        left: Seconds left for it.
+        expected: Expected seconds to the first byte.
+        left: Seconds until the first byte is due.
     """
     if left <= 0.0:
         return 1.0
     if expected <= 0.0:
         return 0.0
-    return float(1.0 / (1.0 + (left / expected) ** LATE_POWER))
+    return float(1.0 / (1.0 + (left / expected) ** LATE_EXPONENT))
 
 
 def next_size(
@@ -63,22 +70,21 @@
     expected: float,
     left: float,
 ) -> str | None:
-    """Returns the model to ask instead, or None to keep the answer.
+    """Returns the model to escalate to, or None to keep the response.
 
     Args:
-        sizes: Models that may answer, smallest first.
-        model: The one that answers.
-        confidence: Its own opinion of the answer, 0 to 100; None if it told
-            none.
-        expected: Seconds that the largest model's first part is expected to
-            take.
-        left: Seconds left for it to be in time.
+        sizes: Models that may serve the request, smallest first.
+        model: The model that produced the response.
+        confidence: Confidence that the model reported, 0 to 100; None if it
+            reported none.
+        expected: Expected seconds to the first byte from the largest model.
+        left: Seconds until the first byte is due.
     """
     if confidence is None or not sizes or model == sizes[-1]:
         return None
-    right = is_right(confidence)
-    kept = right + (1.0 - right) * WRONG_WORTH
-    late = is_late(expected, left)
-    asked = LARGE_WORTH * (1.0 - late + late * LATE_WORTH)
-    asked -= DELAY_COST * min(1.0, expected / max(left, 1e-3)) ** 2
-    return sizes[-1] if asked > kept + LEAST_GAIN else None
+    correct = _correct_probability(confidence)
+    kept_value = correct + (1.0 - correct) * WRONG_VALUE
+    late = _late_probability(expected, left)
+    large_value = LARGE_VALUE * (1.0 - late + late * LATE_VALUE)
+    large_value -= DELAY_COST * min(1.0, expected / max(left, 1e-3)) ** 2
+    return sizes[-1] if large_value > kept_value + MIN_GAIN else None
--- a/src/hoistmoor/core/relay/answers/delays.py
+++ b/src/hoistmoor/core/relay/answers/delays.py
@@ -1,4 +1,4 @@
-"""How long a request now waits for the first part of its answer, by class."""
+"""Expected time to the first byte of a response, by class of work."""
 
 from __future__ import annotations
 
@@ -6,33 +6,35 @@
 
 from hoistmoor.core.relay.placement import partition
 
-STEP = 0.15  # Weight of the newest answer; a burst shows within ten.
-HALF_LIFE = 4.0  # Seconds after which an old delay counts half.
+# Weight of the newest response in the moving average: a load spike shows within
+# ten responses.
+SMOOTHING_FACTOR = 0.15
+HALF_LIFE = 4.0  # Seconds in which the average decays to half.
 
 
 @attrs.define
-class _Class:
+class _ClassState:
     mean: float = 0.0
-    at: float = 0.0
+    updated_at: float = 0.0
     waiting: dict[int, float] = attrs.field(factory=dict)
 
 
 @attrs.define
 class FirstDelays:
-    """Delays of one service's first parts.
+    """Times to first byte of one service.
 
-    Requests that still wait count with the time that they have waited, so
-    that a class which stopped answering shows at once.
+    Pending requests count with the time that they have waited so far, so that
+    a class of work whose responses have stopped is detected at once.
     """
 
-    classes: dict[partition.WorkClass, _Class] = attrs.field(factory=dict)
+    classes: dict[partition.WorkClass, _ClassState] = attrs.field(factory=dict)
     _serial: int = 0
 
     def begin(self, work_class: partition.WorkClass, now: float) -> int:
-        """Notes a request that waits from now on; returns its serial."""
+        """Registers a pending request and returns its serial number."""
         self._serial += 1
-        known = self.classes.setdefault(work_class, _Class())
-        known.waiting[self._serial] = now
+        state = self.classes.setdefault(work_class, _ClassState())
+        state.waiting[self._serial] = now
         return self._serial
 
     def end(
@@ -43,33 +45,34 @@
         *,
         answered: bool,
     ) -> None:
-        """Notes that a request waits no more.
+        """Removes a pending request.
 
         Args:
-            work_class: Its class.
-            serial: As ``begin`` returned it; one that is unknown is ignored.
-            now: Steady time.
-            answered: Whether an answer began; if not, nothing is learned.
+            work_class: Class of work of the request.
+            serial: Value returned by ``begin``; unknown values are ignored.
+            now: Monotonic time.
+            answered: Whether a response started; if not, the average does not
+                change.
         """
-        known = self.classes[work_class]
-        began = known.waiting.pop(serial, None)
-        if began is None or not answered:
+        state = self.classes[work_class]
+        started_at = state.waiting.pop(serial, None)
+        if started_at is None or not answered:
             return
-        known.mean = self._decayed(known, now)
-        known.mean += STEP * (now - began - known.mean)
-        known.at = now
+        state.mean = self._decayed(state, now)
+        state.mean += SMOOTHING_FACTOR * (now - started_at - state.mean)
+        state.updated_at = now
 
     def expected(self, work_class: partition.WorkClass, now: float) -> float:
-        """Returns the seconds that a request of a class must expect."""
-        known = self.classes.get(work_class)
-        if known is None:
+        """Returns the expected seconds to first byte for a class of work."""
+        state = self.classes.get(work_class)
+        if state is None:
             return 0.0
-        mean = self._decayed(known, now)
-        if not known.waiting:
+        mean = self._decayed(state, now)
+        if not state.waiting:
             return mean
-        ages = [now - began for began in known.waiting.values()]
+        ages = [now - started_at for started_at in state.waiting.values()]
         return max(mean, sum(ages) / len(ages))
 
-    def _decayed(self, known: _Class, now: float) -> float:
-        passed = max(0.0, now - known.at)
-        return float(known.mean * 0.5 ** (passed / HALF_LIFE))
+    def _decayed(self, state: _ClassState, now: float) -> float:
+        elapsed = max(0.0, now - state.updated_at)
+        return float(state.mean * 0.5 ** (elapsed / HALF_LIFE))
--- a/src/hoistmoor/core/relay/answers/pace.py
+++ b/src/hoistmoor/core/relay/answers/pace.py
@@ -1,4 +1,4 @@
-"""How long answers usually take, by route and model."""
+"""Moving averages of response times, by route and model."""
 
 from __future__ import annotations
 
@@ -6,34 +6,35 @@
 
 import attrs
 
-STEP = 0.05  # Weight of the newest answer in the usual duration.
-MIN_ANSWERS = 5  # Answers before a usual duration is believed.
+SMOOTHING_FACTOR = 0.05  # Weight of the newest response in the averages.
+MIN_ANSWERS = 5  # Responses needed before the averages are used.
 
 
 class AttemptOutcome(enum.Enum):
-    """How an attempt went, as far as its server is concerned."""
+    """Result of an attempt, as it reflects on the backend server."""
 
     WELL = enum.auto()
     FAILED = enum.auto()
-    FULL = enum.auto()  # The server declined for want of room.
-    UNREACHABLE = enum.auto()  # It took no connection.
-    REPLACED = enum.auto()  # Another server answered at its address.
-    LEFT = enum.auto()  # Given up here: it tells nothing of the server.
+    FULL = enum.auto()  # The server declined for lack of capacity.
+    UNREACHABLE = enum.auto()  # The server accepted no connection.
+    REPLACED = enum.auto()  # A different server answered at the address.
+    LEFT = enum.auto()  # Cancelled by this host; says nothing about the server.
 
 
 @attrs.frozen
 class Measured:
-    """Durations of one answer.
+    """Timing of one response.
 
     Attributes:
-        model: Model that answered, or empty.
-        first: Seconds to the head of the answer, or to the first event.
-        total: Seconds to its end.
-        events: Events of the stream; 0 for a plain answer.
-        failed: Whether the answer says that the server failed.
-        is_whole: Whether it came to its end; if not, ``total`` is the time at
-            which it was given up.
-        is_silent: Whether it never began.
+        model: Model that responded, or empty.
+        first: Seconds to the response headers, or to the first event of a
+            stream.
+        total: Seconds to the end of the response.
+        events: Number of events of the stream; 0 for a plain response.
+        failed: Whether the response reports a failure of the server.
+        is_whole: Whether the response is complete. If not, ``total`` is the
+            time at which the attempt was cancelled.
+        is_silent: Whether no part of the response arrived.
     """
 
     model: str
@@ -46,37 +47,37 @@
 
 
 @attrs.define
-class _Usual:
+class _Averages:
     answers: int = 0
     first: float = 0.0
-    pause: float = 0.0
+    event_interval: float = 0.0
 
 
 class Paces:
-    """Usual durations, as moving averages."""
+    """Moving averages of response times."""
 
     def __init__(self) -> None:
-        self._usual: dict[tuple[str, str], _Usual] = {}
+        self._averages: dict[tuple[str, str], _Averages] = {}
 
     def note(self, key: tuple[str, str], measured: Measured) -> None:
-        """Takes an answer into the averages."""
-        usual = self._usual.setdefault(key, _Usual())
-        usual.answers += 1
-        step = max(STEP, 1.0 / usual.answers)
-        usual.first += step * (measured.first - usual.first)
+        """Adds a response to the averages of its route and model."""
+        averages = self._averages.setdefault(key, _Averages())
+        averages.answers += 1
+        step = max(SMOOTHING_FACTOR, 1.0 / averages.answers)
+        averages.first += step * (measured.first - averages.first)
         if not measured.is_whole:
             return
-        pause = (measured.total - measured.first) / max(1, measured.events)
-        usual.pause += step * (pause - usual.pause)
+        interval = (measured.total - measured.first) / max(1, measured.events)
+        averages.event_interval += step * (interval - averages.event_interval)
 
     def is_slow(
         self, key: tuple[str, str], measured: Measured, factor: float
     ) -> bool:
-        """Returns whether an answer took ``factor`` times what is usual."""
+        """Returns whether a response exceeded ``factor`` times the average."""
         if measured.is_silent:
             return True
-        usual = self._usual.get(key)
-        if usual is None or usual.answers < MIN_ANSWERS:
+        averages = self._averages.get(key)
+        if averages is None or averages.answers < MIN_ANSWERS:
             return False
-        expected = usual.first + usual.pause * measured.events
+        expected = averages.first + averages.event_interval * measured.events
         return measured.total > factor * expected
--- a/src/hoistmoor/core/relay/answers/streams.py
+++ b/src/hoistmoor/core/relay/answers/streams.py
@@ -1,7 +1,8 @@
-"""Events of a stream in their order: none missing, none twice, none in part.
+"""Exactly-once, in-order forwarding of server-sent events.
 
-An event is known by its id, a number that rises by one. After a cut the rest
-may come from another backend server, which is told the last id.
+Events are identified by their ids, which are consecutive numbers. After an
+interruption, the stream may be resumed at another backend server, which is sent
+the last id that was forwarded.
 """
 
 from __future__ import annotations
@@ -13,66 +14,66 @@
 from hoistmoor.core import errors
 
 MAX_EVENT_BYTES = 1024 * 1024
-_END = re.compile(rb"\r?\n\r?\n")
-_ID = re.compile(rb"^id:[ ]?(\d+)[ \r]*$", re.MULTILINE)
+_EVENT_END = re.compile(rb"\r?\n\r?\n")
+_EVENT_ID = re.compile(rb"^id:[ ]?(\d+)[ \r]*$", re.MULTILINE)
 
 
 class StreamOrderError(errors.HoistmoorError):
-    """A stream left out, repeated or spoiled an event."""
+    """A stream skipped, repeated or corrupted an event."""
 
 
 @attrs.define
 class EventSequence:
-    """Cuts a stream into whole events and checks their ids.
+    """Splits a stream into complete events and checks their ids.
 
     Attributes:
-        last_id: Id of the newest event passed on; None before the first.
-        events: Events passed on, of all backend servers.
+        last_id: Id of the last event forwarded; None before the first.
+        events: Number of events forwarded, over all backend servers.
     """
 
     last_id: int | None = None
     events: int = 0
-    _rest: bytes = b""
+    _buffer: bytes = b""
 
     @property
     def has_partial(self) -> bool:
-        """Whether bytes wait that make no whole event."""
-        return bool(self._rest)
+        """Whether an incomplete event is buffered."""
+        return bool(self._buffer)
 
     def begin_run(self) -> None:
-        """Drops what an earlier backend server left unfinished."""
-        self._rest = b""
+        """Discards an incomplete event of the previous backend server."""
+        self._buffer = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Returns the whole events that ``data`` completes, as received.
+        """Returns the bytes of all events completed by ``data``.
 
         Raises:
-            StreamOrderError: An event is not the one that must come next, or
-                is too long to be one.
+            StreamOrderError: An event is out of order or exceeds the maximum
+                size.
         """
-        rest = self._rest + data
-        done = 0
-        for match in _END.finditer(rest):
-            self._check(rest[done : match.end()])
-            done = match.end()
-        self._rest = rest[done:]
-        if len(self._rest) > MAX_EVENT_BYTES:
+        buffered = self._buffer + data
+        consumed = 0
+        for match in _EVENT_END.finditer(buffered):
+            self._check(buffered[consumed : match.end()])
+            consumed = match.end()
+        self._buffer = buffered[consumed:]
+        if len(self._buffer) > MAX_EVENT_BYTES:
             raise StreamOrderError(
                 f"an event is longer than {MAX_EVENT_BYTES} bytes",
                 "Check that the backend server sends server-sent events.",
             )
-        return rest[:done]
+        return buffered[:consumed]
 
     def _check(self, event: bytes) -> None:
-        match = _ID.search(event)
+        match = _EVENT_ID.search(event)
         if match is None:
             self.events += 1
             return
         number = int(match.group(1))
         if self.last_id is not None and number != self.last_id + 1:
             raise StreamOrderError(
-                f"event {number} came after event {self.last_id}",
-                "Ask another backend server for the rest.",
+                f"event {number} arrived after event {self.last_id}",
+                "Resume the stream at another backend server.",
             )
         self.last_id = number
         self.events += 1
--- a/tests/core/relay/answers/test_relay_delays.py
+++ b/tests/core/relay/answers/test_relay_delays.py
@@ -1,4 +1,4 @@
-"""How long a request must expect to wait for the first part of its answer."""
+"""Expected time to the first byte of a response."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 @pytest.fixture
 def delays() -> delays_lib.FirstDelays:
-    """A class whose requests were answered after a second."""
+    """Delays with one class of work whose responses took one second."""
     made = delays_lib.FirstDelays()
     for number in range(60):
-        began = number / 100
-        serial = made.begin(LARGE, began)
-        made.end(LARGE, serial, began + 1.0, answered=True)
+        started_at = number / 100
+        serial = made.begin(LARGE, started_at)
+        made.end(LARGE, serial, started_at + 1.0, answered=True)
     return made
 
 
-def test_a_class_is_expected_to_take_what_it_took(
+def test_expected_delay_follows_past_responses(
     delays: delays_lib.FirstDelays,
 ) -> None:
     now = 1.6
@@ -34,7 +34,7 @@
     assertions.assert_that(delays.expected(SMALL, now), matchers.Equals(0.0))
 
 
-def test_requests_that_still_wait_count(
+def test_pending_requests_count_with_their_age(
     delays: delays_lib.FirstDelays,
 ) -> None:
     for _ in range(3):
@@ -42,7 +42,7 @@
     assertions.assert_that(delays.expected(LARGE, 7.0), matchers.Equals(5.0))
 
 
-def test_old_delays_fade_and_failed_ones_teach_nothing(
+def test_average_decays_and_ignores_failed_requests(
     delays: delays_lib.FirstDelays,
 ) -> None:
     serial = delays.begin(LARGE, 1.6)
--- a/tests/core/relay/answers/test_relay_streams.py
+++ b/tests/core/relay/answers/test_relay_streams.py
@@ -1,4 +1,4 @@
-"""No event of a stream is missing, passed on twice, or passed on in part."""
+"""Events of a stream are forwarded whole, in order and exactly once."""
 
 from __future__ import annotations
 
@@ -19,34 +19,37 @@
 
 @given(
     count=st.integers(0, 8),
-    cuts=st.lists(st.integers(0, 200), max_size=6),
+    chunk_ends=st.lists(st.integers(0, 200), max_size=6),
     end=st.sampled_from([b"\n\n", b"\r\n\r\n"]),
 )
-def test_any_split_gives_the_same_whole_events(
-    count: int, cuts: list[int], end: bytes
+def test_chunk_boundaries_do_not_affect_events(
+    count: int, chunk_ends: list[int], end: bytes
 ) -> None:
     data = b"".join(event(number, end) for number in range(1, count + 1))
     whole = data + b"id: 99\ndata: par"
-    places = sorted({min(cut, len(whole)) for cut in cuts} | {0, len(whole)})
+    offsets = sorted(
+        {min(chunk_end, len(whole)) for chunk_end in chunk_ends}
+        | {0, len(whole)}
+    )
     sequence = streams.EventSequence()
-    passed = b"".join(
+    forwarded = b"".join(
         sequence.feed(whole[first:last])
-        for first, last in itertools.pairwise(places)
+        for first, last in itertools.pairwise(offsets)
     )
-    assertions.assert_that(passed, matchers.Equals(data))
+    assertions.assert_that(forwarded, matchers.Equals(data))
     assertions.assert_that(sequence.has_partial, matchers.Is(True))
     assertions.assert_that(sequence.events, matchers.Equals(count))
 
 
 @pytest.mark.parametrize("wrong", [1, 2, 4, 0])
-def test_an_event_out_of_turn_is_an_error(wrong: int) -> None:
+def test_out_of_order_event_is_rejected(wrong: int) -> None:
     sequence = streams.EventSequence()
     sequence.feed(event(1) + event(2))
     with pytest.raises(streams.StreamOrderError):
         sequence.feed(event(wrong))
 
 
-def test_another_server_goes_on_after_the_last_whole_event() -> None:
+def test_another_server_resumes_after_last_complete_event() -> None:
     sequence = streams.EventSequence()
     sequence.feed(event(1) + event(2)[:-3])
     assertions.assert_that(sequence.last_id, matchers.Equals(1))
@@ -57,13 +60,13 @@
     )
 
 
-def test_a_server_that_begins_again_is_found_out() -> None:
+def test_restarted_stream_is_rejected() -> None:
     sequence = streams.EventSequence(last_id=7)
     with pytest.raises(streams.StreamOrderError):
         sequence.feed(event(1))
 
 
-def test_an_event_without_end_is_an_error() -> None:
+def test_unterminated_event_is_rejected() -> None:
     sequence = streams.EventSequence()
     with pytest.raises(streams.StreamOrderError):
         sequence.feed(b"x" * (streams.MAX_EVENT_BYTES + 1))
