--- a/src/hoistmoor/core/relay/beliefs/__init__.py
+++ b/src/hoistmoor/core/relay/beliefs/__init__.py
@@ -1,6 +1,7 @@
-"""What the store says and how old it is: topics, configuration, lease.
+"""Replicated state of the relay: topics, configuration and its lease.
 
-Tasks that read the store or other hosts use it; requests see the result.
+Used by the tasks that read the store or other hosts. Requests only see the
+resulting state.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/core/relay/beliefs/configuration.py
+++ b/src/hoistmoor/core/relay/beliefs/configuration.py
@@ -1,4 +1,4 @@
-"""What the operators have put in force for the relay: one revision of it."""
+"""One revision of the relay configuration, as set by the operators."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RouteKind(enum.StrEnum):
-    """How often the requests of a route may run."""
+    """Delivery semantics of the requests of a route."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -18,11 +18,11 @@
 
 @attrs.frozen
 class ServiceShare:
-    """Part of a route's requests that goes to one service.
+    """Share of the requests of a route that is sent to one service.
 
     Attributes:
         service: Name of the service.
-        weight: Its weight against the route's other services.
+        weight: Weight relative to the other services of the route.
     """
 
     service: str
@@ -31,22 +31,26 @@
 
 @attrs.frozen
 class Route:
-    """Where requests for a host and a path go, and what they are promised.
+    """Routing and service levels of requests for a host and path prefix.
 
     Attributes:
-        name: The operators' name for it.
+        name: Name given by the operators.
         host: Value of the Host header, in lower case.
-        prefix: Start of the path; begins and ends with a slash.
-        kind: How often its requests may run.
-        timeout: Seconds after which its requests get their final answer.
-        target: Seconds to the answer, or to a stream's first event.
-        priority: Rank; 0 is the most urgent.
-        max_attempts: Backend servers that may run one request, at most.
-        anonymous: Whether requests need no key.
-        resumable: Whether a cut stream may go on at another server.
-        longest_pause: Seconds between two events of a stream; 0 for no bound.
-        sizes: Model sizes that may answer, smallest first; empty for none.
-        shares: Services that its requests are spread over.
+        prefix: Path prefix; starts and ends with a slash.
+        kind: Delivery semantics.
+        timeout: Seconds within which a request gets its final response.
+        target: Target latency in seconds to the response, or to the first
+            event of a stream.
+        priority: Default priority; 0 is the most urgent.
+        max_attempts: Maximum number of backend servers that may run a request.
+        anonymous: Whether requests need no API key.
+        resumable: Whether an interrupted stream may be resumed at another
+            backend server.
+        longest_pause: Maximum seconds between two events of a stream; 0 for no
+            limit.
+        sizes: Models that may serve the request, smallest first; empty if the
+            route has no models.
+        shares: Services among which requests are distributed.
     """
 
     name: str
@@ -65,7 +69,7 @@
 
     @property
     def may_run_again(self) -> bool:
-        """Whether a request that may have run can be sent once more."""
+        """Whether a request that may already have run can be sent again."""
         if self.kind is RouteKind.STREAM:
             return self.resumable
         return self.kind is RouteKind.IDEMPOTENT
@@ -73,16 +77,18 @@
 
 @attrs.frozen
 class Service:
-    """A group of backend servers that answer the same requests.
+    """A group of backend servers that serve the same requests.
 
     Attributes:
-        name: The operators' name for it.
-        max_connections: Connections that one of its servers takes in all.
-        has_engine: Whether its servers are model engines.
+        name: Name given by the operators.
+        max_connections: Maximum number of connections to one server, over all
+            hosts.
+        has_engine: Whether the servers are model inference engines.
         model_costs: Cost of a thousand generated tokens, by model.
-        warmup_duration: Seconds for which a server is cold after its start;
-            0 if it is as good as any at once.
-        warmup_rate: Requests a second that a cold server bears.
+        warmup_duration: Warm-up time of a server in seconds; 0 if it needs no
+            warm-up.
+        warmup_rate: Requests per second that a server can handle during its
+            warm-up.
     """
 
     name: str
@@ -95,12 +101,13 @@
 
 @attrs.frozen
 class ClientAccount:
-    """A client account and its keys.
+    """A client account and its API keys.
 
     Attributes:
-        name: The operators' name for it; backend servers are told it.
-        keys: Keys that belong to it.
-        priority: Rank that goes before the route's; None for the route's.
+        name: Name given by the operators; forwarded to backend servers.
+        keys: API keys of the account.
+        priority: Overrides the priority of the route; None to use that of the
+            route.
     """
 
     name: str
@@ -110,12 +117,12 @@
 
 @attrs.frozen
 class Limits:
-    """What one caller may send, and how long it may take.
+    """Limits on client requests and connections.
 
     Attributes:
-        header_bytes: Size of a request's head.
-        body_bytes: Size of a request's body.
-        idle_timeout: Seconds that an unused connection is kept.
+        header_bytes: Maximum size of the request headers.
+        body_bytes: Maximum size of the request body.
+        idle_timeout: Seconds after which an idle connection is closed.
     """
 
     header_bytes: int = 16384
@@ -123,16 +130,17 @@
     idle_timeout: float = 15.0
 
 
-@attrs.frozen(slots=False)  # Its look-ups are cached properties.
+@attrs.frozen(slots=False)  # Lookup tables are cached properties.
 class Configuration:
-    """One revision of what is in force.
+    """One revision of the configuration.
 
     Attributes:
-        revision: Rises with each change, not always by one.
-        routes: In no order that matters.
-        services: By name.
-        accounts: Client accounts; empty where no request needs a key.
-        limits: Bounds on what callers send.
+        revision: Revision number; increases with each change, not necessarily
+            by one.
+        routes: Routes, in no particular order.
+        services: Services by name.
+        accounts: Client accounts; empty if no route requires an API key.
+        limits: Limits on client requests and connections.
     """
 
     revision: int
@@ -142,11 +150,11 @@
     limits: Limits = Limits()
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Returns the route with the longest prefix, if any fits.
+        """Returns the route with the longest matching prefix, if any.
 
         Args:
-            host: Value of the Host header; case does not matter.
-            path: Path without its query.
+            host: Value of the Host header, in any case.
+            path: Path without the query string.
         """
         for route in self._routes_by_host.get(host.lower(), ()):
             if path.startswith(route.prefix):
@@ -154,7 +162,7 @@
         return None
 
     def find_account(self, key: str) -> ClientAccount | None:
-        """Returns the client account that holds a key, if any does."""
+        """Returns the client account of an API key, if any."""
         return self._accounts_by_key.get(key)
 
     @functools.cached_property
@@ -168,4 +176,6 @@
 
     @functools.cached_property
     def _accounts_by_key(self) -> dict[str, ClientAccount]:
-        return {key: each for each in self.accounts for key in each.keys}
+        return {
+            key: account for account in self.accounts for key in account.keys
+        }
--- a/src/hoistmoor/core/relay/beliefs/evacuations.py
+++ b/src/hoistmoor/core/relay/beliefs/evacuations.py
@@ -1,11 +1,11 @@
-"""Which failure domains operators have evacuated.
+"""Failure domains that operators have evacuated.
 
-A failure domain is evacuated as long as the operators' record of it stands.
-Where the store has come back from an older copy, a record may be missing that
-operators are about to write again, or be there again that they took back. What
-was known holds for some time then, unless they say otherwise meanwhile.
+A failure domain is evacuated while a record of the operators says so. After the
+store was restored from an older copy, such a record may be missing until the
+operators write it again, or a deleted one may reappear. The previous state is
+therefore kept for a grace period, unless a newer record overrides it.
 
-The load that it answers: a look with each read of the operators' topic.
+This runs once per read of the operators' topic.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 @attrs.frozen
 class ZoneWord:
-    """What one record of the operators says.
+    """Content of one evacuation record.
 
     Attributes:
-        zone: The failure domain.
-        is_evacuated: Whether it gets nothing.
-        place: Of the record.
+        zone: Failure domain.
+        is_evacuated: Whether the failure domain gets no requests.
+        place: Position of the record in its topic.
     """
 
     zone: str
@@ -37,76 +37,79 @@
 
 
 class Evacuations:
-    """Failure domains that get nothing.
+    """The set of evacuated failure domains.
 
     Attributes:
-        zones: Those that get nothing now.
+        zones: Failure domains that currently get no requests.
     """
 
     def __init__(self) -> None:
         self.zones: frozenset[str] = frozenset()
-        self._listed: set[str] = set()  # As the newest history says.
-        # What was known before that history, against what it says.
-        self._held: dict[str, bool] = {}
-        self._held_until = float("-inf")
-        # Offset of the newest record by which each was evacuated.
+        self._listed: set[str] = set()  # According to the newest era.
+        # State kept from the previous era, which overrides the newest one.
+        self._kept: dict[str, bool] = {}
+        self._kept_until = float("-inf")
+        # Offset of the latest record that evacuated each failure domain.
         self._offsets: dict[str, int] = {}
 
     def take(
         self,
-        words: Iterable[ZoneWord],
+        records: Iterable[ZoneWord],
         now: float,
         *,
         is_snapshot: bool,
         is_return: bool = False,
     ) -> bool:
-        """Takes what was read; returns whether the failure domains change.
+        """Applies records; returns whether the evacuated set changed.
 
         Args:
-            words: What the records say, in order.
-            now: Steady time.
-            is_snapshot: Whether what is not in it was taken back.
-            is_return: Whether it is the snapshot of a newer history.
+            records: Evacuation records, in order.
+            now: Monotonic time.
+            is_snapshot: Whether failure domains without a record are no longer
+                evacuated.
+            is_return: Whether this is the first snapshot of a newer era.
         """
-        words = tuple(words)
+        records = tuple(records)
         if is_return:
-            self._hold(words, now)
+            self._keep_previous(records, now)
         if is_snapshot:
-            self._take_snapshot(words)
+            self._apply_snapshot(records)
         else:
-            for word in words:
-                self._take_word(word)
-        if now >= self._held_until:
-            self._held.clear()
-        added = {zone for zone, is_it in self._held.items() if is_it}
-        zones = frozenset((self._listed | added) - (self._held.keys() - added))
-        changes = zones != self.zones
+            for record in records:
+                self._apply_record(record)
+        if now >= self._kept_until:
+            self._kept.clear()
+        added = {
+            zone for zone, is_evacuated in self._kept.items() if is_evacuated
+        }
+        zones = frozenset((self._listed | added) - (self._kept.keys() - added))
+        has_changed = zones != self.zones
         self.zones = zones
-        return changes
+        return has_changed
 
-    def _take_word(self, word: ZoneWord) -> None:
-        self._held.pop(word.zone, None)
-        if word.is_evacuated:
-            self._listed.add(word.zone)
-            self._offsets[word.zone] = word.place.offset
+    def _apply_record(self, record: ZoneWord) -> None:
+        self._kept.pop(record.zone, None)
+        if record.is_evacuated:
+            self._listed.add(record.zone)
+            self._offsets[record.zone] = record.place.offset
         else:
-            self._listed.discard(word.zone)
-
-    def _hold(self, words: tuple[ZoneWord, ...], now: float) -> None:
-        """Holds what was known against a newer history for some time."""
-        lost = self.zones - {word.zone for word in words}
-        returned = {
-            word.zone
-            for word in words
-            if word.zone not in self.zones
-            and self._offsets.get(word.zone) == word.place.offset
+            self._listed.discard(record.zone)
+
+    def _keep_previous(self, records: tuple[ZoneWord, ...], now: float) -> None:
+        """Keeps the state of the previous era for a grace period."""
+        missing = self.zones - {record.zone for record in records}
+        reappeared = {
+            record.zone
+            for record in records
+            if record.zone not in self.zones
+            and self._offsets.get(record.zone) == record.place.offset
         }
-        self._held = dict.fromkeys(lost, True)
-        self._held |= dict.fromkeys(returned, False)
-        self._held_until = now + history_lib.HELD_FOR
-
-    def _take_snapshot(self, words: tuple[ZoneWord, ...]) -> None:
-        self._listed = {word.zone for word in words}
-        for word in words:
-            if self._held.get(word.zone) is not False:
-                self._offsets[word.zone] = word.place.offset
+        self._kept = dict.fromkeys(missing, True)
+        self._kept |= dict.fromkeys(reappeared, False)
+        self._kept_until = now + history_lib.HELD_FOR
+
+    def _apply_snapshot(self, records: tuple[ZoneWord, ...]) -> None:
+        self._listed = {record.zone for record in records}
+        for record in records:
+            if self._kept.get(record.zone) is not False:
+                self._offsets[record.zone] = record.place.offset
--- a/src/hoistmoor/core/relay/beliefs/freshness.py
+++ b/src/hoistmoor/core/relay/beliefs/freshness.py
@@ -1,36 +1,37 @@
-"""The lease under which the configuration in force may be used.
+"""Lease on the configuration, which bounds how long revoked keys are accepted.
 
-Each read of the newest configuration proves that it was current when the
-read was *sent*, or later if the store held it back. For some time after that
-moment a key that is in force here cannot have been taken away for longer than
+Each read of the newest configuration proves that it was current when the read
+was *sent*, or later if the store delayed its reply. For a limited time after
+that moment, a key in the configuration cannot have been revoked for longer than
 the operators allow.
 
-The operators say what comes after it. Where revocation is strict, requests
-with a key are refused. Where it is not, an outage of the store must not stop
-service: they are served by what was last known, however old that is.
+What happens after that time is a setting. With strict revocation, requests with
+a key are refused. Otherwise an outage of the store must not interrupt service:
+requests are served with the last known configuration, regardless of its age.
 """
 
 from __future__ import annotations
 
 import attrs
 
-# Part of the bound that is left for a request to travel to its server and
-# for timers that fire late.
+# Fraction of the bound reserved for the transfer of a request to its backend
+# server and for timers that fire late.
 MARGIN = 0.1
 
 
 @attrs.define
 class ConfigurationLease:
-    """Whether requests that need a key may be admitted now.
+    """Decides whether requests that need a key may be admitted.
 
-    Serving by an old configuration where revocation is not strict lowers
-    refusals from 31 to 12 in 1,000 requests (mean of 20 played days with
-    disturbances, five of them with an outage of the store).
+    Without strict revocation, serving with an outdated configuration lowers
+    refusals from 31 to 12 per 1,000 requests (mean of 20 simulated days with
+    failures, five of them with a store outage).
 
     Attributes:
-        bound: Seconds within which a key that was taken away must be refused.
-        is_strict: Whether the bound holds while the store cannot be read.
-        proved_at: Steady time at which the configuration was last known to
+        bound: Seconds within which a revoked key must be refused.
+        is_strict: Whether the bound also applies while the store cannot be
+            read.
+        proved_at: Monotonic time at which the configuration was last known to
             be current; None before the first read.
     """
 
@@ -39,24 +40,27 @@
     proved_at: float | None = None
 
     def prove(self, current_at: float) -> None:
-        """Notes that the configuration was current at a steady time."""
+        """Extends the lease: the configuration was current at that time."""
         if self.proved_at is None or current_at > self.proved_at:
             self.proved_at = current_at
 
     def age(self, now: float) -> float:
-        """Returns the seconds since the configuration was known current."""
+        """Returns the seconds since the configuration was proved current."""
         return float("inf") if self.proved_at is None else now - self.proved_at
 
     def is_current(self, now: float) -> bool:
-        """Returns whether what the configuration lacks is certainly absent."""
+        """Returns whether the configuration is recent enough to be conclusive.
+
+        While it is, anything missing from it does not exist.
+        """
         return self.over_for(now) < 0.0
 
     def over_for(self, now: float) -> float:
-        """Returns the seconds since it was current; negative while it is."""
+        """Returns the seconds since the lease expired; negative before that."""
         return self.age(now) - self.bound * (1.0 - MARGIN)
 
     def holds(self, now: float) -> bool:
-        """Returns whether requests with a known key may be sent on."""
+        """Returns whether requests with a known key may be forwarded."""
         if self.is_strict:
             return self.is_current(now)
         return self.proved_at is not None
--- a/src/hoistmoor/core/relay/beliefs/history.py
+++ b/src/hoistmoor/core/relay/beliefs/history.py
@@ -1,11 +1,11 @@
-"""Which history of the store this host knows.
+"""Era of the store, which changes when the store is restored from a copy.
 
-The store may come back from an older copy of itself. What was written after
-that copy is gone, and its offsets are given out again. Each answer names the
-era, a number that rises with each such return.
+After such a restore, records written since the copy are lost and their offsets
+are assigned again. Each response of the store names its era, a number that
+increases with every restore.
 
-The load that it answers: every answer of the store, and one number in each
-message between hosts.
+This runs for every response of the store, and every message between hosts
+carries the era.
 """
 
 from __future__ import annotations
@@ -15,17 +15,18 @@
 
 import attrs
 
-UNNAMED = 0  # Era of a store that names none.
-STORE = "store"  # Who told an era that an answer of the store has named.
-# Seconds for which what a new history lacks is held as it was known. Operators
-# and servers write again what was lost; after that it was taken back.
+UNNAMED = 0  # Era of a store that reports none.
+STORE = "store"  # Source of an era that a response of the store reported.
+# Grace period in seconds for state that a new era lacks. Operators and servers
+# write lost records again within it; records still missing afterwards count as
+# deleted.
 HELD_FOR = 10.0
-# Eras that fit beside an offset in one number; see ``topics.Place.serial``.
+# Number of eras that fit into a serial number; see ``topics.Place.serial``.
 MOST_ERAS = 1 << 22
 
 
 class Unusable(enum.StrEnum):
-    """Why an answer's era says nothing."""
+    """Why the era in a response cannot be used."""
 
     ABSENT = "absent"
     JUNK = "junk"
@@ -34,11 +35,11 @@
 
 @attrs.frozen
 class EraWord:
-    """What an answer of the store says of its era.
+    """Era header of a response of the store.
 
     Attributes:
-        text: As it was sent; None if nothing was.
-        era: What it means; None if it means nothing.
+        text: Value of the header; None if it is missing.
+        era: Parsed value; None if it is missing or invalid.
     """
 
     text: str | None = None
@@ -50,18 +51,18 @@
 
 
 def _ignore(kind: Unusable, word: EraWord) -> None:
-    """Takes an unusable era where nobody wants to know."""
+    """Default observer of unusable eras; does nothing."""
 
 
 @attrs.define(eq=False)
 class StoreHistory:
-    """The store's newest history that this host has heard of.
+    """Newest era of the store known to this host.
 
     Attributes:
-        era: Its number.
-        observers: Told of each new era: the one before, the new one, and who
-            told it.
-        on_unusable: Told of each answer whose era says nothing.
+        era: Number of the era.
+        observers: Called for each new era with the previous era, the new era
+            and the source that reported it.
+        on_unusable: Called for each response without a usable era.
     """
 
     era: int = UNNAMED
@@ -69,16 +70,16 @@
     on_unusable: UnusableObserver = _ignore
 
     def take_answer(self, word: EraWord, known: int) -> int:
-        """Takes what an answer of the store says; returns the answer's era.
+        """Processes the era header of a response; returns its effective era.
 
-        An answer that names no era, or a lower one than was known when it was
-        asked for, is taken for one of that era.
+        A response without an era, or with a lower era than was known when the
+        request was sent, is attributed to the known era.
 
         Args:
-            word: What it says.
-            known: The era that was known when the call was sent.
+            word: Era header of the response.
+            known: Era that was known when the request was sent.
         """
-        kind = _problem(word, known)
+        kind = _classify(word, known)
         if kind is not None:
             self.on_unusable(kind, word)
         if word.era is None or word.era < known:
@@ -87,15 +88,15 @@
         return word.era
 
     def learn(self, era: int, told_by: str) -> None:
-        """Takes an era, and tells observers if it is newer."""
+        """Records an era and notifies the observers if it is newer."""
         if era <= self.era:
             return
-        before, self.era = self.era, era
+        previous, self.era = self.era, era
         for observer in self.observers:
-            observer(before, era, told_by)
+            observer(previous, era, told_by)
 
 
-def _problem(word: EraWord, known: int) -> Unusable | None:
+def _classify(word: EraWord, known: int) -> Unusable | None:
     if word.era is not None:
         return Unusable.FALLING if word.era < known else None
     if word.text is not None:
--- a/src/hoistmoor/core/relay/beliefs/mirror.py
+++ b/src/hoistmoor/core/relay/beliefs/mirror.py
@@ -1,12 +1,13 @@
-"""What a host passes on of the topics that it reads, and whom it asks.
+"""Distribution of topics among hosts: local copies and choice of sources.
 
-One host reads the store. The first of each failure domain asks it, the others
-ask the first of their own. A copy tells how long ago it was known to be
-current, so a lease that rests on it ends as early as it would at the source.
+Hosts form a tree. One host reads the store, the first host of every other
+failure domain reads from it, and the remaining hosts read from the first host
+of their own failure domain. A copy carries the time since it was known to be
+current, so that a lease based on it expires as early as it would at the source.
 
-The load that it answers: a configuration of 90 KB for 195 hosts, whose links
-carry 1 to 25 MB/s. Whoever stands first sends it to all others of its failure
-domain, so hosts with the widest links stand first.
+Sized for a configuration of 90 KB and 195 hosts with links of 1 to 25 MB/s. The
+first host of a failure domain sends the configuration to all others there, so
+hosts are ranked by link bandwidth.
 """
 
 from __future__ import annotations
@@ -23,28 +24,32 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-KEPT = 512  # Changes of a topic that are passed on one by one.
-# Hosts asked before the store is. The store turns away a third of the hosts
-# at times: that all of these are among them is then one chance in a hundred.
-ASKED = 4
-# First hosts of other failure domains that are asked besides.
-ASKED_FAR = 2
-# Hosts from anywhere that are asked where neither these nor the store answer.
-ASKED_ANY = 2
-EARLY = 2  # Hosts of a failure domain that read the store without a wait.
-FIRST_REST = 2.0  # Seconds for which a host that failed is not asked.
-LONGEST_REST = 30.0
+KEPT = 512  # Changes per topic that are kept for incremental copies.
+# Sources in the own failure domain that are asked before the store. At times
+# the store refuses a third of the hosts; the probability that all four are
+# among them is then 1%.
+MAX_LOCAL_SOURCES = 4
+# Sources in other failure domains that are asked in addition.
+MAX_REMOTE_SOURCES = 2
+# Hosts in any failure domain that are asked if neither the sources nor the
+# store reply.
+FALLBACK_SOURCES = 2
+# Hosts per failure domain, and first hosts of failure domains, that read the
+# store without waiting for others; see ``Sources.reads_early``.
+EARLY_READERS = 2
+INITIAL_BACKOFF = 2.0  # Seconds for which a failed host is not asked.
+MAX_BACKOFF = 30.0
 
 
 @attrs.frozen
 class Host:
-    """A relay as the others know it.
+    """Directory entry of a relay.
 
     Attributes:
-        name: Of its host.
-        zone: Its failure domain.
-        address: ``ip:port`` for the other relays.
-        link: Mbit/s of its link; 0 if it is not known.
+        name: Name of its host.
+        zone: Failure domain.
+        address: ``ip:port`` at which other relays reach it.
+        link: Bandwidth of its link in Mbit/s; 0 if unknown.
     """
 
     name: str
@@ -54,10 +59,10 @@
 
 
 class TopicMirror:
-    """One topic as this host knows it.
+    """Local copy of one topic.
 
     Attributes:
-        end: Where it ends; None before the first read.
+        end: End of the topic as last read; None before the first read.
     """
 
     def __init__(self) -> None:
@@ -66,59 +71,64 @@
         self._recent: collections.deque[topics.Record] = collections.deque(
             maxlen=KEPT
         )
-        self._recent_from = topics.START
+        self._recent_start = topics.START
 
     def take(self, batch: topics.Batch) -> None:
-        """Takes what was read."""
+        """Applies a batch that was read."""
         if batch.is_snapshot:
             self._newest = {}
             self._recent.clear()
-            self._recent_from = batch.end
+            self._recent_start = batch.end
         for record in batch.records:
             self._newest.pop(record.key, None)
             if record.value is not None:
                 self._newest[record.key] = record
             if not batch.is_snapshot:
-                self._add(record)
+                self._add_recent(record)
         self.end = batch.end
 
-    def _add(self, record: topics.Record) -> None:
+    def _add_recent(self, record: topics.Record) -> None:
         if len(self._recent) == KEPT:
-            self._recent_from = self._recent[0].place.after(1)
+            self._recent_start = self._recent[0].place.after(1)
         self._recent.append(record)
 
     def hold(self, records: Iterable[topics.Record]) -> None:
-        """Has snapshots bring records that the store may have lost."""
+        """Keeps records in snapshots although the store may have lost them."""
         for record in records:
             self._newest[record.key] = record
 
     def copy_from(self, place: topics.Place | None) -> topics.Batch | None:
-        """Returns what is new since ``place``; None if nothing was read.
+        """Returns the changes since ``place``; None before the first read.
 
         Args:
-            place: Where the other host reads on; None for everything.
+            place: Position at which the other host continues; None for a
+                snapshot.
         """
         if self.end is None:
             return None
         if place is not None and place > self.end:
             return topics.Batch((), self.end)
-        if place is None or place < self._recent_from:
+        if place is None or place < self._recent_start:
             newest = tuple(self._newest.values())
             return topics.Batch(newest, self.end, is_snapshot=True)
-        # Of a key that changed several times, only the newest matters.
-        newest_of = {
-            each.key: each for each in self._recent if each.place >= place
+        # Only the newest change of each key is needed.
+        newest_by_key = {
+            record.key: record
+            for record in self._recent
+            if record.place >= place
         }
-        new = sorted(newest_of.values(), key=lambda each: each.place)
-        return topics.Batch(tuple(new), self.end)
+        changes = sorted(
+            newest_by_key.values(), key=lambda record: record.place
+        )
+        return topics.Batch(tuple(changes), self.end)
 
 
 class Sources:
-    """Whom this host asks before it reads the store itself.
+    """Selects the hosts that this host asks before it reads the store.
 
     Attributes:
         own: Name of this host.
-        zone: Its failure domain.
+        zone: Failure domain of this host.
         hosts: All hosts that were ever listed, by name.
     """
 
@@ -126,114 +136,119 @@
         self.own = own
         self.zone = zone
         self.hosts: dict[str, Host] = {}
-        self._rests: dict[str, tuple[float, float]] = {}
-        self._turn = 0
+        self._backoffs: dict[str, tuple[float, float]] = {}
+        self._rotation = 0
 
     def put(self, host: Host) -> None:
-        """Takes a host's entry; a new one is asked again at once."""
+        """Adds or updates a host; a changed entry resets its backoff."""
         if self.hosts.get(host.name) != host:
-            self._rests.pop(host.name, None)
+            self._backoffs.pop(host.name, None)
         self.hosts[host.name] = host
 
     def any_others(self, now: float) -> list[Host]:
-        """Returns a few hosts from anywhere in the order, others each time.
+        """Returns a few hosts of any rank, in rotation.
 
-        For a host that the store turns away, as it does those before it: the
-        hosts after it may know more. A copy's age counts from a read of the
-        store, so that hosts that ask one another keep nothing alive.
+        Used if the store refuses both this host and its sources, as hosts
+        ranked after it may have newer data. The age of a copy is measured from
+        a read of the store, so data does not stay fresh by circulating between
+        hosts.
         """
         others = [
             host
             for host in sorted(self.hosts.values(), key=_by_digest)
-            if host.name != self.own and not self._is_resting(host, now)
+            if host.name != self.own and not self._is_in_backoff(host, now)
         ]
         if not others:
             return []
-        self._turn += ASKED_ANY
-        start = self._turn % len(others)
-        return [*others[start:], *others[:start]][:ASKED_ANY]
+        self._rotation += FALLBACK_SOURCES
+        start = self._rotation % len(others)
+        return [*others[start:], *others[:start]][:FALLBACK_SOURCES]
 
     def candidates(self, now: float) -> list[Host]:
-        """Returns the hosts to ask, best first; none to read the store.
+        """Returns the hosts to ask, best first; empty to read the store.
 
-        They stand before this host in an order that all hosts share, so
-        nobody waits for one that waits for it: those of its failure domain,
-        then the first of each failure domain before its own.
+        All of them precede this host in a ranking that all hosts share, so no
+        two hosts wait for each other. Hosts of the own failure domain come
+        first, followed by the first host of each failure domain that precedes
+        the own one.
         """
-        near = [
-            host for host in self._near() if not self._is_resting(host, now)
+        local = [
+            host
+            for host in self._local_predecessors()
+            if not self._is_in_backoff(host, now)
         ]
-        far = [
+        remote = [
             host
             for zone in itertools.takewhile(
                 lambda zone: zone != self.zone, self._ranked_zones()
             )
-            for host in self._first_awake(zone, now)
+            for host in self._first_available(zone, now)
         ]
-        return near[:ASKED] + far[:ASKED_FAR]
+        return local[:MAX_LOCAL_SOURCES] + remote[:MAX_REMOTE_SOURCES]
 
     def is_first(self) -> bool:
-        """Returns whether it is the one that its failure domain counts on."""
-        return self.own in self.hosts and self._place() == 0
+        """Returns whether this host is the first of its failure domain."""
+        return self.own in self.hosts and self._rank() == 0
 
     def reads_early(self) -> bool:
         """Returns whether it reads the store as soon as its sources are stale.
 
-        Two hosts of each failure domain do, and of those that stand first in
-        theirs the first two: where a source has lost the store alone, all
-        others find one of these current a moment later. 195 hosts make 255
-        calls instead of 265 by it in an outage of 1.3 s, in virtual time.
+        The second host of each failure domain does, and so do the first hosts
+        of the first two failure domains. If only a source has lost the store,
+        the other hosts soon find one of these to be current. In a simulated
+        outage of 1.3 s, 195 hosts make 255 calls instead of 265.
         """
         if self.own not in self.hosts:
-            # Its list is old, and nobody may ask it for a newer one. Were it
-            # to wait for others, the first host of all would never learn of
-            # any, and all that ask it would not either.
+            # The host list is outdated, and possibly no other host provides a
+            # newer one. If this host waited, the first host of the ranking
+            # would never learn of any other host, nor would those that read
+            # from it.
             return True
-        place = self._place()
-        if place == 0:
-            return self.zone in self._ranked_zones()[:EARLY]
-        return place < EARLY
+        rank = self._rank()
+        if rank == 0:
+            return self.zone in self._ranked_zones()[:EARLY_READERS]
+        return rank < EARLY_READERS
 
-    def _place(self) -> int:
-        """Returns how many hosts of its failure domain stand before it."""
-        return len(list(self._near()))
+    def _rank(self) -> int:
+        """Returns the number of hosts of its failure domain that precede it."""
+        return len(list(self._local_predecessors()))
 
-    def _near(self) -> Iterator[Host]:
-        """Yields the hosts of its failure domain that stand before it."""
+    def _local_predecessors(self) -> Iterator[Host]:
+        """Yields the hosts of its failure domain that precede it."""
         return itertools.takewhile(
-            lambda host: host.name != self.own, self._ranked(self.zone)
+            lambda host: host.name != self.own, self._ranked_hosts(self.zone)
         )
 
     def _ranked_zones(self) -> list[str]:
         zones = {host.zone for host in self.hosts.values()}
         return sorted(zones, key=_digest)
 
-    def _first_awake(self, zone: str, now: float) -> list[Host]:
-        awake = (
+    def _first_available(self, zone: str, now: float) -> list[Host]:
+        available = (
             host
-            for host in self._ranked(zone)
-            if not self._is_resting(host, now)
+            for host in self._ranked_hosts(zone)
+            if not self._is_in_backoff(host, now)
         )
-        return list(itertools.islice(awake, 1))
+        return list(itertools.islice(available, 1))
 
-    def _ranked(self, zone: str) -> list[Host]:
+    def _ranked_hosts(self, zone: str) -> list[Host]:
         return sorted(
             (host for host in self.hosts.values() if host.zone == zone),
             key=lambda host: (-host.link, _digest(host.name)),
         )
 
-    def _is_resting(self, host: Host, now: float) -> bool:
-        return self._rests.get(host.name, (0.0, 0.0))[0] > now
+    def _is_in_backoff(self, host: Host, now: float) -> bool:
+        return self._backoffs.get(host.name, (0.0, 0.0))[0] > now
 
     def note_failed(self, name: str, now: float) -> None:
-        """Has a host rest that did not answer."""
-        _, rest = self._rests.get(name, (0.0, FIRST_REST / 2))
-        rest = min(LONGEST_REST, 2 * rest)
-        self._rests[name] = (now + rest, rest)
+        """Records a failed request to a host and backs off exponentially."""
+        _, delay = self._backoffs.get(name, (0.0, INITIAL_BACKOFF / 2))
+        delay = min(MAX_BACKOFF, 2 * delay)
+        self._backoffs[name] = (now + delay, delay)
 
     def note_answered(self, name: str) -> None:
-        """Notes that a host answered."""
-        self._rests.pop(name, None)
+        """Records a reply of a host and resets its backoff."""
+        self._backoffs.pop(name, None)
 
 
 def _by_digest(host: Host) -> int:
--- a/src/hoistmoor/core/relay/beliefs/reading.py
+++ b/src/hoistmoor/core/relay/beliefs/reading.py
@@ -1,85 +1,87 @@
-"""When a host reads the store itself, and when it lets others read for it.
+"""Decides whether a host reads the store itself or relies on other hosts.
 
-The loads that it answers: all hosts start at once, a configuration of 90 KB
-for 195 hosts, a store that is away for all hosts or for some and comes back.
-Each call counts then, and so does the time until the last host is current.
+Designed for a simultaneous start of all hosts, a configuration of 90 KB for 195
+hosts, and outages of the store for some or all hosts. In these cases, both the
+number of calls and the time until the last host is current matter.
 
-Copies are no fresher than the read of the store that they go back to, so a
-host knows the age of what it has. It reads itself where that age is too high
-and nobody is likely to bring something newer soon.
+A copy is as old as the read of the store that it originates from, so a host
+knows the age of its data. It reads the store if that age is too high and no
+other host is likely to provide newer data soon.
 """
 
 from __future__ import annotations
 
 import attrs
 
-# Seconds between two questions to other hosts.
+# Seconds between two requests to other hosts.
 PERIOD = 0.3
-# Topics on which a send rests: a copy that is too old has a server that left
-# or a key that was taken away.
+# Topics on which routing depends: an outdated copy lists stopped servers or
+# revoked keys.
 DATED = frozenset({"operator", "servers"})
-# Age above which a copy of them is not current enough, from a host that reads
-# the store itself; there they stay below 0.8 s. Each host between adds a
+# Maximum age in seconds of a copy of these topics, from a host that reads the
+# store itself; there the age stays below 0.8 s. Every intermediate host adds a
 # PERIOD.
-OLDEST = 0.9
-# Hosts between, at most, that may make a copy older: hosts that ask one another
-# in a circle would otherwise never find that all of them are stale.
+MAX_COPY_AGE = 0.9
+# Number of intermediate hosts for which a higher age is accepted. Without this
+# limit, hosts that ask one another in a cycle would never detect that all of
+# them are stale.
 MOST_DEPTH = 2
-# Age from which a host reads the store itself, whatever others may still say:
-# operators allow two seconds until a change is in force or a server is left
-# alone.
+# Age in seconds above which a host reads the store itself, regardless of other
+# hosts: operators allow two seconds until a change takes effect or a server
+# gets no more requests.
 OLDEST_OWN = 1.4
-# Seconds for which a host that starts waits for one that is about to be
+# Seconds for which a starting host waits for another one that is about to be
 # current.
 START_PATIENCE = 0.6
-# Times that a host without sources asks a few others what they know, at its
-# start: a third of all may start with it.
+# Number of times that a starting host without sources asks a few other hosts: a
+# third of all hosts may be starting at the same time.
 START_ROUNDS = 4
-# Times as wide a link as its own that such a host must have, but at the first
-# start of all, when no caller waits. 1,400 routes are 700 KB from the store:
-# 0.3 s at 20 Mbit/s, and with one that has 200 as a source 0.1 s.
-WIDER = 4.0
-# Seconds until a host that begins to read the store reads the slow topics too:
-# most often another host is found before.
-SETTLED = 1.0
+# Minimum ratio of link bandwidths for which a starting host waits for another
+# one, except at the first start of the cluster, when there are no clients yet.
+# 1,400 routes are 700 KB from the store, which takes 0.3 s at 20 Mbit/s, or
+# 0.1 s from a host with 200 Mbit/s.
+MIN_LINK_RATIO = 4.0
+# Seconds before a host that starts to read the store also reads the slow
+# topics: usually another source is found earlier.
+SLOW_TOPICS_DELAY = 1.0
 SLOW_TOPICS = frozenset({"phases", "hosts", "quarantine"})
-# What a host reads while it does not know the others: the store may be away,
-# and one topic shows its return.
+# Topics that a host reads while it knows no other hosts: the store may be
+# unavailable, and these suffice to detect its return.
 ALONE_TOPICS = frozenset({"operator", "hosts"})
 
 
 @attrs.frozen
 class Backoff:
-    """Pauses between two tries of a store that is away, each twice the last.
+    """Exponential backoff for calls to an unavailable store.
 
     Attributes:
-        first: Seconds after the first failed try.
-        longest: Seconds, at most.
+        first: Delay in seconds after the first failure.
+        longest: Maximum delay in seconds.
     """
 
     first: float
     longest: float
 
 
-# For hosts on which others count: short, as the lease on a configuration is.
+# For hosts that others read from: short, as the configuration lease is short.
 EAGER = Backoff(first=0.1, longest=0.5)
-# For hosts that know no others yet: with the first of each failure domain
-# trying twice a second, they may come a little later.
+# For hosts that know no other hosts yet: the first host of each failure domain
+# already retries twice per second, so these may be slower.
 ALONE = Backoff(first=0.1, longest=1.0)
-# For hosts that learn of the store's return from others: they only look
-# whether it is there for them while it is not for those.
+# For hosts that learn from others when the store is back: they only check
+# whether they can reach the store while the others cannot.
 RELAXED = Backoff(first=2.0, longest=4.0)
 
 
 def backoff_of(
     *, knows_hosts: bool, is_answered: bool, is_first: bool
 ) -> Backoff:
-    """Returns how often a host tries a store that is away.
+    """Returns the backoff of a host for an unavailable store.
 
     Args:
         knows_hosts: Whether it knows the other hosts.
-        is_answered: Whether one of them has answered lately.
-        is_first: Whether its failure domain counts on it.
+        is_answered: Whether one of them has replied recently.
+        is_first: Whether it is the first host of its failure domain.
     """
     if not knows_hosts:
         return ALONE
@@ -87,38 +89,40 @@
 
 
 def is_current(age: float, depth: int) -> bool:
-    """Returns whether a copy is current enough.
+    """Returns whether a copy is recent enough.
 
     Args:
-        age: Seconds since its oldest dated topic was known to be current.
-        depth: Hosts between its source and the store.
+        age: Seconds since the oldest of its ``DATED`` topics was current.
+        depth: Number of hosts between its source and the store.
     """
-    return age <= OLDEST + min(depth, MOST_DEPTH) * PERIOD
+    return age <= MAX_COPY_AGE + min(depth, MOST_DEPTH) * PERIOD
 
 
 def is_worth_a_wait(
     link: float, other_link: float, *, is_first_start: bool
 ) -> bool:
-    """Returns whether a host that starts too is waited for.
+    """Returns whether to wait for another host that is starting as well.
 
     Args:
-        link: Mbit/s of this host's link; 0 if it is not known.
-        other_link: The same of the other host.
-        is_first_start: Whether all hosts start for the first time.
+        link: Link bandwidth of this host in Mbit/s; 0 if unknown.
+        other_link: Link bandwidth of the other host.
+        is_first_start: Whether this is the first start of the cluster.
     """
-    return is_first_start or other_link >= WIDER * link > 0.0
+    return is_first_start or other_link >= MIN_LINK_RATIO * link > 0.0
 
 
 @attrs.frozen
 class Situation:
-    """What a host without a current source knows.
+    """State of a host without a current source.
 
     Attributes:
-        has_all: Whether each topic was read once, here or by others.
-        is_promising: Whether one that was asked is worth a wait.
-        waited: Seconds since this host began to ask.
-        age: Seconds since its oldest dated topic was known to be current.
-        reads_early: Whether it stands among the first of its failure domain.
+        has_all: Whether every topic was read at least once, from the store or
+            from another host.
+        is_promising: Whether one of the hosts asked is worth waiting for.
+        waited: Seconds since this host started to ask others.
+        age: Seconds since the oldest of its ``DATED`` topics was current.
+        reads_early: Whether it is one of the hosts that read the store without
+            waiting for others.
     """
 
     has_all: bool
@@ -137,16 +141,16 @@
 def is_read(
     name: str, *, knows_hosts: bool, was_read: bool, alone_for: float
 ) -> bool:
-    """Returns whether a host without a source reads a topic itself.
+    """Returns whether a host without a source reads a topic from the store.
 
     Args:
-        name: Of the topic.
+        name: Name of the topic.
         knows_hosts: Whether it knows the other hosts.
-        was_read: Whether the topic was read once.
-        alone_for: Seconds since it had a source.
+        was_read: Whether the topic was read before.
+        alone_for: Seconds since it last had a source.
     """
     if not knows_hosts:
         return name in ALONE_TOPICS
     if name in SLOW_TOPICS and was_read:
-        return alone_for >= SETTLED
+        return alone_for >= SLOW_TOPICS_DELAY
     return True
--- a/src/hoistmoor/core/relay/beliefs/topics.py
+++ b/src/hoistmoor/core/relay/beliefs/topics.py
@@ -1,4 +1,4 @@
-"""Places in keyed topics, and the records there, as read and passed on."""
+"""Positions in keyed topics, and the records read from them."""
 
 from __future__ import annotations
 
@@ -6,20 +6,21 @@
 
 import attrs
 
-OFFSET_BITS = 40  # Of a serial; a topic has fewer records.
+OFFSET_BITS = 40  # Bits of a serial number; no topic has 2**40 records.
 
 
-# A tuple: places of all records that hosts pass on are compared.
+# A tuple, so that comparisons are cheap: the positions of all records exchanged
+# between hosts are compared.
 class Place(NamedTuple):
-    """A place in one history of a topic.
+    """Position in a topic.
 
-    An offset means nothing without its era: a store that came back from an
-    older copy gives it out again. A place in a newer history comes after all
-    places in an older one.
+    An offset is only meaningful within its era: a store that was restored from
+    an older copy assigns offsets again. Every position in a newer era comes
+    after all positions in an older one.
 
     Attributes:
-        era: Number of the history.
-        offset: Records before it there.
+        era: Era of the store.
+        offset: Number of records before this position in that era.
     """
 
     era: int
@@ -27,25 +28,25 @@
 
     @property
     def serial(self) -> int:
-        """One number that orders places as they are ordered."""
+        """Era and offset as a single integer with the same ordering."""
         return self.era << OFFSET_BITS | self.offset
 
     @property
     def text(self) -> str:
-        """Era and offset, as log lines have them."""
+        """Era and offset in the format of log lines."""
         return f"{self.era}:{self.offset}"
 
     def after(self, count: int) -> Place:
-        """Returns the place so many records later."""
+        """Returns the position ``count`` records later."""
         return Place(self.era, self.offset + count)
 
 
 def place_of(serial: int) -> Place:
-    """Returns the place that has a serial."""
+    """Returns the position encoded by a serial number."""
     return Place(serial >> OFFSET_BITS, serial & ((1 << OFFSET_BITS) - 1))
 
 
-START = Place(0, 0)  # Of any topic.
+START = Place(0, 0)  # First position of any topic.
 
 
 @attrs.frozen
@@ -53,9 +54,9 @@
     """One record of a keyed topic.
 
     Attributes:
-        key: What it is about.
-        value: Its content; None if the key was dropped.
-        place: Where it stands.
+        key: Key of the record.
+        value: Content; None if the key was deleted.
+        place: Position of the record.
     """
 
     key: str
@@ -65,12 +66,12 @@
 
 @attrs.frozen
 class Batch:
-    """Records that were read together.
+    """Records returned by one read.
 
     Attributes:
-        records: In order.
-        end: Where to read on.
-        is_snapshot: Whether keys that are not in it do not exist.
+        records: Records in order.
+        end: Position at which to continue reading.
+        is_snapshot: Whether the batch holds all existing keys.
     """
 
     records: tuple[Record, ...]
--- a/tests/core/relay/beliefs/test_relay_configuration.py
+++ b/tests/core/relay/beliefs/test_relay_configuration.py
@@ -1,4 +1,4 @@
-"""Which route and which client account a request belongs to."""
+"""Lookup of routes and client accounts, and the configuration lease."""
 
 from __future__ import annotations
 
@@ -11,7 +11,9 @@
 from hoistmoor.core.relay.beliefs import freshness
 from hoistmoor.core.relay.course import budget
 
-NARROW = attrs.evolve(relay_parts.ROUTE, name="narrow", prefix="/look/deep/")
+NESTED_ROUTE = attrs.evolve(
+    relay_parts.ROUTE, name="narrow", prefix="/look/deep/"
+)
 
 
 @pytest.mark.parametrize(
@@ -26,17 +28,17 @@
         ("else.example", "/look/x", None),
     ],
 )
-def test_the_longest_prefix_wins(
+def test_longest_matching_prefix_wins(
     host: str, path: str, expected: str | None
 ) -> None:
-    found = relay_parts.in_force(routes=(relay_parts.ROUTE, NARROW))
+    found = relay_parts.in_force(routes=(relay_parts.ROUTE, NESTED_ROUTE))
     route = found.find_route(host, path)
     assertions.assert_that(
         route.name if route else None, matchers.Equals(expected)
     )
 
 
-def test_each_key_of_an_account_is_its_own() -> None:
+def test_account_is_found_by_any_of_its_keys() -> None:
     found = relay_parts.in_force()
     holder = found.find_account("key2")
     assert holder is not None
@@ -48,15 +50,17 @@
 @pytest.mark.parametrize(
     ("now", "holds"), [(10.0, True), (14.4, True), (14.6, False), (99.0, False)]
 )
-def test_the_lease_ends_before_the_bound(now: float, holds: bool) -> None:
+def test_lease_expires_before_the_bound(now: float, holds: bool) -> None:
     lease = freshness.ConfigurationLease(5.0)
     assertions.assert_that(lease.holds(0.0), matchers.Is(False))
     lease.prove(10.0)
-    lease.prove(9.0)  # An older read that came late proves nothing new.
+    lease.prove(
+        9.0
+    )  # A delayed reply to an older read does not shorten the lease.
     assertions.assert_that(lease.holds(now), matchers.Is(holds))
 
 
-def test_a_lease_that_is_not_strict_outlives_an_outage() -> None:
+def test_lease_without_strict_revocation_survives_an_outage() -> None:
     lease = freshness.ConfigurationLease(5.0, is_strict=False)
     assertions.assert_that(lease.holds(0.0), matchers.Is(False))
     lease.prove(10.0)
@@ -65,20 +69,20 @@
     assertions.assert_that(lease.is_current(14.6), matchers.Is(False))
 
 
-def test_repeats_are_earned_by_requests_and_by_nothing_else() -> None:
-    earned = budget.RepeatBudget(ratio=0.5, window=10.0, spare=1.0)
+def test_retry_budget_grows_with_requests_only() -> None:
+    retries = budget.RepeatBudget(ratio=0.5, window=10.0, spare=1.0)
     allowed = 0
     for number in range(100):
         now = number / 20
-        earned.note_request(now)
-        if earned.allows(now):
-            earned.note_repeat(now)
+        retries.note_request(now)
+        if retries.allows(now):
+            retries.note_repeat(now)
             allowed += 1
     bound = budget.USED_SHARE * 0.5 * 100 + 1
     assertions.assert_that(allowed, matchers.LessThan(bound + 1))
     assertions.assert_that(allowed, matchers.GreaterThan(bound - 2))
-    assertions.assert_that(earned.allows(5.0), matchers.Is(False))
-    # Once the window has passed, only the spare one is left.
-    assertions.assert_that(earned.allows(30.0), matchers.Is(True))
-    earned.note_repeat(30.0)
-    assertions.assert_that(earned.allows(30.0), matchers.Is(False))
+    assertions.assert_that(retries.allows(5.0), matchers.Is(False))
+    # After the window has passed, only the spare retry is left.
+    assertions.assert_that(retries.allows(30.0), matchers.Is(True))
+    retries.note_repeat(30.0)
+    assertions.assert_that(retries.allows(30.0), matchers.Is(False))
--- a/tests/core/relay/beliefs/test_relay_evacuations.py
+++ b/tests/core/relay/beliefs/test_relay_evacuations.py
@@ -1,4 +1,4 @@
-"""Which failure domains are evacuated, over returns of the store."""
+"""Evacuated failure domains, including restores of the store from a copy."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 NOW = 100.0
 
 
-def word(
+def record(
     zone: str, offset: int, era: int = 1, *, is_evacuated: bool = True
 ) -> evacuations.ZoneWord:
     place = relay_parts.at(offset, era)
@@ -22,79 +22,79 @@
 
 @pytest.fixture
 def known() -> evacuations.Evacuations:
-    """One failure domain is evacuated; another one was, and is not now."""
+    """One failure domain is evacuated; the evacuation of another has ended."""
     made = evacuations.Evacuations()
     made.take((), NOW, is_snapshot=True)
-    words = [
-        word("ended", 3),
-        word("held", 4),
-        word("ended", 5, is_evacuated=False),
+    records = [
+        record("ended", 3),
+        record("held", 4),
+        record("ended", 5, is_evacuated=False),
     ]
-    made.take(words, NOW, is_snapshot=False)
+    made.take(records, NOW, is_snapshot=False)
     return made
 
 
-def returned(
-    known: evacuations.Evacuations, *words: evacuations.ZoneWord
+def after_restore(
+    known: evacuations.Evacuations, *records: evacuations.ZoneWord
 ) -> set[str]:
-    """Returns what is evacuated after a snapshot of a newer history."""
-    known.take(words, NOW, is_snapshot=True, is_return=True)
+    """Returns the evacuated set after the first snapshot of a newer era."""
+    known.take(records, NOW, is_snapshot=True, is_return=True)
     return set(known.zones)
 
 
-def later(
+def after(
     known: evacuations.Evacuations,
     seconds: float,
-    *words: evacuations.ZoneWord,
+    *records: evacuations.ZoneWord,
 ) -> set[str]:
-    known.take(words, NOW + seconds, is_snapshot=False)
+    known.take(records, NOW + seconds, is_snapshot=False)
     return set(known.zones)
 
 
-def test_what_the_store_has_lost_holds_until_it_is_written_again(
+def test_evacuation_lost_by_the_store_is_kept_until_rewritten(
     known: evacuations.Evacuations,
 ) -> None:
-    found = returned(known)
+    found = after_restore(known)
     assertions.assert_that(found, matchers.Equals({"held"}))
-    found = later(known, 1.0, word("held", 4, 2))
+    found = after(known, 1.0, record("held", 4, 2))
     assertions.assert_that(found, matchers.Equals({"held"}))
-    found = later(known, history.HELD_FOR + 1.0)
+    found = after(known, history.HELD_FOR + 1.0)
     assertions.assert_that(found, matchers.Equals({"held"}))
 
 
-def test_what_is_not_written_again_was_taken_back(
+def test_evacuation_not_rewritten_in_time_ends(
     known: evacuations.Evacuations,
 ) -> None:
-    returned(known)
-    found = later(known, history.HELD_FOR - 0.1)
+    after_restore(known)
+    found = after(known, history.HELD_FOR - 0.1)
     assertions.assert_that(found, matchers.Equals({"held"}))
-    found = later(known, history.HELD_FOR)
+    found = after(known, history.HELD_FOR)
     assertions.assert_that(found, matchers.Equals(set()))
 
 
-def test_an_evacuation_that_was_taken_back_does_not_return(
+def test_ended_evacuation_in_an_older_copy_is_ignored(
     known: evacuations.Evacuations,
 ) -> None:
-    found = returned(known, word("ended", 3, 2))
+    found = after_restore(known, record("ended", 3, 2))
     assertions.assert_that(found, matchers.Equals({"held"}))
-    end = word("ended", 4, 2, is_evacuated=False)
-    found = later(known, 1.0, end, word("held", 5, 2))
+    end = record("ended", 4, 2, is_evacuated=False)
+    found = after(known, 1.0, end, record("held", 5, 2))
     assertions.assert_that(found, matchers.Equals({"held"}))
-    found = later(known, history.HELD_FOR)
+    found = after(known, history.HELD_FOR)
     assertions.assert_that(found, matchers.Equals({"held"}))
 
 
-def test_what_operators_say_after_the_return_holds_at_once(
+def test_records_written_after_the_restore_apply_at_once(
     known: evacuations.Evacuations,
 ) -> None:
-    found = returned(known, word("new", 3, 2), word("ended", 2, 2))
+    found = after_restore(known, record("new", 3, 2), record("ended", 2, 2))
     assertions.assert_that(found, matchers.Equals({"held", "new", "ended"}))
-    end = word("held", 4, 2, is_evacuated=False)
-    found = later(known, 1.0, end)
+    end = record("held", 4, 2, is_evacuated=False)
+    found = after(known, 1.0, end)
     assertions.assert_that(found, matchers.Equals({"new", "ended"}))
 
 
-def test_what_a_snapshot_of_the_same_history_lacks_was_taken_back(
+def test_evacuation_missing_from_a_snapshot_of_the_same_era_ends(
     known: evacuations.Evacuations,
 ) -> None:
     known.take((), NOW, is_snapshot=True)
--- a/tests/core/relay/beliefs/test_relay_mirror.py
+++ b/tests/core/relay/beliefs/test_relay_mirror.py
@@ -1,4 +1,4 @@
-"""What hosts pass on, and whom they ask."""
+"""Copies of topics, and the choice of hosts to read them from."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     asked=st.integers(0, 30),
     split=st.integers(0, 30),
 )
-def test_a_copy_brings_any_host_to_the_same_state(
+def test_copy_brings_any_host_to_the_same_state(
     keys: list[tuple[str, bool]], asked: int, split: int
 ) -> None:
     changes = [
@@ -52,7 +52,7 @@
     assertions.assert_that(copy.end, matchers.Equals(end))
 
 
-def test_a_host_far_behind_gets_a_snapshot() -> None:
+def test_host_far_behind_gets_a_snapshot() -> None:
     source = mirror.TopicMirror()
     assertions.assert_that(source.copy_from(None), matchers.Is(None))
     source.take(
@@ -75,7 +75,7 @@
     assertions.assert_that(copy.records, matchers.HasLength(5))
 
 
-def test_only_the_newest_change_of_a_key_is_copied() -> None:
+def test_only_newest_change_of_a_key_is_copied() -> None:
     source = mirror.TopicMirror()
     changes = tuple(change("config", at, b"%d" % at) for at in range(5))
     source.take(topics.Batch(changes, relay_parts.at(5)))
@@ -96,7 +96,7 @@
     return made
 
 
-def test_one_host_reads_and_nobody_asks_in_a_circle(
+def test_one_host_reads_the_store_and_there_are_no_cycles(
     all_sources: dict[str, mirror.Sources],
 ) -> None:
     asked = {
@@ -113,7 +113,7 @@
         assertions.assert_that(path[-1], matchers.Equals(readers[0]))
 
 
-def test_the_first_of_each_failure_domain_asks_that_of_another() -> None:
+def test_first_host_of_a_failure_domain_asks_first_host_of_another() -> None:
     hosts = [
         mirror.Host(f"{zone}{number}", zone, f"127.0.0.1:{number}")
         for zone in "abcd"
@@ -132,7 +132,7 @@
         for name, found in asked.items():
             if name not in steps and found[0].name in steps:
                 steps[name] = steps[found[0].name] + 1
-    # Everybody reaches the reader, over no more than one host between.
+    # All hosts reach the reader through at most one intermediate host.
     assertions.assert_that(steps, matchers.HasLength(len(hosts)))
     assertions.assert_that(max(steps.values()), matchers.Equals(2))
     far = [
@@ -143,7 +143,7 @@
     assertions.assert_that(far, matchers.HasLength(3))
 
 
-def test_a_host_that_fails_rests_longer_each_time(
+def test_backoff_of_a_failing_host_grows(
     all_sources: dict[str, mirror.Sources],
 ) -> None:
     sources = next(
@@ -158,16 +158,17 @@
     sources.note_failed(first.name, 2.1)
     left = [host.name for host in sources.candidates(5.0)]
     assertions.assert_that(first.name in left, matchers.Is(False))
-    # A new run of the host is worth asking at once.
+    # A changed entry, as after a restart, resets the backoff.
     sources.put(mirror.Host(first.name, "z", "127.0.0.1:777"))
     back = [host.name for host in sources.candidates(5.0)]
     assertions.assert_that(back[0], matchers.Equals(first.name))
 
 
-def test_a_host_that_is_not_listed_reads_the_store() -> None:
-    # The first of three hosts that started one after the other read the list
-    # while it was empty. It read the store, so nobody was to bring it a newer
-    # list, and it waited for one: no host ever knew all three.
+def test_unlisted_host_reads_the_store() -> None:
+    # Guards against a deadlock: the first of three hosts that started one after
+    # another had read an empty host list. As it read the store itself, no other
+    # host sent it a newer list, but it waited for one. No host ever knew all
+    # three.
     sources = mirror.Sources("h1", "north")
     assertions.assert_that(sources.reads_early(), matchers.Is(True))
     sources.put(mirror.Host("h2", "north", "10.0.0.2:1"))
--- a/tests/core/relay/beliefs/test_relay_reading.py
+++ b/tests/core/relay/beliefs/test_relay_reading.py
@@ -1,4 +1,4 @@
-"""When a host reads the store itself."""
+"""Decision of a host to read the store itself."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         (math.inf, 0, False),
     ],
 )
-def test_a_copy_may_be_older_the_more_hosts_it_came_by(
+def test_allowed_age_grows_with_intermediate_hosts(
     age: float, depth: int, expected: bool
 ) -> None:
     assertions.assert_that(
@@ -29,7 +29,7 @@
     )
 
 
-def test_hosts_that_ask_in_a_circle_find_that_they_are_stale() -> None:
+def test_hosts_in_a_cycle_detect_that_they_are_stale() -> None:
     for depth in range(reading.MOST_DEPTH, 100):
         assertions.assert_that(
             reading.is_current(1.6, depth), matchers.Is(False)
@@ -46,7 +46,7 @@
         (200.0, 20.0, True, True),
     ],
 )
-def test_a_start_waits_for_a_wide_link_only(
+def test_starting_host_waits_only_for_a_faster_link(
     link: float, other: float, is_first_start: bool, expected: bool
 ) -> None:
     found = reading.is_worth_a_wait(link, other, is_first_start=is_first_start)
@@ -56,17 +56,17 @@
 @pytest.mark.parametrize(
     ("has_all", "is_promising", "waited", "age", "reads_early", "expected"),
     [
-        # It starts: nobody is about to be current, or it waited long enough.
+        # Starting: waits only for a promising host, and for a limited time.
         (False, False, 0.0, math.inf, False, False),
         (False, True, 0.0, math.inf, False, True),
         (False, True, 0.6, math.inf, False, False),
-        # Its sources are stale: the first ones read, then all.
+        # Sources are stale: hosts that read early go first, then all.
         (True, False, 9.0, 1.0, True, False),
         (True, False, 9.0, 1.0, False, True),
         (True, True, 9.0, 1.5, False, False),
     ],
 )
-def test_who_waits_for_others(
+def test_waiting_for_other_hosts(
     has_all: bool,
     is_promising: bool,
     waited: float,
@@ -89,7 +89,7 @@
         ("phases", True, True, 1.5, True),
     ],
 )
-def test_which_topics_a_host_reads_itself(
+def test_topics_read_from_the_store(
     name: str,
     knows_hosts: bool,
     was_read: bool,
@@ -111,7 +111,7 @@
         (True, False, False, reading.EAGER),
     ],
 )
-def test_how_often_a_store_that_is_away_is_tried(
+def test_backoff_for_an_unavailable_store(
     knows_hosts: bool,
     is_answered: bool,
     is_first: bool,
