--- a/src/hoistmoor/core/relay/course/__init__.py
+++ b/src/hoistmoor/core/relay/course/__init__.py
@@ -1,6 +1,6 @@
-"""The course of one request: attempts, repeats, refusal, return.
+"""Lifecycle of a relayed request: attempts, retries and refusals.
 
-The task of a request drives it, one machine a request.
+The task that serves a request drives one state machine per request.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/core/relay/course/attempt_counts.py
+++ b/src/hoistmoor/core/relay/course/attempt_counts.py
@@ -1,4 +1,4 @@
-"""How often one request was sent, by what became of each attempt."""
+"""Attempts of one request, counted by result."""
 
 from __future__ import annotations
 
@@ -6,28 +6,32 @@
 
 from hoistmoor.core import outcomes
 
-# Servers that may decline one request before it is refused: a server that
-# declines has not run it, so the route's attempts do not count these.
+# Servers that may decline a request before it is refused. A server that
+# declines has not run the request, so these do not count as attempts of the
+# route.
 MAX_DECLINED = 3
-# Servers that may take no connection for one request before it is refused. A
-# refused connection costs some milliseconds and is no work for anybody, and
-# servers that died look the least busy. Where a third of them is dead and they
-# are drawn evenly, one request in 81 meets four of these in a row, and one in
-# 6,561 meets eight.
+# Servers that may be unreachable for a request before it is refused. A refused
+# connection takes a few milliseconds and causes no work on any server, and dead
+# servers look the least loaded. If a third of the servers is dead and servers
+# are selected uniformly, one request in 81 hits four dead ones in a row, and
+# one in 6,561 hits eight.
 MAX_UNREACHABLE = 8
-# Servers that may end under one request without using up its attempts.
+# Servers that may terminate while they run a request without counting as
+# attempts of the route.
 MAX_UNCOUNTED = 3
 
 
 @attrs.define
 class AttemptCounts:
-    """Counts the attempts of one request that have ended.
+    """Counts the finished attempts of one request.
 
     Attributes:
-        runs: Those that may have run and use up the route's attempts.
-        declined: Those that a server declined.
-        unreachable: Those that reached no server.
-        uncounted: Those whose server ended beside the request.
+        runs: Attempts that may have run and count toward the maximum of the
+            route.
+        declined: Attempts that a server declined.
+        unreachable: Attempts that reached no server.
+        uncounted: Attempts whose server terminated, but not because of the
+            request.
     """
 
     runs: int = 0
@@ -37,20 +41,22 @@
 
     @property
     def has_arrived(self) -> bool:
-        """Whether a server has got the request.
+        """Whether any server has received the request.
 
-        The budget is for what servers get more than once. While a quarter of
-        them were dead, no server had got 1,093 of 1,335 requests that were
-        refused as not run (a log of a played day, 84 hosts).
+        The retry budget only covers requests that servers receive more than
+        once. On a simulated day with 84 hosts, while a quarter of the servers
+        was dead, 1,093 of the 1,335 requests refused as not run had reached no
+        server.
         """
         return self.runs + self.uncounted + self.declined > 0
 
     def note(self, state: outcomes.ExchangeState, *, is_beside: bool) -> None:
-        """Counts an attempt.
+        """Counts a finished attempt.
 
         Args:
-            state: How far its exchange had come.
-            is_beside: Whether its server ended, and not by the request.
+            state: Final state of the exchange.
+            is_beside: Whether the server terminated, but not because of the
+                request.
         """
         if state is outcomes.ExchangeState.UNSENT:
             self.unreachable += 1
@@ -62,10 +68,10 @@
             self.runs += 1
 
     def allow_another(self, max_attempts: int) -> bool:
-        """Returns whether the request may be sent once more.
+        """Returns whether the request may be sent again.
 
         Args:
-            max_attempts: Attempts that the route allows.
+            max_attempts: Maximum number of attempts of the route.
         """
         return (
             self.runs < max_attempts
--- a/src/hoistmoor/core/relay/course/budget.py
+++ b/src/hoistmoor/core/relay/course/budget.py
@@ -1,9 +1,9 @@
-"""The budget for sending requests a second time.
+"""Retry budget of a host.
 
-Each host earns repeats by the requests that it takes itself, so the shares of
-all hosts add up to less than the bound whichever of them live. What it may
-repeat without any request is its part of what all hosts may: 360 hosts with
-three each would send 1,080 where operators allow 430.
+Every host may retry in proportion to the requests that it receives itself, so
+the retries of all hosts stay within the limit regardless of how many hosts are
+running. The number of retries allowed without any request is divided among the
+hosts: 360 hosts with three each would send 1,080 if operators allow 430.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 
 import attrs
 
-# Part of the operators' ratio that hosts use: their windows do not start at
-# the same moment, and requests and repeats fall into different ones.
+# Fraction of the configured ratio that hosts use. Their windows do not start at
+# the same time, so a request and its retry may fall into different windows.
 USED_SHARE = 0.8
-# Part of what all hosts may repeat without any request that their parts add up
-# to: the lists of some may lack others.
+# Fraction of the retries allowed without any request that is divided among the
+# hosts: the host list of some hosts may be incomplete.
 SPARE_SHARE = 0.8
 
 
 @attrs.define
 class RepeatBudget:
-    """Counts the requests for one service and the repeats among them.
+    """Counts requests and retries for one service in a sliding window.
 
     Attributes:
-        ratio: Repeats allowed for each request.
-        window: Seconds over which both are counted.
-        spare: Repeats that are allowed in a window without any request.
+        ratio: Number of retries allowed per request.
+        window: Length of the window in seconds.
+        spare: Number of retries allowed in a window without any request.
     """
 
     ratio: float
@@ -37,28 +37,28 @@
     _requests: collections.deque[tuple[int, int]] = attrs.field(
         factory=collections.deque
     )
-    _repeats: collections.deque[tuple[int, int]] = attrs.field(
+    _retries: collections.deque[tuple[int, int]] = attrs.field(
         factory=collections.deque
     )
 
     def note_request(self, now: float) -> None:
-        """Counts a request of a caller."""
+        """Counts a client request."""
         _add(self._requests, now)
 
     def note_repeat(self, now: float) -> None:
-        """Counts a request that is sent once more."""
-        _add(self._repeats, now)
+        """Counts a retry."""
+        _add(self._retries, now)
 
     def take_back(self, now: float) -> None:
-        """Uncounts a repeat that reached no server."""
-        if self._repeats:
-            second, count = self._repeats[-1]
-            self._repeats[-1] = (second, max(0, count - 1))
+        """Removes a retry that reached no server from the count."""
+        if self._retries:
+            second, count = self._retries[-1]
+            self._retries[-1] = (second, max(0, count - 1))
 
     def allows(self, now: float) -> bool:
-        """Returns whether one more repeat fits."""
-        earned = USED_SHARE * self.ratio * self._sum(self._requests, now)
-        return self._sum(self._repeats, now) + 1 <= earned + self.spare
+        """Returns whether another retry is within the budget."""
+        allowed = USED_SHARE * self.ratio * self._sum(self._requests, now)
+        return self._sum(self._retries, now) + 1 <= allowed + self.spare
 
     def _sum(
         self, counts: collections.deque[tuple[int, int]], now: float
--- a/src/hoistmoor/core/relay/course/machine.py
+++ b/src/hoistmoor/core/relay/course/machine.py
@@ -1,8 +1,10 @@
-"""Carries one relayed request to its final answer.
+"""State machine of one relayed request.
 
-It promises that a request which may run once only is sent again only while it
-is certain that it has not run, that a refusal says ``not_run`` only if that
-is so, and that an answer which has begun is never followed by another.
+It guarantees that
+
+* a non-idempotent request is sent again only if it certainly has not run,
+* a refusal reports ``not_run`` only if no attempt can have run, and
+* a response that was partly sent is never followed by another one.
 """
 
 from __future__ import annotations
@@ -27,13 +29,14 @@
 
 _State = outcomes.ExchangeState
 
-# A silent server is given up after so many times the route's target, if the
-# request may run again: the caller still gets its answer from another one.
-PATIENCE_FACTOR = 3.0
-# Part of the time left that a silent stream may take: the rest is for another.
-PATIENCE_SHARE = 0.5
-LEAST_PATIENCE = 0.3  # Seconds, for routes with a very short target.
-LEAST_TIME = 0.02  # Seconds left under which an attempt makes no sense.
+# Read timeout of an attempt as a multiple of the target latency of the route,
+# if the request may run again: another server can then still respond in time.
+READ_TIMEOUT_FACTOR = 3.0
+# Maximum read timeout of a stream as a fraction of the time left; the remainder
+# is reserved for another server.
+READ_TIMEOUT_SHARE = 0.5
+MIN_READ_TIMEOUT = 0.3  # Seconds, for routes with a very short target latency.
+MIN_ATTEMPT_TIME = 0.02  # Seconds left that an attempt needs to be useful.
 
 _REASON_BY_STATE = {
     _State.UNSENT: refusals.Reason.BACKEND_UNREACHABLE,
@@ -44,7 +47,7 @@
     _State.DECLINED: refusals.Reason.BACKEND_DECLINED,
 }
 
-# What may keep a request from all servers, where the caller is told of it.
+# Conditions that exclude all servers and are reported to the client.
 _REASON_BY_BAR = {
     access.Bar.COLD: refusals.Reason.NO_CAPACITY,
     access.Bar.LEAVING: refusals.Reason.SERVERS_LEAVING,
@@ -54,13 +57,13 @@
 
 
 class RelayMachine:
-    """One request, from admission to its final answer.
+    """State of one request, from admission to its final response.
 
     Attributes:
-        request: What is wanted.
-        server: Backend server of the attempt under way or last made.
-        model: Model that it was asked for.
-        sent: Attempts made, those that were declined included.
+        request: The relayed request.
+        server: Backend server of the current or last attempt.
+        model: Model requested in that attempt.
+        sent: Number of attempts, including declined ones.
         may_have_run: Whether any attempt may have run.
     """
 
@@ -74,19 +77,19 @@
         self.may_have_run = False
         self._router = router
         self._counts = attempt_counts.AttemptCounts()
-        self._begun = False  # Whether the caller has part of an answer.
+        self._has_begun = False  # Whether the client has part of a response.
         self._escalating = False
-        self._settled = False  # Whether a small answer will do by now.
+        self._keeps_model = False  # Whether escalation is ruled out.
         self._excluded: frozenset[str] = frozenset()
         self._failed_versions: frozenset[str] = frozenset()
         self._detail = ""
 
     def handle(self, event: messages.Event, now: float) -> messages.Effect:
-        """Takes an event in and returns what is to be done.
+        """Processes an event and returns the action to perform.
 
         Args:
-            event: What happened.
-            now: Steady time, in seconds.
+            event: Event that occurred.
+            now: Monotonic time in seconds.
         """
         return self._on(event, now)
 
@@ -100,40 +103,46 @@
 
     @_on.register
     def _(self, event: messages.HeadArrived, now: float) -> messages.Effect:
-        if self._begun or not 200 <= event.status < 300:
+        if self._has_begun or not 200 <= event.status < 300:
             return messages.Pass()
-        better = self._better_model(event.confidence, now)
-        if better is None:
+        larger = self._larger_model(event.confidence, now)
+        if larger is None:
             return messages.Pass()
-        self.model = better
+        self.model = larger
         self._escalating = True
         return messages.Drop()
 
-    def _better_model(self, confidence: float | None, now: float) -> str | None:
+    def _larger_model(self, confidence: float | None, now: float) -> str | None:
         request = self.request
-        chooses = request.prompt and request.prompt.model == cascade.ANY_MODEL
-        if not chooses or self._settled or not request.route.may_run_again:
+        chooses_model = (
+            request.prompt and request.prompt.model == cascade.ANY_MODEL
+        )
+        if (
+            not chooses_model
+            or self._keeps_model
+            or not request.route.may_run_again
+        ):
             return None
         if self._counts.runs + 1 >= request.route.max_attempts:
             return None
         largest = request.route.sizes[-1] if request.route.sizes else ""
-        better = cascade.next_size(
+        larger = cascade.next_size(
             request.route.sizes,
             self.model,
             confidence,
             self._router.expected_first(request, largest, now),
             request.arrived + request.route.target - now,
         )
-        if better is None or not self._router.may_repeat(request, now):
+        if larger is None or not self._router.may_repeat(request, now):
             return None
         if self._router.outlook(request, now) is not None:
-            return None  # Nobody could give the better one.
-        return better
+            return None  # No server could run the larger model.
+        return larger
 
     @_on.register
     def _(self, event: messages.AttemptEnded, now: float) -> messages.Effect:
         assert self.server is not None
-        self._note_end(event)
+        self._record_end(event)
         if self._escalating:
             self._escalating = False
             return self._send(now, refusals.Reason.BACKEND_CUT)
@@ -141,65 +150,66 @@
             return messages.Deliver()
         if event.state is _State.ANSWERED and not event.asks_rest:
             self._failed_versions |= {self.server.entry.version}
-        can_deliver = event.state is _State.ANSWERED and not self._begun
+        can_deliver = event.state is _State.ANSWERED and not self._has_begun
         self._excluded |= {self.server.entry.identity}
         self._detail = event.detail or f"status {event.status}"
-        self._settle_for_small(event.state)
-        if self._may_try_again(event.state, now):
+        self._fall_back_to_small(event.state)
+        if self._may_retry(event.state, now):
             effect = self._send(now, _REASON_BY_STATE[event.state])
-            # A server's own failure tells a caller more than that no other
-            # server could be asked.
+            # The failure reported by the server is more useful to the client
+            # than a refusal because no other server was available.
             if isinstance(effect, messages.Send) or not can_deliver:
                 return effect
         if can_deliver:
             return messages.Deliver()
-        return self._give_up(_REASON_BY_STATE[event.state])
+        return self._fail(_REASON_BY_STATE[event.state])
 
-    def _settle_for_small(self, state: outcomes.ExchangeState) -> None:
-        """Goes back to the smallest model where the largest stays silent.
+    def _fall_back_to_small(self, state: outcomes.ExchangeState) -> None:
+        """Falls back to the smallest model if the largest does not respond.
 
-        What time is left is better spent on an answer that comes.
+        In the remaining time, the smallest model is more likely to respond.
         """
-        if self._begun or state is not _State.SENT:
+        if self._has_begun or state is not _State.SENT:
             return
         first = _first_model(self.request)
         if self.model != first:
             self.model = first
-            self._settled = True
+            self._keeps_model = True
 
     def _is_failure(self, event: messages.AttemptEnded) -> bool:
-        """Returns whether a whole answer is not what the caller waits for.
+        """Returns whether a complete response counts as a failure.
 
-        Once the caller has a part of an answer, only the rest of it will do.
+        Once the client has part of a response, only a successful response can
+        provide the remaining part.
         """
-        if self._begun:
+        if self._has_begun:
             return not 200 <= event.status < 300
         return event.status >= 500
 
-    def _note_end(self, event: messages.AttemptEnded) -> None:
+    def _record_end(self, event: messages.AttemptEnded) -> None:
         outcome = outcomes.OUTCOME_BY_STATE[event.state]
         if outcome is not outcomes.Outcome.NOT_RUN:
             self.may_have_run = True
         suspects = self._router.suspects
-        # A request that merely ran where a server ended is not to be given up
-        # for it.
-        is_beside = event.server_ended and not suspects.is_likely_cause(
+        # A request that merely happened to run on a server that terminated is
+        # not given up because of it.
+        is_bystander = event.server_ended and not suspects.is_likely_cause(
             self.request.fingerprint
         )
-        self._counts.note(event.state, is_beside=is_beside)
+        self._counts.note(event.state, is_beside=is_bystander)
 
     def _is_quarantined(self, now: float) -> bool:
         return self._router.suspects.is_quarantined(
             self.request.fingerprint, now
         )
 
-    def _may_try_again(self, state: outcomes.ExchangeState, now: float) -> bool:
+    def _may_retry(self, state: outcomes.ExchangeState, now: float) -> bool:
         request = self.request
-        if request.deadline - now < LEAST_TIME:
+        if request.deadline - now < MIN_ATTEMPT_TIME:
             return False
         if not self._counts.allow_another(request.route.max_attempts):
             return False
-        # A server's whole answer that it failed is no answer to the caller.
+        # For retries, a complete error response counts as a partial response.
         reached = _State.ANSWERING if state is _State.ANSWERED else state
         if not outcomes.may_resend(reached, request.route.may_run_again):
             return False
@@ -213,11 +223,11 @@
         if outcome is outcomes.Outcome.UNKNOWN:
             self.may_have_run = True
         self._detail = "the time allowed is over"
-        return self._give_up(refusals.Reason.DEADLINE_EXCEEDED)
+        return self._fail(refusals.Reason.DEADLINE_EXCEEDED)
 
     def note_begun(self) -> None:
-        """The caller got a part of the answer."""
-        self._begun = True
+        """Records that the client received part of the response."""
+        self._has_begun = True
 
     def _send(self, now: float, reason: refusals.Reason) -> messages.Effect:
         if self._is_quarantined(now):
@@ -232,14 +242,14 @@
             now,
         )
         if server is None:
-            return self._refuse_unplaced(reason, now)
+            return self._refuse_unavailable(reason, now)
         send = messages.Send(
             server,
             self.model,
             work_class,
             self._router.begin_attempt(self.request, work_class, now),
             self.request.deadline,
-            self._patience(now),
+            self._read_timeout(now),
             self._counts.has_arrived,
             runs.Run(self.request.fingerprint),
         )
@@ -248,48 +258,52 @@
         self.server = server
         return send
 
-    def _refuse_unplaced(
+    def _refuse_unavailable(
         self, reason: refusals.Reason, now: float
     ) -> messages.Effect:
-        """Ends a request that no server may get now.
+        """Refuses a request for which no server is available.
 
-        It is refused at once, also where some server may soon: to wait here
-        would only let others wait behind it.
+        It is refused immediately even if a server becomes available soon, as
+        queued requests would delay those behind them.
         """
         outlook = self._router.outlook(self.request, now)
         known = _REASON_BY_BAR.get(outlook.bar) if outlook else None
         if outlook is None or known is None:
             self._detail = self._detail or "no backend server is ready"
-            return self._give_up(reason)
+            return self._fail(reason)
         if reason is refusals.Reason.NO_CAPACITY:
             reason = known
         self._detail = self._detail or (
             f"of the backend servers the first to be ready is {outlook.bar}"
         )
-        return self._give_up(
+        return self._fail(
             reason, self._router.wait_until(outlook, self.request, now)
         )
 
     def _refuse_quarantined(self, now: float) -> messages.Effect:
         self._detail = "servers that ran this request have crashed"
         left = self._router.suspects.left_for(self.request.fingerprint, now)
-        return self._give_up(refusals.Reason.CRASHES_SERVERS, math.ceil(left))
+        return self._fail(refusals.Reason.CRASHES_SERVERS, math.ceil(left))
 
-    def _patience(self, now: float) -> float | None:
+    def _read_timeout(self, now: float) -> float | None:
         route = self.request.route
-        last = self._counts.runs + 1 >= route.max_attempts
-        if last or not route.may_run_again:
+        is_last = self._counts.runs + 1 >= route.max_attempts
+        if is_last or not route.may_run_again:
             return None
         if route.kind is configuration.RouteKind.STREAM:
-            usual = max(route.target, route.longest_pause) * PATIENCE_FACTOR
+            timeout = (
+                max(route.target, route.longest_pause) * READ_TIMEOUT_FACTOR
+            )
             left = self.request.deadline - now
-            return min(usual, max(LEAST_PATIENCE, left * PATIENCE_SHARE))
-        return max(LEAST_PATIENCE, route.target * PATIENCE_FACTOR)
+            return min(
+                timeout, max(MIN_READ_TIMEOUT, left * READ_TIMEOUT_SHARE)
+            )
+        return max(MIN_READ_TIMEOUT, route.target * READ_TIMEOUT_FACTOR)
 
-    def _give_up(
+    def _fail(
         self, reason: refusals.Reason, wait: float | None = None
     ) -> messages.Effect:
-        if self._begun:
+        if self._has_begun:
             return messages.Break(self._detail)
         outcome = outcomes.Outcome.NOT_RUN
         if self.may_have_run:
--- a/src/hoistmoor/core/relay/course/messages.py
+++ b/src/hoistmoor/core/relay/course/messages.py
@@ -1,4 +1,4 @@
-"""What happens to a relayed request, and what is to be done about it."""
+"""Events and effects of the request state machine."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 @attrs.frozen
 class HeadArrived:
-    """A backend server began to answer.
+    """The response headers of a backend server arrived.
 
     Attributes:
         status: HTTP status code.
-        confidence: The model's opinion of its answer, 0 to 100, if told.
+        confidence: Confidence of the model in its answer, 0 to 100, if given.
     """
 
     status: int
@@ -31,14 +31,15 @@
 
 @attrs.frozen
 class AttemptEnded:
-    """An attempt is over.
+    """An attempt has ended.
 
     Attributes:
-        state: How far its exchange had come.
-        status: HTTP status code of the answer; 0 without one.
-        detail: What went wrong, for people.
-        server_ended: Whether the server ended meanwhile.
-        asks_rest: Whether the server asked for rest with its answer.
+        state: Final state of the exchange.
+        status: HTTP status code of the response; 0 if there was none.
+        detail: Human-readable description of the problem.
+        server_ended: Whether the server terminated during the attempt.
+        asks_rest: Whether the response asks for a rest: a pause in requests to
+            the server.
     """
 
     state: outcomes.ExchangeState
@@ -50,10 +51,10 @@
 
 @attrs.frozen
 class DeadlineReached:
-    """The request's time is over; no attempt runs on.
+    """The deadline of the request has passed; no attempt is running.
 
     Attributes:
-        state: How far the last attempt's exchange had come.
+        state: Final state of the exchange of the last attempt.
     """
 
     state: outcomes.ExchangeState
@@ -67,15 +68,15 @@
     """Send the request to a backend server.
 
     Attributes:
-        server: The backend server.
-        model: Model to name; empty where the request names none.
-        work_class: Class of work that it belongs to.
-        serial: Its number at this host.
-        deadline: Steady time at which the server is to give up.
-        patience: Seconds without a byte after which the attempt is given up;
-            None to wait until the deadline.
-        is_repeat: Whether a server has got the request before.
-        run: Its stay at the server.
+        server: Backend server.
+        model: Model to request; empty if the request names none.
+        work_class: Class of work of the request.
+        serial: Serial number of the attempt at this host.
+        deadline: Monotonic time at which the server should give up.
+        patience: Read timeout of the attempt in seconds; None to wait until
+            the deadline.
+        is_repeat: Whether a server has already received the request.
+        run: Execution of the request at the server.
     """
 
     server: server_lib.ServerState
@@ -90,29 +91,29 @@
 
 @attrs.frozen
 class Pass:
-    """Pass the answer on to the caller as it comes."""
+    """Stream the response to the client."""
 
 
 @attrs.frozen
 class Drop:
-    """Give the answer up: another one is asked for."""
+    """Discard the response; the request will be sent again."""
 
 
 @attrs.frozen
 class Deliver:
-    """The caller gets the answer that ended, and nothing more follows."""
+    """Deliver the completed response to the client as the final result."""
 
 
 @attrs.frozen
 class Refuse:
-    """The caller gets a refusal, and nothing more follows."""
+    """Send a refusal to the client as the final result."""
 
     refusal: refusals.Refusal
 
 
 @attrs.frozen
 class Break:
-    """An answer that has begun cannot be finished: cut the connection."""
+    """Close the connection, as a partly sent response cannot be completed."""
 
     detail: str
 
--- a/src/hoistmoor/core/relay/course/requests.py
+++ b/src/hoistmoor/core/relay/course/requests.py
@@ -1,4 +1,4 @@
-"""A request as the relay sees it: where it goes, and how long it may take."""
+"""Relayed requests: their destination, deadline and amount of work."""
 
 from __future__ import annotations
 
@@ -6,18 +6,19 @@
 
 from hoistmoor.core.relay.beliefs import configuration
 
-# A generated token costs an engine about as much as ten tokens of a prompt:
-# these are read many at a time, a generated one takes a step of its own.
+# A generated token takes an engine about as long as ten prompt tokens: prompt
+# tokens are processed in batches, while every generated token needs its own
+# step.
 TOKENS_PER_NEW_TOKEN = 10
 
 
 @attrs.frozen
 class PromptPart:
-    """One part of a prompt; requests with the same start share parts.
+    """Part of a prompt. Requests with a common prefix have common parts.
 
     Attributes:
-        name: The same for the same text.
-        tokens: Its length.
+        name: Identifier of the text; equal for equal texts.
+        tokens: Length in tokens.
     """
 
     name: str
@@ -26,13 +27,14 @@
 
 @attrs.frozen
 class Prompt:
-    """What a model request tells of its prompt.
+    """Prompt properties of a model request.
 
     Attributes:
-        model: Model asked for, or ``*`` where the relay chooses the size.
-        tokens: Length of the prompt.
-        max_new_tokens: Tokens that may be generated, at most.
-        parts: Parts in order; the last belongs to this request or session.
+        model: Requested model, or ``*`` if the relay chooses the size.
+        tokens: Length of the prompt in tokens.
+        max_new_tokens: Maximum number of tokens to generate.
+        parts: Parts of the prompt in order; the last one is specific to the
+            request or session.
     """
 
     model: str
@@ -42,40 +44,41 @@
 
     @property
     def shared_tokens(self) -> int:
-        """Tokens of the parts that other requests share."""
+        """Number of tokens in the parts shared with other requests."""
         return sum(part.tokens for part in self.parts[:-1])
 
     @property
     def work(self) -> float:
-        """Work for an engine that has nothing cached, in prompt tokens."""
+        """Work for an engine with an empty cache, in prompt tokens."""
         return self.tokens + TOKENS_PER_NEW_TOKEN * self.max_new_tokens
 
     @property
     def subject(self) -> str:
-        """Name of the last part that other requests share, or empty."""
+        """Name of the last part shared with other requests, or empty."""
         return self.parts[-2].name if len(self.parts) > 1 else ""
 
 
 @attrs.frozen
 class RelayRequest:
-    """A request that was read whole.
+    """A request that was read completely.
 
     Attributes:
-        request_id: The caller's id of this attempt of its own.
-        route: The route that it came by.
-        service: The service chosen for it.
+        request_id: Id assigned by the client; differs for each retry.
+        route: Route that the request matched.
+        service: Service selected for the request.
         account: Name of the client account; empty on an anonymous route.
-        revision: Revision that it was admitted under.
-        arrived: When its head was read, on the steady clock, in seconds.
-        deadline: When its final answer is due, on the steady clock.
-        prompt: For model requests.
-        model_costs: Cost of the service's models, by name.
-        session: The caller's name for the session, or empty.
-        last_event: Newest event that the caller has; None for none.
-        priority: Its client account's, or else its route's; 0 is the most
-            urgent.
-        fingerprint: The same for each try of the same request; empty until
-            the body is read.
+        revision: Configuration revision under which it was admitted.
+        arrived: Monotonic time in seconds at which its headers were read.
+        deadline: Monotonic time at which its final response is due.
+        prompt: Prompt of a model request; None for other requests.
+        model_costs: Cost of the models of the service, by name.
+        session: Session name given by the client, or empty.
+        last_event: Id of the last event that the client received; None if
+            there is none.
+        priority: Priority of the client account, or else of the route; 0 is
+            the most urgent.
+        fingerprint: Equal for all retries of the same request; empty until the
+            body is read.
     """
 
     request_id: str
@@ -93,17 +96,17 @@
     fingerprint: str = ""
 
     def work(self, model: str) -> float:
-        """Returns the work for an engine that has nothing cached.
+        """Returns the work for an engine with an empty cache.
 
-        The unit is a prompt token of the smallest model. How much more work
-        a token of a larger model is, is taken from what it costs.
+        The unit is one prompt token of the smallest model. The work per token
+        of a larger model is estimated from its cost.
         """
         if self.prompt is None:
             return 0.0
         return self.prompt.work * self.weight(model)
 
     def weight(self, model: str) -> float:
-        """Returns a token's work in tokens of the smallest model."""
+        """Returns the work per token, relative to the smallest model."""
         if not self.model_costs or model not in self.model_costs:
             return 1.0
         return self.model_costs[model] / min(self.model_costs.values())
--- a/tests/core/relay/course/test_relay_budget.py
+++ b/tests/core/relay/course/test_relay_budget.py
@@ -1,7 +1,8 @@
-"""What all hosts together may send a second time.
+"""Retry budget of all hosts together.
 
-Each host might repeat three requests to a service without having had any, so
-that 360 hosts might repeat 1,080 where operators allow 430.
+Guards against an allowance per host that adds up to more than the limit: with
+three retries each without any request, 360 hosts could send 1,080 retries while
+operators allow 430.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 SLACK = 430.0
 
 
-def router_of(own: str, hosts: list[str], slack: float) -> router_lib.Router:
+def make_router(own: str, hosts: list[str], slack: float) -> router_lib.Router:
     made = router_lib.Router(
         "north",
         bounds_lib.Bounds(repeat_slack=slack),
@@ -30,8 +31,8 @@
     return made
 
 
-def repeats_of(router: router_lib.Router) -> int:
-    """Returns how often a host repeats requests while it may."""
+def count_retries(router: router_lib.Router) -> int:
+    """Returns how many retries the budget of a host allows."""
     request = relay_parts.request()
     count = 0
     while router.may_repeat(request, NOW) and count < 99:
@@ -41,20 +42,22 @@
 
 
 @pytest.mark.parametrize("hosts", [1, 7, 84, 360])
-def test_all_hosts_together_repeat_no_more_than_allowed(hosts: int) -> None:
+def test_retries_of_all_hosts_stay_within_the_limit(hosts: int) -> None:
     names = [f"h{number}" for number in range(hosts)]
-    repeats = sum(repeats_of(router_of(name, names, SLACK)) for name in names)
-    assertions.assert_that(repeats, matchers.LessThan(SLACK))
+    retries = sum(
+        count_retries(make_router(name, names, SLACK)) for name in names
+    )
+    assertions.assert_that(retries, matchers.LessThan(SLACK))
 
 
-def test_few_hosts_repeat_as_many_as_one_may() -> None:
-    router = router_of("h1", ["h1", "h2"], SLACK)
-    assertions.assert_that(repeats_of(router), matchers.Equals(3))
+def test_few_hosts_get_the_allowance_of_a_single_host() -> None:
+    router = make_router("h1", ["h1", "h2"], SLACK)
+    assertions.assert_that(count_retries(router), matchers.Equals(3))
 
 
-def test_a_host_that_is_not_listed_repeats_what_it_has_earned() -> None:
-    router = router_of("h1", [], SLACK)
-    assertions.assert_that(repeats_of(router), matchers.Equals(0))
+def test_unlisted_host_may_retry_in_proportion_to_its_requests() -> None:
+    router = make_router("h1", [], SLACK)
+    assertions.assert_that(count_retries(router), matchers.Equals(0))
     for _ in range(50):
         router.note_request(relay_parts.request(), NOW)
-    assertions.assert_that(repeats_of(router), matchers.Equals(8))
+    assertions.assert_that(count_retries(router), matchers.Equals(8))
--- a/tests/core/relay/course/test_relay_fingerprint.py
+++ b/tests/core/relay/course/test_relay_fingerprint.py
@@ -1,4 +1,4 @@
-"""Which tries of callers are tries of the same request."""
+"""Fingerprints identify retries of the same request."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 REQUEST = ("POST", "shop.example", "/chat/a?x=1", "farm", b"body")
 
 
-def test_the_same_request_has_the_same_fingerprint() -> None:
+def test_equal_requests_have_equal_fingerprints() -> None:
     first = fingerprint.of_request(*REQUEST)
     assertions.assert_that(
         fingerprint.of_request(*REQUEST), matchers.Equals(first)
@@ -32,7 +32,7 @@
         ("POST", "shop.example", "/chat/a?x=1", "", b"farm\0body"),
     ],
 )
-def test_what_is_asked_and_for_whom_tells_requests_apart(
+def test_fingerprint_depends_on_content_and_account(
     other: tuple[str, str, str, str, bytes],
 ) -> None:
     assertions.assert_that(
--- a/tests/core/relay/course/test_relay_machine.py
+++ b/tests/core/relay/course/test_relay_machine.py
@@ -1,4 +1,4 @@
-"""The course of one relayed request."""
+"""State machine of one relayed request."""
 
 from __future__ import annotations
 
@@ -39,25 +39,25 @@
     return machine, machine.handle(messages.Started(), NOW)
 
 
-def refusal_of(effect: messages.Effect) -> refusals.Refusal:
+def get_refusal(effect: messages.Effect) -> refusals.Refusal:
     assert isinstance(effect, messages.Refuse)
     return effect.refusal
 
 
 @pytest.mark.parametrize("state", [State.SENDING, State.SENT, State.ANSWERING])
-def test_what_may_have_run_once_is_not_sent_again(
+def test_non_idempotent_request_that_may_have_run_is_not_retried(
     router: router_lib.Router, state: State
 ) -> None:
     machine, _ = start(router, relay_parts.CONFIRM)
     effect = machine.handle(messages.AttemptEnded(state), NOW)
-    refusal = refusal_of(effect)
+    refusal = get_refusal(effect)
     assertions.assert_that(
         refusal.outcome, matchers.Equals(outcomes.Outcome.UNKNOWN)
     )
 
 
 @pytest.mark.parametrize("state", [State.UNSENT, State.DECLINED])
-def test_what_has_not_run_goes_to_another_server(
+def test_request_that_has_not_run_goes_to_another_server(
     router: router_lib.Router, state: State
 ) -> None:
     machine, first = start(router, relay_parts.CONFIRM)
@@ -70,7 +70,7 @@
     )
 
 
-def test_a_refusal_is_not_run_only_if_no_attempt_may_have_run(
+def test_refusal_is_not_run_only_if_no_attempt_may_have_run(
     router: router_lib.Router,
 ) -> None:
     declined, _ = start(router, relay_parts.ROUTE)
@@ -78,7 +78,7 @@
     for _ in range(3):
         effect = declined.handle(messages.AttemptEnded(State.DECLINED), NOW)
     assertions.assert_that(
-        refusal_of(effect).outcome, matchers.Equals(outcomes.Outcome.NOT_RUN)
+        get_refusal(effect).outcome, matchers.Equals(outcomes.Outcome.NOT_RUN)
     )
     cut, _ = start(router, relay_parts.ROUTE)
     cut.handle(messages.AttemptEnded(State.SENT), NOW)
@@ -86,11 +86,11 @@
     while isinstance(effect, messages.Send):
         effect = cut.handle(messages.AttemptEnded(State.DECLINED), NOW)
     assertions.assert_that(
-        refusal_of(effect).outcome, matchers.Equals(outcomes.Outcome.UNKNOWN)
+        get_refusal(effect).outcome, matchers.Equals(outcomes.Outcome.UNKNOWN)
     )
 
 
-def test_a_failed_run_is_asked_for_again_if_it_may_run_twice(
+def test_error_response_to_idempotent_request_is_retried(
     router: router_lib.Router,
 ) -> None:
     machine, _ = start(router, relay_parts.ROUTE)
@@ -98,13 +98,13 @@
     assertions.assert_that(
         machine.handle(failed, NOW), matchers.IsInstance(messages.Send)
     )
-    # The route allows two attempts: the second failure is the answer.
+    # The route allows two attempts, so the second failure is delivered.
     assertions.assert_that(
         machine.handle(failed, NOW), matchers.IsInstance(messages.Deliver)
     )
 
 
-def test_a_failed_run_that_may_run_once_is_the_answer(
+def test_error_response_to_non_idempotent_request_is_delivered(
     router: router_lib.Router,
 ) -> None:
     machine, _ = start(router, relay_parts.CONFIRM)
@@ -112,54 +112,54 @@
     assertions.assert_that(effect, matchers.IsInstance(messages.Deliver))
 
 
-def test_without_budget_nothing_is_sent_again(
+def test_no_retry_without_budget(
     router: router_lib.Router,
 ) -> None:
     request = relay_parts.request()
-    spend_budget(router, request)
+    exhaust_budget(router, request)
     machine = machine_lib.RelayMachine(request, router)
     machine.handle(messages.Started(), NOW)
     effect = machine.handle(messages.AttemptEnded(State.SENT), NOW)
     assertions.assert_that(effect, matchers.IsInstance(messages.Refuse))
 
 
-def spend_budget(
+def exhaust_budget(
     router: router_lib.Router, request: requests_lib.RelayRequest
 ) -> None:
-    """Sends requests again until the budget allows no more."""
+    """Retries requests until the budget is exhausted."""
     while router.may_repeat(request, NOW):
         machine = machine_lib.RelayMachine(request, router)
         machine.handle(messages.Started(), NOW)
         machine.handle(messages.AttemptEnded(State.SENT), NOW)
 
 
-def end(
+def end_attempt(
     machine: machine_lib.RelayMachine,
     router: router_lib.Router,
     send: messages.Effect,
     state: State,
     outcome: pace.AttemptOutcome,
 ) -> messages.Effect:
-    """Ends an attempt as its task would; returns what follows."""
+    """Ends an attempt as the request task does; returns the next effect."""
     assert isinstance(send, messages.Send)
     router.note_ended(machine.request, send, outcome, NOW)
     return machine.handle(messages.AttemptEnded(state), NOW)
 
 
-def test_a_server_that_takes_no_connection_spends_no_budget(
+def test_unreachable_server_uses_no_retry_budget(
     router: router_lib.Router,
 ) -> None:
-    # Half of the servers died. No server gets more for it that a request goes
-    # on to the next one, so it goes on though the budget is spent.
+    # Many servers are dead. Trying the next server puts no load on any of them,
+    # so it is allowed although the budget is exhausted.
     for number in range(9):
         router.fleet.put(relay_parts.entry(f"d{number}"))
-    spend_budget(router, relay_parts.request())
+    exhaust_budget(router, relay_parts.request())
     machine, effect = start(router, relay_parts.CONFIRM)
     sends = 0
     while isinstance(effect, messages.Send):
         sends += 1
         assertions.assert_that(effect.is_repeat, matchers.Is(False))
-        effect = end(
+        effect = end_attempt(
             machine,
             router,
             effect,
@@ -170,11 +170,11 @@
         sends, matchers.Equals(attempt_counts.MAX_UNREACHABLE)
     )
     assertions.assert_that(
-        refusal_of(effect).outcome, matchers.Equals(outcomes.Outcome.NOT_RUN)
+        get_refusal(effect).outcome, matchers.Equals(outcomes.Outcome.NOT_RUN)
     )
 
 
-def test_a_repeat_that_reached_no_server_is_taken_back(
+def test_retry_that_reached_no_server_is_not_counted(
     router: router_lib.Router,
 ) -> None:
     request = relay_parts.request()
@@ -190,18 +190,20 @@
         router.note_ended(request, second, pace.AttemptOutcome.UNREACHABLE, NOW)
 
 
-def test_a_server_that_another_one_has_replaced_is_asked_no_more(
+def test_replaced_server_gets_no_requests_for_a_while(
     router: router_lib.Router,
 ) -> None:
     machine, first = start(router, relay_parts.ROUTE)
     assert isinstance(first, messages.Send)
-    end(machine, router, first, State.DECLINED, pace.AttemptOutcome.REPLACED)
+    end_attempt(
+        machine, router, first, State.DECLINED, pace.AttemptOutcome.REPLACED
+    )
     for now, is_asked in ((NOW, False), (NOW + 3.9, False), (NOW + 4.1, True)):
         ready = relay_parts.ready(router.fleet, "desk", {"v1"}, (), now)
         assertions.assert_that(first.server in ready, matchers.Is(is_asked))
 
 
-def test_an_unsure_answer_is_dropped_for_the_largest_model(
+def test_low_confidence_escalates_to_the_largest_model(
     router: router_lib.Router,
 ) -> None:
     router.fleet.put(relay_parts.entry("e1", service="llm"))
@@ -217,7 +219,7 @@
 
 
 @pytest.mark.parametrize("confidence", [None, 95.0])
-def test_a_sure_answer_is_passed_on(
+def test_response_with_high_or_no_confidence_is_forwarded(
     router: router_lib.Router, confidence: float | None
 ) -> None:
     router.fleet.put(relay_parts.entry("e1", service="llm"))
@@ -226,7 +228,7 @@
     assertions.assert_that(effect, matchers.IsInstance(messages.Pass))
 
 
-def test_an_answer_that_began_is_never_dropped_or_refused(
+def test_partly_sent_response_is_never_discarded_or_refused(
     router: router_lib.Router,
 ) -> None:
     router.fleet.put(relay_parts.entry("e1", service="llm"))
@@ -249,7 +251,7 @@
         (State.ANSWERING, outcomes.Outcome.UNKNOWN),
     ],
 )
-def test_a_deadline_tells_what_the_last_attempt_came_to(
+def test_outcome_at_the_deadline_follows_the_last_attempt(
     router: router_lib.Router, state: State, outcome: outcomes.Outcome
 ) -> None:
     machine, _ = start(router, relay_parts.ROUTE)
@@ -258,7 +260,9 @@
     assertions.assert_that(effect.refusal.outcome, matchers.Equals(outcome))
 
 
-def test_attempts_stay_within_the_route(router: router_lib.Router) -> None:
+def test_attempts_stay_within_the_maximum_of_the_route(
+    router: router_lib.Router,
+) -> None:
     route = attrs.evolve(relay_parts.ROUTE, max_attempts=3)
     machine, effect = start(router, route)
     runs = 0
@@ -268,11 +272,11 @@
     assertions.assert_that(runs, matchers.Equals(3))
 
 
-def test_no_server_is_a_refusal_that_has_not_run(
+def test_request_without_any_server_is_refused_as_not_run(
     router: router_lib.Router,
 ) -> None:
     _, effect = start(router, relay_parts.CHAT)
-    refusal = refusal_of(effect)
+    refusal = get_refusal(effect)
     assertions.assert_that(
         refusal.reason, matchers.Equals(refusals.Reason.NO_CAPACITY)
     )
@@ -281,7 +285,7 @@
     )
 
 
-def test_a_failure_does_not_end_an_answer_that_began(
+def test_error_response_does_not_complete_a_partly_sent_response(
     router: router_lib.Router,
 ) -> None:
     router.fleet.put(relay_parts.entry("e1", service="llm"))
@@ -297,7 +301,7 @@
     assertions.assert_that(effect, matchers.IsInstance(messages.Break))
 
 
-def test_a_large_model_that_stays_silent_leaves_time_for_a_small_one(
+def test_timeout_of_large_model_leaves_time_for_the_small_one(
     router: router_lib.Router,
 ) -> None:
     for number in range(3):
@@ -311,45 +315,45 @@
     assert large.patience is not None
     left = machine.request.deadline - NOW
     assertions.assert_that(large.patience, matchers.LessThan(left / 2 + 0.01))
-    later = NOW + large.patience
-    small = machine.handle(messages.AttemptEnded(State.SENT), later)
+    timed_out_at = NOW + large.patience
+    small = machine.handle(messages.AttemptEnded(State.SENT), timed_out_at)
     assert isinstance(small, messages.Send)
     assertions.assert_that(small.model, matchers.Equals("small"))
-    # Its answer is taken, however unsure.
+    # Its response is forwarded even with low confidence.
     assertions.assert_that(
-        machine.handle(messages.HeadArrived(200, 0.0), later),
+        machine.handle(messages.HeadArrived(200, 0.0), timed_out_at),
         matchers.IsInstance(messages.Pass),
     )
 
 
-def end_servers(
+def terminate_servers(
     router: router_lib.Router, fingerprint: str, count: int, stage: runs.Stage
 ) -> None:
-    """Has servers end under a request, as another host saw it."""
+    """Reports that servers terminated while they ran a request."""
     ends = {f"gone{number}": stage for number in range(count)}
     router.take_suspects([suspect_state.Suspect(fingerprint, ends)], NOW - 2.0)
 
 
-def test_a_request_in_quarantine_is_refused_as_not_run(
+def test_quarantined_request_is_refused_as_not_run(
     router: router_lib.Router,
 ) -> None:
-    end_servers(router, "bad", 2, runs.Stage.BEGUN)
+    terminate_servers(router, "bad", 2, runs.Stage.BEGUN)
     request = relay_parts.request(fingerprint="bad")
     machine = machine_lib.RelayMachine(request, router)
-    refusal = refusal_of(machine.handle(messages.Started(), NOW))
+    refusal = get_refusal(machine.handle(messages.Started(), NOW))
     assertions.assert_that(
         refusal.reason, matchers.Equals(refusals.Reason.CRASHES_SERVERS)
     )
     assertions.assert_that(
         refusal.outcome, matchers.Equals(outcomes.Outcome.NOT_RUN)
     )
-    # A caller that comes back sooner would only be refused again.
+    # An earlier retry would only be refused again.
     assertions.assert_that(
         refusal.retry_after, matchers.Equals(int(suspects.QUARANTINE) - 2)
     )
 
 
-def test_a_request_that_is_quarantined_under_way_is_sent_no_more(
+def test_request_quarantined_during_an_attempt_is_not_retried(
     router: router_lib.Router,
 ) -> None:
     request = relay_parts.request(relay_parts.CHAT, fingerprint="bad")
@@ -357,8 +361,10 @@
     router.fleet.put(relay_parts.entry("e2", service="llm"))
     machine = machine_lib.RelayMachine(request, router)
     machine.handle(messages.Started(), NOW)
-    end_servers(router, "bad", 2, runs.Stage.BEGUN)
-    refusal = refusal_of(machine.handle(messages.AttemptEnded(State.SENT), NOW))
+    terminate_servers(router, "bad", 2, runs.Stage.BEGUN)
+    refusal = get_refusal(
+        machine.handle(messages.AttemptEnded(State.SENT), NOW)
+    )
     assertions.assert_that(
         refusal.reason, matchers.Equals(refusals.Reason.CRASHES_SERVERS)
     )
@@ -371,13 +377,13 @@
     ("ends_before", "sends"),
     [(0, 2 + attempt_counts.MAX_UNCOUNTED), (2, 2)],
 )
-def test_an_end_uses_up_no_attempt_of_what_merely_ran_there(
+def test_terminated_server_uses_no_attempt_of_an_unrelated_request(
     router: router_lib.Router, ends_before: int, sends: int
 ) -> None:
     # The route allows two attempts.
     for number in range(9):
         router.fleet.put(relay_parts.entry(f"d{number}"))
-    end_servers(router, "r", ends_before, runs.Stage.WAITING)
+    terminate_servers(router, "r", ends_before, runs.Stage.WAITING)
     request = relay_parts.request(fingerprint="r")
     for _ in range(20):
         router.note_request(request, NOW)
@@ -390,39 +396,39 @@
         effect = machine.handle(ended, NOW)
     assertions.assert_that(count, matchers.Equals(sends))
     assertions.assert_that(
-        refusal_of(effect).outcome, matchers.Equals(outcomes.Outcome.UNKNOWN)
+        get_refusal(effect).outcome, matchers.Equals(outcomes.Outcome.UNKNOWN)
     )
 
 
-def limit_all(router: router_lib.Router) -> None:
-    """Has each server name a limit of which this host has no part."""
+def limit_all_servers(router: router_lib.Router) -> None:
+    """Sets a rate limit on each server of which this host has no share."""
     router.fleet.shares.take_hosts(["another"])
     for server in router.fleet:
         server.limit.note_named(1.0, NOW)
 
 
-def test_where_all_servers_are_limited_a_request_is_refused_at_once(
+def test_request_is_refused_at_once_if_all_servers_are_limited(
     router: router_lib.Router,
 ) -> None:
-    limit_all(router)
+    limit_all_servers(router)
     _, effect = start(router, relay_parts.CONFIRM)
-    refusal = refusal_of(effect)
+    refusal = get_refusal(effect)
     assertions.assert_that(
         refusal.reason, matchers.Equals(refusals.Reason.SERVERS_LIMITED)
     )
     assertions.assert_that(
         refusal.outcome, matchers.Equals(outcomes.Outcome.NOT_RUN)
     )
-    # Some other host sends the next one in about a second.
+    # Another host uses the next slot in about a second.
     assertions.assert_that(
         refusal.retry_after or 0.0, matchers.GreaterThan(1.0)
     )
 
 
-def test_one_server_without_a_limit_is_enough(
+def test_server_without_a_limit_gets_the_request(
     router: router_lib.Router,
 ) -> None:
-    limit_all(router)
+    limit_all_servers(router)
     router.fleet.put(relay_parts.entry("free"))
     _, effect = start(router, relay_parts.CONFIRM)
     assert isinstance(effect, messages.Send)
@@ -431,13 +437,13 @@
     )
 
 
-def test_a_repeat_that_finds_all_limited_tells_whether_it_may_have_run(
+def test_refused_retry_keeps_the_outcome_of_the_first_attempt(
     router: router_lib.Router,
 ) -> None:
     machine, _ = start(router, relay_parts.ROUTE)
-    limit_all(router)
+    limit_all_servers(router)
     effect = machine.handle(messages.AttemptEnded(State.SENT), NOW)
-    refusal = refusal_of(effect)
+    refusal = get_refusal(effect)
     assertions.assert_that(
         refusal.reason, matchers.Equals(refusals.Reason.BACKEND_CUT)
     )
@@ -446,37 +452,37 @@
     )
 
 
-def test_a_failure_is_delivered_where_no_other_server_may_be_asked(
+def test_error_response_is_delivered_if_no_other_server_is_available(
     router: router_lib.Router,
 ) -> None:
     machine, _ = start(router, relay_parts.ROUTE)
-    limit_all(router)
+    limit_all_servers(router)
     failed = messages.AttemptEnded(State.ANSWERED, 500)
     assertions.assert_that(
         machine.handle(failed, NOW), matchers.IsInstance(messages.Deliver)
     )
 
 
-def test_an_unsure_answer_is_kept_where_no_larger_model_may_be_asked(
+def test_low_confidence_is_accepted_if_no_larger_model_is_available(
     router: router_lib.Router,
 ) -> None:
     router.fleet.put(relay_parts.entry("e1", service="llm"))
     machine, _ = start(router, relay_parts.CHAT)
-    limit_all(router)
+    limit_all_servers(router)
     effect = machine.handle(messages.HeadArrived(200, 5.0), NOW)
     assertions.assert_that(effect, matchers.IsInstance(messages.Pass))
 
 
-def test_where_all_servers_leave_a_request_is_refused_at_once(
+def test_request_is_refused_at_once_if_all_servers_are_leaving(
     router: router_lib.Router,
 ) -> None:
     for server in router.fleet:
         server.departure.note(NOW)
     waits = []
-    for later in (0.0, 1.0, 2.0, 9.0):
+    for delay in (0.0, 1.0, 2.0, 9.0):
         request = relay_parts.request(relay_parts.CONFIRM)
         machine = machine_lib.RelayMachine(request, router)
-        refusal = refusal_of(machine.handle(messages.Started(), NOW + later))
+        refusal = get_refusal(machine.handle(messages.Started(), NOW + delay))
         assertions.assert_that(
             refusal.reason, matchers.Equals(refusals.Reason.SERVERS_LEAVING)
         )
@@ -485,13 +491,13 @@
         )
         assert refusal.retry_after is not None
         waits.append(refusal.retry_after)
-    # What has lasted for a while is expected to last as long again.
+    # The remaining duration is estimated as the duration so far.
     assertions.assert_that(waits, matchers.Equals(sorted(waits)))
     assertions.assert_that(waits[0], matchers.LessThan(0.7))
     assertions.assert_that(waits[-1], matchers.GreaterThan(2.0))
 
 
-def test_a_replacement_that_is_cold_tells_when_to_come_back(
+def test_retry_delay_follows_the_warm_up_of_a_replacement(
     router: router_lib.Router,
 ) -> None:
     for server in router.fleet:
@@ -501,9 +507,9 @@
     )
     router.fleet.warmups.take_services({"desk": service})
     router.fleet.put(relay_parts.entry("new", warm_in=4.0), NOW)
-    # No host may send one: its rate is less than one in a window.
+    # No host may send a request: the rate allows less than one per window.
     _, effect = start(router, relay_parts.CONFIRM)
-    refusal = refusal_of(effect)
+    refusal = get_refusal(effect)
     assertions.assert_that(
         refusal.reason, matchers.Equals(refusals.Reason.NO_CAPACITY)
     )
