--- a/src/hoistmoor/core/relay/versions/__init__.py
+++ b/src/hoistmoor/core/relay/versions/__init__.py
@@ -1,6 +1,7 @@
-"""Roll-outs of versions: phases, sessions, evidence for and against.
+"""Rollouts of service versions: phases, session affinity and evaluation.
 
-The router asks which versions may be chosen; listeners bring the records.
+The router queries which versions a request may use; topic listeners provide the
+records.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/core/relay/versions/evidence.py
+++ b/src/hoistmoor/core/relay/versions/evidence.py
@@ -1,4 +1,4 @@
-"""What hosts have counted of the answers in a roll-out, and what it proves."""
+"""Response counts of a rollout, and the statistical test applied to them."""
 
 from __future__ import annotations
 
@@ -10,36 +10,39 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# Answers of the target before they are judged: fewer may all come from one
-# server that fails.
+# Responses of the target version required for the test: fewer may all come from
+# a single failing server.
 MIN_ANSWERS = 8
-# Natural logarithm of the likelihood ratio at which a version is bad: a good
-# one is taken for bad in about one look of 400. Four failures of eight answers
-# reach it, where the others fail one time in thirty.
-CERTAIN = 6.0
-DOUBT = 2.0  # The same at which a version must prove more: one look in seven.
-# Times the old version's share of bad answers, and this share more, that are
-# allowed whatever the proof: one server of six that fails half of its requests
-# does not make a version bad.
-SHARE_FACTOR = 2.0
-SHARE_SLACK = 0.1
-# Before the old version was seen, one answer in twenty is taken to be bad,
-# with the weight of so many answers.
-PRIOR_SHARE = 0.05
+# Log-likelihood ratio from which a version counts as bad. A good version
+# reaches it in about 1 of 400 evaluations, and four failures in eight responses
+# do if one in thirty responses of the other versions fails.
+BAD_THRESHOLD = 6.0
+# The same for doubtful versions; a good one reaches it in 1 of 7 evaluations.
+DOUBT_THRESHOLD = 2.0
+# Factor and increase over the baseline rate that are tolerated regardless of
+# the likelihood ratio: a version is not bad because one of six servers fails
+# half of its requests.
+RATE_FACTOR = 2.0
+RATE_SLACK = 0.1
+# Baseline rate that is assumed before other versions were seen, and its weight
+# as a number of responses.
+PRIOR_RATE = 0.05
 PRIOR_ANSWERS = 6
-LEAST_USUAL = 0.03  # Share below which no old version is believed to be.
-MOST_USUAL = 0.99
+# Limits of the estimated baseline rate.
+MIN_BASELINE_RATE = 0.03
+MAX_BASELINE_RATE = 0.99
 
 
 @attrs.define
 class Tally:
-    """Answers of one version on one route.
+    """Response counts of one version on one route.
 
     Attributes:
-        answers: Whole answers, those that were dropped for a larger model's,
-            and requests that were given up after a long silence.
-        failures: Those that said that the server failed.
-        slow: Those that took several times the usual time, or never began.
+        answers: Complete responses, responses discarded in favor of a larger
+            model, and requests that timed out without a response.
+        failures: Responses that report a server failure.
+        slow: Responses that took several times the average time, or never
+            started.
     """
 
     answers: int = 0
@@ -47,7 +50,7 @@
     slow: int = 0
 
     def add(self, other: Tally) -> None:
-        """Adds another host's counts."""
+        """Adds the counts of another host."""
         self.answers += other.answers
         self.failures += other.failures
         self.slow += other.slow
@@ -55,7 +58,7 @@
 
 @attrs.frozen
 class RouteEvidence:
-    """Answers on one route: of the target, and of the versions before it."""
+    """Counts of the target version and of all other versions on one route."""
 
     target: Tally = attrs.field(factory=Tally)
     others: Tally = attrs.field(factory=Tally)
@@ -63,13 +66,13 @@
 
 @attrs.frozen
 class Evidence:
-    """What one run of one host has counted in one roll-out.
+    """Counts of one rollout by one process of one host.
 
     Attributes:
-        service: The service.
-        number: Number of the order.
-        host: Name of the host and of its run.
-        routes: Counts by the route's name.
+        service: Service that is rolled out.
+        number: Number of the rollout order.
+        host: Name of the host and its process.
+        routes: Counts by route name.
     """
 
     service: str
@@ -79,33 +82,33 @@
 
     @property
     def target_answers(self) -> int:
-        """Answers of the version that is rolled out."""
+        """Number of responses of the target version."""
         return sum(route.target.answers for route in self.routes.values())
 
 
 class EvidenceBook:
-    """The newest counts of each run of each host.
+    """Newest counts of each process of each host.
 
-    Counts only grow, so of two copies the one with more answers is newer,
-    whatever way each came.
+    Counts only increase, so of two copies the one with more responses is newer,
+    regardless of how each was received.
     """
 
     def __init__(self) -> None:
         self._newest: dict[tuple[str, str], Evidence] = {}
 
     def take(self, evidence: Evidence) -> None:
-        """Takes the counts of one run of a host."""
+        """Stores counts unless newer ones are known."""
         key = (evidence.service, evidence.host)
         known = self._newest.get(key)
-        if known is None or _age_rank(known) <= _age_rank(evidence):
+        if known is None or _recency(known) <= _recency(evidence):
             self._newest[key] = evidence
 
     def of(self, service: str, number: int) -> list[Evidence]:
-        """Returns the counts of all hosts in one roll-out.
+        """Returns the counts of all hosts for one rollout.
 
         Args:
-            service: The service.
-            number: Number of the order.
+            service: Service that is rolled out.
+            number: Number of the rollout order.
         """
         return [
             evidence
@@ -114,7 +117,7 @@
         ]
 
 
-def _age_rank(evidence: Evidence) -> tuple[int, int]:
+def _recency(evidence: Evidence) -> tuple[int, int]:
     answers = sum(
         route.target.answers + route.others.answers
         for route in evidence.routes.values()
@@ -123,7 +126,7 @@
 
 
 def pool(all_evidence: list[Evidence]) -> dict[str, RouteEvidence]:
-    """Returns the counts of several hosts, added up by route."""
+    """Returns the sums of the counts of several hosts, by route."""
     pooled: dict[str, RouteEvidence] = {}
     for evidence in all_evidence:
         for name, route in evidence.routes.items():
@@ -136,7 +139,7 @@
 def by_order(
     all_evidence: tuple[Evidence, ...],
 ) -> dict[int, list[Evidence]]:
-    """Returns the counts of several hosts by the number of the order."""
+    """Groups the counts of several hosts by order number."""
     grouped: dict[int, list[Evidence]] = {}
     for evidence in all_evidence:
         grouped.setdefault(evidence.number, []).append(evidence)
@@ -144,7 +147,7 @@
 
 
 def text_of(pooled: Mapping[str, RouteEvidence]) -> str:
-    """Returns counts for a log line: answers/failures/slow, target first."""
+    """Formats counts for a log line: answers/failures/slow, target first."""
     texts = []
     for name, route in sorted(pooled.items()):
         target, others = route.target, route.others
@@ -156,59 +159,72 @@
 
 
 def is_bad(routes: Mapping[str, RouteEvidence]) -> bool:
-    """Returns whether the target does worse than the versions before it.
+    """Returns whether the target performs worse than the other versions.
 
-    A version may be bad on one route only, and a trial's answers are few, so
-    each route is judged by itself and all of them together: nine failures of
-    22 answers on three routes stop a trial, though no route has enough alone.
+    A version may be bad on a single route, and a trial yields few responses.
+    The test is therefore applied to each route and to the total: nine failures
+    in 22 responses on three routes stop a trial, although no route has enough
+    responses by itself.
 
     Args:
-        routes: Counts by the route's name.
+        routes: Counts by route name.
     """
-    return _stands_out(routes, CERTAIN)
+    return _exceeds_baseline(routes, BAD_THRESHOLD)
 
 
 def is_doubtful(routes: Mapping[str, RouteEvidence]) -> bool:
-    """Returns whether the target should prove more before it gets all work."""
-    return _stands_out(routes, DOUBT)
+    """Returns whether the target needs more evidence before it is promoted."""
+    return _exceeds_baseline(routes, DOUBT_THRESHOLD)
 
 
-def _stands_out(routes: Mapping[str, RouteEvidence], proof: float) -> bool:
+def _exceeds_baseline(
+    routes: Mapping[str, RouteEvidence], threshold: float
+) -> bool:
     total = RouteEvidence()
     for route in routes.values():
         total.target.add(route.target)
         total.others.add(route.others)
-    return any(_is_worse(route, proof) for route in (total, *routes.values()))
+    return any(
+        _is_route_worse(route, threshold) for route in (total, *routes.values())
+    )
 
 
-def _is_worse(route: RouteEvidence, proof: float) -> bool:
+def _is_route_worse(route: RouteEvidence, threshold: float) -> bool:
     target, others = route.target, route.others
-    return _is_more(
-        target.failures, target.answers, others.failures, others.answers, proof
-    ) or _is_more(
-        target.slow, target.answers, others.slow, others.answers, proof
+    return _is_rate_higher(
+        target.failures,
+        target.answers,
+        others.failures,
+        others.answers,
+        threshold,
+    ) or _is_rate_higher(
+        target.slow, target.answers, others.slow, others.answers, threshold
     )
 
 
-def _is_more(
-    bad: int, answers: int, usual_bad: int, usual_answers: int, proof: float
+def _is_rate_higher(
+    bad: int,
+    answers: int,
+    baseline_bad: int,
+    baseline_answers: int,
+    threshold: float,
 ) -> bool:
-    """Returns whether ``bad`` of ``answers`` is more than usual.
+    """Returns whether ``bad`` of ``answers`` exceeds the baseline rate.
 
-    Two things must hold: the share is well above the usual one, and the
-    logarithm of the likelihood ratio of the two shares reaches ``proof``.
+    The rate must be well above the baseline, and the log-likelihood ratio of
+    the two rates must reach ``threshold``.
     """
-    usual = (usual_bad + PRIOR_SHARE * PRIOR_ANSWERS) / (
-        usual_answers + PRIOR_ANSWERS
+    baseline = (baseline_bad + PRIOR_RATE * PRIOR_ANSWERS) / (
+        baseline_answers + PRIOR_ANSWERS
     )
-    usual = min(max(usual, LEAST_USUAL), MOST_USUAL)
+    baseline = min(max(baseline, MIN_BASELINE_RATE), MAX_BASELINE_RATE)
     if answers < MIN_ANSWERS:
         return False
-    share = bad / answers
-    if share <= SHARE_FACTOR * usual + SHARE_SLACK:
+    rate = bad / answers
+    if rate <= RATE_FACTOR * baseline + RATE_SLACK:
         return False
-    ratio = bad * math.log(share / usual)
+    ratio = bad * math.log(rate / baseline)
     if bad < answers:
         good = answers - bad
-        ratio += good * math.log((1.0 - share) / (1.0 - usual))
-    return ratio >= proof
+        ratio += good * math.log((1.0 - rate) / (1.0 - baseline))
+    return ratio >= threshold
--- a/src/hoistmoor/core/relay/versions/phases.py
+++ b/src/hoistmoor/core/relay/versions/phases.py
@@ -1,9 +1,9 @@
-"""The phases of a roll-out, and which one follows.
+"""Phases of a rollout and the transitions between them.
 
-No host holds a lease on a roll-out. Each phase is a record on the store,
-written on the condition that nothing was written there since the writer read
-it, so the first record has won for everyone. Any host may write the next one;
-they take turns only to save calls.
+Rollouts have no leader. Each phase is a record in the store, written with a
+compare-and-set on the end of the topic, so the first record wins for all hosts.
+Any host may write the next phase; they take turns only to reduce the number of
+calls.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from hoistmoor.core.relay.beliefs import topics
 from hoistmoor.core.relay.versions import evidence as evidence_lib
 
-SPREAD_AT = 0.6  # Part of the time allowed after which all requests move.
-COMPLETE_AT = 0.85  # Part of it after which the old version is given up.
-MIN_PROOF = 12  # Answers of the target, of all hosts, before all requests move.
-# Seconds after its last record of counts that a host has its turn.
+SPREAD_AT = 0.6  # Fraction of the duration after which all requests move.
+COMPLETE_AT = 0.85  # Fraction after which the old version is retired.
+MIN_PROOF = 12  # Target responses, over all hosts, before all requests move.
+# Seconds after its last counts record for which a host takes part in the turns.
 ACTOR_LIFE = 8.0
-TURN = 0.6  # Seconds that each host waits for those before it.
+TURN = 0.6  # Seconds that a host waits for each host ahead of it.
 
 
 class Phase(enum.StrEnum):
-    """How far a roll-out has come."""
+    """Progress of a rollout."""
 
     TRIAL = "trial"
     SPREAD = "spread"
@@ -34,25 +34,25 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing may follow it."""
+        """Whether no other phase may follow."""
         return self in (Phase.COMPLETE, Phase.REVERTED)
 
     @property
     def rank(self) -> int:
-        """How far it is; of two hosts' words the further one holds."""
+        """Position in the sequence; if hosts disagree, the higher rank wins."""
         return tuple(Phase).index(self)
 
 
 @attrs.frozen
 class Order:
-    """An operator's order to move a service to a version.
+    """Order by an operator to roll out a version of a service.
 
     Attributes:
-        service: The service.
-        target: The version that all requests are to go to.
-        duration: Seconds allowed.
-        number: Serial of the place of the order's record; rises with each
-            order.
+        service: Service to update.
+        target: Version to roll out.
+        duration: Duration of the rollout in seconds.
+        number: Serial number of the position of the order record; increases
+            with each order.
     """
 
     service: str
@@ -62,23 +62,23 @@
 
     @property
     def place(self) -> topics.Place:
-        """Place of the order's record."""
+        """Position of the order record."""
         return topics.place_of(self.number)
 
     def says_as(self, other: Order) -> bool:
-        """Returns whether it orders the same as another one."""
+        """Returns whether both orders differ at most in their number."""
         return self == attrs.evolve(other, number=self.number)
 
 
 @attrs.frozen
 class PhaseRecord:
-    """A phase that a roll-out has reached, as the store keeps it.
+    """Record in the store of a phase that a rollout has reached.
 
     Attributes:
-        service: The service.
-        target: The version that is rolled out.
-        number: Number of the order.
-        phase: How far it has come.
+        service: Service that is rolled out.
+        target: Version that is rolled out.
+        number: Number of the rollout order.
+        phase: Phase reached.
     """
 
     service: str
@@ -87,10 +87,10 @@
     phase: Phase
 
     def is_of(self, order: Order) -> bool:
-        """Returns whether it is a phase of an order's roll-out.
+        """Returns whether the record belongs to the rollout of an order.
 
-        The copy that a store comes back from has the order where it was, and
-        phases that were written before.
+        Eras are ignored: after the store was restored from a copy, orders keep
+        their offsets, and phase records refer to the previous era.
         """
         return (self.service, self.target) == (
             order.service,
@@ -98,7 +98,7 @@
         ) and _is_same_order(self.number, order.number)
 
     def is_behind(self, other: PhaseRecord) -> bool:
-        """Returns whether another record of the same target goes further."""
+        """Returns whether another record of the target is more advanced."""
         if _is_same_order(self.number, other.number):
             return self.phase.rank < other.phase.rank
         return self.number < other.number
@@ -115,14 +115,14 @@
     *,
     is_doubted: bool = False,
 ) -> Phase | None:
-    """Returns the phase that should follow now, or None to wait.
+    """Returns the phase to enter now, or None to wait.
 
     Args:
-        phase: The one that was reached.
+        phase: Current phase.
         pooled: Counts of all hosts, by route.
-        elapsed: Part of the time allowed that is over, from 0.
-        is_doubted: Whether the target was found bad before. It gets no more
-            work since then, so nothing can speak for it.
+        elapsed: Fraction of the duration that has passed, from 0.
+        is_doubted: Whether the target was found bad before. It has received no
+            requests since then, so its counts cannot improve.
     """
     if phase.is_final:
         return None
@@ -130,8 +130,8 @@
         return Phase.REVERTED
     if evidence_lib.is_doubtful(pooled):
         return None
-    proved = sum(route.target.answers for route in pooled.values())
-    if phase is Phase.TRIAL and elapsed >= SPREAD_AT and proved >= MIN_PROOF:
+    answers = sum(route.target.answers for route in pooled.values())
+    if phase is Phase.TRIAL and elapsed >= SPREAD_AT and answers >= MIN_PROOF:
         return Phase.SPREAD
     if phase is Phase.SPREAD and elapsed >= COMPLETE_AT:
         return Phase.COMPLETE
@@ -139,12 +139,12 @@
 
 
 def turn_of(host: str, hosts: list[str], number: int) -> float:
-    """Returns the seconds that ``host`` waits before it writes a phase."""
+    """Returns the delay in seconds before ``host`` writes a phase."""
     return rank_of(host, hosts, number) * TURN
 
 
 def rank_of(host: str, hosts: list[str], number: int) -> int:
-    """Returns the place of ``host`` in the order of turns, from 0."""
+    """Returns the rank of ``host`` in the order of turns, from 0."""
 
     def digest(name: str) -> int:
         return xxhash.xxh64_intdigest(f"{number} {name}".encode())
--- a/src/hoistmoor/core/relay/versions/progress.py
+++ b/src/hoistmoor/core/relay/versions/progress.py
@@ -1,4 +1,4 @@
-"""How far one service's roll-out has come at this host."""
+"""Progress of a rollout, as seen by this host."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 @attrs.define
 class Progress:
-    """One service's newest roll-out at this host.
+    """Newest rollout of a service.
 
     Attributes:
-        order: The operator's order.
-        seen_at: Steady time at which this host read it.
-        phase: Reached, as the store says.
-        counts: What this host counted, by the route's name.
-        sent: Requests of this host to the service since the order.
-        sent_target: Those among them that went to the target.
-        is_doubted: Whether the counts of some hosts together say that the
-            target is bad. Hosts tell one another, so that none has to wait
-            for the record of it on the store.
+        order: Rollout order.
+        seen_at: Monotonic time at which the order was first read.
+        phase: Current phase according to the store.
+        counts: Counts of this host, by route name.
+        sent: Requests that this host sent to the service since the order.
+        sent_target: Requests among them that went to the target version.
+        is_doubted: Whether the pooled counts of several hosts show that the
+            target is bad. Hosts notify each other of this directly instead of
+            waiting for the record in the store.
     """
 
     order: phases.Order
@@ -33,21 +33,21 @@
     is_doubted: bool = False
 
     def take_age(self, age: float, now: float) -> None:
-        """Takes another host's word of how long ago the order was seen.
+        """Adopts the age of the order reported by another host if it is higher.
 
-        A host that starts in the middle of a roll-out counts from its start
-        otherwise, and puts sessions back on the old version.
+        Otherwise a host that starts during a rollout would measure the elapsed
+        time from its own start, and move sessions back to the old version.
         """
         self.seen_at = min(self.seen_at, now - age)
 
     def elapsed(self, now: float) -> float:
-        """Returns the part of the time allowed that is over."""
+        """Returns the fraction of the duration that has passed."""
         return (now - self.seen_at) / max(self.order.duration, 1e-3)
 
     def note_answer(
         self, route: str, version: str, failed: bool, slow: bool
     ) -> None:
-        """Counts what an attempt showed."""
+        """Counts the result of an attempt."""
         evidence = self.counts.setdefault(route, evidence_lib.RouteEvidence())
         is_target = version == self.order.target
         tally = evidence.target if is_target else evidence.others
@@ -56,5 +56,5 @@
         tally.slow += slow
 
     def is_stopped(self) -> bool:
-        """Returns whether the target gets nothing for now."""
+        """Returns whether the target currently gets no requests."""
         return self.is_doubted or evidence_lib.is_bad(self.counts)
--- a/src/hoistmoor/core/relay/versions/sessions.py
+++ b/src/hoistmoor/core/relay/versions/sessions.py
@@ -1,35 +1,37 @@
-"""Which sessions join a trial, and which version each one keeps."""
+"""Session affinity during rollouts."""
 
 from __future__ import annotations
 
 import xxhash
 
-# Part of the time allowed after which sessions may join a trial. In the first
-# half none may leave the old version, and this host does not know what one ran
-# on before: of 195 hosts, hardly two of its requests meet the same.
+# Fraction of the duration after which sessions may join a trial. During the
+# first half, no session may leave the old version, and this host does not know
+# the previous version of a session: with 195 hosts, consecutive requests of a
+# session rarely arrive at the same one.
 SESSIONS_AT = 0.52
-# Part of the sessions, by a hash that all hosts share, that then may. Few
-# requests without one come where most carry one: a deployment with 15 model
-# requests a second had 20 answers of the target at 0.96 of the time allowed
-# with a fifth of the sessions, and has 12 of them at 0.65 with this share.
+# Fraction of the sessions that may join, selected by a hash that all hosts
+# share. If most requests belong to sessions, the remaining ones yield few
+# responses: a deployment with 15 model requests per second reached 20 target
+# responses at 0.96 of the duration with a fifth of the sessions, and reaches 12
+# at 0.65 with this value.
 SESSION_SHARE = 0.35
 
 
 def is_drawn(session: str, service: str, target: str) -> bool:
     """Returns whether a session may join the trial of a version.
 
-    The number of the order does not count: it changes where the order is
+    The hash does not include the order number, which changes if the order is
     written again.
     """
-    drawn = xxhash.xxh64_intdigest(f"{service} {target} {session}".encode())
-    return drawn < SESSION_SHARE * (1 << 64)
+    digest = xxhash.xxh64_intdigest(f"{service} {target} {session}".encode())
+    return digest < SESSION_SHARE * (1 << 64)
 
 
 class SessionVersions:
-    """Versions of the sessions that this host has served lately.
+    """Versions of the sessions that this host served recently.
 
     Attributes:
-        life: Seconds after its last request that a session lives.
+        life: Seconds after its last request for which a session is kept.
     """
 
     def __init__(self, life: float) -> None:
@@ -37,7 +39,7 @@
         self._known: dict[str, tuple[str, float]] = {}
 
     def note(self, session: str, version: str, now: float) -> None:
-        """Notes that a session's request runs, or ran until now."""
+        """Records the version used by a session, and renews its lifetime."""
         self._known.pop(session, None)
         self._known[session] = (version, now)
         oldest = next(iter(self._known))
@@ -45,6 +47,6 @@
             del self._known[oldest]
 
     def version_of(self, session: str, now: float) -> str | None:
-        """Returns the version that a live session has, if it is known."""
+        """Returns the version of a session, or None if unknown or expired."""
         version, at = self._known.get(session, ("", float("-inf")))
         return version if now - at <= self.life else None
--- a/tests/core/relay/conftest.py
+++ b/tests/core/relay/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the relay's decisions: routes, servers, requests, a router."""
+"""Fixtures for tests of the relay decision logic."""
 
 from __future__ import annotations
 
--- a/tests/core/relay/versions/test_relay_returned_orders.py
+++ b/tests/core/relay/versions/test_relay_returned_orders.py
@@ -1,4 +1,4 @@
-"""Roll-outs over returns of the store from an older copy."""
+"""Rollouts after the store was restored from an older copy."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def book() -> rollouts.RolloutBook:
-    """A roll-out of v3 that spreads; the one of v2 before is complete."""
+    """Rollout of v3 in phase ``spread``, after a completed rollout of v2."""
     made = rollouts.RolloutBook(5.0)
     made.take_order(order("v2", 4), NOW - 50.0)
     made.take_phase(phase("v2", 4, 1, "complete"))
@@ -36,16 +36,16 @@
     return made
 
 
-def test_an_order_that_is_written_again_goes_on(
+def test_rewritten_order_continues_its_rollout(
     book: rollouts.RolloutBook,
 ) -> None:
     before = book.progress["llm"]
     book.note_return(NOW + 2.0)
-    # The copy has the order before, which was replaced.
-    is_news = book.take_order(order("v2", 4, 2), NOW + 2.0)
-    assertions.assert_that(is_news, matchers.Is(False))
-    is_news = book.take_order(order("v3", 7, 2), NOW + 3.0)
-    assertions.assert_that(is_news, matchers.Is(False))
+    # The copy contains the previous order, which was replaced.
+    is_new = book.take_order(order("v2", 4, 2), NOW + 2.0)
+    assertions.assert_that(is_new, matchers.Is(False))
+    is_new = book.take_order(order("v3", 7, 2), NOW + 3.0)
+    assertions.assert_that(is_new, matchers.Is(False))
     found = book.progress["llm"]
     assertions.assert_that(found, matchers.Is(before))
     assertions.assert_that(found.seen_at, matchers.Equals(NOW))
@@ -56,7 +56,7 @@
     )
 
 
-def test_an_order_that_the_copy_has_and_that_is_written_again_is_one(
+def test_order_in_the_copy_and_its_rewrite_are_the_same(
     book: rollouts.RolloutBook,
 ) -> None:
     before = book.progress["llm"]
@@ -64,37 +64,37 @@
     for offset in (9, 11):
         book.take_order(order("v3", offset, 2), NOW + 2.0)
     assertions.assert_that(book.progress["llm"], matchers.Is(before))
-    # Long after the return it is an order of its own.
+    # Long after the restore, it is a new order.
     later = NOW + 2.0 + history.HELD_FOR
-    is_news = book.take_order(order("v3", 15, 2), later)
-    assertions.assert_that(is_news, matchers.Is(True))
+    is_new = book.take_order(order("v3", 15, 2), later)
+    assertions.assert_that(is_new, matchers.Is(True))
 
 
-def test_a_new_order_after_the_return_is_taken(
+def test_new_order_after_the_restore_is_applied(
     book: rollouts.RolloutBook,
 ) -> None:
     book.note_return(NOW + 2.0)
-    is_news = book.take_order(order("v4", 2, 2), NOW + 2.0)
-    assertions.assert_that(is_news, matchers.Is(True))
+    is_new = book.take_order(order("v4", 2, 2), NOW + 2.0)
+    assertions.assert_that(is_new, matchers.Is(True))
     found = book.progress["llm"]
     assertions.assert_that(found.phase, matchers.Equals(phases.Phase.TRIAL))
 
 
-def test_a_phase_of_an_older_copy_undoes_nothing(
+def test_phase_from_an_older_copy_reverts_nothing(
     book: rollouts.RolloutBook,
 ) -> None:
     book.take_phase(phase("v3", 9, 1, "reverted"))
     book.note_return(NOW + 2.0)
     book.take_order(order("v3", 9, 2), NOW + 2.0)
-    is_news = book.take_phase(phase("v3", 9, 1, "spread"))
-    assertions.assert_that(is_news, matchers.Is(False))
+    is_new = book.take_phase(phase("v3", 9, 1, "spread"))
+    assertions.assert_that(is_new, matchers.Is(False))
     assertions.assert_that(
         book.progress["llm"].phase, matchers.Equals(phases.Phase.REVERTED)
     )
     assertions.assert_that("v3" in book.withdrawn["llm"], matchers.Is(True))
 
 
-def test_a_host_that_starts_takes_the_phases_that_the_copy_has() -> None:
+def test_starting_host_applies_phases_in_the_copy() -> None:
     made = rollouts.RolloutBook(5.0)
     made.take_order(order("v2", 4, 3), NOW)
     made.take_phase(phase("v2", 4, 1, "complete"))
@@ -103,7 +103,7 @@
     )
 
 
-def test_sessions_keep_their_draw_under_another_number() -> None:
+def test_selected_sessions_do_not_depend_on_the_order_number() -> None:
     made = rollouts.RolloutBook(5.0)
     made.take_order(order("v3", 9), NOW)
     late = NOW + 60.0 * 0.7
@@ -121,15 +121,15 @@
     assertions.assert_that(chosen(), matchers.Equals(before))
 
 
-def test_an_order_of_the_same_version_long_after_the_return_is_a_new_one(
+def test_order_of_same_version_long_after_the_restore_is_new(
     book: rollouts.RolloutBook,
 ) -> None:
-    # The one before was lost and never written again.
+    # The previous order was lost and never written again.
     book.take_phase(phase("v3", 9, 1, "reverted"))
     book.note_return(NOW + 2.0)
     later = NOW + 3.0 + history.HELD_FOR
-    is_news = book.take_order(order("v3", 7, 2), later)
-    assertions.assert_that(is_news, matchers.Is(True))
+    is_new = book.take_order(order("v3", 7, 2), later)
+    assertions.assert_that(is_new, matchers.Is(True))
     assertions.assert_that(
         book.progress["llm"].phase, matchers.Equals(phases.Phase.TRIAL)
     )
--- a/tests/core/relay/versions/test_relay_rollouts.py
+++ b/tests/core/relay/versions/test_relay_rollouts.py
@@ -1,4 +1,4 @@
-"""Trials, phases and verdicts of roll-outs."""
+"""Trials, phases and evaluation of rollouts."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     return versions
 
 
-def test_a_trial_gets_its_share_and_no_more(
+def test_trial_gets_its_share_of_requests(
     book: rollouts.RolloutBook,
 ) -> None:
     versions = send(book, 500)
@@ -78,8 +78,8 @@
 def test_no_session_joins_a_trial_in_its_first_half(
     book: rollouts.RolloutBook,
 ) -> None:
-    # Hundreds of hosts: what a session ran on before the order is not known
-    # at the one that gets its next request.
+    # With hundreds of hosts, the host that gets the next request of a session
+    # does not know which version the session used before the order.
     for number in range(500):
         versions = send(
             book, 1, f"session {number}", number / 500 * ORDER.duration / 2
@@ -87,7 +87,7 @@
         assertions.assert_that(versions, matchers.Equals(["v1"]))
 
 
-def test_a_host_that_starts_in_a_roll_out_counts_as_the_others_do(
+def test_host_started_during_a_rollout_decides_like_the_others(
     book: rollouts.RolloutBook,
 ) -> None:
     late = rollouts.RolloutBook(session_life=5.0)
@@ -101,13 +101,13 @@
                 book.choose("llm", BOTH, session, NONE, SECOND_HALF)
             ),
         )
-    # A word of a host that has just started takes nothing back.
+    # A lower age, from a host that has just started, changes nothing.
     late.take_ages({ORDER.number: 0.1}, SECOND_HALF)
     ages = late.ages(SECOND_HALF)
     assertions.assert_that(ages[ORDER.number], matchers.Equals(SECOND_HALF))
 
 
-def test_hosts_put_a_session_on_the_same_version_with_no_word() -> None:
+def test_hosts_agree_on_session_versions_without_communication() -> None:
     idle, busy = (rollouts.RolloutBook(session_life=5.0) for _ in range(2))
     for book in (idle, busy):
         book.take_order(ORDER, 0.0)
@@ -121,7 +121,7 @@
             )
 
 
-def test_a_session_that_ran_before_the_order_keeps_its_version() -> None:
+def test_session_older_than_the_order_keeps_its_version() -> None:
     book = rollouts.RolloutBook(session_life=5.0)
     sessions = [f"session {number}" for number in range(50)]
     for session in sessions:
@@ -133,7 +133,7 @@
         assertions.assert_that(chosen, matchers.Equals({"v1"}))
 
 
-def test_bad_answers_here_stop_the_trial_here_at_once(
+def test_failures_at_one_host_stop_its_trial_at_once(
     book: rollouts.RolloutBook,
 ) -> None:
     progress = book.progress["llm"]
@@ -142,7 +142,7 @@
     assertions.assert_that(set(send(book, 100)), matchers.Equals({"v1"}))
 
 
-def test_a_request_that_the_trial_failed_goes_to_the_old_version(
+def test_request_that_failed_in_a_trial_goes_to_the_old_version(
     book: rollouts.RolloutBook,
 ) -> None:
     book.note_sent("llm", "v2", "a session", 1.0)
@@ -160,7 +160,7 @@
         (Phase.REVERTED, {"v1"}),
     ],
 )
-def test_a_phase_decides_for_all_requests(
+def test_versions_allowed_in_each_phase(
     book: rollouts.RolloutBook, phase: Phase, expected: set[str]
 ) -> None:
     book.take_phase(record(phase))
@@ -168,7 +168,7 @@
     assertions.assert_that(chosen, matchers.Equals(expected))
 
 
-def test_a_withdrawn_version_stays_out_of_the_next_roll_out(
+def test_withdrawn_version_is_excluded_from_the_next_rollout(
     book: rollouts.RolloutBook,
 ) -> None:
     book.take_phase(record(Phase.REVERTED))
@@ -179,28 +179,28 @@
 
 @pytest.mark.parametrize("phase", [Phase.TRIAL, Phase.REVERTED])
 @pytest.mark.parametrize("session", ["", "s"])
-def test_the_version_before_a_complete_one_stays_out_of_the_next_roll_out(
+def test_replaced_version_is_excluded_from_the_next_rollout(
     book: rollouts.RolloutBook, phase: Phase, session: str
 ) -> None:
-    # Its servers may still be listed, and sessions have left it.
+    # Its servers may still be listed, but no session uses it.
     book.take_phase(record(Phase.COMPLETE))
     book.note_sent("llm", "v2", session, 18.0)
     book.take_order(phases.Order("llm", "v3", 20.0, 9), 18.2)
     book.take_phase(phases.PhaseRecord("llm", "v3", 9, phase))
     chosen = book.choose("llm", {"v1", "v2", "v3"}, session, NONE, 18.3)
     assertions.assert_that(chosen, matchers.Equals({"v2"}))
-    # Where it has no servers any more, the older ones are better than none.
+    # If the established version has no servers left, older ones are used.
     chosen = book.choose("llm", {"v1", "v3"}, session, NONE, 18.5)
     assertions.assert_that(chosen, matchers.Equals({"v1"}))
 
 
-def test_an_older_order_changes_nothing(book: rollouts.RolloutBook) -> None:
+def test_older_order_is_ignored(book: rollouts.RolloutBook) -> None:
     older = phases.Order("llm", "v9", 20.0, 3)
     assertions.assert_that(book.take_order(older, 1.0), matchers.Is(False))
     assertions.assert_that(book.progress["llm"].order, matchers.Equals(ORDER))
 
 
-def test_a_phase_read_before_its_order_counts() -> None:
+def test_phase_read_before_its_order_applies() -> None:
     book = rollouts.RolloutBook(session_life=5.0)
     book.take_phase(record(Phase.COMPLETE))
     book.take_order(ORDER, 0.0)
@@ -214,37 +214,37 @@
     [
         ((30, 0, 0), (300, 0, 0), 0.2, None),
         ((30, 0, 0), (300, 0, 0), 0.7, Phase.SPREAD),
-        # Nobody has tried it: it must not spread.
+        # Without any response, the target must not spread.
         ((0, 0, 0), (300, 0, 0), 0.99, None),
         ((phases.MIN_PROOF - 1, 0, 0), (300, 0, 0), 0.99, None),
         ((12, 6, 0), (100, 0, 0), 0.1, Phase.REVERTED),
         ((12, 0, 8), (100, 0, 0), 0.1, Phase.REVERTED),
-        # As many failures as the version before has are nothing new.
+        # The failure rate of the target equals the baseline.
         ((40, 6, 0), (300, 42, 0), 0.1, None),
-        # A few failures prove nothing.
+        # Too few responses for a decision.
         ((4, 4, 0), (100, 0, 0), 0.1, None),
     ],
 )
-def test_verdicts(
+def test_next_phase(
     target: tuple[int, int, int],
     others: tuple[int, int, int],
     elapsed: float,
     expected: Phase | None,
 ) -> None:
     pooled = evidence(target, others)
-    verdict = phases.next_phase(Phase.TRIAL, pooled, elapsed)
-    assertions.assert_that(verdict, matchers.Equals(expected))
+    next_phase = phases.next_phase(Phase.TRIAL, pooled, elapsed)
+    assertions.assert_that(next_phase, matchers.Equals(expected))
 
 
 @pytest.mark.parametrize("phase", [Phase.COMPLETE, Phase.REVERTED])
-def test_nothing_follows_a_final_phase(phase: Phase) -> None:
+def test_no_phase_follows_a_final_one(phase: Phase) -> None:
     bad = evidence((50, 50, 0), (50, 0, 0))
     assertions.assert_that(
         phases.next_phase(phase, bad, 0.99), matchers.Is(None)
     )
 
 
-def test_a_version_that_turns_bad_late_is_withdrawn() -> None:
+def test_version_that_fails_after_spreading_is_reverted() -> None:
     bad = evidence((100, 40, 0), (100, 0, 0))
     assertions.assert_that(
         phases.next_phase(Phase.SPREAD, bad, 0.7),
@@ -253,7 +253,7 @@
 
 
 def test_failures_on_several_routes_add_up() -> None:
-    # 9 of 22 answers failed; no route has eight answers of which five failed.
+    # 9 of 22 responses failed, but no route has enough failures by itself.
     pooled = {
         "brief": evidence((7, 5, 0), (62, 0, 0))["chat"],
         "dossier": evidence((11, 3, 0), (54, 0, 0))["chat"],
@@ -265,7 +265,7 @@
     )
 
 
-def test_a_version_bad_on_one_route_is_not_hidden_by_the_others() -> None:
+def test_failures_on_one_route_are_not_hidden_by_the_others() -> None:
     pooled = {
         "brief": evidence((8, 4, 0), (40, 1, 0))["chat"],
         "reply": evidence((60, 0, 0), (400, 4, 0))["chat"],
@@ -279,13 +279,13 @@
 @pytest.mark.parametrize(
     ("target", "others"),
     [
-        # One server of six fails nearly half of its requests.
+        # One of six servers fails nearly half of its requests.
         ((60, 5, 0), (500, 0, 0)),
-        # Overload makes both versions slow.
+        # Both versions are slow because of overload.
         ((40, 0, 16), (300, 0, 100)),
     ],
 )
-def test_trouble_that_is_not_the_versions_does_not_withdraw_it(
+def test_problems_unrelated_to_the_version_do_not_revert_it(
     target: tuple[int, int, int], others: tuple[int, int, int]
 ) -> None:
     pooled = evidence(target, others)
@@ -295,7 +295,7 @@
     )
 
 
-def test_a_doubt_is_not_forgotten() -> None:
+def test_target_once_found_bad_is_reverted() -> None:
     later = evidence((20, 3, 0), (300, 20, 0))
     assertions.assert_that(
         phases.next_phase(Phase.TRIAL, later, 0.9, is_doubted=True),
@@ -303,7 +303,7 @@
     )
 
 
-def test_a_doubtful_version_must_prove_more_before_it_spreads() -> None:
+def test_doubtful_version_does_not_spread() -> None:
     doubtful = evidence((20, 4, 0), (100, 0, 0))
     assertions.assert_that(
         phases.next_phase(Phase.TRIAL, doubtful, 0.9), matchers.Is(None)
@@ -311,7 +311,7 @@
 
 
 @pytest.mark.parametrize("phase", [Phase.TRIAL, Phase.SPREAD])
-def test_a_doubt_stops_new_work_before_any_record_says_so(
+def test_doubt_stops_requests_to_the_target_before_any_phase_record(
     book: rollouts.RolloutBook, phase: Phase
 ) -> None:
     book.take_phase(record(phase))
@@ -322,14 +322,14 @@
     assertions.assert_that(set(send(book, 100)), matchers.Equals({"v1"}))
 
 
-def test_hosts_take_turns_in_one_order() -> None:
+def test_turns_of_hosts_are_distinct() -> None:
     hosts = [f"h{number}" for number in range(5)]
     turns = [phases.turn_of(host, hosts, 7) for host in hosts]
     expected = [place * phases.TURN for place in range(5)]
     assertions.assert_that(sorted(turns), matchers.Equals(expected))
 
 
-def test_counts_of_all_hosts_are_added_up() -> None:
+def test_counts_of_all_hosts_are_summed() -> None:
     one = evidence_lib.Evidence("llm", 7, "a", evidence((1, 1, 0), (2, 0, 1)))
     two = evidence_lib.Evidence("llm", 7, "b", evidence((3, 0, 1), (4, 1, 0)))
     pooled = evidence_lib.pool([one, two])["chat"]
@@ -339,13 +339,13 @@
     assertions.assert_that(
         pooled.others, matchers.Equals(evidence_lib.Tally(6, 1, 1))
     )
-    # What hosts told is not changed by adding it up.
+    # The inputs are not modified.
     assertions.assert_that(
         one.routes["chat"].target, matchers.Equals(evidence_lib.Tally(1, 1, 0))
     )
 
 
-def test_the_newer_counts_of_a_run_win_whatever_way_they_came() -> None:
+def test_newer_counts_win_in_any_order_of_arrival() -> None:
     old = evidence_lib.Evidence("llm", 7, "a", evidence((1, 0, 0), (2, 0, 0)))
     new = evidence_lib.Evidence("llm", 7, "a", evidence((3, 1, 0), (2, 0, 0)))
     other = evidence_lib.Evidence("llm", 7, "b", evidence((1, 0, 0), (0, 0, 0)))
--- a/tests/relay_states.py
+++ b/tests/relay_states.py
@@ -1,4 +1,4 @@
-"""What a relay knows at its start, for tests without sockets."""
+"""Initial relay state for tests without sockets."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 @attrs.define
 class Clock:
-    """Steady time that stands still until it is moved."""
+    """A monotonic clock that only advances manually."""
 
     now: float = 100.0
 
     def __call__(self) -> float:
-        """Returns the time."""
+        """Returns the current time."""
         return self.now
 
 
 def fresh(clock: Clock, log_descriptor: int) -> state_lib.RelayState:
-    """Returns the state of a host that has read nothing.
+    """Returns the state of a host that has not read any topic.
 
     Args:
-        clock: Its clock.
-        log_descriptor: Where its lines go.
+        clock: Clock of the host.
+        log_descriptor: File descriptor for its log lines.
     """
     return state_lib.RelayState(
         clock=clock,
