--- a/src/hoistmoor/core/relay/answers/cascade.py
+++ b/src/hoistmoor/core/relay/answers/cascade.py
@@ -18,9 +18,8 @@
 # assumption. With a midpoint of 34 instead of 42, late answers of large models
 # drop from 10% to 8%, and 0.5% more requests get a useful answer; with 50, it
 # is 1% fewer (means of 15 simulated days with failures each).
-CONFIDENCE_MIDPOINT = (
-    34.0  # Confidence at which half of the answers are correct.
-)
+# The midpoint is the confidence at which half of the answers are correct.
+CONFIDENCE_MIDPOINT = 34.0
 CONFIDENCE_SCALE = 6.0
 # Values of answers, relative to a correct answer in time.
 WRONG_VALUE = 0.05
--- a/src/hoistmoor/core/relay/beliefs/freshness.py
+++ b/src/hoistmoor/core/relay/beliefs/freshness.py
@@ -16,7 +16,7 @@
 
 # Fraction of the bound reserved for the transfer of a request to its backend
 # server and for timers that fire late.
-MARGIN = 0.1
+LEASE_MARGIN = 0.1
 
 
 @attrs.define
@@ -57,7 +57,7 @@
 
     def over_for(self, now: float) -> float:
         """Returns the seconds since the lease expired; negative before that."""
-        return self.age(now) - self.bound * (1.0 - MARGIN)
+        return self.age(now) - self.bound * (1.0 - LEASE_MARGIN)
 
     def holds(self, now: float) -> bool:
         """Returns whether requests with a known key may be forwarded."""
--- a/src/hoistmoor/core/relay/beliefs/reading.py
+++ b/src/hoistmoor/core/relay/beliefs/reading.py
@@ -19,8 +19,8 @@
 # revoked keys.
 DATED = frozenset({"operator", "servers"})
 # Maximum age in seconds of a copy of these topics, from a host that reads the
-# store itself; there the age stays below 0.8 s. Every intermediate host adds a
-# PERIOD.
+# store itself; there the age stays below 0.8 s. Every intermediate host adds
+# the interval between two requests.
 MAX_COPY_AGE = 0.9
 # Number of intermediate hosts for which a higher age is accepted. Without this
 # limit, hosts that ask one another in a cycle would never detect that all of
@@ -92,7 +92,7 @@
     """Returns whether a copy is recent enough.
 
     Args:
-        age: Seconds since the oldest of its ``DATED`` topics was current.
+        age: Seconds since the oldest of its time-critical topics was current.
         depth: Number of hosts between its source and the store.
     """
     return age <= MAX_COPY_AGE + min(depth, MOST_DEPTH) * PERIOD
@@ -120,7 +120,7 @@
             from another host.
         is_promising: Whether one of the hosts asked is worth waiting for.
         waited: Seconds since this host started to ask others.
-        age: Seconds since the oldest of its ``DATED`` topics was current.
+        age: Seconds since the oldest of its time-critical topics was current.
         reads_early: Whether it is one of the hosts that read the store without
             waiting for others.
     """
--- a/src/hoistmoor/core/relay/course/budget.py
+++ b/src/hoistmoor/core/relay/course/budget.py
@@ -3,7 +3,7 @@
 Every host may retry in proportion to the requests that it receives itself, so
 the retries of all hosts stay within the limit regardless of how many hosts are
 running. The number of retries allowed without any request is divided among the
-hosts: 360 hosts with three each would send 1,080 if operators allow 430.
+hosts: with three each, 360 hosts would send 1,080 although operators allow 430.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/core/relay/course/retry_after.py
+++ b/src/hoistmoor/core/relay/course/retry_after.py
@@ -13,10 +13,10 @@
 from hoistmoor.core import refusals
 
 # Seconds before a retry at another host, if only this one cannot serve.
-ELSEWHERE = 0.05
+OTHER_HOST_DELAY = 0.05
 FOR_ROOM = 0.5  # Seconds until a server may have capacity again.
 # Maximum delay in seconds: clients should be served soon after an outage ends.
-LONGEST = 3.0
+MAX_DELAY = 3.0
 # Jitter as a fraction of the delay, so that clients refused at the same time do
 # not retry at the same time.
 JITTER = 0.5
@@ -44,10 +44,10 @@
         draw: Random number from 0 to 1.
     """
     if reason in _ANY_HOST:
-        return ELSEWHERE
+        return OTHER_HOST_DELAY
     if reason not in _THIS_HOST:
         return FOR_ROOM
-    return _add_jitter(min(LONGEST, max(ELSEWHERE, unable_for)), draw)
+    return _add_jitter(min(MAX_DELAY, max(OTHER_HOST_DELAY, unable_for)), draw)
 
 
 def for_rest(left: float, draw: float) -> float:
@@ -69,7 +69,7 @@
         lasted: Seconds for which there has been no such server.
         draw: Random number from 0 to 1.
     """
-    return _add_jitter(min(LONGEST, max(FOR_ROOM, lasted)), draw)
+    return _add_jitter(min(MAX_DELAY, max(FOR_ROOM, lasted)), draw)
 
 
 def _add_jitter(wait: float, draw: float) -> float:
