--- a/src/hoistmoor/core/relay/answers/cascade.py
+++ b/src/hoistmoor/core/relay/answers/cascade.py
@@ -16,8 +16,8 @@
 # Logistic curve of the probability that an answer is correct, by the confidence
 # of the model. Answers of the relay are not rated, so the curve is an
 # assumption. With a midpoint of 34 instead of 42, late answers of large models
-# drop from 10% to 8%, and 0.5% more requests get a useful answer; with 50, it
-# is 1% fewer (means of 15 simulated days with failures each).
+# drop from 10% to 8%, and 0.5% more requests get a useful answer; with 50, 1%
+# fewer do (means of 15 simulated days with failures each).
 # The midpoint is the confidence at which half of the answers are correct.
 CONFIDENCE_MIDPOINT = 34.0
 CONFIDENCE_SCALE = 6.0
--- a/src/hoistmoor/core/relay/beliefs/history.py
+++ b/src/hoistmoor/core/relay/beliefs/history.py
@@ -28,9 +28,9 @@
 class Unusable(enum.StrEnum):
     """Why the era in a response cannot be used."""
 
-    ABSENT = "absent"
-    JUNK = "junk"
-    FALLING = "falling"
+    ABSENT = "absent"  # The header is missing.
+    JUNK = "junk"  # The header is not a valid era.
+    FALLING = "falling"  # The era is lower than the known one.
 
 
 @attrs.frozen
