--- a/src/hoistmoor/core/relay/course/retry_after.py
+++ b/src/hoistmoor/core/relay/course/retry_after.py
@@ -2,10 +2,10 @@
 
 If only one host is unable to serve, its clients should retry immediately, as
 they will reach another host. If a host still receives requests after several
-seconds, however, the other hosts cannot serve either, as after a simultaneous
-restart of all hosts during a store outage, and an immediate retry would only be
-refused again. The remaining duration of an outage is unknown and estimated as
-its duration so far.
+seconds, however, the other hosts cannot serve either, and an immediate retry
+would only be refused again. This happens if all hosts were killed or
+disconnected during a store outage. The remaining duration of an outage is
+unknown and estimated as its duration so far.
 """
 
 from __future__ import annotations
--- a/tests/core/relay/versions/test_relay_rollouts.py
+++ b/tests/core/relay/versions/test_relay_rollouts.py
@@ -253,7 +253,8 @@
 
 
 def test_failures_on_several_routes_add_up() -> None:
-    # 9 of 22 responses failed, but no route has enough failures by itself.
+    # 9 of 22 responses failed, but no route has five failures in eight or more
+    # responses.
     pooled = {
         "brief": evidence((7, 5, 0), (62, 0, 0))["chat"],
         "dossier": evidence((11, 3, 0), (54, 0, 0))["chat"],
