--- a/tests/core/relay/course/test_relay_machine.py
+++ b/tests/core/relay/course/test_relay_machine.py
@@ -149,8 +149,8 @@
 def test_unreachable_server_uses_no_retry_budget(
     router: router_lib.Router,
 ) -> None:
-    # Half of the servers are dead. Trying the next server puts no load on any of
-    # them, so it is allowed although the budget is exhausted.
+    # Half of the servers are dead. Trying the next server puts no load on any
+    # of them, so it is allowed although the budget is exhausted.
     for number in range(9):
         router.fleet.put(relay_parts.entry(f"d{number}"))
     exhaust_budget(router, relay_parts.request())
