--- a/src/hoistmoor/core/relay/answers/streams.py
+++ b/src/hoistmoor/core/relay/answers/streams.py
@@ -72,7 +72,7 @@
         number = int(match.group(1))
         if self.last_id is not None and number != self.last_id + 1:
             raise StreamOrderError(
-                f"event {number} arrived after event {self.last_id}",
+                f"event {number} came after event {self.last_id}",
                 "Resume the stream at another backend server.",
             )
         self.last_id = number
