--- a/src/hoistmoor/relay/store/__init__.py
+++ b/src/hoistmoor/relay/store/__init__.py
@@ -1,6 +1,7 @@
-"""The platform's store: what is read there, and when it is away.
+"""Reading the platform's store, and handling its outages.
 
-The application starts its tasks; listeners tell the core what is new.
+The application starts the tasks of this package; listeners pass what was read
+to the core.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/relay/store/era_watch.py
+++ b/src/hoistmoor/relay/store/era_watch.py
@@ -1,4 +1,8 @@
-"""Tells of each new history of the store, and of eras that say nothing."""
+"""Reports new eras of the store, and responses without a usable era.
+
+A store that is restored from an older copy starts a new era: records written
+after that copy are gone, and their offsets are used again.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
 
 
 class EraWatch:
-    """Logs and counts what is heard of the store's history."""
+    """Logs and counts changes of the store's era."""
 
     def __init__(
         self,
@@ -21,15 +25,15 @@
     ) -> None:
         self._state = state
         self._followers = followers
-        self._told: set[history_lib.Unusable] = set()
+        self._logged_kinds: set[history_lib.Unusable] = set()
 
     def attach(self) -> None:
-        """Has the history tell this watch from now on."""
-        self._state.history.observers.append(self.note_era)
-        self._state.history.on_unusable = self.note_unusable
+        """Subscribes to the store's history."""
+        self._state.history.observers.append(self.on_new_era)
+        self._state.history.on_unusable = self.on_unusable_era
 
-    def note_era(self, before: int, era: int, told_by: str) -> None:
-        """Logs a new era, and where each topic ended before."""
+    def on_new_era(self, before: int, era: int, told_by: str) -> None:
+        """Logs a new era, and where each topic ended in the previous one."""
         self._state.counters.store_era.set(era)
         if told_by == history_lib.STORE:
             self._state.has_urgent_news.set()
@@ -44,14 +48,14 @@
             },
         )
 
-    def note_unusable(
+    def on_unusable_era(
         self, kind: history_lib.Unusable, word: history_lib.EraWord
     ) -> None:
-        """Counts an answer whose era says nothing; logs the first of a kind."""
+        """Counts a response without a usable era; logs the first of a kind."""
         self._state.counters.unusable_eras.labels(kind.value).inc()
-        if kind in self._told:
+        if kind in self._logged_kinds:
             return
-        self._told.add(kind)
+        self._logged_kinds.add(kind)
         self._state.believe(
             "store_era_unusable",
             why=kind.value,
--- a/src/hoistmoor/relay/store/follower.py
+++ b/src/hoistmoor/relay/store/follower.py
@@ -1,4 +1,4 @@
-"""Follows one keyed topic: a snapshot first, then each change."""
+"""Follows one keyed topic: reads a snapshot first, then each change."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 @attrs.frozen
 class Update:
-    """A batch, and what is known of the way it came.
+    """A batch, with its freshness and the state of its source.
 
     Attributes:
         batch: The records.
-        current_at: Steady time at which the store certainly had nothing
-            newer: when the read was sent or, if the store held it back in
-            vain, the end of the wait that was asked for.
-        after_outage: Seconds since the store was heard again; infinite if it
-            has not been away.
-        is_return: Whether it is the first of a newer history of the store,
-            for a listener that has heard of an older one.
+        current_at: Monotonic time at which the store certainly had nothing
+            newer: when the read was sent or, for a long poll that timed out
+            without records, the end of the requested wait.
+        after_outage: Seconds since the store became available again;
+            infinite if there was no outage.
+        is_return: Whether this is the first batch of a newer era of the
+            store, for a listener that has seen an older one.
     """
 
     batch: topics.Batch
@@ -39,25 +39,27 @@
 
 
 class Listener(Protocol):
-    """Takes what was read."""
+    """Applies the batches that were read from a topic."""
 
     def __call__(self, update: Update) -> tuple[topics.Record, ...]:
-        """Takes one update; returns the records that others should have.
+        """Applies one update; returns the records to pass on to other hosts.
 
-        Of a snapshot these are all that say anything, of changes the news.
+        For a snapshot these are all usable records; for changes, those that
+        change anything.
         """
 
 
 class TopicFollower:
-    """Reads a topic for ever, and tells a listener.
+    """Reads a topic continuously and passes each batch to a listener.
 
     Attributes:
-        name: Of the topic, in log lines.
-        place: Where it reads on; None before a snapshot.
-        current_at: Steady time at which it was last known to be current.
-        mirror: The topic as this host knows it.
+        name: Name of the topic in log lines.
+        place: Position of the next read; None before the first snapshot.
+        current_at: Monotonic time at which the topic was last known to be
+            current.
+        mirror: This host's copy of the topic.
         direct: Set while this host reads the store itself.
-        known: Set once it was read, here or by another host.
+        known: Set once the topic was read, by this host or another one.
     """
 
     def __init__(
@@ -74,21 +76,23 @@
         is_held: bool = True,
         yields: bool = False,
     ) -> None:
-        """Makes a follower.
+        """Creates a follower.
 
         Args:
-            state: What the relay knows.
-            name: Of the topic, in log lines.
-            topic: What to read.
-            listener: Told of each batch, the empty ones too.
-            wait: Seconds for which the store may hold a read back.
-            pause: Seconds between two reads; more records come in one then.
-            gate: Holds reads back while the store is away.
-            is_probe: Whether this topic shows that the store is back, and is
-                to be proved current all the time.
-            is_held: Whether it is read only once the store was heard.
-            yields: Whether it is read only while ``direct`` is set: another
-                host may read for this one.
+            state: Shared state of the relay.
+            name: Name of the topic in log lines.
+            topic: The topic to read.
+            listener: Called with each batch, including empty ones.
+            wait: Longest duration of a long poll, in seconds.
+            pause: Seconds between two reads; a longer pause collects more
+                records in one read.
+            gate: Blocks reads during an outage of the store.
+            is_probe: Whether this topic is read during an outage to detect
+                its end, and is confirmed to be current at all times.
+            is_held: Whether the first read waits until the store has
+                answered another call.
+            yields: Whether the topic is read only while ``direct`` is set,
+                since another host may read it for this one.
         """
         self.name = name
         self.place: topics.Place | None = None
@@ -105,136 +109,143 @@
         self._pause = pause
         self._gate = gate
         self._is_probe = is_probe
-        self._is_held = is_held and not is_probe
-        self._is_unproved = False
-        self._drops = False  # Whether the last copy was dropped.
-        self._held: asyncio.Future[topics.Batch] | None = None
+        self._waits_for_store = is_held and not is_probe
+        self._is_unconfirmed = False
+        self._was_copy_dropped = False  # Whether the last copy was dropped.
+        self._pending_read: asyncio.Future[topics.Batch] | None = None
         self._lost_at: float | None = None
         self._regained_at = float("-inf")
-        state.history.observers.append(self._note_era)
+        state.history.observers.append(self._on_new_era)
 
     async def run(self) -> None:
         """Reads until cancelled."""
         while True:
             await self.direct.wait()
-            if self._is_held:
+            if self._waits_for_store:
                 await self._gate.wait_until_heard()
             if not self.direct.is_set():
-                continue  # Another host has read for this one meanwhile.
-            # After the first try the operators' topic shows whether the store
-            # is there.
-            self._is_held = not self._is_probe
+                continue  # Another host reads for this one by now.
+            # After the first attempt, only the probe topic is read during an
+            # outage.
+            self._waits_for_store = not self._is_probe
             try:
                 await self.read_once()
             except errors.LogHistoryChangedError:
-                continue  # A snapshot follows: the place is of another history.
+                continue  # The position is of an older era: read a snapshot.
             except errors.LogOffsetExpiredError as error:
                 self._state.believe(
                     "topic_expired", topic=self.name, detail=error.problem
                 )
                 self.place = None
             except errors.HoistmoorError as error:
-                self._note_lost(error)
-                await self._hold_back()
+                self._record_failure(error)
+                await self._back_off()
             else:
                 await asyncio.sleep(self._pause)
 
     def age(self) -> float:
-        """Returns the seconds since the topic was known to be current."""
+        """Returns the seconds since the topic was last known to be current."""
         return self._state.clock() - self.current_at
 
     def read_directly(self) -> None:
-        """Has this host read the store itself, the first time at once."""
+        """Starts reading the store; the first read is not a long poll."""
         if not self.direct.is_set():
-            self._is_unproved = True
+            self._is_unconfirmed = True
             self.direct.set()
 
-    async def _hold_back(self) -> None:
+    async def _back_off(self) -> None:
         if self._is_probe:
             await self._gate.back_off()
         else:
             await asyncio.sleep(store_gate.PAUSE)
 
     async def read_once(self) -> None:
-        """Reads one batch and tells the listener."""
+        """Reads one batch and applies it."""
         sent_at = self._state.clock()
-        wait = 0.0 if self._is_urgent else self._wait
+        wait = 0.0 if self._needs_immediate_answer else self._wait
         known = self.place
         if known is None or known.era < self._state.history.era:
             batch = await self._topic.newest()
         else:
             batch = await self._read_changes(known, wait)
-        self._note_heard()
-        # Another host's copy may have come meanwhile, with more.
+        self._record_success()
+        # A newer copy from another host may have arrived during the read.
         if self.is_ahead_of(batch):
             return
         current_at = sent_at
-        was_held = self._state.clock() - sent_at >= wait
-        if was_held and not batch.records and not batch.is_snapshot:
+        waited_fully = self._state.clock() - sent_at >= wait
+        if waited_fully and not batch.records and not batch.is_snapshot:
             current_at += wait
-        self._is_unproved = bool(batch.records) and not batch.is_snapshot
+        self._is_unconfirmed = bool(batch.records) and not batch.is_snapshot
         self.take(Update(batch, current_at, self.after_outage))
 
     async def _read_changes(
         self, place: topics.Place, wait: float
     ) -> topics.Batch:
-        """Returns the records from a place on.
+        """Returns the records from a position on.
 
         Raises:
-            LogHistoryChangedError: A new history was heard of meanwhile; the
-                store may hold the read back though it has other records now.
+            LogHistoryChangedError: A newer era became known during the read;
+                the long poll may still block although the records changed.
         """
-        self._held = asyncio.ensure_future(self._topic.changes(place, wait))
+        self._pending_read = asyncio.ensure_future(
+            self._topic.changes(place, wait)
+        )
         try:
-            await asyncio.wait({self._held})
-            if not self._held.cancelled():
-                return self._held.result()
+            await asyncio.wait({self._pending_read})
+            if not self._pending_read.cancelled():
+                return self._pending_read.result()
         finally:
-            self._held.cancel()
-            self._held = None
+            self._pending_read.cancel()
+            self._pending_read = None
         raise errors.LogHistoryChangedError(
             self.name, place.era, self._state.history.era
         )
 
-    def _note_era(self, before: int, era: int, told_by: str) -> None:
-        """Ends a read in an older history; what it lacks gets time to return.
+    def _on_new_era(self, before: int, era: int, told_by: str) -> None:
+        """Cancels a read of an older era.
 
-        The read whose own answer tells of the history ends by itself.
+        The new era counts as the end of an outage, so that entries missing in
+        it are kept for a grace period. A read whose own response reports the
+        era ends by itself.
         """
         if self.place is not None:
             self._regained_at = self._state.clock()
-        if self._held is not None and self._held is not asyncio.current_task():
-            self._held.cancel()
+        if (
+            self._pending_read is not None
+            and self._pending_read is not asyncio.current_task()
+        ):
+            self._pending_read.cancel()
 
     @property
-    def _is_urgent(self) -> bool:
-        """Whether the next read should be answered at once.
+    def _needs_immediate_answer(self) -> bool:
+        """Whether the next read should not be a long poll.
 
-        A store that may be away shows its return so. And a read that ended
-        with news proves no more than when it was sent: the next one proves
-        the news current without a wait.
+        During an outage, an immediate response shows that the store is
+        available again. A read that returned records only proves them current
+        as of its start; the next one confirms them without a wait.
         """
         return self._lost_at is not None or (
-            self._is_probe and self._is_unproved
+            self._is_probe and self._is_unconfirmed
         )
 
     def is_ahead_of(self, batch: topics.Batch) -> bool:
-        """Returns whether more than a batch is known here.
+        """Returns whether this host has newer data than a batch.
 
-        Older news must not undo it, not even for a moment. Where a newer
-        history is known, though nothing of it was read, a batch of an older
-        one proves nothing.
+        Older data must not replace newer data, even briefly. Once a newer era
+        is known, a batch of an older one proves nothing, even if nothing of
+        the newer era was read yet.
         """
         if batch.end.era < self._state.history.era:
             return True
         return self.place is not None and batch.end < self.place
 
     def note_dropped(self, batch: topics.Batch) -> None:
-        """Counts a copy that is not taken; logs the first in a row."""
+        """Counts an outdated copy; logs the first of consecutive ones."""
         self._state.counters.dropped_copies.labels(self.name).inc()
-        if self._drops:
+        if self._was_copy_dropped:
             return
-        self._drops = True
+        self._was_copy_dropped = True
         self._state.believe(
             "copy_dropped",
             topic=self.name,
@@ -244,16 +255,17 @@
 
     @property
     def after_outage(self) -> float:
-        """Seconds since the store was heard again."""
+        """Seconds since the store became available again."""
         return self._state.clock() - self._regained_at
 
     def take(self, update: Update) -> None:
-        """Takes what was read, here or by another host, and tells of it."""
+        """Applies a batch that this host or another one has read."""
         batch = update.batch
-        self._drops = False
+        self._was_copy_dropped = False
         self.current_at = max(self.current_at, update.current_at)
         self._end_outage(update.current_at)
-        # An outage at the source is one for those that ask this host, too.
+        # An outage at the source also counts for hosts that copy from this
+        # one.
         self._regained_at = max(
             self._regained_at, self._state.clock() - update.after_outage
         )
@@ -261,15 +273,15 @@
         known = self.mirror.end
         if known is not None and batch.end.era > known.era:
             update = attrs.evolve(update, is_return=True)
-        kept = self._listener(update)
-        self.mirror.take(attrs.evolve(batch, records=kept))
+        relevant = self._listener(update)
+        self.mirror.take(attrs.evolve(batch, records=relevant))
         self._state.topics_read.add(self.name)
         self.known.set()
 
     def hold(self, record: topics.Record) -> None:
-        """Takes a record that another host has from an older history.
+        """Applies a record that another host has kept from an older era.
 
-        It proves nothing of the time at which it was current.
+        It does not prove when the topic was current.
         """
         if self.place is None:
             return
@@ -278,15 +290,16 @@
         self.mirror.hold(self._listener(update))
 
     def _end_outage(self, current_at: float) -> None:
-        """Ends an outage that another host has seen the end of.
+        """Ends the outage if a copy is newer than its start.
 
-        Were it to end with the next read of this host's own, which may be
-        much later, entries that go then would be kept in doubt.
+        If only this host's next own read, which may be much later, ended the
+        outage, entries removed by then would be kept for the grace period of
+        an outage.
         """
         if self._lost_at is not None and current_at > self._lost_at:
             self._lost_at = None
 
-    def _note_lost(self, error: errors.HoistmoorError) -> None:
+    def _record_failure(self, error: errors.HoistmoorError) -> None:
         self._gate.note_lost()
         if self._lost_at is None:
             self._lost_at = self._state.clock()
@@ -294,14 +307,14 @@
                 "store_lost", topic=self.name, detail=error.problem
             )
 
-    def _note_heard(self) -> None:
+    def _record_success(self) -> None:
         self._gate.note_heard()
         if self._lost_at is None:
             return
         now = self._state.clock()
-        away = now - self._lost_at
+        outage = now - self._lost_at
         self._lost_at = None
         self._regained_at = now
         self._state.believe(
-            "store_regained", topic=self.name, away=round(away, 3)
+            "store_regained", topic=self.name, away=round(outage, 3)
         )
--- a/src/hoistmoor/relay/store/followers.py
+++ b/src/hoistmoor/relay/store/followers.py
@@ -1,4 +1,4 @@
-"""The followers of all topics, and how often each topic is read."""
+"""Creates the followers of all topics, with the intervals of their reads."""
 
 from __future__ import annotations
 
@@ -18,30 +18,33 @@
     from hoistmoor.relay import state as state_lib
     from hoistmoor.relay.store import store_gate
 
-# Seconds that a read of the operators' topic may be held back, and the pause
-# after it: together they are the age of a configuration known to be current.
+# Longest long poll of the operators' topic, and the pause after it, in seconds.
+# Their sum is the maximum age of a configuration that is known to be current.
 OPERATOR_WAIT = 0.5
 SHORT_PAUSE = 0.05
-# Entries change many times a second; a pause reads several at once. With two
-# copies from host to host, a server that leaves is known well in two seconds.
+# Server entries change many times a second; the pause collects several changes
+# in one read. A leaving server is known everywhere within two seconds, even
+# after two copies from host to host.
 SERVERS_WAIT = 0.5
 SERVERS_PAUSE = 0.3
-# Topics that seldom change, and of whose change nobody need hear at once.
+# For topics that seldom change, and whose changes may arrive late.
 SLOW_WAIT = 5.0
 HOSTS_PAUSE = 1.0
 
 
 @attrs.frozen
-class _Reading:
+class _ReadOptions:
     """How one topic is read.
 
     Attributes:
-        topic: What to read.
-        listener: Told of each batch.
-        wait: Seconds for which the store may hold a read back.
+        topic: The topic to read.
+        listener: Called with each batch.
+        wait: Longest duration of a long poll, in seconds.
         pause: Seconds between two reads.
-        is_probe: Whether this topic shows that the store is back.
-        is_held: Whether it is read only once the store was heard.
+        is_probe: Whether the topic is read during an outage of the store to
+            detect its end.
+        is_held: Whether the first read waits until the store has answered
+            another call.
     """
 
     topic: ports.KeyedTopic
@@ -54,12 +57,14 @@
 
 @attrs.frozen
 class OwnListeners:
-    """Take what relays write themselves, and know what the store has of it.
+    """Listeners of the topics that relays write themselves.
+
+    They also track which of these records the store has.
 
     Attributes:
-        phases: Of roll-outs.
+        phases: Phases of rollouts.
         hosts: The list of hosts.
-        quarantine: Requests that are refused.
+        quarantine: Requests in quarantine.
     """
 
     phases: rollout_listeners.PhaseListener
@@ -71,50 +76,50 @@
     state: state_lib.RelayState,
     platform: ports.Platform,
     gate: store_gate.StoreGate,
-    heard: OwnListeners,
+    own_listeners: OwnListeners,
     *,
     yields: bool,
 ) -> dict[str, follower.TopicFollower]:
-    """Returns the followers of what a relay must know, by topic.
+    """Returns the followers of all topics that a relay needs, by topic name.
 
     Args:
-        state: What the relay knows.
-        platform: Where it learns it.
-        gate: Holds reads back while the store is away.
-        heard: Take what relays have written.
+        state: Shared state of the relay.
+        platform: Provides the topics and their codec.
+        gate: Blocks reads during an outage of the store.
+        own_listeners: Listeners of the topics that relays write themselves.
         yields: Whether other hosts may read for this one.
     """
     topics, codec = platform.topics, platform.codec
-    readings = {
-        "operator": _Reading(
+    options = {
+        "operator": _ReadOptions(
             topics.operator,
             operator_listener.OperatorListener(state, codec),
             wait=OPERATOR_WAIT,
             pause=SHORT_PAUSE,
             is_probe=True,
         ),
-        "servers": _Reading(
+        "servers": _ReadOptions(
             topics.servers,
             server_listener.ServerListener(state, codec),
             wait=SERVERS_WAIT,
             pause=SERVERS_PAUSE,
         ),
-        "phases": _Reading(
+        "phases": _ReadOptions(
             topics.phases,
-            heard.phases,
+            own_listeners.phases,
             wait=SLOW_WAIT,
             pause=SHORT_PAUSE,
         ),
-        "hosts": _Reading(
+        "hosts": _ReadOptions(
             topics.hosts,
-            heard.hosts,
+            own_listeners.hosts,
             wait=SLOW_WAIT,
             pause=HOSTS_PAUSE,
             is_held=not yields,
         ),
-        "quarantine": _Reading(
+        "quarantine": _ReadOptions(
             topics.quarantine,
-            heard.quarantine,
+            own_listeners.quarantine,
             wait=SLOW_WAIT,
             pause=HOSTS_PAUSE,
         ),
@@ -132,5 +137,5 @@
             is_held=each.is_held,
             yields=yields,
         )
-        for name, each in readings.items()
+        for name, each in options.items()
     }
--- a/src/hoistmoor/relay/store/lease_watch.py
+++ b/src/hoistmoor/relay/store/lease_watch.py
@@ -1,7 +1,7 @@
-"""Says when the configuration is too old to be sure of, and when it is new.
+"""Reports when the configuration is no longer known to be current.
 
-Where revocation is strict, that is the end of the lease too; where it is not,
-requests go on being served by it.
+With strict revocation the lease ends at the same time; otherwise requests are
+still served with the old configuration.
 """
 
 from __future__ import annotations
@@ -12,35 +12,35 @@
 if TYPE_CHECKING:
     from hoistmoor.relay import state as state_lib
 
-PERIOD = 0.25  # Seconds between two looks; a line is at most that late.
+PERIOD = 0.25  # Seconds between two checks; the longest delay of a log line.
 
 
 class LeaseWatch:
-    """Logs each end and each return of a current configuration.
+    """Logs when the configuration stops or starts being current.
 
-    Decisions ask the lease itself; this task only tells of it.
+    Routing decisions check the lease itself; this task only reports it.
     """
 
     def __init__(self, state: state_lib.RelayState) -> None:
         self._state = state
-        self._was: tuple[bool, bool] = (False, False)
+        self._last_status: tuple[bool, bool] = (False, False)
 
     async def run(self) -> None:
-        """Looks until cancelled."""
+        """Checks the lease periodically until cancelled."""
         while True:
             await asyncio.sleep(PERIOD)
             self.look()
 
     def look(self) -> None:
-        """Logs a change since the last look."""
+        """Logs a change since the last check."""
         now = self._state.clock()
         lease = self._state.lease
         holds, is_current = lease.holds(now), lease.is_current(now)
         self._state.counters.configuration_age.set(lease.age(now))
-        if (holds, is_current) == self._was:
+        if (holds, is_current) == self._last_status:
             return
-        self._was = holds, is_current
-        found = self._state.configuration
+        self._last_status = holds, is_current
+        configuration = self._state.configuration
         self._state.believe(
             "lease",
             holds=holds,
@@ -48,6 +48,6 @@
             strict=lease.is_strict,
             age=round(lease.age(now), 3),
             bound=lease.bound,
-            revision=found.revision if found else None,
+            revision=configuration.revision if configuration else None,
             source=self._state.source or "store",
         )
--- a/src/hoistmoor/relay/store/operator_listener.py
+++ b/src/hoistmoor/relay/store/operator_listener.py
@@ -1,4 +1,4 @@
-"""Takes what operators write: configurations, orders, evacuations."""
+"""Applies operators' records: configurations, rollout orders, evacuations."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class OperatorListener:
-    """Takes configurations, roll-out orders and evacuations."""
+    """Applies configurations, rollout orders and evacuations."""
 
     def __init__(self, state: state_lib.RelayState, codec: ports.Codec) -> None:
         self._state = state
@@ -24,45 +24,55 @@
         self._evacuations = evacuations.Evacuations()
 
     def __call__(self, update: follower.Update) -> tuple[topics.Record, ...]:
-        """Takes one update; each proves the configuration current.
+        """Applies one update; each one renews the configuration's lease.
 
-        Others should have no older configuration than this host, and its own
-        where a snapshot has an older one.
+        Older configurations are not passed on to other hosts. If a snapshot
+        has only an older one, the record in use here is passed on instead.
         """
         if update.is_return:
             self._state.router.rollouts.note_return(self._state.clock())
-        kept = [each for each in update.batch.records if self._takes(each)]
-        self._take_evacuations(update)
+        relevant = [
+            each for each in update.batch.records if self._try_apply(each)
+        ]
+        self._apply_evacuations(update)
         held = self._state.configuration_record
-        if update.batch.is_snapshot and held is not None and held not in kept:
+        if (
+            update.batch.is_snapshot
+            and held is not None
+            and held not in relevant
+        ):
             self._state.believe(
                 "configuration_held", revision=self._state.revision
             )
-            kept.append(held)
+            relevant.append(held)
         is_proof = update.current_at > float("-inf")
         if is_proof and self._state.configuration is not None:
             self._state.lease.prove(update.current_at)
-        return tuple(kept)
+        return tuple(relevant)
+
+    def _try_apply(self, record: topics.Record) -> bool:
+        """Applies a record if it can be decoded; logs it otherwise.
 
-    def _takes(self, record: topics.Record) -> bool:
-        """Takes a record; returns whether others should have it."""
+        Returns:
+            Whether to pass the record on to other hosts.
+        """
         try:
-            return self._take(record)
+            return self._apply(record)
         except errors.CodecError as error:
             self._state.note_unreadable("operator", record, error)
             return True
 
-    def _take_evacuations(self, update: follower.Update) -> None:
-        """Takes which failure domains are evacuated after an update."""
+    def _apply_evacuations(self, update: follower.Update) -> None:
+        """Updates the set of evacuated failure domains."""
         batch = update.batch
         now = self._state.clock()
-        words = [
+        changes = [
             evacuations.ZoneWord(zone, record.value is not None, record.place)
             for record in batch.records
             if (zone := self._codec.evacuated_zone(record)) is not None
         ]
         if not self._evacuations.take(
-            words,
+            changes,
             now,
             is_snapshot=batch.is_snapshot,
             is_return=update.is_return,
@@ -74,13 +84,13 @@
             "evacuated", zones=sorted(zones), place=batch.end.text
         )
 
-    def _take(self, record: topics.Record) -> bool:
-        """Takes a record; returns whether others should have it."""
+    def _apply(self, record: topics.Record) -> bool:
+        """Applies a record; returns whether to pass it on to other hosts."""
         if record.value is None:
             return True
-        found = self._codec.configuration(record)
-        if found is not None:
-            return self._take_configuration(found, record)
+        decoded = self._codec.configuration(record)
+        if decoded is not None:
+            return self._take_configuration(decoded, record)
         order = self._codec.order(record)
         if order is None:
             return True
@@ -95,25 +105,28 @@
         return True
 
     def _take_configuration(
-        self, found: configuration.Configuration, record: topics.Record
+        self, candidate: configuration.Configuration, record: topics.Record
     ) -> bool:
-        """Takes a configuration unless a newer one is known.
+        """Applies a configuration unless a newer one is in use.
+
+        A store that was restored from an older copy must not bring back a
+        configuration that was replaced.
 
-        A store that comes back from an older copy must not bring back what
-        was replaced.
+        Returns:
+            Whether to pass the record on to other hosts.
         """
         known = self._state.configuration
-        if known is not None and found.revision < known.revision:
+        if known is not None and candidate.revision < known.revision:
             return False
         self._state.configuration_record = record
-        if known is not None and found.revision == known.revision:
+        if known is not None and candidate.revision == known.revision:
             return True
-        self._state.configuration = found
-        self._state.router.fleet.warmups.take_services(found.services)
+        self._state.configuration = candidate
+        self._state.router.fleet.warmups.take_services(candidate.services)
         self._state.believe(
             "configuration",
-            revision=found.revision,
+            revision=candidate.revision,
             before=known.revision if known else None,
-            routes=len(found.routes),
+            routes=len(candidate.routes),
         )
         return True
--- a/src/hoistmoor/relay/store/ports.py
+++ b/src/hoistmoor/relay/store/ports.py
@@ -1,4 +1,4 @@
-"""What the relay needs of a platform: keyed topics, and how to read them."""
+"""Interfaces that a platform implements for the relay: topics and a codec."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class KeyedTopic(Protocol):
-    """A topic whose newest record of each key is kept for ever.
+    """A compacted topic: the newest record of each key is never removed.
 
     Calls raise subclasses of ``errors.PlatformError``.
     """
@@ -26,31 +26,36 @@
         """Returns the newest record of each key."""
 
     async def changes(self, place: topics.Place, wait: float) -> topics.Batch:
-        """Returns the records from ``place`` on; waits for the first.
+        """Returns the records from ``place`` on.
+
+        Args:
+            place: Position of the first record.
+            wait: Seconds to wait for a record if there is none yet.
 
         Raises:
-            LogOffsetExpiredError: They are not kept any more, or not there.
-            LogHistoryChangedError: The store has come back from an older copy
-                since that place was known.
+            LogOffsetExpiredError: The records are no longer retained, or the
+                offset is beyond the end of the topic.
+            LogHistoryChangedError: The store was restored from an older copy,
+                so the position belongs to an older era.
         """
 
     async def put(
         self, key: str, value: bytes, expected: topics.Place | None = None
     ) -> topics.Place | None:
-        """Adds a record.
+        """Appends a record.
 
         Args:
-            key: What it is about.
-            value: Its content; empty to drop the key.
-            expected: Add it only if the topic ends there.
+            key: Key of the record.
+            value: Content of the record; empty to remove the key.
+            expected: Append only if the topic ends at this position.
 
         Returns:
-            The place after it, or None if the topic had gone on, or may have:
-            a place of an older history says nothing.
+            The position after the record; None if the topic does not end at
+            ``expected``, or if that position belongs to an older era.
         """
 
     async def put_all(self, records: dict[str, bytes]) -> None:
-        """Adds a record for each key, all of a call or none."""
+        """Appends a record for each key, either all of them or none."""
 
 
 @attrs.frozen
@@ -58,14 +63,15 @@
     """The topics that the relay uses.
 
     Attributes:
-        operator: Configuration and orders, written by operators.
-        servers: Entries of backend servers, written by themselves.
-        status: What operators read of roll-outs.
-        phases: Phases of roll-outs; the relay's own.
-        evidence: Counts of answers in roll-outs; the relay's own.
-        hosts: Entries of the relays themselves.
-        quarantine: Requests that are refused as servers end when they run
-            them, by fingerprint; the relay's own.
+        operator: Configurations, rollout orders and evacuations, written by
+            operators.
+        servers: Entries of backend servers, written by the servers.
+        status: Status of rollouts, read by operators.
+        phases: Phases of rollouts, written by relays.
+        evidence: Counts of answers in rollouts, written by relays.
+        hosts: Entries of the relays, written by themselves.
+        quarantine: Requests that are refused because servers crash when they
+            run them, by fingerprint; written by relays.
     """
 
     operator: KeyedTopic
@@ -78,43 +84,44 @@
 
 
 class Codec(Protocol):
-    """Translates what a platform writes and reads.
+    """Decodes and encodes the records of a platform.
 
-    Decoders raise ``errors.CodecError`` for what they cannot read.
+    Decoders raise ``errors.CodecError`` for records that they cannot decode.
     """
 
     def configuration(
         self, record: topics.Record
     ) -> configuration.Configuration | None:
-        """Returns the configuration that an operator's record holds, if so."""
+        """Returns the configuration in an operator's record, if it has one."""
 
     def order(self, record: topics.Record) -> phases_lib.Order | None:
-        """Returns the roll-out order that an operator's record holds."""
+        """Returns the rollout order in an operator's record, if it has one."""
 
     def evacuated_zone(self, record: topics.Record) -> str | None:
-        """Returns the failure domain that an operator's record is about.
+        """Returns the failure domain that an operator's record evacuates.
 
-        It is evacuated as long as the record has a value. None if the record
-        is about something else.
+        It is evacuated as long as the record has a value. None for records of
+        other kinds.
         """
 
     def server(self, record: topics.Record) -> server_lib.ServerEntry:
-        """Returns a backend server's entry."""
+        """Returns the entry of a backend server."""
 
     def status(self, record: phases_lib.PhaseRecord) -> tuple[str, bytes]:
-        """Returns key and value of a roll-out's status."""
+        """Returns key and value of the status record of a rollout."""
 
 
 @attrs.frozen
 class Platform:
-    """One platform, as one relay sees it.
+    """One relay's connection to a platform.
 
     Attributes:
-        topics: Of its store.
-        codec: Translates their records.
-        headers: Names of headers.
-        not_run_statuses: Statuses of servers that did not run a request.
-        history: The store's history, from the answers to this relay's calls.
+        topics: Topics of the platform's store.
+        codec: Decodes and encodes their records.
+        headers: Names of the platform's HTTP headers.
+        not_run_statuses: HTTP statuses by which servers report that they did
+            not run a request.
+        history: Era of the store, as reported by its responses to this relay.
     """
 
     topics: Topics
--- a/src/hoistmoor/relay/store/quarantine.py
+++ b/src/hoistmoor/relay/store/quarantine.py
@@ -1,8 +1,8 @@
-"""Keeps quarantined requests in the store, for hosts that start anew.
+"""Persists quarantined requests in the store, so that restarts keep them.
 
-Hosts tell one another whom they quarantine. What all of them must not forget at
-once is written by the host that reads the store for the others. A host that
-starts copies it with the other topics.
+Hosts exchange their quarantined requests directly. So that a restart of all
+hosts does not lose them, the host that reads the store for the others also
+writes them there. A starting host copies them with the other topics.
 """
 
 from __future__ import annotations
@@ -22,61 +22,65 @@
     from hoistmoor.relay.store import ports
     from hoistmoor.relay.store import store_gate
 
-PERIOD = 1.0  # Seconds between two looks.
-RETRY = 1.0  # Seconds until a write that failed is tried again.
-KEPT_OVER = 1000  # Quarantines that are over and that a copy may list again.
-_DROPPED = b""
+PERIOD = 1.0  # Seconds between two checks.
+RETRY_DELAY = 1.0  # Seconds until a failed write is retried.
+# Ended quarantines to remember; a store restored from an older copy may still
+# list them.
+MAX_ENDED = 1000
+_TOMBSTONE = b""
 
 
 class QuarantineListener:
-    """Takes the requests that are listed in the store.
+    """Applies the quarantined requests that are listed in the store.
 
     Attributes:
-        listed: Their fingerprints, as the store's newest history has them.
+        listed: Fingerprints that are listed in the newest era of the store.
     """
 
     def __init__(self, state: state_lib.RelayState) -> None:
         self.listed: set[str] = set()
-        # Fingerprints whose quarantine is over; an older copy may list them.
-        self._over: collections.deque[str] = collections.deque(maxlen=KEPT_OVER)
+        # Fingerprints whose quarantine has ended, oldest first.
+        self._ended: collections.deque[str] = collections.deque(
+            maxlen=MAX_ENDED
+        )
         self._state = state
 
     def __call__(self, update: follower.Update) -> tuple[topics.Record, ...]:
-        """Takes one update."""
+        """Applies one update."""
         batch = update.batch
         if update.is_return:
-            self._list_again(batch)
+            self._reset_listed(batch)
         elif batch.is_snapshot:
             for fingerprint in self.listed - {
                 each.key for each in batch.records
             }:
-                self._drop(fingerprint)
+                self._end(fingerprint)
         for record in batch.records:
             if record.value is None:
-                self._drop(record.key)
-            elif update.is_return and self._is_over(record.key):
+                self._end(record.key)
+            elif update.is_return and self._has_ended(record.key):
                 continue
             else:
-                self._take(record, record.value)
+                self._apply(record, record.value)
         return batch.records
 
-    def _is_over(self, fingerprint: str) -> bool:
+    def _has_ended(self, fingerprint: str) -> bool:
         quarantined = self._state.router.suspects.quarantined(
             self._state.clock()
         )
-        return fingerprint in self._over and fingerprint not in quarantined
+        return fingerprint in self._ended and fingerprint not in quarantined
 
-    def _list_again(self, batch: topics.Batch) -> None:
-        """Takes what a newer history lists; ends and begins nothing by it.
+    def _reset_listed(self, batch: topics.Batch) -> None:
+        """Records what a newer era lists, without changing any quarantine.
 
-        What it lacks is written again, and what is over is dropped again; the
-        host that writes for all sees both by ``listed``.
+        The host that writes for all others compares ``listed`` with its own
+        state: it writes missing quarantines again and removes ended ones.
         """
         self.listed = {
             each.key for each in batch.records if each.value is not None
         }
 
-    def _take(self, record: topics.Record, value: bytes) -> None:
+    def _apply(self, record: topics.Record, value: bytes) -> None:
         try:
             suspect = records.decode(value, suspect_state.Suspect)
         except ValueError as error:
@@ -85,15 +89,15 @@
         self.listed.add(record.key)
         self._state.take_suspects([suspect])
 
-    def _drop(self, fingerprint: str) -> None:
+    def _end(self, fingerprint: str) -> None:
         self.listed.discard(fingerprint)
-        self._over.append(fingerprint)
+        self._ended.append(fingerprint)
         self._state.router.suspects.forget(fingerprint)
         self._state.believe("quarantine_over", fingerprint=fingerprint)
 
 
 class QuarantineWriter:
-    """Lists requests in quarantine in the store; drops those that are over."""
+    """Lists quarantined requests in the store; removes ended quarantines."""
 
     def __init__(
         self,
@@ -102,13 +106,13 @@
         listener: QuarantineListener,
         gate: store_gate.StoreGate,
     ) -> None:
-        """Makes the task.
+        """Creates the task.
 
         Args:
-            state: What the relay knows.
-            topic: Where quarantine are listed.
-            listener: Knows what is listed.
-            gate: Tells whether the store is there.
+            state: Shared state of the relay.
+            topic: The topic that lists quarantined requests.
+            listener: Tracks which requests are listed.
+            gate: Tells whether the store is available.
         """
         self._state = state
         self._topic = topic
@@ -116,14 +120,15 @@
         self._gate = gate
 
     async def run(self) -> None:
-        """Looks until cancelled."""
+        """Synchronizes the list periodically until cancelled."""
         while True:
             await asyncio.sleep(PERIOD)
             quarantined = self._state.router.suspects.quarantined(
                 self._state.clock()
             )
             self._state.note_suspects()
-            # One host writes for all, and only once it knows what is listed.
+            # Only the host that reads the store writes, and only once it has
+            # read the list.
             if self._state.source or not self._gate.is_heard:
                 continue
             if "quarantine" not in self._state.topics_read:
@@ -132,7 +137,7 @@
                 await self._write(quarantined)
             except errors.HoistmoorError as error:
                 self._state.log.write("quarantine_waits", detail=error.problem)
-                await asyncio.sleep(RETRY)
+                await asyncio.sleep(RETRY_DELAY)
 
     async def _write(
         self, quarantined: dict[str, suspect_state.Suspect]
@@ -144,5 +149,5 @@
             )
             listed.add(fingerprint)
         for fingerprint in listed - quarantined.keys():
-            await self._topic.put(fingerprint, _DROPPED)
+            await self._topic.put(fingerprint, _TOMBSTONE)
             listed.discard(fingerprint)
--- a/src/hoistmoor/relay/store/server_listener.py
+++ b/src/hoistmoor/relay/store/server_listener.py
@@ -1,4 +1,4 @@
-"""Takes the entries of backend servers."""
+"""Applies the entries of backend servers."""
 
 from __future__ import annotations
 
@@ -14,74 +14,81 @@
     from hoistmoor.relay.store import follower
     from hoistmoor.relay.store import ports
 
-MOST_NAMED = 20  # Servers that one line names.
+MAX_LOGGED_SERVERS = 20  # Servers that one log line names.
 
 
 class ServerListener:
-    """Takes the entries of backend servers."""
+    """Applies the entries of backend servers to the fleet."""
 
     def __init__(self, state: state_lib.RelayState, codec: ports.Codec) -> None:
         self._state = state
         self._codec = codec
-        # Keys whose newest record says nothing, with its place. What follows
-        # there is news to others, who may have that record from here.
-        self._silent: dict[str, topics.Place] = {}
-        self._tells_starts = False  # Whether servers tell when they started.
+        # Keys whose newest record is unusable, with its position. The next
+        # usable record is always passed on, since other hosts may have copied
+        # the unusable one from this host.
+        self._unusable: dict[str, topics.Place] = {}
+        # Whether server entries have start times.
+        self._has_start_times = False
 
     def __call__(self, update: follower.Update) -> tuple[topics.Record, ...]:
-        """Takes one update; a mere heartbeat is no news to others."""
+        """Applies one update; heartbeats without changes are not passed on."""
         batch = update.batch
         now = self._state.clock()
-        # A server that lives is listed again by then. It is counted from the
-        # store's return: an entry that goes later was taken away for good.
-        doubt_ends = now - update.after_outage + fleet_lib.LAPSE_GRACE
+        # A running server is listed again by this time. The grace period
+        # starts when the store becomes available again: a later removal is
+        # final.
+        grace_ends = now - update.after_outage + fleet_lib.LAPSE_GRACE
         records = batch.records
         if update.is_return:
-            records = self._drop_returned(batch)
-        news = [record for record in records if self._take(record, doubt_ends)]
+            records = self._without_reverted(batch)
+        relevant = [
+            record for record in records if self._apply(record, grace_ends)
+        ]
         if batch.is_snapshot:
-            self._remove_unlisted(batch, doubt_ends)
-            news = [
+            self._remove_unlisted(batch, grace_ends)
+            relevant = [
                 record
                 for record in batch.records
-                if record.key not in self._silent
+                if record.key not in self._unusable
             ]
         for server_id in self._fleet.drop_lapsed(now):
             self._state.believe("server_gone", server=server_id, why="lapsed")
-        return tuple(news)
+        return tuple(relevant)
 
-    def _drop_returned(self, batch: topics.Batch) -> tuple[topics.Record, ...]:
-        """Returns the records but for those an older copy brought back."""
-        returned = {
+    def _without_reverted(
+        self, batch: topics.Batch
+    ) -> tuple[topics.Record, ...]:
+        """Returns the records except those reverted by a restored store."""
+        reverted = {
             record.key: record.place
             for record in batch.records
-            if self._is_returned(record)
+            if self._is_reverted(record)
         }
-        if returned:
+        if reverted:
             self._state.believe(
                 "servers_returned",
-                servers=sorted(returned)[:MOST_NAMED],
-                count=len(returned),
+                servers=sorted(reverted)[:MAX_LOGGED_SERVERS],
+                count=len(reverted),
                 place=batch.end.text,
             )
-        self._silent |= returned
+        self._unusable |= reverted
         return tuple(
-            record for record in batch.records if record.key not in returned
+            record for record in batch.records if record.key not in reverted
         )
 
-    def _is_returned(self, record: topics.Record) -> bool:
+    def _is_reverted(self, record: topics.Record) -> bool:
         if record.value is None:
             return False
         try:
-            return self._fleet.is_returned(self._read(record))
+            return self._fleet.is_returned(self._decode(record))
         except errors.CodecError:
-            return False  # Logged where it is taken.
+            return False  # ``_put`` logs the error.
 
-    def _take(self, record: topics.Record, doubt_ends: float) -> bool:
-        """Returns whether the record says something new."""
+    def _apply(self, record: topics.Record, grace_ends: float) -> bool:
+        """Applies a record; returns whether it changed anything."""
         if record.value is None:
-            self._silent.pop(record.key, None)
-            self._remove(record.key, doubt_ends)
+            self._unusable.pop(record.key, None)
+            self._remove(record.key, grace_ends)
             return True
         return self._put(record)
 
@@ -90,19 +97,20 @@
         return self._state.router.fleet
 
     def _put(self, record: topics.Record) -> bool:
-        """Returns whether the record says something new."""
+        """Adds or updates an entry; returns whether it changed anything."""
         try:
-            entry = self._read(record)
+            entry = self._decode(record)
         except errors.CodecError as error:
-            # Another writer's: what the server itself has said still holds.
-            if self._silent.get(record.key) != record.place:
+            # Written by another program: the server's last valid entry still
+            # holds.
+            if self._unusable.get(record.key) != record.place:
                 self._state.note_unreadable("server", record, error)
-            self._silent[record.key] = record.place
+            self._unusable[record.key] = record.place
             return False
-        was_silent = self._silent.pop(record.key, None) is not None
+        was_unusable = self._unusable.pop(record.key, None) is not None
         before = self._fleet.servers.get(entry.server_id)
         if not self._fleet.put(entry, self._state.clock()):
-            return was_silent
+            return was_unusable
         if before and before is not self._fleet.servers[entry.server_id]:
             self._state.server_beliefs.note_replaced(before)
         self._state.believe(
@@ -118,33 +126,37 @@
         )
         return True
 
-    def _read(self, record: topics.Record) -> server_lib.ServerEntry:
-        """Returns the entry that a record holds.
+    def _decode(self, record: topics.Record) -> server_lib.ServerEntry:
+        """Returns the entry in a record.
 
-        Where servers tell when they started, all do.
+        Once one server's entry has a start time, entries without one are
+        rejected, and those that were accepted before are removed.
+
+        Raises:
+            CodecError: The record is not an entry, or lacks a start time.
         """
         entry = self._codec.server(record)
-        if entry.born is not None and not self._tells_starts:
-            self._tells_starts = True
+        if entry.born is not None and not self._has_start_times:
+            self._has_start_times = True
             for each in self._fleet:
                 if each.entry.born is None:
                     self._fleet.remove(each.entry.server_id)
-        if entry.born is None and self._tells_starts:
+        if entry.born is None and self._has_start_times:
             raise errors.CodecError(
-                f"record {record.place.text} of {record.key} tells no start",
-                "Look at the record in the store.",
+                f"record {record.place.text} of {record.key} has no start time",
+                "Inspect the record in the store.",
             )
         return entry
 
-    def _remove(self, server_id: str, doubt_ends: float) -> None:
-        if self._state.clock() < doubt_ends:
-            self._fleet.lapse(server_id, doubt_ends)
+    def _remove(self, server_id: str, grace_ends: float) -> None:
+        if self._state.clock() < grace_ends:
+            self._fleet.lapse(server_id, grace_ends)
             return
         if self._fleet.remove(server_id):
             self._state.believe("server_gone", server=server_id, why="removed")
 
-    def _remove_unlisted(self, batch: topics.Batch, doubt_ends: float) -> None:
+    def _remove_unlisted(self, batch: topics.Batch, grace_ends: float) -> None:
         listed = {record.key for record in batch.records}
         for each in self._fleet:
             if each.entry.server_id not in listed:
-                self._remove(each.entry.server_id, doubt_ends)
+                self._remove(each.entry.server_id, grace_ends)
--- a/src/hoistmoor/relay/store/store_gate.py
+++ b/src/hoistmoor/relay/store/store_gate.py
@@ -1,4 +1,4 @@
-"""Holds back reads of the store while it is away."""
+"""Blocks calls to the store during an outage, except those of a probe."""
 
 from __future__ import annotations
 
@@ -6,51 +6,52 @@
 
 from hoistmoor.core.relay.beliefs import reading
 
-PAUSE = 0.1  # Seconds before a topic that failed waits for the others.
-# Seconds after which a topic is tried though the store was not heard again.
+# Seconds that a failed topic pauses before it waits for the probe to succeed.
+PAUSE = 0.1
+# Seconds after which a topic is read even if the probe has not succeeded.
 LONGEST_HOLD = 10.0
 
 
 class StoreGate:
-    """Shared by all that read the store.
+    """Tracks the store's availability for all callers, as a circuit breaker.
 
-    One topic is tried again and again, from the start on; other calls wait
-    until it is heard.
+    One topic, the probe, is read repeatedly from the start on; other calls
+    wait until it succeeds.
 
     Attributes:
-        backoff: Pauses between two tries of that topic.
+        backoff: Delays between two attempts of the probe.
     """
 
     def __init__(self) -> None:
         self.backoff = reading.EAGER
-        self._heard = asyncio.Event()
+        self._available = asyncio.Event()
         self._next_pause = 0.0
 
     @property
     def is_heard(self) -> bool:
-        """Whether the last call was answered."""
-        return self._heard.is_set()
+        """Whether the last call succeeded."""
+        return self._available.is_set()
 
     def note_heard(self) -> None:
-        """Notes that a call was answered."""
+        """Records a successful call."""
         self._next_pause = 0.0
-        self._heard.set()
+        self._available.set()
 
     def note_lost(self) -> None:
-        """Notes that a call failed."""
-        self._heard.clear()
+        """Records a failed call."""
+        self._available.clear()
 
     async def back_off(self) -> None:
-        """Waits until the topic that is tried should be tried again."""
+        """Waits for the exponential delay before the next probe."""
         pause = max(self._next_pause, self.backoff.first)
         pause = min(pause, self.backoff.longest)
         self._next_pause = 2.0 * pause
         await asyncio.sleep(pause)
 
     async def wait_until_heard(self) -> None:
-        """Waits until other calls than that one should be made."""
+        """Waits until the store is available, for ``LONGEST_HOLD`` at most."""
         try:
             async with asyncio.timeout(LONGEST_HOLD):
-                await self._heard.wait()
+                await self._available.wait()
         except TimeoutError:
-            return  # Only that topic may be away: this one has to be tried.
+            return  # Only the probe topic may be unavailable: try this one.
