--- a/src/hoistmoor/relay/peers/__init__.py
+++ b/src/hoistmoor/relay/peers/__init__.py
@@ -1,6 +1,7 @@
-"""Other relays: who is asked for what the store says, and answered.
+"""Copying the store's topics from other relays, and serving copies to them.
 
-The application starts it; it feeds the followers of the store.
+The application starts the tasks of this package; they feed the followers of
+the store.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/relay/peers/answers.py
+++ b/src/hoistmoor/relay/peers/answers.py
@@ -1,4 +1,4 @@
-"""Answers other relays that ask for what the store says."""
+"""Serves copies of the store's topics to other relays."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     from hoistmoor.relay import state as state_lib
     from hoistmoor.relay.store import follower as follower_lib
 
-_FOREVER = 1e9  # Seconds; JSON has no infinity.
+_FOREVER = 1e9  # Seconds; JSON cannot represent infinity.
 
 
 class PeerAnswers:
-    """Answers other hosts."""
+    """Handles the requests of other hosts."""
 
     def __init__(
         self,
@@ -30,65 +30,67 @@
         self._followers = followers
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answers one question."""
+        """Handles an HTTP request."""
         try:
-            asked = peer_codec.decode_request(await request.read())
+            copy_request = peer_codec.decode_request(await request.read())
         except ValueError:
             return web.Response(status=400)
-        return web.Response(body=peer_codec.encode(self.answer(asked)))
+        return web.Response(body=peer_codec.encode(self.answer(copy_request)))
 
-    def answer(self, asked: peer_codec.CopyRequest) -> peer_codec.CopyAnswer:
-        """Returns what is new to the other host."""
-        self._state.history.learn(asked.era, asked.host)
-        if asked.configuration is not None:
-            self._followers["operator"].hold(asked.configuration)
+    def answer(self, request: peer_codec.CopyRequest) -> peer_codec.CopyAnswer:
+        """Applies the state in a request; returns what the sender lacks."""
+        self._state.history.learn(request.era, request.host)
+        if request.configuration is not None:
+            self._followers["operator"].hold(request.configuration)
         copies = {}
-        for name, place in asked.places.items():
+        for name, place in request.places.items():
             follower = self._followers.get(name)
-            new = follower.mirror.copy_from(place) if follower else None
-            if follower is not None and new is not None:
-                outage = min(follower.after_outage, _FOREVER)
+            batch = follower.mirror.copy_from(place) if follower else None
+            if follower is not None and batch is not None:
+                after_outage = min(follower.after_outage, _FOREVER)
                 age = min(follower.age(), _FOREVER)
-                copies[name] = peer_codec.TopicCopy(new, outage, age)
-        for evidence in asked.evidence:
+                copies[name] = peer_codec.TopicCopy(batch, after_outage, age)
+        for evidence in request.evidence:
             self._state.evidence.take(evidence)
         now = self._state.clock()
         rollouts = self._state.router.rollouts
-        rollouts.take_ages(asked.order_ages, now)
+        rollouts.take_ages(request.order_ages, now)
         outstanding = self._state.outstanding
-        outstanding.take(asked.host, asked.work, now)
+        outstanding.take(request.host, request.work, now)
         fleet = self._state.router.fleet
-        own = fleet.own_work()
-        self._state.server_beliefs.take_limits(asked.limits, now)
+        own_work = fleet.own_work()
+        self._state.server_beliefs.take_limits(request.limits, now)
         return peer_codec.CopyAnswer(
             self._state.depth,
             copies,
-            outstanding.told_to(asked.host, own, now),
-            self._state.look_for_doubts(asked.doubts),
+            outstanding.told_to(request.host, own_work, now),
+            self._state.look_for_doubts(request.doubts),
             rollouts.ages(now),
-            self._exchange_news(asked.news),
+            self._exchange_news(request.news),
             limit_words.told_by(fleet, now),
             self._state.history.era,
             self._state.revision,
-            self._configuration_for(asked, copies),
+            self._configuration_for(request, copies),
         )
 
     def _configuration_for(
         self,
-        asked: peer_codec.CopyRequest,
+        request: peer_codec.CopyRequest,
         copies: dict[str, peer_codec.TopicCopy],
     ) -> topics.Record | None:
-        """Returns the configuration that the other host lacks, if it does."""
+        """Returns this host's configuration if the requesting host lacks it."""
         held = self._state.configuration_record
-        if held is None or asked.revision >= self._state.revision:
+        if held is None or request.revision >= self._state.revision:
             return None
         copy = copies.get("operator")
         if copy is None or held in copy.batch.records:
             return None
         return held
 
-    def _exchange_news(self, told: peer_codec.News) -> peer_codec.News:
-        """Takes what the other host tells; returns what is new here."""
-        news_exchange.take(self._state, told, self._state.clock())
-        # What it told just now comes back to it once and changes nothing.
-        return news_exchange.news_of(self._state, told.heard, told.until)
+    def _exchange_news(self, received: peer_codec.News) -> peer_codec.News:
+        """Applies received changes; returns those that the sender lacks."""
+        news_exchange.take(self._state, received, self._state.clock())
+        # The changes just received are sent back once, which has no effect.
+        return news_exchange.news_of(
+            self._state, received.heard, received.until
+        )
--- a/src/hoistmoor/relay/peers/listing.py
+++ b/src/hoistmoor/relay/peers/listing.py
@@ -1,6 +1,6 @@
-"""The list of hosts: each lists itself, and takes the others' entries.
+"""The list of hosts, a topic to which each host writes its own entry.
 
-A host lists itself on a topic of the store at its first start.
+A host writes its entry at its first start, and again if the store lost it.
 """
 
 from __future__ import annotations
@@ -18,18 +18,19 @@
     from hoistmoor.relay.store import follower as follower_lib
     from hoistmoor.relay.store import ports
 
-LIST_RETRY = 0.5  # Seconds until a host tries again to list itself.
-# Seconds after which a host that the store has lost lists itself though others
-# should have: they are read within a second.
-LIST_PATIENCE = 3.0
+LIST_RETRY = 0.5  # Seconds until a failed write to the list is retried.
+# Seconds after which a host that the store has lost lists itself, although
+# the host that reads the store should have done so: its writes are read within
+# a second.
+SELF_RELIST_DELAY = 3.0
 
 
 class HostListener:
-    """Takes the hosts' own entries.
+    """Applies the entries of hosts.
 
     Attributes:
-        listed: Entries as the store's newest history has them, by name.
-        missing: Set while that history lacks hosts that are known.
+        listed: Entries in the newest era of the store, by host name.
+        missing: Set when that era lacks known hosts.
     """
 
     def __init__(
@@ -43,7 +44,7 @@
     def __call__(
         self, update: follower_lib.Update
     ) -> tuple[topics.Record, ...]:
-        """Takes one update."""
+        """Applies one update."""
         if update.batch.is_snapshot:
             self.listed = {}
         for record in update.batch.records:
@@ -58,25 +59,25 @@
             self._sources.put(host)
         if update.batch.is_snapshot and self.lost():
             self.missing.set()
-        if update.batch.records:  # Most updates bring none.
+        if update.batch.records:  # Most updates are empty.
             self._state.router.fleet.shares.take_hosts(self._sources.hosts)
         return update.batch.records
 
     def lost(self) -> dict[str, mirror.Host]:
-        """Returns the known hosts that the store's newest history lacks."""
+        """Returns the known hosts that the store's newest era lacks."""
         known = self._sources.hosts
         return {name: known[name] for name in known.keys() - self.listed.keys()}
 
 
 class SelfListing:
-    """Lists this host, so that others may ask it.
+    """Lists this host, so that other hosts can copy from it.
 
-    A host that is listed already, as after a restart, makes no call.
+    A host that is already listed, for example after a restart, makes no call.
 
     Attributes:
         due: Set once it is known that the host is not listed.
         host: This host's entry.
-        is_first_start: Whether all hosts start now for the first time, so
+        is_first_start: Whether all hosts are starting for the first time, so
             that none is listed yet.
     """
 
@@ -90,15 +91,15 @@
         *,
         is_first_start: bool,
     ) -> None:
-        """Makes the task.
+        """Creates the task.
 
         Args:
-            state: What the relay knows.
-            topic: Where hosts list themselves.
+            state: Shared state of the relay.
+            topic: The topic that lists hosts.
             host: This host's entry.
-            sources: The hosts that were ever listed.
-            listener: Knows which the store lists now.
-            is_first_start: Whether all hosts start now for the first time.
+            sources: All hosts that were ever listed.
+            listener: Tracks which hosts the store lists now.
+            is_first_start: Whether all hosts are starting for the first time.
         """
         self.due = asyncio.Event()
         self.host = host
@@ -109,39 +110,40 @@
         self._listener = listener
 
     def is_needed(self) -> bool:
-        """Returns whether the list lacks this host, or has an older entry."""
+        """Returns whether this host's entry is missing or outdated."""
         return self._sources.hosts.get(self.host.name) != self.host
 
     async def run(self) -> None:
-        """Lists the host once it is due, and hosts that the store has lost."""
-        await asyncio.gather(self._list_first(), self._keep_listed())
+        """Lists this host when due, and relists hosts that the store lost."""
+        await asyncio.gather(self._list_self(), self._relist_missing())
 
-    async def _list_first(self) -> None:
+    async def _list_self(self) -> None:
         await self.due.wait()
-        await self._until_written([self.host])
+        await self._write_with_retries([self.host])
 
-    async def _keep_listed(self) -> None:
+    async def _relist_missing(self) -> None:
         while True:
             await self._listener.missing.wait()
             self._listener.missing.clear()
-            await self._list_again()
+            await self._relist()
 
-    async def _list_again(self) -> None:
-        """Lists again all hosts that the store has lost, in one call.
+    async def _relist(self) -> None:
+        """Relists all hosts that the store has lost, in one call.
 
-        The host that reads the store does it for all. Where it does not know
-        of some, or none reads, they list themselves a little later.
+        The host that reads the store does so for all. If it does not know some
+        of them, or no host reads the store, they list themselves after a
+        delay.
         """
         if self._state.source:
-            await asyncio.sleep(LIST_PATIENCE)
+            await asyncio.sleep(SELF_RELIST_DELAY)
         lost = self._listener.lost()
         if self._state.source:
             lost = {name: lost[name] for name in lost if name == self.host.name}
         if lost:
-            await self._until_written(list(lost.values()))
+            await self._write_with_retries(list(lost.values()))
             self._state.believe("hosts_listed_again", hosts=len(lost))
 
-    async def _until_written(self, hosts: list[mirror.Host]) -> None:
+    async def _write_with_retries(self, hosts: list[mirror.Host]) -> None:
         entries = {host.name: peer_codec.encode(host) for host in hosts}
         while True:
             try:
--- a/src/hoistmoor/relay/peers/news_exchange.py
+++ b/src/hoistmoor/relay/peers/news_exchange.py
@@ -1,7 +1,7 @@
-"""Tells other hosts what has changed here, each change once.
+"""Exchanges state changes between hosts; each change is sent once per host.
 
-It goes both ways with each question. An answer proves that the question was
-taken; a host that started anew has another run, and is told everything.
+Each request and each response carries changes. A response acknowledges the
+changes in its request. A restarted host has a new run, and is sent everything.
 """
 
 from __future__ import annotations
@@ -17,67 +17,67 @@
 
 
 @attrs.define
-class _Marks:
-    """How far one other host and this one have told each other.
+class _Acknowledged:
+    """Which changes another host and this one have exchanged.
 
     Attributes:
         run_name: Run of the other host.
-        told: Serial of this host up to which that run was told.
-        heard: Serial of that run up to which it was heard.
+        sent: Serial of this host up to which that run has all changes.
+        received: Serial of that run up to which this host has all changes.
     """
 
     run_name: str = ""
-    told: int = 0
-    heard: int = 0
+    sent: int = 0
+    received: int = 0
 
 
 class NewsExchange:
-    """The asking side; one entry for each host that was ever asked."""
+    """The requesting side; tracks each host to which requests were sent."""
 
     def __init__(self, state: state_lib.RelayState) -> None:
         self._state = state
-        self._marks: dict[str, _Marks] = {}
+        self._acknowledged: dict[str, _Acknowledged] = {}
 
     def question(self, host: str) -> peer_codec.News:
-        """Returns what to tell a host with a question."""
-        marks = self._marks.setdefault(host, _Marks())
-        return news_of(self._state, marks.told, marks.heard)
+        """Returns the changes to send with a request to a host."""
+        known = self._acknowledged.setdefault(host, _Acknowledged())
+        return news_of(self._state, known.sent, known.received)
 
     def take(
         self,
         host: str,
-        told: peer_codec.News,
-        answered: peer_codec.News,
-        asked_at: float,
+        sent: peer_codec.News,
+        received: peer_codec.News,
+        sent_at: float,
     ) -> None:
-        """Takes a host's answer.
+        """Applies the changes in a host's response.
 
         Args:
-            host: Its name.
-            told: What the question told it.
-            answered: What it told.
-            asked_at: Steady time at which the question was sent.
+            host: Name of the host.
+            sent: The changes in the request.
+            received: The changes in the response.
+            sent_at: Monotonic time at which the request was sent.
         """
-        marks = self._marks.setdefault(host, _Marks())
-        if marks.run_name in ("", answered.run_name):
-            self._marks[host] = _Marks(
-                answered.run_name, told.until, answered.until
+        known = self._acknowledged.setdefault(host, _Acknowledged())
+        if known.run_name in ("", received.run_name):
+            self._acknowledged[host] = _Acknowledged(
+                received.run_name, sent.until, received.until
             )
         else:
-            # It heard this question, but none of those before it.
-            self._marks[host] = _Marks(answered.run_name)
-        take(self._state, answered, asked_at)
+            # The new run received this request, but no earlier one.
+            self._acknowledged[host] = _Acknowledged(received.run_name)
+        take(self._state, received, sent_at)
 
 
 def news_of(
     state: state_lib.RelayState, after: int, heard: int
 ) -> peer_codec.News:
-    """Returns what is new at this host.
+    """Returns the changes of this host that another one lacks.
 
     Args:
-        state: What this host knows.
-        after: Its serial up to which the other host was told.
-        heard: Serial of the other host up to which it was heard.
+        state: Shared state of the relay.
+        after: Serial of this host up to which the other one has all changes.
+        heard: Serial of the other host up to which this one has all changes.
     """
     now = state.clock()
     router = state.router
@@ -93,12 +93,12 @@
 
 
 def take(state: state_lib.RelayState, news: peer_codec.News, at: float) -> None:
-    """Takes what another host tells.
+    """Applies the changes that another host has sent.
 
     Args:
-        state: What this host knows.
-        news: What it tells.
-        at: Steady time at which its ages are counted.
+        state: Shared state of the relay.
+        news: The changes.
+        at: Monotonic time to which the ages in them refer.
     """
     state.take_suspects(news.suspects)
     state.server_beliefs.take_departures(news.departures, at)
--- a/src/hoistmoor/relay/peers/peer_client.py
+++ b/src/hoistmoor/relay/peers/peer_client.py
@@ -1,4 +1,4 @@
-"""Asks other relays."""
+"""HTTP client for requests to other relays."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
     from hoistmoor.core.relay.beliefs import mirror
     from hoistmoor.relay import state as state_lib
 
-# Seconds for a connection, and for each part of an answer; hosts of one
-# failure domain are near.
+# Seconds to connect, and to receive each part of a response. Hosts of the same
+# failure domain have low latency.
 TIMEOUT = 0.3
-# Seconds for a whole answer: a configuration of 90 KB to many hosts at once.
-WHOLE_TIMEOUT = 1.0
+# Seconds for a complete response, such as a configuration of 90 KB that is sent
+# to many hosts at once.
+TOTAL_TIMEOUT = 1.0
 
 
 class PeerClient:
-    """Carries questions to other relays; keeps its connections open."""
+    """Sends requests to other relays over persistent connections."""
 
     def __init__(
         self, state: state_lib.RelayState, session: aiohttp.ClientSession
@@ -32,7 +33,7 @@
     async def ask(
         self, host: mirror.Host, question: peer_codec.CopyRequest
     ) -> peer_codec.CopyAnswer | None:
-        """Returns a host's answer, or None if it gave none."""
+        """Returns a host's response, or None if the request failed."""
         try:
             return await self._exchange(host, peer_codec.encode(question))
         except (*replies.TRANSPORT_ERRORS, ValueError) as error:
@@ -42,13 +43,13 @@
             return None
 
     async def _exchange(
-        self, host: mirror.Host, question: bytes
+        self, host: mirror.Host, body: bytes
     ) -> peer_codec.CopyAnswer:
         async with self._session.post(
             f"http://{host.address}/topics",
-            data=question,
+            data=body,
             timeout=aiohttp.ClientTimeout(
-                total=WHOLE_TIMEOUT, connect=TIMEOUT, sock_read=TIMEOUT
+                total=TOTAL_TIMEOUT, connect=TIMEOUT, sock_read=TIMEOUT
             ),
-        ) as reply:
-            return peer_codec.decode_answer(await reply.read())
+        ) as response:
+            return peer_codec.decode_answer(await response.read())
--- a/src/hoistmoor/relay/peers/peer_codec.py
+++ b/src/hoistmoor/relay/peers/peer_codec.py
@@ -1,4 +1,4 @@
-"""What relays say to one another, as JSON over HTTP."""
+"""Messages between relays, sent as JSON over HTTP."""
 
 from __future__ import annotations
 
@@ -19,11 +19,12 @@
 
 @attrs.frozen
 class TopicCopy:
-    """One topic in an answer.
+    """The copy of one topic in a response.
 
     Attributes:
-        batch: What is new.
-        after_outage: Seconds since the store was heard again there.
+        batch: Records that the requesting host lacks.
+        after_outage: Seconds since the store became available again to the
+            responding host.
         age: Seconds since the topic was known to be current there.
     """
 
@@ -34,16 +35,17 @@
 
 @attrs.frozen
 class News:
-    """What one host has not told another yet; each change is told once.
+    """State changes that one host has not sent to another yet.
 
     Attributes:
-        run_name: Run of the host that tells; serials are its own.
-        suspects: What is held against requests, oldest change first; some may
-            be left for the next time.
-        departures: Seconds since the word of each start of a server that
-            leaves, by its identity, likewise.
-        until: Serial up to which they go.
-        heard: Serial of the other host's run up to which it was heard.
+        run_name: Run of the sending host, to which the serials belong.
+        suspects: Requests that are suspected of crashing servers, oldest
+            change first; may be limited to a part.
+        departures: Seconds since each leaving server announced it, by the
+            identity of the server's start; may be limited to a part.
+        until: Serial of the newest change that is included.
+        heard: Serial of the receiving host's run up to which the sender has
+            all changes.
     """
 
     run_name: str = ""
@@ -55,21 +57,24 @@
 
 @attrs.frozen
 class CopyRequest:
-    """Asks for what is new, and tells what the asking host has under way.
+    """A request for changed records, with the state of the requesting host.
 
     Attributes:
-        places: Where to read on, by topic; None for everything.
-        host: Name of the asking host.
-        work: Work by server, of it and of the hosts that ask it.
-        evidence: What these have counted in the roll-outs under way.
-        doubts: Numbers of roll-out orders whose targets are taken for bad.
-        order_ages: Seconds since each roll-out order was seen, by its number.
-        news: What changed since that host was last told.
-        limits: What servers last said of their limits.
-        era: Newest history of the store that the host has heard of.
-        revision: Of the configuration in force there; -1 for none.
-        configuration: The record that holds it, where the asked host had an
-            older one.
+        places: Position of the first record to return, by topic; None for all
+            records.
+        host: Name of the requesting host.
+        work: Outstanding work by server, of the requesting host and of those
+            that copy from it.
+        evidence: Answer counts of these hosts in the active rollouts.
+        doubts: Numbers of rollout orders whose targets are considered faulty.
+        order_ages: Seconds since each rollout order was first seen, by its
+            number.
+        news: State changes that the other host lacks.
+        limits: Limits that servers last reported.
+        era: Newest era of the store that the requesting host knows.
+        revision: Revision of its configuration; -1 for none.
+        configuration: The record of that configuration, if the other host
+            last had an older one.
     """
 
     places: dict[str, topics_lib.Place | None]
@@ -87,20 +92,21 @@
 
 @attrs.frozen
 class CopyAnswer:
-    """What is new.
+    """A response with changed records and the state of the responding host.
 
     Attributes:
-        depth: Hosts between that one and the store.
-        topics: By name; topics that were not read yet are left out.
-        work: Work by server, of all other hosts that are known there.
-        doubts: Numbers of roll-out orders whose targets are taken for bad.
-        order_ages: Seconds since each roll-out order was seen, by its number.
-        news: What changed since that host was last told.
-        limits: What servers last said of their limits.
-        era: Newest history of the store that the host has heard of.
-        revision: Of the configuration in force there; -1 for none.
-        configuration: The record that holds it, where the asking host has an
-            older one that no topic brings up to date.
+        depth: Number of hosts between the responding host and the store.
+        topics: Copies by topic name; topics that were never read are left out.
+        work: Outstanding work by server, of all other hosts known there.
+        doubts: Numbers of rollout orders whose targets are considered faulty.
+        order_ages: Seconds since each rollout order was first seen, by its
+            number.
+        news: State changes that the requesting host lacks.
+        limits: Limits that servers last reported.
+        era: Newest era of the store that the responding host knows.
+        revision: Revision of its configuration; -1 for none.
+        configuration: The record of that configuration, if the requesting
+            host has an older one and no topic copy includes it.
     """
 
     depth: int
@@ -115,27 +121,27 @@
     configuration: topics_lib.Record | None = None
 
     def age_of(self, name: str) -> float:
-        """Returns the age of a topic in seconds; infinite without a copy."""
+        """Returns the age of a topic in seconds; infinite if it is missing."""
         return self.topics[name].age if name in self.topics else math.inf
 
 
 def encode(message: CopyRequest | CopyAnswer | mirror.Host) -> bytes:
-    """Returns a message's bytes."""
+    """Encodes a message."""
     return records.encode(message)
 
 
 def decode_request(data: bytes) -> CopyRequest:
-    """Returns a request; raises ``ValueError`` for other bytes."""
+    """Decodes a request; raises ``ValueError`` if it is malformed."""
     return records.decode(data, CopyRequest)
 
 
 def decode_answer(data: bytes) -> CopyAnswer:
-    """Returns an answer; raises ``ValueError`` for other bytes."""
+    """Decodes a response; raises ``ValueError`` if it is malformed."""
     return records.decode(data, CopyAnswer)
 
 
 def decode_host(data: bytes) -> mirror.Host:
-    """Returns a host's entry; raises ``ValueError`` for other bytes."""
+    """Decodes a host's entry; raises ``ValueError`` if it is malformed."""
     host = records.decode(data, mirror.Host)
     try:
         addresses.parse(host.address)
--- a/src/hoistmoor/relay/peers/reader.py
+++ b/src/hoistmoor/relay/peers/reader.py
@@ -1,12 +1,13 @@
-"""Relays that ask one another for what the store says.
+"""Copies the store's topics from other relays, or reads the store itself.
 
-A host asks those before it in the shared order; if none has anything current,
-it reads the store itself. With its questions it tells what only it knows: its
-work at the backend servers, its counts in roll-outs, and which requests may
-have ended servers.
+A host sends requests to the hosts before it in an order that all hosts share;
+if none of them is current, it reads the store itself. Its requests also carry
+state that only it has: its work at the backend servers, its answer counts in
+rollouts, and the requests suspected of crashing servers.
 
-The loads that it answers: all hosts start at once; the store is away for all
-hosts or for some of them, and comes back. Then a call of each host counts.
+The design limits the calls to the store in the cases where a single call of
+each host is a considerable load: when all hosts start at once, and when an
+outage of the store for some or all hosts ends.
 """
 
 from __future__ import annotations
@@ -30,19 +31,19 @@
     from hoistmoor.relay.peers import listing as listing_lib
     from hoistmoor.relay.peers import peer_client
 
-# Seconds in which a start waits for the list of hosts; after it the store may
-# be away, and the configuration is tried.
-LISTED_WITHIN = 0.25
-# Hosts that start together, within 0.3 s, are to list themselves before one
-# looks who the others are.
-OTHERS_LISTED = 0.35
-# Seconds between two questions while a start waits, and until urgent news is
-# told.
+# Seconds that a starting host waits for the list of hosts. After that the store
+# may be unavailable, and the configuration is read as well.
+HOST_LIST_TIMEOUT = 0.25
+# Seconds that a host waits at the first start before it reads the list of
+# hosts, so that hosts starting together, within 0.3 s, have listed themselves.
+FIRST_START_DELAY = 0.35
+# Seconds between two rounds of requests while a starting host waits, and the
+# delay before urgent changes are sent.
 START_PERIOD = 0.1
 
 
 class PeerReader:
-    """Asks other hosts, and switches the followers to the store if need be."""
+    """Polls other hosts; switches the followers to the store if needed."""
 
     def __init__(
         self,
@@ -53,14 +54,14 @@
         gate: store_gate.StoreGate,
         listing: listing_lib.SelfListing,
     ) -> None:
-        """Makes the task.
+        """Creates the task.
 
         Args:
-            state: What the relay knows.
+            state: Shared state of the relay.
             sources: The other hosts.
-            followers: Read the store, by topic.
-            client: Carries the questions.
-            gate: Holds reads back while the store is away.
+            followers: Followers of the store's topics, by topic name.
+            client: Sends requests to other hosts.
+            gate: Blocks reads during an outage of the store.
             listing: Lists this host.
         """
         self._state = state
@@ -68,41 +69,43 @@
         self._listing = listing
         self._stale: set[str] = set()
         self._started_at = self._direct_since = state.clock()
-        self._some_answered = False  # In the newest round of questions.
-        self._promising = False  # Whether one of them is worth a wait.
+        # Whether any host responded in the last round of requests.
+        self._any_responded = False
+        # Whether one of them is likely to be current soon.
+        self._is_promising = False
         self._sources = sources
         self._followers = followers
         self._hosts = followers["hosts"]
         self._client = client
         self._news = news_exchange.NewsExchange(state)
-        # Of the configurations of other hosts, as they last answered.
+        # Configuration revision in the last response of each host.
         self._revisions: dict[str, int] = {}
 
     async def run(self) -> None:
-        """Asks until cancelled."""
-        await self._find_hosts()
+        """Polls other hosts until cancelled."""
+        await self._discover_hosts()
         self._started_at = self._state.clock()
         while True:
-            found = await self._ask_any()
-            self._note_source(found)
-            self._take_others_work()
+            source = await self._poll()
+            self._set_source(source)
+            self._update_others_work()
             self._gate.backoff = reading.backoff_of(
                 knows_hosts=self._hosts.known.is_set(),
-                is_answered=self._some_answered,
+                is_answered=self._any_responded,
                 is_first=self._sources.is_first(),
             )
-            waits = not found and self._situation().waits()
-            if not waits:
-                self._switch()
-            await self._pause(waits)
+            is_waiting = not source and self._situation().waits()
+            if not is_waiting:
+                self._switch_followers()
+            await self._pause(is_waiting)
 
-    async def _find_hosts(self) -> None:
-        """Waits until the hosts are known, or the store seems to be away."""
+    async def _discover_hosts(self) -> None:
+        """Waits until the hosts are known, or the store seems unavailable."""
         if self._listing.is_first_start:
             self._listing.due.set()
-            await asyncio.sleep(OTHERS_LISTED)
+            await asyncio.sleep(FIRST_START_DELAY)
         self._hosts.direct.set()
-        await self._await_hosts(LISTED_WITHIN)
+        await self._wait_for_hosts(HOST_LIST_TIMEOUT)
         if not self._hosts.known.is_set():
             return
         self._hosts.direct.clear()
@@ -111,61 +114,62 @@
 
     def _situation(self) -> reading.Situation:
         return reading.Situation(
-            has_all=self._has_all(),
-            is_promising=self._promising,
+            has_all=self._has_all_topics(),
+            is_promising=self._is_promising,
             waited=self._state.clock() - self._started_at,
             age=self._age(),
             reads_early=self._sources.reads_early(),
         )
 
-    async def _await_hosts(self, longest: float) -> None:
-        """Waits until the hosts are known, for some seconds at most."""
+    async def _wait_for_hosts(self, timeout: float) -> None:
+        """Waits until the hosts are known, or a timeout in seconds is over."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(longest):
+            async with asyncio.timeout(timeout):
                 await self._hosts.known.wait()
 
-    async def _pause(self, waits: bool) -> None:
+    async def _pause(self, is_waiting: bool) -> None:
         if not self._hosts.known.is_set():
-            await self._await_hosts(reading.PERIOD)
+            await self._wait_for_hosts(reading.PERIOD)
             return
-        if waits and not self._has_all():
+        if is_waiting and not self._has_all_topics():
             await asyncio.sleep(START_PERIOD)
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(reading.PERIOD):
                 await self._state.has_urgent_news.wait()
-                # Whatever else comes at once is told with it.
+                # Other changes of the same moment are sent along.
                 await asyncio.sleep(START_PERIOD)
         self._state.has_urgent_news.clear()
 
-    def _has_all(self) -> bool:
+    def _has_all_topics(self) -> bool:
         return self._followers.keys() <= self._state.topics_read
 
     def _age(self) -> float:
-        """Returns the age of the oldest topic on which a send rests."""
+        """Returns the age of the oldest topic that affects routing."""
         return max(self._followers[name].age() for name in reading.DATED)
 
-    def _note_source(self, found: str) -> None:
-        if found == self._state.source:
+    def _set_source(self, source: str) -> None:
+        if source == self._state.source:
             return
-        if not found:
+        if not source:
             self._direct_since = self._state.clock()
             self._state.depth = 0
-            # Others read for this host until now: the store may be away.
+            # This host has made no calls to the store until now, so the store
+            # may be unavailable.
             self._gate.note_lost()
-        self._state.source = found
-        self._state.believe("source", peer=found or "store")
+        self._state.source = source
+        self._state.believe("source", peer=source or "store")
 
-    def _switch(self) -> None:
-        """Has the followers read the store, or not."""
+    def _switch_followers(self) -> None:
+        """Starts or stops reads of the store for each topic."""
         for name, follower in self._followers.items():
-            if self._reads(name):
+            if self._reads_store(name):
                 follower.read_directly()
             else:
                 follower.direct.clear()
 
-    def _reads(self, name: str) -> bool:
-        """Returns whether this host reads a topic itself."""
+    def _reads_store(self, name: str) -> bool:
+        """Returns whether this host reads a topic from the store."""
         return not self._state.source and reading.is_read(
             name,
             knows_hosts=self._hosts.known.is_set(),
@@ -173,68 +177,68 @@
             alone_for=self._state.clock() - self._direct_since,
         )
 
-    def _take_others_work(self) -> None:
+    def _update_others_work(self) -> None:
         now = self._state.clock()
         work = self._state.outstanding.of_others(now)
         if work is not None:
             self._state.router.fleet.take_others_work(work, now)
 
-    async def _ask_any(self) -> str:
-        """Returns the host that answered with something current, or empty."""
-        self._some_answered = self._promising = False
+    async def _poll(self) -> str:
+        """Returns the name of a host with a current copy, or empty if none."""
+        self._any_responded = self._is_promising = False
         for host in self._sources.candidates(self._state.clock()):
-            if await self._ask(host):
+            if await self._copy_from(host):
                 return host.name
-            if self._has_all() and self._age() > reading.OLDEST_OWN:
-                break  # Another silent host would take too long.
-        if self._gate.is_heard and not self._has_all():
-            await self._ask_for_a_start()
+            if self._has_all_topics() and self._age() > reading.OLDEST_OWN:
+                break  # Another unresponsive host would take too long.
+        if self._gate.is_heard and not self._has_all_topics():
+            await self._copy_at_start()
             return ""
         if self._gate.is_heard or self._age() <= reading.OLDEST_OWN:
             return ""
         for host in self._sources.any_others(self._state.clock()):
-            if await self._ask(host, is_before=False):
+            if await self._copy_from(host, is_before=False):
                 return host.name
         return ""
 
-    async def _ask_for_a_start(self) -> None:
-        """Asks hosts after this one in the order until one knows anything.
+    async def _copy_at_start(self) -> None:
+        """Copies from hosts after this one in the order, until one has data.
 
-        The store is there, and may have lost what they know. An answer that is
-        not current is taken, too: what it proves is as old as it says.
+        The store is available, but may have lost data that these hosts have.
+        Stale responses are applied as well, with the age that they state.
         """
         if self._listing.is_first_start:
             return
         began = self._state.clock()
         for _ in range(reading.START_ROUNDS):
             for host in self._sources.any_others(self._state.clock()):
-                await self._ask(host, is_before=False, takes_stale=True)
+                await self._copy_from(host, is_before=False, accepts_stale=True)
                 is_late = self._state.clock() - began >= reading.START_PATIENCE
-                if self._has_all() or is_late:
+                if self._has_all_topics() or is_late:
                     return
 
-    async def _ask(
+    async def _copy_from(
         self,
         host: mirror.Host,
         *,
         is_before: bool = True,
-        takes_stale: bool = False,
+        accepts_stale: bool = False,
     ) -> bool:
-        """Returns whether a host answered with something current.
+        """Copies from a host; returns whether its response was current.
 
         Args:
             host: The host.
-            is_before: Whether it stands before this one in the order that all
-                hosts share. If not, the two may ask each other, and work that
-                is told in a circle would be counted again in each round.
-            takes_stale: Whether what it says is taken though it is old.
+            is_before: Whether the host precedes this one in the shared order.
+                If not, the two may copy from each other, and work reported in
+                a cycle would be counted again in each round.
+            accepts_stale: Whether to apply a response that is not current.
         """
         work: outstanding.WorkByServer = {}
         if is_before:
             work = self._state.outstanding.told_to_source(
                 self._state.router.fleet.own_work(), self._state.clock()
             )
-        asked = peer_codec.CopyRequest(
+        request = peer_codec.CopyRequest(
             {name: each.place for name, each in self._followers.items()},
             self._sources.own,
             work,
@@ -248,25 +252,27 @@
             self._configuration_for(host),
         )
         sent_at = self._state.clock()
-        answer = await self._client.ask(host, asked)
+        answer = await self._client.ask(host, request)
         if answer is None:
             self._sources.note_failed(host.name, self._state.clock())
             return False
         self._sources.note_answered(host.name)
         self._state.history.learn(answer.era, host.name)
         self._revisions[host.name] = answer.revision
-        self._news.take(host.name, asked.news, answer.news, sent_at)
+        self._news.take(host.name, request.news, answer.news, sent_at)
         self._state.server_beliefs.take_limits(answer.limits, sent_at)
-        self._some_answered = True
-        self._promising |= reading.is_worth_a_wait(
+        self._any_responded = True
+        self._is_promising |= reading.is_worth_a_wait(
             self._listing.host.link,
             host.link,
             is_first_start=self._listing.is_first_start,
         )
-        age = max(self._age_by(answer, name, sent_at) for name in reading.DATED)
+        age = max(
+            self._age_after(answer, name, sent_at) for name in reading.DATED
+        )
         if not reading.is_current(age, answer.depth):
-            self._note_stale(host, age)
-            if takes_stale:
+            self._log_stale(host, age)
+            if accepts_stale:
                 self._take(answer, sent_at)
             return False
         self._state.depth = answer.depth + 1
@@ -277,27 +283,27 @@
         return True
 
     def _configuration_for(self, host: mirror.Host) -> topics.Record | None:
-        """Returns the configuration that another host lacks, if it does."""
-        theirs = self._revisions.get(host.name, -1)
-        if theirs < 0 or theirs >= self._state.revision:
+        """Returns this host's configuration if another host lacks it."""
+        last_revision = self._revisions.get(host.name, -1)
+        if last_revision < 0 or last_revision >= self._state.revision:
             return None
         return self._state.configuration_record
 
-    def _age_by(
+    def _age_after(
         self, answer: peer_codec.CopyAnswer, name: str, sent_at: float
     ) -> float:
-        """Returns the age of a topic once an answer is taken, in seconds.
+        """Returns the age that a topic has after a response is applied.
 
-        A source that has not read the store's newest history yet brings
-        nothing, and is no worse a source until what is known here is old.
+        A source that has not read the store's newest era yet provides nothing
+        new, but remains acceptable as long as this host's own copy is current.
         """
         copy = answer.topics.get(name)
         if copy and copy.batch.end.era < self._state.history.era:
             return self._followers[name].age()
         return answer.age_of(name) + self._state.clock() - sent_at
 
-    def _note_stale(self, host: mirror.Host, age: float) -> None:
-        """Logs it once: the host is asked again and again until it is not."""
+    def _log_stale(self, host: mirror.Host, age: float) -> None:
+        """Logs a stale host, once until it is current again."""
         if host.name in self._stale:
             return
         self._stale.add(host.name)
@@ -307,21 +313,22 @@
         self._state.look_for_doubts(answer.doubts)
         for name, topic in answer.topics.items():
             follower = self._followers.get(name)
-            # A read of the store that is under way may have gone further.
             if follower is None:
                 continue
+            # A concurrent read of the store may have returned newer data.
             if follower.is_ahead_of(topic.batch):
                 follower.note_dropped(topic.batch)
                 continue
-            # The answer was made after the question was sent, and an age
-            # counts from when it was made.
+            # The response was created after the request was sent, and its ages
+            # refer to its creation: counting them from the request's start
+            # never makes a copy look newer than it is.
             current_at = sent_at - topic.age
             follower.take(
                 follower_lib.Update(topic.batch, current_at, topic.after_outage)
             )
         if answer.configuration is not None:
             self._followers["operator"].hold(answer.configuration)
-        # After the topics, which may bring the orders themselves.
+        # After the topics, which may contain the orders themselves.
         self._state.router.rollouts.take_ages(
             answer.order_ages, self._state.clock()
         )
