--- a/src/hoistmoor/relay/versions/__init__.py
+++ b/src/hoistmoor/relay/versions/__init__.py
@@ -1,6 +1,6 @@
-"""Records of roll-outs, and the task that writes their phases.
+"""Rollout records, and the task that writes the phases of rollouts.
 
-The application starts the task; listeners decode with its codec.
+The application starts the task; listeners decode records with the codec.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/relay/versions/rollout_codec.py
+++ b/src/hoistmoor/relay/versions/rollout_codec.py
@@ -1,4 +1,4 @@
-"""Records of roll-outs on the relay's own topics, as JSON."""
+"""Rollout records on the relay's own topics, encoded as JSON."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @attrs.frozen
 class EvidenceReport:
-    """What a host that reads the store tells the others.
+    """Answer counts that a host reading the store shares with the others.
 
     Attributes:
-        run_name: Name of the run of the host that wrote it.
-        evidence: Its counts and those of the hosts that ask it.
+        run_name: Name of the run of the host that wrote the report.
+        evidence: Counts of this host and of the hosts that copy from it.
     """
 
     run_name: str
@@ -23,15 +23,15 @@
 
 
 def encode(record: phases.PhaseRecord | EvidenceReport) -> bytes:
-    """Returns a record's bytes."""
+    """Encodes a record."""
     return records.encode(record)
 
 
 def decode_phase(data: bytes) -> phases.PhaseRecord:
-    """Returns the phase that ``data`` holds; raises ``ValueError``."""
+    """Decodes a phase; raises ``ValueError`` if ``data`` is malformed."""
     return records.decode(data, phases.PhaseRecord)
 
 
 def decode_report(data: bytes) -> EvidenceReport:
-    """Returns the counts that ``data`` holds; raises ``ValueError``."""
+    """Decodes a report; raises ``ValueError`` if ``data`` is malformed."""
     return records.decode(data, EvidenceReport)
--- a/src/hoistmoor/relay/versions/rollout_listeners.py
+++ b/src/hoistmoor/relay/versions/rollout_listeners.py
@@ -1,4 +1,4 @@
-"""Takes what hosts write of roll-outs: phases, and counts."""
+"""Applies the rollout records that hosts write: phases and answer counts."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class PhaseListener:
-    """Takes the phases of roll-outs.
+    """Applies the phases of rollouts.
 
     Attributes:
-        stored: As the store's newest history has them, by service and target.
+        stored: Phases in the newest era of the store, by service and target.
     """
 
     def __init__(self, state: state_lib.RelayState) -> None:
@@ -26,7 +26,7 @@
         self._state = state
 
     def __call__(self, update: follower.Update) -> tuple[topics.Record, ...]:
-        """Takes one update."""
+        """Applies one update."""
         if update.batch.is_snapshot:
             self.stored = {}
         for record in update.batch.records:
@@ -51,7 +51,7 @@
 
 
 class EvidenceListener:
-    """Takes the counts that hosts which read the store have written.
+    """Applies the answer counts written by hosts that read the store.
 
     Attributes:
         book: Counts of all hosts.
@@ -60,10 +60,10 @@
     def __init__(self, state: state_lib.RelayState) -> None:
         self.book = evidence_lib.EvidenceBook()
         self._state = state
-        self._heard: dict[str, float] = {}
+        self._last_report: dict[str, float] = {}
 
     def __call__(self, update: follower.Update) -> tuple[topics.Record, ...]:
-        """Takes one update."""
+        """Applies one update."""
         for record in update.batch.records:
             if record.value is None:
                 continue
@@ -72,16 +72,16 @@
             except ValueError as error:
                 self._state.note_unreadable("evidence", record, error)
                 continue
-            self._heard[report.run_name] = self._state.clock()
+            self._last_report[report.run_name] = self._state.clock()
             for evidence in report.evidence:
                 self.book.take(evidence)
         return ()
 
     def live_writers(self) -> list[str]:
-        """Returns the runs of hosts that have lately written counts."""
+        """Returns the runs of hosts that have recently written counts."""
         now = self._state.clock()
         return [
             run_name
-            for run_name, at in self._heard.items()
-            if now - at < phases.ACTOR_LIFE
+            for run_name, written_at in self._last_report.items()
+            if now - written_at < phases.ACTOR_LIFE
         ]
--- a/src/hoistmoor/relay/versions/rollout_task.py
+++ b/src/hoistmoor/relay/versions/rollout_task.py
@@ -1,7 +1,7 @@
-"""Tells counts in roll-outs, and writes phases in turn.
+"""Writes answer counts and phases of rollouts.
 
-Only hosts that read the store themselves do so. The others tell their counts
-to the host that they ask, which writes them with its own.
+Only hosts that read the store themselves do so, taking turns. Other hosts send
+their counts to the host that they copy from, which writes them with its own.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
     from hoistmoor.relay.store import ports
     from hoistmoor.relay.store import store_gate
 
-PERIOD = 1.0  # Seconds between two looks; a roll-back has five.
+PERIOD = 1.0  # Seconds between two checks; a rollback may take five seconds.
 
 
 class RolloutTask:
-    """Takes part in the roll-outs of all services."""
+    """Takes part in the rollouts of all services."""
 
     def __init__(
         self,
@@ -37,15 +37,15 @@
         listener: rollout_listeners.PhaseListener,
         gate: store_gate.StoreGate,
     ) -> None:
-        """Makes the task.
+        """Creates the task.
 
         Args:
-            state: What the relay knows.
-            topics: Where records are read and written.
-            codec: Translates the status.
-            phases: Reads the phases; tells where that topic ends.
-            listener: Knows which phases the store has.
-            gate: Holds reads back while the store is away.
+            state: Shared state of the relay.
+            topics: The topics to read and write.
+            codec: Encodes the status records.
+            phases: Follower of the phases topic, which knows its end.
+            listener: Tracks which phases the store has.
+            gate: Blocks calls during an outage of the store.
         """
         self._state = state
         self._topics = topics
@@ -53,25 +53,27 @@
         self._phases = phases
         self._listener = listener
         self._gate = gate
-        self._heard = rollout_listeners.EvidenceListener(state)
+        self._evidence_listener = rollout_listeners.EvidenceListener(state)
         self._evidence = follower_lib.TopicFollower(
             state,
             "evidence",
             topics.evidence,
-            self._heard,
+            self._evidence_listener,
             wait=0.0,
             pause=0.0,
             gate=gate,
         )
         self._due_since: dict[phases_lib.PhaseRecord, float] = {}
-        self._told: dict[phases_lib.Order, int] = {}
+        # Number of answers in the last report on each order.
+        self._reported: dict[phases_lib.Order, int] = {}
         self._status_written: dict[str, phases_lib.PhaseRecord] = {}
 
     async def run(self) -> None:
-        """Looks at all roll-outs until cancelled."""
+        """Advances all rollouts until cancelled."""
         while True:
             await asyncio.sleep(PERIOD)
-            # Where the store is away, all hosts would try, once a second.
+            # During an outage, every host would otherwise call the store once
+            # a second.
             if self._state.source or not self._gate.is_heard:
                 continue
             active = [
@@ -82,7 +84,7 @@
             if not active:
                 continue
             try:
-                await self._look(active)
+                await self._process(active)
             except errors.LogOffsetExpiredError:
                 self._evidence.place = None
             except errors.HoistmoorError as error:
@@ -92,7 +94,7 @@
         written = self._status_written.get(progress.order.service)
         return (
             progress.phase.is_final
-            and self._stands(progress)
+            and self._has_phase(progress)
             and written is not None
             and written == self._record(progress, progress.phase)
         )
@@ -105,44 +107,44 @@
             order.service, order.target, order.number, phase
         )
 
-    async def _look(self, active: list[progress_lib.Progress]) -> None:
+    async def _process(self, active: list[progress_lib.Progress]) -> None:
         for progress in active:
-            await self._tell(progress)
+            await self._report(progress)
         await self._evidence.read_once()
         for progress in active:
             await self._advance(progress)
-            if not self._stands(progress) and self._is_returned(progress):
+            if not self._has_phase(progress) and self._has_order(progress):
                 await self._restore(progress)
             await self._write_status(progress)
 
-    async def _tell(self, progress: progress_lib.Progress) -> None:
-        """Writes the counts known here, if the target has answered more."""
+    async def _report(self, progress: progress_lib.Progress) -> None:
+        """Writes this host's counts if the target has answered since."""
         order, state = progress.order, self._state
-        near = [
+        known = [
             evidence
             for evidence in state.known_evidence()
             if evidence.service == order.service
         ]
-        answers = sum(each.target_answers for each in near)
-        if self._told.get(order, 0) == answers:
+        answers = sum(each.target_answers for each in known)
+        if self._reported.get(order, 0) == answers:
             return
-        for evidence in near:
-            self._heard.book.take(evidence)
-        report = rollout_codec.EvidenceReport(state.run_name, tuple(near))
+        for evidence in known:
+            self._evidence_listener.book.take(evidence)
+        report = rollout_codec.EvidenceReport(state.run_name, tuple(known))
         await self._topics.evidence.put(
             f"{order.service}/{state.run_name}", rollout_codec.encode(report)
         )
-        self._told[order] = answers
+        self._reported[order] = answers
 
-    def _is_returned(self, progress: progress_lib.Progress) -> bool:
-        """Returns whether the store's newest history has the order."""
+    def _has_order(self, progress: progress_lib.Progress) -> bool:
+        """Returns whether the store's newest era has the order."""
         era = self._state.history.era
         place = self._phases.place
         is_read = place is not None and place.era == era
         return is_read and progress.order.place.era == era
 
-    def _stands(self, progress: progress_lib.Progress) -> bool:
-        """Returns whether the store's newest history has the phase."""
+    def _has_phase(self, progress: progress_lib.Progress) -> bool:
+        """Returns whether the store's newest era has the phase."""
         if progress.phase is phases_lib.Phase.TRIAL:
             return True
         order = progress.order
@@ -152,7 +154,7 @@
         return not stored.is_behind(self._record(progress, progress.phase))
 
     async def _restore(self, progress: progress_lib.Progress) -> None:
-        """Writes the phase again, which the store has lost."""
+        """Writes a phase again that the store has lost."""
         record = self._record(progress, progress.phase)
         is_written = await self._write_phase(record)
         self._state.believe(
@@ -165,7 +167,11 @@
         )
 
     async def _write_phase(self, record: phases_lib.PhaseRecord) -> bool:
-        """Writes a phase unless others were written since the last read."""
+        """Writes a phase unless the topic has changed since the last read.
+
+        Returns:
+            Whether the phase was written.
+        """
         put = await self._topics.phases.put(
             f"{record.service}/{record.target}",
             rollout_codec.encode(record),
@@ -179,7 +185,7 @@
     async def _advance(self, progress: progress_lib.Progress) -> None:
         order = progress.order
         pooled = evidence_lib.pool(
-            self._heard.book.of(order.service, order.number)
+            self._evidence_listener.book.of(order.service, order.number)
         )
         elapsed = progress.elapsed(self._state.clock())
         phase = phases_lib.next_phase(
@@ -210,7 +216,9 @@
         record = self._record(progress, phase)
         since = self._due_since.setdefault(record, now)
         turn = phases_lib.turn_of(
-            self._state.run_name, self._heard.live_writers(), order.number
+            self._state.run_name,
+            self._evidence_listener.live_writers(),
+            order.number,
         )
         return now - since >= turn
 
