--- a/tests/store_standin.py
+++ b/tests/store_standin.py
@@ -1,11 +1,11 @@
-"""A stand-in of the platform's store that speaks its published protocol.
+"""A stand-in for the platform's store that implements its HTTP protocol.
 
-Run as a program it serves one address until it is ended:
+It can be run as a program, which serves one address until it is terminated:
 
     python tests/store_standin.py 127.0.0.1:9000
 
-``/admin/put`` writes as operators and servers do; ``/admin/fault`` makes it
-misbehave.
+``/admin/put`` writes records like operators and servers; ``/admin/fault``
+injects faults.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from aiohttp import web
 import attrs
 
-PAGE = 2  # Entries of one page of newest records; small, to have many pages.
-POLL = 0.01  # Seconds between two looks of a held read.
-SLOW = 0.5  # Seconds that a slow answer takes longer.
-WRITTEN_AGAIN = 0.3  # Seconds after a return until what was lost is back.
-KEPT_COPIES = 5000  # Copies that it may come back from.
-_ENDLESS = 3600.0
+PAGE_SIZE = 2  # Entries of one page of newest records; small for many pages.
+POLL_INTERVAL = 0.01  # Seconds between two checks during a long poll.
+SLOW_DELAY = 0.5  # Seconds by which a slow response is delayed.
+REWRITE_DELAY = 0.3  # Seconds after a restore until lost records are rewritten.
+MAX_COPIES = 5000  # Copies from which the store can be restored.
+_HANG = 3600.0  # Seconds without a response, longer than any client waits.
 
 
 @attrs.define
@@ -32,8 +32,8 @@
     """One keyed topic.
 
     Attributes:
-        records: Key and value of all records; no value drops the key.
-        first_kept: Offset of the oldest record that can be read.
+        records: Key and value of all records; an empty value removes the key.
+        first_kept: Offset of the oldest record that can still be read.
     """
 
     records: list[tuple[str, bytes]] = attrs.field(factory=list)
@@ -42,7 +42,7 @@
 
 @attrs.frozen
 class Copy:
-    """Lengths of all topics at a time."""
+    """Lengths of all topics at one time."""
 
     at: float
     lengths: dict[str, int]
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class Written:
-    """A record that an operator or a server has written."""
+    """A record written by an operator or a server."""
 
     at: float
     topic: str
@@ -60,14 +60,14 @@
 
 @attrs.define
 class StoreStandin:
-    """All topics over HTTP.
+    """All topics of a store, served over HTTP.
 
     Attributes:
-        topics: By name.
-        status: Answered to every call instead, if set.
-        fault: ``down``, ``silent``, ``slow``, ``lost``, or empty.
-        era: Told in each answer; None to tell none.
-        calls: Call and query of the calls, in order.
+        topics: Topics by name.
+        status: HTTP status of every response, if set.
+        fault: Active fault: ``down``, ``silent``, ``slow``, ``lost``, or empty.
+        era: Era in the header of each response; None for no header.
+        calls: Name and query of all calls, in order.
     """
 
     topics: dict[str, Topic] = attrs.field(factory=dict)
@@ -79,33 +79,33 @@
     _written: list[Written] = attrs.field(factory=list)
 
     def topic(self, name: str) -> Topic:
-        """Returns a topic, made on first use."""
+        """Returns a topic, creating it on first use."""
         return self.topics.setdefault(name, Topic())
 
     def application(self) -> web.Application:
         """Returns the web application."""
-        made = web.Application(client_max_size=4 * 1024 * 1024)
-        made.on_response_prepare.append(self._tell_era)
-        made.router.add_route("*", "/hoistmoor/{call}", self.handle)
-        made.router.add_post("/admin/put", self.admin_put)
-        made.router.add_post("/admin/fault", self.admin_fault)
-        return made
+        app = web.Application(client_max_size=4 * 1024 * 1024)
+        app.on_response_prepare.append(self._add_era_header)
+        app.router.add_route("*", "/hoistmoor/{call}", self.handle)
+        app.router.add_post("/admin/put", self.admin_put)
+        app.router.add_post("/admin/fault", self.admin_fault)
+        return app
 
     async def admin_put(self, request: web.Request) -> web.Response:
-        """Writes a record; the answer has the end of the topic."""
+        """Writes a record; the response has the end of the topic."""
         name, key = request.query["topic"], request.query["key"]
         value = await request.read()
-        self._note_copy()
+        self._record_copy()
         topic = self.topic(name)
         topic.records.append((key, value))
         self._written.append(Written(time.monotonic(), name, key, value))
         return web.json_response({"end_offset": len(topic.records)})
 
     async def admin_fault(self, request: web.Request) -> web.Response:
-        """Sets the fault.
+        """Injects a fault.
 
-        ``forget`` drops the history of all topics; ``rewind`` comes back from
-        a copy that is some ``seconds`` old.
+        ``forget`` discards all older records, so that only newest ones can be
+        read; ``rewind`` restores a copy that is ``seconds`` old.
         """
         self.fault = request.query["fault"]
         if self.fault == "rewind":
@@ -117,23 +117,24 @@
                 topic.first_kept = len(topic.records)
         return web.Response()
 
-    async def _tell_era(
-        self, _: web.Request, answer: web.StreamResponse
+    async def _add_era_header(
+        self, _: web.Request, response: web.StreamResponse
     ) -> None:
         if self.era is not None:
-            answer.headers["Store-Era"] = self.era
+            response.headers["Store-Era"] = self.era
 
-    def _note_copy(self) -> None:
+    def _record_copy(self) -> None:
         lengths = {
             name: len(each.records) for name, each in self.topics.items()
         }
         self._copies.append(Copy(time.monotonic(), lengths))
-        del self._copies[:-KEPT_COPIES]
+        del self._copies[:-MAX_COPIES]
 
     def rewind(self, seconds: float) -> None:
-        """Comes back from a copy of so long ago.
+        """Restores a copy of some seconds ago, which starts a new era.
 
-        What operators and servers wrote since is written again soon.
+        What operators and servers have written since is written again after
+        ``REWRITE_DELAY``.
         """
         before = time.monotonic() - seconds
         old = [each for each in self._copies if each.at <= before]
@@ -145,10 +146,10 @@
         self._copies = [each for each in self._copies if each.at <= copy.at]
         self.era = str(int(self.era or "0") + 1)
         asyncio.get_running_loop().call_later(
-            WRITTEN_AGAIN, self._write_again, copy.at
+            REWRITE_DELAY, self._rewrite, copy.at
         )
 
-    def _write_again(self, since: float) -> None:
+    def _rewrite(self, since: float) -> None:
         newest = {
             (each.topic, each.key): each
             for each in self._written
@@ -158,7 +159,7 @@
             self.topic(each.topic).records.append((each.key, each.value))
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Answers a call."""
+        """Handles a call."""
         call = request.match_info["call"]
         self.calls.append((call, dict(request.query)))
         body = await request.read()
@@ -167,19 +168,19 @@
         if self.fault == "down":
             return web.Response(status=503)
         if self.fault == "silent":
-            await asyncio.sleep(_ENDLESS)
+            await asyncio.sleep(_HANG)
         if self.fault == "slow":
-            await asyncio.sleep(SLOW)
-        self._note_copy()
+            await asyncio.sleep(SLOW_DELAY)
+        self._record_copy()
         topic = self.topic(request.query["topic"])
         if call == "log-newest":
             return self._newest(topic, request.query.get("after", ""))
         if call == "log-read":
             return await self._read(topic, request)
-        answer = self._append(topic, request, body)
+        response = self._append(topic, request, body)
         if self.fault == "lost" and request.transport is not None:
             request.transport.abort()
-        return answer
+        return response
 
     def _newest(self, topic: Topic, after: str) -> web.Response:
         newest = {
@@ -193,12 +194,12 @@
                 "value": base64.b64encode(newest[key][1]).decode(),
                 "offset": newest[key][0],
             }
-            for key in keys[:PAGE]
+            for key in keys[:PAGE_SIZE]
         ]
         return web.json_response(
             {
                 "entries": entries,
-                "has_more": len(keys) > PAGE,
+                "has_more": len(keys) > PAGE_SIZE,
                 "end_offset": len(topic.records),
             }
         )
@@ -213,7 +214,7 @@
         end = loop.time() + int(request.query.get("wait_ms", "0")) / 1000
         era = self.era
         while first >= len(topic.records) and loop.time() < end:
-            await asyncio.sleep(POLL)
+            await asyncio.sleep(POLL_INTERVAL)
             if self.era != era and request.transport is not None:
                 request.transport.abort()
         data = struct.pack(">QQ", len(topic.records), topic.first_kept)
@@ -237,7 +238,7 @@
 
 
 def main() -> None:
-    """Serves until the process is ended."""
+    """Serves until the process is terminated."""
     ip, _, port = sys.argv[1].rpartition(":")
     web.run_app(
         StoreStandin().application(), host=ip, port=int(port), print=None
