--- a/tests/relay/store/conftest.py
+++ b/tests/relay/store/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the followers' tests: a host's state and its lines."""
+"""Fixtures for the tests of followers: a host's state and its log."""
 
 from __future__ import annotations
 
@@ -23,11 +23,17 @@
 
 @attrs.define
 class Rig:
-    """A state, the clock it goes by, and its log lines."""
+    """The state of a relay, with its clock and the pipe of its log.
+
+    Attributes:
+        state: Shared state of the relay.
+        clock: Clock of the state, which the test advances.
+        log_pipe: File descriptor from which the log is read.
+    """
 
     state: state_lib.RelayState
     clock: relay_states.Clock
-    lines: int
+    log_pipe: int
 
     def follow(
         self,
@@ -38,7 +44,7 @@
         wait: float = 0.0,
         is_probe: bool = False,
     ) -> follower.TopicFollower:
-        """Returns what reads a topic for a listener, without a pause."""
+        """Returns a follower that reads a topic without pauses."""
         return follower.TopicFollower(
             self.state,
             name,
@@ -51,22 +57,22 @@
         )
 
     def events(self) -> list[dict[str, object]]:
-        """Returns the lines written so far."""
-        with open(self.lines, "rb", closefd=False) as pipe:
+        """Returns the log events since the last call."""
+        with open(self.log_pipe, "rb", closefd=False) as pipe:
             data = pipe.read() or b""
         return [orjson.loads(line) for line in data.splitlines()]
 
 
 @pytest.fixture
 def rig() -> Iterator[Rig]:
-    """A state of a host that has read nothing."""
-    reading, writing = os.pipe()
-    os.set_blocking(reading, False)
+    """The state of a host that has not read anything yet."""
+    read_end, write_end = os.pipe()
+    os.set_blocking(read_end, False)
     clock = relay_states.Clock()
-    state = relay_states.fresh(clock, writing)
-    yield Rig(state, clock, reading)
-    os.close(reading)
-    os.close(writing)
+    state = relay_states.fresh(clock, write_end)
+    yield Rig(state, clock, read_end)
+    os.close(read_end)
+    os.close(write_end)
 
 
 @pytest.fixture
--- a/tests/relay/store/test_relay_follower.py
+++ b/tests/relay/store/test_relay_follower.py
@@ -1,4 +1,4 @@
-"""What a host believes while the store is away, forgets, or comes back."""
+"""Tests of followers: outages of the store, lost offsets, long polls, logs."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 def servers(
     rig: Rig, platform: relay_platform.MemoryPlatform
 ) -> follower.TopicFollower:
-    """Follows the entries of backend servers."""
+    """A follower of the entries of backend servers."""
     listener = server_listener.ServerListener(rig.state, platform.codec)
     return rig.follow(
         "servers",
@@ -41,11 +41,11 @@
     )
 
 
-def known(rig: Rig) -> list[str]:
+def known_servers(rig: Rig) -> list[str]:
     return sorted(rig.state.router.fleet.servers)
 
 
-async def test_an_entry_that_is_dropped_goes_at_once(
+async def test_removed_entry_is_dropped_at_once(
     rig: Rig,
     platform: relay_platform.MemoryPlatform,
     servers: follower.TopicFollower,
@@ -55,7 +55,7 @@
     await servers.read_once()
     await platform.publish(platform.servers, "a", None)
     await servers.read_once()
-    assertions.assert_that(known(rig), matchers.Equals(["b"]))
+    assertions.assert_that(known_servers(rig), matchers.Equals(["b"]))
 
 
 async def fail_and_return(
@@ -64,7 +64,7 @@
     servers: follower.TopicFollower,
     names: str,
 ) -> None:
-    """Has the store list servers, go away and come back."""
+    """Lists servers in the store, then simulates an outage and its end."""
     for name in names:
         await platform.publish(platform.servers, name, relay_parts.entry(name))
     await servers.read_once()
@@ -76,7 +76,7 @@
     platform.servers.is_away = False
 
 
-async def test_entries_that_lapsed_in_an_outage_get_time_to_return(
+async def test_entries_removed_during_outage_are_kept_for_grace_period(
     rig: Rig,
     platform: relay_platform.MemoryPlatform,
     servers: follower.TopicFollower,
@@ -85,14 +85,14 @@
     for name in "ab":
         await platform.publish(platform.servers, name, None)
     await servers.read_once()
-    assertions.assert_that(known(rig), matchers.Equals(["a", "b"]))
+    assertions.assert_that(known_servers(rig), matchers.Equals(["a", "b"]))
     await platform.publish(platform.servers, "a", relay_parts.entry("a"))
     rig.clock.now += fleet_lib.LAPSE_GRACE + 0.1
     await servers.read_once()
-    assertions.assert_that(known(rig), matchers.Equals(["a"]))
+    assertions.assert_that(known_servers(rig), matchers.Equals(["a"]))
 
 
-async def test_an_entry_that_goes_after_an_outage_is_not_kept_for_long(
+async def test_grace_period_starts_at_end_of_outage(
     rig: Rig,
     platform: relay_platform.MemoryPlatform,
     servers: follower.TopicFollower,
@@ -109,13 +109,13 @@
     assertions.assert_that(ready, matchers.HasLength(0))
 
 
-async def test_an_outage_whose_end_others_saw_is_not_ended_by_a_later_read(
+async def test_copy_from_another_host_ends_outage(
     rig: Rig,
     platform: relay_platform.MemoryPlatform,
     servers: follower.TopicFollower,
 ) -> None:
     await fail_and_return(rig, platform, servers, "a")
-    # From here on another host reads for this one, which then reads again.
+    # Another host has read for this one, which then reads the store again.
     rig.clock.now += 1.0
     copy = topics.Batch((), relay_parts.at(1))
     servers.take(follower.Update(copy, rig.clock.now, float("inf")))
@@ -128,28 +128,28 @@
     assertions.assert_that(ready, matchers.HasLength(0))
 
 
-async def test_a_mere_heartbeat_is_not_passed_on(
+async def test_heartbeat_without_changes_is_not_passed_on(
     platform: relay_platform.MemoryPlatform, servers: follower.TopicFollower
 ) -> None:
     await platform.publish(platform.servers, "a", relay_parts.entry("a"))
     await servers.read_once()
-    known = servers.place
+    copied_until = servers.place
     for _ in range(3):
         await platform.publish(platform.servers, "a", relay_parts.entry("a"))
     await servers.read_once()
-    copy = servers.mirror.copy_from(known)
+    copy = servers.mirror.copy_from(copied_until)
     assert copy is not None
     assertions.assert_that(copy.records, matchers.Equals(()))
     assertions.assert_that(copy.end, matchers.Equals(relay_parts.at(4)))
     leaving = relay_parts.entry("a", is_leaving=True)
     await platform.publish(platform.servers, "a", leaving)
     await servers.read_once()
-    copy = servers.mirror.copy_from(known)
+    copy = servers.mirror.copy_from(copied_until)
     assert copy is not None
     assertions.assert_that(copy.records, matchers.HasLength(1))
 
 
-async def test_an_outage_at_the_source_is_passed_on(
+async def test_outage_at_source_is_passed_on(
     servers: follower.TopicFollower,
 ) -> None:
     nothing = topics.Batch((), relay_parts.at(0))
@@ -157,7 +157,7 @@
     assertions.assert_that(round(servers.after_outage, 3), matchers.Equals(0.3))
 
 
-async def test_a_forgotten_history_is_replaced_by_a_snapshot(
+async def test_expired_offset_is_replaced_by_snapshot(
     rig: Rig,
     platform: relay_platform.MemoryPlatform,
     servers: follower.TopicFollower,
@@ -172,10 +172,10 @@
         await servers.read_once()
     servers.place = None
     await servers.read_once()
-    assertions.assert_that(known(rig), matchers.Equals(["a", "c", "d"]))
+    assertions.assert_that(known_servers(rig), matchers.Equals(["a", "c", "d"]))
 
 
-async def test_an_unreadable_entry_hides_no_other(
+async def test_malformed_entry_does_not_hide_others(
     rig: Rig,
     platform: relay_platform.MemoryPlatform,
     servers: follower.TopicFollower,
@@ -183,7 +183,7 @@
     await platform.servers.put("bad", b"unknown")
     await platform.publish(platform.servers, "a", relay_parts.entry("a"))
     await servers.read_once()
-    assertions.assert_that(known(rig), matchers.Equals(["a"]))
+    assertions.assert_that(known_servers(rig), matchers.Equals(["a"]))
     written = [each["event"] for each in rig.events()]
     assertions.assert_that(written, matchers.Contains("server_unreadable"))
 
@@ -198,17 +198,17 @@
     await servers.read_once()
     await platform.servers.put("a", b"unknown")
     await servers.read_once()
-    assertions.assert_that(known(rig), matchers.Equals(["a", "b"]))
-    # Nor in a snapshot, which others may have from here.
+    assertions.assert_that(known_servers(rig), matchers.Equals(["a", "b"]))
+    # The same holds for a snapshot, which other hosts may copy.
     servers.place = None
     await servers.read_once()
-    assertions.assert_that(known(rig), matchers.Equals(["a", "b"]))
+    assertions.assert_that(known_servers(rig), matchers.Equals(["a", "b"]))
     copy = servers.mirror.copy_from(None)
     assert copy is not None
     assertions.assert_that(
         [each.key for each in copy.records], matchers.Equals(["b"])
     )
-    # The server's next heartbeat is news to them.
+    # The server's next heartbeat is passed on to them.
     await platform.publish(platform.servers, "a", relay_parts.entry("a"))
     await servers.read_once()
     copy = servers.mirror.copy_from(None)
@@ -222,7 +222,7 @@
     )
 
 
-async def test_where_servers_tell_their_start_an_entry_without_is_not_one(
+async def test_entry_without_start_time_is_rejected_if_others_have_one(
     rig: Rig,
     platform: relay_platform.MemoryPlatform,
     servers: follower.TopicFollower,
@@ -233,10 +233,10 @@
         await platform.publish(platform.servers, name, entry)
     await platform.publish(platform.servers, "y", relay_parts.entry("y"))
     await servers.read_once()
-    assertions.assert_that(known(rig), matchers.Equals(["a", "b"]))
+    assertions.assert_that(known_servers(rig), matchers.Equals(["a", "b"]))
 
 
-async def test_a_new_start_is_told_to_other_hosts(
+async def test_new_start_of_server_is_passed_on(
     rig: Rig,
     platform: relay_platform.MemoryPlatform,
     servers: follower.TopicFollower,
@@ -247,7 +247,7 @@
         await servers.read_once()
     found = rig.state.router.fleet.servers["a"]
     assertions.assert_that(found.entry.born, matchers.Equals(2000))
-    # The older start's heartbeat came last, and nobody has it from here.
+    # The late heartbeat of the older start is not passed on.
     copy = servers.mirror.copy_from(relay_parts.at(1))
     assert copy is not None
     assertions.assert_that(
@@ -255,7 +255,7 @@
     )
 
 
-async def test_an_evacuation_holds_until_it_is_taken_back(
+async def test_evacuation_lasts_until_revoked(
     rig: Rig, platform: relay_platform.MemoryPlatform
 ) -> None:
     listener = operator_listener.OperatorListener(rig.state, platform.codec)
@@ -267,16 +267,17 @@
 
     await platform.operator.put("empty-north", b"{}")
     await platform.operator.put("empty-south", b"{}")
-    both = take(await platform.operator.changes(relay_parts.at(0), 0.0))
-    assertions.assert_that(both, matchers.Equals({"north", "south"}))
-    # What else operators write does not end it.
+    zones = take(await platform.operator.changes(relay_parts.at(0), 0.0))
+    assertions.assert_that(zones, matchers.Equals({"north", "south"}))
+    # Other records of operators do not end an evacuation.
     await platform.publish(platform.operator, "config", relay_parts.in_force())
-    both = take(await platform.operator.changes(relay_parts.at(2), 0.0))
-    assertions.assert_that(both, matchers.Equals({"north", "south"}))
+    zones = take(await platform.operator.changes(relay_parts.at(2), 0.0))
+    assertions.assert_that(zones, matchers.Equals({"north", "south"}))
     await platform.operator.put("empty-north", None)
     left = take(await platform.operator.changes(relay_parts.at(3), 0.0))
     assertions.assert_that(left, matchers.Equals({"south"}))
-    # The history may be gone by then: what a snapshot lacks was taken back.
+    # A failure domain that a snapshot lacks was released, also if the removal
+    # itself is no longer retained.
     await platform.operator.put("empty-south", None)
     left = take(await platform.operator.newest())
     assertions.assert_that(left, matchers.Equals(set()))
@@ -287,14 +288,14 @@
     )
 
 
-async def test_an_unreadable_order_hides_no_configuration(
+async def test_malformed_order_does_not_hide_configuration(
     rig: Rig, platform: relay_platform.MemoryPlatform
 ) -> None:
-    class TornCodec(relay_platform.NamedCodec):
+    class FailingCodec(relay_platform.NamedCodec):
         def order(self, record: topics.Record) -> phases.Order | None:
-            raise errors.CodecError("torn", "Look at it.")
+            raise errors.CodecError("torn", "Inspect the record.")
 
-    codec = TornCodec(platform.codec.known)
+    codec = FailingCodec(platform.codec.known)
     listener = operator_listener.OperatorListener(rig.state, codec)
     await platform.operator.put("rollout/a", b"torn")
     await platform.publish(platform.operator, "config", relay_parts.in_force())
@@ -310,26 +311,32 @@
 
 
 @attrs.define
-class HeldTopic(relay_platform.MemoryTopic):
-    """A topic that holds reads back on the clock of the test."""
+class LongPollTopic(relay_platform.MemoryTopic):
+    """A topic whose reads advance the clock of the test.
+
+    Attributes:
+        clock: Clock of the test.
+        held: Seconds by which each read advances the clock.
+        waits: The requested wait of each read, in order.
+    """
 
     clock: relay_states.Clock = attrs.field(factory=relay_states.Clock)
     held: float = 0.0
     waits: list[float] = attrs.field(factory=list)
 
     async def changes(self, place: topics.Place, wait: float) -> topics.Batch:
-        """Returns the records after the time that the test sets."""
+        """Returns the records after advancing the clock."""
         self.waits.append(wait)
         self._check()
         self.clock.now += self.held
-        found = tuple(self.records[place.offset :])
-        return topics.Batch(found, place.after(len(found)))
+        records = tuple(self.records[place.offset :])
+        return topics.Batch(records, place.after(len(records)))
 
 
-def operator_reader(
-    rig: Rig, platform: relay_platform.MemoryPlatform, topic: HeldTopic
+def operator_follower(
+    rig: Rig, platform: relay_platform.MemoryPlatform, topic: LongPollTopic
 ) -> follower.TopicFollower:
-    """Returns what reads the operators' topic, held back for a second."""
+    """Returns a follower of the operators' topic with waits of one second."""
     return rig.follow(
         "operator",
         topic,
@@ -342,25 +349,25 @@
 @pytest.mark.parametrize(
     ("held", "adds", "proved_at"),
     [
-        # Held back in vain to the end: nothing was newer then.
+        # The wait ended without records: there was nothing newer at its end.
         (1.01, False, 101.0),
-        # Answered early: it proves no more than when it was sent.
+        # An early response proves the records current as of the request.
         (0.3, True, 100.0),
-        # Answered early with nothing, against the protocol.
+        # An early empty response violates the protocol, and proves the same.
         (0.3, False, 100.0),
     ],
 )
-async def test_what_a_read_proves(
+async def test_read_proves_topic_current(
     rig: Rig,
     platform: relay_platform.MemoryPlatform,
     held: float,
     adds: bool,
     proved_at: float,
 ) -> None:
-    topic = HeldTopic(clock=rig.clock, held=held)
+    topic = LongPollTopic(clock=rig.clock, held=held)
     platform.operator = topic
     await platform.publish(topic, "config", relay_parts.in_force(1))
-    reader = operator_reader(rig, platform, topic)
+    reader = operator_follower(rig, platform, topic)
     await reader.read_once()
     if adds:
         await platform.publish(topic, "config", relay_parts.in_force(2))
@@ -371,10 +378,10 @@
     )
 
 
-async def test_a_store_that_was_away_is_not_asked_to_wait(
+async def test_read_after_outage_is_no_long_poll(
     rig: Rig, platform: relay_platform.MemoryPlatform
 ) -> None:
-    topic = HeldTopic(clock=rig.clock)
+    topic = LongPollTopic(clock=rig.clock)
     reader = rig.follow(
         "servers",
         topic,
@@ -395,11 +402,11 @@
     assertions.assert_that(topic.waits[-2:], matchers.Equals([0.0, 1.0]))
 
 
-async def test_a_read_that_brought_news_is_followed_by_one_that_proves_it(
+async def test_read_with_records_is_confirmed_at_once(
     rig: Rig, platform: relay_platform.MemoryPlatform
 ) -> None:
-    topic = HeldTopic(clock=rig.clock)
-    reader = operator_reader(rig, platform, topic)
+    topic = LongPollTopic(clock=rig.clock)
+    reader = operator_follower(rig, platform, topic)
     await reader.read_once()
     await platform.publish(topic, "config", relay_parts.in_force(2))
     for _ in range(3):
@@ -407,13 +414,13 @@
     assertions.assert_that(topic.waits, matchers.Equals([1.0, 0.0, 1.0]))
 
 
-async def test_the_end_of_a_lease_has_a_line_of_its_own(rig: Rig) -> None:
-    watch = lease_watch.LeaseWatch(rig.state)
+async def test_end_of_lease_is_logged_once(rig: Rig) -> None:
+    monitor = lease_watch.LeaseWatch(rig.state)
     rig.state.lease.prove(rig.clock.now)
-    watch.look()
-    watch.look()
+    monitor.look()
+    monitor.look()
     rig.clock.now += 5.0
-    watch.look()
+    monitor.look()
     lines = [each for each in rig.events() if each["event"] == "lease"]
     assertions.assert_that(
         [(each["holds"], each["age"]) for each in lines],
@@ -421,7 +428,7 @@
     )
 
 
-async def test_a_lease_needs_a_configuration(
+async def test_lease_requires_configuration(
     rig: Rig, platform: relay_platform.MemoryPlatform
 ) -> None:
     reader = rig.follow(
@@ -435,7 +442,7 @@
     )
 
 
-def test_lines_are_bounded_and_tell_what_was_left_out(rig: Rig) -> None:
+def test_log_is_rate_limited_and_counts_omitted_lines(rig: Rig) -> None:
     for number in range(1000):
         rig.state.log.write("noise", number=number)
     rig.state.log.write("other")
@@ -450,7 +457,7 @@
     )
 
 
-def test_a_reader_that_is_behind_holds_nobody_up(rig: Rig) -> None:
+def test_full_log_pipe_does_not_block(rig: Rig) -> None:
     big = "x" * 4000
     for number in range(100):
         rig.state.log.write(f"kind {number}", text=big)
--- a/tests/relay/store/test_relay_returned_operators.py
+++ b/tests/relay/store/test_relay_returned_operators.py
@@ -1,4 +1,4 @@
-"""What a host believes of operators when the store comes back from a copy."""
+"""Tests of operators' records after the store was restored from a copy."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     from conftest import Rig
 
 
-async def test_an_evacuation_that_the_store_has_lost_goes_on(
+async def test_evacuation_outlasts_restore_of_store(
     rig: Rig, platform: relay_platform.MemoryPlatform
 ) -> None:
     operator = rig.follow(
@@ -39,7 +39,7 @@
     assertions.assert_that(
         await evacuated(), matchers.Equals({"north", "south"})
     )
-    # What is not written again was taken back.
+    # An evacuation that is not written again was revoked.
     await platform.operator.put("empty-south", b"{}")
     rig.clock.now += history.HELD_FOR
     assertions.assert_that(await evacuated(), matchers.Equals({"south"}))
--- a/tests/relay/store/test_relay_returned_servers.py
+++ b/tests/relay/store/test_relay_returned_servers.py
@@ -1,4 +1,4 @@
-"""What a host believes of servers when the store comes back from a copy."""
+"""Tests of server entries after the store was restored from a copy."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 def servers(
     rig: Rig, platform: relay_platform.MemoryPlatform
 ) -> follower.TopicFollower:
-    """Follows the entries of backend servers."""
+    """A follower of the entries of backend servers."""
     return rig.follow(
         "servers",
         relay_platform.HostTopic(platform.servers, rig.state.history),
@@ -34,7 +34,7 @@
     )
 
 
-async def say(
+async def publish_entry(
     platform: relay_platform.MemoryPlatform, name: str, **fields: Any
 ) -> None:
     entry = relay_parts.entry(name, address=f"{name}:1", **fields)
@@ -42,11 +42,11 @@
 
 
 def usable(rig: Rig) -> set[str]:
-    found = rig.state.router.fleet.usable("desk", rig.clock.now)
-    return {each.entry.server_id for each in found}
+    servers = rig.state.router.fleet.usable("desk", rig.clock.now)
+    return {each.entry.server_id for each in servers}
 
 
-async def come_back(
+async def restore(
     platform: relay_platform.MemoryPlatform,
     servers: follower.TopicFollower,
     copy: dict[str, int],
@@ -57,35 +57,39 @@
 
 
 @pytest.mark.parametrize("born", [None, 1000])
-async def test_a_server_that_left_does_not_come_back_with_the_store(
+async def test_server_that_left_is_not_restored_with_store(
     rig: Rig,
     platform: relay_platform.MemoryPlatform,
     servers: follower.TopicFollower,
     born: int | None,
 ) -> None:
     for name in ("gone", "leaving", "stays"):
-        await say(platform, name, born=born, sequence=4)
+        await publish_entry(platform, name, born=born, sequence=4)
     await servers.read_once()
     copy = platform.copy()
     await platform.publish(platform.servers, "gone", None)
-    await say(platform, "leaving", born=born, sequence=5, is_leaving=True)
+    await publish_entry(
+        platform, "leaving", born=born, sequence=5, is_leaving=True
+    )
     await servers.read_once()
-    await come_back(platform, servers, copy)
+    await restore(platform, servers, copy)
     assertions.assert_that(usable(rig), matchers.Equals({"stays"}))
-    # Nor do hosts learn of them here that start now.
-    found = servers.mirror.copy_from(None)
-    assert found is not None
+    # A starting host does not get them in a copy from this host either.
+    copied = servers.mirror.copy_from(None)
+    assert copied is not None
     assertions.assert_that(
-        [each.key for each in found.records], matchers.Equals(["stays"])
+        [each.key for each in copied.records], matchers.Equals(["stays"])
+    )
+    # A new heartbeat supersedes what the restored copy has.
+    await publish_entry(
+        platform, "leaving", born=born, sequence=6, is_leaving=True
     )
-    # A heartbeat says more than the copy.
-    await say(platform, "leaving", born=born, sequence=6, is_leaving=True)
-    await say(platform, "gone", born=born, sequence=5)
+    await publish_entry(platform, "gone", born=born, sequence=5)
     await servers.read_once()
     assertions.assert_that(usable(rig), matchers.Equals({"stays", "gone"}))
-    found = servers.mirror.copy_from(None)
-    assert found is not None
-    assertions.assert_that(found.records, matchers.HasLength(3))
+    copied = servers.mirror.copy_from(None)
+    assert copied is not None
+    assertions.assert_that(copied.records, matchers.HasLength(3))
     lines = [e for e in rig.events() if e["event"] == "servers_returned"]
     assertions.assert_that(
         [each["servers"] for each in lines],
@@ -93,32 +97,32 @@
     )
 
 
-async def test_servers_that_the_store_has_lost_get_time_to_return(
+async def test_servers_lost_by_store_are_kept_for_grace_period(
     rig: Rig,
     platform: relay_platform.MemoryPlatform,
     servers: follower.TopicFollower,
 ) -> None:
     copy = platform.copy()
     for name in ("lives", "ended"):
-        await say(platform, name)
+        await publish_entry(platform, name)
     await servers.read_once()
     rig.clock.now += 60.0
-    await come_back(platform, servers, copy)
+    await restore(platform, servers, copy)
     assertions.assert_that(usable(rig), matchers.Equals({"lives", "ended"}))
-    await say(platform, "lives")
+    await publish_entry(platform, "lives")
     rig.clock.now += fleet_lib.LAPSE_GRACE + 0.1
     await servers.read_once()
     assertions.assert_that(usable(rig), matchers.Equals({"lives"}))
 
 
-async def test_an_answer_of_an_older_history_that_comes_late_changes_nothing(
+async def test_late_response_of_older_era_is_ignored(
     rig: Rig,
     platform: relay_platform.MemoryPlatform,
     servers: follower.TopicFollower,
 ) -> None:
-    await say(platform, "a")
+    await publish_entry(platform, "a")
     await servers.read_once()
-    await say(platform, "late")
+    await publish_entry(platform, "late")
     late = await platform.servers.changes(relay_parts.at(1), 0.0)
     rig.state.history.learn(1, "h2")
     assertions.assert_that(servers.is_ahead_of(late), matchers.Is(True))
--- a/tests/relay/store/test_relay_store_gate.py
+++ b/tests/relay/store/test_relay_store_gate.py
@@ -1,4 +1,4 @@
-"""How many calls hosts make to a store that is away, and at a start."""
+"""Tests of the number of calls to the store at a start and in an outage."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 
     import pytest
 
-PATIENCE = 20.0  # Seconds; only a hang of a busy machine comes near.
+TIMEOUT = 20.0  # Seconds; reached only if a test hangs.
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT):
         while not condition():
             await asyncio.sleep(0.01)
 
 
 @attrs.define
 class CountingTopic(relay_platform.MemoryTopic):
-    """Counts all calls, those that fail too."""
+    """Counts all calls, including failed ones."""
 
     calls: int = 0
 
@@ -45,49 +45,49 @@
         relay_platform.MemoryTopic._check(self)
 
 
-async def test_the_others_wait_while_one_topic_is_tried() -> None:
+async def test_other_calls_wait_until_probe_succeeds() -> None:
     gate = store_gate.StoreGate()
-    for _ in range(2):  # At a start, and when the store is lost again.
+    for _ in range(2):  # At a start, and in a later outage.
         waiting = asyncio.create_task(gate.wait_until_heard())
         await asyncio.sleep(0.1)
         assertions.assert_that(waiting.done(), matchers.Is(False))
         gate.note_heard()
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT):
             await waiting
         gate.note_lost()
 
 
-async def test_a_topic_is_tried_at_last_where_the_others_stay_away(
+async def test_wait_ends_after_longest_hold(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(store_gate, "LONGEST_HOLD", 0.05)
     gate = store_gate.StoreGate()
     gate.note_lost()
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT):
         await gate.wait_until_heard()
 
 
 @attrs.define
-class Started:
-    """A relay that runs, and its topics; the operators' is the first."""
+class RunningRelay:
+    """A running relay and its topics; the operators' topic is the first."""
 
     relay: application.Relay
     platform: relay_platform.MemoryPlatform
     topics: list[CountingTopic]
 
     def set_away(self, *, is_away: bool) -> None:
-        """Has the whole store be away, or back."""
+        """Starts or ends an outage of the whole store."""
         for topic in self.topics:
             topic.is_away = is_away
 
 
 @contextlib.asynccontextmanager
-async def started(
+async def running_relay(
     monkeypatch: pytest.MonkeyPatch, *, is_away: bool
-) -> AsyncIterator[Started]:
-    """Starts a relay beside a store that is away, or not."""
-    nowhere = os.open(os.devnull, os.O_WRONLY)
-    monkeypatch.setattr(application, "LOG_DESCRIPTOR", nowhere)
+) -> AsyncIterator[RunningRelay]:
+    """Runs a relay, with or without an outage of the store at its start."""
+    null_descriptor = os.open(os.devnull, os.O_WRONLY)
+    monkeypatch.setattr(application, "LOG_DESCRIPTOR", null_descriptor)
     for name in ("SLOW_WAIT", "SERVERS_WAIT", "OPERATOR_WAIT"):
         monkeypatch.setattr(followers, name, 0.05)
     topics = [CountingTopic() for _ in range(5)]
@@ -110,24 +110,24 @@
             session,
             lambda: settings,
         )
-        made = Started(relay, platform, topics)
+        made = RunningRelay(relay, platform, topics)
         made.set_away(is_away=is_away)
         task = asyncio.create_task(relay.serve(asyncio.Event()))
         yield made
         task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await task
-    os.close(nowhere)
+    os.close(null_descriptor)
 
 
-async def test_only_one_topic_is_tried_while_the_store_is_away(
+async def test_only_probe_topic_is_read_during_outage(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with started(monkeypatch, is_away=False) as made:
+    async with running_relay(monkeypatch, is_away=False) as made:
         topics, state = made.topics, made.relay.state
         await until(lambda: len(state.topics_read) == 5)
         made.set_away(is_away=True)
-        await asyncio.sleep(0.3)  # What was under way ends.
+        await asyncio.sleep(0.3)  # Pending reads end.
         before = [topic.calls for topic in topics]
         await until(lambda: topics[0].calls >= before[0] + 3)
         tried = [
@@ -144,12 +144,12 @@
         await until(lambda: "a" in state.router.fleet.servers)
 
 
-async def test_only_one_topic_is_tried_at_a_start_while_the_store_is_away(
+async def test_only_probe_topic_is_read_at_start_during_outage(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with started(monkeypatch, is_away=True) as made:
+    async with running_relay(monkeypatch, is_away=True) as made:
         topics = made.topics
-        # The first call was the fixture's own.
+        # The first call was made by ``running_relay`` itself.
         await until(lambda: topics[0].calls >= 4)
         tried = [topic.calls for topic in topics[1:]]
         assertions.assert_that(tried, matchers.Equals([0, 0, 0, 0]))
