--- a/tests/relay/peers/test_relay_peer_codec.py
+++ b/tests/relay/peers/test_relay_peer_codec.py
@@ -1,4 +1,4 @@
-"""What relays say to one another, as bytes."""
+"""Tests of the encoding of messages between relays."""
 
 from __future__ import annotations
 
@@ -31,45 +31,45 @@
 
 
 @pytest.mark.parametrize("value", [None, b"", b"{}", bytes(range(256))])
-def test_what_is_written_is_read(value: bytes | None) -> None:
-    written = answer(value)
-    read = peer_codec.decode_answer(peer_codec.encode(written))
-    assertions.assert_that(read, matchers.Equals(written))
+def test_answer_round_trip(value: bytes | None) -> None:
+    message = answer(value)
+    decoded = peer_codec.decode_answer(peer_codec.encode(message))
+    assertions.assert_that(decoded, matchers.Equals(message))
 
 
-def test_words_of_limits_are_read_as_they_were_written() -> None:
-    words = {
+def test_limits_round_trip() -> None:
+    reported = {
         "s1": limits.LimitWord(1.7, 2, 0.4),
         "s2": limits.LimitWord(None, 0, 3.0),
     }
-    written = attrs.evolve(answer(None), limits=words)
-    read = peer_codec.decode_answer(peer_codec.encode(written))
-    assertions.assert_that(read.limits, matchers.Equals(words))
-    asked = peer_codec.CopyRequest({}, "h1", limits=words)
-    heard = peer_codec.decode_request(peer_codec.encode(asked))
-    assertions.assert_that(heard.limits, matchers.Equals(words))
+    response = attrs.evolve(answer(None), limits=reported)
+    decoded = peer_codec.decode_answer(peer_codec.encode(response))
+    assertions.assert_that(decoded.limits, matchers.Equals(reported))
+    request = peer_codec.CopyRequest({}, "h1", limits=reported)
+    received = peer_codec.decode_request(peer_codec.encode(request))
+    assertions.assert_that(received.limits, matchers.Equals(reported))
 
 
-def test_words_of_departures_are_few_bytes_and_told_once() -> None:
-    words = departure_words.DepartureWords(serials.Serials())
+def test_departures_are_sent_once_in_small_messages() -> None:
+    departures = departure_words.DepartureWords(serials.Serials())
     for number in range(100):
-        words.note(f"i-{number:010}@1796281099000", 50.0 + number)
-    heard: dict[str, float] = {}
+        departures.note(f"i-{number:010}@1796281099000", 50.0 + number)
+    received: dict[str, float] = {}
     until = 0
     for size in (64, 36, 0):
-        ages, until = words.news(until, 160.0)
+        ages, until = departures.news(until, 160.0)
         assertions.assert_that(len(ages), matchers.Equals(size))
         news = peer_codec.News("h1-1", departures=ages, until=until)
         data = peer_codec.encode(peer_codec.CopyRequest({}, "h2", news=news))
         assertions.assert_that(len(data), matchers.LessThan(4096))
-        heard |= peer_codec.decode_request(data).news.departures
-    assertions.assert_that(len(heard), matchers.Equals(100))
+        received |= peer_codec.decode_request(data).news.departures
+    assertions.assert_that(len(received), matchers.Equals(100))
     assertions.assert_that(
-        heard["i-0000000010@1796281099000"], matchers.Equals(100.0)
+        received["i-0000000010@1796281099000"], matchers.Equals(100.0)
     )
 
 
-def test_a_configuration_takes_a_fraction_of_its_size() -> None:
+def test_configuration_is_compressed() -> None:
     value = b'{"name":"route","path_prefix":"/a/","kind":"stream"},' * 400
     assertions.assert_that(
         len(peer_codec.encode(answer(value))),
@@ -78,13 +78,13 @@
 
 
 @pytest.mark.parametrize("missing", ["servers", "operator"])
-def test_an_answer_is_as_old_as_its_oldest_topic(missing: str) -> None:
-    found = answer(b"{}")
+def test_age_of_answer_is_age_of_oldest_topic(missing: str) -> None:
+    base = answer(b"{}")
     copies = {
-        name: attrs.evolve(found.topics["operator"], age=age)
+        name: attrs.evolve(base.topics["operator"], age=age)
         for name, age in {"operator": 0.2, "servers": 2.5}.items()
     }
-    both = attrs.evolve(found, topics=copies)
+    both = attrs.evolve(base, topics=copies)
     names = frozenset(copies)
     assertions.assert_that(max(map(both.age_of, names)), matchers.Equals(2.5))
     del copies[missing]
@@ -104,7 +104,7 @@
         b'"is_snapshot":false},"after_outage":1,"age":1}},"work":{}}',
     ],
 )
-def test_other_bytes_are_a_value_error(data: bytes) -> None:
+def test_malformed_answer_raises_value_error(data: bytes) -> None:
     with pytest.raises(ValueError, match=r"\w"):
         peer_codec.decode_answer(data)
 
@@ -119,6 +119,6 @@
         7,
     ],
 )
-def test_a_host_s_entry_that_names_no_host(fields: object) -> None:
+def test_malformed_host_entry_raises_value_error(fields: object) -> None:
     with pytest.raises(ValueError, match="not a Host"):
         peer_codec.decode_host(orjson.dumps(fields))
--- a/tests/relay/peers/test_relay_peers.py
+++ b/tests/relay/peers/test_relay_peers.py
@@ -1,4 +1,4 @@
-"""Hosts that learn from one another what the store says."""
+"""Tests of two hosts, of which one copies the store's topics from the other."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
     from hoistmoor.core.relay.beliefs import topics
 
-PATIENCE = 20.0  # Seconds; only a hang of a busy machine comes near.
+TIMEOUT = 20.0  # Seconds; reached only if a test hangs.
 
 
 @attrs.define
-class CountedTopic(relay_platform.MemoryTopic):
-    """Counts the reads of one host."""
+class CountingTopic(relay_platform.MemoryTopic):
+    """Counts the reads of a shared topic by one host."""
 
     source: relay_platform.MemoryTopic = attrs.field(
         factory=relay_platform.MemoryTopic
@@ -46,12 +46,12 @@
     reads: int = 0
 
     async def newest(self) -> topics.Batch:
-        """Returns what the shared topic has."""
+        """Returns the newest records of the shared topic."""
         self._check()
         return await self.source.newest()
 
     async def changes(self, place: topics.Place, wait: float) -> topics.Batch:
-        """Returns what is new on the shared topic."""
+        """Returns the records of the shared topic from a position on."""
         self._check()
         self.reads += 1
         return await self.source.changes(place, wait)
@@ -62,28 +62,28 @@
         value: bytes | None,
         expected: topics.Place | None = None,
     ) -> topics.Place | None:
-        """Adds to the shared topic."""
+        """Appends to the shared topic."""
         self._check()
         return await self.source.put(key, value, expected)
 
 
 @attrs.define
 class Member:
-    """One relay and its own way to the shared store."""
+    """A running relay with its own connection to the shared store."""
 
     relay: application.Relay
-    operator: CountedTopic
-    servers: CountedTopic
+    operator: CountingTopic
+    servers: CountingTopic
     task: asyncio.Task[None]
 
     @property
-    def reads_itself(self) -> bool:
-        """Whether it reads the store."""
+    def reads_store(self) -> bool:
+        """Whether the relay reads the store itself."""
         return self.relay.followers["operator"].direct.is_set()
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT):
         while not condition():
             await asyncio.sleep(0.01)
 
@@ -100,9 +100,9 @@
     name: str,
     address: str,
 ) -> Member:
-    """Starts one relay with its own links to the store."""
-    operator = CountedTopic(source=platform.operator)
-    servers = CountedTopic(source=platform.servers)
+    """Starts a relay with its own connection to the store."""
+    operator = CountingTopic(source=platform.operator)
+    servers = CountingTopic(source=platform.servers)
     port = platform.as_port()
     topics = attrs.evolve(port.topics, operator=operator, servers=servers)
     settings = settings_lib.RelaySettings(
@@ -128,9 +128,12 @@
 async def pair(
     platform: relay_platform.MemoryPlatform, monkeypatch: pytest.MonkeyPatch
 ) -> AsyncIterator[list[Member]]:
-    """Two relays of one failure domain: the reader, and the one that asks."""
-    nowhere = os.open(os.devnull, os.O_WRONLY)
-    monkeypatch.setattr(application, "LOG_DESCRIPTOR", nowhere)
+    """Two relays of one failure domain.
+
+    The first one reads the store; the second one copies from it.
+    """
+    null_descriptor = os.open(os.devnull, os.O_WRONLY)
+    monkeypatch.setattr(application, "LOG_DESCRIPTOR", null_descriptor)
     monkeypatch.setattr(followers, "SERVERS_PAUSE", 0.02)
     await platform.publish(platform.operator, "config", relay_parts.in_force())
     members: list[Member] = []
@@ -140,104 +143,105 @@
             members.append(
                 await start(platform, session, f"h{number}", address)
             )
-        await until(lambda: sum(each.reads_itself for each in members) == 1)
-        yield sorted(members, key=lambda each: not each.reads_itself)
+        await until(lambda: sum(each.reads_store for each in members) == 1)
+        yield sorted(members, key=lambda each: not each.reads_store)
         for member in members:
             member.task.cancel()
         for member in members:
             with contextlib.suppress(asyncio.CancelledError):
                 await member.task
-    os.close(nowhere)
+    os.close(null_descriptor)
 
 
-async def test_one_host_reads_for_the_other(
+async def test_one_host_copies_from_the_other(
     platform: relay_platform.MemoryPlatform, pair: list[Member]
 ) -> None:
-    reader, asker = pair
-    before = asker.operator.reads
+    reader, copier = pair
+    before = copier.operator.reads
     newer = relay_parts.in_force(5)
     await platform.publish(platform.operator, "config", newer)
     await platform.publish(platform.servers, "a", relay_parts.entry("a"))
-    await until(lambda: asker.relay.state.configuration is newer)
-    await until(lambda: "a" in asker.relay.state.router.fleet.servers)
-    assertions.assert_that(asker.operator.reads - before, matchers.LessThan(3))
+    await until(lambda: copier.relay.state.configuration is newer)
+    await until(lambda: "a" in copier.relay.state.router.fleet.servers)
+    assertions.assert_that(copier.operator.reads - before, matchers.LessThan(3))
     await platform.publish(platform.servers, "a", None)
-    await until(lambda: not asker.relay.state.router.fleet.servers)
-    assertions.assert_that(reader.reads_itself, matchers.Is(True))
+    await until(lambda: not copier.relay.state.router.fleet.servers)
+    assertions.assert_that(reader.reads_store, matchers.Is(True))
 
 
-async def test_a_copy_is_no_fresher_than_its_source(
+async def test_copy_is_no_fresher_than_source(
     pair: list[Member],
 ) -> None:
-    reader, asker = pair
+    reader, copier = pair
     now = reader.relay.state.clock()
-    leases = [each.relay.state.lease for each in (reader, asker)]
-    # What the asking host has read itself is older than what follows.
+    leases = [each.relay.state.lease for each in (reader, copier)]
+    # Wait until the copying host's own earlier reads no longer matter.
     await until(lambda: (leases[0].proved_at or 0) > now + 1.0)
     for _ in range(50):
         source = reader.relay.state.lease.proved_at
-        copy = asker.relay.state.lease.proved_at
+        copy = copier.relay.state.lease.proved_at
         assert source is not None
         assert copy is not None
         assertions.assert_that(copy, matchers.LessThan(source + 1e-6))
         await asyncio.sleep(0.02)
     assertions.assert_that(
-        asker.relay.state.lease.age(now), matchers.LessThan(5.0)
+        copier.relay.state.lease.age(now), matchers.LessThan(5.0)
     )
 
 
-async def test_a_host_reads_itself_where_its_source_is_cut_off(
+async def test_host_reads_store_if_source_is_cut_off(
     platform: relay_platform.MemoryPlatform, pair: list[Member]
 ) -> None:
-    reader, asker = pair
+    reader, copier = pair
     reader.operator.is_away = True
-    await until(lambda: asker.reads_itself)
+    await until(lambda: copier.reads_store)
     newer = relay_parts.in_force(6)
     await platform.publish(platform.operator, "config", newer)
-    await until(lambda: asker.relay.state.configuration is newer)
-    assertions.assert_that(asker.relay.state.is_ready(), matchers.Is(True))
-    # Having read what only readers read keeps it from nothing.
-    asker.relay.state.topics_read.add("evidence")
+    await until(lambda: copier.relay.state.configuration is newer)
+    assertions.assert_that(copier.relay.state.is_ready(), matchers.Is(True))
+    # A host that has read a topic which only readers of the store use can still
+    # return to copying.
+    copier.relay.state.topics_read.add("evidence")
     reader.operator.is_away = False
-    await until(lambda: not asker.reads_itself)
+    await until(lambda: not copier.reads_store)
 
 
-async def test_a_host_reads_itself_where_its_source_is_gone(
+async def test_host_reads_store_if_source_is_gone(
     platform: relay_platform.MemoryPlatform, pair: list[Member]
 ) -> None:
-    reader, asker = pair
+    reader, copier = pair
     reader.task.cancel()
-    await until(lambda: asker.reads_itself)
+    await until(lambda: copier.reads_store)
     await platform.publish(platform.servers, "b", relay_parts.entry("b"))
-    await until(lambda: "b" in asker.relay.state.router.fleet.servers)
+    await until(lambda: "b" in copier.relay.state.router.fleet.servers)
 
 
-async def test_a_host_reads_itself_before_all_silent_hosts_were_asked(
+async def test_host_reads_store_before_trying_all_unresponsive_hosts(
     pair: list[Member], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    _, asker = pair
-    await until(lambda: asker.relay.state.source != "")
-    asked = []
+    _, copier = pair
+    await until(lambda: copier.relay.state.source != "")
+    hosts = []
 
     async def hang(
         _: peer_client.PeerClient, host: mirror.Host, __: object
     ) -> None:
-        asked.append(host.name)
+        hosts.append(host.name)
         await asyncio.sleep(0.2)
 
     monkeypatch.setattr(reading, "OLDEST_OWN", 0.1)
     monkeypatch.setattr(peer_client.PeerClient, "ask", hang)
     for number in range(20, 30):
-        asker.relay._sources.put(
+        copier.relay._sources.put(
             mirror.Host(f"silent{number}", "z", "127.0.0.1:1")
         )
-    asked.clear()
-    await until(lambda: asker.reads_itself)
-    # One period may have begun before: a question of each at the most.
-    assertions.assert_that(len(asked), matchers.LessThan(3))
+    hosts.clear()
+    await until(lambda: copier.reads_store)
+    # A period may already have begun, so at most one request of each period.
+    assertions.assert_that(len(hosts), matchers.LessThan(3))
 
 
-async def test_hosts_tell_one_another_the_work_that_they_have_under_way(
+async def test_hosts_exchange_outstanding_work(
     platform: relay_platform.MemoryPlatform, pair: list[Member]
 ) -> None:
     await platform.publish(platform.servers, "a", relay_parts.entry("a"))
@@ -248,7 +252,7 @@
     await until(lambda: servers[0]["a"].told.work == 20.0)
 
 
-async def test_one_host_writes_the_counts_of_both(
+async def test_one_host_writes_counts_of_both(
     platform: relay_platform.MemoryPlatform,
     pair: list[Member],
     monkeypatch: pytest.MonkeyPatch,
@@ -260,7 +264,7 @@
     for book in books:
         book.progress["llm"].note_answer("chat", "v2", True, False)
 
-    def told() -> set[str]:
+    def reported_runs() -> set[str]:
         newest = platform.evidence.records[-1:]
         reports = [
             rollout_codec.decode_report(record.value or b"")
@@ -269,23 +273,23 @@
         return {each.host for report in reports for each in report.evidence}
 
     names = {each.relay.state.run_name for each in pair}
-    await until(lambda: told() == names)
+    await until(lambda: reported_runs() == names)
     writers = {record.key for record in platform.evidence.records}
     reader = pair[0].relay.state.run_name
     assertions.assert_that(writers, matchers.Equals({f"llm/{reader}"}))
 
 
-@pytest.mark.parametrize("finds", [0, 1])
-async def test_hosts_tell_one_another_that_a_version_is_bad(
-    platform: relay_platform.MemoryPlatform, pair: list[Member], finds: int
+@pytest.mark.parametrize("detector", [0, 1])
+async def test_hosts_exchange_faulty_versions(
+    platform: relay_platform.MemoryPlatform, pair: list[Member], detector: int
 ) -> None:
     order = phases.Order("desk", "v2", 1000.0, 7)
     await platform.publish(platform.operator, "rollout/desk", order)
     states = [each.relay.state for each in pair]
     await until(lambda: all(each.router.rollouts.progress for each in states))
-    # No record of it can be written.
+    # The phase cannot be written to the store.
     platform.phases.is_away = True
-    progress = states[finds].router.rollouts.progress["desk"]
+    progress = states[detector].router.rollouts.progress["desk"]
     for _ in range(evidence_lib.MIN_ANSWERS):
         progress.note_answer("look", "v2", failed=True, slow=False)
     await until(
@@ -296,7 +300,7 @@
     )
 
 
-async def test_a_host_that_starts_beside_others_reads_each_topic_once(
+async def test_starting_host_reads_each_topic_once(
     platform: relay_platform.MemoryPlatform, pair: list[Member]
 ) -> None:
     assertions.assert_that(pair[1].operator.reads, matchers.LessThan(3))
--- a/tests/relay/peers/test_relay_returned_store_swarm.py
+++ b/tests/relay/peers/test_relay_returned_store_swarm.py
@@ -1,4 +1,4 @@
-"""Many hosts before a store that comes back from an older copy."""
+"""Simulations of many hosts whose store is restored from an older copy."""
 
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
 from hoistmoor.relay.versions import rollout_codec
 
 SIZES = (7, 84, 360)
-AWAY = 1.0  # Seconds for which the store is away.
+OUTAGE = 1.0  # Seconds for which the store is unavailable.
 
 
-async def return_from(
-    swarm: relay_swarm.Swarm, copy: dict[str, int], away: float = AWAY
+async def restore(
+    swarm: relay_swarm.Swarm, copy: dict[str, int], outage: float = OUTAGE
 ) -> None:
-    """Has the store be away, and come back from a copy."""
+    """Simulates an outage after which the store is restored from a copy."""
     swarm.store.fault[""] = "reset"
     swarm.store.wake()
-    await asyncio.sleep(away)
+    await asyncio.sleep(outage)
     swarm.store.platform.rewind(copy)
     swarm.store.fault.clear()
     swarm.store.wake()
 
 
 async def publish(swarm: relay_swarm.Swarm, revision: int) -> None:
-    found = relay_parts.in_force(revision)
-    await swarm.store.publish("operator", "config", found)
+    configuration = relay_parts.in_force(revision)
+    await swarm.store.publish("operator", "config", configuration)
 
 
 async def swarm_ahead_of_copy(
     hosts: int, revision: int
 ) -> tuple[relay_swarm.Swarm, dict[str, int]]:
-    """Returns hosts that all use a revision, and a copy that lacks it."""
+    """Returns hosts that all use a revision, and a copy without it."""
     swarm = await relay_swarm.calm_swarm(hosts)
     copy = swarm.store.platform.copy()
     await publish(swarm, revision)
@@ -49,20 +49,22 @@
     return swarm, copy
 
 
-async def obey_within(swarm: relay_swarm.Swarm, revision: int) -> None:
-    """Asserts that all hosts use a revision a second after it is confirmed."""
+async def assert_applied_within_a_second(
+    swarm: relay_swarm.Swarm, revision: int
+) -> None:
+    """Publishes a revision; asserts that all hosts use it within a second."""
     await publish(swarm, revision)
     took = await swarm.until(lambda each: each.revision == revision, 5.0)
     assertions.assert_that(took, matchers.LessThan(1.0))
 
 
 def snapshots(swarm: relay_swarm.Swarm) -> int:
-    """Returns how often hosts have read the newest records of a topic."""
+    """Returns the number of calls that read the newest records of a topic."""
     calls = swarm.store.calls.items()
     return sum(count for (_, call, _), count in calls if call == "newest")
 
 
-def test_changes_after_the_store_returned_are_in_force_within_a_second(
+def test_changes_after_restore_apply_within_a_second(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(hosts: int) -> None:
@@ -71,10 +73,10 @@
         for revision in (2, 3, 4):
             await publish(swarm, revision)
             await asyncio.sleep(1.0)
-        await return_from(swarm, copy)
+        await restore(swarm, copy)
         await asyncio.sleep(1.0)
         for revision in (5, 6, 7, 8):
-            await obey_within(swarm, revision)
+            await assert_applied_within_a_second(swarm, revision)
             assertions.assert_that(
                 [each.name for each in swarm.members if not each.is_current],
                 matchers.Equals([]),
@@ -85,13 +87,13 @@
 
 
 @pytest.mark.parametrize("hosts", SIZES)
-def test_hosts_that_restart_know_what_the_store_has_lost(
+def test_restarted_hosts_know_revision_lost_by_store(
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
-    # Also the one that reads the store for all, and then all that ask it.
+    # The restarted hosts include the one that reads the store for all others.
     async def scenario() -> None:
         swarm, copy = await swarm_ahead_of_copy(hosts, 5)
-        await return_from(swarm, copy)
+        await restore(swarm, copy)
         await asyncio.sleep(1.0)
         readers = [each for each in swarm.members if each.reads]
         for member in {*readers, *swarm.members[::3]}:
@@ -101,7 +103,7 @@
         await asyncio.sleep(0.05)
         before = max(0, *(each.revision for each in swarm.members))
         assertions.assert_that(before, matchers.Equals(5))
-        # None is current with what the store says now.
+        # No host considers the older revision in the store current.
         for _ in range(100):
             older = [
                 each.name
@@ -110,7 +112,7 @@
             ]
             assertions.assert_that(older, matchers.Equals([]))
             await asyncio.sleep(0.02)
-        await obey_within(swarm, 6)
+        await assert_applied_within_a_second(swarm, 6)
 
     relay_swarm.play(monkeypatch, scenario())
 
@@ -121,8 +123,8 @@
 )
 
 
-async def write_all(swarm: relay_swarm.Swarm) -> None:
-    """Has hosts write of a roll-out and of a quarantine, and all know it."""
+async def write_hosts_records(swarm: relay_swarm.Swarm) -> None:
+    """Creates a reverted rollout and a quarantine that all hosts know."""
     await swarm.store.publish("operator", "rollout/desk", ORDER)
     record = phases.PhaseRecord("desk", "v2", 2, phases.Phase.REVERTED)
     await swarm.store.platform.phases.put(
@@ -131,13 +133,13 @@
     swarm.store.wake()
     assert swarm.members[-1].relay is not None
     swarm.members[-1].relay.state.take_suspects([SUSPECT])
-    took = await swarm.until(knows_all)
+    took = await swarm.until(has_quarantine_and_phase)
     assertions.assert_that(took, matchers.LessThan(10.0))
     await asyncio.sleep(3.0)
 
 
-def knows_all(member: relay_swarm.Member) -> bool:
-    """Returns whether a host refuses what it should, and has the phase."""
+def has_quarantine_and_phase(member: relay_swarm.Member) -> bool:
+    """Returns whether a host has the quarantine and the rollout's phase."""
     assert member.relay is not None
     state = member.relay.state
     progress = state.router.rollouts.progress.get("desk")
@@ -146,8 +148,8 @@
     return bool(is_reverted) and "f1" in quarantined
 
 
-def written(swarm: relay_swarm.Swarm) -> dict[str, set[str]]:
-    """Returns the keys of what hosts have written, by topic."""
+def stored_keys(swarm: relay_swarm.Swarm) -> dict[str, set[str]]:
+    """Returns the keys of the records that hosts have stored_keys, by topic."""
     return {
         name: {each.key for each in swarm.store.platform.topics[name].records}
         for name in ("hosts", "phases", "status", "quarantine")
@@ -155,25 +157,29 @@
 
 
 @pytest.mark.parametrize("hosts", SIZES)
-def test_what_hosts_wrote_is_written_again_once(
+def test_lost_records_of_hosts_are_rewritten_once(
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
         swarm = await relay_swarm.calm_swarm(hosts)
         copy = swarm.store.platform.copy() | {"hosts": hosts // 2}
-        await write_all(swarm)
-        before = written(swarm)
-        await return_from(swarm, copy)
+        await write_hosts_records(swarm)
+        before = stored_keys(swarm)
+        await restore(swarm, copy)
         swarm.store.calls.clear()
         await asyncio.sleep(0.5)
         await swarm.store.publish("operator", "rollout/desk", ORDER)
         for _ in range(60):
             await asyncio.sleep(0.1)
             assertions.assert_that(
-                [each.name for each in swarm.members if not knows_all(each)],
+                [
+                    each.name
+                    for each in swarm.members
+                    if not has_quarantine_and_phase(each)
+                ],
                 matchers.Equals([]),
             )
-        assertions.assert_that(written(swarm), matchers.Equals(before))
+        assertions.assert_that(stored_keys(swarm), matchers.Equals(before))
         puts = {
             name: sum(
                 count
@@ -182,7 +188,7 @@
             )
             for name in before
         }
-        # Two hosts may read the store for a moment.
+        # Two hosts may read the store at the same time for a moment.
         assertions.assert_that(
             puts.values(), matchers.AllMatch(matchers.LessThan(3))
         )
@@ -192,53 +198,55 @@
 
 
 @attrs.define
-class Watch:
-    """Looks at hosts all the time; notes each that goes back or stops.
+class Monitor:
+    """Checks all hosts for reverted revisions and for ended leases.
 
     Attributes:
-        broken: What was seen.
+        swarm: The hosts.
+        violations: Messages on all violations.
     """
 
     swarm: relay_swarm.Swarm
-    broken: list[str] = attrs.field(factory=list)
-    _seen: dict[int, int] = attrs.field(factory=dict)
+    violations: list[str] = attrs.field(factory=list)
+    _revisions: dict[int, int] = attrs.field(factory=dict)
 
     async def run(self) -> None:
-        """Looks until cancelled."""
+        """Checks periodically until cancelled."""
         while True:
             for member in self.swarm.members:
-                self._look(member)
+                self._check(member)
             await asyncio.sleep(0.02)
 
-    def _look(self, member: relay_swarm.Member) -> None:
+    def _check(self, member: relay_swarm.Member) -> None:
         if member.relay is None:
             return
         run = id(member.relay)
-        if member.revision < self._seen.get(run, 0):
-            self.broken.append(f"{member.name} goes back")
+        if member.revision < self._revisions.get(run, 0):
+            self.violations.append(f"{member.name} uses an older revision")
         is_cut_off = member.name in self.swarm.cut_off
-        if run in self._seen and not is_cut_off and not member.is_current:
-            self.broken.append(f"{member.name} stops")
+        if run in self._revisions and not is_cut_off and not member.is_current:
+            self.violations.append(f"{member.name} is not current")
         if member.is_current:
-            self._seen[run] = member.revision
+            self._revisions[run] = member.revision
 
 
 @pytest.mark.parametrize("hosts", SIZES)
-def test_returns_in_a_row_change_nothing_for_callers(
+def test_consecutive_restores_do_not_affect_callers(
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
-    # The second one comes during the repair of the first, a third of the hosts
-    # miss both, and some hosts start again between.
+    # The second restore happens while hosts recover from the first one. A third
+    # of the hosts cannot reach the store during both, and some hosts restart in
+    # between.
     async def scenario() -> None:
         swarm, copy = await swarm_ahead_of_copy(hosts, 3)
-        watch = Watch(swarm)
-        watching = asyncio.create_task(watch.run())
+        monitor = Monitor(swarm)
+        monitoring = asyncio.create_task(monitor.run())
         swarm_troubles.third_cut_off(swarm)
-        await return_from(swarm, copy, 0.3)
+        await restore(swarm, copy, 0.3)
         swarm_troubles.third_cut_off(swarm)
         await asyncio.sleep(0.15)
         await publish(swarm, 4)
-        await return_from(swarm, copy, 0.3)
+        await restore(swarm, copy, 0.3)
         swarm_troubles.third_cut_off(swarm)
         for member in swarm.members[1::5]:
             member.stop()
@@ -248,9 +256,9 @@
         swarm.store.fault.clear()
         await asyncio.sleep(1.0)
         for revision in (5, 6):
-            await obey_within(swarm, revision)
-        watching.cancel()
-        assertions.assert_that(watch.broken, matchers.Equals([]))
+            await assert_applied_within_a_second(swarm, revision)
+        monitoring.cancel()
+        assertions.assert_that(monitor.violations, matchers.Equals([]))
         eras = {
             each.relay.state.history.era
             for each in swarm.members
@@ -262,7 +270,7 @@
 
 
 @pytest.mark.parametrize("hosts", SIZES)
-def test_hosts_that_ask_others_leave_the_older_history_within_a_second(
+def test_copying_hosts_reach_new_era_within_a_second(
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
@@ -270,17 +278,17 @@
         swarm.store.calls.clear()
         swarm.store.platform.rewind(copy)
         swarm.store.wake()
-        took = await swarm.until(has_read_the_newest, 5.0)
+        took = await swarm.until(has_newest_era, 5.0)
         assertions.assert_that(took, matchers.LessThan(1.0))
-        # At most a snapshot for each topic of those who read the store.
+        # At most one snapshot of each topic per host that reads the store.
         readers = 2 * swarm.readers() + 2
         assertions.assert_that(snapshots(swarm), matchers.LessThan(7 * readers))
 
     relay_swarm.play(monkeypatch, scenario())
 
 
-def has_read_the_newest(member: relay_swarm.Member) -> bool:
-    """Returns whether a host knows all topics in the newest history."""
+def has_newest_era(member: relay_swarm.Member) -> bool:
+    """Returns whether a host has all topics of the newest era."""
     assert member.relay is not None
     places = [each.place for each in member.relay.followers.values()]
     return all(place is not None and place.era == 1 for place in places)
--- a/tests/relay/peers/test_relay_suspects_swarm.py
+++ b/tests/relay/peers/test_relay_suspects_swarm.py
@@ -1,10 +1,10 @@
-"""A request that ends servers, at many hosts in virtual time.
+"""Simulations of a request that crashes servers, seen by many hosts.
 
-Servers that ended under one request were struck off one by one: each host saw
-an end or two of its own, and no host saw more. Once three servers have ended,
-every host has to refuse the request within three seconds; in the played day
-that failed, it was sent on 12 seconds after its third server by the host that
-had seen the first three.
+Guards against one request crashing servers one after another. Each host sees
+only one or two of the crashes, so hosts have to exchange them; once three
+servers have crashed, every host has to refuse the request within three seconds.
+In a simulated day that failed, the host that had seen the first three crashes
+still sent the request on 12 seconds after the third.
 """
 
 from __future__ import annotations
@@ -22,39 +22,39 @@
 from hoistmoor.core.relay.servers import suspect_state
 from hoistmoor.core.relay.servers import suspects
 
-# The sizes of the deployments, and the size that is planned for.
+# Sizes of the existing deployments, and the largest size planned for.
 SIZES = (7, 84, 360)
-HEARD_WITHIN = 3.0  # Seconds after the third end.
-BAD = "bad"
-BESIDE = "beside"
-BUSY = 12  # Other requests that a server has when it ends.
+DEADLINE = 3.0  # Seconds after the last crash until all hosts know of it.
+FAULTY = "bad"
+CONCURRENT = "beside"
+CONCURRENT_REQUESTS = 12  # Other requests that a server runs when it crashes.
 
 
-def end_server(
+def crash_server(
     member: relay_swarm.Member,
     server: str,
     requests: list[tuple[str, runs.Stage]],
 ) -> None:
-    """Has a host find that a server has ended, with its runs there."""
+    """Lets a host detect that a server has crashed while running requests."""
     assert member.relay is not None
     state = member.relay.state
     now = state.clock()
     state.router.fleet.put(relay_parts.entry(server))
-    found = state.router.fleet.servers[server]
+    crashed = state.router.fleet.servers[server]
     for fingerprint, stage in requests:
         begun_at = None if stage is runs.Stage.WAITING else now - 0.1
-        found.runs.add(runs.Run(fingerprint, stage, begun_at))
-    state.note_server_end(found)
+        crashed.runs.add(runs.Run(fingerprint, stage, begun_at))
+    state.note_server_end(crashed)
 
 
-def end_at_last_hosts(swarm: relay_swarm.Swarm) -> None:
-    """Has a server end at each of as many hosts as it takes."""
+def crash_servers_of_last_hosts(swarm: relay_swarm.Swarm) -> None:
+    """Crashes one server each at as many hosts as a quarantine requires."""
     for number in range(suspect_state.STARTS_TO_QUARANTINE):
         member = swarm.members[-1 - number]
-        end_server(member, f"x{number}", [(BAD, runs.Stage.BEGUN)])
+        crash_server(member, f"x{number}", [(FAULTY, runs.Stage.BEGUN)])
 
 
-def refuses(member: relay_swarm.Member, fingerprint: str = BAD) -> bool:
+def refuses(member: relay_swarm.Member, fingerprint: str = FAULTY) -> bool:
     assert member.relay is not None
     state = member.relay.state
     return state.router.suspects.is_quarantined(fingerprint, state.clock())
@@ -62,40 +62,41 @@
 
 @pytest.mark.parametrize("hosts", SIZES)
 @pytest.mark.parametrize("stage", [runs.Stage.BEGUN, runs.Stage.WAITING])
-def test_all_hosts_refuse_it_soon_after_the_third_end(
+def test_all_hosts_refuse_request_after_crashes(
     monkeypatch: pytest.MonkeyPatch, hosts: int, stage: runs.Stage
 ) -> None:
     async def scenario() -> None:
         swarm = await relay_swarm.calm_swarm(hosts)
-        draw = random.Random(hosts)
+        generator = random.Random(hosts)
         ends = suspects.ENDS_TO_QUARANTINE
         if stage is runs.Stage.BEGUN:
             ends = suspect_state.STARTS_TO_QUARANTINE
-        # No host sees two ends, and what runs beside is at all of them.
-        for number, member in enumerate(draw.sample(swarm.members, ends)):
-            end_server(member, f"x{number}", [(BAD, stage)])
-            near = draw.choice(swarm.members)
-            beside = [
-                (f"{BESIDE}{number}.{each}", runs.Stage.GIVING)
-                for each in range(BUSY)
+        # No host sees two crashes of the request; concurrent requests of other
+        # hosts are involved in each crash.
+        for number, member in enumerate(generator.sample(swarm.members, ends)):
+            crash_server(member, f"x{number}", [(FAULTY, stage)])
+            other = generator.choice(swarm.members)
+            concurrent = [
+                (f"{CONCURRENT}{number}.{each}", runs.Stage.GIVING)
+                for each in range(CONCURRENT_REQUESTS)
             ]
-            end_server(near, f"x{number}", beside)
+            crash_server(other, f"x{number}", concurrent)
             await asyncio.sleep(0.05)
         took = await swarm.until(refuses)
-        assertions.assert_that(took, matchers.LessThan(HEARD_WITHIN))
-        spared = [refuses(each, f"{BESIDE}0.0") for each in swarm.members]
-        assertions.assert_that(any(spared), matchers.Is(False))
+        assertions.assert_that(took, matchers.LessThan(DEADLINE))
+        refused = [refuses(each, f"{CONCURRENT}0.0") for each in swarm.members]
+        assertions.assert_that(any(refused), matchers.Is(False))
 
     relay_swarm.play(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize("hosts", SIZES)
-def test_hosts_that_all_start_anew_know_it_once_they_are_current(
+def test_quarantine_survives_restart_of_all_hosts(
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
         swarm = await relay_swarm.calm_swarm(hosts)
-        end_at_last_hosts(swarm)
+        crash_servers_of_last_hosts(swarm)
         await swarm.until(refuses)
         await asyncio.sleep(1.0)
         for member in swarm.members:
@@ -103,18 +104,18 @@
         for member in swarm.members:
             member.start()
         took = await swarm.until(refuses)
-        assertions.assert_that(took, matchers.LessThan(HEARD_WITHIN))
+        assertions.assert_that(took, matchers.LessThan(DEADLINE))
 
     relay_swarm.play(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize("hosts", SIZES)
-def test_one_host_writes_it_for_all(
+def test_one_host_writes_quarantine_for_all(
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
         swarm = await relay_swarm.calm_swarm(hosts)
-        end_at_last_hosts(swarm)
+        crash_servers_of_last_hosts(swarm)
         await swarm.until(refuses)
         await asyncio.sleep(5.0)
         writes = sum(
@@ -128,7 +129,7 @@
 
 
 @pytest.mark.parametrize("hosts", SIZES)
-def test_hosts_tell_one_another_while_the_store_is_away(
+def test_hosts_exchange_suspects_during_outage(
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
@@ -136,8 +137,8 @@
         swarm.store.fault[""] = "reset"
         swarm.store.wake()
         await asyncio.sleep(5.0)
-        end_at_last_hosts(swarm)
+        crash_servers_of_last_hosts(swarm)
         took = await swarm.until(refuses)
-        assertions.assert_that(took, matchers.LessThan(HEARD_WITHIN))
+        assertions.assert_that(took, matchers.LessThan(DEADLINE))
 
     relay_swarm.play(monkeypatch, scenario())
--- a/tests/relay/peers/test_relay_swarm.py
+++ b/tests/relay/peers/test_relay_swarm.py
@@ -1,7 +1,7 @@
-"""Hundreds of hosts before a store that starts, goes away and comes back.
+"""Simulations of hundreds of hosts at a start, and in outages of the store.
 
-Each scenario counts the calls to the store and the time until the last host
-is current.
+The scenarios limit the calls to the store and the time until the last host is
+current.
 """
 
 from __future__ import annotations
@@ -16,21 +16,22 @@
 
 SIZES = (31, 195)
 LARGE = 90_000  # Bytes of a configuration of 1,400 routes, compressed.
-# From one host to the size that is planned for.
-EVACUATING = (1, 9, 84, 360)
-READS = 6  # Calls a second of the host that reads for all, at the most.
+# From one host to the largest size planned for.
+EVACUATION_SIZES = (1, 9, 84, 360)
+# Maximum calls per second of the host that reads the store for all.
+READER_CALL_RATE = 6
 
 
-def assert_calls(swarm: relay_swarm.Swarm, most: float) -> None:
-    assertions.assert_that(swarm.store.total(), matchers.LessThan(most))
+def assert_calls(swarm: relay_swarm.Swarm, limit: float) -> None:
+    assertions.assert_that(swarm.store.total(), matchers.LessThan(limit))
 
 
-def assert_within(took: float, seconds: float) -> None:
-    assertions.assert_that(took, matchers.LessThan(seconds))
+def assert_within(elapsed: float, seconds: float) -> None:
+    assertions.assert_that(elapsed, matchers.LessThan(seconds))
 
 
 @pytest.mark.parametrize("hosts", SIZES)
-def test_a_first_start_takes_two_calls_a_host(
+def test_first_start_takes_two_calls_per_host(
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
@@ -51,14 +52,14 @@
         swarm = await relay_swarm.calm_swarm(hosts)
         await asyncio.sleep(10.0)
         assertions.assert_that(swarm.readers(), matchers.Equals(1))
-        assert_calls(swarm, READS * 10)
+        assert_calls(swarm, READER_CALL_RATE * 10)
 
     relay_swarm.play(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize("hosts", SIZES)
 @pytest.mark.parametrize("fault", ["reset", "silent"])
-def test_an_outage_with_restarts_ends_everywhere_within_two_seconds(
+def test_hosts_recover_from_outage_with_restarts_within_two_seconds(
     monkeypatch: pytest.MonkeyPatch, hosts: int, fault: str
 ) -> None:
     async def scenario() -> None:
@@ -66,11 +67,11 @@
         swarm.store.fault[""] = fault
         swarm.store.wake()
         for second in range(8):
-            turn = swarm.members[second::24]
-            for member in turn:
+            restarting = swarm.members[second::24]
+            for member in restarting:
                 member.stop()
             await asyncio.sleep(0.5)
-            for member in turn:
+            for member in restarting:
                 member.start()
             await asyncio.sleep(0.5)
         assert_calls(swarm, 6 * hosts + 100)
@@ -83,7 +84,7 @@
 
 
 @pytest.mark.parametrize("hosts", SIZES)
-def test_a_large_configuration_is_in_force_within_a_second(
+def test_large_configuration_applies_within_a_second(
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
@@ -98,14 +99,14 @@
 
 
 @pytest.mark.parametrize("hosts", SIZES)
-def test_hosts_that_the_store_turns_away_stay_current(
+def test_hosts_rejected_by_store_stay_current(
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
         swarm = await relay_swarm.calm_swarm(hosts)
         readers = [each for each in swarm.members if each.reads]
-        turned_away = {*swarm.members[::3], *readers}
-        for member in turned_away:
+        rejected = {*swarm.members[::3], *readers}
+        for member in rejected:
             swarm.store.fault[member.name] = "busy"
         swarm.store.wake()
         await asyncio.sleep(1.0)
@@ -117,13 +118,13 @@
             await asyncio.sleep(0.1)
             oldest = max(oldest, *(each.age for each in swarm.members))
         assert_within(oldest, 2.0)
-        assert_calls(swarm, 2 * hosts + 10 * READS)
+        assert_calls(swarm, 2 * hosts + 10 * READER_CALL_RATE)
 
     relay_swarm.play(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize("hosts", SIZES)
-def test_all_hosts_that_restart_at_once_are_current_within_a_second(
+def test_hosts_restarted_at_once_are_current_within_a_second(
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
@@ -132,8 +133,8 @@
             member.stop()
         loop = asyncio.get_running_loop()
         for number, member in enumerate(swarm.members):
-            place = number * 7 % hosts
-            loop.call_later(0.4 * place / hosts, member.start)
+            rank = number * 7 % hosts
+            loop.call_later(0.4 * rank / hosts, member.start)
         await asyncio.sleep(0.41)
         assert_within(await swarm.until(lambda each: each.is_current), 1.0)
         assert_calls(swarm, 2 * hosts)
@@ -142,13 +143,17 @@
 
 
 async def evacuate(swarm: relay_swarm.Swarm, zone: str, value: object) -> float:
-    """Returns the seconds until all hosts know the operators' word."""
+    """Evacuates a failure domain, or ends it if ``value`` is None.
+
+    Returns:
+        The seconds until all hosts have applied the change.
+    """
     await swarm.store.publish("operator", f"empty-{zone}", value)
     expected = set() if value is None else {zone}
     return await swarm.until(lambda each: each.evacuated == expected)
 
 
-@pytest.mark.parametrize("hosts", EVACUATING)
+@pytest.mark.parametrize("hosts", EVACUATION_SIZES)
 def test_an_evacuation_and_its_end_are_in_force_within_a_second(
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
@@ -161,8 +166,8 @@
     relay_swarm.play(monkeypatch, scenario())
 
 
-@pytest.mark.parametrize("hosts", EVACUATING)
-def test_hosts_that_restart_know_an_evacuation_once_they_are_current(
+@pytest.mark.parametrize("hosts", EVACUATION_SIZES)
+def test_restarted_hosts_know_evacuation_once_current(
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
@@ -182,8 +187,8 @@
     relay_swarm.play(monkeypatch, scenario())
 
 
-@pytest.mark.parametrize("hosts", EVACUATING[1:])
-def test_hosts_that_the_store_turns_away_learn_of_an_evacuation(
+@pytest.mark.parametrize("hosts", EVACUATION_SIZES[1:])
+def test_hosts_rejected_by_store_learn_of_evacuation(
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
@@ -198,10 +203,11 @@
 
 
 @pytest.mark.parametrize("hosts", [6, 84])
-def test_work_told_in_circles_does_not_grow(
+def test_work_reported_in_cycles_does_not_grow(
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
-    # While the store is away, hosts ask any others, which may ask them.
+    # During an outage, a host may copy from any other one, which may in turn
+    # copy from it.
     async def scenario() -> None:
         swarm = await relay_swarm.calm_swarm(hosts)
         swarm.store.fault[""] = "silent"
@@ -216,7 +222,7 @@
                     each.work, each.in_flight = 100.0, 1
                     most = max(most, each.told.work, each.told.requests)
         assertions.assert_that(most, matchers.GreaterThan(0.0))
-        # A host that changes its source is known at both for a moment.
+        # Work of a host that changes its source is briefly counted at both.
         assertions.assert_that(most, matchers.LessThan(3 * 100.0 * hosts))
 
     relay_swarm.play(monkeypatch, scenario())
--- a/tests/relay/peers/test_relay_tree_stateful.py
+++ b/tests/relay/peers/test_relay_tree_stateful.py
@@ -1,10 +1,10 @@
-"""Copies along the tree of hosts, under random interleavings.
+"""Stateful test of copies along a chain of hosts, with random interleavings.
 
-Three hosts pass the operators' topic on: one reads the store, the next asks
-it, the last asks that one; at times any of them reads the store. Reads and
-answers take any time on their way, a host may pause before it takes what has
-come, hosts start again, and the store comes back from an older copy. At each
-step the lease of each host must tell the truth, and no host may go back.
+Three hosts pass the operators' topic on: one reads the store, the second one
+copies from it, and the third one from the second; any of them may also read the
+store. Responses are delayed arbitrarily and applied in any order, hosts
+restart, and the store is restored from an older copy. At each step, the lease
+of each host must be justified, and no host may return to an older revision.
 """
 
 from __future__ import annotations
@@ -32,14 +32,15 @@
 from hoistmoor.relay.store import operator_listener
 from hoistmoor.relay.store import store_gate
 
-HOSTS = (0, 1, 2)  # Each asks the one before it; the first reads the store.
-FOREVER = 1e6
-NOWHERE = os.open(os.devnull, os.O_WRONLY)
+# Each host copies from the one before it; the first one reads the store.
+HOSTS = (0, 1, 2)
+NO_OUTAGE = 1e6  # Seconds since an outage that never happened.
+NULL_DESCRIPTOR = os.open(os.devnull, os.O_WRONLY)
 
 
 @attrs.define
 class Published:
-    """A revision, when the store took it, and when it lost it."""
+    """A revision, with the times at which the store accepted and lost it."""
 
     revision: int
     at: float
@@ -47,14 +48,14 @@
 
 
 @attrs.define
-class OnItsWay:
-    """A read of the store, or an answer of a host, that has not been taken.
+class PendingResponse:
+    """A response of the store or of a host that was not delivered yet.
 
     Attributes:
-        run: The run of the host that waits for it.
-        sent_at: When the question was sent.
-        batch: What the store answered; None for a host's answer.
-        answer: What a host answered, as bytes; empty for the store's.
+        run: The run of the host that sent the request.
+        sent_at: Time at which the request was sent.
+        batch: Response of the store; None for the response of a host.
+        answer: Encoded response of a host; empty for the response of the store.
     """
 
     run: Host
@@ -69,7 +70,7 @@
     def __init__(
         self, clock: relay_states.Clock, codec: relay_platform.NamedCodec
     ) -> None:
-        self.state = relay_states.fresh(clock, NOWHERE)
+        self.state = relay_states.fresh(clock, NULL_DESCRIPTOR)
         gate = store_gate.StoreGate()
         self.operator = follower.TopicFollower(
             self.state,
@@ -99,11 +100,11 @@
             gate,
             listing,
         )
-        self.newest_seen = 0
+        self.highest_revision = 0
 
 
-class Tree(stateful.RuleBasedStateMachine):
-    """Three hosts, the store, and what is on its way between them."""
+class Chain(stateful.RuleBasedStateMachine):
+    """Three hosts, the store, and the pending responses between them."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -112,25 +113,25 @@
         self.records: list[topics.Record] = []
         self.published: list[Published] = []
         self.hosts = {number: self.start() for number in HOSTS}
-        self.on_their_way: list[OnItsWay] = []
+        self.pending: list[PendingResponse] = []
         self.era = 0
         self.publish()
         for number in HOSTS:
-            self.store_answers(number)
-            self.arrive(self.on_their_way.pop())
+            self.read_store(number)
+            self.deliver(self.pending.pop())
 
     def start(self) -> Host:
-        """Returns a run of a host that has read nothing."""
+        """Returns a new run of a host, which has not read anything."""
         return Host(self.clock, self.codec)
 
     @stateful.rule(seconds=st.floats(0.01, 3.0))
-    def time_passes(self, seconds: float) -> None:
-        """Nothing happens for a while."""
+    def advance_clock(self, seconds: float) -> None:
+        """Advances the clock."""
         self.clock.now += seconds
 
     @stateful.rule()
     def publish(self) -> None:
-        """The store takes the next revision."""
+        """Writes the next revision to the store."""
         revision = len(self.published) + 1
         name = f"r{revision}".encode()
         self.codec.known[name] = relay_parts.in_force(revision)
@@ -139,8 +140,8 @@
         self.published.append(Published(revision, self.clock.now))
 
     @stateful.rule(lost=st.integers(0, 4))
-    def store_comes_back(self, lost: int) -> None:
-        """The store loses its newest records, and numbers go on anew."""
+    def restore_store(self, lost: int) -> None:
+        """Removes the newest records of the store and starts a new era."""
         self.era += 1
         kept = max(0, len(self.records) - lost)
         gone = {each.value for each in self.records[kept:]}
@@ -154,8 +155,8 @@
                 each.lost_at = self.clock.now
 
     @stateful.rule(number=st.sampled_from(HOSTS))
-    def store_answers(self, number: int) -> None:
-        """A read is sent and answered at once; it arrives when it likes."""
+    def read_store(self, number: int) -> None:
+        """Creates a response of the store, to be delivered later."""
         host = self.hosts[number]
         place = host.operator.place
         end = relay_parts.at(len(self.records), self.era)
@@ -165,50 +166,52 @@
             )
         else:
             batch = topics.Batch(tuple(self.records[place.offset :]), end)
-        self.on_their_way.append(OnItsWay(host, self.clock.now, batch))
+        self.pending.append(PendingResponse(host, self.clock.now, batch))
 
     @stateful.rule(number=st.sampled_from(HOSTS[1:]), age=st.floats(0.0, 2.0))
-    def host_answers(self, number: int, age: float) -> None:
-        """A question that was sent a while ago is answered."""
+    def request_copy(self, number: int, age: float) -> None:
+        """Creates a response to a request that a host sent earlier."""
         host, source = self.hosts[number], self.hosts[number - 1]
-        asked = peer_codec.CopyRequest(
+        request = peer_codec.CopyRequest(
             {"operator": host.operator.place},
             era=host.state.history.era,
             revision=host.state.revision,
         )
-        answer = peer_codec.encode(source.answers.answer(asked))
+        answer = peer_codec.encode(source.answers.answer(request))
         sent_at = self.clock.now - age
-        self.on_their_way.append(OnItsWay(host, sent_at, answer=answer))
+        self.pending.append(PendingResponse(host, sent_at, answer=answer))
 
-    @stateful.precondition(lambda self: self.on_their_way)
+    @stateful.precondition(lambda self: self.pending)
     @stateful.rule(data=st.data())
-    def arrives(self, data: st.DataObject) -> None:
-        """Anything that is on its way is taken."""
-        place = data.draw(st.integers(0, len(self.on_their_way) - 1))
-        self.arrive(self.on_their_way.pop(place))
-
-    def arrive(self, found: OnItsWay) -> None:
-        """Has its host take what was on its way."""
-        if found.run not in self.hosts.values():
-            return  # That run of the host has ended.
-        if found.batch is None:
-            answer = peer_codec.decode_answer(found.answer)
-            found.run.state.history.learn(answer.era, "host")
-            found.run.reader._take(answer, found.sent_at)
+    def deliver_any(self, data: st.DataObject) -> None:
+        """Delivers any of the pending responses."""
+        index = data.draw(st.integers(0, len(self.pending) - 1))
+        self.deliver(self.pending.pop(index))
+
+    def deliver(self, response: PendingResponse) -> None:
+        """Delivers a response to its host."""
+        if response.run not in self.hosts.values():
+            return  # This run of the host has ended.
+        if response.batch is None:
+            answer = peer_codec.decode_answer(response.answer)
+            response.run.state.history.learn(answer.era, "host")
+            response.run.reader._take(answer, response.sent_at)
             return
-        found.run.state.history.learn(found.batch.end.era, "store")
-        if not found.run.operator.is_ahead_of(found.batch):
-            update = follower.Update(found.batch, found.sent_at, FOREVER)
-            found.run.operator.take(update)
+        response.run.state.history.learn(response.batch.end.era, "store")
+        if not response.run.operator.is_ahead_of(response.batch):
+            update = follower.Update(
+                response.batch, response.sent_at, NO_OUTAGE
+            )
+            response.run.operator.take(update)
 
     @stateful.rule(number=st.sampled_from(HOSTS))
-    def starts_again(self, number: int) -> None:
-        """A run of a host ends, and the next begins."""
+    def restart(self, number: int) -> None:
+        """Replaces a run of a host by a new one."""
         self.hosts[number] = self.start()
 
     @stateful.invariant()
-    def leases_tell_the_truth(self) -> None:
-        """What was in force when a lease was proved is known."""
+    def leases_are_justified(self) -> None:
+        """Each host knows the revisions up to the proof of its lease."""
         for host in self.hosts.values():
             proved_at = host.state.lease.proved_at
             if proved_at is None:
@@ -223,94 +226,97 @@
             assert known >= max(due, default=0), (known, due, proved_at)
 
     @stateful.invariant()
-    def no_host_goes_back(self) -> None:
-        """A run of a host never uses an older revision again."""
+    def no_host_reverts(self) -> None:
+        """A run of a host never returns to an older revision."""
         for host in self.hosts.values():
-            found = host.state.configuration
-            revision = found.revision if found else 0
-            assert revision >= host.newest_seen
-            host.newest_seen = revision
+            configuration = host.state.configuration
+            revision = configuration.revision if configuration else 0
+            assert revision >= host.highest_revision
+            host.highest_revision = revision
 
     def teardown(self) -> None:
-        """Once each has read, all know what the store says."""
+        """Checks that all hosts are current once each has read or copied."""
         self.clock.now += 1.0
         for number in HOSTS:
-            self.store_answers(number)
-            self.arrive(self.on_their_way.pop())
+            self.read_store(number)
+            self.deliver(self.pending.pop())
         for number in HOSTS[1:]:
-            self.host_answers(number, 0.0)
-            self.arrive(self.on_their_way.pop())
-        self.leases_tell_the_truth()
-        self.no_host_goes_back()
+            self.request_copy(number, 0.0)
+            self.deliver(self.pending.pop())
+        self.leases_are_justified()
+        self.no_host_reverts()
         newest = self.records[-1].value if self.records else None
         for host in self.hosts.values():
             assert host.state.revision >= (int(newest[1:]) if newest else -1)
 
 
-PLAYED = settings(
+CHECK_SETTINGS = settings(
     max_examples=60, stateful_step_count=30, deadline=None, derandomize=True
 )
 
-# What hypothesis draws changes with the constants of any local module, so a
-# mutant may take many examples. The search ends with the first that shows it.
-SEARCHED = settings(PLAYED, max_examples=5000, report_multiple_bugs=False)
+# The examples that hypothesis generates depend on the constants of all local
+# modules, so a mutant may take many examples to detect. The search stops at the
+# first failure.
+MUTANT_SETTINGS = settings(
+    CHECK_SETTINGS, max_examples=5000, report_multiple_bugs=False
+)
 
 
-def assert_is_found() -> None:
-    """Asserts that the tree shows what was broken."""
+def assert_mutant_is_detected() -> None:
+    """Asserts that the state machine fails with a mutation in place."""
     with pytest.raises(AssertionError):
-        stateful.run_state_machine_as_test(Tree, settings=SEARCHED)
+        stateful.run_state_machine_as_test(Chain, settings=MUTANT_SETTINGS)
 
 
-def test_leases_along_the_tree_tell_the_truth() -> None:
-    stateful.run_state_machine_as_test(Tree, settings=PLAYED)
+def test_leases_along_chain_are_justified() -> None:
+    stateful.run_state_machine_as_test(Chain, settings=CHECK_SETTINGS)
 
 
-def test_an_age_that_counts_from_the_arrival_is_found(
+def test_counting_age_from_arrival_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    take = reader_lib.PeerReader._take
+    original = reader_lib.PeerReader._take
 
-    def take_as_of_now(
+    def apply_as_of_now(
         self: reader_lib.PeerReader, answer: peer_codec.CopyAnswer, _: float
     ) -> None:
-        take(self, answer, self._state.clock())
+        original(self, answer, self._state.clock())
 
-    monkeypatch.setattr(reader_lib.PeerReader, "_take", take_as_of_now)
-    assert_is_found()
+    monkeypatch.setattr(reader_lib.PeerReader, "_take", apply_as_of_now)
+    assert_mutant_is_detected()
 
 
-def test_a_source_that_forgets_the_age_of_its_copy_is_found(
+def test_ignoring_age_of_source_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(follower.TopicFollower, "age", lambda self: 0.0)
-    assert_is_found()
+    assert_mutant_is_detected()
 
 
-def test_a_copy_that_is_judged_by_its_offset_alone_is_found(
+def test_comparing_offsets_without_era_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def is_ahead_of(self: follower.TopicFollower, batch: topics.Batch) -> bool:
         return self.place is not None and batch.end.offset < self.place.offset
 
     monkeypatch.setattr(follower.TopicFollower, "is_ahead_of", is_ahead_of)
-    assert_is_found()
+    assert_mutant_is_detected()
 
 
-def test_a_host_that_takes_what_an_older_copy_has_is_found(
+def test_accepting_older_revision_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    take = operator_listener.OperatorListener._take_configuration
+    original = operator_listener.OperatorListener._take_configuration
 
-    def take_any(
+    def apply_any(
         self: operator_listener.OperatorListener,
-        found: Any,
+        candidate: Any,
         record: topics.Record,
     ) -> bool:
         self._state.configuration = None
-        return take(self, found, record)
+        return original(self, candidate, record)
 
     monkeypatch.setattr(
-        operator_listener.OperatorListener, "_take_configuration", take_any
+        operator_listener.OperatorListener, "_take_configuration", apply_any
     )
-    assert_is_found()
+    assert_mutant_is_detected()
