--- a/src/hoistmoor/relay/store/followers.py
+++ b/src/hoistmoor/relay/store/followers.py
@@ -43,8 +43,8 @@
         pause: Seconds between two reads.
         is_probe: Whether the topic is read during an outage of the store to
             detect its end.
-        is_held: Whether the first read waits until the store has answered
-            another call.
+        waits_for_store: Whether the first read waits until the store has
+            answered another call.
     """
 
     topic: ports.KeyedTopic
@@ -52,7 +52,7 @@
     wait: float
     pause: float
     is_probe: bool = False
-    is_held: bool = True
+    waits_for_store: bool = True
 
 
 @attrs.frozen
@@ -115,7 +115,7 @@
             own_listeners.hosts,
             wait=SLOW_WAIT,
             pause=HOSTS_PAUSE,
-            is_held=not yields,
+            waits_for_store=not yields,
         ),
         "quarantine": _ReadOptions(
             topics.quarantine,
@@ -134,7 +134,7 @@
             pause=each.pause,
             gate=gate,
             is_probe=each.is_probe,
-            is_held=each.is_held,
+            is_held=each.waits_for_store,
             yields=yields,
         )
         for name, each in options.items()
