--- a/src/hoistmoor/core/relay/servers/__init__.py
+++ b/src/hoistmoor/core/relay/servers/__init__.py
@@ -1,6 +1,6 @@
-"""Backend servers as this host knows them: entries, health, work.
+"""State of backend servers as seen by this host: entries, health and load.
 
-Placement and roll-outs read them; listeners and attempts change them.
+Placement and rollouts read this state; store listeners and attempts update it.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/core/relay/servers/access.py
+++ b/src/hoistmoor/core/relay/servers/access.py
@@ -1,8 +1,9 @@
-"""Whether a server may get a request of this host now, and if not, when.
+"""Decides whether a backend server is eligible for requests from this host.
 
-One table of what may keep it from a server: each row asks one belief and
-returns the seconds for which that still holds, if any. Whoever chooses a server
-asks here, and so does whoever has to tell a refused caller when to come back.
+A single ordered table lists every condition that can make a server ineligible.
+Each row returns the number of seconds for which its condition still holds, or
+a value of at most 0 if it does not. Server selection uses the table to filter
+candidates, and refusals use it to compute when the caller should retry.
 """
 
 from __future__ import annotations
@@ -19,13 +20,14 @@
     from hoistmoor.core.relay.servers import room as room_lib
     from hoistmoor.core.relay.servers import server as server_lib
 
-    _Wait = Callable[["server_lib.ServerState", float], float]
+    _WaitFunction = Callable[["server_lib.ServerState", float], float]
 
-FOR_GOOD = math.inf  # Seconds for which it holds until something is read.
+# Wait of a condition that has no known end; only new information clears it.
+FOR_GOOD = math.inf
 
 
 class Bar(enum.StrEnum):
-    """What keeps requests from a server."""
+    """Reason why a server is not eligible for requests."""
 
     GONE = "gone"
     LEAVING = "leaving"
@@ -35,18 +37,18 @@
     LIMITED = "limited"
 
 
-# These end soon and say nothing against the server's version: a session waits
-# for it rather than change its version to and fro.
+# Reasons that end soon and do not concern the server's version. A session waits
+# for them to pass; otherwise it would switch versions back and forth.
 SHORT = frozenset({Bar.RESTING, Bar.LIMITED})
 
 
 @attrs.frozen
 class Outlook:
-    """When a service whose servers may all get nothing may be tried again.
+    """Earliest time at which a service without eligible servers has one again.
 
     Attributes:
-        bar: What keeps requests from the server that may get one first.
-        wait: Seconds until then; ``FOR_GOOD`` where nothing is known to end.
+        bar: Reason that blocks the server which becomes eligible first.
+        wait: Seconds until then; ``FOR_GOOD`` if no end is known.
     """
 
     bar: Bar
@@ -54,9 +56,9 @@
 
 
 class Access:
-    """The table, for one host.
+    """Eligibility checks of one host.
 
-    It is asked for each server with each request, so its rows are cheap.
+    They run for every server on every request, so each check has to be cheap.
 
     Attributes:
         evacuated: Failure domains whose servers get no new work.
@@ -64,10 +66,10 @@
 
     def __init__(self, room: room_lib.Room) -> None:
         self.evacuated: frozenset[str] = frozenset()
-        # In this order: what is cheap to ask, and bars most, comes first.
-        self._rows: tuple[tuple[Bar, _Wait], ...] = (
-            (Bar.GONE, _wait_for_return),
-            (Bar.LEAVING, _wait_for_departure),
+        # Ordered so that the cheapest and most frequent reasons come first.
+        self._checks: tuple[tuple[Bar, _WaitFunction], ...] = (
+            (Bar.GONE, _wait_while_gone),
+            (Bar.LEAVING, _wait_while_leaving),
             (Bar.EVACUATED, self._wait_for_evacuation),
             (Bar.RESTING, _wait_for_rest),
             (Bar.COLD, room.wait_for_cold),
@@ -78,39 +80,41 @@
         self,
         state: server_lib.ServerState,
         now: float,
-        besides: Container[Bar] = (),
+        ignored: Container[Bar] = (),
     ) -> bool:
-        """Returns whether a server may get a request now.
+        """Returns whether a server may receive a request now.
 
         Args:
             state: The server.
-            now: Steady time.
-            besides: What does not count.
+            now: Monotonic time.
+            ignored: Reasons that are not taken into account.
         """
-        for bar, wait in self._rows:
-            if wait(state, now) > 0.0 and bar not in besides:
+        for bar, wait in self._checks:
+            if wait(state, now) > 0.0 and bar not in ignored:
                 return False
         return True
 
     def outlook(
         self, servers: Iterable[server_lib.ServerState], now: float
     ) -> Outlook | None:
-        """Returns when the first of some servers may get a request.
+        """Returns when the first of the servers becomes eligible.
 
-        None where one may get it now, or where there is none.
+        Returns None if one is eligible now, or if there are no servers.
         """
-        found = None
-        for each in servers:
-            if self.may_get(each, now):
+        earliest = None
+        for server in servers:
+            if self.may_get(server, now):
                 return None
-            longest = self._longest(each, now)
-            if found is None or longest.wait < found.wait:
-                found = longest
-        return found
+            longest = self._longest_wait(server, now)
+            if earliest is None or longest.wait < earliest.wait:
+                earliest = longest
+        return earliest
 
-    def _longest(self, state: server_lib.ServerState, now: float) -> Outlook:
-        waits = [Outlook(bar, wait(state, now)) for bar, wait in self._rows]
-        return max(waits, key=lambda each: each.wait)
+    def _longest_wait(
+        self, state: server_lib.ServerState, now: float
+    ) -> Outlook:
+        waits = [Outlook(bar, wait(state, now)) for bar, wait in self._checks]
+        return max(waits, key=lambda outlook: outlook.wait)
 
     def _wait_for_evacuation(
         self, state: server_lib.ServerState, now: float
@@ -120,11 +124,11 @@
         return FOR_GOOD if state.entry.zone in self.evacuated else 0.0
 
 
-def _wait_for_return(state: server_lib.ServerState, now: float) -> float:
+def _wait_while_gone(state: server_lib.ServerState, now: float) -> float:
     return FOR_GOOD if state.is_gone(now) else 0.0
 
 
-def _wait_for_departure(state: server_lib.ServerState, now: float) -> float:
+def _wait_while_leaving(state: server_lib.ServerState, now: float) -> float:
     return FOR_GOOD if state.leaves(now) else 0.0
 
 
--- a/src/hoistmoor/core/relay/servers/departure_words.py
+++ b/src/hoistmoor/core/relay/servers/departure_words.py
@@ -1,9 +1,12 @@
-"""What hosts tell one another of starts of servers that leave, once each.
+"""Gossip between hosts about backend servers that are shutting down.
 
-A leaving server's end cuts what runs on it, so a host is better off to know of
-it before an answer of its own. The load that it answers: a roll-out by which
-100 of 1,000 servers leave within seconds, before 360 hosts that write to each
-other three times a second over links of 10 Mbit/s.
+When a leaving server exits, its running requests are aborted. Hosts therefore
+tell one another as soon as one of them learns of a departure, instead of each
+waiting for a response from the server itself. Every departure is sent once per
+receiver.
+
+Sized for a rollout in which 100 of 1,000 servers leave within seconds, with 360
+hosts that exchange messages three times a second over 10 Mbit/s links.
 """
 
 from __future__ import annotations
@@ -15,59 +18,72 @@
 if TYPE_CHECKING:
     from hoistmoor.core.relay.servers import serials as serials_lib
 
-MOST_TOLD = 64  # Words in one message: 3 KB; the rest follows with the next.
-# Words that are kept, and seconds for which they are told. A server that leaves
-# ends within seconds or minutes; then nobody chooses it in any case.
+# Departures in one message (3 KB); the remainder follows in the next one.
+MOST_TOLD = 64
+# Departures that are stored.
 MOST_KEPT = 2048
+# Seconds for which a departure is sent to other hosts. A leaving server exits
+# within seconds or minutes and is not selected after that anyway.
 LIFE = 600.0
 
-Ages = dict[str, float]  # Seconds since the first word, by server's identity.
+# Seconds since the first report of each departure, by server identity.
+Ages = dict[str, float]
 
 
 @attrs.define
-class _Word:
+class _Departure:
     identity: str
     at: float
     serial: int
 
 
 class DepartureWords:
-    """What this host has heard of starts that leave, from anybody."""
+    """Departures known to this host, from any source."""
 
     def __init__(self, serials: serials_lib.Serials) -> None:
         self._serials = serials
-        self._words: dict[str, _Word] = {}  # Oldest change first.
+        # Insertion order is change order, oldest first.
+        self._departures: dict[str, _Departure] = {}
 
     def note(self, identity: str, at: float) -> bool:
-        """Notes that a start leaves; returns whether that is news.
+        """Records that a server is leaving; returns whether that was unknown.
 
         Args:
-            identity: Stands for the start.
-            at: Steady time of the answer that said so.
+            identity: Identity of the server's incarnation.
+            at: Monotonic time of the response that announced the departure.
         """
-        if identity in self._words:
+        if identity in self._departures:
             return False
-        self._words[identity] = _Word(identity, at, self._serials.take())
-        if len(self._words) > MOST_KEPT:
-            del self._words[next(iter(self._words))]
+        self._departures[identity] = _Departure(
+            identity, at, self._serials.take()
+        )
+        if len(self._departures) > MOST_KEPT:
+            del self._departures[next(iter(self._departures))]
         return True
 
     def said_at(self, identity: str) -> float | None:
-        """Returns the steady time at which a start said so, if it did."""
-        word = self._words.get(identity)
-        return None if word is None else word.at
+        """Returns when an incarnation announced its departure, if it did."""
+        departure = self._departures.get(identity)
+        return None if departure is None else departure.at
 
     def forget(self, identity: str) -> None:
-        """Forgets a start: another one has its name."""
-        self._words.pop(identity, None)
+        """Drops a departure once a new incarnation has taken the server id."""
+        self._departures.pop(identity, None)
 
     def news(self, after: int, now: float) -> tuple[Ages, int]:
-        """Returns what is new, oldest first, and up to which serial.
+        """Returns unsent departures, oldest first, and the last serial covered.
 
         Args:
-            after: Serial up to which it was told already.
-            now: Steady time.
+            after: Serial up to which the receiver is up to date.
+            now: Monotonic time.
         """
-        live = (each for each in self._words.values() if now - each.at <= LIFE)
+        live = (
+            departure
+            for departure in self._departures.values()
+            if now - departure.at <= LIFE
+        )
         new, until = self._serials.batch(live, after, MOST_TOLD)
-        return {each.identity: round(now - each.at, 3) for each in new}, until
+        return {
+            departure.identity: round(now - departure.at, 3)
+            for departure in new
+        }, until
--- a/src/hoistmoor/core/relay/servers/departures.py
+++ b/src/hoistmoor/core/relay/servers/departures.py
@@ -1,37 +1,39 @@
-"""That a start of a backend server leaves, by its own word.
+"""Whether a backend server has announced in a response that it is leaving.
 
-A server that is about to end says so in its answers, at times long before the
-store lists it as leaving. What it says holds for that start of it, for good:
-whatever the store says later was said before, or by nobody.
+A server that is about to exit says so in its responses, sometimes long before
+the store lists it as leaving. The announcement is final for that incarnation. A
+store entry that is read later and does not mention it was written earlier, or
+not by that server, and does not revoke it.
 """
 
 from __future__ import annotations
 
 import attrs
 
-# Seconds after its newest word for which a start is taken for leaving that
-# tells no time of its birth: by then another start may have the same name.
+# Seconds after the latest announcement for which an incarnation without a known
+# start time counts as leaving. After that, the same identity may belong to a
+# new incarnation.
 UNDATED_LIFE = 600.0
 
 
 @attrs.define
 class DepartureBelief:
-    """What this host believes of one start of a server.
+    """Departure of one incarnation of a server, as known to this host.
 
     Attributes:
-        said_at: Steady time of the answer, to whichever host, that said so
-            first; None while none did.
-        heard_at: Steady time of the newest such answer.
+        said_at: Monotonic time of the first response, to any host, that
+            announced the departure; None if there was none.
+        heard_at: Monotonic time of the latest such response.
     """
 
     said_at: float | None = None
     heard_at: float = float("-inf")
 
     def note(self, at: float) -> bool:
-        """Notes that an answer said so; returns whether that is news.
+        """Records an announcement; returns whether it is the first one.
 
         Args:
-            at: Steady time of the answer.
+            at: Monotonic time of the response.
         """
         is_news = self.said_at is None
         if self.said_at is None or at < self.said_at:
@@ -40,11 +42,11 @@
         return is_news
 
     def holds(self, born: int | None, now: float) -> bool:
-        """Returns whether the server leaves.
+        """Returns whether the server counts as leaving.
 
         Args:
-            born: When its start was; None if it tells none.
-            now: Steady time.
+            born: Start time of the incarnation; None if it reports none.
+            now: Monotonic time.
         """
         if self.said_at is None:
             return False
--- a/src/hoistmoor/core/relay/servers/fleet.py
+++ b/src/hoistmoor/core/relay/servers/fleet.py
@@ -1,4 +1,4 @@
-"""All backend servers that are listed, and which of them may get work now."""
+"""Listed backend servers and selection of those that may receive new work."""
 
 from __future__ import annotations
 
@@ -17,33 +17,37 @@
 if TYPE_CHECKING:
     from collections.abc import Container, Iterable, Iterator
 
-# Seconds after which the other hosts' own word of their work counts no more.
+# Seconds after which the work reported by other hosts is ignored.
 WORK_LIFE = 2.0
-# Seconds that a server whose entry lapsed while the store was away is kept:
-# the store lists those that live again within about two seconds.
+# Seconds for which a server is kept if its entry disappeared during a store
+# outage. The store lists live servers again within about two seconds.
 LAPSE_GRACE = 2.0
-FULL_REST = 0.25  # Seconds without new work for a server that had no room.
-# Seconds without new work for a server that took no connection, and doubled
-# each time that it takes none after them. A server that died has no work, so
-# that it looks the least busy to all hosts.
+# Seconds without new work for a server that rejected a request as full.
+FULL_REST = 0.25
+# Seconds without new work for a server that accepts no connection, doubled on
+# each further failure up to the maximum. A crashed server has no work and
+# therefore looks like the least loaded one to every host.
 UNREACHABLE_REST = 1.0
 LONGEST_UNREACHABLE_REST = 8.0
-# Servers that went whose last entries are kept, so that a heartbeat which is
-# read late does not list them again. Entries are read some seconds late at
-# most, and in that time no more than these go.
+# Removed servers whose last entries are kept, so that a delayed heartbeat does
+# not list them again. Entries are read a few seconds late at most, and no more
+# servers than this are removed within that time.
 MOST_REMOVED = 2000
-# Seconds without work for a server at whose address another one answers. It
-# has ended, and its entry goes after three heartbeats of 1.2 s.
+# Seconds without new work for a server whose address now belongs to another
+# one. It has exited, and its entry is removed after three missed heartbeats of
+# 1.2 s.
 ABSENT = 4.0
-MAX_RESTING = 0.5  # Part of a service's servers that may rest as outliers.
+# Largest fraction of a service's servers that may be ejected as outliers.
+MAX_RESTING = 0.5
 
 
-def _is_same_server(
+def _is_same_incarnation(
     known: server_lib.ServerEntry, entry: server_lib.ServerEntry
 ) -> bool:
-    """Returns whether two entries are of one start of a server.
+    """Returns whether two entries belong to one incarnation of a server.
 
-    A start keeps its address, also where it tells no time of its birth.
+    An incarnation keeps its address, which also tells incarnations apart that
+    report no start time.
     """
     return (known.identity, known.service, known.address) == (
         entry.identity,
@@ -52,46 +56,47 @@
     )
 
 
-def _following(
-    before: server_lib.ServerState | None,
+def _state_after(
+    previous: server_lib.ServerState | None,
     entry: server_lib.ServerEntry,
     now: float,
 ) -> server_lib.ServerState:
-    """Returns the state of a start that is listed.
+    """Returns the state of a newly listed incarnation.
 
     Args:
-        before: The start that was last listed by its name; None for none.
-        entry: Its entry.
-        now: Steady time.
+        previous: The incarnation last listed under the server id; None if
+            there was none.
+        entry: The new entry.
+        now: Monotonic time.
     """
-    if before is None:
+    if previous is None:
         return server_lib.ServerState(entry)
-    if _is_same_server(before.entry, entry):
-        return before.listed_again(entry)
+    if _is_same_incarnation(previous.entry, entry):
+        return previous.listed_again(entry)
     return server_lib.ServerState(entry, followed_at=now)
 
 
 class Fleet:
-    """All backend servers that are listed.
+    """All listed backend servers.
 
     Attributes:
-        servers: By id.
-        access: Whether a server may get a request now.
-        warmups: How servers warm up.
-        shares: This host's part of what all hosts may send to one server.
-        departures: Starts of servers that leave, as other hosts are told.
-        longest_rest: Seconds that a server may ask this host to leave it
-            alone.
+        servers: Servers by id.
+        access: Eligibility checks.
+        warmups: Warm-up policies of the services.
+        shares: This host's share of the requests that all hosts together may
+            send to one server.
+        departures: Leaving servers, for exchange with other hosts.
+        longest_rest: Maximum rest in seconds that a server may request.
     """
 
     def __init__(
         self, own: str = "", serials: serials_lib.Serials | None = None
     ) -> None:
-        """Makes an empty fleet.
+        """Creates an empty fleet.
 
         Args:
             own: Name of this host.
-            serials: Number what other hosts are told once; None for its own.
+            serials: Source of change serials; None to use a private one.
         """
         self.servers: dict[str, server_lib.ServerState] = {}
         self.warmups = warmup_lib.Warmups()
@@ -103,7 +108,7 @@
         self._room = room_lib.Room(self.warmups, self.shares)
         self.access = access_lib.Access(self._room)
         self._by_service: dict[str, dict[str, server_lib.ServerState]] = {}
-        # Servers that went, as they were last known, oldest first.
+        # Last known state of removed servers, oldest first.
         self._removed: dict[str, server_lib.ServerState] = {}
 
     @property
@@ -116,37 +121,38 @@
         return iter(tuple(self.servers.values()))
 
     def is_returned(self, entry: server_lib.ServerEntry) -> bool:
-        """Returns whether an older copy of the store brought an entry back.
+        """Returns whether an entry was resurrected by an outdated store copy.
 
-        The server has left since, or has said more. Of one start the lower
-        number, or the same one, tells nothing new; a server that lives writes a
-        higher one with its next heartbeat.
+        Within one incarnation, an entry whose sequence number does not exceed
+        the newest known one is outdated: the server has been removed or has
+        written another entry since. A live server writes a higher number with
+        its next heartbeat.
         """
         listed = self.servers.get(entry.server_id)
         if listed is not None and listed.entry == entry:
             return False
         newest = listed or self._removed.get(entry.server_id)
-        if newest is None or not _is_same_server(newest.entry, entry):
+        if newest is None or not _is_same_incarnation(newest.entry, entry):
             return False
         return entry.sequence <= newest.entry.sequence
 
     def put(self, entry: server_lib.ServerEntry, now: float = 0.0) -> bool:
-        """Takes an entry; returns whether it changes what to do.
+        """Stores an entry; returns whether that changed anything.
 
-        Another start of a server is a new server, of which nothing is known
-        but its entry. What an older start wrote changes nothing, however late
-        it is read.
+        A new incarnation of a server starts from a clean state. Entries of
+        older incarnations are ignored, however late they are read.
 
         Args:
             entry: The entry.
-            now: Steady time; an entry that says that the server is cold was
-                written before, so the server is warm by the time it says.
+            now: Monotonic time. The remaining warm-up time in the entry is
+                counted from here; the entry was written earlier, so the server
+                is certainly warm by then.
         """
         known = self.servers.get(entry.server_id)
         newest = known or self._removed.get(entry.server_id)
         if newest is not None and entry.is_older_than(newest.entry):
             return False
-        if known is None or not _is_same_server(known.entry, entry):
+        if known is None or not _is_same_incarnation(known.entry, entry):
             self._replace(known, entry, now)
             self._note_cold(entry, now)
             return True
@@ -162,20 +168,20 @@
             state.cold_until = max(state.cold_until, now + entry.warm_in)
 
     def find(self, identity: str) -> server_lib.ServerState | None:
-        """Returns the server with an identity, if its start is known."""
+        """Returns the server with an identity, or None if it is not listed."""
         found = self.servers.get(server_lib.id_of(identity))
         is_it = found is not None and found.entry.identity == identity
         return found if is_it else None
 
     def note_departure(self, identity: str, at: float) -> bool:
-        """Notes that a start of a server leaves; returns whether it is news.
+        """Records that a server is leaving; returns whether that was unknown.
 
-        Its entry may be read later than that. What is said of a start that
-        another one has followed is no news.
+        The announcement may arrive before the server's entry is read.
+        Announcements of incarnations that have been replaced are ignored.
 
         Args:
-            identity: Stands for the start.
-            at: Steady time of the answer that said so.
+            identity: Identity of the incarnation.
+            at: Monotonic time of the response that announced the departure.
         """
         server_id = server_lib.id_of(identity)
         newest = self.servers.get(server_id) or self._removed.get(server_id)
@@ -188,29 +194,32 @@
         return (server.departure.note(at) if server else False) or is_news
 
     def evacuate(self, zones: frozenset[str], now: float) -> None:
-        """Takes which failure domains get no new work from now on.
+        """Sets the failure domains that get no new work from now on.
 
-        Where that ends, servers count as cold until they certainly are not:
-        their own word of it comes a heartbeat later.
+        When an evacuation ends, the servers of that failure domain count as
+        cold for a full warm-up period, because their own report of being cold
+        only arrives with the next heartbeat.
         """
-        ended = self.access.evacuated - zones
+        reopened = self.access.evacuated - zones
         self.access.evacuated = zones
-        for each in self:
-            warmup = self.warmups.of(each.entry.service)
-            if warmup is not None and each.entry.zone in ended:
-                each.cold_until = max(each.cold_until, now + warmup.duration)
+        for server in self:
+            warmup = self.warmups.of(server.entry.service)
+            if warmup is not None and server.entry.zone in reopened:
+                server.cold_until = max(
+                    server.cold_until, now + warmup.duration
+                )
 
     def doubt(
         self, state: server_lib.ServerState, now: float, draw: float
     ) -> None:
-        """Notes that a server took no connection.
+        """Records that a server accepted no connection.
 
-        It may come back cold some time before that is read. The hosts' doubts
-        end at different times, so that they do not all try it together.
+        It may restart cold some time before its new entry is read. The
+        duration is randomised so that hosts do not all retry it together.
 
         Args:
             state: The server.
-            now: Steady time.
+            now: Monotonic time.
             draw: Random number, 0 to 1.
         """
         warmup = self.warmups.of(state.entry.service)
@@ -218,10 +227,10 @@
             state.doubted_until = now + warmup.duration * (1.0 + draw)
 
     def outlook(self, service: str, now: float) -> access_lib.Outlook | None:
-        """Returns when a service's first server may get a request.
+        """Returns when the first server of a service becomes eligible.
 
-        None where one may get it now: then something else keeps requests from
-        it, if anything does.
+        Returns None if one is eligible now; if no server was selected
+        nevertheless, the cause lies elsewhere.
         """
         return self.access.outlook(self._servers_of(service), now)
 
@@ -233,10 +242,10 @@
     ) -> None:
         if known is not None:
             self.remove(entry.server_id)
-        before = self._removed.pop(entry.server_id, None)
-        state = _following(before, entry, now)
-        if before is not None and state.departure is not before.departure:
-            self.departures.forget(before.entry.identity)
+        previous = self._removed.pop(entry.server_id, None)
+        state = _state_after(previous, entry, now)
+        if previous is not None and state.departure is not previous.departure:
+            self.departures.forget(previous.entry.identity)
         said_at = self.departures.said_at(entry.identity)
         if said_at is not None:
             state.departure.note(said_at)
@@ -244,17 +253,17 @@
         pool = self._by_service.setdefault(entry.service, {})
         pool[entry.server_id] = state
 
-    def _forget(self, state: server_lib.ServerState) -> None:
+    def _unlist(self, state: server_lib.ServerState) -> None:
         server_id = state.entry.server_id
         del self.servers[server_id]
         del self._by_service[state.entry.service][server_id]
 
     def remove(self, server_id: str) -> bool:
-        """Forgets a server; returns whether it was known."""
+        """Removes a server; returns whether it was listed."""
         state = self.servers.get(server_id)
         if state is None:
             return False
-        self._forget(state)
+        self._unlist(state)
         self._removed.pop(server_id, None)
         self._removed[server_id] = state
         if len(self._removed) > MOST_REMOVED:
@@ -262,63 +271,63 @@
         return True
 
     def lapse(self, server_id: str, until: float) -> None:
-        """Notes that an entry is missing, maybe because the store was away.
+        """Records that an entry is missing, possibly due to a store outage.
 
         Args:
             server_id: The server.
-            until: Steady time from which it is taken as gone.
+            until: Monotonic time from which the server counts as gone.
         """
         state = self.servers.get(server_id)
         if state is not None and state.lapsed_until is None:
             state.lapsed_until = until
 
     def own_work(self) -> outstanding.WorkByServer:
-        """Returns this host's work by engine's identity, if it has any."""
+        """Returns this host's outstanding work at engines, by identity."""
         return {
-            each.entry.identity: outstanding.ServerWork(
-                round(each.work), each.in_flight
+            server.entry.identity: outstanding.ServerWork(
+                round(server.work), server.in_flight
             )
-            for each in self.servers.values()
-            if each.work > 0.0
+            for server in self.servers.values()
+            if server.work > 0.0
         }
 
     def take_others_work(
         self, work: outstanding.WorkByServer, now: float
     ) -> None:
-        """Takes the work of all other hosts, by server's identity."""
-        for each in self.servers.values():
-            each.told = work.get(each.entry.identity, outstanding.NOTHING)
-            each.told_until = now + WORK_LIFE
+        """Sets the outstanding work of all other hosts, by identity."""
+        for server in self.servers.values():
+            server.told = work.get(server.entry.identity, outstanding.NOTHING)
+            server.told_until = now + WORK_LIFE
 
     def drop_lapsed(self, now: float) -> list[str]:
-        """Forgets servers missing for too long; returns their ids."""
-        gone = [
-            each.entry.server_id
-            for each in self
-            if each.lapsed_until is not None and now >= each.lapsed_until
+        """Removes servers whose grace period has ended; returns their ids."""
+        expired = [
+            server.entry.server_id
+            for server in self
+            if server.lapsed_until is not None and now >= server.lapsed_until
         ]
-        for server_id in gone:
+        for server_id in expired:
             self.remove(server_id)
-        return gone
+        return expired
 
     def usable(
         self,
         service: str,
         now: float,
-        besides: Container[access_lib.Bar] = (),
+        ignored: Container[access_lib.Bar] = (),
     ) -> list[server_lib.ServerState]:
-        """Returns the servers of a service that nothing keeps work from.
+        """Returns the servers of a service that are eligible for work.
 
         Args:
             service: The service.
-            now: Steady time.
-            besides: What does not count that keeps work from servers.
+            now: Monotonic time.
+            ignored: Reasons for ineligibility that are not taken into account.
         """
         may_get = self.access.may_get
         return [
-            each
-            for each in self._servers_of(service)
-            if may_get(each, now, besides)
+            server
+            for server in self._servers_of(service)
+            if may_get(server, now, ignored)
         ]
 
     def ready(
@@ -329,48 +338,51 @@
         now: float,
         draw: float,
     ) -> list[server_lib.ServerState]:
-        """Returns those of the usable servers that may get new work.
+        """Returns the candidates for new work among the eligible servers.
 
         Outliers and full servers are left out while enough others remain.
 
         Args:
-            usable: Servers that nothing keeps work from.
-            versions: Versions that they may have.
-            excluded: Identities of servers that must not be chosen.
-            now: Steady time.
-            draw: Random number of the request, 0 to 1; servers that come back
-                from a rest are for those with a small one.
+            usable: Eligible servers.
+            versions: Versions that may be selected.
+            excluded: Identities of servers that must not be selected.
+            now: Monotonic time.
+            draw: Random number of the request, 0 to 1. While a server ramps up
+                after a rest, only requests with a small number may select it.
         """
         pool = [
-            each
-            for each in usable
-            if each.entry.version in versions
-            and each.entry.identity not in excluded
+            server
+            for server in usable
+            if server.entry.version in versions
+            and server.entry.identity not in excluded
         ]
-        # While others are left, a server that may come back cold is tried by
-        # those hosts alone that may send to cold ones, and one that comes back
-        # from a rest by a part of the requests.
-        tried = [
-            each
-            for each in pool
-            if (now >= each.doubted_until or self._room.has_for_cold(each, now))
-            and draw <= each.rest.part_back(now)
+        # As long as other servers remain, a server that may have restarted cold
+        # is only retried by hosts with a quota for cold servers, and a server
+        # that ramps up after a rest only gets a fraction of the requests.
+        preferred = [
+            server
+            for server in pool
+            if (
+                now >= server.doubted_until
+                or self._room.has_for_cold(server, now)
+            )
+            and draw <= server.rest.part_back(now)
         ]
-        pool = tried or pool
-        for each in pool:
-            each.health.wake(now)
-        sound = [each for each in pool if not each.health.is_resting]
-        return sound if len(sound) >= len(pool) * MAX_RESTING else pool
+        pool = preferred or pool
+        for server in pool:
+            server.health.wake(now)
+        healthy = [server for server in pool if not server.health.is_resting]
+        return healthy if len(healthy) >= len(pool) * MAX_RESTING else pool
 
     def versions(
         self,
         service: str,
         now: float,
-        besides: Container[access_lib.Bar] = (),
+        ignored: Container[access_lib.Bar] = (),
     ) -> set[str]:
-        """Returns the versions of those; see ``usable``."""
-        usable = self.usable(service, now, besides)
-        return {each.entry.version for each in usable}
+        """Returns the versions of the eligible servers; see ``usable``."""
+        usable = self.usable(service, now, ignored)
+        return {server.entry.version for server in usable}
 
     def _servers_of(self, service: str) -> Iterable[server_lib.ServerState]:
         return self._by_service.get(service, {}).values()
--- a/src/hoistmoor/core/relay/servers/limit_words.py
+++ b/src/hoistmoor/core/relay/servers/limit_words.py
@@ -1,7 +1,7 @@
-"""What hosts tell one another of the servers' limits, with each question.
+"""Gossip between hosts about the rate limits of backend servers.
 
-Words that are older than what a host knows change nothing, so all are told
-each time, and none needs to be remembered as told.
+Limits are sent with every message. Receivers ignore those that are older than
+what they already know, so senders need not track what each receiver has seen.
 """
 
 from __future__ import annotations
@@ -19,8 +19,9 @@
     from hoistmoor.core.relay.servers import fleet as fleet_lib
     from hoistmoor.core.relay.servers import limits
 
-# Newest words in a message: 50 bytes each, three times a second both ways. A
-# host that is not told learns from its own first answer.
+# Limits in a message, newest first: 50 bytes each, three times a second in both
+# directions. A host that is not told learns the limit from its own first
+# response.
 MOST_TOLD = 32
 
 LimitWords = dict[str, "limits.LimitWord"]
@@ -28,11 +29,11 @@
 
 @attrs.frozen
 class LimitNews:
-    """A change of a server's limit.
+    """A change of a server's rate limit.
 
     Attributes:
         server: The server.
-        before: Its limit until then; None for none.
+        before: The previous limit; None if there was none.
     """
 
     server: server_lib.ServerState
@@ -40,11 +41,11 @@
 
 
 def told_by(fleet: fleet_lib.Fleet, now: float) -> LimitWords:
-    """Returns the words of a host, by the server's identity."""
+    """Returns the limits that this host sends, by server identity."""
     words = {
-        each.entry.identity: word
-        for each in fleet
-        if (word := each.limit.word(now)) is not None
+        server.entry.identity: word
+        for server in fleet
+        if (word := server.limit.word(now)) is not None
     }
     if len(words) <= MOST_TOLD:
         return words
@@ -59,19 +60,19 @@
     words: Mapping[str, limits.LimitWord],
     now: float,
 ) -> list[LimitNews]:
-    """Takes another host's words; returns what changed.
+    """Merges the limits sent by another host; returns the changes.
 
     Args:
         fleet: The servers.
-        words: By the server's identity.
-        now: Steady time at which their ages are counted.
+        words: Limits by server identity.
+        now: Monotonic time to which the ages in ``words`` refer.
     """
-    news = []
+    changes = []
     for identity, word in words.items():
         server = fleet.find(identity)
         if server is None:
             continue
         before = server.limit.rate
         if server.limit.take(word, now):
-            news.append(LimitNews(server, before))
-    return news
+            changes.append(LimitNews(server, before))
+    return changes
--- a/src/hoistmoor/core/relay/servers/limits.py
+++ b/src/hoistmoor/core/relay/servers/limits.py
@@ -1,16 +1,18 @@
-"""The rate that a backend server in need takes from all hosts together.
+"""Rate limits that overloaded backend servers impose on all hosts together.
 
-It names it in its answers, for as long as it holds. A few hosts send to it
-then, each a fixed number in a window (``shares``), so that the sum keeps to
-the rate with no word between the hosts. What an answer named is told to all
-hosts, so that those which send nothing learn that a limit has begun or ended.
+A server names its limit in its responses for as long as the limit applies. Only
+a few hosts then send to it, each a fixed number of requests per window (see
+``shares``), so that the total stays within the limit without coordination
+between the hosts. Every limit seen in a response is gossiped to all hosts, so
+that hosts which send nothing also learn when a limit begins or ends.
 
-The load that it answers: two of six engines name some two requests a second,
-and 7, 84 or 360 hosts have 35 to 850 requests a second for all of them. Left to
-the hosts, such an engine got 55 to 80 in four seconds where 15 are allowed.
+Sized for two of six engines that each name a limit of about two requests a
+second, while 7, 84 or 360 hosts have 35 to 850 requests a second for all six.
+Without coordination, such an engine got 55 to 80 requests in four seconds where
+15 are allowed.
 
-Answers may overtake one another, so one that names no limit proves only that
-there was none when its request was sent.
+Responses may arrive out of order. A response that names no limit therefore only
+proves that there was none when its request was sent.
 """
 
 from __future__ import annotations
@@ -22,39 +24,44 @@
 if TYPE_CHECKING:
     from hoistmoor.core.relay.servers import shares
 
-# Part of the rate that the hosts' parts add up to. Hosts whose lists lack a
-# fifth of the others take a quarter more. Of 1.7 a second 0.83 are used, and
-# with a third of the hosts down 0.6 (mean of ten simulated runs of 40 s).
+# Fraction of the limit that the hosts' quotas add up to. Hosts whose host lists
+# lack a fifth of the others send a quarter more. Of a limit of 1.7 requests a
+# second 0.83 are used, and 0.6 with a third of the hosts down (mean of ten
+# simulated runs of 40 s).
 USED = 0.95
-# Hosts that share a limit: so many for each request a second, and a few more.
-# All may send at one moment, after a lull: 12 and 137 requests came in four
-# seconds for 1.7 and 30 a second, with lists that lack a fifth. Few hosts each
-# wait long for their next caller, with nothing sent, and may all be down.
+# Number of hosts that share a limit: this many per request a second, plus
+# MORE_HOSTS. More hosts cause bursts, because all of them may send at the same
+# moment after a lull: 12 and 137 requests arrived within four seconds at limits
+# of 1.7 and 30 a second, with host lists that lack a fifth. With fewer hosts,
+# each may wait long for its next caller while nothing is sent, and all of them
+# may be down.
 HOSTS_PER_RATE = 1.5
 MORE_HOSTS = 2
-# Requests a second, at least, that a limit is taken for: a server that takes
-# none is asked now and then, as nobody would see that its limit has ended.
+# Lower bound of a limit, in requests a second. A server that accepts nothing is
+# still probed now and then, because the end of its limit would go unnoticed.
 LEAST_RATE = 0.05
-# Mean pauses between two requests of all hosts, and seconds, after which other
-# hosts are chosen where no answer came: those that were may be down.
+# Time without a response after which other hosts are selected, as the current
+# ones may be down: SILENT seconds plus this many mean intervals between the
+# requests of all hosts.
 SILENT_PAUSES = 2.0
 SILENT = 3.0
-# Seconds for which the end of a limit is told. Other hosts hear of it within
-# two, and what they tell of it meanwhile is older.
+# Seconds for which the end of a limit is gossiped. Other hosts learn of it
+# within two seconds; the limit they still gossip meanwhile is older.
 END_TOLD = 10.0
-# Seconds by which a word that says the same must be newer. It comes back from
-# the host that was told, older by the time that it was on its way.
+# Seconds by which a message with an unchanged limit must be newer to be
+# accepted. A message that is echoed by its receiver appears newer by the
+# network delay.
 SAME_WORD = 0.25
 
 
 @attrs.frozen
 class LimitWord:
-    """What one host tells another of a server's limit.
+    """A server's rate limit as hosts send it to one another.
 
     Attributes:
-        rate: Requests a second; None if the server names no limit any more.
-        turn: How often other hosts were chosen for the server.
-        age: Seconds since an answer said so.
+        rate: Requests a second; None if the server no longer has a limit.
+        turn: How often the set of hosts that send to the server has changed.
+        age: Seconds since the response that named the limit.
     """
 
     rate: float | None
@@ -64,13 +71,14 @@
 
 @attrs.define
 class LimitBelief:
-    """What this host believes of one server's limit.
+    """Rate limit of one server, as known to this host.
 
     Attributes:
         rate: Requests a second from all hosts together; None for no limit.
-        at: Steady time of the answer, to whichever host, that it rests on.
-        turn: How often other hosts had been chosen for the server then.
-        told_until: Steady time until which the end of a limit is told.
+        at: Monotonic time of the underlying response, to any host.
+        turn: How often the set of hosts that send to the server had changed
+            by then.
+        told_until: Monotonic time until which the end of a limit is gossiped.
     """
 
     rate: float | None = None
@@ -79,7 +87,7 @@
     told_until: float = float("-inf")
 
     def note_named(self, rate: float, now: float) -> bool:
-        """Notes that an answer named a limit; returns whether it is news."""
+        """Records a limit named in a response; returns whether it changed."""
         is_news = rate != self.rate
         self.turn = self.turn_at(now)
         self.rate = rate
@@ -87,31 +95,31 @@
         return is_news
 
     def note_unnamed(self, sent_at: float, now: float) -> bool:
-        """Notes that an answer named none; returns whether a limit is over.
+        """Records a response without a limit; returns whether a limit ended.
 
         Args:
-            sent_at: Steady time at which its request was sent.
-            now: Steady time.
+            sent_at: Monotonic time at which the request was sent.
+            now: Monotonic time.
         """
         if sent_at <= self.at:
             return False
         was_limited = self.rate is not None
-        self._end(sent_at)
+        self._clear(sent_at)
         if was_limited:
             self.told_until = now + END_TOLD
         return was_limited
 
-    def _end(self, at: float) -> None:
+    def _clear(self, at: float) -> None:
         self.rate = None
         self.turn = 0
         self.at = at
 
     def take(self, word: LimitWord, now: float) -> bool:
-        """Takes another host's word; returns whether it is news.
+        """Merges a limit sent by another host; returns whether it changed.
 
         Args:
-            word: The word.
-            now: Steady time at which its age is counted.
+            word: The limit.
+            now: Monotonic time to which its age refers.
         """
         at = now - word.age
         margin = SAME_WORD if word.rate == self.rate else 0.0
@@ -121,7 +129,7 @@
             return False
         is_news = word.rate != self.rate
         if word.rate is None:
-            self._end(at)
+            self._clear(at)
         else:
             self.rate = word.rate
             self.turn = word.turn
@@ -131,13 +139,13 @@
         return is_news
 
     def word(self, now: float) -> LimitWord | None:
-        """Returns what to tell other hosts; None where there is nothing."""
+        """Returns the limit to send to other hosts; None if there is none."""
         if self.rate is None and now >= self.told_until:
             return None
         return LimitWord(self.rate, self.turn, now - self.at)
 
     def turn_at(self, now: float) -> int:
-        """Returns how often other hosts were chosen for the server by now."""
+        """Returns how often the set of sending hosts has changed by now."""
         if self.rate is None:
             return 0
         silence = SILENT + SILENT_PAUSES / _used(self.rate)
@@ -145,12 +153,12 @@
 
 
 def requests_at_once(rate: float) -> int:
-    """Returns what all hosts together may send at one moment."""
+    """Returns how many requests all hosts together may send at one moment."""
     return int(HOSTS_PER_RATE * rate + MORE_HOSTS)
 
 
 def window_of(rate: float, part: shares.Part) -> float:
-    """Returns the seconds over which the parts are counted."""
+    """Returns the length in seconds of the window that quotas apply to."""
     return part.all_hosts / _used(rate)
 
 
--- a/src/hoistmoor/core/relay/servers/loads.py
+++ b/src/hoistmoor/core/relay/servers/loads.py
@@ -1,7 +1,7 @@
-"""The work that a server has from other hosts, by its own word.
+"""Load that other hosts put on a backend server, derived from its reports.
 
-A reported load is old when it arrives and many hosts read the same report, so
-this host's own work there is kept apart from it.
+A reported load is outdated on arrival, and many hosts read the same report.
+This host's own requests are therefore tracked separately.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from hoistmoor.core.relay.servers import reports
 
-LOAD_LIFE = 3.0  # Seconds after which a reported load counts no more.
+LOAD_TTL = 3.0  # Seconds after which a reported load is ignored.
 
 
 @attrs.define
@@ -21,8 +21,8 @@
     """Requests of other hosts at one server.
 
     Attributes:
-        others: How many it had when it last told.
-        at: Steady time at which it last told.
+        others: Their number in the latest report.
+        at: Monotonic time of the latest report.
     """
 
     others: int = 0
@@ -31,16 +31,16 @@
     def note(
         self, report: reports.LoadReport, in_flight: int, now: float
     ) -> None:
-        """Takes a report that came with an answer.
+        """Records a load report received with a response.
 
         Args:
             report: The report.
-            in_flight: Requests of this host that it counts too.
-            now: Steady time.
+            in_flight: Requests of this host that the report includes.
+            now: Monotonic time.
         """
         self.others = max(0, report.running + report.waiting - in_flight)
         self.at = now
 
     def others_now(self, now: float) -> int:
-        """Returns the requests of other hosts that it probably has."""
-        return self.others if now - self.at < LOAD_LIFE else 0
+        """Returns the estimated number of requests of other hosts."""
+        return self.others if now - self.at < LOAD_TTL else 0
--- a/src/hoistmoor/core/relay/servers/outstanding.py
+++ b/src/hoistmoor/core/relay/servers/outstanding.py
@@ -1,35 +1,35 @@
-"""Work that other hosts have at the backend servers, as they tell it.
+"""Outstanding work of other hosts at the backend servers.
 
-A host sees what it has sent itself. With many hosts that is a small part of a
-server's work, and answers come too seldom to learn the rest from them. Hosts
-ask one another for copies of topics along a tree (``mirror.Sources``). With
-each question a host tells the work of its part of the tree, and with the
-answer it is told the work of all the rest.
+A host only sees its own requests, which with many hosts are a small fraction of
+a server's work, and responses are too rare to learn the rest from them. Hosts
+fetch copies of topics from one another along a tree (``mirror.Sources``), and
+the work totals travel with these requests: a host reports the total of its own
+subtree to its source, and the reply contains the total of all other hosts.
 """
 
 from __future__ import annotations
 
 import attrs
 
-# Seconds after which a host's word counts no more: it tells several times in
-# between, so it has gone, or it tells another source.
+# Seconds after which a host's report expires. A host reports several times
+# within that period, so one that stays silent is down or uses another source.
 REPORT_LIFE = 1.5
 
 
 @attrs.frozen
 class ServerWork:
-    """What some hosts have under way at one backend server.
+    """Outstanding work of a group of hosts at one backend server.
 
     Attributes:
         work: Work of their requests, in prompt tokens of the smallest model.
-        requests: How many these are.
+        requests: Number of these requests.
     """
 
     work: float
     requests: int
 
     def __add__(self, other: ServerWork) -> ServerWork:
-        """Returns both together."""
+        """Returns the sum of both."""
         return ServerWork(
             self.work + other.work, self.requests + other.requests
         )
@@ -50,57 +50,65 @@
 
 
 class OutstandingWork:
-    """What other hosts told this one, by the backend server's identity."""
+    """Work that other hosts have reported, by backend server identity."""
 
     def __init__(self) -> None:
         self._reports: dict[str, _Report] = {}
-        self._rest = _Report({}, float("-inf"))
+        self._source_report = _Report({}, float("-inf"))
 
     def take(self, host: str, work: WorkByServer, now: float) -> None:
-        """Takes the word of a host that asks this one, in place of its last.
+        """Replaces the report of a host that fetches from this one.
 
         Args:
             host: Name of the host.
-            work: Its work, and that of the hosts that ask it.
-            now: Steady time.
+            work: Work of the host and of all hosts below it in the tree.
+            now: Monotonic time.
         """
         self._reports[host] = _Report(work, now)
 
     def take_rest(self, work: WorkByServer, now: float) -> None:
-        """Takes what the source told of all hosts that do not ask this one."""
-        self._rest = _Report(work, now)
+        """Replaces the source's total of all hosts outside this subtree."""
+        self._source_report = _Report(work, now)
 
     def told_to_source(self, own: WorkByServer, now: float) -> WorkByServer:
-        """Returns the work of this host and of those that ask it."""
+        """Returns the total work of this host and its subtree."""
         return _sum([own, *self._fresh_reports(now)])
 
     def told_to(self, host: str, own: WorkByServer, now: float) -> WorkByServer:
-        """Returns the work of all hosts but one that asks, and its own."""
+        """Returns the total for a fetching host, without its own subtree."""
         return _sum(
-            [own, *self._fresh_rest(now), *self._fresh_reports(now, host)]
+            [
+                own,
+                *self._fresh_source_report(now),
+                *self._fresh_reports(now, host),
+            ]
         )
 
     def of_others(self, now: float) -> WorkByServer | None:
-        """Returns the work of all other hosts; None if nobody told any."""
-        known = [*self._fresh_rest(now), *self._fresh_reports(now)]
+        """Returns the work of all other hosts; None without any report."""
+        known = [*self._fresh_source_report(now), *self._fresh_reports(now)]
         return _sum(known) if known else None
 
-    def _fresh_rest(self, now: float) -> list[WorkByServer]:
-        return [self._rest.work] if self._rest.is_fresh(now) else []
+    def _fresh_source_report(self, now: float) -> list[WorkByServer]:
+        return (
+            [self._source_report.work]
+            if self._source_report.is_fresh(now)
+            else []
+        )
 
     def _fresh_reports(
-        self, now: float, without: str = ""
+        self, now: float, excluded_host: str = ""
     ) -> list[WorkByServer]:
         return [
             report.work
             for host, report in self._reports.items()
-            if host != without and report.is_fresh(now)
+            if host != excluded_host and report.is_fresh(now)
         ]
 
 
-def _sum(parts: list[WorkByServer]) -> WorkByServer:
+def _sum(reports: list[WorkByServer]) -> WorkByServer:
     total: WorkByServer = {}
-    for part in parts:
-        for server, work in part.items():
+    for report in reports:
+        for server, work in report.items():
             total[server] = total.get(server, NOTHING) + work
     return total
--- a/src/hoistmoor/core/relay/servers/reports.py
+++ b/src/hoistmoor/core/relay/servers/reports.py
@@ -1,8 +1,9 @@
-"""What a backend server tells of itself with an answer.
+"""State that a backend server reports about itself with each response.
 
-One type for all its words, made in one place from the answer's head
-(``relay/front/server_reports``). What follows from each word is a belief with
-a module of its own: ``loads``, ``limits``, ``departures``, ``rests``.
+All reported fields are collected in one type, which is parsed from the response
+headers in ``relay/front/server_reports``. The state derived from each field is
+kept in a module of its own: ``loads``, ``limits``, ``departures`` and
+``rests``.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class Word(enum.StrEnum):
-    """A kind of word that may be unreadable."""
+    """A reported field whose value may be malformed."""
 
     LIMIT = "limit"
     LEAVING = "leaving"
@@ -22,12 +23,12 @@
 
 @attrs.frozen
 class LoadReport:
-    """Load that a server told with an answer.
+    """Load of a server, as reported with a response.
 
     Attributes:
-        running: Requests that it worked on.
-        waiting: Requests in its queue.
-        slots: Requests that it works on at once.
+        running: Requests being processed.
+        waiting: Requests in the queue.
+        slots: Requests that the server processes concurrently.
     """
 
     running: int
@@ -37,17 +38,17 @@
 
 @attrs.frozen
 class ServerReport:
-    """What a server told of itself with an answer.
+    """Everything a server reported about itself with one response.
 
     Attributes:
-        load: Its load; None if it told none that can be read.
-        limit: Requests a second that it takes from all hosts together; None
-            if it named none that can be read.
-        is_leaving: Whether it is about to end.
-        rest: Seconds for which it wants nothing from the host that it answers;
-            None if it named none that can be read.
-        unreadable: What stood in place of a word, by the word.
-        unread: Names of words, as they were sent, that nothing here reads.
+        load: Its load; None if absent or malformed.
+        limit: Requests a second that it accepts from all hosts together; None
+            if absent or malformed.
+        is_leaving: Whether it is about to exit.
+        rest: Seconds for which the receiving host should send it nothing; None
+            if absent or malformed.
+        unreadable: Malformed values, by field.
+        unread: Names of reported fields, as received, that are not supported.
     """
 
     load: LoadReport | None = None
--- a/src/hoistmoor/core/relay/servers/rests.py
+++ b/src/hoistmoor/core/relay/servers/rests.py
@@ -1,62 +1,62 @@
-"""The rest that a backend server asked of this host alone.
+"""Rest periods that a backend server requests from this host alone.
 
-A server that turns a request away may name the seconds for which it wants
-nothing from the host that it answers. Of several rests the one that ends last
-holds.
+A server that rejects a request may name a number of seconds for which the
+receiving host should send it nothing. If several rests overlap, the one that
+ends last applies.
 """
 
 from __future__ import annotations
 
 import attrs
 
-# Seconds of the longest rest that is kept to, where operators set none. A
-# server that still wants rest then says so again; one that named a wrong
-# number does not stay away for days.
+# Maximum rest in seconds that is honoured if operators configure none. A server
+# that needs more time asks again, and a server that sent a wrong number is not
+# unused for days.
 LONGEST = 300.0
-# Seconds after a rest over which requests come back, more and more of them. A
-# server that has rested is idle, so that all hosts at once would choose it, and
-# all were told the same end.
-RETURN = 2.0
+# Seconds over which traffic ramps up again after a rest. All hosts may have
+# been given the same end, and the server is idle by then, so without a ramp all
+# of them would select it at once.
+RAMP_UP_SECONDS = 2.0
 
 
 @attrs.define
 class RestBelief:
-    """What this host believes of one server's rest.
+    """Rest of one server, as known to this host.
 
     Attributes:
-        until: Steady time at which it ends, or ended.
-        is_under_way: Whether its end was not noticed yet.
+        until: Monotonic time at which the rest ends or ended.
+        is_end_pending: Whether the end of the rest is still to be reported.
     """
 
     until: float = float("-inf")
-    is_under_way: bool = False
+    is_end_pending: bool = False
 
     def note(self, seconds: float, now: float) -> bool:
-        """Takes a rest that is asked for; returns whether one begins.
+        """Records a requested rest; returns whether a new one begins.
 
         Args:
-            seconds: How long, from now.
-            now: Steady time at which the answer came.
+            seconds: Duration from now.
+            now: Monotonic time at which the response arrived.
         """
         begins = now >= self.until
-        self.is_under_way = True
+        self.is_end_pending = True
         self.until = max(self.until, now + seconds)
         return begins
 
     def note_send(self, now: float) -> bool:
-        """Notes a request that is sent; returns whether a rest is over by it.
+        """Records a request to the server; returns whether it ends a rest.
 
-        The first one after a rest tells so.
+        This is true once per rest, for the first request after it.
         """
-        is_over = self.is_under_way and now >= self.until
+        is_over = self.is_end_pending and now >= self.until
         if is_over:
-            self.is_under_way = False
+            self.is_end_pending = False
         return is_over
 
     def part_back(self, now: float) -> float:
-        """Returns the part of the requests that may choose the server."""
-        return min(1.0, max(0.0, (now - self.until) / RETURN))
+        """Returns the fraction of requests that may select the server."""
+        return min(1.0, max(0.0, (now - self.until) / RAMP_UP_SECONDS))
 
     def left(self, now: float) -> float:
-        """Returns the seconds until it ends; 0 where none is under way."""
+        """Returns the seconds until the rest ends; 0 if none is active."""
         return max(0.0, self.until - now)
--- a/src/hoistmoor/core/relay/servers/room.py
+++ b/src/hoistmoor/core/relay/servers/room.py
@@ -1,8 +1,8 @@
-"""Whether this host may send one more request to a server that bears little.
+"""Whether this host may send another request to a server of limited capacity.
 
-A server that is cold, or has named a limit, gets requests from a few hosts
-alone (``shares``); this tells whether this host is one of them, and whether it
-has sent its part already.
+A server that is cold or has named a rate limit gets requests from a few hosts
+only (see ``shares``). This module determines whether this host is one of them
+and whether its quota for the current window is used up.
 """
 
 from __future__ import annotations
@@ -22,36 +22,36 @@
 
 @attrs.frozen
 class Room:
-    """This host's room at servers that bear little.
+    """This host's remaining quota at servers of limited capacity.
 
     Attributes:
-        warmups: How servers warm up.
-        shares: This host's part of what all hosts may send to one server.
+        warmups: Warm-up policies of the services.
+        shares: This host's share of the requests that all hosts together may
+            send to one server.
     """
 
     warmups: warmup_lib.Warmups
     shares: shares_lib.HostShares
 
     def wait_for_cold(self, state: server_lib.ServerState, now: float) -> float:
-        """Returns the seconds until a cold server has room for one more.
+        """Returns the seconds until a cold server can take another request.
 
-        Where this host is none of those that send to it, some other one has.
+        If this host has no quota, this is the estimated time until one of the
+        hosts that have a quota may send.
         """
         if now >= state.cold_until:
             return 0.0
-        return min(self._wait_while_cold(state, now), state.cold_until - now)
+        return min(self._quota_wait(state, now), state.cold_until - now)
 
     def has_for_cold(self, state: server_lib.ServerState, now: float) -> bool:
-        """Returns whether this host may send one more to a cold server."""
-        return not self._wait_while_cold(state, now)
+        """Returns whether this host may send a request to a cold server."""
+        return not self._quota_wait(state, now)
 
-    def _wait_while_cold(
-        self, state: server_lib.ServerState, now: float
-    ) -> float:
+    def _quota_wait(self, state: server_lib.ServerState, now: float) -> float:
         entry = state.entry
         warmup = self.warmups.of(entry.service)
         if warmup is None:
-            return 0.0  # It is slow for a while, and may be used as any.
+            return 0.0  # The server may be slow at first but needs no limit.
         part = self.shares.part_of(entry.identity, warmup.shared)
         if part.own:
             return state.sends.wait(part.own, warmup_lib.WINDOW, now)
@@ -62,9 +62,10 @@
     def wait_for_limit(
         self, state: server_lib.ServerState, now: float
     ) -> float:
-        """Returns the seconds until a server's limit has room for one more.
+        """Returns the seconds until a rate limit permits another request.
 
-        Where this host is none of those that send to it, some other one has.
+        If this host has no quota, this is the mean time until one of the hosts
+        that have a quota sends.
         """
         rate = state.limit.rate
         if rate is None:
--- a/src/hoistmoor/core/relay/servers/runs.py
+++ b/src/hoistmoor/core/relay/servers/runs.py
@@ -1,7 +1,8 @@
-"""Runs: what one backend server has of this host's requests, and how far.
+"""This host's requests at a backend server and how far each has progressed.
 
-When a server ends, its runs are what it may have ended of. A run that was
-given up here may still go on there for a moment, so it counts a little longer.
+When a server crashes, its current runs are the possible causes. A run that this
+host has abandoned may continue on the server for a moment and is therefore
+counted a little longer.
 """
 
 from __future__ import annotations
@@ -11,32 +12,32 @@
 
 import attrs
 
-# Seconds after which a run that was given up, or was cut, is no more taken to
-# be at the server. A cut is told apart from an end of the server within the
-# time for a connection.
+# Seconds for which an abandoned or cut run still counts as being at the server.
+# Telling a cut connection from a crashed server takes up to the connection
+# timeout.
 RECENT = 1.0
-KEPT = 64  # Runs of one server that were given up or cut.
+KEPT = 64  # Abandoned or cut runs that are stored for each server.
 
 
 class Stage(enum.StrEnum):
-    """How far a run had come, as this host saw it."""
+    """Progress of a run, as observed by this host."""
 
-    WAITING = "waiting"  # No byte of an answer came.
-    BEGUN = "begun"  # An answer began, and none of its parts came.
-    GIVING = "giving"  # A part of the answer came.
+    WAITING = "waiting"  # No byte of a response has arrived.
+    BEGUN = "begun"  # The response has begun, but no part has arrived.
+    GIVING = "giving"  # At least one part of the response has arrived.
 
 
 @attrs.define(eq=False)
 class Run:
-    """One attempt's stay at a backend server.
+    """Execution of one attempt at a backend server.
 
     Attributes:
-        fingerprint: Of its request.
-        stage: How far it has come.
-        begun_at: Steady time at which an answer began; None before.
-        is_over: Whether it is known not to be at the server any more.
-        is_cut: Whether the server ended its connection.
-        left_at: Steady time at which it ended here; None before.
+        fingerprint: Fingerprint of the request.
+        stage: Its progress.
+        begun_at: Monotonic time at which the response began; None before.
+        is_over: Whether it is known to have finished at the server.
+        is_cut: Whether the server closed the connection.
+        left_at: Monotonic time at which it ended for this host; None before.
     """
 
     fingerprint: str = ""
@@ -47,21 +48,21 @@
     left_at: float | None = None
 
     def note_head(self, now: float) -> None:
-        """Notes that an answer began."""
+        """Records that the response has begun."""
         self.stage = Stage.BEGUN
         self.begun_at = now
 
     def note_part(self) -> None:
-        """Notes that a part of the answer came."""
+        """Records that a part of the response has arrived."""
         self.stage = Stage.GIVING
 
     @property
     def was_given_up(self) -> bool:
-        """Whether it ended here before its server ended it."""
+        """Whether this host abandoned it before the server closed it."""
         return self.left_at is not None and not self.is_cut
 
     def lasted(self, now: float) -> float:
-        """Returns the seconds from the begin of its answer to its end."""
+        """Returns the seconds from the start of the response to its end."""
         if self.begun_at is None:
             return 0.0
         end = now if self.left_at is None else self.left_at
@@ -70,30 +71,30 @@
 
 @attrs.define(eq=False)
 class RunList:
-    """The runs of one server."""
+    """Current and recently ended runs of one server."""
 
-    _under_way: set[Run] = attrs.field(factory=set)
+    _active: set[Run] = attrs.field(factory=set)
     _recent: collections.deque[Run] = attrs.field(
         factory=lambda: collections.deque(maxlen=KEPT)
     )
 
     def add(self, run: Run) -> None:
-        """Takes a run that begins."""
-        self._under_way.add(run)
+        """Adds a run that begins."""
+        self._active.add(run)
 
     def end(self, run: Run, now: float) -> None:
-        """Notes that an attempt has ended here."""
-        self._under_way.discard(run)
+        """Records that a run has ended for this host."""
+        self._active.discard(run)
         run.left_at = now
-        self._drop_old(now)
+        self._drop_expired(now)
         if not run.is_over:
             self._recent.append(run)
 
     def present(self, now: float) -> list[Run]:
-        """Returns the runs that the server may be at."""
-        self._drop_old(now)
-        return [*self._under_way, *self._recent]
+        """Returns the runs that may still be at the server."""
+        self._drop_expired(now)
+        return [*self._active, *self._recent]
 
-    def _drop_old(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         while self._recent and now - (self._recent[0].left_at or 0.0) > RECENT:
             self._recent.popleft()
--- a/src/hoistmoor/core/relay/servers/serials.py
+++ b/src/hoistmoor/core/relay/servers/serials.py
@@ -1,4 +1,4 @@
-"""Numbers for what hosts tell one another once each."""
+"""Serial numbers of the changes that hosts send to one another once each."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Numbered(Protocol):
-    """What bears the number of its newest change."""
+    """An object that carries the serial of its latest change."""
 
     serial: int
 
@@ -21,35 +21,35 @@
 
 @attrs.define
 class Serials:
-    """Numbers the changes of all that is told so, in one order.
+    """Numbers changes of different kinds in one common order.
 
     Attributes:
-        newest: Number of the newest change; 0 before the first.
+        newest: Serial of the latest change; 0 before the first.
     """
 
     newest: int = 0
 
     def take(self) -> int:
-        """Returns the number of the next change."""
+        """Allocates the serial of the next change."""
         self.newest += 1
         return self.newest
 
     def batch(
-        self, changes: Iterable[_Change], after: int, most: int
+        self, changes: Iterable[_Change], after: int, limit: int
     ) -> tuple[list[_Change], int]:
-        """Returns what is new, oldest first, and up to which number.
+        """Returns unsent changes, oldest first, and the last serial covered.
 
         Args:
-            changes: All that is known.
-            after: Number up to which it was told already.
-            most: How many may be told at once; the rest follows.
+            changes: All known changes.
+            after: Serial up to which the receiver is up to date.
+            limit: Maximum number of changes in the batch.
         """
         if after >= self.newest:
             return [], self.newest
-        new = sorted(
-            (each for each in changes if each.serial > after),
-            key=lambda each: each.serial,
+        unsent = sorted(
+            (change for change in changes if change.serial > after),
+            key=lambda change: change.serial,
         )
-        if len(new) <= most:
-            return new, self.newest
-        return new[:most], new[most - 1].serial
+        if len(unsent) <= limit:
+            return unsent, self.newest
+        return unsent[:limit], unsent[limit - 1].serial
--- a/src/hoistmoor/core/relay/servers/server.py
+++ b/src/hoistmoor/core/relay/servers/server.py
@@ -1,4 +1,8 @@
-"""One start of a backend server, and what this host knows of it."""
+"""Entry of a backend server and the state that this host keeps about it.
+
+A server id may be reused after a restart. Each start of a server is a separate
+incarnation with an identity of its own.
+"""
 
 from __future__ import annotations
 
@@ -13,35 +17,36 @@
 from hoistmoor.core.relay.servers import shares as shares_lib
 from hoistmoor.core.routing import health as health_lib
 
-WORK_STEP = 0.1  # Weight of the newest request in a server's mean work.
-
-
-_BORN = "@"  # Between a server's id and its start, in its identity.
+# Smoothing factor of a server's mean work per request: the weight of the newest
+# request.
+WORK_STEP = 0.1
+# Separates the server id from the start time in an identity.
+_START_TIME_SEPARATOR = "@"
 
 
 def id_of(identity: str) -> str:
-    """Returns the id of the server with an identity."""
-    return identity.partition(_BORN)[0]
+    """Returns the server id that an identity contains."""
+    return identity.partition(_START_TIME_SEPARATOR)[0]
 
 
 @attrs.frozen
 class ServerEntry:
-    """What a backend server tells of itself in the store.
+    """Entry that a backend server writes to the store.
 
     Attributes:
-        server_id: Its name; another start of it may have the same.
+        server_id: Name of the server; kept or reused across restarts.
         service: The service that it belongs to.
-        address: ``ip:port``; may be used again by another server.
+        address: ``ip:port``; may be reused by another server.
         zone: Its failure domain.
         version: Version of its software.
-        slots: Requests that it works on at once.
-        is_leaving: Whether it takes no new work.
-        warm_in: Seconds for which it stays slow after its start.
+        slots: Requests that it processes concurrently.
+        is_leaving: Whether it accepts no new work.
+        warm_in: Remaining seconds until it is warmed up.
         models: Models that it has loaded.
-        born: Unix time of its start, in milliseconds; None if it tells none.
-        sequence: Number of the entry, from its start on. It changes with
-            each heartbeat and tells nothing else.
-        identity: Stands for this start of the server and no other.
+        born: Unix time of its start in milliseconds; None if not reported.
+        sequence: Number of the entry within the incarnation. It increases with
+            each heartbeat and is not part of the entry's content.
+        identity: Identifies this incarnation of the server.
     """
 
     server_id: str
@@ -61,20 +66,20 @@
     def _(self) -> str:
         if self.born is None:
             return self.server_id
-        return f"{self.server_id}{_BORN}{self.born}"
+        return f"{self.server_id}{_START_TIME_SEPARATOR}{self.born}"
 
     def is_after(self, identity: str) -> bool:
-        """Returns whether its start came after another one of the server."""
-        born = identity.partition(_BORN)[2]
+        """Returns whether this incarnation started after another one."""
+        born = identity.partition(_START_TIME_SEPARATOR)[2]
         if self.born is None or not born.isdigit():
             return False
         return self.born > int(born)
 
     def is_older_than(self, other: ServerEntry) -> bool:
-        """Returns whether the server wrote it before another entry.
+        """Returns whether the server wrote this entry before another one.
 
-        Without the time of its start nothing is certain: a number that falls
-        back may be a late entry or the first one of a new start.
+        Without a start time this cannot be decided: a lower sequence number
+        may belong to a delayed entry or to the first one of a new incarnation.
         """
         if self.born is None or other.born is None:
             return False
@@ -83,35 +88,35 @@
 
 @attrs.define(eq=False)
 class ServerState:
-    """One backend server and what this host knows of it.
+    """State of one incarnation of a backend server, as seen by this host.
+
+    All times are monotonic.
 
     Attributes:
-        entry: As last told.
-        health: How its attempts have gone.
-        in_flight: Requests of this host that it has.
-        work: Work of these for an engine, in prompt tokens.
-        mean_work: Usual work of a request that it got from this host; 0
-            before the first.
-        load: What it last told of its load.
-        told: What other hosts have under way at it, as these told.
-        told_until: Until when that counts.
-        lapsed_until: Until when it is kept though its entry went away in
-            doubt; None while it is listed.
-        cold_until: Until when it is cold, as far as is known.
-        doubted_until: Until when it may come back as a new start, of which
-            nothing was read yet.
-        absent_until: Until when it is taken for ended, as another server
-            answers at its address.
-        sends: Requests that this host sent to it lately.
-        runs: This host's requests that it may be at.
-        followed_at: Steady time at which it followed another start that was
-            known; what was said by its name before was said by that one.
-        has_ended: Whether this start of it is over, as this host found.
-        limit: What it takes from all hosts together.
-        departure: Whether it has said that it leaves.
-        rest: Rest that it has asked of this host.
-        unreadable: What it last said that cannot be read, by the word that
-            it should be.
+        entry: Its latest entry.
+        health: Results of recent attempts.
+        in_flight: Outstanding requests of this host.
+        work: Work of these requests for an engine, in prompt tokens.
+        mean_work: Mean work of this host's requests to it; 0 before the first.
+        load: Load of other hosts, from its latest report.
+        told: Outstanding work of other hosts, as reported by them.
+        told_until: Time at which ``told`` expires.
+        lapsed_until: Time until which it is kept although its entry is missing,
+            possibly due to a store outage; None while it is listed.
+        cold_until: Time until which it counts as cold.
+        doubted_until: Time until which it may have restarted cold without its
+            new entry having been read.
+        absent_until: Time until which it counts as ended, because it crashed or
+            another server answers at its address.
+        sends: Recent requests of this host to it.
+        runs: Requests of this host that may be running on it.
+        followed_at: Time at which it replaced an earlier incarnation. Older
+            announcements under its identity belong to that incarnation.
+        has_ended: Whether this host found that the incarnation has ended.
+        limit: Rate limit for all hosts together.
+        departure: Whether it has announced that it is leaving.
+        rest: Rest that it requested from this host.
+        unreadable: Malformed values in its latest reports, by field.
     """
 
     entry: ServerEntry
@@ -138,10 +143,11 @@
     unreadable: dict[str, str] = attrs.field(factory=dict)
 
     def listed_again(self, entry: ServerEntry) -> ServerState:
-        """Returns the same start whose entry had gone and has come back.
+        """Returns the state after a removed entry has been listed again.
 
-        What it has said of itself holds on. The rest may be of a start that
-        tells no birth and has the name of this one.
+        Only what the server has announced itself is kept, besides the recent
+        sends. The remaining state may belong to another incarnation that has
+        the same identity because it reports no start time.
         """
         return ServerState(
             entry,
@@ -153,39 +159,49 @@
         )
 
     def is_gone(self, now: float) -> bool:
-        """Returns whether it has ended, as far as is known."""
+        """Returns whether it counts as ended."""
         if now < self.absent_until:
             return True
         return self.lapsed_until is not None and now >= self.lapsed_until
 
     def leaves(self, now: float) -> bool:
-        """Returns whether it is about to end, by the store or its own word."""
+        """Returns whether it is leaving, by its entry or an announcement."""
         entry = self.entry
         return entry.is_leaving or self.departure.holds(entry.born, now)
 
     def fullness(self, now: float) -> float:
-        """Returns its requests as a multiple of its slots."""
+        """Returns its requests, with one more, relative to its slots.
+
+        Requests of other hosts are taken from the server's own report.
+        """
         requests = self.in_flight + self.load.others_now(now)
         return (requests + 1) / max(1, self.entry.slots)
 
     def crowding(self, now: float) -> float:
-        """Returns the requests that one more makes, in shares of its slots."""
-        is_told = now < self.told_until
-        others = self.told.requests if is_told else self.load.others_now(now)
+        """Returns its requests, with one more, relative to its slots.
+
+        Requests of other hosts are taken from these hosts' reports where they
+        are current, else from the server's own report.
+        """
+        is_current = now < self.told_until
+        others = self.told.requests if is_current else self.load.others_now(now)
         return (self.in_flight + others + 1) / self.entry.slots
 
-    def waiting_work(self, usual: float, now: float) -> float:
-        """Returns the work that it has before it.
+    def waiting_work(self, default_mean: float, now: float) -> float:
+        """Returns the estimated outstanding work of all hosts.
 
         Args:
-            usual: Work of a request, for a server not used yet.
-            now: Steady time.
+            default_mean: Mean work of a request, for a server that this host
+                has not used yet.
+            now: Monotonic time.
         """
         if now < self.told_until:
             return self.work + self.told.work
-        return self.work + (self.mean_work or usual) * self.load.others_now(now)
+        return self.work + (
+            self.mean_work or default_mean
+        ) * self.load.others_now(now)
 
     def note_work(self, work: float) -> None:
-        """Takes a request's work into the mean."""
-        known = self.mean_work or work
-        self.mean_work = known + WORK_STEP * (work - known)
+        """Adds a request's work to the moving average."""
+        mean = self.mean_work or work
+        self.mean_work = mean + WORK_STEP * (work - mean)
--- a/src/hoistmoor/core/relay/servers/shares.py
+++ b/src/hoistmoor/core/relay/servers/shares.py
@@ -1,14 +1,16 @@
-"""A bound that all hosts keep together on what one server gets.
-
-Each host knows only what it sends itself, so a bound that each kept alone
-would be exceeded as many times as there are hosts. Words between hosts would
-come too late: a server that looks idle to one host does so to all.
-
-Each server has a few hosts, the same by rendezvous hashing wherever the list
-of hosts is the same. Only these send to it, each a fixed number in a window,
-so that the sum is bounded with no word between the hosts. Where lists lack
-some hosts, others count themselves among the chosen: the bound grows by what
-the lists lack, no more. A host that is not listed sends nothing.
+"""Splits a bound on the requests to one server among all hosts.
+
+Each host only knows its own requests. If every host enforced the bound alone,
+the total could exceed it by a factor of the number of hosts. Messages between
+hosts would arrive too late, because a server that looks idle to one host looks
+idle to all of them.
+
+Therefore a few hosts are selected for each server by rendezvous hashing, which
+gives the same result wherever the list of hosts is the same. Only these hosts
+send to the server, each a fixed number of requests per window, so the total is
+bounded without coordination. A host whose list lacks some of the others may
+select itself in addition, so the bound is exceeded only in proportion to what
+the lists lack. A host that is not on its own list sends nothing.
 """
 
 from __future__ import annotations
@@ -24,21 +26,21 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-_SEED = 61  # Of the order of the hosts for a server.
-# Servers whose parts are kept; they are found anew after that many.
-_KEPT = 4096
-# Newest sends to a server that are remembered: a part that is larger counts
-# over a window that is shorter in proportion.
+_HASH_SEED = 61  # Seed of the order in which hosts are selected for a server.
+# Quotas that are cached. The cache is cleared when it is full.
+_MAX_CACHED_PARTS = 4096
+# Recent sends to a server that are stored. A larger quota is enforced over a
+# proportionally shorter window.
 MOST_SENDS = 256
 
 
 @attrs.frozen
 class Part:
-    """What one host may send to a server in a window.
+    """Quota of requests to a server in one window.
 
     Attributes:
-        own: Requests of this host; 0 if it is not one of the chosen.
-        all_hosts: Requests of all chosen hosts together.
+        own: Requests that this host may send; 0 if it is not selected.
+        all_hosts: Requests that all selected hosts together may send.
     """
 
     own: int
@@ -49,7 +51,7 @@
 
 
 class HostShares:
-    """This host's part of what all hosts may send to each server.
+    """This host's share of the requests that all hosts may send to a server.
 
     Attributes:
         own: Name of this host.
@@ -61,67 +63,67 @@
         self._parts: dict[tuple[str, int], Part] = {}
 
     def take_hosts(self, names: Iterable[str]) -> None:
-        """Takes the names of all hosts that are listed."""
+        """Sets the names of all listed hosts."""
         hosts = frozenset(names)
         if hosts != self._hosts:
             self._hosts = hosts
             self._parts.clear()
 
     def part_of(self, key: str, requests: int) -> Part:
-        """Returns this host's part.
+        """Returns the quota of this host.
 
         Args:
-            key: Stands for the server; hosts with the same key and the same
-                list choose the same hosts.
-            requests: What all hosts together may send in a window.
+            key: Identifies the server; hosts with equal lists select the same
+                hosts for the same key.
+            requests: Requests that all hosts together may send in a window.
         """
         known = self._parts.get((key, requests))
         if known is None:
-            known = self._find(key, requests)
-            if len(self._parts) >= _KEPT:
+            known = self._compute_part(key, requests)
+            if len(self._parts) >= _MAX_CACHED_PARTS:
                 self._parts.clear()
             self._parts[key, requests] = known
         return known
 
     def equal_part(self, amount: float) -> float:
-        """Returns what is left for each host where all get as much."""
+        """Returns this host's part of an amount split evenly among hosts."""
         if self.own not in self._hosts:
             return 0.0
         return amount / len(self._hosts)
 
-    def _find(self, key: str, requests: int) -> Part:
+    def _compute_part(self, key: str, requests: int) -> Part:
         if self.own not in self._hosts or requests < 1:
             return NO_PART
         count = min(len(self._hosts), requests)
-        each = requests // count
-        chosen = heapq.nsmallest(
+        per_host = requests // count
+        selected = heapq.nsmallest(
             count,
             self._hosts,
-            key=lambda host: hashing.unit(f"{key} {host}", _SEED),
+            key=lambda host: hashing.unit(f"{key} {host}", _HASH_SEED),
         )
-        own = each if self.own in chosen else 0
-        return Part(own, each * count)
+        own = per_host if self.own in selected else 0
+        return Part(own, per_host * count)
 
 
 @attrs.define
 class RecentSends:
-    """Times at which this host sent requests to one server, lately."""
+    """Times of this host's recent requests to one server."""
 
     _times: collections.deque[float] = attrs.field(
         factory=lambda: collections.deque(maxlen=MOST_SENDS)
     )
 
     def note(self, now: float) -> None:
-        """Notes a request that is sent."""
+        """Records a request that is sent."""
         self._times.append(now)
 
     def wait(self, requests: int, window: float, now: float) -> float:
-        """Returns the seconds until one more fits; 0 if it does now.
+        """Returns the seconds until another request fits; 0 if it fits now.
 
         Args:
-            requests: How many may be sent within a window; at least 1.
-            window: Seconds.
-            now: Steady time.
+            requests: Requests allowed within a window; at least 1.
+            window: Length of the window in seconds.
+            now: Monotonic time.
         """
         if requests > MOST_SENDS:
             window *= MOST_SENDS / requests
--- a/src/hoistmoor/core/relay/servers/suspect_state.py
+++ b/src/hoistmoor/core/relay/servers/suspect_state.py
@@ -1,4 +1,7 @@
-"""What is held against one request: the ends of servers that ran it."""
+"""Evidence against one request: the servers that ended while running it.
+
+An end is a crash or any other termination of a server's incarnation.
+"""
 
 from __future__ import annotations
 
@@ -6,33 +9,36 @@
 
 from hoistmoor.core.relay.servers import runs as runs_lib
 
-# Servers that a request has ended, just as its run had begun, until it is
-# refused. One may be chance. With three, two tries at two hosts at once ended
-# all of six servers and lost all of 48 neighbours in four of five runs; with
-# two, four servers and none (3 real relays, engines that reset connections).
+# A request is quarantined once this many servers have ended just as a run of it
+# had begun. A single end may be a coincidence. With three, two simultaneous
+# attempts at two hosts ended all of six servers, and all of 48 requests beside
+# them were lost in four of five runs. With two, they ended four servers, and no
+# request was lost (3 real relays, engines that reset connections).
 STARTS_TO_QUARANTINE = 2
-# Seconds from a run's begin to the server's end within which it may be the
-# cause; a request that ends a server does so as it begins to run.
+# Seconds from the start of a run within which it may be the cause of a server's
+# end. A request that crashes a server does so as it begins to run.
 AT_BEGIN = 1.0
-MOST_ENDS = 8  # Newest ones that are kept of a request.
+MAX_ENDS = 8  # Latest ends that are stored for a request.
 
-# How likely a request is the cause of a server's end: whether it is refused,
-# whether its run had just begun there, and at how many ends it was.
+# Likelihood that a request caused a server's end, compared in this order:
+# whether it is quarantined, whether its run had just begun there, and at how
+# many ends it was present.
 Weight = tuple[bool, bool, int]
 NO_WEIGHT: Weight = (False, False, 0)
 
 
 @attrs.frozen
 class Suspect:
-    """What is held against one request, as hosts tell it.
+    """Evidence against one request, as hosts send it to one another.
 
     Attributes:
-        fingerprint: Of the request.
-        ends: How far its run had come, by the identity of the server that
-            ended; the newest last.
-        cleared: Servers whose ends count no more, as it was answered since.
+        fingerprint: Fingerprint of the request.
+        ends: Stage that its run had reached, by identity of the server that
+            ended; the latest end is last.
+        cleared: Servers whose ends no longer count, because the request has
+            been answered since.
         is_quarantined: Whether it is refused.
-        age: Seconds since its newest end.
+        age: Seconds since the latest end.
     """
 
     fingerprint: str
@@ -44,16 +50,17 @@
 
 @attrs.define(eq=False)
 class SuspectState:
-    """One suspect, as this host knows it.
+    """Evidence against one request, as known to this host.
 
     Attributes:
-        fingerprint: Of the request.
-        ends: As in ``Suspect``.
-        learnt: Steady time at which each end was learnt, by its server.
-        cleared: As in ``Suspect``.
+        fingerprint: Fingerprint of the request.
+        newest: Monotonic time of the latest end.
+        ends: See ``Suspect.ends``.
+        learnt: Monotonic time at which this host learned of each end, by
+            server.
+        cleared: See ``Suspect.cleared``.
         is_quarantined: Whether it is refused.
-        newest: Steady time of its newest end.
-        serial: Grows with each change, over all suspects.
+        serial: Serial of its latest change; increases over all suspects.
     """
 
     fingerprint: str
@@ -66,31 +73,31 @@
 
     @property
     def counted(self) -> list[str]:
-        """Servers whose ends are held against it."""
-        return [each for each in self.ends if each not in self.cleared]
+        """Servers whose ends count against the request."""
+        return [server for server in self.ends if server not in self.cleared]
 
     @property
     def starts(self) -> list[str]:
-        """Those of them that ended as its run had begun."""
+        """Servers among ``counted`` that ended just as its run had begun."""
         return [
-            each
-            for each in self.counted
-            if self.ends[each] is runs_lib.Stage.BEGUN
+            server
+            for server in self.counted
+            if self.ends[server] is runs_lib.Stage.BEGUN
         ]
 
     def clear(self, servers: set[str]) -> None:
-        """Counts some ends no more; without any left it is not refused."""
+        """Discards some ends; lifts the quarantine if none are left."""
         self.cleared |= servers
         if not self.counted:
             self.is_quarantined = False
 
     def confirms(self, told: Suspect) -> bool:
-        """Returns whether what quarantined it elsewhere counts here."""
+        """Returns whether another host's quarantine is valid here too."""
         counted = set(told.ends) - self.cleared
         return told.is_quarantined and len(counted) >= STARTS_TO_QUARANTINE
 
     def add(self, server: str, stage: runs_lib.Stage, now: float) -> bool:
-        """Takes a server's end; returns whether that is new, or weighs more."""
+        """Adds a server's end; returns whether it is new or weighs more."""
         known = self.ends.get(server)
         if known is runs_lib.Stage.BEGUN or known is stage:
             return False
@@ -98,19 +105,19 @@
             return False
         self.ends[server] = stage
         self.learnt.setdefault(server, now)
-        if len(self.ends) > MOST_ENDS:
+        if len(self.ends) > MAX_ENDS:
             oldest = next(iter(self.ends))
             del self.ends[oldest], self.learnt[oldest]
             self.cleared.discard(oldest)
         return True
 
     def weight(self, server: str) -> Weight:
-        """Returns how likely it is the cause of a server's end."""
-        is_start = self.ends[server] is runs_lib.Stage.BEGUN
-        return self.is_quarantined, is_start, len(self.counted)
+        """Returns the likelihood that it caused a server's end."""
+        had_just_begun = self.ends[server] is runs_lib.Stage.BEGUN
+        return self.is_quarantined, had_just_begun, len(self.counted)
 
     def told(self, now: float) -> Suspect:
-        """Returns it as it is told to other hosts."""
+        """Returns the evidence to send to other hosts."""
         return Suspect(
             self.fingerprint,
             dict(self.ends),
@@ -121,10 +128,11 @@
 
 
 def stage_of(run: runs_lib.Run, now: float) -> runs_lib.Stage | None:
-    """Returns what a run says when its server ends; None for nothing.
+    """Returns the stage to record when a run's server ends; None to ignore it.
 
-    A small model's answer that was dropped for a larger one had begun too. What
-    became of a run that was given up is not known, so it says little.
+    The outcome of an abandoned run is unknown, so it counts as weak evidence.
+    For example, a small model's response that is dropped in favour of a larger
+    model's has begun as well.
     """
     is_at_begin = run.lasted(now) <= AT_BEGIN
     if run.stage is runs_lib.Stage.GIVING and not is_at_begin:
--- a/src/hoistmoor/core/relay/servers/suspects.py
+++ b/src/hoistmoor/core/relay/servers/suspects.py
@@ -1,28 +1,28 @@
-"""Which requests end the servers that run them.
-
-The load that it answers: one request ends each server that begins to run it,
-and comes again, at any host. Unless the hosts tell one another, it ends all
-servers of its service again and again, and each end costs all that ran beside
-it.
-
-When a server ends, each request that it had is a suspect, and the end is noted
-against it with how far its run had come. Most of them merely ran beside the one
-that is the cause, or the server ended by itself, so one end says little:
-
-- A run that had begun and given nothing, the only such one there, is what a
-  crash at the begin of a run looks like. Two of these, at two servers, and the
-  request is quarantined. Of 375 requests that were cut beside such a one, 80 of
-  them three times or more, none was ever cut so (log of a played day, 7 hosts
-  and 6 servers).
-- Any other end counts where the request is its likeliest cause, once the other
-  hosts have had time to tell what else was there. It takes four of them.
-- A whole answer clears the request of all ends until then, and for a minute
-  none is noted against it. Many callers may ask for the same in the same words,
-  and some server or other ends under them by itself.
-
-A request in quarantine is refused. What is known of a suspect only grows, so
-hosts merge what they are told in any order, and need not agree on who tells
-first.
+"""Detects requests that crash the backend servers running them.
+
+Designed for a request that ends every server that begins to run it and is sent
+again, to any host. Unless the hosts exchange what they see, it ends all servers
+of its service repeatedly, and each end aborts every request running beside it.
+
+When a server ends, every request that it was running becomes a suspect, and the
+end is recorded against it together with the stage that its run had reached.
+Most of these requests merely ran beside the cause, or the server ended for
+another reason, so a single end is weak evidence:
+
+- A crash at the start of a run leaves exactly one run at the server whose
+  response had begun without any part. Two such ends at two servers quarantine
+  the request. Of 375 requests that were cut beside such a request, 80 of them
+  three times or more, none was ever cut in this way (log of a simulated day, 7
+  hosts and 6 servers).
+- Any other end counts only if the request is its likeliest cause, once other
+  hosts have had time to report what else was running there. Four such ends
+  quarantine the request.
+- A complete response clears the request of all earlier ends, and no ends are
+  recorded against it for a minute. Many callers may send identical requests,
+  and some servers end during these for unrelated reasons.
+
+A quarantined request is refused. Evidence against a suspect is only ever added,
+so hosts can merge reports in any order and need not agree on who sends first.
 """
 
 from __future__ import annotations
@@ -37,55 +37,58 @@
 
     from hoistmoor.core.relay.servers import runs as runs_lib
 
-# Servers that it may have ended in any other way. Four, as a request that runs
-# beside it may be cut at three of them in a row by chance.
+# Ends of any other kind that quarantine a request. Four, because a request that
+# runs beside the cause may be cut at three servers in a row by chance.
 ENDS_TO_QUARANTINE = 4
-# Seconds after which it is known what other hosts had at a server that ended,
-# with two hosts between.
+# Seconds after which other hosts' runs at a server that ended are known, if
+# their reports pass through two intermediate hosts.
 SETTLED = 1.0
-# Seconds after a whole answer for which nothing is held against a request. A
-# request that all callers send alike would else be refused once two servers
-# ended by themselves, and then nobody could clear it.
+# Seconds after a complete response for which no ends are recorded against the
+# request. Otherwise a request that all callers send alike would be refused once
+# two servers ended for unrelated reasons, and no response could clear it.
 ANSWERED_LIFE = 60.0
 MOST_ANSWERED = 4096  # Answered requests that are remembered: 0.6 MB.
-MOST_SUSPECTS = 256  # A server has 64 requests at once.
-MOST_QUARANTINED = 256  # Requests in quarantine, at most.
-DROPPED_AT_ONCE = 8  # An eighth of them, where there are too many.
+MOST_SUSPECTS = 256  # Unquarantined ones; a server has 64 requests at once.
+MAX_QUARANTINED = 256  # Quarantined requests that are stored.
+# When there are too many of either kind, this fraction of the maximum is
+# dropped: one in eight.
+EVICTION_DIVISOR = 8
 MOST_TOLD = 32  # Suspects in one message: 4 KB.
-# Seconds after its newest end for which a request is refused; the servers'
-# software may be mended by then.
+# Seconds after the latest end for which a request is refused. The servers'
+# software may have been fixed by then.
 QUARANTINE = 3600.0
 
 
 class SuspectTable:
-    """What is held against requests, by this host and those that told it.
+    """Evidence against requests, from this host and from others.
 
     Attributes:
-        serials: Number its changes.
-        newly_quarantined: Fingerprints that are to be logged.
+        serials: Source of change serials.
+        newly_quarantined: Fingerprints whose quarantine is yet to be logged.
     """
 
     def __init__(self, serials: serials_lib.Serials | None = None) -> None:
-        """Makes a table that holds nothing.
+        """Creates an empty table.
 
         Args:
-            serials: Number its changes; None for its own.
+            serials: Source of change serials; None to use a private one.
         """
         self.serials = serials or serials_lib.Serials()
         self.newly_quarantined: list[str] = []
         self._states: dict[str, suspect_state.SuspectState] = {}
-        # Steady times of the newest whole answers here, oldest first.
+        # Monotonic time of the latest complete response to each request at
+        # this host, oldest first.
         self._answered: dict[str, float] = {}
 
     def note_end(
         self, server: str, runs: Iterable[runs_lib.Run], now: float
     ) -> None:
-        """Takes the runs that a server had when it ended.
+        """Records the end of a server against the requests it was running.
 
         Args:
-            server: Its identity.
-            runs: Those of this host.
-            now: Steady time.
+            server: Identity of the server.
+            runs: Runs of this host at the server.
+            now: Monotonic time.
         """
         changed = []
         for run in runs:
@@ -101,7 +104,7 @@
         self._evaluate(changed, now)
 
     def note_answered(self, fingerprint: str, now: float) -> None:
-        """Notes that a server answered a request whole, and lived."""
+        """Records that a server completed a request without ending."""
         self._answered.pop(fingerprint, None)
         self._answered[fingerprint] = now
         if len(self._answered) > MOST_ANSWERED:
@@ -115,13 +118,13 @@
     def take(
         self, told: Iterable[suspect_state.Suspect], now: float
     ) -> list[str]:
-        """Takes what another host holds against requests.
+        """Merges the evidence sent by another host.
 
         Returns:
-            Identities of servers whose ends were not known here.
+            Identities of the servers whose ends were unknown to this host.
         """
         changed = []
-        servers: dict[str, None] = {}
+        ended: dict[str, None] = {}
         for suspect in told:
             if suspect.age > QUARANTINE:
                 continue
@@ -129,10 +132,10 @@
             known = set(state.ends)
             if self._merge(state, suspect, now):
                 changed.append(state)
-            new = [each for each in state.ends if each not in known]
-            servers.update(dict.fromkeys(new))
+            new = [server for server in state.ends if server not in known]
+            ended.update(dict.fromkeys(new))
         self._evaluate(changed, now)
-        return list(servers)
+        return list(ended)
 
     def _merge(
         self,
@@ -140,7 +143,7 @@
         suspect: suspect_state.Suspect,
         now: float,
     ) -> bool:
-        """Returns whether what another host tells is new here."""
+        """Merges one suspect; returns whether that changed anything."""
         new = [
             server
             for server, stage in suspect.ends.items()
@@ -159,7 +162,7 @@
         return True
 
     def is_quarantined(self, fingerprint: str, now: float) -> bool:
-        """Returns whether a request is to be refused."""
+        """Returns whether a request must be refused."""
         state = self._states.get(fingerprint)
         if state is None:
             return False
@@ -172,23 +175,23 @@
         return state.is_quarantined
 
     def left_for(self, fingerprint: str, now: float) -> float:
-        """Returns the seconds until a refused request may be tried again."""
+        """Returns the seconds until a refused request may be retried."""
         state = self._states.get(fingerprint)
         return 0.0 if state is None else state.newest + QUARANTINE - now
 
     def is_likely_cause(self, fingerprint: str) -> bool:
-        """Returns whether a request seems to blame for its servers' ends.
+        """Returns whether a request probably caused the ends of its servers.
 
-        Whoever merely ran there is not to lose an attempt by it.
+        Requests that merely ran beside the cause must not lose an attempt.
         """
         state = self._states.get(fingerprint)
-        least = suspect_state.STARTS_TO_QUARANTINE
-        if state is None or len(state.counted) < least:
+        threshold = suspect_state.STARTS_TO_QUARANTINE
+        if state is None or len(state.counted) < threshold:
             return False
-        return len(self._likely(state)) >= least
+        return len(self._likely_caused(state)) >= threshold
 
     def quarantined(self, now: float) -> dict[str, suspect_state.Suspect]:
-        """Returns the requests that are refused."""
+        """Returns the requests that are refused, by fingerprint."""
         return {
             fingerprint: self._states[fingerprint].told(now)
             for fingerprint in tuple(self._states)
@@ -196,7 +199,7 @@
         }
 
     def reasons(self, fingerprint: str) -> dict[str, object]:
-        """Returns what quarantined a request, for the log."""
+        """Returns the reasons for a request's quarantine, as log fields."""
         state = self._states.get(fingerprint)
         if state is None:
             return {"fingerprint": fingerprint}
@@ -205,27 +208,27 @@
             "ended": [
                 f"{server} {state.ends[server]}" for server in state.counted
             ],
-            "likely": self._likely(state),
+            "likely": self._likely_caused(state),
         }
 
     def forget(self, fingerprint: str) -> None:
-        """Forgets what is held against a request."""
+        """Drops all evidence against a request."""
         self._states.pop(fingerprint, None)
 
     def news(
         self, after: int, now: float
     ) -> tuple[tuple[suspect_state.Suspect, ...], int]:
-        """Returns what has changed, oldest first, and up to which serial.
+        """Returns unsent changes, oldest first, and the last serial covered.
 
         Args:
-            after: Serial up to which it was told already.
-            now: Steady time.
+            after: Serial up to which the receiver is up to date.
+            now: Monotonic time.
         """
         new, until = self.serials.batch(self._states.values(), after, MOST_TOLD)
-        return tuple(each.told(now) for each in new), until
+        return tuple(state.told(now) for state in new), until
 
     def _was_answered(self, fingerprint: str, now: float) -> bool:
-        """Returns whether the request was answered here a short time ago."""
+        """Returns whether this host recently saw the request answered."""
         answered_at = self._answered.get(fingerprint)
         return answered_at is not None and now - answered_at <= ANSWERED_LIFE
 
@@ -237,30 +240,32 @@
             known = self._states[fingerprint] = suspect_state.SuspectState(
                 fingerprint, newest
             )
-            self._make_room()
+            self._evict()
         return known
 
-    def _make_room(self) -> None:
-        """Drops the least of the suspects, and of those that are refused.
+    def _evict(self) -> None:
+        """Drops the weakest suspects and quarantined requests if too many.
 
-        Some at once: a mass of servers that end brings thousands of suspects.
+        Several are dropped at once, because many servers that end together
+        produce thousands of suspects.
         """
-        for is_quarantined, most in (
+        for is_quarantined, maximum in (
             (False, MOST_SUSPECTS),
-            (True, MOST_QUARANTINED),
+            (True, MAX_QUARANTINED),
         ):
             states = [
-                each
-                for each in self._states.values()
-                if each.is_quarantined is is_quarantined
+                suspect
+                for suspect in self._states.values()
+                if suspect.is_quarantined is is_quarantined
             ]
-            if len(states) <= most:
+            if len(states) <= maximum:
                 continue
-            # The newest has no end yet, and is to stay.
-            old = sorted(
-                states[:-1], key=lambda each: (len(each.counted), each.newest)
+            # The last one was just added and has no ends yet; it must stay.
+            weakest = sorted(
+                states[:-1],
+                key=lambda suspect: (len(suspect.counted), suspect.newest),
             )
-            for state in old[: most // DROPPED_AT_ONCE]:
+            for state in weakest[: maximum // EVICTION_DIVISOR]:
                 del self._states[state.fingerprint]
 
     def _mark_changed(self, state: suspect_state.SuspectState) -> None:
@@ -279,38 +284,39 @@
         self.newly_quarantined.append(state.fingerprint)
 
     def _is_cause(self, state: suspect_state.SuspectState, now: float) -> bool:
-        # Most suspects have one end, and a mass of servers that end makes
-        # thousands of them: the others at each end are looked at for few.
+        # Many servers that end together produce thousands of suspects, most of
+        # them with one end. The threshold is checked first, so that the search
+        # for other suspects at each end runs for few of them.
         if len(state.starts) >= suspect_state.STARTS_TO_QUARANTINE:
-            only = [
-                each
-                for each in state.starts
-                if self._is_only_start(state, each)
+            unique = [
+                start
+                for start in state.starts
+                if self._is_only_start(state, start)
             ]
-            if len(only) >= suspect_state.STARTS_TO_QUARANTINE:
+            if len(unique) >= suspect_state.STARTS_TO_QUARANTINE:
                 return True
         if len(state.counted) < ENDS_TO_QUARANTINE:
             return False
         settled = [
             server
-            for server in self._likeliest(state)
+            for server in self._clearly_caused(state)
             if now - state.learnt[server] >= SETTLED
         ]
         return len(settled) >= ENDS_TO_QUARANTINE
 
-    def _likely(self, state: suspect_state.SuspectState) -> list[str]:
-        """Returns the ends of which no other request is the likelier cause."""
+    def _likely_caused(self, state: suspect_state.SuspectState) -> list[str]:
+        """Returns the ends for which no other request is a likelier cause."""
         return [
             server
             for server in state.counted
             if state.weight(server) >= self._heaviest_other(state, server)
         ]
 
-    def _likeliest(self, state: suspect_state.SuspectState) -> list[str]:
-        """Returns the ends of which it is the likeliest cause, alone.
+    def _clearly_caused(self, state: suspect_state.SuspectState) -> list[str]:
+        """Returns the ends for which it is the single likeliest cause.
 
-        Of two requests that were always together, one is innocent: which one,
-        the next end tells.
+        If two requests were always present together, one of them is innocent;
+        only the next end shows which one.
         """
         return [
             server
@@ -322,13 +328,14 @@
         self, state: suspect_state.SuspectState, server: str
     ) -> suspect_state.Weight:
         return max(
-            (each.weight(server) for each in self._others_at(state, server)),
+            (other.weight(server) for other in self._others_at(state, server)),
             default=suspect_state.NO_WEIGHT,
         )
 
     def _is_only_start(
         self, state: suspect_state.SuspectState, server: str
     ) -> bool:
+        """Returns whether no other run had just begun at the server."""
         return not any(
             server in other.starts for other in self._others_at(state, server)
         )
@@ -336,6 +343,7 @@
     def _others_at(
         self, state: suspect_state.SuspectState, server: str
     ) -> list[suspect_state.SuspectState]:
+        """Returns the other suspects against which a server's end counts."""
         return [
             other
             for other in self._states.values()
--- a/src/hoistmoor/core/relay/servers/warmup.py
+++ b/src/hoistmoor/core/relay/servers/warmup.py
@@ -1,12 +1,13 @@
-"""How many requests all hosts may send to a server that is cold.
+"""Bounds on the requests that all hosts together send to a cold server.
 
-A server that has just started bears a few requests a second and crashes well
-above, whoever sends them. It has no work under way, so it looks the best to
-all hosts, and they learn late what the others send.
+A server that has just started handles a few requests a second and crashes far
+above that rate, no matter which hosts send the requests. It has no work yet, so
+it looks like the best choice to every host, and hosts learn late what the
+others send.
 
-The load that it answers: 20 servers of a failure domain that come back
-together before 84 or 360 hosts, which ask for 300 runs a second. Left to the
-hosts, a server got 22 requests in its first second where 18 are allowed.
+Sized for 20 servers of a failure domain that return together while 84 or 360
+hosts send 300 runs a second. Without coordination, a server got 22 requests in
+its first second where 18 are allowed.
 """
 
 from __future__ import annotations
@@ -20,22 +21,22 @@
 
     from hoistmoor.core.relay.beliefs import configuration
 
-# Seconds over which a host counts what it has sent to a cold server. The bound
-# is for any second; a request may take a quarter of one more than the next.
+# Seconds over which a host counts its requests to a cold server. The bound
+# applies to any second, and request latency may vary by a quarter of a second.
 WINDOW = 1.25
-# Part of the bound that the hosts' shares add up to. Hosts whose lists differ
-# have other shares, and two windows of a host may fall into one second where
-# its requests are held up.
-SHARED = 0.5
+# Fraction of the bound that the hosts' quotas add up to. Hosts with different
+# host lists compute different quotas, and if a host's requests are delayed, two
+# of its windows may arrive within one second.
+SHARED_FRACTION = 0.5
 
 
 @attrs.frozen
 class Excess:
-    """What operators allow beyond the rate that a service states.
+    """Tolerance that operators grant above a service's warm-up rate.
 
     Attributes:
-        factor: Times that rate.
-        requests: Requests in a second on top.
+        factor: Multiple of the rate.
+        requests: Requests a second that are added to it.
     """
 
     factor: float = 1.0
@@ -44,12 +45,12 @@
 
 @attrs.frozen
 class Warmup:
-    """How the servers of one service warm up.
+    """Warm-up policy of one service.
 
     Attributes:
-        duration: Seconds for which one is cold after its start.
-        allowed: Requests that a cold one may get in any second, from all
-            hosts.
+        duration: Seconds after its start for which a server is cold.
+        allowed: Requests that a cold server may get from all hosts in any
+            second.
     """
 
     duration: float
@@ -57,15 +58,15 @@
 
     @property
     def shared(self) -> int:
-        """Requests in a window that the hosts' parts add up to."""
-        return int(SHARED * self.allowed)
+        """Requests in a window that the hosts' quotas add up to."""
+        return int(SHARED_FRACTION * self.allowed)
 
 
 class Warmups:
-    """How the servers of each service warm up.
+    """Warm-up policies of all services.
 
     Attributes:
-        excess: What operators allow beyond the services' rates.
+        excess: Tolerance that operators grant above the services' rates.
     """
 
     def __init__(self) -> None:
@@ -75,11 +76,11 @@
     def take_services(
         self, services: Mapping[str, configuration.Service]
     ) -> None:
-        """Takes what the operators say of the services."""
+        """Sets the configuration of the services."""
         self._services = services
 
     def of(self, service: str) -> Warmup | None:
-        """Returns how a service's servers warm up; None if they need not."""
+        """Returns a service's policy; None if its servers need no warm-up."""
         found = self._services.get(service)
         if found is None or not found.warmup_duration:
             return None
