--- a/src/hoistmoor/core/relay/placement/__init__.py
+++ b/src/hoistmoor/core/relay/placement/__init__.py
@@ -1,6 +1,6 @@
-"""Which backend server and model an attempt goes to, and its rank there.
+"""Selection of the backend server, model and queue rank for each attempt.
 
-The machine of a request asks the router; nobody else chooses a server.
+Request state machines obtain every server from the router in this package.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/core/relay/placement/bounds.py
+++ b/src/hoistmoor/core/relay/placement/bounds.py
@@ -1,4 +1,4 @@
-"""Bounds that the operators set for the relay."""
+"""Operator-defined bounds of the relay."""
 
 from __future__ import annotations
 
@@ -10,17 +10,19 @@
 
 @attrs.frozen
 class Bounds:
-    """Bounds that the operators set for the relay.
+    """Operator-defined bounds of the relay.
 
     Attributes:
-        repeat_ratio: Repeats for each request to a service.
-        repeat_window: Seconds over which both are counted.
-        repeat_spare: Repeats a host may make with no request at all.
-        repeat_slack: Repeats that all hosts together may make so; None if the
-            operators set no bound.
-        session_life: Seconds after its last request that a session lives.
-        warmup_excess: What cold servers may get beyond their rates.
-        longest_rest: Seconds that a server may ask a host to leave it alone.
+        repeat_ratio: Repeats permitted per request to a service.
+        repeat_window: Seconds over which requests and repeats are counted.
+        repeat_spare: Repeats that one host may make regardless of its number
+            of requests.
+        repeat_slack: Repeats that all hosts together may make regardless of
+            their number of requests; None if not bounded.
+        session_life: Seconds from its last request until a session expires.
+        warmup_excess: Tolerance for cold servers above their services' rates.
+        longest_rest: Maximum rest in seconds that a server may request from a
+            host.
     """
 
     repeat_ratio: float = 0.2
--- a/src/hoistmoor/core/relay/placement/partition.py
+++ b/src/hoistmoor/core/relay/placement/partition.py
@@ -1,11 +1,11 @@
-"""Keeps unlike requests of one service apart, as far as load allows.
-
-A model engine works on all its requests in step. A large model's step takes
-many times a small one's, and a long prompt holds up all beside it while it is
-read. So each class of requests has a place along a line on which every host
-puts the servers in the same order, and prefers those that stand near it: with
-no word between the hosts, a class meets its like, and a busy class takes more
-of the line.
+"""Separates dissimilar requests of one service as far as the load permits.
+
+A model engine processes its requests in lockstep. A step of a large model takes
+many times as long as one of a small model, and prefilling a long prompt delays
+every request beside it. Each class of requests therefore has a position on a
+line along which all hosts order the servers in the same way, and prefers the
+servers close to it. Requests of a class thus meet on the same servers without
+coordination between the hosts, and a busy class spreads over more of the line.
 """
 
 from __future__ import annotations
@@ -18,17 +18,19 @@
 if TYPE_CHECKING:
     from hoistmoor.core.relay.servers import server as server_lib
 
-LONG_FACTOR = 4.0  # Times the mean length that make a prompt a long one.
-LENGTH_STEP = 0.02  # Weight of the newest prompt in the mean length.
+# Multiple of the mean prompt length from which a prompt counts as long.
+LONG_PROMPT_FACTOR = 4.0
+# Smoothing factor of the mean prompt length: the weight of the newest prompt.
+LENGTH_SMOOTHING = 0.02
 
 
 @attrs.frozen(order=True)
 class WorkClass:
-    """Requests that do not hold up one another.
+    """Class of requests that do not slow down one another.
 
     Attributes:
-        size: Place of the model among the sizes, smallest first.
-        sizes: How many sizes there are.
+        size: Index of the model among the sizes, smallest first.
+        sizes: Number of sizes.
         is_long: Whether the prompt is a long one.
     """
 
@@ -38,25 +40,25 @@
 
     @property
     def place(self) -> float:
-        """Place on the line, 0 to 1."""
-        of_size = self.size / max(1, self.sizes - 1)
-        return (2.0 * of_size + self.is_long) / 3.0
+        """Position on the line, 0 to 1."""
+        relative_size = self.size / max(1, self.sizes - 1)
+        return (2.0 * relative_size + self.is_long) / 3.0
 
 
 @attrs.define
 class Partition:
-    """Classes of one service.
+    """Request classes of one service.
 
     Attributes:
-        mean_tokens: Mean length of prompts.
+        mean_tokens: Mean prompt length.
     """
 
     mean_tokens: float = 0.0
 
     def note_prompt(self, tokens: int) -> None:
-        """Takes a prompt's length into the mean."""
-        known = self.mean_tokens or tokens
-        self.mean_tokens = known + LENGTH_STEP * (tokens - known)
+        """Adds a prompt's length to the moving average."""
+        mean = self.mean_tokens or tokens
+        self.mean_tokens = mean + LENGTH_SMOOTHING * (tokens - mean)
 
     def class_of(
         self, tokens: int, model: str, sizes: tuple[str, ...]
@@ -65,26 +67,26 @@
 
         Args:
             tokens: Length of its prompt.
-            model: The model that it asks for.
-            sizes: Models that may be asked for, smallest first.
+            model: The requested model.
+            sizes: Models that may be requested, smallest first.
         """
-        place = sizes.index(model) if model in sizes else 0
-        is_long = tokens > LONG_FACTOR * self.mean_tokens
-        return WorkClass(place, len(sizes), is_long)
+        size = sizes.index(model) if model in sizes else 0
+        is_long = tokens > LONG_PROMPT_FACTOR * self.mean_tokens
+        return WorkClass(size, len(sizes), is_long)
 
 
 def distances(
     work_class: WorkClass, ready: list[server_lib.ServerState]
 ) -> dict[str, float]:
-    """Returns how far servers stand from a class, 0 to 1, by identity."""
-    ordered = sorted(ready, key=_place)
+    """Returns the distance of each server to a class, 0 to 1, by identity."""
+    ordered = sorted(ready, key=_order_key)
     last = max(1, len(ordered) - 1)
-    place = work_class.place
+    position = work_class.place
     return {
-        server.entry.identity: abs(at / last - place)
-        for at, server in enumerate(ordered)
+        server.entry.identity: abs(index / last - position)
+        for index, server in enumerate(ordered)
     }
 
 
-def _place(server: server_lib.ServerState) -> int:
+def _order_key(server: server_lib.ServerState) -> int:
     return xxhash.xxh64_intdigest(server.entry.identity.encode())
--- a/src/hoistmoor/core/relay/placement/placement.py
+++ b/src/hoistmoor/core/relay/placement/placement.py
@@ -1,13 +1,15 @@
-"""Chooses a backend server for one attempt.
-
-A prompt goes to the engine that will be done with it first: by the work that
-it has, and by what it need not read again. Every host ranks the engines for a
-shared part in the same order, with no word between them, and takes the first
-as the one that has it cached. Besides that one only a few engines are looked
-at, drawn anew for each request: what other hosts have under way is known late,
-and hosts that all looked at all engines would all choose the same one. Other
-requests go to the least loaded server, one in this failure domain if it is
-about as good.
+"""Selects a backend server for one attempt.
+
+A prompt goes to the engine that is expected to finish it first, considering the
+engine's outstanding work and the prompt tokens that it has cached. All hosts
+rank the engines for a shared prompt prefix in the same order, without
+coordination, and treat the first one as its cache holder. Besides that engine,
+only a small random sample is considered for each request: hosts learn of one
+another's work with a delay, and if all of them compared all engines, they would
+all select the same one.
+
+Other requests go to the least loaded server, preferring this host's failure
+domain if the loads are similar.
 """
 
 from __future__ import annotations
@@ -22,24 +24,30 @@
     from hoistmoor.core.relay.course import requests
     from hoistmoor.core.relay.servers import server as server_lib
 
-FAR_BIAS = 0.1  # Load, in shares of a server, that a near server may have more.
-# Times as much work that an engine at the far end of the line seems to have.
-APART = 2.0
-# Times as busy that an engine in another failure domain seems to be. A model
-# request carries its whole prompt; this saves a quarter of the bytes between
-# failure domains (mean of 15 played days with disturbances) and costs no
-# answer its time; at 3.0 a third is saved and long prompts wait more.
-FAR_FACTOR = 2.0
-# An engine begins as many requests at once as it has slots, and what is beyond
-# them waits: with all slots taken it seems twice as busy, with twice as many
-# requests 17 times. The work of short answers of a small model alone does not
-# show that 64 of them wait where 16 have a slot.
-CROWD_POWER = 4.0
-NEAR_POWER = 3.0  # How much more often a near engine is drawn than a far one.
-# Engines drawn for a request, besides the one that has its prompt cached.
-DRAWN = 4
-TIE_NOISE = 0.02  # Shares of a server; spreads hosts that see the same loads.
-_DRAWS = 1 << 16
+# Additional load, as a fraction of a server's slots, that a server in this
+# host's failure domain may have and still be preferred.
+REMOTE_BIAS = 0.1
+# Penalty for engines distant from the request's class: the work of an engine at
+# the far end of the line is scaled by one plus this factor.
+CLASS_DISTANCE_FACTOR = 2.0
+# Factor on the work of an engine in another failure domain. A model request
+# carries its whole prompt. This value saves a quarter of the bytes between
+# failure domains (mean of 15 simulated days with faults) and makes no answer
+# late; 3.0 saves a third, but long prompts wait longer.
+REMOTE_FACTOR = 2.0
+# Exponent of the penalty for occupied slots. An engine starts as many requests
+# at once as it has slots and queues the others. With all slots taken its work
+# counts twice, with twice as many requests 17 times. Outstanding work alone
+# does not show that 64 short answers of a small model wait for 16 slots.
+OCCUPANCY_EXPONENT = 4.0
+# Exponent of the preference for engines close to the class when sampling.
+PROXIMITY_EXPONENT = 3.0
+# Engines sampled for a request, besides the one that has its prompt cached.
+SAMPLE_SIZE = 4
+# Random load, as a fraction of a server's slots, that spreads the choices of
+# hosts which see the same loads.
+TIE_NOISE = 0.02
+_DRAW_RANGE = 1 << 16
 
 
 def pick(
@@ -51,13 +59,13 @@
     """Returns the server for a plain request, or None if there is none.
 
     Args:
-        ready: Servers that may get it.
+        ready: Candidate servers.
         zone: Failure domain of this host.
-        now: Steady time.
+        now: Monotonic time.
         draws: Source of randomness.
     """
     return min(
-        ready, key=lambda each: _cost(each, zone, now, draws), default=None
+        ready, key=lambda server: _cost(server, zone, now, draws), default=None
     )
 
 
@@ -74,78 +82,82 @@
     """Returns the engine for a model request, or None if there is none.
 
     Args:
-        ready: Engines that may get it.
+        ready: Candidate engines.
         request: The request; it has a prompt.
-        model: Model that is to answer.
+        model: The requested model.
         zone: Failure domain of this host.
-        distances: How far each engine stands from the request's class.
-        mean_work: Usual work of a request, for engines not used yet.
+        distances: Distance of each engine to the request's class.
+        mean_work: Mean work of a request, for engines not used yet.
         draws: Source of randomness.
-        now: Steady time.
+        now: Monotonic time.
     """
     prompt = request.prompt
     if not ready or prompt is None:
         return None
-    nearness = {
-        name: (1.0 + APART * distance) ** -NEAR_POWER
-        for name, distance in distances.items()
+    proximity = {
+        identity: (1.0 + CLASS_DISTANCE_FACTOR * distance)
+        ** -PROXIMITY_EXPONENT
+        for identity, distance in distances.items()
     }
-    candidates = _draw(ready, nearness, draws)
-    holder = None
+    candidates = _sample(ready, proximity, draws)
+    cache_holder = None
     if prompt.shared_tokens:
         key = f"{prompt.subject} {model}"
-        holder = _holder(ready, key, nearness)
-        candidates.append(holder)
-    cached = prompt.shared_tokens * request.weight(model)
+        cache_holder = _cache_holder(ready, key, proximity)
+        candidates.append(cache_holder)
+    cached_work = prompt.shared_tokens * request.weight(model)
 
     def work_until_done(server: server_lib.ServerState) -> float:
-        waiting = server.waiting_work(mean_work, now)
+        outstanding = server.waiting_work(mean_work, now)
         own = request.work(model)
-        if server is holder:
-            own -= cached
-        apart = 1.0 + APART * distances[server.entry.identity]
-        far = FAR_FACTOR if server.entry.zone != zone else 1.0
-        busy = apart * far * max(1.0, server.health.pace)
-        crowd = 1.0 + math.pow(server.crowding(now), CROWD_POWER)
-        return (waiting + own) * busy * crowd
+        if server is cache_holder:
+            own -= cached_work
+        class_factor = (
+            1.0 + CLASS_DISTANCE_FACTOR * distances[server.entry.identity]
+        )
+        domain_factor = REMOTE_FACTOR if server.entry.zone != zone else 1.0
+        slowdown = class_factor * domain_factor * max(1.0, server.health.pace)
+        queueing = 1.0 + math.pow(server.crowding(now), OCCUPANCY_EXPONENT)
+        return (outstanding + own) * slowdown * queueing
 
     return min(candidates, key=work_until_done)
 
 
-def _draw(
+def _sample(
     ready: list[server_lib.ServerState],
-    nearness: dict[str, float],
+    proximity: dict[str, float],
     draws: hashing.Draws,
 ) -> list[server_lib.ServerState]:
-    """Returns a few servers, near ones more often."""
-    if len(ready) <= DRAWN:
+    """Returns a random sample of servers, weighted by proximity."""
+    if len(ready) <= SAMPLE_SIZE:
         return list(ready)
-    # Only a few hosts may send to a server that has named a limit, each
-    # seldom. Drawn like any other, one of 90 got less than half of its limit.
-    limited = [each for each in ready if each.limit.rate is not None]
+    # Only a few hosts may send to a server with a rate limit, each rarely. When
+    # sampled like the others, one of 90 got less than half of its limit.
+    limited = [server for server in ready if server.limit.rate is not None]
 
-    def key(server: server_lib.ServerState) -> float:
-        uniform = (draws.below(_DRAWS) + 1) / _DRAWS
-        return -math.log(uniform) / nearness[server.entry.identity]
+    def sort_key(server: server_lib.ServerState) -> float:
+        uniform = (draws.below(_DRAW_RANGE) + 1) / _DRAW_RANGE
+        return -math.log(uniform) / proximity[server.entry.identity]
 
-    return heapq.nsmallest(DRAWN, ready, key=key) + limited
+    return heapq.nsmallest(SAMPLE_SIZE, ready, key=sort_key) + limited
 
 
-def _holder(
-    ready: list[server_lib.ServerState], key: str, nearness: dict[str, float]
+def _cache_holder(
+    ready: list[server_lib.ServerState], key: str, proximity: dict[str, float]
 ) -> server_lib.ServerState:
-    """Returns the server that has the parts of a prompt cached."""
+    """Returns the server that is expected to have a shared prefix cached."""
     weights = tuple(
-        (each.entry.identity, nearness[each.entry.identity]) for each in ready
+        (server.entry.identity, proximity[server.entry.identity])
+        for server in ready
     )
-    name = hashing.weighted_pick(key, weights)
-    return next(each for each in ready if each.entry.identity == name)
+    identity = hashing.weighted_pick(key, weights)
+    return next(server for server in ready if server.entry.identity == identity)
 
 
 def _cost(
     server: server_lib.ServerState, zone: str, now: float, draws: hashing.Draws
 ) -> float:
-    far = FAR_BIAS if server.entry.zone != zone else 0.0
-    noise = TIE_NOISE * draws.below(_DRAWS) / _DRAWS
+    bias = REMOTE_BIAS if server.entry.zone != zone else 0.0
+    noise = TIE_NOISE * draws.below(_DRAW_RANGE) / _DRAW_RANGE
     pace = max(1.0, server.health.pace)
-    return server.fullness(now) * pace + far + noise
+    return server.fullness(now) * pace + bias + noise
--- a/src/hoistmoor/core/relay/placement/router.py
+++ b/src/hoistmoor/core/relay/placement/router.py
@@ -1,7 +1,7 @@
-"""Chooses the backend server and the model of each attempt.
+"""Selects the backend server for each attempt and records the results.
 
-It holds what this host knows: the fleet, the roll-outs and the budgets. The
-machines of all requests share one router.
+The router holds this host's state of backend servers, rollouts and repeat
+budgets. All request state machines share one router.
 """
 
 from __future__ import annotations
@@ -31,18 +31,20 @@
     from hoistmoor.core.routing import hashing
     from hoistmoor.core.routing import health as health_lib
 
-    _NoteEnd = Callable[[requests.RelayRequest, messages.Send, float], None]
+    _OutcomeHandler = Callable[
+        [requests.RelayRequest, messages.Send, float], None
+    ]
 
 
 class Router:
-    """What this host knows of backend servers, and its choices.
+    """Selects backend servers and keeps this host's state of them.
 
     Attributes:
         fleet: Backend servers.
-        rollouts: Roll-outs and versions.
-        paces: Usual durations of answers.
-        suspects: Requests that may end the servers that run them.
-        serials: Number what other hosts are told once.
+        rollouts: Rollouts and versions.
+        paces: Usual durations of responses.
+        suspects: Requests that may crash the servers running them.
+        serials: Source of serials for changes sent to other hosts.
         zone: Failure domain of this host.
     """
 
@@ -53,11 +55,11 @@
         draws: hashing.Draws,
         own: str = "",
     ) -> None:
-        """Makes a router that knows no server yet.
+        """Creates a router without servers.
 
         Args:
             zone: Failure domain of this host.
-            bounds: Bounds that the operators set.
+            bounds: Operator-defined bounds.
             draws: Source of randomness.
             own: Name of this host.
         """
@@ -71,11 +73,13 @@
         self._bounds = bounds
         self._draws = draws
         self._services: dict[str, service_state.ServiceState] = {}
-        # What an attempt's end tells of its server; one that was given up
-        # here tells nothing.
-        self._endings: dict[pace_lib.AttemptOutcome, _NoteEnd] = {
-            pace_lib.AttemptOutcome.WELL: self._note_well,
-            pace_lib.AttemptOutcome.FAILED: self._note_failed,
+        # An attempt that this host abandoned says nothing about its server and
+        # has no handler.
+        self._outcome_handlers: dict[
+            pace_lib.AttemptOutcome, _OutcomeHandler
+        ] = {
+            pace_lib.AttemptOutcome.WELL: self._note_success,
+            pace_lib.AttemptOutcome.FAILED: self._note_failure,
             pace_lib.AttemptOutcome.FULL: self._note_full,
             pace_lib.AttemptOutcome.REPLACED: self._note_replaced,
             pace_lib.AttemptOutcome.UNREACHABLE: self._note_unreachable,
@@ -83,7 +87,7 @@
         self.take_bounds(bounds)
 
     def take_bounds(self, bounds: bounds_lib.Bounds) -> None:
-        """Puts other bounds in force; what was counted stays."""
+        """Applies new bounds and keeps all counters."""
         self._bounds = bounds
         self.rollouts.sessions.life = bounds.session_life
         self.fleet.warmups.excess = bounds.warmup_excess
@@ -93,20 +97,20 @@
             service.budget.window = bounds.repeat_window
 
     def note_request(self, request: requests.RelayRequest, now: float) -> None:
-        """Counts a caller's request, which earns its service repeats."""
+        """Counts a caller's request, which adds to the repeat budget."""
         service = self._service(request.service)
         service.budget.note_request(now)
         if request.prompt is not None:
             service.partition.note_prompt(request.prompt.tokens)
 
     def may_repeat(self, request: requests.RelayRequest, now: float) -> bool:
-        """Returns whether the budget allows to send the request once more."""
+        """Returns whether the budget permits another attempt at a request."""
         service = self._service(request.service)
         service.budget.spare = self._spare_repeats()
         return service.budget.allows(now)
 
     def _spare_repeats(self) -> float:
-        """Returns the repeats that this host may make with no request."""
+        """Returns the repeats permitted regardless of the request count."""
         bounds = self._bounds
         if bounds.repeat_slack is None:
             return bounds.repeat_spare
@@ -122,22 +126,22 @@
         failed: frozenset[str],
         now: float,
     ) -> server_lib.ServerState | None:
-        """Returns the server for the next attempt, or None without one.
+        """Returns the server for the next attempt, or None if there is none.
 
         Args:
             request: The request.
-            model: Model to be asked for; empty for plain requests.
-            work_class: Class of work that the attempt belongs to.
-            excluded: Identities of servers that must not be chosen.
-            failed: Versions that already failed this request.
-            now: Steady time.
+            model: Model to request; empty for plain requests.
+            work_class: Work class of the attempt.
+            excluded: Identities of servers that must not be selected.
+            failed: Versions that have already failed this request.
+            now: Monotonic time.
         """
         service = request.service
         usable = self.fleet.usable(service, now)
-        versions = {each.entry.version for each in usable}
+        versions = {server.entry.version for server in usable}
         if request.session:
-            # It would change its version to and fro with what bars all
-            # servers of that for a moment.
+            # Reasons that make all servers of a version ineligible for a short
+            # time must not switch the session between versions.
             versions = self.fleet.versions(service, now, access.SHORT)
         allowed = self.rollouts.choose(
             service,
@@ -166,7 +170,7 @@
     def outlook(
         self, request: requests.RelayRequest, now: float
     ) -> access.Outlook | None:
-        """Returns when the first server may get a request; None for now."""
+        """Returns when a server becomes eligible; None if one is now."""
         return self.fleet.outlook(request.service, now)
 
     def wait_until(
@@ -175,25 +179,25 @@
         request: requests.RelayRequest,
         now: float,
     ) -> float:
-        """Returns the seconds after which a refused caller should come back.
+        """Returns the seconds after which a refused caller should retry.
 
         Args:
-            outlook: When the first server may get the request.
+            outlook: When the first server becomes eligible.
             request: The request.
-            now: Steady time.
+            now: Monotonic time.
         """
         if outlook.bar is access.Bar.RESTING:
             return retry_after.for_rest(outlook.wait, self._draws.unit())
         if outlook.wait < access.FOR_GOOD:
             return max(outlook.wait, retry_after.FOR_ROOM)
-        lacking_since = self._service(request.service).lacking_since
-        lasted = 0.0 if lacking_since is None else now - lacking_since
-        return retry_after.for_lack(lasted, self._draws.unit())
+        since = self._service(request.service).lacking_since
+        outage = 0.0 if since is None else now - since
+        return retry_after.for_lack(outage, self._draws.unit())
 
     def class_of(
         self, request: requests.RelayRequest, model: str
     ) -> partition_lib.WorkClass:
-        """Returns the class of work that an attempt belongs to."""
+        """Returns the work class of an attempt."""
         return self._service(request.service).partition.class_of(
             request.prompt.tokens if request.prompt else 0,
             model,
@@ -203,14 +207,14 @@
     def expected_first(
         self, request: requests.RelayRequest, model: str, now: float
     ) -> float:
-        """Returns the seconds that a model's first part should take."""
+        """Returns the expected seconds until a model's first response part."""
         work_class = self.class_of(request, model)
         return self._service(request.service).delays.expected(work_class, now)
 
     def note_first(
         self, request: requests.RelayRequest, send: messages.Send, now: float
     ) -> None:
-        """Notes that an attempt's answer began."""
+        """Records that the response to an attempt has begun."""
         self._service(request.service).delays.end(
             send.work_class, send.serial, now, answered=True
         )
@@ -221,7 +225,7 @@
         work_class: partition_lib.WorkClass,
         now: float,
     ) -> int:
-        """Notes that an attempt begins to wait; returns its serial."""
+        """Records that an attempt starts waiting; returns its serial."""
         return self._service(request.service).delays.begin(work_class, now)
 
     def note_sent(
@@ -230,7 +234,7 @@
         send: messages.Send,
         now: float,
     ) -> None:
-        """Counts an attempt that is about to be sent."""
+        """Records an attempt that is about to be sent."""
         server = send.server
         server.in_flight += 1
         server.sends.note(now)
@@ -253,13 +257,13 @@
         outcome: pace_lib.AttemptOutcome,
         now: float,
     ) -> None:
-        """Notes how an attempt went.
+        """Records the outcome of an attempt.
 
         Args:
             request: The request.
             send: The attempt.
-            outcome: How it went.
-            now: Steady time.
+            outcome: Its outcome.
+            now: Monotonic time.
         """
         server = send.server
         if request.session:
@@ -273,25 +277,26 @@
         )
         if request.prompt is not None:
             server.work -= request.work(send.model)
-        note = self._endings.get(outcome)
-        if note is not None:
-            note(request, send, now)
+        handler = self._outcome_handlers.get(outcome)
+        if handler is not None:
+            handler(request, send, now)
 
-    def _note_well(
+    def _note_success(
         self, request: requests.RelayRequest, send: messages.Send, now: float
     ) -> None:
-        send.server.has_ended = False  # It has come back by the same name.
-        self._note_health(send.server.health, now, is_well=True)
+        # A server that reports no start time may return with the same identity.
+        send.server.has_ended = False
+        self._note_health(send.server.health, now, is_success=True)
 
-    def _note_failed(
+    def _note_failure(
         self, request: requests.RelayRequest, send: messages.Send, now: float
     ) -> None:
-        self._note_health(send.server.health, now, is_well=False)
+        self._note_health(send.server.health, now, is_success=False)
 
     def _note_health(
-        self, health: health_lib.Health, now: float, *, is_well: bool
+        self, health: health_lib.Health, now: float, *, is_success: bool
     ) -> None:
-        health.note(is_well, 1.0)
+        health.note(is_success, 1.0)
         if health.is_outlier():
             health.eject(now)
 
@@ -320,14 +325,15 @@
     def note_server_end(
         self, server: server_lib.ServerState, now: float
     ) -> None:
-        """Notes that a start of a server is over, as this host found.
+        """Records that this host found an incarnation of a server ended.
 
         Args:
             server: The server.
-            now: Steady time.
+            now: Monotonic time.
         """
         server.has_ended = True
-        # Whoever looks the least busy would get the next requests.
+        # Without any work it looks like the least loaded server and would get
+        # the next requests.
         server.absent_until = now + fleet_lib.ABSENT
         self.suspects.note_end(
             server.entry.identity, server.runs.present(now), now
@@ -336,22 +342,22 @@
     def take_suspects(
         self, told: Iterable[suspect_state.Suspect], now: float
     ) -> list[server_lib.ServerState]:
-        """Takes what another host holds against requests.
+        """Merges the evidence against requests sent by another host.
 
         Args:
-            told: Its suspects.
-            now: Steady time.
+            told: The suspects.
+            now: Monotonic time.
 
         Returns:
-            The servers of which it is news here that they have ended.
+            Servers that this host did not know to have ended.
         """
         found = map(self.fleet.find, self.suspects.take(told, now))
-        news = [each for each in found if each and not each.has_ended]
-        for server in news:
-            # This host may have had a run there that it gave up before the
-            # server ended, so that it saw nothing of it.
+        newly_ended = [each for each in found if each and not each.has_ended]
+        for server in newly_ended:
+            # This host may have abandoned a run there before the server ended,
+            # and thus not have noticed the end.
             self.note_server_end(server, now)
-        return news
+        return newly_ended
 
     def note_answer(
         self,
@@ -359,9 +365,9 @@
         server: server_lib.ServerState,
         measured: pace_lib.Measured,
     ) -> None:
-        """Takes what an attempt showed into account for roll-outs."""
+        """Evaluates the response to an attempt for rollouts."""
         key = (request.route.name, measured.model)
-        slow = self.paces.is_slow(key, measured, rollouts.SLOW_PACE)
+        is_slow = self.paces.is_slow(key, measured, rollouts.SLOW_PACE)
         progress = self.rollouts.progress.get(request.service)
         is_target = (
             progress is not None
@@ -375,7 +381,7 @@
                 request.route.name,
                 server.entry.version,
                 measured.failed,
-                slow,
+                is_slow,
             )
 
     def _service(self, name: str) -> service_state.ServiceState:
--- a/src/hoistmoor/core/relay/placement/service_state.py
+++ b/src/hoistmoor/core/relay/placement/service_state.py
@@ -1,4 +1,4 @@
-"""What this host counts for one service."""
+"""Statistics that this host keeps for one service."""
 
 from __future__ import annotations
 
@@ -8,20 +8,22 @@
 from hoistmoor.core.relay.course import budget
 from hoistmoor.core.relay.placement import partition as partition_lib
 
-WORK_STEP = 0.02  # Weight of the newest request in the mean work of one.
+# Smoothing factor of the mean work per request: the weight of the newest
+# request.
+WORK_STEP = 0.02
 
 
 @attrs.define
 class ServiceState:
-    """What this host counts for one service.
+    """Statistics that this host keeps for one service.
 
     Attributes:
-        budget: Repeats that it has earned.
-        partition: Its classes of work.
-        delays: How long its classes wait for their first part.
-        mean_work: Usual work of a request; 0 before the first.
-        lacking_since: Steady time since which no server was ready for any
-            request; None where one was for the newest.
+        budget: Budget for repeats.
+        partition: Request classes.
+        delays: Delays until the first response part, by class.
+        mean_work: Mean work per request; 0 before the first.
+        lacking_since: Monotonic time since which no server has been ready for
+            any request; None if one was ready for the latest request.
     """
 
     budget: budget.RepeatBudget
@@ -33,13 +35,13 @@
     lacking_since: float | None = None
 
     def note_ready(self, is_ready: bool, now: float) -> None:
-        """Notes whether some server was ready for a request."""
+        """Records whether any server was ready for a request."""
         if is_ready:
             self.lacking_since = None
         elif self.lacking_since is None:
             self.lacking_since = now
 
     def note_work(self, work: float) -> None:
-        """Takes a request's work into the mean."""
-        known = self.mean_work or work
-        self.mean_work = known + WORK_STEP * (work - known)
+        """Adds a request's work to the moving average."""
+        mean = self.mean_work or work
+        self.mean_work = mean + WORK_STEP * (work - mean)
--- a/src/hoistmoor/core/relay/placement/urgency.py
+++ b/src/hoistmoor/core/relay/placement/urgency.py
@@ -1,10 +1,10 @@
-"""In which order an engine should begin what waits there.
+"""Ranks that determine the order in which an engine starts queued requests.
 
-The load that it answers: engines whose queues hold short prompts behind long
-ones. Reading a prompt holds up all that waits behind it, so the shortest work
-goes first: a small model's run is a tenth of a large one's, and a short prompt
-is read in a hundredth of the time of the longest. A long prompt loses little
-by it, as all short ones together are a small part of the work.
+Addresses engine queues in which short prompts wait behind long ones. Prefilling
+a prompt delays everything queued behind it, so the shortest work goes first: a
+run of a small model takes a tenth of a large model's, and a short prompt is
+prefilled in a hundredth of the time of the longest one. Long prompts lose
+little, because all short ones together are a small part of the work.
 """
 
 from __future__ import annotations
@@ -15,28 +15,28 @@
 if TYPE_CHECKING:
     from hoistmoor.core.relay.course import requests
 
-FIRST, LAST = 0, 9  # Ranks that engines know; 0 is begun first.
-# Tokens of a prompt up to which a large model's run has the rank after all
-# runs of the smallest model. Each doubling is one rank more, so that the nine
-# ranks reach to prompts of 256,000 tokens.
-SHORT_PROMPT = 1000
+FIRST, LAST = 0, 9  # Range of ranks that engines accept; 0 starts first.
+# Prompt length in tokens up to which a run of a large model directly follows
+# the runs of the smallest model. Each doubling adds one rank, so that the nine
+# remaining ranks cover prompts of up to 256,000 tokens.
+SHORT_PROMPT_TOKENS = 1000
 
 
 def rank_of(request: requests.RelayRequest, model: str) -> int:
     """Returns the rank of an attempt at an engine.
 
-    In the order of priorities alone, 33 of 100 answers on the route with the
-    shortest prompts were late; in this order 10 of 100, while 4 of 100 more
-    were late on the route with the next longer ones (means of 15 played days
-    with disturbances).
+    With ranks from route priorities alone, 33 of 100 answers on the route with
+    the shortest prompts were late. With these ranks 10 of 100 were late there,
+    and 4 of 100 more on the route with the next longer prompts (means of 15
+    simulated days with faults).
 
     Args:
         request: The request; it has a prompt.
-        model: Model that is asked for.
+        model: The requested model.
     """
     sizes = request.route.sizes
     rank = FIRST
     if not sizes or model != sizes[0]:
         tokens = request.prompt.tokens if request.prompt else 0
-        rank += 1 + int(math.log2(max(1.0, tokens / SHORT_PROMPT)))
+        rank += 1 + int(math.log2(max(1.0, tokens / SHORT_PROMPT_TOKENS)))
     return min(LAST, max(FIRST, rank + request.priority))
