--- a/tests/core/relay/placement/test_relay_placement.py
+++ b/tests/core/relay/placement/test_relay_placement.py
@@ -1,4 +1,4 @@
-"""Which server gets an attempt, and which model answers."""
+"""Selection of servers for attempts, cascades and response paces."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     return found.entry.server_id
 
 
-def test_a_near_server_is_taken_until_it_is_busier() -> None:
+def test_local_server_is_preferred_until_it_is_busier() -> None:
     near = server_lib.ServerState(relay_parts.entry("near", zone="a"))
     far = server_lib.ServerState(relay_parts.entry("far", zone="b"))
     found = placement.pick([far, near], "a", NOW, DRAWS)
@@ -62,14 +62,14 @@
     assertions.assert_that(found, matchers.Is(far))
 
 
-def test_hosts_agree_on_the_engine_of_a_shared_part() -> None:
+def test_hosts_agree_on_the_engine_for_a_shared_prefix() -> None:
     ready = engines(9)
     first = pick_engine(ready)
     again = pick_engine(list(reversed(engines(9))))
     assertions.assert_that(again, matchers.Equals(first))
 
 
-def test_a_busy_engine_is_passed_over() -> None:
+def test_busy_engine_is_not_selected() -> None:
     ready = engines(9)
     first = pick_engine(ready)
     for each in ready:
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize(("more", "chosen"), [(1.5, "near"), (3.0, "far")])
-def test_a_prompt_stays_in_its_failure_domain_while_that_is_not_much_busier(
+def test_prompt_stays_in_failure_domain_unless_much_busier(
     more: float, chosen: str
 ) -> None:
     ready = [
@@ -104,10 +104,11 @@
     assertions.assert_that(found.entry.server_id, matchers.Equals(chosen))
 
 
-def test_short_work_does_not_wait_for_a_slot_while_others_are_free() -> None:
-    # A burst of short answers: the engines that stand near have three times as
-    # many of them as slots and little work; the far ones have slots left and
-    # more work, of large models.
+def test_short_work_avoids_queues_while_slots_are_free() -> None:
+    # A burst of short answers: the engines close to the class have three times
+    # as many requests as slots but little work. The distant ones have free
+    # slots and more work, from large models. Comparing work alone would queue
+    # the request at a full engine.
     ready = [
         server_lib.ServerState(
             relay_parts.entry(f"e{number}", service="llm", slots=16)
@@ -121,7 +122,7 @@
         requests, work = (48, 15_000) if is_near else (8, 40_000)
         each.told = outstanding.ServerWork(work, requests)
         each.told_until = NOW + 1.0
-    # Nothing of it is shared, so no engine has any of it cached.
+    # Without a shared prefix, no engine has any of the prompt cached.
     prompt = requests_lib.Prompt(
         "*", 800, 50, (requests_lib.PromptPart("own", 800),)
     )
@@ -136,26 +137,26 @@
     assertions.assert_that(waiting, matchers.LessThan(20))
 
 
-def test_models_of_unlike_size_do_not_meet_while_there_is_room() -> None:
+def test_models_of_different_size_use_different_engines_if_idle() -> None:
     ready = engines(9)
     small = {pick_engine(ready, "small")}
     large = {pick_engine(ready, "large")}
     assertions.assert_that(small & large, matchers.Equals(set()))
 
 
-def test_the_line_of_servers_does_not_depend_on_their_order() -> None:
+def test_distances_do_not_depend_on_the_order_of_servers() -> None:
     work_class = partition.WorkClass(0, 3, True)
     forth = partition.distances(work_class, engines(5))
     back = partition.distances(work_class, list(reversed(engines(5))))
     assertions.assert_that(forth, matchers.Equals(back))
 
 
-def test_a_prompt_far_above_the_mean_is_a_class_of_its_own() -> None:
-    known = partition.Partition()
+def test_prompt_far_above_the_mean_is_long() -> None:
+    classes = partition.Partition()
     for _ in range(200):
-        known.note_prompt(1000)
-    short = known.class_of(1500, "large", relay_parts.SIZES)
-    long = known.class_of(9000, "large", relay_parts.SIZES)
+        classes.note_prompt(1000)
+    short = classes.class_of(1500, "large", relay_parts.SIZES)
+    long = classes.class_of(9000, "large", relay_parts.SIZES)
     assertions.assert_that(short.is_long, matchers.Is(False))
     assertions.assert_that(long.is_long, matchers.Is(True))
     assertions.assert_that(long.place, matchers.GreaterThan(short.place))
@@ -167,12 +168,12 @@
         (0.0, 0.1, "large"),
         (30.0, 0.1, "large"),
         (90.0, 0.1, None),
-        # A right answer that is late is worth less than a doubtful one.
+        # A late answer is worth less than one of low confidence.
         (38.0, 5.0, None),
         (None, 0.1, None),
     ],
 )
-def test_an_answer_is_dropped_where_that_is_worth_more(
+def test_answer_is_escalated_where_that_is_worth_more(
     confidence: float | None, expected_delay: float, better: str | None
 ) -> None:
     found = cascade.next_size(
@@ -181,12 +182,12 @@
     assertions.assert_that(found, matchers.Equals(better))
 
 
-def test_the_largest_model_has_the_last_word() -> None:
+def test_answer_of_the_largest_model_is_final() -> None:
     found = cascade.next_size(relay_parts.SIZES, "large", 0.0, 0.1, 1.0)
     assertions.assert_that(found, matchers.Is(None))
 
 
-def test_outliers_rest_while_enough_others_remain(
+def test_outliers_are_left_out_while_enough_others_remain(
     router: router_lib.Router,
 ) -> None:
     for server in router.fleet:
@@ -197,10 +198,10 @@
         assertions.assert_that(left, matchers.HasLength(expected))
 
 
-def test_a_server_that_takes_no_connection_rests_at_once(
+def test_unreachable_server_rests_at_once(
     router: router_lib.Router,
 ) -> None:
-    # It died with no work under way, so that it looks the least busy.
+    # A crashed server has no work and looks like the least loaded one.
     dead = router.fleet.servers["s0"]
     for each in router.fleet:
         each.in_flight = 0 if each is dead else 3
@@ -221,17 +222,17 @@
         router.note_ended(request, send, pace.AttemptOutcome.UNREACHABLE, now)
 
     assertions.assert_that(pick(100.0), matchers.Equals("s0"))
-    for _ in range(3):  # Under way together.
+    for _ in range(3):  # Concurrent failures count as one.
         fail(100.0)
     assertions.assert_that(pick(100.9), matchers.Not(matchers.Equals("s0")))
-    # One request finds out whether it is back; if not, it rests for longer.
+    # A single request probes the server; if that fails, the rest is longer.
     assertions.assert_that(pick(101.1), matchers.Equals("s0"))
     fail(101.1)
     assertions.assert_that(pick(103.0), matchers.Not(matchers.Equals("s0")))
     assertions.assert_that(pick(103.2), matchers.Equals("s0"))
 
 
-def test_an_outlier_of_another_version_leaves_none_without_a_server(
+def test_outlier_is_kept_if_it_is_the_only_server_of_a_version(
     router: router_lib.Router,
 ) -> None:
     router.fleet.put(relay_parts.entry("new", version="v2"))
@@ -240,27 +241,27 @@
     assertions.assert_that(ready, matchers.HasLength(1))
 
 
-def test_leaving_servers_and_lapsed_entries() -> None:
-    known = fleet_lib.Fleet()
-    known.put(relay_parts.entry("a"))
-    known.put(relay_parts.entry("b", is_leaving=True))
+def test_leaving_servers_and_missing_entries() -> None:
+    fleet = fleet_lib.Fleet()
+    fleet.put(relay_parts.entry("a"))
+    fleet.put(relay_parts.entry("b", is_leaving=True))
     assertions.assert_that(
-        relay_parts.ready(known, "desk", {"v1"}, (), NOW), matchers.HasLength(1)
+        relay_parts.ready(fleet, "desk", {"v1"}, (), NOW), matchers.HasLength(1)
     )
-    known.lapse("a", NOW + 2.0)
-    assertions.assert_that(known.drop_lapsed(NOW + 1.0), matchers.Equals([]))
-    known.put(relay_parts.entry("a"))  # It is listed again.
-    assertions.assert_that(known.drop_lapsed(NOW + 9.0), matchers.Equals([]))
-    known.lapse("a", NOW + 12.0)
-    # It gets nothing more from then on, also before it is forgotten.
+    fleet.lapse("a", NOW + 2.0)
+    assertions.assert_that(fleet.drop_lapsed(NOW + 1.0), matchers.Equals([]))
+    fleet.put(relay_parts.entry("a"))  # The entry is listed again.
+    assertions.assert_that(fleet.drop_lapsed(NOW + 9.0), matchers.Equals([]))
+    fleet.lapse("a", NOW + 12.0)
+    # It gets no requests after the grace period, even before it is removed.
     for now, count in ((NOW + 11.9, 1), (NOW + 12.0, 0)):
-        ready = relay_parts.ready(known, "desk", {"v1"}, (), now)
+        ready = relay_parts.ready(fleet, "desk", {"v1"}, (), now)
         assertions.assert_that(ready, matchers.HasLength(count))
-    gone = known.drop_lapsed(NOW + 13.0)
+    gone = fleet.drop_lapsed(NOW + 13.0)
     assertions.assert_that(gone, matchers.Equals(["a"]))
 
 
-def test_slow_answers_are_known_by_what_is_usual() -> None:
+def test_slow_answers_are_detected_by_usual_durations() -> None:
     paces = pace.Paces()
     usual = pace.Measured("small", first=0.1, total=0.6, events=10)
     slow = pace.Measured("small", first=0.8, total=4.8, events=10)
@@ -272,11 +273,12 @@
     assertions.assert_that(paces.is_slow(key, slow, 3.5), matchers.Is(True))
 
 
-def test_a_session_keeps_its_version_where_its_servers_are_limited(
+def test_session_keeps_its_version_while_servers_are_limited(
     router: router_lib.Router,
 ) -> None:
-    # By reading: with the new version's servers limited, each request of a
-    # session went to whichever version had room at that moment.
+    # With the new version's servers at their rate limit, each request of a
+    # session went to whichever version had quota left. The fault was found by
+    # reading the code.
     new = relay_parts.entry("n1", version="v2")
     router.fleet.put(new)
     router.fleet.shares.take_hosts(["another"])
--- a/tests/core/relay/placement/test_relay_urgency.py
+++ b/tests/core/relay/placement/test_relay_urgency.py
@@ -1,4 +1,4 @@
-"""In which order engines begin what waits there."""
+"""Ranks that order the requests queued at an engine."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from hoistmoor.core.relay.course import requests
 
-READ_PER_MS = 40.0  # Tokens of the smallest model that the engine reads.
+PREFILL_TOKENS_PER_MS = 40.0  # For the smallest model.
 WEIGHTS = {"small": 1.0, "large": 10.0}
 
 
@@ -29,28 +29,28 @@
     )
 
 
-def first_parts(ranked: list[tuple[int, int, str]]) -> dict[int, float]:
-    """Returns when each prompt has been read, in ms, all waiting at once.
+def prefill_times(ranked: list[tuple[int, int, str]]) -> dict[int, float]:
+    """Returns when each of several queued prompts is prefilled, in ms.
 
     Args:
-        ranked: Rank, tokens and model of each.
+        ranked: Rank, tokens and model of each prompt.
     """
     now = 0.0
-    read = {}
-    for _, tokens, model in sorted(ranked, key=lambda each: each[0]):
-        now += tokens * WEIGHTS[model] / READ_PER_MS
-        read[tokens] = now
-    return read
+    finished = {}
+    for _, tokens, model in sorted(ranked, key=lambda row: row[0]):
+        now += tokens * WEIGHTS[model] / PREFILL_TOKENS_PER_MS
+        finished[tokens] = now
+    return finished
 
 
 def test_short_prompts_do_not_wait_for_long_ones() -> None:
-    # A burst: two long prompts of urgent routes for the large model, and a
-    # short one of the least urgent route.
+    # A burst of two long prompts for the large model, from urgent routes, and
+    # one short prompt from the least urgent route.
     burst = [(20_000, "large", 0), (10_000, "large", 0), (1_500, "small", 2)]
-    by_priority = first_parts(
+    by_priority = prefill_times(
         [(priority, tokens, model) for tokens, model, priority in burst]
     )
-    ranked = first_parts(
+    ranked = prefill_times(
         [
             (urgency.rank_of(request(tokens, priority), model), tokens, model)
             for tokens, model, priority in burst
@@ -58,7 +58,7 @@
     )
     assertions.assert_that(by_priority[1_500], matchers.GreaterThan(7000.0))
     assertions.assert_that(ranked[1_500], matchers.LessThan(100.0))
-    # The long ones lose as much as the short one takes, and no more.
+    # The long prompts are delayed by the duration of the short one at most.
     assertions.assert_that(
         max(ranked.values()), matchers.Equals(max(by_priority.values()))
     )
@@ -75,6 +75,8 @@
         (400_000, "large", 3, urgency.LAST),
     ],
 )
-def test_ranks(tokens: int, model: str, priority: int, expected: int) -> None:
+def test_rank_by_prompt_length_model_and_priority(
+    tokens: int, model: str, priority: int, expected: int
+) -> None:
     rank = urgency.rank_of(request(tokens, priority), model)
     assertions.assert_that(rank, matchers.Equals(expected))
