--- a/tests/core/relay/servers/test_relay_fleet.py
+++ b/tests/core/relay/servers/test_relay_fleet.py
@@ -1,4 +1,4 @@
-"""Backend servers that start again, and what older starts still write."""
+"""Restarted backend servers, outdated entries, evacuation and departures."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 @pytest.fixture
 def fleet() -> fleet_lib.Fleet:
-    """A fleet with one server, which has been used a lot."""
-    made = fleet_lib.Fleet()
-    made.put(entry(born=1000, sequence=50))
-    state = made.servers["a"]
+    """A fleet with one server whose state differs from a new one's."""
+    fleet = fleet_lib.Fleet()
+    fleet.put(entry(born=1000, sequence=50))
+    state = fleet.servers["a"]
     state.in_flight, state.work, state.mean_work = 3, 500.0, 100.0
     state.load.others, state.load.at = 4, NOW
     state.told = outstanding.ServerWork(70.0, 2)
     state.told_until = NOW + 5.0
     state.health.eject(NOW)
-    return made
+    return fleet
 
 
 def entry(**fields: Any) -> server_lib.ServerEntry:
@@ -37,12 +37,14 @@
     return relay_parts.entry("a", **fields)
 
 
-def test_nothing_of_the_start_before_is_left(fleet: fleet_lib.Fleet) -> None:
+def test_new_incarnation_starts_from_a_clean_state(
+    fleet: fleet_lib.Fleet,
+) -> None:
     old = fleet.servers["a"]
-    news = fleet.put(entry(born=2000, sequence=1), NOW)
-    assertions.assert_that(news, matchers.Is(True))
+    changed = fleet.put(entry(born=2000, sequence=1), NOW)
+    assertions.assert_that(changed, matchers.Is(True))
     found = fleet.servers["a"]
-    # But for when it followed the other one.
+    # Only the time of the replacement is recorded.
     fresh = server_lib.ServerState(
         entry(born=2000, sequence=1), followed_at=NOW
     )
@@ -51,12 +53,12 @@
     )
     ready = relay_parts.ready(fleet, "desk", {"v1"}, (), NOW)
     assertions.assert_that(ready, matchers.Equals([found]))
-    # A request of before that ends now leaves no trace on the new one.
+    # Requests to the old incarnation that end now do not affect the new one.
     old.in_flight -= 1
     assertions.assert_that(found.in_flight, matchers.Equals(0))
 
 
-def test_what_failed_at_one_start_may_be_tried_at_the_next(
+def test_request_that_failed_may_be_retried_at_the_next_incarnation(
     fleet: fleet_lib.Fleet,
 ) -> None:
     failed = frozenset({fleet.servers["a"].entry.identity})
@@ -68,12 +70,12 @@
     assertions.assert_that(ready, matchers.HasLength(1))
 
 
-def test_work_told_of_one_start_is_not_the_next_one_s(
+def test_reported_work_does_not_carry_over_to_the_next_incarnation(
     fleet: fleet_lib.Fleet,
 ) -> None:
-    told = fleet.own_work()
+    reported = fleet.own_work()
     fleet.put(entry(born=2000))
-    fleet.take_others_work(told, NOW)
+    fleet.take_others_work(reported, NOW)
     assertions.assert_that(
         fleet.servers["a"].waiting_work(100.0, NOW), matchers.Equals(0.0)
     )
@@ -82,7 +84,7 @@
 @pytest.mark.parametrize(
     ("born", "sequence"), [(999, 80), (1000, 49), (1, 10_000)]
 )
-def test_what_an_older_start_wrote_changes_nothing(
+def test_entries_of_older_incarnations_are_ignored(
     fleet: fleet_lib.Fleet, born: int, sequence: int
 ) -> None:
     late = entry(born=born, sequence=sequence, is_leaving=True, slots=9)
@@ -91,7 +93,7 @@
     assertions.assert_that(fleet.servers["a"].entry, matchers.Is(before))
 
 
-def test_a_late_heartbeat_does_not_list_a_server_that_went(
+def test_delayed_heartbeat_does_not_relist_a_removed_server(
     fleet: fleet_lib.Fleet,
 ) -> None:
     fleet.put(entry(born=1000, sequence=51))
@@ -100,7 +102,7 @@
         fleet.put(entry(born=1000, sequence=50)), matchers.Is(False)
     )
     assertions.assert_that(fleet.servers, matchers.Equals({}))
-    # One that lives writes on, and a new start begins anew.
+    # A live server writes higher numbers; a new incarnation restarts them.
     assertions.assert_that(
         fleet.put(entry(born=1000, sequence=52)), matchers.Is(True)
     )
@@ -110,24 +112,24 @@
     )
 
 
-def test_without_the_time_of_a_start_the_newest_entry_counts() -> None:
-    made = fleet_lib.Fleet()
-    made.put(entry(sequence=50))
-    made.put(entry(sequence=1, slots=9))
-    assertions.assert_that(made.servers["a"].entry.slots, matchers.Equals(9))
+def test_latest_entry_applies_without_a_start_time() -> None:
+    fleet = fleet_lib.Fleet()
+    fleet.put(entry(sequence=50))
+    fleet.put(entry(sequence=1, slots=9))
+    assertions.assert_that(fleet.servers["a"].entry.slots, matchers.Equals(9))
 
 
-def test_what_is_kept_of_servers_that_went_is_bounded() -> None:
-    made = fleet_lib.Fleet()
+def test_memory_of_removed_servers_is_bounded() -> None:
+    fleet = fleet_lib.Fleet()
     for number in range(fleet_lib.MOST_REMOVED + 50):
-        made.put(relay_parts.entry(f"s{number}", born=1))
-        made.remove(f"s{number}")
+        fleet.put(relay_parts.entry(f"s{number}", born=1))
+        fleet.remove(f"s{number}")
     assertions.assert_that(
-        made._removed, matchers.HasLength(fleet_lib.MOST_REMOVED)
+        fleet._removed, matchers.HasLength(fleet_lib.MOST_REMOVED)
     )
 
 
-def test_a_server_that_changes_its_service_is_another_one(
+def test_server_that_changes_its_service_is_a_new_incarnation(
     fleet: fleet_lib.Fleet,
 ) -> None:
     fleet.put(entry(born=1000, sequence=51, service="llm"))
@@ -139,110 +141,120 @@
     )
 
 
-def test_an_evacuated_failure_domain_gets_nothing() -> None:
-    made = fleet_lib.Fleet()
-    made.put(relay_parts.entry("n", zone="north"))
-    made.put(relay_parts.entry("s", zone="south", version="v2"))
-    made.evacuate(frozenset({"north"}), NOW)
-    ready = relay_parts.ready(made, "desk", {"v1", "v2"}, (), NOW)
+def test_evacuated_failure_domain_gets_no_requests() -> None:
+    fleet = fleet_lib.Fleet()
+    fleet.put(relay_parts.entry("n", zone="north"))
+    fleet.put(relay_parts.entry("s", zone="south", version="v2"))
+    fleet.evacuate(frozenset({"north"}), NOW)
+    ready = relay_parts.ready(fleet, "desk", {"v1", "v2"}, (), NOW)
     assertions.assert_that(
         [each.entry.server_id for each in ready], matchers.Equals(["s"])
     )
-    # A version that has servers there only is none to choose.
-    assertions.assert_that(made.versions("desk", NOW), matchers.Equals({"v2"}))
-    made.evacuate(frozenset({"north", "south"}), NOW)
+    # A version whose servers are all evacuated cannot be selected.
+    assertions.assert_that(fleet.versions("desk", NOW), matchers.Equals({"v2"}))
+    fleet.evacuate(frozenset({"north", "south"}), NOW)
     assertions.assert_that(
-        relay_parts.ready(made, "desk", {"v1", "v2"}, (), NOW),
+        relay_parts.ready(fleet, "desk", {"v1", "v2"}, (), NOW),
         matchers.Equals([]),
     )
 
 
 def leaving_fleet(**fields: Any) -> fleet_lib.Fleet:
-    """Returns servers of which "a" has said that it leaves."""
-    made = fleet_lib.Fleet()
-    made.put(relay_parts.entry("a", **fields), NOW)
-    made.put(relay_parts.entry("b"), NOW)
-    made.servers["a"].departure.note(NOW)
-    return made
+    """Returns a fleet in which server "a" has announced its departure."""
+    fleet = fleet_lib.Fleet()
+    fleet.put(relay_parts.entry("a", **fields), NOW)
+    fleet.put(relay_parts.entry("b"), NOW)
+    fleet.servers["a"].departure.note(NOW)
+    return fleet
 
 
-def ready_names(made: fleet_lib.Fleet, now: float) -> list[str]:
-    ready = relay_parts.ready(made, "desk", {"v1"}, (), now)
+def ready_names(fleet: fleet_lib.Fleet, now: float) -> list[str]:
+    ready = relay_parts.ready(fleet, "desk", {"v1"}, (), now)
     return sorted(each.entry.server_id for each in ready)
 
 
 @pytest.mark.parametrize("born", [None, 1000])
-def test_what_the_store_says_does_not_undo_a_servers_own_word(
+def test_store_entries_do_not_revoke_an_announced_departure(
     born: int | None,
 ) -> None:
-    made = leaving_fleet(born=born, sequence=7)
-    assertions.assert_that(ready_names(made, NOW), matchers.Equals(["b"]))
-    made.put(relay_parts.entry("a", born=born, sequence=8), NOW + 1.0)
-    assertions.assert_that(ready_names(made, NOW + 1.0), matchers.Equals(["b"]))
-    made.remove("a")
-    made.put(relay_parts.entry("a", born=born, sequence=9), NOW + 2.0)
-    assertions.assert_that(ready_names(made, NOW + 2.0), matchers.Equals(["b"]))
-    made.lapse("a", NOW + 3.0)
-    made.drop_lapsed(NOW + 4.0)
-    made.put(relay_parts.entry("a", born=born, sequence=9), NOW + 5.0)
-    assertions.assert_that(ready_names(made, NOW + 5.0), matchers.Equals(["b"]))
+    fleet = leaving_fleet(born=born, sequence=7)
+    assertions.assert_that(ready_names(fleet, NOW), matchers.Equals(["b"]))
+    fleet.put(relay_parts.entry("a", born=born, sequence=8), NOW + 1.0)
+    assertions.assert_that(
+        ready_names(fleet, NOW + 1.0), matchers.Equals(["b"])
+    )
+    fleet.remove("a")
+    fleet.put(relay_parts.entry("a", born=born, sequence=9), NOW + 2.0)
+    assertions.assert_that(
+        ready_names(fleet, NOW + 2.0), matchers.Equals(["b"])
+    )
+    fleet.lapse("a", NOW + 3.0)
+    fleet.drop_lapsed(NOW + 4.0)
+    fleet.put(relay_parts.entry("a", born=born, sequence=9), NOW + 5.0)
+    assertions.assert_that(
+        ready_names(fleet, NOW + 5.0), matchers.Equals(["b"])
+    )
 
 
 @pytest.mark.parametrize(
     "start", [{"born": 2000}, {"born": 1000, "address": "127.0.0.1:2"}]
 )
-def test_another_start_of_a_leaving_server_is_used_at_once(
+def test_next_incarnation_of_a_leaving_server_is_used_at_once(
     start: dict[str, Any],
 ) -> None:
-    made = leaving_fleet(born=1000, sequence=7)
-    made.put(relay_parts.entry("a", sequence=8, **start), NOW + 0.1)
+    fleet = leaving_fleet(born=1000, sequence=7)
+    fleet.put(relay_parts.entry("a", sequence=8, **start), NOW + 0.1)
     assertions.assert_that(
-        ready_names(made, NOW + 0.1), matchers.Equals(["a", "b"])
+        ready_names(fleet, NOW + 0.1), matchers.Equals(["a", "b"])
     )
 
 
-def test_a_start_of_no_known_time_is_tried_again_after_a_while() -> None:
-    made = leaving_fleet()
+def test_departure_without_a_start_time_expires() -> None:
+    fleet = leaving_fleet()
     late = NOW + departures.UNDATED_LIFE
     assertions.assert_that(
-        ready_names(made, late - 1.0), matchers.Equals(["b"])
+        ready_names(fleet, late - 1.0), matchers.Equals(["b"])
+    )
+    assertions.assert_that(
+        ready_names(fleet, late), matchers.Equals(["a", "b"])
     )
-    assertions.assert_that(ready_names(made, late), matchers.Equals(["a", "b"]))
 
 
-def test_a_word_may_be_heard_before_the_entry_is_read() -> None:
-    made = fleet_lib.Fleet()
+def test_departure_may_arrive_before_the_entry() -> None:
+    fleet = fleet_lib.Fleet()
     assertions.assert_that(
-        made.note_departure("a@1000", NOW - 1.0), matchers.Is(True)
+        fleet.note_departure("a@1000", NOW - 1.0), matchers.Is(True)
     )
-    made.put(relay_parts.entry("a", born=1000), NOW)
-    assertions.assert_that(ready_names(made, NOW), matchers.Equals([]))
+    fleet.put(relay_parts.entry("a", born=1000), NOW)
+    assertions.assert_that(ready_names(fleet, NOW), matchers.Equals([]))
 
 
-def test_an_old_word_does_not_outlive_its_start() -> None:
-    made = leaving_fleet(born=1000)
-    made.note_departure("a@1000", NOW)
-    made.put(relay_parts.entry("a", born=2000), NOW)
+def test_departure_ends_with_its_incarnation() -> None:
+    fleet = leaving_fleet(born=1000)
+    fleet.note_departure("a@1000", NOW)
+    fleet.put(relay_parts.entry("a", born=2000), NOW)
     assertions.assert_that(
-        made.note_departure("a@1000", NOW), matchers.Is(False)
+        fleet.note_departure("a@1000", NOW), matchers.Is(False)
     )
-    ages, _ = made.departures.news(0, NOW)
+    ages, _ = fleet.departures.news(0, NOW)
     assertions.assert_that(ages, matchers.Equals({}))
-    assertions.assert_that(ready_names(made, NOW), matchers.Equals(["a", "b"]))
+    assertions.assert_that(ready_names(fleet, NOW), matchers.Equals(["a", "b"]))
 
 
-def test_words_of_the_start_before_do_not_bind_one_of_the_same_name() -> None:
-    made = leaving_fleet()
-    made.note_departure("a", NOW)
-    made.put(relay_parts.entry("a", address="127.0.0.1:2"), NOW + 1.0)
-    # Another host has not read of the new start yet.
+def test_departure_does_not_apply_to_a_successor_of_equal_identity() -> None:
+    fleet = leaving_fleet()
+    fleet.note_departure("a", NOW)
+    fleet.put(relay_parts.entry("a", address="127.0.0.1:2"), NOW + 1.0)
+    # Another host that has not read the new entry repeats the announcement.
+    assertions.assert_that(
+        fleet.note_departure("a", NOW + 0.5), matchers.Is(False)
+    )
     assertions.assert_that(
-        made.note_departure("a", NOW + 0.5), matchers.Is(False)
+        ready_names(fleet, NOW + 1.0), matchers.Equals(["a", "b"])
     )
     assertions.assert_that(
-        ready_names(made, NOW + 1.0), matchers.Equals(["a", "b"])
+        fleet.note_departure("a", NOW + 2.0), matchers.Is(True)
     )
     assertions.assert_that(
-        made.note_departure("a", NOW + 2.0), matchers.Is(True)
+        ready_names(fleet, NOW + 2.0), matchers.Equals(["b"])
     )
-    assertions.assert_that(ready_names(made, NOW + 2.0), matchers.Equals(["b"]))
--- a/tests/core/relay/servers/test_relay_limits.py
+++ b/tests/core/relay/servers/test_relay_limits.py
@@ -1,4 +1,4 @@
-"""What one host believes of the limits that servers name."""
+"""State that one host keeps about the rate limits of servers."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 NOW = 100.0
 
 
-def test_an_answer_to_an_older_request_ends_no_limit() -> None:
-    belief = limits.LimitBelief()
-    belief.note_named(2.0, NOW)
-    over = belief.note_unnamed(NOW - 0.1, NOW + 1.0)
-    assertions.assert_that(over, matchers.Is(False))
-    over = belief.note_unnamed(NOW + 0.5, NOW + 1.0)
-    assertions.assert_that(over, matchers.Is(True))
-    assertions.assert_that(belief.rate, matchers.Is(None))
+def test_response_to_an_older_request_does_not_end_a_limit() -> None:
+    state = limits.LimitBelief()
+    state.note_named(2.0, NOW)
+    is_over = state.note_unnamed(NOW - 0.1, NOW + 1.0)
+    assertions.assert_that(is_over, matchers.Is(False))
+    is_over = state.note_unnamed(NOW + 0.5, NOW + 1.0)
+    assertions.assert_that(is_over, matchers.Is(True))
+    assertions.assert_that(state.rate, matchers.Is(None))
 
 
 def word(
@@ -27,66 +27,66 @@
     return limits.LimitWord(rate, turn, age)
 
 
-def test_the_newest_word_holds() -> None:
-    belief = limits.LimitBelief()
-    assertions.assert_that(belief.take(word(2.0, 1.0), NOW), matchers.Is(True))
-    assertions.assert_that(belief.take(word(3.0, 2.0), NOW), matchers.Is(False))
-    assertions.assert_that(belief.take(word(None, 0.5), NOW), matchers.Is(True))
-    assertions.assert_that(belief.take(word(2.0, 0.7), NOW), matchers.Is(False))
-    assertions.assert_that(belief.rate, matchers.Is(None))
+def test_latest_message_applies() -> None:
+    state = limits.LimitBelief()
+    assertions.assert_that(state.take(word(2.0, 1.0), NOW), matchers.Is(True))
+    assertions.assert_that(state.take(word(3.0, 2.0), NOW), matchers.Is(False))
+    assertions.assert_that(state.take(word(None, 0.5), NOW), matchers.Is(True))
+    assertions.assert_that(state.take(word(2.0, 0.7), NOW), matchers.Is(False))
+    assertions.assert_that(state.rate, matchers.Is(None))
 
 
-def test_a_word_that_comes_back_is_no_newer() -> None:
-    belief = limits.LimitBelief()
-    belief.note_named(2.0, NOW)
+def test_echoed_message_does_not_count_as_newer() -> None:
+    state = limits.LimitBelief()
+    state.note_named(2.0, NOW)
     for step in range(1, 100):
         now = NOW + 0.1 * step
-        told = belief.word(now)
-        assert told is not None
-        belief.take(told, now + 0.05)  # It was on its way for so long.
-    assertions.assert_that(belief.at, matchers.Equals(NOW))
-
-
-def test_an_old_limit_is_answered_with_its_end() -> None:
-    belief = limits.LimitBelief()
-    belief.note_unnamed(NOW, NOW + 0.1)
-    assertions.assert_that(belief.word(NOW + 1.0), matchers.Is(None))
-    belief.take(word(2.0, 5.0), NOW + 1.0)
-    assertions.assert_that(belief.rate, matchers.Is(None))
-    told = belief.word(NOW + 1.0)
-    assert told is not None
-    assertions.assert_that(told.rate, matchers.Is(None))
-
-
-def test_the_end_of_a_limit_is_told_for_a_while() -> None:
-    belief = limits.LimitBelief()
-    belief.note_named(2.0, NOW)
-    belief.note_unnamed(NOW + 1.0, NOW + 1.1)
+        sent = state.word(now)
+        assert sent is not None
+        state.take(sent, now + 0.05)  # Network delay.
+    assertions.assert_that(state.at, matchers.Equals(NOW))
+
+
+def test_outdated_limit_from_another_host_is_answered_with_its_end() -> None:
+    state = limits.LimitBelief()
+    state.note_unnamed(NOW, NOW + 0.1)
+    assertions.assert_that(state.word(NOW + 1.0), matchers.Is(None))
+    state.take(word(2.0, 5.0), NOW + 1.0)
+    assertions.assert_that(state.rate, matchers.Is(None))
+    sent = state.word(NOW + 1.0)
+    assert sent is not None
+    assertions.assert_that(sent.rate, matchers.Is(None))
+
+
+def test_end_of_a_limit_is_gossiped_for_a_while() -> None:
+    state = limits.LimitBelief()
+    state.note_named(2.0, NOW)
+    state.note_unnamed(NOW + 1.0, NOW + 1.1)
     assertions.assert_that(
-        belief.word(NOW + 2.0), matchers.Not(matchers.Is(None))
+        state.word(NOW + 2.0), matchers.Not(matchers.Is(None))
     )
     assertions.assert_that(
-        belief.word(NOW + 2.0 + limits.END_TOLD), matchers.Is(None)
+        state.word(NOW + 2.0 + limits.END_TOLD), matchers.Is(None)
     )
 
 
-def test_other_hosts_are_chosen_where_a_server_is_not_heard_of() -> None:
-    belief = limits.LimitBelief()
-    belief.note_named(0.3, NOW)
-    # A request in four seconds is expected of the hosts that were chosen.
-    assertions.assert_that(belief.turn_at(NOW + 8.0), matchers.Equals(0))
-    assertions.assert_that(belief.turn_at(NOW + 12.0), matchers.Equals(1))
-    # The new ones are heard: they stay.
-    belief.note_named(0.3, NOW + 12.0)
-    assertions.assert_that(belief.turn_at(NOW + 20.0), matchers.Equals(1))
+def test_other_hosts_are_selected_without_responses_from_a_server() -> None:
+    state = limits.LimitBelief()
+    state.note_named(0.3, NOW)
+    # The selected hosts are expected to send one request in four seconds.
+    assertions.assert_that(state.turn_at(NOW + 8.0), matchers.Equals(0))
+    assertions.assert_that(state.turn_at(NOW + 12.0), matchers.Equals(1))
+    # A response to the newly selected hosts keeps them selected.
+    state.note_named(0.3, NOW + 12.0)
+    assertions.assert_that(state.turn_at(NOW + 20.0), matchers.Equals(1))
     other = limits.LimitBelief()
-    told = belief.word(NOW + 13.0)
-    assert told is not None
-    other.take(told, NOW + 13.0)
+    sent = state.word(NOW + 13.0)
+    assert sent is not None
+    other.take(sent, NOW + 13.0)
     assertions.assert_that(other.turn_at(NOW + 20.0), matchers.Equals(1))
 
 
-def test_a_server_that_takes_nothing_is_asked_now_and_then() -> None:
+def test_server_with_a_limit_of_zero_is_probed_occasionally() -> None:
     part = shares.Part(1, 2)
     window = limits.window_of(0.0, part)
     assertions.assert_that(window, matchers.LessThan(60.0))
--- a/tests/core/relay/servers/test_relay_runs.py
+++ b/tests/core/relay/servers/test_relay_runs.py
@@ -1,4 +1,4 @@
-"""What a server has of this host's requests when it ends."""
+"""Runs that may be at a server when it ends."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from hoistmoor.core.relay.servers import runs
 
 
-def test_a_run_that_was_given_up_counts_a_little_longer() -> None:
-    listed = runs.RunList()
-    left, answered = runs.Run("left"), runs.Run("answered", is_over=True)
-    for run in (left, answered):
-        listed.add(run)
-        listed.end(run, 10.0)
-    just_after = listed.present(10.0 + runs.RECENT)
-    assertions.assert_that(just_after, matchers.Equals([left]))
-    later = listed.present(10.1 + runs.RECENT)
+def test_abandoned_run_counts_a_little_longer() -> None:
+    run_list = runs.RunList()
+    abandoned, answered = runs.Run("left"), runs.Run("answered", is_over=True)
+    for run in (abandoned, answered):
+        run_list.add(run)
+        run_list.end(run, 10.0)
+    just_after = run_list.present(10.0 + runs.RECENT)
+    assertions.assert_that(just_after, matchers.Equals([abandoned]))
+    later = run_list.present(10.1 + runs.RECENT)
     assertions.assert_that(later, matchers.Equals([]))
 
 
-def test_a_run_tells_how_long_its_answer_lasted() -> None:
+def test_duration_of_the_response_of_a_run() -> None:
     run = runs.Run("r")
     assertions.assert_that(run.lasted(10.0), matchers.Equals(0.0))
     run.note_head(10.0)
@@ -29,8 +29,10 @@
     assertions.assert_that(run.lasted(12.0), matchers.Equals(1.0))
 
 
-def test_runs_that_were_given_up_are_bounded() -> None:
-    listed = runs.RunList()
+def test_memory_of_abandoned_runs_is_bounded() -> None:
+    run_list = runs.RunList()
     for _ in range(2 * runs.KEPT):
-        listed.end(runs.Run("r"), 10.0)
-    assertions.assert_that(listed.present(10.0), matchers.HasLength(runs.KEPT))
+        run_list.end(runs.Run("r"), 10.0)
+    assertions.assert_that(
+        run_list.present(10.0), matchers.HasLength(runs.KEPT)
+    )
--- a/tests/core/relay/servers/test_relay_shares.py
+++ b/tests/core/relay/servers/test_relay_shares.py
@@ -1,4 +1,4 @@
-"""What many hosts together may send to one server."""
+"""Bounds on the requests that all hosts together send to one server."""
 
 from __future__ import annotations
 
@@ -19,43 +19,45 @@
     return [f"h{number}" for number in range(count)]
 
 
-def made(own: str, hosts: list[str]) -> shares.HostShares:
-    found = shares.HostShares(own)
-    found.take_hosts(hosts)
-    return found
+def make_shares(own: str, hosts: list[str]) -> shares.HostShares:
+    host_shares = shares.HostShares(own)
+    host_shares.take_hosts(hosts)
+    return host_shares
 
 
 @pytest.mark.parametrize("requests", [1, 2, 3, 9, 33, 500])
 @pytest.mark.parametrize("hosts", HOSTS)
-def test_the_parts_of_all_hosts_add_up_to_the_bound(
+def test_quotas_of_all_hosts_add_up_to_the_bound(
     hosts: int, requests: int
 ) -> None:
     listed = names(hosts)
-    known = [made(name, listed) for name in listed]
+    all_shares = [make_shares(name, listed) for name in listed]
     for server in SERVERS[:5]:
-        parts = [each.part_of(server, requests) for each in known]
+        parts = [each.part_of(server, requests) for each in all_shares]
         total = sum(part.own for part in parts)
         assertions.assert_that(total, matchers.LessThan(requests + 1))
-        # What a whole number for each host leaves over is less than that.
+        # Equal integer quotas leave less than half of the bound unused.
         assertions.assert_that(total, matchers.GreaterThan(requests / 2))
-        told = {part.all_hosts for part in parts}
-        assertions.assert_that(told, matchers.Equals({total}))
+        totals = {part.all_hosts for part in parts}
+        assertions.assert_that(totals, matchers.Equals({total}))
 
 
 @pytest.mark.parametrize("hosts", HOSTS[1:])
-def test_lists_that_lack_a_fifth_add_a_quarter_on_average(hosts: int) -> None:
-    # Of ten hosts that stand before another one in the order, eight are known
-    # to it: it counts itself among the first three as often as it would among
-    # the first 3.75 if it knew all.
+def test_lists_lacking_a_fifth_exceed_the_bound_by_a_quarter_on_average(
+    hosts: int,
+) -> None:
+    # A host knows eight of ten hosts that precede it in the hash order. It
+    # therefore counts itself among the first three as often as it would among
+    # the first 3.75 with a complete list.
     totals = []
     for seed in range(10):
         draws = random.Random(seed)
-        known = []
+        all_shares = []
         for name in names(hosts):
             others = [n for n in names(hosts) if draws.random() > 0.2]
-            known.append(made(name, [name, *others]))
+            all_shares.append(make_shares(name, [name, *others]))
         totals += [
-            sum(each.part_of(server, 3).own for each in known)
+            sum(each.part_of(server, 3).own for each in all_shares)
             for server in SERVERS
         ]
     mean = sum(totals) / len(totals)
@@ -63,14 +65,14 @@
     assertions.assert_that(max(totals), matchers.LessThan(2 * 3 + 1))
 
 
-def test_a_host_that_is_not_listed_has_no_part() -> None:
+def test_unlisted_host_has_no_quota() -> None:
     for listed in ([], ["h2", "h3"]):
-        part = made("h1", listed).part_of("s1", 9)
+        part = make_shares("h1", listed).part_of("s1", 9)
         assertions.assert_that(part.own, matchers.Equals(0))
 
 
 @pytest.mark.parametrize("requests", [1, 3, shares.MOST_SENDS])
-def test_no_window_has_more_sends_than_the_part(requests: int) -> None:
+def test_no_window_has_more_sends_than_the_quota(requests: int) -> None:
     sends = shares.RecentSends()
     window = 2.0
     now = NOW
@@ -86,7 +88,7 @@
     assertions.assert_that(min(spans), matchers.GreaterThan(window - 1e-6))
 
 
-def test_a_part_above_what_is_remembered_keeps_its_rate() -> None:
+def test_quota_above_the_stored_sends_keeps_its_rate() -> None:
     sends = shares.RecentSends()
     part = 4 * shares.MOST_SENDS
     now = NOW
--- a/tests/core/relay/servers/test_relay_suspects.py
+++ b/tests/core/relay/servers/test_relay_suspects.py
@@ -1,9 +1,9 @@
-"""Which requests are quarantined of ending servers, and which are not.
+"""Quarantine of requests that crash the servers running them.
 
-One request ended each of six servers that began to run it, four times in a
-minute; 214 other requests were cut with it, 80 of them three times or more.
-Only the first is to be refused: it alone was cut each time after its answer
-had begun and before a part of it came.
+In the failure behind these tests, one request ended each of six servers that
+began to run it, four times in a minute. 214 other requests were cut with it, 80
+of them three times or more. Only the first must be refused: it alone was cut
+each time after its response had begun and before any part of it arrived.
 """
 
 from __future__ import annotations
@@ -45,203 +45,203 @@
 
 
 def assert_quarantined(
-    book: suspects.SuspectTable, fingerprint: str, now: float, expected: bool
+    table: suspects.SuspectTable, fingerprint: str, now: float, expected: bool
 ) -> None:
     assertions.assert_that(
-        book.is_quarantined(fingerprint, now), matchers.Is(expected)
+        table.is_quarantined(fingerprint, now), matchers.Is(expected)
     )
 
 
-def book_with(*ends: list[runs.Run]) -> suspects.SuspectTable:
-    """Returns a book that has seen one server end after the other."""
-    book = suspects.SuspectTable()
+def table_with(*ends: list[runs.Run]) -> suspects.SuspectTable:
+    """Returns a table that has recorded the ends of several servers."""
+    table = suspects.SuspectTable()
     for number, present in enumerate(ends):
-        book.note_end(f"s{number}", present, NOW)
-    return book
+        table.note_end(f"s{number}", present, NOW)
+    return table
 
 
-def test_two_ends_as_a_run_begins_are_enough_at_once() -> None:
-    book = book_with([begun()])
-    assert_quarantined(book, "bad", LATER, False)
-    book.note_end("s1", [begun()], NOW)
-    assert_quarantined(book, "bad", NOW, True)
-    assertions.assert_that(book.newly_quarantined, matchers.Equals(["bad"]))
+def test_two_ends_at_the_start_of_a_run_suffice_at_once() -> None:
+    table = table_with([begun()])
+    assert_quarantined(table, "bad", LATER, False)
+    table.note_end("s1", [begun()], NOW)
+    assert_quarantined(table, "bad", NOW, True)
+    assertions.assert_that(table.newly_quarantined, matchers.Equals(["bad"]))
 
 
-def test_one_server_that_ends_counts_once() -> None:
-    book = book_with([begun()])
-    book.note_end("s0", [begun()], NOW)
-    assert_quarantined(book, "bad", LATER, False)
+def test_end_of_one_server_counts_once() -> None:
+    table = table_with([begun()])
+    table.note_end("s0", [begun()], NOW)
+    assert_quarantined(table, "bad", LATER, False)
 
 
-def test_a_start_counts_only_where_no_other_run_began() -> None:
+def test_end_at_the_start_counts_only_without_another_run_starting() -> None:
     both = [begun(), begun("other")]
-    book = book_with(both, both)
-    assert_quarantined(book, "bad", NOW, False)
-    assert_quarantined(book, "other", NOW, False)
+    table = table_with(both, both)
+    assert_quarantined(table, "bad", NOW, False)
+    assert_quarantined(table, "other", NOW, False)
 
 
-def test_four_other_ends_are_enough_once_they_are_settled() -> None:
+def test_four_other_ends_suffice_once_settled() -> None:
     ends = [[run_of("bad")] for _ in range(suspects.ENDS_TO_QUARANTINE)]
-    assert_quarantined(book_with(*ends), "bad", NOW, False)
-    assert_quarantined(book_with(*ends), "bad", LATER, True)
-    assert_quarantined(book_with(*ends[1:]), "bad", LATER, False)
+    assert_quarantined(table_with(*ends), "bad", NOW, False)
+    assert_quarantined(table_with(*ends), "bad", LATER, True)
+    assert_quarantined(table_with(*ends[1:]), "bad", LATER, False)
 
 
 @pytest.mark.parametrize("stage", [Stage.WAITING, Stage.GIVING])
-def test_what_runs_beside_is_not_quarantined(stage: Stage) -> None:
+def test_request_beside_the_cause_is_not_quarantined(stage: Stage) -> None:
     ends = [[begun(), run_of("beside", stage)] for _ in range(6)]
-    book = book_with(*ends)
-    assert_quarantined(book, "bad", LATER, True)
-    assert_quarantined(book, "beside", LATER, False)
-    assertions.assert_that(book.is_likely_cause("beside"), matchers.Is(False))
+    table = table_with(*ends)
+    assert_quarantined(table, "bad", LATER, True)
+    assert_quarantined(table, "beside", LATER, False)
+    assertions.assert_that(table.is_likely_cause("beside"), matchers.Is(False))
 
 
-def test_what_runs_beside_is_not_quarantined_for_want_of_starts() -> None:
+def test_request_beside_the_cause_is_not_quarantined_without_starts() -> None:
     ends = [[run_of("bad"), run_of("beside")] for _ in range(4)]
-    book = book_with([run_of("bad")], *ends)
-    assert_quarantined(book, "bad", LATER, True)
-    assert_quarantined(book, "beside", LATER, False)
+    table = table_with([run_of("bad")], *ends)
+    assert_quarantined(table, "bad", LATER, True)
+    assert_quarantined(table, "beside", LATER, False)
 
 
-def test_a_run_that_lasted_is_no_suspect() -> None:
+def test_long_run_is_no_suspect() -> None:
     lasted = suspect_state.AT_BEGIN + 0.1
     ends = [[run_of("long", Stage.GIVING, lasted)] for _ in range(6)]
-    assert_quarantined(book_with(*ends), "long", LATER, False)
-    # Its answer began long ago, so the end was not at its begin.
+    assert_quarantined(table_with(*ends), "long", LATER, False)
+    # The response began long ago, so the server did not end at its start.
     slow = [[run_of("slow", Stage.BEGUN, lasted)] for _ in range(2)]
-    assert_quarantined(book_with(*slow), "slow", LATER, False)
+    assert_quarantined(table_with(*slow), "slow", LATER, False)
 
 
-def test_an_answer_clears_but_not_for_ever() -> None:
-    book = book_with([begun()], [begun()])
-    book.note_answered("bad", NOW)
-    assert_quarantined(book, "bad", LATER, False)
+def test_answer_clears_earlier_ends_for_a_limited_time() -> None:
+    table = table_with([begun()], [begun()])
+    table.note_answered("bad", NOW)
+    assert_quarantined(table, "bad", LATER, False)
     later = NOW + suspects.ANSWERED_LIFE + 1.0
     run = runs.Run("bad", Stage.BEGUN, later)
-    book.note_end("s2", [run], later)
-    assert_quarantined(book, "bad", later, False)
-    book.note_end("s3", [run], later)
-    assert_quarantined(book, "bad", later, True)
+    table.note_end("s2", [run], later)
+    assert_quarantined(table, "bad", later, False)
+    table.note_end("s3", [run], later)
+    assert_quarantined(table, "bad", later, True)
 
 
-def test_an_answer_elsewhere_clears() -> None:
-    book, other = book_with([begun()], [begun()]), suspects.SuspectTable()
-    other.take(book.news(0, NOW)[0], NOW)
+def test_answer_at_another_host_clears() -> None:
+    table, other = table_with([begun()], [begun()]), suspects.SuspectTable()
+    other.take(table.news(0, NOW)[0], NOW)
     other.note_answered("bad", NOW)
-    book.take(other.news(0, NOW)[0], NOW)
-    assert_quarantined(book, "bad", LATER, False)
+    table.take(other.news(0, NOW)[0], NOW)
+    assert_quarantined(table, "bad", LATER, False)
 
 
-def test_a_quarantine_ends() -> None:
-    book = book_with([begun()], [begun()])
-    left = book.left_for("bad", NOW + 1.0)
+def test_quarantine_expires() -> None:
+    table = table_with([begun()], [begun()])
+    left = table.left_for("bad", NOW + 1.0)
     assertions.assert_that(left, matchers.Equals(suspects.QUARANTINE - 1.0))
-    assert_quarantined(book, "bad", NOW + suspects.QUARANTINE + 1.0, False)
+    assert_quarantined(table, "bad", NOW + suspects.QUARANTINE + 1.0, False)
     assertions.assert_that(
-        book.quarantined(NOW + suspects.QUARANTINE + 1.0), matchers.Equals({})
+        table.quarantined(NOW + suspects.QUARANTINE + 1.0), matchers.Equals({})
     )
 
 
-def test_what_is_old_is_not_taken() -> None:
-    book = book_with([begun()], [begun()])
-    (told,), _ = book.news(0, NOW + suspects.QUARANTINE + 1.0)
+def test_expired_evidence_is_not_merged() -> None:
+    table = table_with([begun()], [begun()])
+    (suspect,), _ = table.news(0, NOW + suspects.QUARANTINE + 1.0)
     other = suspects.SuspectTable()
-    other.take([told], NOW)
+    other.take([suspect], NOW)
     assert_quarantined(other, "bad", NOW, False)
 
 
 @pytest.mark.parametrize("hosts", [1, 7, 84, 360])
-def test_hosts_agree_in_whatever_order_they_are_told(hosts: int) -> None:
-    draw = random.Random(hosts)
-    seen = [suspects.SuspectTable() for _ in range(hosts)]
+def test_hosts_agree_regardless_of_the_order_of_messages(hosts: int) -> None:
+    rng = random.Random(hosts)
+    tables = [suspects.SuspectTable() for _ in range(hosts)]
     for number in range(suspects.ENDS_TO_QUARANTINE):
         for run in [run_of("bad"), giving(f"beside{number}"), giving("beside")]:
             present = [run] if run.fingerprint != "beside" or number else []
-            draw.choice(seen).note_end(f"s{number}", present, NOW)
-    told = list(
-        itertools.chain.from_iterable(each.news(0, NOW)[0] for each in seen)
+            rng.choice(tables).note_end(f"s{number}", present, NOW)
+    reports = list(
+        itertools.chain.from_iterable(each.news(0, NOW)[0] for each in tables)
     )
     for _ in range(10):
-        draw.shuffle(told)
-        book = suspects.SuspectTable()
-        book.take(told, NOW)
-        assert_quarantined(book, "bad", LATER, True)
-        assert_quarantined(book, "beside", LATER, False)
+        rng.shuffle(reports)
+        table = suspects.SuspectTable()
+        table.take(reports, NOW)
+        assert_quarantined(table, "bad", LATER, True)
+        assert_quarantined(table, "beside", LATER, False)
 
 
-def test_memory_is_bounded_and_those_in_quarantine_stay() -> None:
-    book = book_with([begun()], [begun()])
+def test_memory_is_bounded_and_quarantined_requests_stay() -> None:
+    table = table_with([begun()], [begun()])
     for number in range(20):
         present = [run_of(f"r{number}.{each}") for each in range(50)]
-        book.note_end(f"t{number}", present, NOW + 1.0)
-    news, after, count = (), 0, 0
-    while after < book.serials.newest:
-        news, after = book.news(after, NOW)
+        table.note_end(f"t{number}", present, NOW + 1.0)
+    changes, after, count = (), 0, 0
+    while after < table.serials.newest:
+        changes, after = table.news(after, NOW)
         assertions.assert_that(
-            len(news), matchers.LessThan(suspects.MOST_TOLD + 1)
+            len(changes), matchers.LessThan(suspects.MOST_TOLD + 1)
         )
-        count += len(news)
+        count += len(changes)
     assertions.assert_that(count, matchers.LessThan(suspects.MOST_SUSPECTS + 2))
-    assert_quarantined(book, "bad", LATER, True)
+    assert_quarantined(table, "bad", LATER, True)
 
 
-def test_only_what_is_new_is_told() -> None:
-    book = book_with([begun()])
-    news, after = book.news(0, NOW)
-    assertions.assert_that(news, matchers.HasLength(1))
-    assertions.assert_that(book.news(after, NOW)[0], matchers.HasLength(0))
-    # What another host tells again changes nothing.
-    book.take(news, NOW)
-    assertions.assert_that(book.news(after, NOW)[0], matchers.HasLength(0))
-    book.note_end("s1", [begun()], NOW)
-    assertions.assert_that(book.news(after, NOW)[0], matchers.HasLength(1))
+def test_only_changes_are_sent() -> None:
+    table = table_with([begun()])
+    changes, after = table.news(0, NOW)
+    assertions.assert_that(changes, matchers.HasLength(1))
+    assertions.assert_that(table.news(after, NOW)[0], matchers.HasLength(0))
+    # Evidence that another host sends back is no change.
+    table.take(changes, NOW)
+    assertions.assert_that(table.news(after, NOW)[0], matchers.HasLength(0))
+    table.note_end("s1", [begun()], NOW)
+    assertions.assert_that(table.news(after, NOW)[0], matchers.HasLength(1))
 
 
-def test_requests_without_a_name_are_no_suspects() -> None:
-    book = book_with([runs.Run()], [runs.Run()])
-    assertions.assert_that(book.serials.newest, matchers.Equals(0))
+def test_requests_without_a_fingerprint_are_no_suspects() -> None:
+    table = table_with([runs.Run()], [runs.Run()])
+    assertions.assert_that(table.serials.newest, matchers.Equals(0))
 
 
-def test_what_all_callers_ask_alike_is_not_refused() -> None:
-    """Servers end by themselves under a request that is answered all day."""
-    book, other = suspects.SuspectTable(), suspects.SuspectTable()
+def test_request_that_all_callers_send_is_not_refused() -> None:
+    """Servers may end for other reasons during a frequent request."""
+    table, other = suspects.SuspectTable(), suspects.SuspectTable()
     other.note_answered("common", NOW)
     for number in range(6):
-        book.note_end(f"s{number}", [begun("common")], NOW)
+        table.note_end(f"s{number}", [begun("common")], NOW)
         other.note_end(f"s{number}", [begun("common")], NOW)
     assertions.assert_that(other.serials.newest, matchers.Equals(0))
-    assert_quarantined(book, "common", NOW, True)
-    # Whoever has just seen it answered says so, and is believed.
-    other.take(book.news(0, NOW)[0], NOW)
+    assert_quarantined(table, "common", NOW, True)
+    # A host that has just seen it answered clears it for the other one.
+    other.take(table.news(0, NOW)[0], NOW)
     assert_quarantined(other, "common", NOW, False)
-    book.take(other.news(0, NOW)[0], NOW)
-    assert_quarantined(book, "common", NOW, False)
+    table.take(other.news(0, NOW)[0], NOW)
+    assert_quarantined(table, "common", NOW, False)
 
 
-def test_remembered_answers_are_bounded() -> None:
-    book = suspects.SuspectTable()
-    book.note_answered("first", NOW)
+def test_memory_of_answered_requests_is_bounded() -> None:
+    table = suspects.SuspectTable()
+    table.note_answered("first", NOW)
     for number in range(suspects.MOST_ANSWERED):
-        book.note_answered(f"r{number}", NOW)
-    book.note_end("s0", [begun("first"), begun("r9")], NOW)
+        table.note_answered(f"r{number}", NOW)
+    table.note_end("s0", [begun("first"), begun("r9")], NOW)
     assertions.assert_that(
-        [each.fingerprint for each in book.news(0, NOW)[0]],
+        [each.fingerprint for each in table.news(0, NOW)[0]],
         matchers.Equals(["first"]),
     )
 
 
-def test_of_two_that_were_always_together_the_next_end_tells() -> None:
+def test_next_end_decides_between_requests_always_seen_together() -> None:
     both = [run_of("bad"), run_of("beside")]
-    book = book_with(*[both for _ in range(suspects.ENDS_TO_QUARANTINE)])
-    assert_quarantined(book, "bad", LATER, False)
-    assert_quarantined(book, "beside", LATER, False)
-    book.note_end("next", [run_of("bad")], LATER)
-    assert_quarantined(book, "bad", LATER + suspects.SETTLED, True)
-    assert_quarantined(book, "beside", LATER + suspects.SETTLED, False)
+    table = table_with(*[both for _ in range(suspects.ENDS_TO_QUARANTINE)])
+    assert_quarantined(table, "bad", LATER, False)
+    assert_quarantined(table, "beside", LATER, False)
+    table.note_end("next", [run_of("bad")], LATER)
+    assert_quarantined(table, "bad", LATER + suspects.SETTLED, True)
+    assert_quarantined(table, "beside", LATER + suspects.SETTLED, False)
 
 
-def test_a_run_that_was_given_up_says_little() -> None:
+def test_abandoned_run_is_weak_evidence() -> None:
     dropped = [
         runs.Run("dropped", Stage.BEGUN, NOW - 0.1, left_at=NOW)
         for _ in range(2)
@@ -250,13 +250,13 @@
         runs.Run("cut", Stage.BEGUN, NOW - 0.1, is_cut=True, left_at=NOW)
         for _ in range(2)
     ]
-    book = book_with([dropped[0]], [dropped[1]])
-    assert_quarantined(book, "dropped", NOW, False)
-    book = book_with([cut[0]], [cut[1]])
-    assert_quarantined(book, "cut", NOW, True)
+    table = table_with([dropped[0]], [dropped[1]])
+    assert_quarantined(table, "dropped", NOW, False)
+    table = table_with([cut[0]], [cut[1]])
+    assert_quarantined(table, "cut", NOW, True)
 
 
-def test_a_run_that_its_caller_left_is_noted_when_others_tell_of_the_end(
+def test_abandoned_run_is_recorded_when_a_host_reports_the_end(
     router: router_lib.Router,
 ) -> None:
     router.fleet.put(relay_parts.entry("s0"))
@@ -264,10 +264,10 @@
     left = runs.Run("left")
     server.runs.add(left)
     server.runs.end(left, NOW)
-    told = suspect_state.Suspect("beside", {"s0": Stage.GIVING})
-    router.take_suspects([told], NOW + 0.5)
-    news, _ = router.suspects.news(0, NOW)
-    names = {each.fingerprint for each in news}
+    suspect = suspect_state.Suspect("beside", {"s0": Stage.GIVING})
+    router.take_suspects([suspect], NOW + 0.5)
+    changes, _ = router.suspects.news(0, NOW)
+    names = {each.fingerprint for each in changes}
     assertions.assert_that(names, matchers.Equals({"beside", "left"}))
-    # Nor is the server sent anything more.
+    # The server gets no further requests either.
     assertions.assert_that(server.is_gone(NOW + 0.5), matchers.Is(True))
--- a/tests/core/relay/servers/test_relay_warmup.py
+++ b/tests/core/relay/servers/test_relay_warmup.py
@@ -1,4 +1,4 @@
-"""What many hosts together send to a server that is cold."""
+"""Bounds on the requests that all hosts together send to a cold server."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from hoistmoor.core.routing import hashing
 
 NOW = 100.0
-ALLOWED = 18.2  # Requests in any second.
+ALLOWED = 18.2  # Requests in any second: 8.8 * 1.5 + 5.
 LLM = configuration.Service(
     "llm", 10, has_engine=True, warmup_duration=3.0, warmup_rate=8.8
 )
@@ -37,13 +37,13 @@
 
 def fleet_of(own: str, hosts: list[str]) -> fleet_lib.Fleet:
     """Returns the fleet of a host with two engines, one of them cold."""
-    made = fleet_lib.Fleet(own)
-    made.warmups.take_services({"llm": LLM})
-    made.warmups.excess = EXCESS
-    made.shares.take_hosts(hosts)
-    made.put(entry("warm"), NOW)
-    made.put(entry("cold", warm_in=3.0), NOW)
-    return made
+    fleet = fleet_lib.Fleet(own)
+    fleet.warmups.take_services({"llm": LLM})
+    fleet.warmups.excess = EXCESS
+    fleet.shares.take_hosts(hosts)
+    fleet.put(entry("warm"), NOW)
+    fleet.put(entry("cold", warm_in=3.0), NOW)
+    return fleet
 
 
 def entry(server_id: str, **fields: Any) -> server_lib.ServerEntry:
@@ -57,129 +57,129 @@
 
 
 @attrs.define
-class Flood:
-    """Hosts that send all they may to the cold server, as early as they may.
+class Burst:
+    """Hosts that use their full quota at the cold server as early as possible.
 
     Attributes:
-        fleets: What each host knows.
-        late: Seconds that a request takes to arrive, at most.
-        draws: Source of randomness.
+        fleets: Fleet of each host.
+        latency: Maximum seconds until a request arrives.
+        rng: Source of randomness.
     """
 
     fleets: list[fleet_lib.Fleet]
-    late: float
-    draws: random.Random
+    latency: float
+    rng: random.Random
 
-    def most_in_a_second(self) -> int:
-        """Returns the most requests that arrive in any second."""
+    def max_per_second(self) -> int:
+        """Returns the maximum number of requests that arrive in any second."""
         arrivals = []
         for step in range(300):
             now = NOW + step / 100.0
             for fleet in self.fleets:
                 while "cold" in ready(fleet, now):
                     fleet.servers["cold"].sends.note(now)
-                    arrivals.append(now + self.draws.uniform(0.0, self.late))
-        return most_in_a_second(arrivals)
+                    arrivals.append(now + self.rng.uniform(0.0, self.latency))
+        return max_per_second(arrivals)
 
 
-def most_in_a_second(arrivals: list[float]) -> int:
-    """Returns the most of them that lie within one second."""
+def max_per_second(arrivals: list[float]) -> int:
+    """Returns the maximum number of arrivals within one second."""
     window: collections.deque[float] = collections.deque()
-    most = 0
+    maximum = 0
     for at in sorted(arrivals):
         window.append(at)
         while at - window[0] > 1.0:
             window.popleft()
-        most = max(most, len(window))
-    return most
+        maximum = max(maximum, len(window))
+    return maximum
 
 
-@pytest.mark.parametrize("late", [0.0, 0.2, 0.6])
+@pytest.mark.parametrize("latency", [0.0, 0.2, 0.6])
 @pytest.mark.parametrize("hosts", HOSTS)
-def test_all_hosts_together_stay_below_what_a_cold_server_bears(
-    hosts: int, late: float
+def test_all_hosts_together_stay_below_the_limit_of_a_cold_server(
+    hosts: int, latency: float
 ) -> None:
     listed = names(hosts)
     fleets = [fleet_of(name, listed) for name in listed]
-    most = Flood(fleets, late, random.Random(7)).most_in_a_second()
-    assertions.assert_that(most, matchers.LessThan(ALLOWED))
-    # And it is used: a server that gets nothing does not help anyone.
-    assertions.assert_that(most, matchers.GreaterThan(5))
+    maximum = Burst(fleets, latency, random.Random(7)).max_per_second()
+    assertions.assert_that(maximum, matchers.LessThan(ALLOWED))
+    # The bound must be used as well, or the server stays idle.
+    assertions.assert_that(maximum, matchers.GreaterThan(5))
 
 
 @pytest.mark.parametrize("seed", range(5))
 @pytest.mark.parametrize("hosts", HOSTS[1:])
-def test_hosts_whose_lists_differ_stay_below_it_too(
+def test_hosts_with_different_lists_stay_below_the_limit(
     hosts: int, seed: int
 ) -> None:
-    # Each host lacks up to a fifth of the others, and a tenth more is listed
-    # that has gone for good.
-    draws = random.Random(seed)
+    # Each list lacks about a fifth of the hosts and contains others that are
+    # gone for good, a tenth of the number of hosts.
+    rng = random.Random(seed)
     listed = names(hosts) + [f"gone{n}" for n in range(hosts // 10)]
     fleets = []
     for name in names(hosts):
         known = [
-            other for other in listed if other == name or draws.random() > 0.2
+            other for other in listed if other == name or rng.random() > 0.2
         ]
         fleets.append(fleet_of(name, known))
-    most = Flood(fleets, 0.2, draws).most_in_a_second()
-    assertions.assert_that(most, matchers.LessThan(ALLOWED))
+    maximum = Burst(fleets, 0.2, rng).max_per_second()
+    assertions.assert_that(maximum, matchers.LessThan(ALLOWED))
 
 
-def test_a_host_that_does_not_know_the_others_sends_nothing() -> None:
+def test_host_without_a_list_of_hosts_sends_nothing() -> None:
     alone = fleet_of("h1", [])
     assertions.assert_that(ready(alone, NOW), matchers.Equals({"warm"}))
     unlisted = fleet_of("h1", ["h2", "h3"])
     assertions.assert_that(ready(unlisted, NOW), matchers.Equals({"warm"}))
 
 
-def test_a_server_is_cold_as_long_as_it_says() -> None:
-    known = fleet_of("h1", [])
-    assertions.assert_that(ready(known, NOW + 2.9), matchers.Equals({"warm"}))
-    # It may become cold again, and a later word does not shorten a longer one.
-    known.put(entry("warm", warm_in=2.0), NOW + 2.0)
-    known.put(entry("warm", warm_in=1.0), NOW + 2.5)
-    assertions.assert_that(ready(known, NOW + 3.1), matchers.Equals({"cold"}))
+def test_server_is_cold_as_long_as_it_reports() -> None:
+    fleet = fleet_of("h1", [])
+    assertions.assert_that(ready(fleet, NOW + 2.9), matchers.Equals({"warm"}))
+    # It may become cold again. A later, shorter report does not shorten that.
+    fleet.put(entry("warm", warm_in=2.0), NOW + 2.0)
+    fleet.put(entry("warm", warm_in=1.0), NOW + 2.5)
+    assertions.assert_that(ready(fleet, NOW + 3.1), matchers.Equals({"cold"}))
     assertions.assert_that(
-        ready(known, NOW + 4.1), matchers.Equals({"cold", "warm"})
+        ready(fleet, NOW + 4.1), matchers.Equals({"cold", "warm"})
     )
 
 
-def test_a_service_whose_servers_need_no_warmup_has_no_bound() -> None:
-    known = fleet_of("h1", [])
-    known.warmups.take_services({"llm": configuration.Service("llm", 10)})
-    assertions.assert_that(ready(known, NOW), matchers.Equals({"cold", "warm"}))
+def test_service_without_warmup_has_no_bound() -> None:
+    fleet = fleet_of("h1", [])
+    fleet.warmups.take_services({"llm": configuration.Service("llm", 10)})
+    assertions.assert_that(ready(fleet, NOW), matchers.Equals({"cold", "warm"}))
 
 
-def test_servers_are_cold_once_their_evacuation_ends() -> None:
-    known = fleet_lib.Fleet("h1")
-    known.warmups.take_services({"llm": LLM})
-    known.put(entry("n", zone="north"), NOW)
-    known.put(entry("s", zone="south"), NOW)
-    known.evacuate(frozenset({"north"}), NOW)
-    assertions.assert_that(ready(known, NOW + 5.0), matchers.Equals({"s"}))
-    known.evacuate(frozenset(), NOW + 10.0)
-    # An entry that it wrote before says nothing of that.
-    known.put(entry("n", zone="north"), NOW + 10.1)
-    assertions.assert_that(ready(known, NOW + 12.9), matchers.Equals({"s"}))
+def test_servers_are_cold_after_their_evacuation() -> None:
+    fleet = fleet_lib.Fleet("h1")
+    fleet.warmups.take_services({"llm": LLM})
+    fleet.put(entry("n", zone="north"), NOW)
+    fleet.put(entry("s", zone="south"), NOW)
+    fleet.evacuate(frozenset({"north"}), NOW)
+    assertions.assert_that(ready(fleet, NOW + 5.0), matchers.Equals({"s"}))
+    fleet.evacuate(frozenset(), NOW + 10.0)
+    # An entry written before the end of the evacuation does not change that.
+    fleet.put(entry("n", zone="north"), NOW + 10.1)
+    assertions.assert_that(ready(fleet, NOW + 12.9), matchers.Equals({"s"}))
     assertions.assert_that(
-        ready(known, NOW + 13.0), matchers.Equals({"n", "s"})
+        ready(fleet, NOW + 13.0), matchers.Equals({"n", "s"})
     )
 
 
 @pytest.fixture
 def router() -> router_lib.Router:
-    """A router with two engines, warm ones."""
-    made = router_lib.Router(
+    """A router with two warm engines."""
+    router = router_lib.Router(
         "north",
         bounds_lib.Bounds(warmup_excess=EXCESS),
         hashing.Draws.seeded(1),
         "h1",
     )
-    made.fleet.warmups.take_services({"llm": LLM})
+    router.fleet.warmups.take_services({"llm": LLM})
     for name in ("a", "b"):
-        made.fleet.put(entry(name), NOW)
-    return made
+        router.fleet.put(entry(name), NOW)
+    return router
 
 
 def fail_to_connect(router: router_lib.Router, name: str, now: float) -> None:
@@ -192,20 +192,20 @@
     router.note_ended(request, send, pace.AttemptOutcome.UNREACHABLE, now)
 
 
-def test_a_server_that_took_no_connection_may_come_back_cold(
+def test_unreachable_server_may_return_cold(
     router: router_lib.Router,
 ) -> None:
-    # It comes back two seconds later, and that is read one more later.
+    # It restarts after two seconds, and its entry is read a second later.
     fail_to_connect(router, "a", NOW)
     for now in (NOW + 0.5, NOW + 2.0, NOW + 2.9):
         assertions.assert_that(ready(router.fleet, now), matchers.Equals({"b"}))
-    # In the end it is tried by every host, each at its own time.
+    # Eventually every host retries it, each at a different time.
     assertions.assert_that(
         ready(router.fleet, NOW + 6.1), matchers.Equals({"a", "b"})
     )
 
 
-def test_the_hosts_that_may_send_to_cold_servers_try_it_soon(
+def test_hosts_with_a_quota_for_cold_servers_retry_soon(
     router: router_lib.Router,
 ) -> None:
     router.fleet.shares.take_hosts(["h1"])
@@ -215,7 +215,7 @@
     )
 
 
-def test_where_no_server_takes_a_connection_all_are_tried(
+def test_all_servers_are_retried_if_none_is_reachable(
     router: router_lib.Router,
 ) -> None:
     for name in ("a", "b"):
@@ -225,7 +225,7 @@
     )
 
 
-def test_a_trial_on_cold_servers_is_no_reason_to_refuse(
+def test_version_with_only_cold_servers_is_not_selectable(
     router: router_lib.Router,
 ) -> None:
     router.fleet.put(entry("new", version="v2", warm_in=3.0), NOW)
