--- a/src/hoistmoor/core/relay/servers/departure_words.py
+++ b/src/hoistmoor/core/relay/servers/departure_words.py
@@ -19,9 +19,9 @@
     from hoistmoor.core.relay.servers import serials as serials_lib
 
 # Departures in one message (3 KB); the remainder follows in the next one.
-MOST_TOLD = 64
+MAX_PER_MESSAGE = 64
 # Departures that are stored.
-MOST_KEPT = 2048
+MAX_DEPARTURES = 2048
 # Seconds for which a departure is sent to other hosts. A leaving server exits
 # within seconds or minutes and is not selected after that anyway.
 LIFE = 600.0
@@ -57,7 +57,7 @@
         self._departures[identity] = _Departure(
             identity, at, self._serials.take()
         )
-        if len(self._departures) > MOST_KEPT:
+        if len(self._departures) > MAX_DEPARTURES:
             del self._departures[next(iter(self._departures))]
         return True
 
@@ -82,7 +82,7 @@
             for departure in self._departures.values()
             if now - departure.at <= LIFE
         )
-        new, until = self._serials.batch(live, after, MOST_TOLD)
+        new, until = self._serials.batch(live, after, MAX_PER_MESSAGE)
         return {
             departure.identity: round(now - departure.at, 3)
             for departure in new
--- a/src/hoistmoor/core/relay/servers/departures.py
+++ b/src/hoistmoor/core/relay/servers/departures.py
@@ -23,11 +23,11 @@
     Attributes:
         said_at: Monotonic time of the first response, to any host, that
             announced the departure; None if there was none.
-        heard_at: Monotonic time of the latest such response.
+        last_announced_at: Monotonic time of the latest such response.
     """
 
     said_at: float | None = None
-    heard_at: float = float("-inf")
+    last_announced_at: float = float("-inf")
 
     def note(self, at: float) -> bool:
         """Records an announcement; returns whether it is the first one.
@@ -38,7 +38,7 @@
         is_news = self.said_at is None
         if self.said_at is None or at < self.said_at:
             self.said_at = at
-        self.heard_at = max(self.heard_at, at)
+        self.last_announced_at = max(self.last_announced_at, at)
         return is_news
 
     def holds(self, born: int | None, now: float) -> bool:
@@ -50,4 +50,4 @@
         """
         if self.said_at is None:
             return False
-        return born is not None or now - self.heard_at < UNDATED_LIFE
+        return born is not None or now - self.last_announced_at < UNDATED_LIFE
--- a/src/hoistmoor/core/relay/servers/fleet.py
+++ b/src/hoistmoor/core/relay/servers/fleet.py
@@ -90,17 +90,17 @@
     """
 
     def __init__(
-        self, own: str = "", serials: serials_lib.Serials | None = None
+        self, host_name: str = "", serials: serials_lib.Serials | None = None
     ) -> None:
         """Creates an empty fleet.
 
         Args:
-            own: Name of this host.
+            host_name: Name of this host.
             serials: Source of change serials; None to use a private one.
         """
         self.servers: dict[str, server_lib.ServerState] = {}
         self.warmups = warmup_lib.Warmups()
-        self.shares = shares_lib.HostShares(own)
+        self.shares = shares_lib.HostShares(host_name)
         self.longest_rest = rests.LONGEST
         self.departures = departure_words.DepartureWords(
             serials or serials_lib.Serials()
@@ -332,7 +332,7 @@
 
     def ready(
         self,
-        usable: Iterable[server_lib.ServerState],
+        eligible: Iterable[server_lib.ServerState],
         versions: Container[str],
         excluded: Container[str],
         now: float,
@@ -343,7 +343,7 @@
         Outliers and full servers are left out while enough others remain.
 
         Args:
-            usable: Eligible servers.
+            eligible: Eligible servers.
             versions: Versions that may be selected.
             excluded: Identities of servers that must not be selected.
             now: Monotonic time.
@@ -352,7 +352,7 @@
         """
         pool = [
             server
-            for server in usable
+            for server in eligible
             if server.entry.version in versions
             and server.entry.identity not in excluded
         ]
--- a/src/hoistmoor/core/relay/servers/limit_words.py
+++ b/src/hoistmoor/core/relay/servers/limit_words.py
@@ -22,7 +22,7 @@
 # Limits in a message, newest first: 50 bytes each, three times a second in both
 # directions. A host that is not told learns the limit from its own first
 # response.
-MOST_TOLD = 32
+MAX_PER_MESSAGE = 32
 
 LimitWords = dict[str, "limits.LimitWord"]
 
@@ -42,37 +42,37 @@
 
 def told_by(fleet: fleet_lib.Fleet, now: float) -> LimitWords:
     """Returns the limits that this host sends, by server identity."""
-    words = {
-        server.entry.identity: word
+    messages = {
+        server.entry.identity: message
         for server in fleet
-        if (word := server.limit.word(now)) is not None
+        if (message := server.limit.word(now)) is not None
     }
-    if len(words) <= MOST_TOLD:
-        return words
+    if len(messages) <= MAX_PER_MESSAGE:
+        return messages
     newest = heapq.nsmallest(
-        MOST_TOLD, words.items(), key=lambda item: item[1].age
+        MAX_PER_MESSAGE, messages.items(), key=lambda item: item[1].age
     )
     return dict(newest)
 
 
 def take(
     fleet: fleet_lib.Fleet,
-    words: Mapping[str, limits.LimitWord],
+    messages: Mapping[str, limits.LimitWord],
     now: float,
 ) -> list[LimitNews]:
     """Merges the limits sent by another host; returns the changes.
 
     Args:
         fleet: The servers.
-        words: Limits by server identity.
-        now: Monotonic time to which the ages in ``words`` refer.
+        messages: Limits by server identity.
+        now: Monotonic time to which the ages in ``messages`` refer.
     """
     changes = []
-    for identity, word in words.items():
+    for identity, message in messages.items():
         server = fleet.find(identity)
         if server is None:
             continue
         before = server.limit.rate
-        if server.limit.take(word, now):
+        if server.limit.take(message, now):
             changes.append(LimitNews(server, before))
     return changes
--- a/src/hoistmoor/core/relay/servers/limits.py
+++ b/src/hoistmoor/core/relay/servers/limits.py
@@ -30,28 +30,27 @@
 # simulated runs of 40 s).
 USED = 0.95
 # Number of hosts that share a limit: this many per request a second, plus
-# MORE_HOSTS. More hosts cause bursts, because all of them may send at the same
-# moment after a lull: 12 and 137 requests arrived within four seconds at limits
-# of 1.7 and 30 a second, with host lists that lack a fifth. With fewer hosts,
-# each may wait long for its next caller while nothing is sent, and all of them
-# may be down.
+# EXTRA_HOSTS. All of them may send at the same moment after a lull: with host
+# lists that lack a fifth, 12 and 137 requests arrived within four seconds at
+# limits of 1.7 and 30 a second. Fewer hosts would each wait long for their next
+# caller while nothing is sent, and all of them may be down.
 HOSTS_PER_RATE = 1.5
-MORE_HOSTS = 2
+EXTRA_HOSTS = 2
 # Lower bound of a limit, in requests a second. A server that accepts nothing is
 # still probed now and then, because the end of its limit would go unnoticed.
-LEAST_RATE = 0.05
-# Time without a response after which other hosts are selected, as the current
-# ones may be down: SILENT seconds plus this many mean intervals between the
-# requests of all hosts.
-SILENT_PAUSES = 2.0
-SILENT = 3.0
+MIN_RATE = 0.05
+# Other hosts are selected if no response has arrived for SILENCE_SECONDS plus
+# this many mean intervals between the requests of all hosts. The current ones
+# may be down.
+SILENCE_INTERVALS = 2.0
+SILENCE_SECONDS = 3.0
 # Seconds for which the end of a limit is gossiped. Other hosts learn of it
 # within two seconds; the limit they still gossip meanwhile is older.
 END_TOLD = 10.0
 # Seconds by which a message with an unchanged limit must be newer to be
 # accepted. A message that is echoed by its receiver appears newer by the
 # network delay.
-SAME_WORD = 0.25
+ECHO_MARGIN = 0.25
 
 
 @attrs.frozen
@@ -60,12 +59,12 @@
 
     Attributes:
         rate: Requests a second; None if the server no longer has a limit.
-        turn: How often the set of hosts that send to the server has changed.
+        generation: How often the set of sending hosts has changed.
         age: Seconds since the response that named the limit.
     """
 
     rate: float | None
-    turn: int
+    generation: int
     age: float
 
 
@@ -76,20 +75,20 @@
     Attributes:
         rate: Requests a second from all hosts together; None for no limit.
         at: Monotonic time of the underlying response, to any host.
-        turn: How often the set of hosts that send to the server had changed
-            by then.
-        told_until: Monotonic time until which the end of a limit is gossiped.
+        generation: How often the set of sending hosts had changed by then.
+        gossip_end_until: Monotonic time until which the end of a limit is
+            gossiped.
     """
 
     rate: float | None = None
     at: float = float("-inf")
-    turn: int = 0
-    told_until: float = float("-inf")
+    generation: int = 0
+    gossip_end_until: float = float("-inf")
 
     def note_named(self, rate: float, now: float) -> bool:
         """Records a limit named in a response; returns whether it changed."""
         is_news = rate != self.rate
-        self.turn = self.turn_at(now)
+        self.generation = self.turn_at(now)
         self.rate = rate
         self.at = now
         return is_news
@@ -106,66 +105,66 @@
         was_limited = self.rate is not None
         self._clear(sent_at)
         if was_limited:
-            self.told_until = now + END_TOLD
+            self.gossip_end_until = now + END_TOLD
         return was_limited
 
     def _clear(self, at: float) -> None:
         self.rate = None
-        self.turn = 0
+        self.generation = 0
         self.at = at
 
-    def take(self, word: LimitWord, now: float) -> bool:
+    def take(self, message: LimitWord, now: float) -> bool:
         """Merges a limit sent by another host; returns whether it changed.
 
         Args:
-            word: The limit.
+            message: The limit.
             now: Monotonic time to which its age refers.
         """
-        at = now - word.age
-        margin = SAME_WORD if word.rate == self.rate else 0.0
+        at = now - message.age
+        margin = ECHO_MARGIN if message.rate == self.rate else 0.0
         if at <= self.at + margin:
-            if self.rate is None and word.rate is not None:
-                self.told_until = now + END_TOLD
+            if self.rate is None and message.rate is not None:
+                self.gossip_end_until = now + END_TOLD
             return False
-        is_news = word.rate != self.rate
-        if word.rate is None:
+        is_news = message.rate != self.rate
+        if message.rate is None:
             self._clear(at)
         else:
-            self.rate = word.rate
-            self.turn = word.turn
+            self.rate = message.rate
+            self.generation = message.generation
             self.at = at
-        if is_news and word.rate is None:
-            self.told_until = now + END_TOLD
+        if is_news and message.rate is None:
+            self.gossip_end_until = now + END_TOLD
         return is_news
 
     def word(self, now: float) -> LimitWord | None:
         """Returns the limit to send to other hosts; None if there is none."""
-        if self.rate is None and now >= self.told_until:
+        if self.rate is None and now >= self.gossip_end_until:
             return None
-        return LimitWord(self.rate, self.turn, now - self.at)
+        return LimitWord(self.rate, self.generation, now - self.at)
 
     def turn_at(self, now: float) -> int:
         """Returns how often the set of sending hosts has changed by now."""
         if self.rate is None:
             return 0
-        silence = SILENT + SILENT_PAUSES / _used(self.rate)
-        return self.turn + int((now - self.at) / silence)
+        silence = SILENCE_SECONDS + SILENCE_INTERVALS / _used_rate(self.rate)
+        return self.generation + int((now - self.at) / silence)
 
 
 def requests_at_once(rate: float) -> int:
     """Returns how many requests all hosts together may send at one moment."""
-    return int(HOSTS_PER_RATE * rate + MORE_HOSTS)
+    return int(HOSTS_PER_RATE * rate + EXTRA_HOSTS)
 
 
-def window_of(rate: float, part: shares.Part) -> float:
+def window_of(rate: float, quota: shares.Part) -> float:
     """Returns the length in seconds of the window that quotas apply to."""
-    return part.all_hosts / _used(rate)
+    return quota.all_hosts / _used_rate(rate)
 
 
 def pause_of(rate: float) -> float:
     """Returns the mean seconds between two requests of all hosts."""
-    return 1.0 / _used(rate)
+    return 1.0 / _used_rate(rate)
 
 
-def _used(rate: float) -> float:
-    return USED * max(rate, LEAST_RATE)
+def _used_rate(rate: float) -> float:
+    return USED * max(rate, MIN_RATE)
--- a/src/hoistmoor/core/relay/servers/runs.py
+++ b/src/hoistmoor/core/relay/servers/runs.py
@@ -34,7 +34,8 @@
     Attributes:
         fingerprint: Fingerprint of the request.
         stage: Its progress.
-        begun_at: Monotonic time at which the response began; None before.
+        response_started_at: Monotonic time at which the response began; None
+            before.
         is_over: Whether it is known to have finished at the server.
         is_cut: Whether the server closed the connection.
         left_at: Monotonic time at which it ended for this host; None before.
@@ -42,7 +43,7 @@
 
     fingerprint: str = ""
     stage: Stage = Stage.WAITING
-    begun_at: float | None = None
+    response_started_at: float | None = None
     is_over: bool = False
     is_cut: bool = False
     left_at: float | None = None
@@ -50,7 +51,7 @@
     def note_head(self, now: float) -> None:
         """Records that the response has begun."""
         self.stage = Stage.BEGUN
-        self.begun_at = now
+        self.response_started_at = now
 
     def note_part(self) -> None:
         """Records that a part of the response has arrived."""
@@ -63,10 +64,10 @@
 
     def lasted(self, now: float) -> float:
         """Returns the seconds from the start of the response to its end."""
-        if self.begun_at is None:
+        if self.response_started_at is None:
             return 0.0
         end = now if self.left_at is None else self.left_at
-        return end - self.begun_at
+        return end - self.response_started_at
 
 
 @attrs.define(eq=False)
--- a/src/hoistmoor/core/relay/servers/server.py
+++ b/src/hoistmoor/core/relay/servers/server.py
@@ -19,7 +19,7 @@
 
 # Smoothing factor of a server's mean work per request: the weight of the newest
 # request.
-WORK_STEP = 0.1
+WORK_SMOOTHING = 0.1
 # Separates the server id from the start time in an identity.
 _START_TIME_SEPARATOR = "@"
 
@@ -204,4 +204,4 @@
     def note_work(self, work: float) -> None:
         """Adds a request's work to the moving average."""
         mean = self.mean_work or work
-        self.mean_work = mean + WORK_STEP * (work - mean)
+        self.mean_work = mean + WORK_SMOOTHING * (work - mean)
--- a/src/hoistmoor/core/relay/servers/shares.py
+++ b/src/hoistmoor/core/relay/servers/shares.py
@@ -47,18 +47,18 @@
     all_hosts: int
 
 
-NO_PART = Part(0, 0)
+NO_QUOTA = Part(0, 0)
 
 
 class HostShares:
     """This host's share of the requests that all hosts may send to a server.
 
     Attributes:
-        own: Name of this host.
+        host_name: Name of this host.
     """
 
-    def __init__(self, own: str) -> None:
-        self.own = own
+    def __init__(self, host_name: str) -> None:
+        self.host_name = host_name
         self._hosts: frozenset[str] = frozenset()
         self._parts: dict[tuple[str, int], Part] = {}
 
@@ -87,13 +87,13 @@
 
     def equal_part(self, amount: float) -> float:
         """Returns this host's part of an amount split evenly among hosts."""
-        if self.own not in self._hosts:
+        if self.host_name not in self._hosts:
             return 0.0
         return amount / len(self._hosts)
 
     def _compute_part(self, key: str, requests: int) -> Part:
-        if self.own not in self._hosts or requests < 1:
-            return NO_PART
+        if self.host_name not in self._hosts or requests < 1:
+            return NO_QUOTA
         count = min(len(self._hosts), requests)
         per_host = requests // count
         selected = heapq.nsmallest(
@@ -101,7 +101,7 @@
             self._hosts,
             key=lambda host: hashing.unit(f"{key} {host}", _HASH_SEED),
         )
-        own = per_host if self.own in selected else 0
+        own = per_host if self.host_name in selected else 0
         return Part(own, per_host * count)
 
 
--- a/src/hoistmoor/core/relay/servers/suspects.py
+++ b/src/hoistmoor/core/relay/servers/suspects.py
@@ -12,8 +12,8 @@
 - A crash at the start of a run leaves exactly one run at the server whose
   response had begun without any part. Two such ends at two servers quarantine
   the request. Of 375 requests that were cut beside such a request, 80 of them
-  three times or more, none was ever cut in this way (log of a simulated day, 7
-  hosts and 6 servers).
+  three times or more, none was ever cut in this way (log of a test day, 7 hosts
+  and 6 servers).
 - Any other end counts only if the request is its likeliest cause, once other
   hosts have had time to report what else was running there. Four such ends
   quarantine the request.
@@ -116,7 +116,7 @@
         self._mark_changed(state)
 
     def take(
-        self, told: Iterable[suspect_state.Suspect], now: float
+        self, suspects: Iterable[suspect_state.Suspect], now: float
     ) -> list[str]:
         """Merges the evidence sent by another host.
 
@@ -125,7 +125,7 @@
         """
         changed = []
         ended: dict[str, None] = {}
-        for suspect in told:
+        for suspect in suspects:
             if suspect.age > QUARANTINE:
                 continue
             state = self._state_of(suspect.fingerprint, now - suspect.age)
--- a/src/hoistmoor/core/relay/servers/warmup.py
+++ b/src/hoistmoor/core/relay/servers/warmup.py
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class Warmup:
+class WarmupPolicy:
     """Warm-up policy of one service.
 
     Attributes:
@@ -79,10 +79,10 @@
         """Sets the configuration of the services."""
         self._services = services
 
-    def of(self, service: str) -> Warmup | None:
+    def of(self, service: str) -> WarmupPolicy | None:
         """Returns a service's policy; None if its servers need no warm-up."""
         found = self._services.get(service)
         if found is None or not found.warmup_duration:
             return None
         rate = found.warmup_rate * self.excess.factor
-        return Warmup(found.warmup_duration, rate + self.excess.requests)
+        return WarmupPolicy(found.warmup_duration, rate + self.excess.requests)
