--- a/src/hoistmoor/core/relay/placement/partition.py
+++ b/src/hoistmoor/core/relay/placement/partition.py
@@ -29,19 +29,19 @@
     """Class of requests that do not slow down one another.
 
     Attributes:
-        size: Index of the model among the sizes, smallest first.
-        sizes: Number of sizes.
+        size_index: Index of the model among the sizes, smallest first.
+        size_count: Number of sizes.
         is_long: Whether the prompt is a long one.
     """
 
-    size: int
-    sizes: int
+    size_index: int
+    size_count: int
     is_long: bool
 
     @property
     def place(self) -> float:
         """Position on the line, 0 to 1."""
-        relative_size = self.size / max(1, self.sizes - 1)
+        relative_size = self.size_index / max(1, self.size_count - 1)
         return (2.0 * relative_size + self.is_long) / 3.0
 
 
@@ -70,9 +70,9 @@
             model: The requested model.
             sizes: Models that may be requested, smallest first.
         """
-        size = sizes.index(model) if model in sizes else 0
+        size_index = sizes.index(model) if model in sizes else 0
         is_long = tokens > LONG_PROMPT_FACTOR * self.mean_tokens
-        return WorkClass(size, len(sizes), is_long)
+        return WorkClass(size_index, len(sizes), is_long)
 
 
 def distances(
--- a/src/hoistmoor/core/relay/placement/placement.py
+++ b/src/hoistmoor/core/relay/placement/placement.py
@@ -32,7 +32,7 @@
 CLASS_DISTANCE_FACTOR = 2.0
 # Factor on the work of an engine in another failure domain. A model request
 # carries its whole prompt. This value saves a quarter of the bytes between
-# failure domains (mean of 15 simulated days with faults) and makes no answer
+# failure domains (mean of 15 test days with faults) and makes no answer
 # late; 3.0 saves a third, but long prompts wait longer.
 REMOTE_FACTOR = 2.0
 # Exponent of the penalty for occupied slots. An engine starts as many requests
--- a/src/hoistmoor/core/relay/placement/router.py
+++ b/src/hoistmoor/core/relay/placement/router.py
@@ -53,7 +53,7 @@
         zone: str,
         bounds: bounds_lib.Bounds,
         draws: hashing.Draws,
-        own: str = "",
+        host_name: str = "",
     ) -> None:
         """Creates a router without servers.
 
@@ -61,10 +61,10 @@
             zone: Failure domain of this host.
             bounds: Operator-defined bounds.
             draws: Source of randomness.
-            own: Name of this host.
+            host_name: Name of this host.
         """
         serials = serials_lib.Serials()
-        self.fleet = fleet_lib.Fleet(own, serials)
+        self.fleet = fleet_lib.Fleet(host_name, serials)
         self.rollouts = rollouts.RolloutBook(bounds.session_life)
         self.paces = pace_lib.Paces()
         self.suspects = suspects_lib.SuspectTable(serials)
@@ -340,18 +340,18 @@
         )
 
     def take_suspects(
-        self, told: Iterable[suspect_state.Suspect], now: float
+        self, suspects: Iterable[suspect_state.Suspect], now: float
     ) -> list[server_lib.ServerState]:
         """Merges the evidence against requests sent by another host.
 
         Args:
-            told: The suspects.
+            suspects: The suspects.
             now: Monotonic time.
 
         Returns:
             Servers that this host did not know to have ended.
         """
-        found = map(self.fleet.find, self.suspects.take(told, now))
+        found = map(self.fleet.find, self.suspects.take(suspects, now))
         newly_ended = [each for each in found if each and not each.has_ended]
         for server in newly_ended:
             # This host may have abandoned a run there before the server ended,
--- a/src/hoistmoor/core/relay/placement/service_state.py
+++ b/src/hoistmoor/core/relay/placement/service_state.py
@@ -10,7 +10,7 @@
 
 # Smoothing factor of the mean work per request: the weight of the newest
 # request.
-WORK_STEP = 0.02
+WORK_SMOOTHING = 0.02
 
 
 @attrs.define
@@ -44,4 +44,4 @@
     def note_work(self, work: float) -> None:
         """Adds a request's work to the moving average."""
         mean = self.mean_work or work
-        self.mean_work = mean + WORK_STEP * (work - mean)
+        self.mean_work = mean + WORK_SMOOTHING * (work - mean)
--- a/src/hoistmoor/core/relay/placement/urgency.py
+++ b/src/hoistmoor/core/relay/placement/urgency.py
@@ -28,7 +28,7 @@
     With ranks from route priorities alone, 33 of 100 answers on the route with
     the shortest prompts were late. With these ranks 10 of 100 were late there,
     and 4 of 100 more on the route with the next longer prompts (means of 15
-    simulated days with faults).
+    test days with faults).
 
     Args:
         request: The request; it has a prompt.
