--- a/src/hoistmoor/core/relay/servers/access.py
+++ b/src/hoistmoor/core/relay/servers/access.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Container, Iterable
 
-    from hoistmoor.core.relay.servers import room as room_lib
+    from hoistmoor.core.relay.servers import room as headroom_lib
     from hoistmoor.core.relay.servers import server as server_lib
 
     _WaitFunction = Callable[["server_lib.ServerState", float], float]
@@ -64,7 +64,7 @@
         evacuated: Failure domains whose servers get no new work.
     """
 
-    def __init__(self, room: room_lib.Room) -> None:
+    def __init__(self, headroom: headroom_lib.Room) -> None:
         self.evacuated: frozenset[str] = frozenset()
         # Ordered so that the cheapest and most frequent reasons come first.
         self._checks: tuple[tuple[Bar, _WaitFunction], ...] = (
@@ -72,8 +72,8 @@
             (Bar.LEAVING, _wait_while_leaving),
             (Bar.EVACUATED, self._wait_for_evacuation),
             (Bar.RESTING, _wait_for_rest),
-            (Bar.COLD, room.wait_for_cold),
-            (Bar.LIMITED, room.wait_for_limit),
+            (Bar.COLD, headroom.wait_for_cold),
+            (Bar.LIMITED, headroom.wait_for_limit),
         )
 
     def may_get(
--- a/src/hoistmoor/core/relay/servers/fleet.py
+++ b/src/hoistmoor/core/relay/servers/fleet.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING
 
-from hoistmoor.core.relay.servers import access as access_lib
+from hoistmoor.core.relay.servers import access as eligibility_lib
 from hoistmoor.core.relay.servers import departure_words
 from hoistmoor.core.relay.servers import outstanding
 from hoistmoor.core.relay.servers import rests
-from hoistmoor.core.relay.servers import room as room_lib
+from hoistmoor.core.relay.servers import room as headroom_lib
 from hoistmoor.core.relay.servers import serials as serials_lib
 from hoistmoor.core.relay.servers import server as server_lib
 from hoistmoor.core.relay.servers import shares as shares_lib
@@ -81,7 +81,7 @@
 
     Attributes:
         servers: Servers by id.
-        access: Eligibility checks.
+        eligibility: Eligibility checks.
         warmups: Warm-up policies of the services.
         shares: This host's share of the requests that all hosts together may
             send to one server.
@@ -105,8 +105,8 @@
         self.departures = departure_words.DepartureWords(
             serials or serials_lib.Serials()
         )
-        self._room = room_lib.Room(self.warmups, self.shares)
-        self.access = access_lib.Access(self._room)
+        self._headroom = headroom_lib.Room(self.warmups, self.shares)
+        self.eligibility = eligibility_lib.Access(self._headroom)
         self._by_service: dict[str, dict[str, server_lib.ServerState]] = {}
         # Last known state of removed servers, oldest first.
         self._removed: dict[str, server_lib.ServerState] = {}
@@ -114,7 +114,7 @@
     @property
     def evacuated(self) -> frozenset[str]:
         """Failure domains whose servers get no new work."""
-        return self.access.evacuated
+        return self.eligibility.evacuated
 
     def __iter__(self) -> Iterator[server_lib.ServerState]:
         """Yields all servers."""
@@ -200,8 +200,8 @@
         cold for a full warm-up period, because their own report of being cold
         only arrives with the next heartbeat.
         """
-        reopened = self.access.evacuated - zones
-        self.access.evacuated = zones
+        reopened = self.eligibility.evacuated - zones
+        self.eligibility.evacuated = zones
         for server in self:
             warmup = self.warmups.of(server.entry.service)
             if warmup is not None and server.entry.zone in reopened:
@@ -226,13 +226,15 @@
         if warmup is not None:
             state.doubted_until = now + warmup.duration * (1.0 + draw)
 
-    def outlook(self, service: str, now: float) -> access_lib.Outlook | None:
+    def outlook(
+        self, service: str, now: float
+    ) -> eligibility_lib.Outlook | None:
         """Returns when the first server of a service becomes eligible.
 
         Returns None if one is eligible now; if no server was selected
         nevertheless, the cause lies elsewhere.
         """
-        return self.access.outlook(self._servers_of(service), now)
+        return self.eligibility.outlook(self._servers_of(service), now)
 
     def _replace(
         self,
@@ -314,7 +316,7 @@
         self,
         service: str,
         now: float,
-        ignored: Container[access_lib.Bar] = (),
+        ignored: Container[eligibility_lib.Bar] = (),
     ) -> list[server_lib.ServerState]:
         """Returns the servers of a service that are eligible for work.
 
@@ -323,7 +325,7 @@
             now: Monotonic time.
             ignored: Reasons for ineligibility that are not taken into account.
         """
-        may_get = self.access.may_get
+        may_get = self.eligibility.may_get
         return [
             server
             for server in self._servers_of(service)
@@ -364,7 +366,7 @@
             for server in pool
             if (
                 now >= server.doubted_until
-                or self._room.has_for_cold(server, now)
+                or self._headroom.has_for_cold(server, now)
             )
             and draw <= server.rest.part_back(now)
         ]
@@ -378,7 +380,7 @@
         self,
         service: str,
         now: float,
-        ignored: Container[access_lib.Bar] = (),
+        ignored: Container[eligibility_lib.Bar] = (),
     ) -> set[str]:
         """Returns the versions of the eligible servers; see ``usable``."""
         usable = self.usable(service, now, ignored)
