--- a/tests/core/relay/servers/test_relay_shares.py
+++ b/tests/core/relay/servers/test_relay_shares.py
@@ -52,7 +52,7 @@
     totals = []
     for seed in range(10):
         draws = random.Random(seed)
-        all_shares = []
+        all_shares: list[shares.HostShares] = []
         for name in names(hosts):
             others = [n for n in names(hosts) if draws.random() > 0.2]
             all_shares.append(make_shares(name, [name, *others]))
