--- a/src/hoistmoor/core/relay/servers/limit_words.py
+++ b/src/hoistmoor/core/relay/servers/limit_words.py
@@ -1,7 +1,7 @@
-"""What hosts tell one another of the servers' limits, with each question.
+"""Gossip between hosts about the rate limits of backend servers.
 
-Words that are older than what a host knows change nothing, so all are told
-each time, and none needs to be remembered as told.
+Limits are sent with every message. Receivers ignore those that are older than
+what they already know, so senders need not track what each receiver has seen.
 """
 
 from __future__ import annotations
@@ -19,20 +19,21 @@
     from hoistmoor.core.relay.servers import fleet as fleet_lib
     from hoistmoor.core.relay.servers import limits
 
-# Newest words in a message: 50 bytes each, three times a second both ways. A
-# host that is not told learns from its own first answer.
-MOST_TOLD = 32
+# Limits in a message, newest first: 50 bytes each, three times a second in both
+# directions. A host that is not told learns the limit from its own first
+# response.
+MAX_PER_MESSAGE = 32
 
 LimitWords = dict[str, "limits.LimitWord"]
 
 
 @attrs.frozen
 class LimitNews:
-    """A change of a server's limit.
+    """A change of a server's rate limit.
 
     Attributes:
         server: The server.
-        before: Its limit until then; None for none.
+        before: The previous limit; None if there was none.
     """
 
     server: server_lib.ServerState
@@ -40,38 +41,38 @@
 
 
 def told_by(fleet: fleet_lib.Fleet, now: float) -> LimitWords:
-    """Returns the words of a host, by the server's identity."""
-    words = {
-        each.entry.identity: word
-        for each in fleet
-        if (word := each.limit.word(now)) is not None
+    """Returns the limits that this host sends, by server identity."""
+    messages = {
+        server.entry.identity: message
+        for server in fleet
+        if (message := server.limit.word(now)) is not None
     }
-    if len(words) <= MOST_TOLD:
-        return words
+    if len(messages) <= MAX_PER_MESSAGE:
+        return messages
     newest = heapq.nsmallest(
-        MOST_TOLD, words.items(), key=lambda item: item[1].age
+        MAX_PER_MESSAGE, messages.items(), key=lambda item: item[1].age
     )
     return dict(newest)
 
 
 def take(
     fleet: fleet_lib.Fleet,
-    words: Mapping[str, limits.LimitWord],
+    messages: Mapping[str, limits.LimitWord],
     now: float,
 ) -> list[LimitNews]:
-    """Takes another host's words; returns what changed.
+    """Merges the limits sent by another host; returns the changes.
 
     Args:
         fleet: The servers.
-        words: By the server's identity.
-        now: Steady time at which their ages are counted.
+        messages: Limits by server identity.
+        now: Monotonic time to which the ages in ``messages`` refer.
     """
-    news = []
-    for identity, word in words.items():
+    changes = []
+    for identity, message in messages.items():
         server = fleet.find(identity)
         if server is None:
             continue
         before = server.limit.rate
-        if server.limit.take(word, now):
-            news.append(LimitNews(server, before))
-    return news
+        if server.limit.take(message, now):
+            changes.append(LimitNews(server, before))
+    return changes
