--- a/src/hoistmoor/core/limits/__init__.py
+++ b/src/hoistmoor/core/limits/__init__.py
@@ -1,3 +1,3 @@
-"""Limits per client account, admission under overload, and retry budgets."""
+"""Client account limits, overload admission control and retry budgets."""
 
 from __future__ import annotations
--- a/src/hoistmoor/core/limits/accounts.py
+++ b/src/hoistmoor/core/limits/accounts.py
@@ -1,4 +1,4 @@
-"""Rate and concurrency of the client accounts at this host."""
+"""Enforces per-account rate and concurrency limits at this host."""
 
 from __future__ import annotations
 
@@ -17,16 +17,17 @@
     from hoistmoor.core import identity
     from hoistmoor.core.table import model
 
-BURST_SECONDS = 1.0  # A host may save up so much of its part of a rate.
+# Burst size of the token bucket, in seconds of the host's fraction of a rate.
+BURST_SECONDS = 1.0
 
 
 @attrs.define
 class AccountUse:
-    """What one account uses of this host's part of its limits.
+    """Current use of this host's fraction of one account's limits.
 
     Attributes:
-        bucket: Requests that may still enter at the account's rate.
-        in_flight: Requests let in and not yet left.
+        bucket: Token bucket that enforces the account's rate.
+        in_flight: Number of admitted requests that have not finished.
     """
 
     bucket: buckets.TokenBucket
@@ -34,11 +35,11 @@
 
 
 class AccountLimiter:
-    """Counts the accounts' requests at this host.
+    """Admits requests within this host's fraction of the account limits.
 
     Attributes:
-        shares: This host's part of each account's limits.
-        uses: Per account.
+        shares: This host's fraction of each account's limits.
+        uses: Current use, by account name.
     """
 
     def __init__(self, incarnation: identity.Incarnation) -> None:
@@ -47,12 +48,12 @@
         self._arrivals = 0
 
     def enter(self, row: model.Account, now: float) -> refusals.Refusal | None:
-        """Lets a request in, or returns why not."""
+        """Admits a request, or returns the refusal."""
         self._arrivals += 1
         self.shares.note_request(row.account, now)
-        part = self.shares.part(row.account, now)
-        use = self._use(row, part, now)
-        if use.in_flight >= _allowed(row.concurrency, part):
+        fraction = self.shares.part(row.account, now)
+        use = self._use(row, fraction, now)
+        if use.in_flight >= _host_concurrency(row.concurrency, fraction):
             return self._refuse(refusals.Reason.CONCURRENCY_LIMITED, 0.0)
         if not use.bucket.take(now):
             wait = use.bucket.wait(now)
@@ -61,16 +62,21 @@
         return None
 
     def leave(self, account: str) -> None:
-        """Lets a request out."""
+        """Releases the concurrency slot of a finished request."""
         self.uses[account].in_flight -= 1
 
     def undo(self, account: str) -> None:
-        """Lets a request out that was refused by a later check."""
+        """Reverts the admission of a request that a later check refused.
+
+        Unlike ``leave``, this also refunds the rate token.
+        """
         self.leave(account)
         self.uses[account].bucket.give_back()
 
-    def _use(self, row: model.Account, part: float, now: float) -> AccountUse:
-        rate = row.rate_limit * part
+    def _use(
+        self, row: model.Account, fraction: float, now: float
+    ) -> AccountUse:
+        rate = row.rate_limit * fraction
         burst = max(1.0, rate * BURST_SECONDS) if rate > 0 else 0.0
         use = self.uses.get(row.account)
         if use is None:
@@ -88,6 +94,9 @@
         return refusals.Refusal(reason, outcomes.Outcome.NOT_RUN, detail, wait)
 
 
-def _allowed(concurrency: int, part: float) -> int:
-    """Returns this host's part; at least one unless the limit is 0."""
-    return min(concurrency, max(1, math.floor(concurrency * part)))
+def _host_concurrency(concurrency: int, fraction: float) -> int:
+    """Returns this host's concurrency limit.
+
+    It is at least 1 unless the account's limit is 0.
+    """
+    return min(concurrency, max(1, math.floor(concurrency * fraction)))
--- a/src/hoistmoor/core/limits/adaptive.py
+++ b/src/hoistmoor/core/limits/adaptive.py
@@ -1,27 +1,29 @@
-"""A pool's slots at this host, lowered when backend servers decline work.
+"""Adaptive concurrency limit of a pool at this host.
 
-The table says how much a pool takes; a pool that lost servers takes less. A
-decline lowers the slots by a fifth, at most once a second; while the slots
-are in use, each full round of successes raises them by one.
+The table states a pool's capacity, but a pool that lost servers has less. When
+a backend server declines a request, the number of slots drops by a fifth, at
+most once a second. While the slots are in use, every full round of successful
+requests adds one slot.
 """
 
 from __future__ import annotations
 
 import attrs
 
-_DECREASE = 0.8
-_DECREASE_SECONDS = 1.0  # Least time between two decreases.
-_BUSY_SHARE = 0.8  # Of the slots; below it a success proves nothing.
+_DECREASE_FACTOR = 0.8
+_DECREASE_INTERVAL = 1.0  # Minimum seconds between two decreases.
+# Below this utilization, a success says nothing about spare capacity.
+_BUSY_FRACTION = 0.8
 
 
 @attrs.define
 class AdaptiveSlots:
-    """Additive increase and multiplicative decrease of a number of slots.
+    """Number of slots with additive increase and multiplicative decrease.
 
     Attributes:
-        floor: Slots at least.
-        ceiling: Slots at most.
-        value: Slots now, with the part of a slot earned so far.
+        floor: Minimum number of slots.
+        ceiling: Maximum number of slots.
+        value: Current number of slots, including the fraction earned so far.
         lowered_at: Time of the last decrease.
     """
 
@@ -32,11 +34,11 @@
 
     @property
     def slots(self) -> int:
-        """Whole slots."""
+        """Current number of whole slots."""
         return int(self.value)
 
     def set_bounds(self, floor: int, ceiling: int) -> None:
-        """Changes the bounds; a pool at its old ceiling goes to the new."""
+        """Changes the bounds; a value at the old ceiling moves with it."""
         at_ceiling = self.value >= self.ceiling
         self.floor = floor
         self.ceiling = ceiling
@@ -44,13 +46,13 @@
         self.value = min(float(ceiling), max(float(floor), value))
 
     def on_success(self, in_use: int) -> None:
-        """Earns a part of a slot if the slots were in use."""
-        if in_use >= _BUSY_SHARE * self.slots:
+        """Adds a fraction of a slot if most slots were in use."""
+        if in_use >= _BUSY_FRACTION * self.slots:
             self.value = min(float(self.ceiling), self.value + 1 / self.value)
 
     def on_decline(self, now: float) -> None:
-        """Lowers the slots."""
-        if now - self.lowered_at < _DECREASE_SECONDS:
+        """Lowers the number of slots, at most once per interval."""
+        if now - self.lowered_at < _DECREASE_INTERVAL:
             return
         self.lowered_at = now
-        self.value = max(float(self.floor), self.value * _DECREASE)
+        self.value = max(float(self.floor), self.value * _DECREASE_FACTOR)
--- a/src/hoistmoor/core/limits/book.py
+++ b/src/hoistmoor/core/limits/book.py
@@ -1,4 +1,4 @@
-"""This host's book of spend shares: what it holds, asks for and gives back."""
+"""Spend limit shares of this host: reservations, asks and returns."""
 
 from __future__ import annotations
 
@@ -18,32 +18,32 @@
 
     from hoistmoor.core import identity
 
-SNAPSHOT_SECONDS = 600.0  # Age at which a snapshot is renewed.
-_SNAPSHOT_SPREAD = 300.0  # Hosts take turns within so many seconds.
-# Part of a share kept for urgent requests while the log is down.
-_URGENT_PART = 0.25
+SNAPSHOT_SECONDS = 600.0  # Age at which a new snapshot is due.
+_SNAPSHOT_SPREAD = 300.0  # Seconds over which the hosts' snapshots are spread.
+# Fraction of a share reserved for urgent requests while the log is down.
+_URGENT_FRACTION = 0.25
 
 
 class Verdict(enum.Enum):
-    """Whether a cost is covered."""
+    """Result of reserving a cost."""
 
     RESERVED = enum.auto()
-    WAIT = enum.auto()  # A share must be asked for and read back.
-    EXHAUSTED = enum.auto()  # Nothing is left of the limit.
-    UNKNOWN = enum.auto()  # What others hold is not known to this host.
+    WAIT = enum.auto()  # A share must be requested and read back first.
+    EXHAUSTED = enum.auto()  # The limit is used up.
+    UNKNOWN = enum.auto()  # The grants of other hosts are not known.
 
 
 class ShareBook:
-    """Shares of the spend limits at one incarnation of one host.
+    """Manages the spend limit shares of one incarnation of one host.
 
     Attributes:
-        incarnation: This process.
+        incarnation: Incarnation of this process.
         fold: State of the limits stream.
-        wallet: What this process holds.
+        wallet: Shares that this process holds.
         in_force: The table in force.
-        log_is_up: Whether shares can be had from the log.
-        transfers: What peers ask for and give.
-        gifts: What hosts that stop leave to others.
+        log_is_up: Whether shares can be requested from the log.
+        transfers: Transfers between this host and its peers.
+        gifts: Handoffs from and to hosts that stop.
     """
 
     def __init__(self, incarnation: identity.Incarnation) -> None:
@@ -55,31 +55,31 @@
         self.transfers = transfers.Transfers(incarnation, self.wallet)
         self.gifts = gifts.Gifts(incarnation, self.wallet)
         self._serial = 0
-        self._turns = turns.Turns(incarnation.host)
+        self._schedule = turns.Turns(incarnation.host)
 
     @property
     def hosts(self) -> int:
-        """Live entry hosts."""
-        return self._turns.hosts
+        """Number of live entry hosts."""
+        return self._schedule.hosts
 
     @hosts.setter
     def hosts(self, count: int) -> None:
-        self._turns.hosts = count
+        self._schedule.hosts = count
 
     def apply(self, offset: int, at: float, record: object, now: float) -> bool:
-        """Takes the next record of the stream in.
+        """Applies the next record of the limits stream.
 
         Returns:
-            Whether this host was granted or refused a share.
+            Whether the record grants or refuses this process a share.
         """
-        own = False
+        is_affected = False
         for grant in self.fold.apply(offset, at, record):
-            if self._is_own(grant):
-                own = True
+            if self._is_own_grant(grant):
+                is_affected = True
                 self.wallet.credit(
                     grant.account, grant.day, grant.serial, grant.amount, now
                 )
-        return own
+        return is_affected
 
     def reserve(
         self,
@@ -89,12 +89,14 @@
         now: float,
         urgent: bool = True,
     ) -> Verdict:
-        """Sets ``cost`` micros aside for a request that came on ``day``."""
+        """Reserves ``cost`` micros for a request that arrived on ``day``."""
         terms = self.terms(account, day)
         if cost > terms.limit:
             return Verdict.EXHAUSTED
-        kept = 0.0 if urgent or self.log_is_up else _URGENT_PART
-        if self.wallet.reserve(cost, day, now, terms, kept):
+        reserved_fraction = (
+            0.0 if urgent or self.log_is_up else _URGENT_FRACTION
+        )
+        if self.wallet.reserve(cost, day, now, terms, reserved_fraction):
             return Verdict.RESERVED
         if not self.fold.is_complete(day):
             return Verdict.UNKNOWN
@@ -104,7 +106,7 @@
         return Verdict.WAIT
 
     def terms(self, account: str, day: int) -> wallet.Terms:
-        """Returns what is known of an account's limit."""
+        """Returns the known state of an account's limit."""
         row = self.in_force.table.accounts.get(account)
         known = self.fold.sum_for(account, day)
         return wallet.Terms(
@@ -114,54 +116,54 @@
             known.granted if known else 0,
             known.refused if known else 0,
             self.hosts,
-            self._turns.is_settled,
+            self._schedule.is_settled,
         )
 
     def ask_peer(
         self, giver: str, account: str, cost: int, day: int, urgent: bool
     ) -> transfers.TransferAsk:
-        """Returns the ask for a peer that may help a request out.
+        """Returns a transfer request for a peer, on behalf of a request.
 
         Args:
             giver: Name of the peer.
             account: Client account.
             cost: Micros that the request needs.
-            day: UTC day that it came on.
-            urgent: Whether it is urgent.
+            day: UTC day on which the request arrived.
+            urgent: Whether the request is urgent.
         """
         terms = self.terms(account, day)
         demand = self.wallet.share(account, day).demand
-        ahead = int(demand * wallet.LOW_SECONDS)
-        amount = max(2 * cost, ahead, terms.floor // 2)
+        low_water = int(demand * wallet.LOW_SECONDS)
+        amount = max(2 * cost, low_water, terms.floor // 2)
         return self.transfers.ask(giver, account, day, amount, urgent)
 
     def give_peer(
         self, ask: transfers.TransferAsk, now: float
     ) -> transfers.TransferAnswer:
-        """Answers a peer's ask; what it gets is off this host's share."""
+        """Answers a peer's request, deducting from this host's share."""
         terms = self.terms(ask.account, ask.day)
         return self.transfers.give(ask, terms, now)
 
     def plan(
         self, now: float, needs: Mapping[str, int]
     ) -> tuple[records.ShareRequest, ...]:
-        """Returns the requests to append now, one per day at most.
+        """Returns the share requests to append now, at most one per day.
 
         Args:
             now: Seconds since the epoch.
-            needs: Micros that waiting requests need, per account.
+            needs: Micros needed by waiting requests, by account.
         """
         today = records.day_of(now)
         self.wallet.drop_before(today)
         if self.in_force.revision >= 0:
-            self._turns.note_table(now)
+            self._schedule.note_table(now)
         planned = [self._plan_day(today, now, needs)]
-        if self._turns.is_prefetch_time(now):
+        if self._schedule.is_prefetch_time(now):
             planned.append(self._plan_day(today + 1, now, {}))
         return tuple(request for request in planned if request)
 
     def not_stored(self, request: records.ShareRequest) -> None:
-        """Takes back a request that the log did not store."""
+        """Reverts a share request that the log did not store."""
         for ask in request.asks:
             self.wallet.failed(ask.account, request.day, request.serial)
         for item in request.returns:
@@ -169,7 +171,7 @@
             share.granted += item.amount
 
     def give_back(self, now: float) -> tuple[records.ShareRequest, ...]:
-        """Returns the last requests of a host that stops, one per day."""
+        """Returns all unused shares of a stopping host, one request per day."""
         by_day: dict[int, list[records.ShareReturn]] = {}
         for (account, day), share in sorted(self.wallet.shares.items()):
             if day >= records.day_of(now) and share.left > 0:
@@ -183,8 +185,8 @@
     def is_snapshot_due(self, now: float) -> bool:
         """Returns whether this host should append a snapshot."""
         age = now - self.fold.snapshot_at
-        due = SNAPSHOT_SECONDS + self._turns.place * _SNAPSHOT_SPREAD
-        return self.fold.can_snapshot and age >= due
+        max_age = SNAPSHOT_SECONDS + self._schedule.place * _SNAPSHOT_SPREAD
+        return self.fold.can_snapshot and age >= max_age
 
     def _plan_day(
         self, day: int, now: float, needs: Mapping[str, int]
@@ -202,8 +204,10 @@
         self, day: int, now: float, needs: Mapping[str, int]
     ) -> Iterator[records.ShareAsk]:
         accounts = self.in_force.table.accounts
-        # Before its turn a host asks only for what requests wait for.
-        for account in sorted(accounts if self._turns.has_come(now) else needs):
+        # Before its turn, a host only asks for accounts with waiting requests.
+        for account in sorted(
+            accounts if self._schedule.has_come(now) else needs
+        ):
             terms = self.terms(account, day)
             share = self.wallet.share(account, day)
             amount = wallet.plan_ask(share, terms, now, needs.get(account, 0))
@@ -215,11 +219,13 @@
     def _returns(
         self, day: int, now: float, needing: set[str]
     ) -> Iterator[records.ShareReturn]:
-        for (account, owned), share in sorted(self.wallet.shares.items()):
-            if owned != day or account in needing:
+        for (account, share_day), share in sorted(self.wallet.shares.items()):
+            if share_day != day or account in needing:
                 continue
             terms = self.terms(account, day)
-            amount = wallet.plan_return(share, terms, now - self._turns.delay)
+            amount = wallet.plan_return(
+                share, terms, now - self._schedule.delay
+            )
             if amount:
                 yield records.ShareReturn(account, amount)
 
@@ -249,6 +255,6 @@
             returns,
         )
 
-    def _is_own(self, grant: shares.Grant) -> bool:
+    def _is_own_grant(self, grant: shares.Grant) -> bool:
         owner = grant.host, grant.incarnation
         return owner == (self.incarnation.host, self.incarnation.number)
--- a/src/hoistmoor/core/limits/buckets.py
+++ b/src/hoistmoor/core/limits/buckets.py
@@ -1,4 +1,4 @@
-"""Token buckets that are driven by the time given to them."""
+"""Token bucket with the clock passed in by the caller."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 @attrs.define
 class TokenBucket:
-    """Lets tokens through at a rate, and a burst of them at once.
+    """Limits events to an average rate with bounded bursts.
 
     Attributes:
         rate: Tokens per second.
-        burst: Tokens held at most.
-        tokens: Tokens held at ``at``.
-        at: Time of the last change, in seconds since the epoch.
+        burst: Maximum number of tokens in the bucket.
+        tokens: Number of tokens in the bucket at ``at``.
+        at: Time of the last refill, in seconds since the epoch.
     """
 
     rate: float
@@ -22,14 +22,14 @@
     at: float
 
     def set_rate(self, rate: float, burst: float, now: float) -> None:
-        """Changes the rate; tokens above the new burst are dropped."""
+        """Changes the rate and discards tokens above the new burst."""
         self._refill(now)
         self.rate = rate
         self.burst = burst
         self.tokens = min(self.tokens, burst)
 
     def take(self, now: float) -> bool:
-        """Takes a token and returns whether there was one."""
+        """Takes a token, and returns whether one was available."""
         self._refill(now)
         if self.tokens < 1:
             return False
@@ -37,11 +37,11 @@
         return True
 
     def give_back(self) -> None:
-        """Returns a token that was taken for nothing."""
+        """Refunds the token of an event that did not happen."""
         self.tokens = min(self.burst, self.tokens + 1)
 
     def wait(self, now: float) -> float:
-        """Returns the seconds until the next token."""
+        """Returns the seconds until a token is available."""
         self._refill(now)
         if self.tokens >= 1:
             return 0.0
--- a/src/hoistmoor/core/limits/gifts.py
+++ b/src/hoistmoor/core/limits/gifts.py
@@ -1,8 +1,9 @@
-"""What a host that stops during an outage of the log leaves to its peers.
+"""Handoff of spend shares from a stopping host to its peers.
 
-The giver takes the amounts off its own shares before it sends them, and never
-sends them again. The receiver counts them once, and only if they are meant
-for its own incarnation.
+A host that stops during an outage of the log cannot return its shares there,
+so it hands them to its peers. The sender deducts the amounts from its own
+shares before it sends them, and never sends them again. The receiver credits a
+handoff once, and only if it is addressed to the receiver's own incarnation.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 @attrs.frozen
 class GiftItem:
-    """A part of one account's share on one UTC day, in micros."""
+    """Amount in micros from one account's share for one UTC day."""
 
     account: str
     day: int
@@ -29,14 +30,14 @@
 
 @attrs.frozen
 class Gift:
-    """Parts of shares that go to one process for good.
+    """Permanent handoff of share amounts to one process.
 
     Attributes:
-        host: Name of the host that gives.
-        incarnation: Its incarnation number.
-        serial: Counts the incarnation's gifts from 1.
-        to: Incarnation number of the process that they are for.
-        items: The parts.
+        host: Name of the sending host.
+        incarnation: Incarnation number of the sender.
+        serial: Sequence number among the sender's handoffs, from 1.
+        to: Incarnation number of the receiving process.
+        items: Amounts handed over, by account and day.
     """
 
     host: str
@@ -48,10 +49,10 @@
 
 @attrs.frozen
 class Receipt:
-    """A receiver's word on a gift.
+    """Reply of the receiver of a handoff.
 
     Attributes:
-        counted: Whether this message made the receiver count it.
+        counted: Whether the receiver credited it because of this message.
     """
 
     counted: bool
@@ -62,11 +63,11 @@
 
 
 class Gifts:
-    """What one incarnation of one host leaves to others and gets from them.
+    """Sends and receives handoffs for one incarnation of one host.
 
     Attributes:
-        incarnation: This process.
-        wallet: What this process holds.
+        incarnation: Incarnation of this process.
+        wallet: Shares that this process holds.
     """
 
     def __init__(
@@ -75,16 +76,17 @@
         self.incarnation = incarnation
         self.wallet = wallet
         self._serial = 0
-        # Per host: its newest incarnation and that one's newest gift.
+        # Newest incarnation and its newest handoff serial, by sending host.
         self._seen: dict[str, tuple[int, int]] = {}
 
     def part_with(self, to: int, today: int, peers: int) -> Gift:
-        """Takes one of ``peers`` even parts off each share, as a gift.
+        """Deducts one of ``peers`` equal parts of each share, as a handoff.
 
         Args:
-            to: Incarnation number of the process that gets it.
-            today: Shares of earlier days are of no use.
-            peers: How many processes are to get a part, this one included.
+            to: Incarnation number of the receiving process.
+            today: Current UTC day; shares of earlier days are skipped.
+            peers: Number of processes still to receive a part, including this
+                one.
         """
         items = []
         for (account, day), share in sorted(self.wallet.shares.items()):
@@ -98,12 +100,14 @@
         return Gift(own.host, own.number, self._serial, to, tuple(items))
 
     def receive(self, gift: Gift) -> Receipt:
-        """Counts a gift, once."""
-        mark = gift.incarnation, gift.serial
-        known = self._seen.get(gift.host)
-        if gift.to != self.incarnation.number or (known and mark <= known):
+        """Credits a handoff, at most once."""
+        sequence = gift.incarnation, gift.serial
+        newest = self._seen.get(gift.host)
+        if gift.to != self.incarnation.number or (
+            newest and sequence <= newest
+        ):
             return Receipt(counted=False)
-        self._seen[gift.host] = mark
+        self._seen[gift.host] = sequence
         for item in gift.items:
             share = self.wallet.share(item.account, item.day)
             share.granted += max(0, item.amount)
--- a/src/hoistmoor/core/limits/pools.py
+++ b/src/hoistmoor/core/limits/pools.py
@@ -1,4 +1,4 @@
-"""One pool of backend servers as this host lets requests into it."""
+"""Admission control of one pool of backend servers at this host."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
 if TYPE_CHECKING:
     from hoistmoor.core.table import model
 
-# The balancer does not spread requests evenly, so each host may use more than
-# an even part of a pool; the backend servers decline what is too much.
+# The load balancer does not spread requests evenly, so each host may use more
+# than an equal fraction of a pool. Backend servers decline the excess.
 OVERCOMMIT = 1.5
-MIN_SLOTS = 2  # At each host, however many hosts there are.
-DEFAULT_SLOTS = 64  # For a pool that has no servers in the table.
+MIN_SLOTS = 2  # Per host, independent of the number of hosts.
+DEFAULT_SLOTS = 64  # For a pool without servers in the table.
 
 
 class Result(enum.Enum):
-    """How a request that held a slot ended."""
+    """Result of a request that held a slot."""
 
     DONE = enum.auto()
     FAILED = enum.auto()
-    DECLINED = enum.auto()  # The backend server was full or left.
+    DECLINED = enum.auto()  # The backend server was full or leaving.
 
 
 @attrs.define
 class Pool:
-    """A queue, its slots and a retry budget.
+    """Admission queue, slots and retry budget of one pool.
 
     Attributes:
-        admission: Requests that wait for a slot.
-        slots: How many slots there are.
-        budget: Retries left.
+        admission: Queue of the requests that wait for a slot.
+        slots: Current number of slots.
+        budget: Retry budget.
     """
 
     admission: queue.AdmissionQueue
@@ -47,7 +47,7 @@
 
     @classmethod
     def create(cls, now: float) -> Pool:
-        """Returns an idle pool of the default size."""
+        """Creates an idle pool of the default size."""
         return cls(
             queue.AdmissionQueue(DEFAULT_SLOTS),
             adaptive.AdaptiveSlots(MIN_SLOTS, DEFAULT_SLOTS, DEFAULT_SLOTS),
@@ -57,15 +57,15 @@
     def on_table(
         self, table: model.Table, name: str, hosts: int, now: float
     ) -> tuple[queue.Effect, ...]:
-        """Takes the pool's size and the limits from the table."""
+        """Applies the pool's capacity and limits from a new table."""
         self.admission.max_waiting = int(limits.value(table, "queue_length"))
         self.budget.ratio = limits.value(table, "retry_ratio")
         servers = table.servers_by_service.get(name, ())
         capacity = sum(server.concurrency for server in servers)
         ceiling = DEFAULT_SLOTS
         if capacity:
-            part = math.ceil(capacity * OVERCOMMIT / hosts)
-            ceiling = max(MIN_SLOTS, min(capacity, part))
+            fair_share = math.ceil(capacity * OVERCOMMIT / hosts)
+            ceiling = max(MIN_SLOTS, min(capacity, fair_share))
         self.slots.set_bounds(min(MIN_SLOTS, ceiling), ceiling)
         return self.admission.set_slots(self.slots.slots, now)
 
@@ -76,12 +76,12 @@
         result: Result,
         now: float,
     ) -> tuple[queue.Effect, ...]:
-        """Frees a slot and learns from how its request ended."""
+        """Frees a slot and adapts to the result of its request."""
         if result is Result.DECLINED:
             self.slots.on_decline(now)
         if result is Result.DONE:
             self.slots.on_success(self.admission.in_use)
             self.budget.on_success()
         self.admission.slots = self.slots.slots
-        known = seconds if result is Result.DONE else None
-        return self.admission.finish(priority, known, now)
+        service_time = seconds if result is Result.DONE else None
+        return self.admission.finish(priority, service_time, now)
--- a/src/hoistmoor/core/limits/queue.py
+++ b/src/hoistmoor/core/limits/queue.py
@@ -1,8 +1,8 @@
-"""The admission queue of one pool: priorities, deadlines, slots.
+"""Admission queue of one pool, with priorities, deadlines and slots.
 
-Each request offered gets exactly one final effect: ``Start`` or ``Refuse``.
-A request that cannot start in time is refused when that is known, not when
-its deadline comes.
+Every offered request gets exactly one final effect: ``Start`` or ``Refuse``.
+A request that cannot start in time is refused as soon as that is known instead
+of at its deadline.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
     from collections.abc import Iterator
 
 MAX_WAITING = 10_000  # Requests in one queue.
-# Share of the slots that a class must leave free for the classes before it.
+# Fraction of the slots that a priority class leaves free for higher classes.
 HEADROOM = {
     model.Priority.URGENT: 0.0,
     model.Priority.NORMAL: 0.1,
     model.Priority.DEFERRABLE: 0.2,
 }
-ORDER = tuple(HEADROOM)  # The classes, first served first.
-_SMOOTHING = 0.1  # Weight of the newest service time.
-_GARBAGE = 64  # Dead entries tolerated before a heap is rebuilt.
+ORDER = tuple(HEADROOM)  # Priority classes, highest first.
+_SMOOTHING = 0.1  # Weight of the newest service time in the moving average.
+_MAX_STALE = 64  # Removed entries tolerated before a container is rebuilt.
 
 
 @attrs.frozen
@@ -38,9 +38,9 @@
     """A request that asks for a slot.
 
     Attributes:
-        serial: Names it; never used twice.
-        priority: Its class.
-        deadline: Seconds since the epoch by which it must be answered.
+        serial: Unique id of the request.
+        priority: Priority class.
+        deadline: Time by which it must be answered, in seconds since the epoch.
     """
 
     serial: int
@@ -50,19 +50,19 @@
 
 @attrs.frozen
 class Start:
-    """The request has a slot from now on, until ``finish``."""
+    """The request holds a slot until ``finish`` is called."""
 
     serial: int
 
 
 @attrs.frozen
 class Refuse:
-    """The request gets no slot; this is its final answer.
+    """The request is refused without a slot.
 
     Attributes:
-        serial: The request.
+        serial: Id of the request.
         reason: OVERLOADED or DEADLINE_EXCEEDED.
-        retry_after: Seconds until a retry makes sense.
+        retry_after: Seconds after which the caller may retry.
     """
 
     serial: int
@@ -74,13 +74,16 @@
 
 
 class AdmissionQueue:
-    """Requests that wait for one of a pool's slots.
+    """Priority queue of requests that wait for a slot of a pool.
 
     Attributes:
-        slots: Requests that may hold a slot at once.
-        max_waiting: Requests that may wait at once.
-        running: Slots held, per class.
-        service_times: Smoothed seconds that a slot is held, per class.
+        slots: Maximum number of requests that hold a slot at once.
+        max_waiting: Maximum number of waiting requests.
+        running: Number of slots in use, by priority class.
+        service_times: Moving average of the seconds that a request holds its
+            slot, by priority class.
+        waiting: Waiting requests, by serial.
+        counts: Number of waiting requests, by priority class.
     """
 
     def __init__(self, slots: int, max_waiting: int = MAX_WAITING) -> None:
@@ -97,15 +100,15 @@
 
     @property
     def in_use(self) -> int:
-        """Slots held."""
+        """Number of slots in use."""
         return sum(self.running.values())
 
     def offer(self, entry: Entry, now: float) -> tuple[Effect, ...]:
-        """Takes a request in.
+        """Starts, queues or refuses a new request.
 
         Returns:
-            Effects on this request and on others. With none on this request,
-            it waits.
+            Effects on this request and on others. The request waits if none
+            of them is for it.
         """
         effects = self._expire(now)
         if entry.deadline <= now:
@@ -126,21 +129,21 @@
     def finish(
         self, priority: model.Priority, seconds: float | None, now: float
     ) -> tuple[Effect, ...]:
-        """Frees the slot of a request.
+        """Frees the slot of a finished request.
 
         Args:
-            priority: The request's class.
-            seconds: How long the slot was held; None for a request that
-                failed, from which nothing is learnt.
+            priority: Priority class of the request.
+            seconds: Time that the request held the slot. None for a failed
+                request, which does not count towards the service time.
             now: Seconds since the epoch.
         """
         self.running[priority] -= 1
         if seconds is not None:
-            self._learn(priority, seconds)
+            self._record_service_time(priority, seconds)
         return self.tick(now)
 
     def cancel(self, serial: int) -> bool:
-        """Forgets a waiting request; returns whether it was waiting."""
+        """Removes a waiting request, and returns whether it was waiting."""
         entry = self.waiting.get(serial)
         if entry is None:
             return False
@@ -148,46 +151,48 @@
         return True
 
     def set_slots(self, slots: int, now: float) -> tuple[Effect, ...]:
-        """Changes the number of slots; held ones are never taken away."""
+        """Changes the number of slots; requests keep the slots they hold."""
         self.slots = slots
         return self.tick(now)
 
     def tick(self, now: float) -> tuple[Effect, ...]:
-        """Refuses what can no longer be served and fills free slots."""
+        """Refuses expired requests and fills the free slots."""
         return (*self._expire(now), *self._fill())
 
     def next_expiry(self) -> float | None:
-        """Returns when ``tick`` must be called at the latest, if ever."""
+        """Returns the time of the next required ``tick`` call, if any."""
         while self._expiries and self._expiries[0][1] not in self.waiting:
             heapq.heappop(self._expiries)
         return self._expiries[0][0] if self._expiries else None
 
-    def _learn(self, priority: model.Priority, seconds: float) -> None:
-        known = self.service_times[priority]
-        weight = _SMOOTHING if known else 1.0
-        self.service_times[priority] = known + weight * (seconds - known)
+    def _record_service_time(
+        self, priority: model.Priority, seconds: float
+    ) -> None:
+        average = self.service_times[priority]
+        weight = _SMOOTHING if average else 1.0
+        self.service_times[priority] = average + weight * (seconds - average)
 
     def _ahead_of(self, priority: model.Priority) -> int:
-        last = ORDER.index(priority)
-        return sum(self.counts[known] for known in ORDER[: last + 1])
+        position = ORDER.index(priority)
+        return sum(self.counts[known] for known in ORDER[: position + 1])
 
-    def _usable(self, priority: model.Priority) -> int:
-        kept_free = math.ceil(self.slots * HEADROOM[priority])
-        return max(1, self.slots - kept_free) if self.slots else 0
+    def _usable_slots(self, priority: model.Priority) -> int:
+        reserved = math.ceil(self.slots * HEADROOM[priority])
+        return max(1, self.slots - reserved) if self.slots else 0
 
     def _has_slot(self, priority: model.Priority) -> bool:
-        return self.in_use < self._usable(priority)
+        return self.in_use < self._usable_slots(priority)
 
-    def _expected_wait(self, priority: model.Priority, place: int) -> float:
-        slots = self._usable(priority)
+    def _expected_wait(self, priority: model.Priority, position: int) -> float:
+        slots = self._usable_slots(priority)
         if not slots:
             return math.inf
-        held = self.in_use
+        in_use = self.in_use
         total = sum(
             self.running[known] * self.service_times[known] for known in ORDER
         )
-        mean = total / held if held else self.service_times[priority]
-        return place * mean / slots
+        mean = total / in_use if in_use else self.service_times[priority]
+        return position * mean / slots
 
     def _latest_start(self, entry: Entry) -> float:
         return entry.deadline - self.service_times[entry.priority]
@@ -204,23 +209,27 @@
         )
 
     def _make_room(self, entry: Entry) -> tuple[Effect, ...] | None:
-        """Returns the eviction that lets ``entry`` in; None if it stays out."""
+        """Makes room for ``entry``, at the cost of a lower-priority request.
+
+        Returns:
+            The effects of the eviction, or None if there is no room.
+        """
         if len(self.waiting) < self.max_waiting:
             return ()
-        after = ORDER[ORDER.index(entry.priority) + 1 :]
-        for priority in reversed(after):
+        lower_classes = ORDER[ORDER.index(entry.priority) + 1 :]
+        for priority in reversed(lower_classes):
             if self.counts[priority]:
-                victim = self._last_of(priority)
+                victim = self._peek_last(priority)
                 self._forget(victim)
                 wait = self._expected_wait(priority, self._ahead_of(priority))
                 return (self._overloaded(victim, wait),)
         return None
 
-    def _last_of(self, priority: model.Priority) -> Entry:
-        line = self._lines[priority]
-        while line[-1].serial not in self.waiting:
-            line.pop()
-        return line[-1]
+    def _peek_last(self, priority: model.Priority) -> Entry:
+        queued = self._lines[priority]
+        while queued[-1].serial not in self.waiting:
+            queued.pop()
+        return queued[-1]
 
     def _enqueue(self, entry: Entry) -> None:
         self.waiting[entry.serial] = entry
@@ -228,25 +237,29 @@
         self._lines[entry.priority].append(entry)
         expiry = (self._latest_start(entry), entry.serial)
         heapq.heappush(self._expiries, expiry)
-        self._collect_garbage(entry.priority)
+        self._compact(entry.priority)
 
     def _forget(self, entry: Entry) -> None:
         del self.waiting[entry.serial]
         self.counts[entry.priority] -= 1
 
-    def _collect_garbage(self, priority: model.Priority) -> None:
-        """Drops the remains of requests that left early, now and then."""
-        line = self._lines[priority]
-        if len(line) > 2 * self.counts[priority] + _GARBAGE:
-            self._lines[priority] = collections.deque(self._alive(line))
-        if len(self._expiries) > 2 * len(self.waiting) + _GARBAGE:
+    def _compact(self, priority: model.Priority) -> None:
+        """Rebuilds containers that hold too many removed entries."""
+        queued = self._lines[priority]
+        if len(queued) > 2 * self.counts[priority] + _MAX_STALE:
+            self._lines[priority] = collections.deque(
+                self._still_waiting(queued)
+            )
+        if len(self._expiries) > 2 * len(self.waiting) + _MAX_STALE:
             self._expiries = [
                 item for item in self._expiries if item[1] in self.waiting
             ]
             heapq.heapify(self._expiries)
 
-    def _alive(self, line: collections.deque[Entry]) -> Iterator[Entry]:
-        return (entry for entry in line if entry.serial in self.waiting)
+    def _still_waiting(
+        self, queued: collections.deque[Entry]
+    ) -> Iterator[Entry]:
+        return (entry for entry in queued if entry.serial in self.waiting)
 
     def _expire(self, now: float) -> tuple[Effect, ...]:
         effects: list[Effect] = []
@@ -269,14 +282,14 @@
         effects: list[Effect] = []
         for priority in ORDER:
             while self.counts[priority] and self._has_slot(priority):
-                entry = self._next_of(priority)
+                entry = self._pop_next(priority)
                 self._forget(entry)
                 effects.append(self._start(entry))
         return tuple(effects)
 
-    def _next_of(self, priority: model.Priority) -> Entry:
-        line = self._lines[priority]
+    def _pop_next(self, priority: model.Priority) -> Entry:
+        queued = self._lines[priority]
         while True:
-            entry = line.popleft()
+            entry = queued.popleft()
             if entry.serial in self.waiting:
                 return entry
--- a/src/hoistmoor/core/limits/rates.py
+++ b/src/hoistmoor/core/limits/rates.py
@@ -1,10 +1,12 @@
-"""This host's part of the accounts' rates and concurrency.
+"""This host's fraction of the accounts' rate and concurrency limits.
 
-Each host's part is its weight over the weights of all live hosts. A host with
-little demand has the least weight and need not report it; a host with more
-reports its weight on the log, rarely. On a disagreement each host takes the
-smaller part: it counts hosts until they are gone for a while, and of two
-weights of the last seconds its own lower and the others' higher one.
+Each host's fraction is its weight divided by the sum of the weights of all
+live hosts. A host with little demand has the minimum weight and need not report
+it. A host with more demand reports its weight on the log at a low rate.
+
+While hosts disagree, each uses the smaller fraction: it keeps counting a lost
+host for a while, and for a weight that changed within the last seconds it uses
+the lower value for itself and the higher value for other hosts.
 """
 
 from __future__ import annotations
@@ -21,21 +23,21 @@
 
     from hoistmoor.core import identity
 
-    _Careful = Callable[[float, float], float]
+    _Pick = Callable[[float, float], float]
 
 LEAST_WEIGHT = 0.25
 MOST_WEIGHT = 8.0
-SETTLE_SECONDS = 5.0  # A new weight counts for its host after so long.
-GONE_SECONDS = 30.0  # A host counts until it is gone for so long.
-REPORT_SECONDS = 60.0  # Least time between two reports of a host.
-RENEW_SECONDS = 1_800.0  # A report is renewed at this age.
-_PART_SECONDS = 1.0  # A part is worked out again after so long.
-_HALF_LIFE = 60.0  # Seconds, of the smoothed demand.
+SETTLE_SECONDS = 5.0  # Time until a changed weight fully applies.
+GONE_SECONDS = 30.0  # A lost host is counted for this long.
+REPORT_SECONDS = 60.0  # Minimum time between two reports of a host.
+RENEW_SECONDS = 1_800.0  # Age at which an unchanged report is renewed.
+_CACHE_SECONDS = 1.0  # Time for which a computed fraction is cached.
+_HALF_LIFE = 60.0  # Half-life of the smoothed demand, in seconds.
 
 
 @attrs.frozen
 class _Weight:
-    """A host's weight now, the one before, and when it changed."""
+    """A host's current weight, the previous one, and the time of the change."""
 
     value: float
     before: float
@@ -43,8 +45,8 @@
 
 
 @attrs.frozen
-class _Part:
-    """A part of an account's limits, as worked out until a time."""
+class _CachedFraction:
+    """Cached fraction of an account's limits, and its expiry time."""
 
     value: float
     until: float
@@ -52,29 +54,29 @@
 
 @attrs.define
 class Demand:
-    """Smoothed requests per second for one account at this host."""
+    """Exponentially decaying request rate of one account at this host."""
 
     rate: float = 0.0
     at: float = 0.0
 
     def note(self, now: float) -> None:
-        """Counts a request."""
+        """Records a request."""
         self.decay(now)
         self.rate += math.log(2) / _HALF_LIFE
 
     def decay(self, now: float) -> None:
-        """Lets the demand fade up to ``now``."""
+        """Decays the demand up to ``now``."""
         elapsed = max(0.0, now - self.at)
         self.rate *= 0.5 ** (elapsed / _HALF_LIFE)
         self.at = max(now, self.at)
 
 
 class RateShares:
-    """What is known of the hosts' demand.
+    """Divides the account limits among hosts by their demand.
 
     Attributes:
-        incarnation: This process.
-        demands: This host's own demand, per account.
+        incarnation: Incarnation of this process.
+        demands: Demand at this host, by account.
     """
 
     def __init__(self, incarnation: identity.Incarnation) -> None:
@@ -82,13 +84,13 @@
         self.demands: dict[str, Demand] = {}
         self._hosts = {incarnation.host}
         self._gone_at: dict[str, float] = {}
-        self._parts: dict[str, _Part] = {}
+        self._fractions: dict[str, _CachedFraction] = {}
         self._weights: dict[tuple[str, str], _Weight] = {}
         self._reported: tuple[records.DemandWeight, ...] = ()
         self._reported_at = -math.inf
 
     def on_hosts(self, names: Iterable[str], now: float) -> None:
-        """Takes the names of the live hosts."""
+        """Updates the set of live hosts."""
         live = {*names, self.incarnation.host}
         for host in self._hosts - live:
             self._gone_at.setdefault(host, now)
@@ -96,35 +98,35 @@
             del self._gone_at[host]
         self._hosts |= live
         self._forget_gone(now)
-        self._parts.clear()
+        self._fractions.clear()
 
     def count(self, now: float) -> int:
-        """Returns how many hosts share the limits."""
+        """Returns the number of hosts that share the limits."""
         self._forget_gone(now)
         return len(self._hosts)
 
     def on_report(self, report: records.DemandReport, now: float) -> None:
-        """Takes in a host's report, this one's own included."""
-        told = {item.account: item.weight for item in report.weights}
+        """Applies a host's demand report, including this host's own."""
+        reported = {item.account: item.weight for item in report.weights}
         known = {
             account for host, account in self._weights if host == report.host
         }
-        for account in known | set(told):
-            value = told.get(account, LEAST_WEIGHT)
+        for account in known | set(reported):
+            value = reported.get(account, LEAST_WEIGHT)
             self._set_weight((report.host, account), value, now)
-        self._parts.clear()
+        self._fractions.clear()
 
     def note_request(self, account: str, now: float) -> None:
-        """Counts a request that asks to be let in."""
+        """Records a request that asks for admission."""
         self.demands.setdefault(account, Demand(at=now)).note(now)
 
     def part(self, account: str, now: float) -> float:
-        """Returns this host's part of an account's limits, at most 1."""
-        known = self._parts.get(account)
+        """Returns this host's fraction of an account's limits, at most 1."""
+        known = self._fractions.get(account)
         if known is None or now >= known.until:
-            value = self._work_out_part(account, now)
-            known = _Part(value, now + _PART_SECONDS)
-            self._parts[account] = known
+            value = self._compute_fraction(account, now)
+            known = _CachedFraction(value, now + _CACHE_SECONDS)
+            self._fractions[account] = known
         return known.value
 
     def report_due(
@@ -133,7 +135,7 @@
         """Returns the report to append now, if one is due.
 
         Args:
-            limits: Requests per second allowed over all hosts, per account.
+            limits: Requests per second allowed over all hosts, by account.
             now: Seconds since the epoch.
         """
         if now - self._reported_at < REPORT_SECONDS:
@@ -149,19 +151,19 @@
         )
 
     def not_stored(self) -> None:
-        """Notes that the last report may not be on the log."""
+        """Marks the last report as possibly not stored on the log."""
         self._reported = ()
 
-    def _work_out_part(self, account: str, now: float) -> float:
+    def _compute_fraction(self, account: str, now: float) -> float:
         self._forget_gone(now)
         own = self.incarnation.host
-        mine = self._weight(own, account, now, min)
-        others = sum(
+        own_weight = self._weight(own, account, now, min)
+        other_weights = sum(
             self._weight(host, account, now, max)
             for host in self._hosts
             if host != own
         )
-        return mine / (mine + others)
+        return own_weight / (own_weight + other_weights)
 
     def _own_weights(
         self, limits: Mapping[str, float], now: float
@@ -186,13 +188,13 @@
         self._weights[key] = _Weight(value, before, now)
 
     def _weight(
-        self, host: str, account: str, now: float, careful: _Careful
+        self, host: str, account: str, now: float, pick: _Pick
     ) -> float:
         known = self._weights.get((host, account))
         if known is None:
             return LEAST_WEIGHT
         if now - known.since < SETTLE_SECONDS:
-            return careful(known.value, known.before)
+            return pick(known.value, known.before)
         return known.value
 
     def _forget_gone(self, now: float) -> None:
@@ -213,9 +215,9 @@
         }
 
 
-def _weight_of(demand: float, even_part: float) -> float:
-    """Returns a power of two near the demand in even parts of the limit."""
-    if demand <= 0 or even_part <= 0:
+def _weight_of(demand: float, equal_share: float) -> float:
+    """Returns the demand relative to an equal share, as a power of two."""
+    if demand <= 0 or equal_share <= 0:
         return LEAST_WEIGHT
-    power = round(math.log2(demand / even_part))
+    power = round(math.log2(demand / equal_share))
     return min(MOST_WEIGHT, max(LEAST_WEIGHT, 2.0**power))
--- a/src/hoistmoor/core/limits/records.py
+++ b/src/hoistmoor/core/limits/records.py
@@ -1,6 +1,6 @@
-"""Records of the limits stream: asks for shares, demand, snapshots.
+"""Records of the limits stream: share requests, demand reports, snapshots.
 
-Days are UTC day numbers, counted from the epoch.
+Days are UTC day numbers, counted from the Unix epoch.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 
 
 def day_of(now: float) -> int:
-    """Returns the UTC day that ``now`` lies in."""
+    """Returns the UTC day of a time in seconds since the epoch."""
     return int(now // SECONDS_PER_DAY)
 
 
 @attrs.frozen
 class ShareAsk:
-    """Asks for a share of one account's spend limit.
+    """Request for a share of one account's spend limit.
 
     Attributes:
         account: Client account.
-        amount: Micros wanted; the fold may give less.
-        limit: The account's spend limit as the host knows it.
-        revision: Table revision that the limit comes from.
+        amount: Micros wanted; the grant may be smaller.
+        limit: The account's spend limit known to the host.
+        revision: Table revision of that limit.
     """
 
     account: str
@@ -37,11 +37,11 @@
 
 @attrs.frozen
 class ShareReturn:
-    """Gives back what a host will not spend.
+    """Return of an amount that a host will not spend.
 
     Attributes:
         account: Client account.
-        amount: Micros; the host has taken them off its own share already.
+        amount: Micros, already deducted from the host's own share.
     """
 
     account: str
@@ -50,13 +50,13 @@
 
 @attrs.frozen
 class ShareRequest:
-    """One append of one host for one day.
+    """Share asks and returns of one host for one day.
 
     Attributes:
         host: Name of the host.
         incarnation: The host's incarnation number.
-        serial: Counts the incarnation's requests from 1.
-        day: The day that the shares are for.
+        serial: Sequence number among the incarnation's requests, from 1.
+        day: UTC day of the shares.
         asks: At most one per account.
         returns: Applied before the asks.
     """
@@ -71,7 +71,7 @@
 
 @attrs.frozen
 class DemandWeight:
-    """How much of an account's rate a host needs, relative to other hosts."""
+    """A host's demand for one account, relative to other hosts."""
 
     account: str
     weight: float
@@ -79,12 +79,12 @@
 
 @attrs.frozen
 class DemandReport:
-    """Replaces what a host said of its demand before.
+    """Demand of a host, replacing its previous report.
 
     Attributes:
         host: Name of the host.
         incarnation: The host's incarnation number.
-        weights: Accounts left out have the least weight.
+        weights: Weights by account; accounts left out have the minimum weight.
     """
 
     host: str
@@ -94,15 +94,15 @@
 
 @attrs.frozen
 class DaySum:
-    """What is granted of one account's limit on one day.
+    """Total granted from one account's limit on one day.
 
     Attributes:
         account: Client account.
-        day: The day.
-        granted: Micros granted to all hosts together, less what came back.
-        limit: The limit that holds, from the highest revision seen.
-        revision: That revision.
-        refused: Asks that got nothing.
+        day: UTC day.
+        granted: Micros granted to all hosts, less the returned ones.
+        limit: Spend limit from the highest table revision seen.
+        revision: That table revision.
+        refused: Number of asks that were granted nothing.
     """
 
     account: str
@@ -115,7 +115,7 @@
 
 @attrs.frozen
 class DemandSum:
-    """A host's report together with when the log stored it."""
+    """A host's demand report and the time at which the log stored it."""
 
     report: DemandReport
     at: float
@@ -123,7 +123,7 @@
 
 @attrs.frozen
 class ShareSnapshot:
-    """The state of the fold after the record at offset ``as_of``."""
+    """State of the fold after the record at offset ``as_of``."""
 
     as_of: int
     sums: tuple[DaySum, ...]
--- a/src/hoistmoor/core/limits/retries.py
+++ b/src/hoistmoor/core/limits/retries.py
@@ -1,8 +1,8 @@
-"""Retry budgets, and the waits told to callers.
+"""Retry budgets, and the jittered waits that refused callers are told.
 
-A budget grows only with successes, so when a pool fails or returns the
-retries stay a small share of the work. Waits are spread by hash, so that the
-callers refused in one second do not come back in one second.
+A budget grows with successful requests, so retries stay a small fraction of
+the load while a pool fails or recovers. Waits are jittered by a hash, so that
+callers refused within the same second do not all retry within the same second.
 """
 
 from __future__ import annotations
@@ -12,25 +12,25 @@
 import attrs
 import xxhash
 
-DEFAULT_RATIO = 0.1  # Retries earned per success.
-CAPACITY = 20.0  # Retries saved up at most.
-INITIAL = 5.0  # Retries that a new budget holds.
-IDLE_RATE = 0.1  # Retries earned per second with no success at all.
+DEFAULT_RATIO = 0.1  # Retries added per success.
+CAPACITY = 20.0  # Maximum number of saved retries.
+INITIAL = 5.0  # Retries in a new budget.
+IDLE_RATE = 0.1  # Retries added per second, independent of successes.
 MIN_WAIT = 1  # Seconds.
 MAX_WAIT = 60  # Seconds.
-_SPREAD = 2.0  # Seconds over which waits are spread at least.
+_MIN_JITTER = 2.0  # Minimum seconds over which waits are jittered.
 _HASH_SPAN = 2.0**32
 
 
 @attrs.define
 class RetryBudget:
-    """How many more attempts a pool may be given.
+    """Number of retries that a pool may still receive.
 
     Attributes:
-        at: Time of the last change, in seconds since the epoch.
-        ratio: Retries earned per success.
-        saved: Retries left.
-        refused: Retries that the budget did not allow.
+        at: Time of the last refill, in seconds since the epoch.
+        ratio: Retries added per success.
+        saved: Retries available.
+        refused: Number of retries that the budget did not allow.
     """
 
     at: float
@@ -39,11 +39,11 @@
     refused: int = 0
 
     def on_success(self) -> None:
-        """Earns a share of a retry."""
+        """Adds a fraction of a retry."""
         self.saved = min(CAPACITY, self.saved + self.ratio)
 
     def take(self, now: float) -> bool:
-        """Spends a retry and returns whether there was one."""
+        """Takes a retry, and returns whether one was available."""
         elapsed = max(0.0, now - self.at)
         self.at = max(now, self.at)
         self.saved = min(CAPACITY, self.saved + elapsed * IDLE_RATE)
@@ -55,13 +55,13 @@
 
 
 def spread_wait(seconds: float, seed: int) -> int:
-    """Returns whole seconds to tell a caller, spread by ``seed``.
+    """Returns the jittered wait for a refused caller, in whole seconds.
 
     Args:
-        seconds: Expected seconds until there is room; may be infinite.
-        seed: Differs between callers that are refused together.
+        seconds: Expected seconds until there is capacity; may be infinite.
+        seed: Seed of the jitter, different for each refused caller.
     """
     base = min(max(seconds, 0.0), MAX_WAIT / 2)
-    share = xxhash.xxh32_intdigest(seed.to_bytes(8, "big")) / _HASH_SPAN
-    wait = base + share * max(base, _SPREAD)
+    jitter = xxhash.xxh32_intdigest(seed.to_bytes(8, "big")) / _HASH_SPAN
+    wait = base + jitter * max(base, _MIN_JITTER)
     return max(MIN_WAIT, math.ceil(wait))
--- a/src/hoistmoor/core/limits/shares.py
+++ b/src/hoistmoor/core/limits/shares.py
@@ -1,8 +1,8 @@
-"""Fold of the limits stream: who was granted which share of a spend limit.
+"""Fold of the limits stream into the grants of each spend limit.
 
-The fold is the same at every host, so the order of the log decides each ask
-and the sum of the grants never passes the limit. A host spends a grant only
-after it has read its own ask back.
+The fold is deterministic and the same at every host, so the order of the log
+decides each ask and the sum of the grants never exceeds the limit. A host
+spends a grant only after it has read its own ask back from the log.
 """
 
 from __future__ import annotations
@@ -13,24 +13,24 @@
 
 from hoistmoor.core.limits import records
 
-# An ask for a day is heeded if the log stored it from so long before the day
-# begins until it ends, so a host with a wrong clock takes no share.
-ASK_AHEAD = 28_800.0  # Seconds.
-DEMAND_AGE = 3_600.0  # Seconds that a demand report holds.
+# Requests for a day are accepted from this many seconds before the day begins
+# until it ends, by the log's clock. A host with a wrong clock gets no share.
+ASK_AHEAD = 28_800.0
+DEMAND_AGE = 3_600.0  # Seconds for which a demand report is valid.
 
 
 @attrs.frozen
 class Grant:
-    """What one ask got.
+    """Result of one ask.
 
     Attributes:
         account: Client account.
-        day: The day it is for.
-        host: Name of the host that asked.
-        incarnation: That host's incarnation number.
-        serial: The request that asked.
-        asked: Micros asked for.
-        amount: Micros granted; may be 0.
+        day: UTC day of the share.
+        host: Name of the requesting host.
+        incarnation: Incarnation number of the requesting host.
+        serial: Sequence number of the request.
+        asked: Requested amount in micros.
+        amount: Granted amount in micros; may be 0.
     """
 
     account: str
@@ -45,19 +45,19 @@
 class ShareFold:
     """State of the limits stream after ``next_offset - 1``.
 
-    Without every record since the stream's first one, the fold begins at the
-    first one that can be read. It then knows nothing of the days that had
-    begun, until a snapshot covers what is missing.
+    If the log no longer holds the beginning of the stream, the fold starts at
+    the first readable record. Days for which requests were already accepted
+    are then incomplete until a snapshot covers the missing records.
 
     Attributes:
         next_offset: Offset of the next record to apply.
-        sums: Per account and day.
-        demands: Newest report of each host.
-        complete_from: First day for which nothing is missing; None until
-            ``begin_at`` or a record tells it.
-        snapshot_at: When the log stored the newest snapshot, or the first
-            record read.
-        ignored: Records that were of no use.
+        sums: Granted totals, by account and day.
+        demands: Newest demand report, by host.
+        complete_from: First day without missing records; None until it is
+            known from ``begin_at`` or a record.
+        snapshot_at: Time at which the log stored the newest snapshot, or the
+            first record read.
+        ignored: Number of records that had no effect.
     """
 
     def __init__(self) -> None:
@@ -71,7 +71,7 @@
         self._since: list[tuple[int, float, object]] = []
 
     def begin_at(self, first_offset: int) -> None:
-        """Starts over where the log's retention left the first record."""
+        """Resets the state and starts at the oldest record in the log."""
         self.next_offset = first_offset
         self.sums.clear()
         self.demands.clear()
@@ -80,32 +80,32 @@
         self.complete_from = 0 if first_offset == 0 else None
 
     def is_complete(self, day: int) -> bool:
-        """Returns whether every grant for ``day`` is known here."""
+        """Returns whether all grants for ``day`` are known."""
         return self.complete_from is not None and day >= self.complete_from
 
     def sum_for(self, account: str, day: int) -> records.DaySum | None:
-        """Returns what is granted of an account's limit, if anything is."""
+        """Returns the total granted from an account's limit, if any."""
         return self.sums.get((account, day))
 
     def apply(
         self, offset: int, at: float, record: object
     ) -> tuple[Grant, ...]:
-        """Takes the next record in.
+        """Applies the next record.
 
         Args:
-            offset: Its offset; the records must come without gaps.
-            at: When the log stored it, by the log's clock.
-            record: The decoded record, or None if it did not decode.
+            offset: Offset of the record; offsets must have no gaps.
+            at: Time at which the log stored it, by the log's clock.
+            record: The decoded record, or None if decoding failed.
 
         Returns:
-            What each of its asks got.
+            The result of each ask for a day whose state is complete.
         """
         if offset < self.next_offset:
             return ()
         self.next_offset = offset + 1
         if self.complete_from is None:
-            unknown_until = records.day_of(at + ASK_AHEAD) + 1
-            self.complete_from = unknown_until if offset else 0
+            first_complete_day = records.day_of(at + ASK_AHEAD) + 1
+            self.complete_from = first_complete_day if offset else 0
         if records.day_of(at) >= self.complete_from:
             self._end_replay()
         self.snapshot_at = self.snapshot_at or at
@@ -116,11 +116,11 @@
 
     @property
     def can_snapshot(self) -> bool:
-        """Whether the state may stand for all records before it."""
+        """Whether the state covers all records before ``next_offset``."""
         return self._base < 0 and self.next_offset > 0
 
     def snapshot(self) -> records.ShareSnapshot:
-        """Returns the state, for hosts that start later."""
+        """Returns the state as a snapshot for hosts that start later."""
         return records.ShareSnapshot(
             self.next_offset - 1,
             tuple(self.sums.values()),
@@ -142,7 +142,7 @@
             return ()
         self._drop_old_days(records.day_of(at))
         for item in request.returns:
-            self._take_back(item, day)
+            self._apply_return(item, day)
         return tuple(self._grant(ask, request) for ask in request.asks)
 
     @_apply_record.register
@@ -179,12 +179,12 @@
             self._apply_record(record, at)
 
     def _end_replay(self) -> None:
-        """Nothing that still matters is missing any more."""
+        """Ends the replay: no missing record is relevant any more."""
         self._since.clear()
         self._base = -1
         self.complete_from = 0
 
-    def _take_back(self, item: records.ShareReturn, day: int) -> None:
+    def _apply_return(self, item: records.ShareReturn, day: int) -> None:
         known = self.sums.get((item.account, day))
         if known is None or item.amount <= 0:
             return
@@ -200,8 +200,8 @@
             known = records.DaySum(*key, 0, ask.limit, ask.revision)
         if ask.revision > known.revision:
             known = attrs.evolve(known, limit=ask.limit, revision=ask.revision)
-        left = max(0, known.limit - known.granted)
-        amount = max(0, min(ask.amount, left))
+        remaining = max(0, known.limit - known.granted)
+        amount = max(0, min(ask.amount, remaining))
         self.sums[key] = attrs.evolve(
             known,
             granted=known.granted + amount,
@@ -218,6 +218,6 @@
         )
 
     def _drop_old_days(self, today: int) -> None:
-        old = [key for key in self.sums if key[1] < today]
-        for key in old:
+        expired = [key for key in self.sums if key[1] < today]
+        for key in expired:
             del self.sums[key]
--- a/src/hoistmoor/core/limits/transfers.py
+++ b/src/hoistmoor/core/limits/transfers.py
@@ -1,9 +1,9 @@
-"""Parts of spend shares that hosts hand to each other without the log.
+"""Transfer of spend shares between hosts without the log.
 
-The giver takes the amount off its own share for good before it answers. The
-taker counts an answer once, and only for an ask of its own incarnation that
-is open. So an answer that is lost loses its amount until the day ends, and
-nothing is ever counted twice.
+The donor permanently deducts the amount from its own share before it answers.
+The recipient credits an answer once, and only for an open request of its own
+incarnation. A lost answer therefore loses its amount until the end of the day,
+and no amount is ever counted twice.
 """
 
 from __future__ import annotations
@@ -19,23 +19,24 @@
 if TYPE_CHECKING:
     from hoistmoor.core import identity
 
-KEPT_ANSWERS = 32  # Per taker; asks older than these get nothing.
-# Of its share, a giver keeps such a part for its own urgent requests.
-_KEPT_FOR_URGENT = 4
+KEPT_ANSWERS = 32  # Per recipient; requests older than these get nothing.
+# A donor keeps its share divided by this for its own urgent requests.
+_URGENT_RESERVE_DIVISOR = 4
 
 
 @attrs.frozen
 class TransferAsk:
-    """Asks a peer for a part of its share.
+    """Request for a part of a peer's share.
 
     Attributes:
-        host: Name of the host that asks.
-        incarnation: Its incarnation number.
-        serial: Counts the incarnation's asks from 1; a repeat keeps it.
+        host: Name of the requesting host.
+        incarnation: Incarnation number of the requesting host.
+        serial: Sequence number among the incarnation's requests, from 1. A
+            retry keeps it.
         account: Client account.
-        day: UTC day that the share is for.
-        amount: Micros wanted at most.
-        urgent: Whether an urgent request needs it.
+        day: UTC day of the share.
+        amount: Maximum amount wanted, in micros.
+        urgent: Whether the amount is for an urgent request.
     """
 
     host: str
@@ -49,13 +50,13 @@
 
 @attrs.frozen
 class TransferAnswer:
-    """What a peer gave, and to whom.
+    """Answer of a peer to a transfer request.
 
     Attributes:
-        host: Name of the host that asked.
-        incarnation: Its incarnation number.
-        serial: The ask answered.
-        amount: Micros; the giver has taken them off its own share.
+        host: Name of the requesting host.
+        incarnation: Incarnation number of the requesting host.
+        serial: Sequence number of the request.
+        amount: Amount in micros, already deducted from the donor's share.
     """
 
     host: str
@@ -69,8 +70,8 @@
 
 
 @attrs.define
-class _Taker:
-    """A peer's incarnation and what it was answered, by serial."""
+class _Recipient:
+    """A peer's incarnation and the recent answers to it, by serial."""
 
     incarnation: int
     answers: collections.OrderedDict[int, TransferAnswer] = attrs.field(
@@ -78,23 +79,23 @@
     )
 
     def is_new(self, serial: int) -> bool:
-        """Returns whether ``serial`` cannot have been answered before."""
+        """Returns whether ``serial`` was certainly never answered."""
         full = len(self.answers) >= KEPT_ANSWERS
         return not full or serial > min(self.answers)
 
-    def keep(self, answer: TransferAnswer) -> None:
-        """Remembers an answer, and forgets the oldest."""
+    def store(self, answer: TransferAnswer) -> None:
+        """Stores an answer and evicts the oldest one above the limit."""
         self.answers[answer.serial] = answer
         if len(self.answers) > KEPT_ANSWERS:
             del self.answers[min(self.answers)]
 
 
 class Transfers:
-    """What one incarnation of one host takes from peers and gives to them.
+    """Requests and grants transfers for one incarnation of one host.
 
     Attributes:
-        incarnation: This process.
-        wallet: What this process holds.
+        incarnation: Incarnation of this process.
+        wallet: Shares that this process holds.
     """
 
     def __init__(
@@ -104,37 +105,37 @@
         self.wallet = wallet
         self._serial = 0
         self._open: dict[tuple[str, str], TransferAsk] = {}
-        self._takers: dict[str, _Taker] = {}
+        self._recipients: dict[str, _Recipient] = {}
 
     def ask(
-        self, giver: str, account: str, day: int, amount: int, urgent: bool
+        self, donor: str, account: str, day: int, amount: int, urgent: bool
     ) -> TransferAsk:
-        """Returns the ask to send to a peer.
+        """Returns the request to send to a peer.
 
-        An earlier ask that the peer left unanswered is repeated as it was:
-        the peer may have taken the amount off its share already.
+        An earlier unanswered request to the peer is repeated unchanged,
+        because the peer may already have deducted the amount.
 
         Args:
-            giver: Name of the peer.
+            donor: Name of the peer.
             account: Client account.
             day: UTC day.
-            amount: Micros wanted.
-            urgent: Whether an urgent request needs it.
+            amount: Maximum amount wanted, in micros.
+            urgent: Whether the amount is for an urgent request.
         """
-        known = self._open.get((giver, account))
-        if known and known.day == day:
-            return known
+        pending = self._open.get((donor, account))
+        if pending and pending.day == day:
+            return pending
         self._serial += 1
         own = self.incarnation
         ask = TransferAsk(
             own.host, own.number, self._serial, account, day, amount, urgent
         )
-        self._open[giver, account] = ask
+        self._open[donor, account] = ask
         return ask
 
     def take(self, answer: TransferAnswer) -> int:
-        """Takes an answer in, once; returns the micros that it brought."""
-        ask = self._close(answer)
+        """Credits an answer at most once, and returns its micros."""
+        ask = self._pop_open(answer)
         if ask is None:
             return 0
         amount = max(0, min(answer.amount, ask.amount))
@@ -146,18 +147,18 @@
     def give(
         self, ask: TransferAsk, terms: wallet_lib.Terms, now: float
     ) -> TransferAnswer:
-        """Takes off this host's share what a peer gets, and answers it."""
-        taker = self._takers.get(ask.host)
-        if taker is None or taker.incarnation < ask.incarnation:
-            taker = self._takers[ask.host] = _Taker(ask.incarnation)
-        if taker.incarnation > ask.incarnation:
-            return _answer(ask, 0)  # That process is gone.
-        if ask.serial in taker.answers:
-            return taker.answers[ask.serial]
-        if not taker.is_new(ask.serial):
-            return _answer(ask, 0)
-        answer = _answer(ask, self._deduct(ask, terms, now))
-        taker.keep(answer)
+        """Deducts what a peer gets from this host's share, and answers it."""
+        recipient = self._recipients.get(ask.host)
+        if recipient is None or recipient.incarnation < ask.incarnation:
+            recipient = self._recipients[ask.host] = _Recipient(ask.incarnation)
+        if recipient.incarnation > ask.incarnation:
+            return _make_answer(ask, 0)  # From a replaced process.
+        if ask.serial in recipient.answers:
+            return recipient.answers[ask.serial]
+        if not recipient.is_new(ask.serial):
+            return _make_answer(ask, 0)
+        answer = _make_answer(ask, self._deduct(ask, terms, now))
+        recipient.store(answer)
         return answer
 
     def _deduct(
@@ -166,13 +167,16 @@
         share = self.wallet.shares.get((ask.account, ask.day))
         if share is None or ask.host == self.incarnation.host:
             return 0
-        amount = max(0, min(ask.amount, _spare(share, terms, now, ask.urgent)))
+        amount = max(
+            0,
+            min(ask.amount, _peer_offer(share, terms, now, ask.urgent)),
+        )
         share.granted -= amount
         share.given += amount
         return amount
 
-    def _close(self, answer: TransferAnswer) -> TransferAsk | None:
-        """Returns the open ask that this answers; it is open no more."""
+    def _pop_open(self, answer: TransferAnswer) -> TransferAsk | None:
+        """Removes and returns the open request that ``answer`` is for."""
         for key, ask in self._open.items():
             if self._answers(answer, ask):
                 return self._open.pop(key)
@@ -183,35 +187,38 @@
         return owner == (ask.host, ask.incarnation, ask.serial)
 
 
-def _answer(ask: TransferAsk, amount: int) -> TransferAnswer:
+def _make_answer(ask: TransferAsk, amount: int) -> TransferAnswer:
     return TransferAnswer(ask.host, ask.incarnation, ask.serial, amount)
 
 
-def _spare(
+def _peer_offer(
     share: wallet_lib.Share,
     terms: wallet_lib.Terms,
     now: float,
     urgent: bool,
 ) -> int:
-    """Returns the micros that a peer may have.
+    """Returns the micros that may be transferred to a peer.
 
-    For urgent requests half of what is left; for others half of what is left
-    above two minutes of this host's own demand and a part kept for urgent
-    requests.
+    An urgent request gets half of the transferable amount. Others get half of
+    the transferable amount above a reserve: two minutes of this host's own
+    demand or the part kept for its urgent requests, whichever is larger.
     """
     left = transferable(share, terms)
     if urgent:
         return left // 2
     share.decay(now)
-    own = int(share.demand * wallet_lib.LOW_SECONDS)
-    return (left - max(own, share.granted // _KEPT_FOR_URGENT)) // 2
+    own_demand = int(share.demand * wallet_lib.LOW_SECONDS)
+    return (
+        left - max(own_demand, share.granted // _URGENT_RESERVE_DIVISOR)
+    ) // 2
 
 
 def transferable(share: wallet_lib.Share, terms: wallet_lib.Terms) -> int:
-    """Returns the granted micros that this host could do without.
+    """Returns the granted micros that are not needed to cover local use.
 
-    After a cut of the limit a granted micro is worth less than one, so that
-    more of them must stay to cover what is spent and reserved.
+    After the limit is lowered below the total granted, a granted micro covers
+    less than one micro of use. More of them must stay to cover what is spent
+    and reserved.
     """
     used = share.reserved + share.spent
     if terms.granted <= terms.limit:
--- a/src/hoistmoor/core/limits/turns.py
+++ b/src/hoistmoor/core/limits/turns.py
@@ -1,4 +1,4 @@
-"""When a host asks for shares, so that hosts do not all ask at once."""
+"""Staggers the share requests of the hosts."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from hoistmoor.core.limits import records
 from hoistmoor.core.limits import wallet
 
-# The next day's first shares are asked for seven hours ahead, so that an outage
-# of the log over midnight finds each host with something in hand, and spread
-# by hash over 50 minutes, so that they are no burst of appends.
+# Hosts request their first shares of the next day seven hours ahead, so that
+# each of them holds some if the log is down over midnight. The requests are
+# spread over 50 minutes by a hash to avoid a burst of appends.
 _PREFETCH_SECONDS = 25_200.0
 _PREFETCH_SPREAD = 3_000.0
-# After so long a host knows the others, and takes its whole floor.
+# Time in which a host learns of the others; then it requests its full floor.
 _SETTLE_SECONDS = 5.0
 _HASH_SPAN = 2.0**32
 
 
 class Turns:
-    """A host's turn among the others.
+    """Schedule of one host's share requests among the other hosts.
 
     Attributes:
-        place: This host's fixed place among the hosts, between 0 and 1.
-        hosts: Live entry hosts.
+        place: Fixed position of this host among the hosts, from 0 to 1.
+        hosts: Number of live entry hosts.
         is_settled: Whether this host has had time to learn of the others.
     """
 
@@ -34,26 +34,28 @@
 
     @property
     def delay(self) -> float:
-        """Seconds that this host waits so that others come first."""
+        """Seconds that this host waits for hosts with a lower position."""
         return self.place * self.hosts * wallet.ASK_SPACING
 
     def note_table(self, now: float) -> None:
-        """Notes that a table is in force; only the first time counts."""
+        """Starts the schedule when the first table is in force.
+
+        Later calls only update ``is_settled``.
+        """
         if self._began_at is None:
             self._began_at = now
         self.is_settled = self.has_come(now - _SETTLE_SECONDS)
 
     def has_come(self, now: float) -> bool:
-        """Returns whether this host may ask without a request that waits.
+        """Returns whether this host may request shares ahead of demand.
 
-        Hosts that start together ask one after the other; with few hosts
-        none waits.
+        Hosts that start together take turns; with few hosts, none has to wait.
         """
         if self._began_at is None:
             return False
         return now >= self._began_at + int(self.delay)
 
     def is_prefetch_time(self, now: float) -> bool:
-        """Returns whether to ask for the next day's shares."""
-        left = records.SECONDS_PER_DAY - now % records.SECONDS_PER_DAY
-        return left <= _PREFETCH_SECONDS - self.place * _PREFETCH_SPREAD
+        """Returns whether to request shares of the next day."""
+        remaining = records.SECONDS_PER_DAY - now % records.SECONDS_PER_DAY
+        return remaining <= _PREFETCH_SECONDS - self.place * _PREFETCH_SPREAD
--- a/src/hoistmoor/core/limits/wallet.py
+++ b/src/hoistmoor/core/limits/wallet.py
@@ -1,7 +1,8 @@
 """This host's shares of the accounts' spend limits.
 
-Money moves from granted to reserved when a request is admitted, and to spent
-when it ends. Nothing is reserved that was not granted and read back.
+An amount moves from granted to reserved when a request is admitted, and to
+spent when the request ends. Only grants that were read back from the log can be
+reserved.
 """
 
 from __future__ import annotations
@@ -12,43 +13,44 @@
 
 from hoistmoor.core.limits import records
 
-CHUNK_SECONDS = 600.0  # A chunk covers so much of the demand seen here.
-LOW_SECONDS = 120.0  # More is asked for when so little is left.
-IDLE_SECONDS = 600.0  # What is not needed for so long is given back.
-FLOOR_PART = 8  # All floors together are this part of a limit.
-# A host that does not know the others yet takes no more than if they were so
-# many, so that the first shares of all stay within the floors.
+CHUNK_SECONDS = 600.0  # Seconds of local demand that one ask covers.
+LOW_SECONDS = 120.0  # Below this many seconds of demand, more is requested.
+IDLE_SECONDS = 600.0  # Time after which an unneeded amount is returned.
+FLOOR_PART = 8  # All floors together are the limit divided by this.
+# Before a host knows the other hosts, it assumes at least this many of them, so
+# that the first shares of all hosts together stay within the floors.
 MOST_HOSTS = 360
-ASK_TIMEOUT = 30.0  # Seconds until an ask not read back is written off.
-REASK_AFTER = 5.0  # Seconds after an ask that got nothing, growing to
-MAX_REASK_AFTER = 60.0  # this many.
-# All hosts together ask for one account's shares at most once in so long.
-ASK_SPACING = 0.02  # Seconds.
-# All hosts together repeat asks that got nothing at most once in so long.
-REPEAT_SPACING = 5.0  # Seconds.
-STARVED_SECONDS = 30.0  # Least time between returns to starved hosts.
-_DEMAND_HALF_LIFE = 120.0  # Seconds.
+ASK_TIMEOUT = 30.0  # Seconds until an ask that was not read back is dropped.
+# Initial and maximum delay after an ask that was granted nothing, in seconds.
+REASK_AFTER = 5.0
+MAX_REASK_AFTER = 60.0
+# Minimum seconds between two asks for one account over all hosts.
+ASK_SPACING = 0.02
+# Minimum seconds between two repeats of ungranted asks over all hosts.
+REPEAT_SPACING = 5.0
+STARVED_SECONDS = 30.0  # Minimum time between returns for starved hosts.
+_DEMAND_HALF_LIFE = 120.0  # Half-life of the smoothed demand, in seconds.
 
 
 @attrs.define
 class Share:
-    """One account on one day at this host.
+    """This host's share of one account's spend limit on one day.
 
     Attributes:
-        granted: Micros granted and read back, less what was given back.
-        reserved: Micros set aside for requests that run.
+        granted: Micros granted and read back, less the returned ones.
+        reserved: Micros reserved for running requests.
         spent: Micros spent.
-        demand: Micros per second wanted here, smoothed.
-        demand_at: Time up to which the demand is smoothed.
-        pending: Serial of the ask not read back yet; 0 for none.
-        asked_at: Time of that ask.
-        ask_again_at: No ask before this time.
-        refusals: Asks in a row that got nothing.
+        demand: Smoothed local demand in micros per second.
+        demand_at: Time of the last update of ``demand``.
+        pending: Serial of the ask that was not read back yet; 0 for none.
+        asked_at: Time of the last ask.
+        ask_again_at: Earliest time of the next ask.
+        refusals: Number of consecutive asks that were granted nothing.
         returned_at: Time of the last return, or of the first grant.
-        refused_seen: Asks of any host that got nothing, as last heeded.
-        overdrawn: Micros spent beyond what was reserved.
-        taken: Micros of ``granted`` that came from peers.
-        given: Micros that went to peers and are off ``granted``.
+        refused_seen: Refused asks over all hosts at the last return.
+        overdrawn: Micros spent beyond the reserved amounts.
+        taken: Micros of ``granted`` that were received from peers.
+        given: Micros transferred to peers, already deducted from ``granted``.
     """
 
     granted: int = 0
@@ -68,16 +70,16 @@
 
     @property
     def left(self) -> int:
-        """Micros neither spent nor reserved."""
+        """Micros that are neither spent nor reserved."""
         return self.granted - self.reserved - self.spent
 
     def note_demand(self, cost: int, now: float) -> None:
-        """Counts a request's cost into the demand."""
+        """Adds the cost of a request to the demand."""
         self.decay(now)
         self.demand += cost * math.log(2) / _DEMAND_HALF_LIFE
 
     def decay(self, now: float) -> None:
-        """Lets the demand fade up to ``now``."""
+        """Decays the demand up to ``now``."""
         elapsed = max(0.0, now - self.demand_at)
         self.demand *= 0.5 ** (elapsed / _DEMAND_HALF_LIFE)
         self.demand_at = max(now, self.demand_at)
@@ -85,15 +87,15 @@
 
 @attrs.frozen
 class Terms:
-    """What is known of an account's limit when an ask is planned.
+    """State of an account's limit over all hosts, as known to this host.
 
     Attributes:
         account: Client account.
-        limit: Its spend limit by the table in force.
+        limit: Spend limit by the table in force.
         revision: Revision of that table.
         granted: Micros granted to all hosts so far, by the fold.
-        refused: Asks of any host that got nothing so far.
-        hosts: Live entry hosts.
+        refused: Number of asks over all hosts that were granted nothing.
+        hosts: Number of live entry hosts.
         is_settled: Whether this host has had time to learn of the others.
     """
 
@@ -107,12 +109,12 @@
 
     @property
     def remaining(self) -> int:
-        """Micros that no host holds."""
+        """Micros that are not granted to any host."""
         return max(0, self.limit - self.granted)
 
     @property
     def floor(self) -> int:
-        """Micros that each host keeps, so that it can serve in an outage."""
+        """Micros that each host keeps in order to serve during a log outage."""
         hosts = self.hosts
         if not self.is_settled:
             hosts = max(hosts, MOST_HOSTS)
@@ -120,28 +122,28 @@
 
     @property
     def crumb(self) -> int:
-        """Micros that are not worth an append unless a request needs them."""
+        """Minimum micros that justify an append without a waiting request."""
         return max(1, self.floor // 4)
 
 
 class Wallet:
-    """Shares of one incarnation of one host.
+    """Shares held by one incarnation of one host.
 
     Attributes:
-        shares: Per account and day.
+        shares: Shares by account and day.
     """
 
     def __init__(self) -> None:
         self.shares: dict[tuple[str, int], Share] = {}
 
     def share(self, account: str, day: int) -> Share:
-        """Returns the account's share, made empty where there is none."""
+        """Returns an account's share for a day, creating it if missing."""
         key = account, day
         if key not in self.shares:
-            before = self.shares.get((account, day - 1))
-            demand = before.demand if before else 0.0
-            begin = float(day * records.SECONDS_PER_DAY)
-            self.shares[key] = Share(demand=demand, demand_at=begin)
+            previous = self.shares.get((account, day - 1))
+            demand = previous.demand if previous else 0.0
+            midnight = float(day * records.SECONDS_PER_DAY)
+            self.shares[key] = Share(demand=demand, demand_at=midnight)
         return self.shares[key]
 
     def reserve(
@@ -152,25 +154,25 @@
         terms: Terms,
         kept_part: float = 0.0,
     ) -> bool:
-        """Sets ``cost`` aside and returns whether there was enough.
+        """Reserves ``cost`` if the share covers it, and returns whether it did.
 
         Args:
-            cost: Micros.
-            day: UTC day that it counts for.
+            cost: Micros to reserve.
+            day: UTC day that the cost counts for.
             now: Seconds since the epoch.
-            terms: What is known of the limit.
-            kept_part: Part of the share that must be left.
+            terms: Known state of the limit.
+            kept_part: Fraction of the share that must remain available.
         """
         share = self.share(terms.account, day)
-        kept = int(share.granted * kept_part)
-        if cost + kept > spendable(share, terms):
+        retained = int(share.granted * kept_part)
+        if cost + retained > spendable(share, terms):
             return False
         share.note_demand(cost, now)
         share.reserved += cost
         return True
 
     def settle(self, account: str, day: int, reserved: int, cost: int) -> None:
-        """Turns what was set aside into what was spent."""
+        """Replaces a reservation by the actual cost of the request."""
         share = self.share(account, day)
         share.reserved -= reserved
         share.spent += cost
@@ -179,7 +181,7 @@
     def credit(
         self, account: str, day: int, serial: int, amount: int, now: float
     ) -> None:
-        """Takes in what an ask of this incarnation got."""
+        """Applies the result of an ask of this incarnation."""
         share = self.share(account, day)
         if not share.granted:
             share.returned_at = now
@@ -192,27 +194,27 @@
             share.ask_again_at = now + min(wait, MAX_REASK_AFTER)
 
     def failed(self, account: str, day: int, serial: int) -> None:
-        """Notes that an ask was not stored."""
+        """Clears a pending ask that the log did not store."""
         share = self.share(account, day)
         if share.pending == serial:
             share.pending = 0
 
     def drop_before(self, day: int) -> None:
-        """Forgets the shares of earlier days that no request holds."""
-        old = [
+        """Drops the shares of earlier days that have no reservations."""
+        expired = [
             key
             for key, share in self.shares.items()
             if key[1] < day and not share.reserved
         ]
-        for key in old:
+        for key in expired:
             del self.shares[key]
 
 
 def spendable(share: Share, terms: Terms) -> int:
     """Returns the micros that may be reserved now.
 
-    After a cut of the limit below what is granted, each host keeps to its
-    part of the new limit.
+    After the limit is lowered below the total granted, each host scales its
+    share down to its fraction of the new limit.
     """
     if terms.granted <= terms.limit:
         return share.left
@@ -221,16 +223,16 @@
 
 
 def plan_ask(share: Share, terms: Terms, now: float, cost: int = 0) -> int:
-    """Returns the micros to ask for now; 0 for none.
+    """Returns the micros to request now; 0 for none.
 
-    The chunk follows the demand seen here, and shrinks with what is left, so
-    that the last of a limit is not held by hosts that do not need it.
+    The chunk is sized by local demand and shrinks with the remaining limit, so
+    that hosts without demand do not hold the last of it.
 
     Args:
         share: This host's share.
-        terms: What is known of the limit.
+        terms: Known state of the limit.
         now: Seconds since the epoch.
-        cost: Micros that a waiting request needs.
+        cost: Micros needed by waiting requests.
     """
     if not _may_ask(share, terms, now):
         return 0
@@ -245,11 +247,11 @@
 
 
 def is_exhausted(share: Share, terms: Terms, now: float) -> bool:
-    """Returns whether asking for more is of no use for now.
+    """Returns whether another ask would be useless for now.
 
-    After an ask that got nothing, the host waits until it reads that somebody
-    gave something back. It repeats the ask rarely, to be heard by hosts that
-    have something to give.
+    After an ask that was granted nothing, the host waits until it reads a
+    return from the log. It repeats the ask at a low rate, so that hosts with a
+    surplus know of the demand.
     """
     if not share.refusals:
         return False
@@ -268,18 +270,18 @@
 
 
 def plan_return(share: Share, terms: Terms, now: float) -> int:
-    """Returns the micros to give back now; 0 for none.
+    """Returns the micros to return now; 0 for none.
 
-    A host gives back what it does not need for ten minutes; once another
-    host was refused a share, all that it does not need for two.
+    A host keeps ten minutes of its demand, but at least its floor. Once another
+    host was refused a share, it keeps only two minutes of its demand.
     """
     share.decay(now)
     starved = terms.refused > share.refused_seen
     period = STARVED_SECONDS if starved else IDLE_SECONDS
     if share.pending or share.refusals or now - share.returned_at < period:
         return 0
-    keep = int(share.demand * LOW_SECONDS)
+    target = int(share.demand * LOW_SECONDS)
     if not starved:
-        keep = max(terms.floor, int(share.demand * CHUNK_SECONDS))
-    surplus = share.left - keep
+        target = max(terms.floor, int(share.demand * CHUNK_SECONDS))
+    surplus = share.left - target
     return surplus if surplus >= terms.crumb else 0
