--- a/tests/core/limits/queue_model.py
+++ b/tests/core/limits/queue_model.py
@@ -1,4 +1,4 @@
-"""Arrivals, ends, departures and time round one admission queue."""
+"""Stateful model of one admission queue and the requests around it."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class QueueMachine(stateful.RuleBasedStateMachine):
-    """Checks each effect against what was offered."""
+    """Checks each effect of the queue against the offered requests."""
 
     make_queue = queue.AdmissionQueue
 
@@ -35,48 +35,50 @@
         self.running: list[queue.Entry] = []
         self.serial = 0
 
-    def heed(self, effects: tuple[queue.Effect, ...]) -> None:
-        """Each effect answers a request that had no answer yet."""
+    def apply_effects(self, effects: tuple[queue.Effect, ...]) -> None:
+        """Applies effects; each must answer a request for the first time."""
         for effect in effects:
-            assert effect.serial in self.open, "two final answers"
+            assert effect.serial in self.open, "second final answer"
             entry = self.open.pop(effect.serial)
             if isinstance(effect, queue.Start):
                 assert entry.deadline > self.now, "started too late"
-                assert not self.more_urgent_than(entry), "overtaken"
+                assert not self.more_urgent_than(entry), (
+                    "started before a more urgent request"
+                )
                 self.running.append(entry)
             else:
                 assert effect.retry_after >= 1
 
     def more_urgent_than(self, entry: queue.Entry) -> list[queue.Entry]:
         """Returns the requests that should have started before ``entry``."""
-        place = queue.ORDER.index(entry.priority)
+        position = queue.ORDER.index(entry.priority)
         return [
             other
             for other in self.open.values()
-            if queue.ORDER.index(other.priority) < place
+            if queue.ORDER.index(other.priority) < position
         ]
 
     @stateful.rule(priority=PRIORITIES, patience=st.integers(-1, 20))
     def offer(self, priority: model.Priority, patience: int) -> None:
-        """A request arrives."""
+        """Offers a new request."""
         self.serial += 1
         entry = queue.Entry(self.serial, priority, self.now + patience)
         self.open[entry.serial] = entry
-        self.heed(self.queue.offer(entry, self.now))
+        self.apply_effects(self.queue.offer(entry, self.now))
 
     @stateful.rule(
         index=st.integers(0, 9), seconds=st.sampled_from([None, 0.5, 8.0])
     )
     def finish(self, index: int, seconds: float | None) -> None:
-        """A request that runs ends."""
+        """Finishes a running request."""
         if self.running:
             entry = self.running.pop(index % len(self.running))
             effects = self.queue.finish(entry.priority, seconds, self.now)
-            self.heed(effects)
+            self.apply_effects(effects)
 
     @stateful.rule(index=st.integers(0, 9))
     def depart(self, index: int) -> None:
-        """The caller of a waiting request goes."""
+        """Cancels a waiting request whose caller disconnects."""
         if self.open:
             serial = sorted(self.open)[index % len(self.open)]
             assert self.queue.cancel(serial)
@@ -84,31 +86,33 @@
 
     @stateful.rule(slots=st.integers(1, 12))
     def resize(self, slots: int) -> None:
-        """The pool grows or shrinks."""
-        self.heed(self.queue.set_slots(slots, self.now))
+        """Changes the number of slots."""
+        self.apply_effects(self.queue.set_slots(slots, self.now))
 
     @stateful.rule(seconds=st.floats(0.1, 5.0))
     def wait(self, seconds: float) -> None:
-        """Time passes; the timer rings when it was asked to."""
+        """Advances the clock, firing the queue's timer on the way."""
         end = self.now + seconds
         while True:
             expiry = self.queue.next_expiry()
             if expiry is None or expiry > end:
                 break
             self.now = max(self.now, expiry)
-            self.heed(self.queue.tick(self.now))
+            self.apply_effects(self.queue.tick(self.now))
         self.now = end
 
     @stateful.invariant()
-    def nothing_is_held_in_vain(self) -> None:
-        """Who waits can still be served, and no slot is free for it."""
+    def waiting_is_justified(self) -> None:
+        """Waiting requests can still be served and have no free slot."""
         assert len(self.open) <= self.queue.max_waiting
         for entry in self.open.values():
             assert entry.deadline > self.now, "queued past its deadline"
-        held = len(self.running)
-        assert held == self.queue.in_use
+        in_use = len(self.running)
+        assert in_use == self.queue.in_use
         if any(
             entry.priority is model.Priority.URGENT
             for entry in self.open.values()
         ):
-            assert held >= self.queue.slots, "a slot is kept from urgent work"
+            assert in_use >= self.queue.slots, (
+                "free slot while an urgent request waits"
+            )
--- a/tests/core/limits/share_model.py
+++ b/tests/core/limits/share_model.py
@@ -1,4 +1,4 @@
-"""Several hosts, crashes and a faulty log round the shares of a limit."""
+"""Stateful model of hosts that share a limit, with crashes and a faulty log."""
 
 from __future__ import annotations
 
@@ -26,9 +26,10 @@
     stateful_step_count=50,
     suppress_health_check=list(hypothesis.HealthCheck),
 )
-# A mutant's failure need not be shrunk. The examples are the same for the same
-# set of imported modules only: hypothesis draws constants of all local sources.
-# With one such set, none of the first 600 broke a book that ignores others.
+# A mutant's failing example need not be shrunk. Examples are reproducible only
+# for the same set of imported modules, because hypothesis draws constants from
+# all local sources. With one such set, none of the first 600 examples made a
+# ShareBook fail that ignores the records of other hosts.
 MUTANT_SETTINGS = hypothesis.settings(
     SETTINGS, max_examples=5000, phases=(hypothesis.Phase.generate,)
 )
@@ -40,7 +41,7 @@
 
 
 class ShareMachine(stateful.RuleBasedStateMachine):
-    """Three hosts share one account's limit; the first may be replaced."""
+    """Three hosts share one account's limit, and any may be replaced."""
 
     make_book = book_lib.ShareBook
 
@@ -57,7 +58,7 @@
         self.books = [self.start(index) for index in range(3)]
 
     def start(self, index: int) -> book_lib.ShareBook:
-        """Returns a new process on a host."""
+        """Starts a new process on a host."""
         self.started += 1
         incarnation = identity.Incarnation(f"h{index}", self.started)
         book = self.make_book(incarnation)
@@ -73,7 +74,7 @@
 
     @stateful.rule(host=HOSTS, cost=st.integers(1, 10), fate=FATES)
     def admit(self, host: int, cost: int, fate: str) -> None:
-        """A request comes, and a share is asked for if it must be."""
+        """Admits a request, requesting a share if necessary."""
         cost *= 50
         if not self.run(host, cost):
             self.plan(host, cost, fate)
@@ -82,11 +83,11 @@
 
     @stateful.rule(host=HOSTS, fate=FATES)
     def tick(self, host: int, fate: str) -> None:
-        """The host asks for or gives back what it thinks fit."""
+        """Appends the asks and returns that the host plans on its own."""
         self.plan(host, 0, fate)
 
     def run(self, host: int, cost: int) -> bool:
-        """Reserves a cost and returns whether there was enough."""
+        """Reserves a cost, and returns whether the share covered it."""
         book = self.books[host]
         day = records.day_of(self.now)
         verdict = book.reserve(ACCOUNT, cost, day, self.now)
@@ -96,7 +97,7 @@
         return True
 
     def plan(self, host: int, cost: int, fate: str) -> None:
-        """Appends what the host plans, with a fate of its append."""
+        """Appends the requests that the host plans, with the given fate."""
         book = self.books[host]
         needs = {ACCOUNT: cost} if cost else {}
         for request in book.plan(self.now, needs):
@@ -105,11 +106,11 @@
     def send(
         self, book: book_lib.ShareBook, request: records.ShareRequest, fate: str
     ) -> None:
-        """Appends a request; ``fate`` says what the log makes of it."""
+        """Appends a request; ``fate`` selects the result of the append."""
         if fate == "refused":
             book.not_stored(request)
         elif fate == "lost":
-            pass  # Neither stored nor does the host ever hear.
+            pass  # Not stored, and the host gets no reply.
         elif fate == "late":
             self.late.append(request)
         else:
@@ -117,13 +118,13 @@
 
     @stateful.rule()
     def deliver_late(self) -> None:
-        """Appends of paused processes arrive."""
+        """Stores the delayed appends of paused processes."""
         while self.late:
             self.store(self.late.pop())
 
     @stateful.rule(host=HOSTS)
     def read(self, host: int) -> None:
-        """The host reads the log to its end."""
+        """Reads the log to its end at one host."""
         book = self.books[host]
         if book.fold.next_offset < self.first:
             book.fold.begin_at(self.first)
@@ -133,14 +134,14 @@
 
     @stateful.rule(share=st.integers(0, 4))
     def settle(self, share: int) -> None:
-        """A request ends and costs a quarter or more of its estimate."""
+        """Ends a request at the given number of quarters of its estimate."""
         if self.runs:
             book, cost, day = self.runs.pop()
             book.wallet.settle(ACCOUNT, day, cost, cost * share // 4)
 
     @stateful.rule()
     def fall_idle(self) -> None:
-        """Every request ends, costs nothing, and none comes for a while."""
+        """Ends every request at no cost, followed by an idle period."""
         while self.runs:
             self.settle(0)
         self.now += 700
@@ -149,7 +150,7 @@
 
     @stateful.rule(host=HOSTS, graceful=st.booleans())
     def replace(self, host: int, graceful: bool) -> None:
-        """A process stops or dies, and another takes its place."""
+        """Replaces a process that stops or crashes."""
         book = self.books[host]
         if graceful:
             for request in book.give_back(self.now):
@@ -159,24 +160,24 @@
 
     @stateful.rule(host=HOSTS)
     def snapshot(self, host: int) -> None:
-        """A process is paused while it appends a snapshot."""
+        """Delays the snapshot append of a paused process."""
         if self.books[host].fold.can_snapshot:
             self.late.append(self.books[host].fold.snapshot())
 
     @stateful.rule(host=HOSTS, keep=st.sampled_from([0, 2, 5, 40]))
     def start_after_retention(self, host: int, keep: int) -> None:
-        """A process starts that cannot read the oldest records."""
+        """Restarts a process after retention removed the oldest records."""
         self.first = max(self.first, len(self.log) - keep)
         self.replace(host, graceful=False)
 
     @stateful.rule(seconds=st.sampled_from([1, 40, 700, 700, 30_000]))
     def wait(self, seconds: int) -> None:
-        """Time passes."""
+        """Advances the clock."""
         self.now += seconds
 
     @stateful.invariant()
     def limit_holds(self) -> None:
-        """No day's shares, dead processes included, pass the limit."""
+        """The shares of a day, including dead processes, stay in the limit."""
         totals: dict[int, list[int]] = {}
         for book in (*self.books, *self.dead):
             for (_, day), share in book.wallet.shares.items():
@@ -189,8 +190,8 @@
             assert spent <= granted
 
     @stateful.invariant()
-    def nothing_is_counted_twice(self) -> None:
-        """All processes together hold no more than the log granted them."""
+    def shares_stay_within_grants(self) -> None:
+        """All processes together hold no more than the log granted."""
         today = records.day_of(self.now)
         for day in (today, today + 1):
             held = sum(
@@ -203,9 +204,9 @@
 
 
 class TransferMachine(ShareMachine):
-    """The same hosts also hand parts of their shares to each other.
+    """Adds transfers of shares between the hosts.
 
-    Asks and answers are lost, repeated and kept until other processes run.
+    Requests and answers are lost, repeated, and delayed past process restarts.
     """
 
     def __init__(self) -> None:
@@ -215,7 +216,7 @@
 
     @stateful.rule(taker=HOSTS, giver=HOSTS, cost=st.integers(1, 10))
     def ask_peer(self, taker: int, giver: int, cost: int) -> None:
-        """A host sends an ask to a peer; it may be a repeat."""
+        """Sends a transfer request to a peer; it may be a retry."""
         day = records.day_of(self.now)
         ask = self.books[taker].ask_peer(
             f"h{giver}", ACCOUNT, cost * 50, day, urgent=True
@@ -224,7 +225,7 @@
 
     @stateful.rule(newest=st.booleans(), again=st.booleans())
     def deliver_ask(self, newest: bool, again: bool) -> None:
-        """An ask arrives at whoever runs there; the network may repeat it."""
+        """Delivers a request to the current process; it may be duplicated."""
         if not self.asks:
             return
         giver, ask = self.asks.pop(-1 if newest else 0)
@@ -234,7 +235,7 @@
 
     @stateful.rule(newest=st.booleans(), again=st.booleans())
     def deliver_answer(self, newest: bool, again: bool) -> None:
-        """An answer arrives at whoever runs on the host that asked."""
+        """Delivers an answer to the current process of the requesting host."""
         if not self.answers:
             return
         answer = self.answers.pop(-1 if newest else 0)
@@ -245,12 +246,12 @@
 
     @stateful.rule()
     def lose_answers(self) -> None:
-        """Every answer on its way is lost."""
+        """Loses all undelivered answers."""
         self.answers.clear()
 
     @stateful.rule(taker=HOSTS, giver=HOSTS, cost=st.integers(1, 10))
     def move(self, taker: int, giver: int, cost: int) -> None:
-        """A whole exchange succeeds, and the taker spends what it got."""
+        """Completes a transfer, and the recipient reserves the amount."""
         self.ask_peer(taker, giver, cost)
         self.deliver_ask(newest=True, again=False)
         self.deliver_answer(newest=True, again=False)
@@ -258,7 +259,7 @@
 
     @stateful.rule(taker=HOSTS, giver=HOSTS, cost=st.integers(1, 10))
     def die_between(self, taker: int, giver: int, cost: int) -> None:
-        """An answer comes again once another process has asked the same."""
+        """Duplicates an answer to a new process with the same request."""
         self.ask_peer(taker, giver, cost)
         self.deliver_ask(newest=True, again=False)
         self.deliver_answer(newest=True, again=True)
@@ -268,7 +269,7 @@
 
 
 class GiftMachine(TransferMachine):
-    """Hosts that stop without the log also leave their shares to others."""
+    """Adds handoffs by hosts that stop during an outage of the log."""
 
     def __init__(self) -> None:
         self.gifts: list[tuple[int, gifts.Gift]] = []
@@ -276,7 +277,7 @@
 
     @stateful.rule(giver=HOSTS, heir=HOSTS, peers=st.integers(1, 3))
     def leave(self, giver: int, heir: int, peers: int) -> None:
-        """A host stops without the log, and leaves a part to a peer."""
+        """Sends a handoff from a stopping host to a peer."""
         gift = self.books[giver].gifts.part_with(
             self.books[heir].incarnation.number,
             records.day_of(self.now),
@@ -286,7 +287,7 @@
 
     @stateful.rule(newest=st.booleans(), again=st.booleans())
     def deliver_gift(self, newest: bool, again: bool) -> None:
-        """A gift arrives at whoever runs there, and may arrive again."""
+        """Delivers a handoff to the current process; it may be duplicated."""
         if not self.gifts:
             return
         heir, gift = self.gifts.pop(-1 if newest else 0)
@@ -296,7 +297,7 @@
 
     @stateful.rule(giver=HOSTS, heir=HOSTS, renewed=st.booleans())
     def leave_and_repeat(self, giver: int, heir: int, renewed: bool) -> None:
-        """A gift arrives twice, perhaps at two processes of one host."""
+        """Delivers a handoff twice, possibly to two processes of one host."""
         self.leave(giver, heir, 1)
         self.deliver_gift(newest=True, again=True)
         if renewed:
--- a/tests/core/limits/test_limits_queue.py
+++ b/tests/core/limits/test_limits_queue.py
@@ -1,4 +1,4 @@
-"""The admission queue: order, deadlines, one final answer each."""
+"""Tests of the admission queue, retry budget and adaptive slots."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     )
 
 
-class FirstComeFirstServed(queue.AdmissionQueue):
-    """Serves the classes in the wrong order."""
+class IgnoresPriority(queue.AdmissionQueue):
+    """Ignores the priority order of waiting requests."""
 
     def _fill(self) -> tuple[queue.Effect, ...]:
         effects: list[queue.Effect] = []
@@ -36,18 +36,18 @@
 
 
 class NeverExpires(queue.AdmissionQueue):
-    """Leaves requests in the queue past their deadlines."""
+    """Keeps requests in the queue past their deadlines."""
 
     def _expire(self, now: float) -> tuple[queue.Effect, ...]:
         return ()
 
     def next_expiry(self) -> float | None:
-        """Asks for no timer."""
+        """Requests no timer."""
         return None
 
 
-class ForgetsTheEvicted(queue.AdmissionQueue):
-    """Drops a request for a more urgent one without a word."""
+class OmitsEvictionRefusal(queue.AdmissionQueue):
+    """Evicts a request without refusing it."""
 
     def _make_room(self, entry: queue.Entry) -> tuple[queue.Effect, ...] | None:
         evicted = super()._make_room(entry)
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize(
-    "mutant", [FirstComeFirstServed, NeverExpires, ForgetsTheEvicted]
+    "mutant", [IgnoresPriority, NeverExpires, OmitsEvictionRefusal]
 )
 def test_properties_fail_without_each_mechanism(
     mutant: type[queue.AdmissionQueue],
@@ -107,7 +107,7 @@
     for _ in range(100):
         budget.on_success()
     returned = sum(budget.take(60.0) for _ in range(100))
-    # Five to begin with and one in ten seconds; then a tenth of successes.
+    # Initially 5 retries and one more per 10 s; then a tenth of the successes.
     assertions.assert_that(outage, matchers.LessThan(12))
     assertions.assert_that(returned, matchers.LessThan(12))
 
--- a/tests/core/limits/test_limits_rates.py
+++ b/tests/core/limits/test_limits_rates.py
@@ -1,4 +1,4 @@
-"""The parts of a rate never sum to more than all of it."""
+"""The hosts' fractions of a rate never sum to more than 1."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     return records.DemandReport(name, 1, weights)
 
 
-# Who reports what, and after how many seconds each host reads it.
+# Reporting host, its weight, and the seconds until each host reads the report.
 CHANGES = st.lists(
     st.tuples(
         st.sampled_from(NAMES),
@@ -48,7 +48,7 @@
 def largest_sum(
     changes: list[tuple[str, float, tuple[int, ...]]],
 ) -> float:
-    """Returns the largest sum of all parts at any second."""
+    """Returns the largest sum of all fractions at any second."""
     shares = [share_of(name) for name in NAMES]
     largest = 0.0
     for second in range(60):
@@ -85,10 +85,10 @@
     now = START + 60.0
     report = shares.report_due({"a": 10.0}, now)
     shares.on_report(report, now)
-    even = shares.part("a", now)
-    later = shares.part("a", now + rates.SETTLE_SECONDS + 1.0)
-    assertions.assert_that(even, matchers.Equals(0.25))
-    assertions.assert_that(later, matchers.GreaterThan(0.6))
+    initial = shares.part("a", now)
+    settled = shares.part("a", now + rates.SETTLE_SECONDS + 1.0)
+    assertions.assert_that(initial, matchers.Equals(0.25))
+    assertions.assert_that(settled, matchers.GreaterThan(0.6))
 
 
 def test_lost_host_keeps_its_part_for_a_while() -> None:
--- a/tests/core/limits/test_limits_shares.py
+++ b/tests/core/limits/test_limits_shares.py
@@ -1,4 +1,7 @@
-"""The sum of the shares never passes a limit, whatever fails."""
+"""The shares of a limit never exceed it, whatever fails.
+
+Each mutant disables one mechanism, and the model has to detect it.
+"""
 
 from __future__ import annotations
 
@@ -59,12 +62,12 @@
 
 
 class SpendsBeforeReadingBack(book_lib.ShareBook):
-    """Counts a share as its own once it has asked for it."""
+    """Credits a share when requesting it, before reading it back."""
 
     def plan(
         self, now: float, needs: Mapping[str, int]
     ) -> tuple[records.ShareRequest, ...]:
-        """Plans as before, and errs."""
+        """Credits the asks of each planned request."""
         requests = super().plan(now, needs)
         for request in requests:
             for item in request.asks:
@@ -74,13 +77,13 @@
         return requests
 
 
-class TakesBackReturns(book_lib.ShareBook):
-    """Keeps what it gave back, as if no reply meant not stored."""
+class KeepsReturnedAmounts(book_lib.ShareBook):
+    """Keeps returned amounts, as if a missing reply meant not stored."""
 
     def plan(
         self, now: float, needs: Mapping[str, int]
     ) -> tuple[records.ShareRequest, ...]:
-        """Plans as before, and errs."""
+        """Restores the amounts that each planned request returns."""
         requests = super().plan(now, needs)
         for request in requests:
             for item in request.returns:
@@ -89,8 +92,8 @@
         return requests
 
 
-class TrustsAnyBeginning(book_lib.ShareBook):
-    """Takes the first record that it can read for the first of all."""
+class IgnoresMissingRecords(book_lib.ShareBook):
+    """Treats the first readable record as the beginning of the stream."""
 
     def __init__(self, incarnation: identity.Incarnation) -> None:
         super().__init__(incarnation)
@@ -104,99 +107,99 @@
 
 
 class IgnoresOtherHosts(book_lib.ShareBook):
-    """Folds only its own asks."""
+    """Applies only its own records."""
 
     def apply(self, offset: int, at: float, record: object, now: float) -> bool:
-        """Drops the records of others."""
+        """Discards the records of other hosts."""
         other = getattr(record, "host", None) != self.incarnation.host
         return super().apply(offset, at, None if other else record, now)
 
 
-class DeductsAfterItsAnswer(book_lib.ShareBook):
-    """Takes what it gave off its share only once it plans again."""
+class DeductsAfterAnswering(book_lib.ShareBook):
+    """Deducts a transfer only at the next plan, after answering."""
 
     def __init__(self, incarnation: identity.Incarnation) -> None:
         super().__init__(incarnation)
-        self.owed: list[tuple[wallet.Share, int]] = []
+        self.deferred: list[tuple[wallet.Share, int]] = []
 
     def give_peer(
         self, ask: transfers.TransferAsk, now: float
     ) -> transfers.TransferAnswer:
-        """Answers as before, and errs."""
+        """Answers a request, and postpones the deduction."""
         share = self.wallet.share(ask.account, ask.day)
         before = share.granted
         answer = super().give_peer(ask, now)
-        self.owed.append((share, before - share.granted))
+        self.deferred.append((share, before - share.granted))
         share.granted = before
         return answer
 
     def plan(
         self, now: float, needs: Mapping[str, int]
     ) -> tuple[records.ShareRequest, ...]:
-        """Pays what it owes, then plans as before."""
-        while self.owed:
-            share, amount = self.owed.pop()
+        """Applies the postponed deductions before planning."""
+        while self.deferred:
+            share, amount = self.deferred.pop()
             share.granted -= amount
         return super().plan(now, needs)
 
 
-class _CountsTwice(transfers.Transfers):
+class _CreditsTwice(transfers.Transfers):
     def take(self, answer: transfers.TransferAnswer) -> int:
-        """Counts a repeat of an answer too."""
-        still_open = dict(self._open)
+        """Credits a duplicate answer again."""
+        pending = dict(self._open)
         amount = super().take(answer)
-        self._open = still_open
+        self._open = pending
         return amount
 
 
-class _CountsForAnyProcess(transfers.Transfers):
+class _CreditsForAnyProcess(transfers.Transfers):
     def _answers(
         self, answer: transfers.TransferAnswer, ask: transfers.TransferAsk
     ) -> bool:
         return answer.serial == ask.serial
 
 
-class CountsAnswersTwice(book_lib.ShareBook):
-    """Counts an answer each time that it comes."""
+class CreditsAnswersTwice(book_lib.ShareBook):
+    """Credits an answer every time it is delivered."""
 
     def __init__(self, incarnation: identity.Incarnation) -> None:
         super().__init__(incarnation)
-        self.transfers = _CountsTwice(incarnation, self.wallet)
+        self.transfers = _CreditsTwice(incarnation, self.wallet)
 
 
-class CountsAnswersOfTheDead(book_lib.ShareBook):
-    """Counts an answer that an earlier process may have counted."""
+class CreditsAnswersToDeadProcess(book_lib.ShareBook):
+    """Credits an answer that an earlier process may have credited."""
 
     def __init__(self, incarnation: identity.Incarnation) -> None:
         super().__init__(incarnation)
-        self.transfers = _CountsForAnyProcess(incarnation, self.wallet)
+        self.transfers = _CreditsForAnyProcess(incarnation, self.wallet)
 
 
-class _CountsGiftsTwice(gifts.Gifts):
+class _CreditsHandoffsTwice(gifts.Gifts):
     def receive(self, gift: gifts.Gift) -> gifts.Receipt:
-        """Forgets what it has counted."""
+        """Forgets which handoffs were credited."""
         self._seen.clear()
         return super().receive(gift)
 
 
-class _CountsGiftsForOthers(gifts.Gifts):
+class _CreditsHandoffsForOthers(gifts.Gifts):
     def receive(self, gift: gifts.Gift) -> gifts.Receipt:
-        """Takes a gift for another process as its own."""
+        """Credits a handoff that is addressed to another process."""
         gift = attrs.evolve(gift, to=self.incarnation.number)
         return super().receive(gift)
 
 
-class _KeepsGifts(gifts.Gifts):
+class _KeepsHandoffs(gifts.Gifts):
     def part_with(self, to: int, today: int, peers: int) -> gifts.Gift:
-        """Leaves its own share as it was."""
+        """Hands off amounts without deducting them."""
         gift = super().part_with(to, today, peers)
         for item in gift.items:
             self.wallet.share(item.account, item.day).granted += item.amount
         return gift
 
 
-def _with_gifts(broken: type[gifts.Gifts]) -> type[book_lib.ShareBook]:
-    """Returns a book whose gifts are broken."""
+def _with_handoffs(broken: type[gifts.Gifts]) -> type[book_lib.ShareBook]:
+    """Returns a ShareBook class with a broken handoff implementation."""
 
     class Book(book_lib.ShareBook):
         def __init__(self, incarnation: identity.Incarnation) -> None:
@@ -210,15 +213,15 @@
     ("mutant", "machine"),
     [
         (SpendsBeforeReadingBack, share_model.ShareMachine),
-        (TakesBackReturns, share_model.ShareMachine),
-        (TrustsAnyBeginning, share_model.ShareMachine),
+        (KeepsReturnedAmounts, share_model.ShareMachine),
+        (IgnoresMissingRecords, share_model.ShareMachine),
         (IgnoresOtherHosts, share_model.ShareMachine),
-        (DeductsAfterItsAnswer, share_model.TransferMachine),
-        (CountsAnswersTwice, share_model.TransferMachine),
-        (CountsAnswersOfTheDead, share_model.TransferMachine),
-        (_with_gifts(_CountsGiftsTwice), share_model.GiftMachine),
-        (_with_gifts(_CountsGiftsForOthers), share_model.GiftMachine),
-        (_with_gifts(_KeepsGifts), share_model.GiftMachine),
+        (DeductsAfterAnswering, share_model.TransferMachine),
+        (CreditsAnswersTwice, share_model.TransferMachine),
+        (CreditsAnswersToDeadProcess, share_model.TransferMachine),
+        (_with_handoffs(_CreditsHandoffsTwice), share_model.GiftMachine),
+        (_with_handoffs(_CreditsHandoffsForOthers), share_model.GiftMachine),
+        (_with_handoffs(_KeepsHandoffs), share_model.GiftMachine),
     ],
 )
 def test_limit_breaks_without_each_mechanism(
@@ -298,7 +301,7 @@
             books[1].reserve(account, 50, DAY, now) is book_lib.Verdict.RESERVED
         ):
             covered += 50
-    # The idle host asked for 400 and needs none of it.
+    # The idle host was granted shares for 400 and needs none of them.
     assertions.assert_that(covered, matchers.GreaterThan(900))
 
 
