--- a/src/hoistmoor/core/limits/rates.py
+++ b/src/hoistmoor/core/limits/rates.py
@@ -124,7 +124,7 @@
         """Returns this host's fraction of an account's limits, at most 1."""
         known = self._fractions.get(account)
         if known is None or now >= known.until:
-            value = self._compute_fraction(account, now)
+            value = self._work_out_part(account, now)
             known = _CachedFraction(value, now + _CACHE_SECONDS)
             self._fractions[account] = known
         return known.value
@@ -154,7 +154,7 @@
         """Marks the last report as possibly not stored on the log."""
         self._reported = ()
 
-    def _compute_fraction(self, account: str, now: float) -> float:
+    def _work_out_part(self, account: str, now: float) -> float:
         self._forget_gone(now)
         own = self.incarnation.host
         own_weight = self._weight(own, account, now, min)
--- a/src/hoistmoor/core/once/__init__.py
+++ b/src/hoistmoor/core/once/__init__.py
@@ -1,1 +1,1 @@
-"""At most once: permits, tickets, and claims on callers' keys."""
+"""At-most-once execution with permits, tickets and idempotency key claims."""
--- a/src/hoistmoor/core/once/answers.py
+++ b/src/hoistmoor/core/once/answers.py
@@ -1,4 +1,4 @@
-"""The answers that a host keeps in memory, bounded in bytes."""
+"""In-memory cache of answers, bounded in bytes."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 DEFAULT_CAPACITY = 8 * 1024 * 1024  # Bytes.
-_OVERHEAD = 200  # Bytes of an answer besides its body.
+_OVERHEAD = 200  # Bytes per answer besides its body.
 
 
 class AnswerCache:
-    """Answers by claim id; the oldest go first.
+    """Cache of answers by claim id that evicts the oldest first.
 
     Attributes:
-        capacity: Bytes kept at most.
-        used: Bytes kept.
+        capacity: Maximum size in bytes.
+        used: Current size in bytes.
     """
 
     def __init__(self, capacity: int = DEFAULT_CAPACITY) -> None:
@@ -29,18 +29,18 @@
         )
 
     def get(self, claim_id: str) -> permits.StoredAnswer | None:
-        """Returns the answer of a claim, if it is still kept."""
+        """Returns the answer of a claim, if it is cached."""
         return self._answers.get(claim_id)
 
     def put(self, claim_id: str, answer: permits.StoredAnswer) -> None:
-        """Keeps an answer, at the cost of the oldest ones."""
+        """Stores an answer and evicts the oldest ones above the capacity."""
         if claim_id in self._answers:
             return
         self._answers[claim_id] = answer
         self.used += _size(answer)
         while self.used > self.capacity:
-            _, dropped = self._answers.popitem(last=False)
-            self.used -= _size(dropped)
+            _, evicted = self._answers.popitem(last=False)
+            self.used -= _size(evicted)
 
 
 def _size(answer: permits.StoredAnswer) -> int:
--- a/src/hoistmoor/core/once/claimant.py
+++ b/src/hoistmoor/core/once/claimant.py
@@ -1,11 +1,11 @@
-"""One host's own claims, from the first request under a key to its end.
+"""Lifecycle of one host's own claims, from the first request to the end.
 
 A run may start only after this host has read the claims stream up to its own
-claim and found that the claim holds the key. An append that was acknowledged
-proves nothing by itself: an earlier claim may stand before it.
+claim and found that the claim holds the key. An acknowledged append is not
+sufficient, because an earlier claim may precede it in the stream.
 
-An attempt that is given up on is first forgotten here, so that this process
-never runs it, and then released on the log.
+An abandoned claim is first removed locally, so that this process never runs it,
+and then released on the log.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
-ANSWER_LIMIT = 8 * 1024  # Bytes of a body that is kept on the log.
+ANSWER_LIMIT = 8 * 1024  # Maximum body size of an answer stored on the log.
 
 
 class Claimant:
-    """Decides for one process who may run under a caller's key.
+    """Decides for one process which request may run under a caller's key.
 
     Attributes:
-        incarnation: This process.
-        view: What it has read of the claims stream.
-        outbox: What it has to write there.
-        answers: Answers in memory.
+        incarnation: Incarnation of this process.
+        view: State of the keys read from the claims stream.
+        outbox: Records to append to the claims stream.
+        answers: In-memory cache of answers.
     """
 
     def __init__(
@@ -50,19 +50,20 @@
         eldest: Callable[[], str] = lambda: "",
         serials: Iterator[int] | None = None,
     ) -> None:
-        """Starts with no claim and nothing read.
+        """Creates a claimant without claims that has read nothing yet.
 
         Args:
-            incarnation: This process.
-            address: ``ip:port`` of this host's callers' interface.
-            is_alive: Whether a process is thought to run still. A wrong
-                answer makes a refusal needless; it never allows a run.
-            window: Seconds that a key is remembered.
-            eldest: Returns ``ip:port`` of the live host that runs longest, or
-                nothing. While this host has read too little of the log to
-                know a key, it sends requests there.
-            serials: Numbers of this process's claims; none may come twice,
-                also where a process makes several claimants of one stream.
+            incarnation: Incarnation of this process.
+            address: ``ip:port`` of the interface for callers on this host.
+            is_alive: Returns whether a process is believed to be running. A
+                wrong result can cause a needless refusal, but never a run.
+            window: Seconds for which a key is remembered.
+            eldest: Returns ``ip:port`` of the live host with the longest
+                uptime, or an empty string. Requests are forwarded there while
+                this host has read too little of the log to know a key.
+            serials: Serials for the claims of this process. They must be
+                unique even if the process creates several claimants for one
+                stream.
         """
         self.incarnation = incarnation
         self.outbox = outbox.Outbox(incarnation, address)
@@ -71,43 +72,43 @@
         self._known = known_keys.KnownKeys(
             incarnation, is_alive, self.answers, self.outbox
         )
-        self._eldest = eldest
+        self._find_oldest_host = eldest
         self._serials = serials or itertools.count(1)
         self._runs: dict[str, runs_lib.Run] = {}
         self._changed: dict[str, messages.Change] = {}
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is under way here."""
+        """Whether there are no runs and no records to append."""
         return not self._runs and not self.outbox
 
     @property
     def is_claiming(self) -> bool:
-        """Whether a claim of this host's is to be read back."""
+        """Whether a claim of this host has not been read back yet."""
         runs = self._runs.values()
         return any(run.stage is runs_lib.Stage.CLAIMING for run in runs)
 
     def is_held(self, request: messages.KeyedRequest) -> bool:
-        """Returns whether a claim that does not run here holds the key.
+        """Returns whether a claim without a run on this host holds the key.
 
-        Its end may stand on the log unread.
+        The end of the claim may already be on the log but not read yet.
         """
         key = records.key_digest(request.account, request.key)
         held = self.view.find(key).status is view_lib.Status.HELD
         return held and key not in self._runs
 
     def take_changed(self) -> dict[str, messages.Change]:
-        """Returns the claims changed since the last call: wake who waits."""
+        """Returns the claims changed since the last call, to notify waiters."""
         changed, self._changed = self._changed, {}
         return changed
 
     def begin(
         self, request: messages.KeyedRequest, now: float
     ) -> messages.Result:
-        """Returns whether a request may run here and now.
+        """Returns whether a request may run on this host now.
 
-        A starter and each duplicate call again after every change of the
-        claim that they are told to wait for, and ``leave`` when they stop.
+        A request that gets a ``Wait`` calls this method again after each change
+        of the named claim, and calls ``leave`` if it stops waiting.
         """
         key = records.key_digest(request.account, request.key)
         run = self._runs.get(key)
@@ -118,12 +119,12 @@
         return answer or self._claim(key, state, request, now)
 
     def is_running(self, wait: messages.Wait) -> bool:
-        """Returns whether the claim waited for has a run under way."""
+        """Returns whether the claim waited for is running."""
         run = self._runs.get(wait.key)
         return run is not None and run.stage is runs_lib.Stage.RUNNING
 
     def leave(self, wait: messages.Wait, request_id: str) -> None:
-        """Stops a request's wait; the last one to leave gives the claim up."""
+        """Ends a request's wait; the last one abandons an unstarted claim."""
         run = self._runs.get(wait.key)
         if run is None or run.claim_id != wait.claim_id:
             return
@@ -137,12 +138,12 @@
         outcome: outcomes.Outcome,
         answer: permits.StoredAnswer | None,
     ) -> None:
-        """Records what became of a run.
+        """Records the outcome of a run.
 
         Args:
-            permit: What ``begin`` gave.
-            outcome: What became of it.
-            answer: The whole answer, if there is one.
+            permit: The permit returned by ``begin``.
+            outcome: Outcome of the run.
+            answer: The complete answer, if there is one.
         """
         key = records.key_digest(permit.account, permit.key)
         run = self._runs.get(key)
@@ -157,21 +158,21 @@
         self._queue_end(run.claim, outcome, answer)
         self._changed[permit.id] = messages.Change.MOVED_ON
 
-    # The log's side: what was read, and what became of appends.
+    # Methods called by the log reader and writer.
 
     def restart_reading(self, first_offset: int) -> None:
-        """Begins to read at ``first_offset``, after a start or a gap."""
+        """Restarts reading at ``first_offset``, after a start or a gap."""
         self.view.restart(first_offset)
-        # Ends that were appended may lie in the gap and never be read back.
+        # Appended ends may be in the gap and would never be read back.
         for key, run in tuple(self._runs.items()):
-            on_log = run.claim.serial not in self.outbox.ended
-            if run.stage is runs_lib.Stage.ENDED and on_log:
+            is_appended = run.claim.serial not in self.outbox.ended
+            if run.stage is runs_lib.Stage.ENDED and is_appended:
                 del self._runs[key]
 
     def on_record(
         self, offset: int, at: float, batch: records.ClaimBatch
     ) -> None:
-        """Takes in the next record of the claims stream."""
+        """Applies the next record of the claims stream."""
         for settled in self.view.apply(offset, at, batch):
             if settled.owner == self.incarnation:
                 self._on_own_claim(settled)
@@ -182,9 +183,9 @@
                 self._on_own_end(ended)
 
     def next_batch(self) -> records.ClaimBatch | None:
-        """Returns what to append next, if anything.
+        """Returns the next batch to append, if any.
 
-        One append is under way at a time. It must be answered by one of
+        Only one append may be in flight. Its result must be reported by one of
         ``appended``, ``append_lost`` and ``append_refused``.
         """
         if not self.outbox:
@@ -195,27 +196,27 @@
         return batch
 
     def appended(self, batch: records.ClaimBatch) -> None:
-        """Notes that the log has stored a batch."""
+        """Handles a batch that the log stored."""
         self.outbox.stored(batch)
 
     def append_lost(self, batch: records.ClaimBatch, now: float) -> None:
-        """Notes that no reply came: the batch may be on the log or not.
+        """Handles an append without a reply, which may or may not be stored.
 
-        It is appended again; the fold takes each claim once.
+        The batch is appended again; the fold applies each claim once.
         """
         self.outbox.failed(now)
         for run in self._claiming(batch):
             run.lost = True
 
     def append_refused(self, batch: records.ClaimBatch, now: float) -> None:
-        """Notes that the log stored nothing: its claims are given up."""
+        """Abandons the claims of a batch that the log did not store."""
         self.outbox.failed(now)
         for run in self._claiming(batch):
             run.sent = run.lost
             self._abandon_unstarted(run)
 
     def _claiming(self, batch: records.ClaimBatch) -> list[runs_lib.Run]:
-        """Returns the runs whose claims are in a batch and not read back."""
+        """Returns the runs of a batch whose claims were not read back yet."""
         claimed = [self._runs.get(claim.key) for claim in batch.claims]
         return [
             run
@@ -253,8 +254,8 @@
         self, run: runs_lib.Run, request: messages.KeyedRequest, now: float
     ) -> messages.Result:
         if run.outcome is outcomes.Outcome.DONE:
-            kept = self.answers.get(run.claim_id)
-            return kept or replies.answer_not_kept()
+            answer = self.answers.get(run.claim_id)
+            return answer or replies.answer_not_kept()
         if run.outcome is outcomes.Outcome.UNKNOWN:
             return replies.outcome_unknown("the run under this key was cut off")
         return self._claim(run.claim.key, view_lib.KeyState(), request, now)
@@ -269,7 +270,7 @@
         if self.outbox.is_closed(now):
             return replies.claim_unavailable("the log cannot be reached")
         if self.view.blind_for(now) > 0 or not state.certain:
-            return self._send_to_eldest(request)
+            return self._forward_to_oldest_host(request)
         claim = records.Claim(key, next(self._serials), request.fingerprint)
         claim_id = records.claim_id(self.incarnation, claim.serial)
         run = runs_lib.Run(claim, claim_id)
@@ -278,10 +279,10 @@
         self.outbox.claims[claim.serial] = claim
         return messages.Wait(claim_id, key)
 
-    def _send_to_eldest(
+    def _forward_to_oldest_host(
         self, request: messages.KeyedRequest
     ) -> messages.Result:
-        address = self._eldest()
+        address = self._find_oldest_host()
         if address in ("", self.outbox.address) or request.forwarded:
             return replies.claim_unavailable(
                 "this host has not read enough of the log to know the key"
@@ -291,7 +292,7 @@
     def _on_own_claim(self, settled: view_lib.Settled) -> None:
         run = self._runs.get(settled.key)
         if run is None or run.claim.serial != settled.serial:
-            return  # Given up before; its release is on the way.
+            return  # Abandoned before; its release is queued.
         if run.stage is not runs_lib.Stage.CLAIMING:
             return
         if settled.verdict is view_lib.Verdict.UNCERTAIN:
--- a/src/hoistmoor/core/once/known_keys.py
+++ b/src/hoistmoor/core/once/known_keys.py
@@ -1,4 +1,4 @@
-"""What to tell a request whose key was claimed before, as the log has it."""
+"""Results for requests whose key was claimed before, by the log."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     from hoistmoor.core.once import answers as answers_lib
     from hoistmoor.core.once import outbox as outbox_lib
 
-    _Rule = Callable[
+    _Handler = Callable[
         [view_lib.KeyState, messages.KeyedRequest, float], messages.Result
     ]
 
@@ -30,11 +30,11 @@
 
 
 class KnownKeys:
-    """Answers requests under keys that this host has no run of its own for.
+    """Answers requests whose keys have no run on this host.
 
     Attributes:
-        incarnation: This process.
-        is_alive: Whether a process is thought to run still.
+        incarnation: Incarnation of this process.
+        is_alive: Returns whether a process is believed to be running.
     """
 
     def __init__(
@@ -44,12 +44,12 @@
         answers: answers_lib.AnswerCache,
         outbox: outbox_lib.Outbox,
     ) -> None:
-        """Makes the rules; ``answers`` and ``outbox`` are only read."""
+        """Sets the handlers up; ``answers`` and ``outbox`` are only read."""
         self.incarnation = incarnation
         self.is_alive = is_alive
         self._answers = answers
         self._outbox = outbox
-        self._by_status: dict[view_lib.Status, _Rule] = {
+        self._handlers: dict[view_lib.Status, _Handler] = {
             view_lib.Status.HELD: self._held,
             view_lib.Status.DONE: self._done,
             view_lib.Status.UNKNOWN: self._unknown,
@@ -61,12 +61,12 @@
         request: messages.KeyedRequest,
         now: float,
     ) -> messages.Result | None:
-        """Returns what to tell; None where the key is free to be claimed."""
+        """Returns the result, or None if the key is free to be claimed."""
         if state.is_reused(request.fingerprint):
             return replies.reused(_OUTCOMES[state.status])
         if state.status is view_lib.Status.FREE:
             return None
-        return self._by_status[state.status](state, request, now)
+        return self._handlers[state.status](state, request, now)
 
     def _held(
         self,
@@ -76,7 +76,7 @@
     ) -> messages.Result:
         assert state.owner is not None
         if state.owner == self.incarnation:
-            # Given up here; its release has not been read back yet.
+            # Abandoned here; its release has not been read back yet.
             return replies.in_progress("the key is being released")
         if self.is_alive(state.owner):
             if request.forwarded:
@@ -89,9 +89,9 @@
         )
 
     def _done(self, state: view_lib.KeyState, *_: object) -> messages.Result:
-        kept = self._answers.get(state.holder)
-        if kept is not None:
-            return kept
+        cached = self._answers.get(state.holder)
+        if cached is not None:
+            return cached
         if state.answer_offset < 0:
             return replies.answer_not_kept()
         return messages.ReadAnswer(state.answer_offset, state.holder)
--- a/src/hoistmoor/core/once/messages.py
+++ b/src/hoistmoor/core/once/messages.py
@@ -1,4 +1,4 @@
-"""What a host's claimant and the tasks round it tell each other."""
+"""Messages between a host's claimant and the tasks that use it."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @attrs.frozen
 class KeyedRequest:
-    """A request under a caller's own key.
+    """Request with a caller-supplied idempotency key.
 
     Attributes:
         account: The client account.
         key: The caller's idempotency key.
         fingerprint: Digest of the request.
-        request_id: Names this attempt of the caller's.
-        forwarded: Whether another host has sent it here.
+        request_id: Id of this attempt of the caller.
+        forwarded: Whether another host forwarded it to this one.
     """
 
     account: str
@@ -30,11 +30,11 @@
 
 @attrs.frozen
 class Wait:
-    """Ask again once the named claim has changed.
+    """The request must ask again once the claim has changed.
 
     Attributes:
-        claim_id: The claim waited for.
-        key: Digest of its key.
+        claim_id: Id of the claim to wait for.
+        key: Digest of the key.
     """
 
     claim_id: str
@@ -43,11 +43,11 @@
 
 @attrs.frozen
 class ReadAnswer:
-    """The answer stands on the log.
+    """The answer must be read from the log.
 
     Attributes:
-        offset: Offset of the batch that has it.
-        claim_id: The claim that it ends.
+        offset: Offset of the batch with the answer.
+        claim_id: Id of the claim that the answer ends.
     """
 
     offset: int
@@ -58,7 +58,7 @@
 
 
 class Change(enum.Enum):
-    """What happened to a claim that requests wait for."""
+    """Change of a claim that requests wait for."""
 
-    MOVED_ON = enum.auto()  # Ask again.
-    GIVEN_UP = enum.auto()  # Refuse at once.
+    MOVED_ON = enum.auto()  # The waiting requests ask again.
+    GIVEN_UP = enum.auto()  # The waiting requests are refused.
--- a/src/hoistmoor/core/once/outbox.py
+++ b/src/hoistmoor/core/once/outbox.py
@@ -1,4 +1,4 @@
-"""The records of one host that are not known to be on the claims stream."""
+"""Records of one host that are not confirmed on the claims stream yet."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
     from hoistmoor.core import identity
 
-BATCH_LIMIT = 200  # Claims or ends in one append.
+BATCH_LIMIT = 200  # Maximum claims, and maximum ends, in one append.
 _BACK_OFF = 1.0  # Seconds without new claims after a failed append.
 
 
 class Outbox:
-    """Claims and ends that wait for an append, or for its reply.
+    """Claims and ends of claims that wait for an append or its reply.
 
     Attributes:
-        owner: This process.
-        address: ``ip:port`` of this host's callers' interface.
-        claims: Claims by serial.
-        ended: Ends of claims by serial.
+        owner: Incarnation of this process.
+        address: ``ip:port`` of the interface for callers on this host.
+        claims: Claims, by serial.
+        ended: Ends of claims, by serial.
     """
 
     def __init__(self, owner: identity.Incarnation, address: str) -> None:
@@ -34,41 +34,41 @@
         self._closed_until = 0.0
 
     def __len__(self) -> int:
-        """Returns how many records wait."""
+        """Returns the number of waiting records."""
         return len(self.claims) + len(self.ended)
 
     def is_closed(self, now: float) -> bool:
-        """Returns whether the log has just failed to take a batch."""
+        """Returns whether claims are suspended after a failed append."""
         return now < self._closed_until
 
     def next_batch(self) -> records.ClaimBatch:
-        """Returns what to append next."""
+        """Returns the next batch to append."""
         return self._batch(
             tuple(itertools.islice(self.ended.values(), BATCH_LIMIT)),
             tuple(itertools.islice(self.claims.values(), BATCH_LIMIT)),
         )
 
     def last_batches(self) -> Iterator[records.ClaimBatch]:
-        """Returns the ends that are not known to be on the log.
+        """Returns the ends that are not confirmed on the log.
 
-        For a process that starts no more runs: they may be appended by
-        somebody else, and more than once.
+        For a process that starts no more runs. Another process may append
+        these batches, and more than once.
         """
         ended = tuple(self.ended.values())
         for start in range(0, len(ended), BATCH_LIMIT):
             yield self._batch(ended[start : start + BATCH_LIMIT], ())
 
     def empty_batch(self) -> records.ClaimBatch:
-        """Returns a batch that only shows the log's time to later readers.
+        """Returns an empty batch that only carries the log's timestamp.
 
-        A host that starts later sees from the oldest record on the log how
-        far back it can read; a stream whose records had all expired would
-        tell it nothing.
+        A host that starts later determines from the oldest record how far back
+        it can read the stream. A stream whose records have all expired would
+        not tell it.
         """
         return self._batch((), ())
 
     def stored(self, batch: records.ClaimBatch) -> None:
-        """Notes that a batch is on the log."""
+        """Removes the records of a batch that the log stored."""
         self._closed_until = 0.0
         for ended in batch.ended:
             self.ended.pop(ended.serial, None)
@@ -76,7 +76,7 @@
             self.claims.pop(claim.serial, None)
 
     def failed(self, now: float) -> None:
-        """Notes that an append failed: new claims are refused for a while."""
+        """Suspends new claims for a while after a failed append."""
         self._closed_until = now + _BACK_OFF
 
     def _batch(
--- a/src/hoistmoor/core/once/permits.py
+++ b/src/hoistmoor/core/once/permits.py
@@ -1,7 +1,7 @@
-"""What a host answers when asked whether a request may run.
+"""Results of the check whether a request may run on a host.
 
-A permit is the only thing that lets a non-idempotent request be dispatched.
-It is given out once, by one incarnation, and is good for one run there.
+A non-idempotent request is dispatched only with a permit. A permit is issued
+once, by one incarnation, and is valid for one run there.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 
 
 class PermitKind(enum.StrEnum):
-    """What makes a second run impossible."""
+    """Mechanism that prevents a second run."""
 
-    NONE = "none"  # No key: this incarnation alone, never resent.
-    TICKET = "ticket"  # The issuer's memory.
-    CLAIM = "claim"  # The lowest offset on the log.
+    NONE = "none"  # No key: runs at this incarnation only and is never resent.
+    TICKET = "ticket"  # Memory of the process that issued the ticket.
+    CLAIM = "claim"  # The lowest offset of the key's claims on the log.
 
 
 @attrs.frozen
 class Permit:
-    """Leave for exactly one run, by the incarnation that got it.
+    """Permission for exactly one run, at the incarnation that got it.
 
     Attributes:
-        kind: What makes a second run impossible.
+        kind: Mechanism that prevents a second run.
         account: Client account of the request.
         key: The caller's idempotency key; empty for kind ``NONE``.
         id: Claim id, ticket serial or request id.
@@ -40,13 +40,13 @@
 
 @attrs.frozen
 class StoredAnswer:
-    """The whole answer of a request that was done.
+    """Complete answer of a finished request.
 
     Attributes:
         status: HTTP status code.
         content_type: Value of the Content-Type header.
-        body: The body, whole.
-        request_id: The request that ran.
+        body: Complete response body.
+        request_id: Id of the request that ran.
     """
 
     status: int
@@ -57,11 +57,11 @@
 
 @attrs.frozen
 class ForwardTo:
-    """The request belongs to another host, which is alive.
+    """The request must be forwarded to another live host.
 
     Attributes:
-        address: ``ip:port`` of that host's callers' interface. A request is
-            forwarded once at most.
+        address: ``ip:port`` of the interface for callers on that host. A
+            request is forwarded at most once.
     """
 
     address: str
--- a/src/hoistmoor/core/once/placement.py
+++ b/src/hoistmoor/core/once/placement.py
@@ -1,10 +1,10 @@
-"""Which hosts claim keys of which shard.
+"""Placement of claim shards on hosts.
 
-With one shard every host reads every claim, which is quickest while there are
-few. With more, each shard has a stream of its own that a few hosts follow, and
-other hosts send their keyed requests there. Hosts may disagree on the
-placement for a while: it only says where a request goes. Who may run it is
-decided in the shard's stream.
+With a single shard, every host reads every claim, which is fastest while there
+are few claims. With several shards, each has its own stream that a few hosts
+follow, and the other hosts forward keyed requests to them. Hosts may disagree
+on the placement for a while, since it only decides where a request is sent. The
+shard's stream decides which request may run.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-FOLLOWERS = 2  # Hosts that read a shard, so that one may go.
+FOLLOWERS = 2  # Hosts that follow each shard, to tolerate the loss of one.
 
 
 def shard_of(key: str, shards: int) -> int:
@@ -26,7 +26,7 @@
 
     Args:
         key: Digest of the client account and the caller's key.
-        shards: How many there are; the same at every host.
+        shards: Number of shards; must be the same at every host.
     """
     return xxhash.xxh3_64_intdigest(key.encode()) % shards
 
@@ -39,9 +39,9 @@
 
 
 def followers(shard: int, hosts: Iterable[str]) -> tuple[str, ...]:
-    """Returns the hosts that follow a shard, the first one preferred.
+    """Returns the hosts that follow a shard, in order of preference.
 
-    Rendezvous hashing: when a host comes or goes, only its own shards move.
+    Uses rendezvous hashing: when a host joins or leaves, only its shards move.
     """
 
     def weight(host: str) -> int:
--- a/src/hoistmoor/core/once/records.py
+++ b/src/hoistmoor/core/once/records.py
@@ -1,7 +1,7 @@
 """Records of the claims stream.
 
-One append carries a batch, so that a busy host spends few appends. Only a
-claim's owner writes about it, which lets a batch name its owner once.
+One append carries a batch, so that a busy host needs few appends. Only the
+owner of a claim writes records about it, so a batch names its owner once.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 @attrs.frozen
 class Claim:
-    """Asks for the sole right to run a request under a key.
+    """Request for the exclusive right to run a request under a key.
 
     Attributes:
         key: Digest of the client account and the caller's key.
-        serial: Counts the owner's claims from 1.
-        fingerprint: Digest of the request, to tell a reused key.
+        serial: Sequence number among the owner's claims, from 1.
+        fingerprint: Digest of the request, to detect a reused key.
     """
 
     key: str
@@ -35,13 +35,13 @@
 
 @attrs.frozen
 class Ended:
-    """What became of a claim; ``not_run`` also releases an abandoned one.
+    """End of a claim; outcome ``not_run`` also releases an abandoned claim.
 
     Attributes:
         key: Digest of the client account and the caller's key.
-        serial: The claim's.
-        outcome: What became of it.
-        answer: The answer, where one was given and is small enough.
+        serial: Serial of the claim.
+        outcome: Outcome of the run.
+        answer: The answer, if there is one and it is small enough.
     """
 
     key: str
@@ -52,13 +52,13 @@
 
 @attrs.frozen
 class ClaimBatch:
-    """Claims and ends of claims of one owner, the ends first.
+    """Claims and ends of claims of one owner; the ends apply first.
 
     Attributes:
-        host: The owner's host.
-        incarnation: The owner's incarnation number.
-        address: ``ip:port`` of the owner's callers' interface.
-        ended: Claims that ended.
+        host: Host name of the owner.
+        incarnation: Incarnation number of the owner.
+        address: ``ip:port`` of the owner's interface for callers.
+        ended: Ends of claims.
         claims: New claims, in order.
     """
 
@@ -80,12 +80,12 @@
 
 @attrs.frozen
 class HeldClaims:
-    """A batch that a peer appends once its owner is gone.
+    """Batch that a peer appends after its owner has stopped.
 
     Attributes:
-        batch_id: Names it among all held batches.
-        stream: The stream that it belongs to.
-        record: The batch; it has ends of claims only.
+        batch_id: Unique id among all held batches.
+        stream: Name of the stream to append to.
+        record: The batch, with ends of claims only.
     """
 
     batch_id: str
@@ -99,7 +99,7 @@
 
     @property
     def size(self) -> int:
-        """How much room it takes, as many bills."""
+        """Space that the batch takes, in the equivalent number of bills."""
         return len(self.record.ended)
 
 
@@ -113,9 +113,9 @@
 
 
 def key_digest(account: str, key: str) -> str:
-    """Returns what stands on the log for a caller's key.
+    """Returns the digest that represents a caller's key on the log.
 
-    The key itself may hold a phone number, so it is not written.
+    The key itself is not stored, as it may contain a phone number.
     """
     text = f"{len(account)}:{account}{key}".encode()
     return hashlib.blake2b(text, digest_size=_DIGEST_BYTES).hexdigest()
--- a/src/hoistmoor/core/once/replies.py
+++ b/src/hoistmoor/core/once/replies.py
@@ -1,6 +1,6 @@
-"""What callers are told about requests that carry an idempotency key.
+"""Refusals of requests that carry an idempotency key.
 
-``outcome`` speaks of the caller's present attempt and ``key_outcome`` of all
+``outcome`` describes the caller's current attempt, and ``key_outcome`` all
 attempts under the key.
 """
 
@@ -21,7 +21,7 @@
 
 
 def reused(key_outcome: outcomes.Outcome) -> refusals.Refusal:
-    """The key was sent before, with another request."""
+    """The key was already used with a different request."""
     return _refusal(
         refusals.Reason.KEY_REUSED,
         key_outcome,
@@ -35,12 +35,12 @@
 
 
 def outcome_unknown(detail: str) -> refusals.Refusal:
-    """An attempt under the key may have run, and nobody can tell any more."""
+    """An attempt under the key may have run, and its outcome is lost."""
     return _refusal(refusals.Reason.KEY_OUTCOME_UNKNOWN, _UNKNOWN, detail)
 
 
 def answer_not_kept() -> refusals.Refusal:
-    """The request was done, but its answer was too large or too old to keep."""
+    """The request was done, but its answer was too large or old to keep."""
     return _refusal(
         refusals.Reason.KEY_DONE,
         _DONE,
@@ -49,7 +49,7 @@
 
 
 def answer_unavailable() -> refusals.Refusal:
-    """The request was done, but its answer cannot be read for now."""
+    """The request was done, but its answer is temporarily unreadable."""
     return _refusal(
         refusals.Reason.CLAIM_UNAVAILABLE,
         _DONE,
@@ -66,19 +66,19 @@
 
 
 def ticket_invalid(detail: str) -> refusals.Refusal:
-    """The ticket is damaged, forged, or another account's."""
+    """The ticket is malformed, forged, or issued to another account."""
     return _refusal(refusals.Reason.TICKET_INVALID, _UNKNOWN, detail)
 
 
 def ticket_expired(key_outcome: outcomes.Outcome) -> refusals.Refusal:
-    """The ticket is past its time."""
+    """The ticket has expired."""
     return _refusal(
         refusals.Reason.TICKET_EXPIRED, key_outcome, "the ticket has expired"
     )
 
 
 def ticket_issuer_gone(host: str) -> refusals.Refusal:
-    """The only process that could run the ticket is gone."""
+    """The process that issued the ticket no longer runs."""
     return _refusal(
         refusals.Reason.TICKET_ISSUER_GONE,
         _UNKNOWN,
@@ -87,7 +87,7 @@
 
 
 def tickets_full() -> refusals.Refusal:
-    """This host remembers as many used tickets as it can."""
+    """This host has reached its limit of remembered used tickets."""
     return _refusal(
         refusals.Reason.OVERLOADED,
         _NOT_RUN,
--- a/src/hoistmoor/core/once/runs.py
+++ b/src/hoistmoor/core/once/runs.py
@@ -1,4 +1,4 @@
-"""The run of one claim of this host's own, from the claim to its end."""
+"""Run of a claim of this host, from the claim to its end."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 
 
 class Stage(enum.Enum):
-    """How far a run has come."""
+    """Stage of a run."""
 
     CLAIMING = enum.auto()  # The claim has not been read back.
-    WON = enum.auto()  # Holds the key; nobody runs it yet.
+    WON = enum.auto()  # The claim holds the key, but the run has not started.
     RUNNING = enum.auto()
-    ENDED = enum.auto()  # Its end has not been read back.
+    ENDED = enum.auto()  # The end has not been read back.
 
 
 @attrs.define(eq=False)
 class Run:
-    """A claim that this process has made and what became of it so far.
+    """Claim made by this process, and its current state.
 
     Attributes:
         claim: The claim.
-        claim_id: Names the claim among those of all hosts.
-        stage: How far it has come.
-        waiters: Ids of the requests that wait for it.
-        sent: Whether an append that carries the claim was started.
+        claim_id: Id of the claim, unique over all hosts.
+        stage: Current stage.
+        waiters: Ids of the requests that wait for the run.
+        sent: Whether an append with the claim was started.
         lost: Whether the reply to such an append was lost.
-        outcome: What became of the run, once it has ended.
+        outcome: Outcome of the run, once it has ended.
     """
 
     claim: records.Claim
@@ -43,5 +43,5 @@
 
     @property
     def is_unstarted(self) -> bool:
-        """Whether it can still be given up without a run."""
+        """Whether the claim can still be abandoned without a run."""
         return self.stage in (Stage.CLAIMING, Stage.WON)
--- a/src/hoistmoor/core/once/ticket_book.py
+++ b/src/hoistmoor/core/once/ticket_book.py
@@ -1,7 +1,7 @@
-"""The memory of one process about the tickets that it issued.
+"""Issued tickets of one process, and the state of the used ones.
 
-Only used tickets take memory, and only until they expire. A full book refuses
-to start more of them rather than forget one that it must not run again.
+Only used tickets take memory, and only until they expire. At capacity, further
+tickets are refused, because forgetting a used one would let it run again.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 
 @attrs.frozen
 class Running:
-    """The ticket is in use; ask again once its run ends."""
+    """The ticket is in use; the request must ask again when its run ends."""
 
     permit_id: str
 
 
 @attrs.define
-class _Use:
+class _TicketUse:
     fingerprint: str
     expires_at: float
     outcome: outcomes.Outcome | None = None  # None while it runs.
@@ -44,14 +44,14 @@
 
 
 class TicketBook:
-    """Issues tickets and lets each run once.
+    """Issues tickets and lets each of them run at most once.
 
     Attributes:
-        incarnation: This process.
-        address: ``ip:port`` of this host's callers' interface.
-        lifetime: Seconds that a ticket is good for.
-        capacity: Used tickets remembered at most.
-        answers: Answers in memory.
+        incarnation: Incarnation of this process.
+        address: ``ip:port`` of the interface for callers on this host.
+        lifetime: Seconds for which a ticket is valid.
+        capacity: Maximum number of used tickets to remember.
+        answers: In-memory cache of answers.
     """
 
     def __init__(
@@ -69,18 +69,18 @@
         self.answers = answers.AnswerCache()
         self._secrets = tuple(secrets)
         self._serial = 0
-        # All tickets live equally long, so serials expire in their order;
-        # uses are dropped as they are found expired.
-        self._uses: collections.OrderedDict[int, _Use] = (
+        # All tickets have the same lifetime, so they expire in the order of
+        # their serials. Expired uses are dropped when the next run starts.
+        self._uses: collections.OrderedDict[int, _TicketUse] = (
             collections.OrderedDict()
         )
 
     def __len__(self) -> int:
-        """Returns how many used tickets are remembered."""
+        """Returns the number of remembered used tickets."""
         return len(self._uses)
 
     def issue(self, account: str, now: float) -> str:
-        """Returns a new ticket for a client account."""
+        """Issues a new ticket to a client account."""
         self._serial += 1
         ticket = tickets.Ticket(
             self.incarnation,
@@ -92,7 +92,7 @@
         return tickets.sign(ticket, self._secrets)
 
     def read(self, text: str, account: str) -> tickets.Ticket | None:
-        """Returns the ticket if it is genuine and ``account``'s own."""
+        """Returns the ticket if it is valid and was issued to ``account``."""
         try:
             ticket = tickets.verify(text, self._secrets)
         except ValueError:
@@ -105,7 +105,7 @@
         """Returns whether a ticket of this process may run now.
 
         Args:
-            ticket: What ``read`` gave; issued by this incarnation.
+            ticket: A ticket from ``read``, issued by this incarnation.
             text: The ticket as the caller sent it.
             fingerprint: Digest of the request.
             now: Seconds since the epoch.
@@ -114,9 +114,9 @@
         if use is not None:
             if use.fingerprint != fingerprint and _may_have_run(use):
                 return replies.reused(use.outcome or outcomes.Outcome.UNKNOWN)
-            known = self._known(ticket, use)
-            if known is not None:
-                return known
+            result = self._result_of_use(ticket, use)
+            if result is not None:
+                return result
         if now >= ticket.expires_at:
             return replies.ticket_expired(_outcome_when_expired(use))
         return self._start(ticket, text, fingerprint, now)
@@ -127,13 +127,15 @@
         outcome: outcomes.Outcome,
         answer: permits.StoredAnswer | None,
     ) -> None:
-        """Records what became of a run; ``not_run`` frees the ticket."""
+        """Records the outcome of a run; ``not_run`` frees the ticket."""
         use = self._uses[_serial(permit.id)]
         use.outcome = outcome
         if answer is not None:
             self.answers.put(permit.id, answer)
 
-    def _known(self, ticket: tickets.Ticket, use: _Use) -> BookResult | None:
+    def _result_of_use(
+        self, ticket: tickets.Ticket, use: _TicketUse
+    ) -> BookResult | None:
         permit_id = self._permit_id(ticket)
         if use.outcome is None:
             return Running(permit_id)
@@ -149,7 +151,7 @@
         self._drop_expired(now)
         if len(self._uses) >= self.capacity and ticket.serial not in self._uses:
             return replies.tickets_full()
-        self._uses[ticket.serial] = _Use(fingerprint, ticket.expires_at)
+        self._uses[ticket.serial] = _TicketUse(fingerprint, ticket.expires_at)
         return permits.Permit(
             permits.PermitKind.TICKET,
             ticket.account,
@@ -168,12 +170,12 @@
         return f"{self.incarnation}.t{ticket.serial:x}"
 
 
-def _may_have_run(use: _Use) -> bool:
+def _may_have_run(use: _TicketUse) -> bool:
     return use.outcome is not outcomes.Outcome.NOT_RUN
 
 
-def _outcome_when_expired(use: _Use | None) -> outcomes.Outcome:
-    # An expired use may have been forgotten.
+def _outcome_when_expired(use: _TicketUse | None) -> outcomes.Outcome:
+    # The use of an expired ticket may have been dropped.
     if use is None or use.outcome is None:
         return outcomes.Outcome.UNKNOWN
     return use.outcome
--- a/src/hoistmoor/core/once/tickets.py
+++ b/src/hoistmoor/core/once/tickets.py
@@ -1,8 +1,8 @@
-"""Signed tickets: idempotency keys that only their issuer honours.
+"""Signed tickets: idempotency keys that only their issuer accepts.
 
-A ticket names the incarnation that issued it. Its state is kept in that
-process's memory and nowhere else, so no second host can run it and no log is
-needed. If the process is gone, what became of the ticket is unknown for ever.
+A ticket names the incarnation that issued it. Its state exists only in the
+memory of that process, so no other host can run it and no log is needed. When
+the process ends, the outcome of its tickets is lost.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 
 @attrs.frozen
 class Ticket:
-    """What a ticket says.
+    """Contents of a ticket.
 
     Attributes:
         incarnation: The process that issued it.
-        address: ``ip:port`` of the issuer's callers' interface.
-        serial: Counts the issuer's tickets from 1.
+        address: ``ip:port`` of the issuer's interface for callers.
+        serial: Sequence number among the issuer's tickets, from 1.
         account: The client account that may use it.
         expires_at: Seconds since the epoch.
     """
@@ -44,12 +44,12 @@
 
 
 def is_ticket(key: str) -> bool:
-    """Returns whether an idempotency key has the form of a ticket."""
+    """Returns whether an idempotency key has the format of a ticket."""
     return key.startswith(PREFIX)
 
 
 def sign(ticket: Ticket, secrets: Sequence[bytes]) -> str:
-    """Returns the caller's idempotency key, signed with the first secret."""
+    """Encodes a ticket as an idempotency key signed with the first secret."""
     fields = [
         ticket.incarnation.host,
         ticket.incarnation.number,
@@ -63,14 +63,14 @@
 
 
 def verify(text: str, secrets: Sequence[bytes]) -> Ticket:
-    """Returns the ticket that ``text`` spells.
+    """Decodes and verifies a ticket.
 
     Raises:
-        ValueError: The text is damaged, or signed with no secret in use.
+        ValueError: The text is malformed, or not signed with a known secret.
     """
     payload, _, mac = text.removeprefix(PREFIX).partition(".")
     if not any(_is_mac(mac, payload, secret) for secret in secrets):
-        raise ValueError("the ticket's signature is wrong")
+        raise ValueError("ticket signature does not match any secret")
     host, number, address, serial, account, expires_at = orjson.loads(
         _decode(payload)
     )
--- a/src/hoistmoor/core/once/view.py
+++ b/src/hoistmoor/core/once/view.py
@@ -1,18 +1,19 @@
-"""What one reader of the claims stream knows of each key.
+"""State of each key, as one reader of the claims stream knows it.
 
-The stream is folded in the order of its offsets. Per key:
+The stream is folded in the order of its offsets. The states of a key are:
 
     free --claim--> held --done--> done
                      |  `--unknown--> unknown
                      `--not_run--> free
 
-The claim with the lowest offset holds a free key. A claim that lands while
-the key is held or closed is void for ever, also once the key is free again.
+The claim with the lowest offset acquires a free key. A claim that is stored
+while the key is held, done or unknown is permanently void, even if the key
+becomes free again.
 
-A key is forgotten after a window without any record on it. A reader that
-starts later than the stream does cannot tell a key that was free from one
-whose older records it missed. It may call a claim the winner only if it has
-read a whole window before it. See docs/design/at-most-once.md.
+A key is forgotten after a window without any record for it. A reader that
+starts after the beginning of the stream cannot distinguish a free key from one
+whose older records it missed. It may accept a claim as the winner only if it
+has read a whole window before the claim. See docs/design/at-most-once.md.
 """
 
 from __future__ import annotations
@@ -30,12 +31,12 @@
 if TYPE_CHECKING:
     from hoistmoor.core.once import records
 
-_OWNERS_KEPT = 10_000
-DEFAULT_WINDOW = 1800.0  # Seconds; the log keeps records for longer.
+_MAX_OWNERS = 10_000  # Maximum number of interned owners.
+DEFAULT_WINDOW = 1800.0  # Seconds; the log retains records for longer.
 
 
 class Status(enum.Enum):
-    """Where a key stands."""
+    """Status of a key."""
 
     FREE = enum.auto()
     HELD = enum.auto()
@@ -44,22 +45,22 @@
 
 
 class Verdict(enum.Enum):
-    """What a claim's place in the stream decided."""
+    """Result of a claim, decided by its position in the stream."""
 
     WON = enum.auto()
     VOID = enum.auto()
-    UNCERTAIN = enum.auto()  # This reader cannot tell: treat it as void.
+    UNCERTAIN = enum.auto()  # Unknown to this reader; treated as void.
 
 
 @attrs.frozen
 class Settled:
-    """A claim read from the stream.
+    """Claim read from the stream, with its result.
 
     Attributes:
-        owner: The process that claims.
-        serial: The owner's serial of the claim.
+        owner: Process that made the claim.
+        serial: Serial of the claim at its owner.
         key: Digest of the key.
-        verdict: What its place decided.
+        verdict: Result of the claim.
     """
 
     owner: identity.Incarnation
@@ -70,18 +71,18 @@
 
 @attrs.define
 class KeyState:
-    """What is known of one key.
+    """Known state of one key.
 
     Attributes:
-        status: Where the key stands.
-        certain: Whether this reader saw every record on the key that counts.
+        status: Status of the key.
+        certain: Whether this reader saw all relevant records for the key.
         holder: Id of the claim that holds or held the key.
-        owner: The process whose claim that is.
-        address: ``ip:port`` of the owner's callers' interface.
+        owner: Process that owns that claim.
+        address: ``ip:port`` of the owner's interface for callers.
         fingerprint: Digest of the holder's request.
-        answer_offset: Offset of the batch with the answer; -1 for none kept.
-        last_at: When the newest record on the key was stored.
-        spent: Ids of claims that cannot win any more.
+        answer_offset: Offset of the batch with the answer; -1 if there is none.
+        last_at: Time at which the newest record for the key was stored.
+        spent: Ids of claims that can no longer win.
     """
 
     status: Status = Status.FREE
@@ -95,13 +96,13 @@
     spent: tuple[str, ...] = ()
 
     def is_reused(self, fingerprint: str) -> bool:
-        """Returns whether the key stands for another request."""
+        """Returns whether the key belongs to a different request."""
         if self.status is Status.FREE or not self.fingerprint:
             return False
         return self.fingerprint != fingerprint
 
-    def spend(self, claim_id: str) -> None:
-        """Makes a claim void for ever."""
+    def void_claim(self, claim_id: str) -> None:
+        """Makes a claim permanently void."""
         if claim_id not in self.spent:
             self.spent += (claim_id,)
 
@@ -115,12 +116,13 @@
 
 
 class KeyView:
-    """Folds the claims stream.
+    """Fold of the claims stream.
 
     Attributes:
-        window: Seconds that a key is remembered after its newest record.
-        next_offset: Where to read on.
-        last_at: When the newest record read was stored, by the log's clock.
+        window: Seconds for which a key is remembered after its newest record.
+        next_offset: Offset of the next record to read.
+        last_at: Time at which the newest record read was stored, by the log's
+            clock.
     """
 
     def __init__(self, window: float = DEFAULT_WINDOW) -> None:
@@ -128,19 +130,19 @@
         self.next_offset = 0
         self.last_at = 0.0
         self._owners: dict[str, tuple[identity.Incarnation, str]] = {}
-        # When the first record read was stored. None: it was the stream's
-        # first. Infinite: none was read yet.
+        # Time at which the first record read was stored. None if it was the
+        # first of the stream, infinite if none was read yet.
         self._since: float | None = None
         self._keys: collections.OrderedDict[str, KeyState] = (
             collections.OrderedDict()
         )
 
     def __len__(self) -> int:
-        """Returns how many keys are remembered."""
+        """Returns the number of remembered keys."""
         return len(self._keys)
 
     def restart(self, first_offset: int) -> None:
-        """Forgets everything and reads on from ``first_offset``.
+        """Clears the state and continues from ``first_offset``.
 
         Args:
             first_offset: The oldest offset that can be read.
@@ -150,22 +152,22 @@
         self._keys.clear()
 
     def blind_for(self, now: float) -> float:
-        """Returns the seconds until this reader can tell that a key is free.
+        """Returns the seconds until this reader can recognize a free key.
 
         Args:
             now: Seconds since the epoch.
         """
         if self._since is None:
             return 0.0
-        latest = max(now, self.last_at)  # Whichever clock is ahead.
+        latest = max(now, self.last_at)  # The later of the two clocks.
         return max(self._since + self.window - latest, 0.0)
 
     def find(self, key: str) -> KeyState:
-        """Returns what is known of a key."""
+        """Returns the known state of a key."""
         return self._keys.get(key, _FREE)
 
     def skip(self, offset: int, at: float) -> None:
-        """Passes over a record that does not decode."""
+        """Skips a record that cannot be decoded."""
         self.next_offset = offset + 1
         if self._since == math.inf:
             self._since = at
@@ -174,15 +176,15 @@
     def apply(
         self, offset: int, at: float, batch: records.ClaimBatch
     ) -> list[Settled]:
-        """Folds one record in.
+        """Applies the next record.
 
         Args:
-            offset: The record's offset; must be the next one.
-            at: When the log stored it.
+            offset: Offset of the record; must be the next one.
+            at: Time at which the log stored it.
             batch: The record.
 
         Returns:
-            The claims in it that were read for the first time.
+            The claims of the record that were read for the first time.
         """
         self.skip(offset, at)
         for ended in batch.ended:
@@ -210,10 +212,10 @@
     def _owner(
         self, batch: records.ClaimBatch
     ) -> tuple[identity.Incarnation, str]:
-        """Returns a batch's owner and its address, one object for all."""
+        """Returns the owner and address of a batch as an interned object."""
         owner = batch.owner
         name = str(owner)
-        if len(self._owners) > _OWNERS_KEPT:
+        if len(self._owners) > _MAX_OWNERS:
             self._owners.clear()
         return self._owners.setdefault(name, (owner, batch.address))
 
@@ -228,7 +230,7 @@
         claim_id = batch.claim_id(claim.serial)
         state = self._touch(claim.key)
         if claim_id == state.holder:
-            return None  # Appended twice, after a lost reply.
+            return None  # A duplicate, appended again after a lost reply.
         verdict = self._judge(state, claim_id)
         if verdict is Verdict.WON:
             state.status = Status.HELD
@@ -236,7 +238,7 @@
             state.owner, state.address = self._owner(batch)
             state.fingerprint = claim.fingerprint
         else:
-            state.spend(claim_id)
+            state.void_claim(claim_id)
         return Settled(self._owner(batch)[0], claim.serial, claim.key, verdict)
 
     def _judge(self, state: KeyState, claim_id: str) -> Verdict:
@@ -251,15 +253,15 @@
         state = self._touch(ended.key)
         status = _STATUS_BY_OUTCOME.get(ended.outcome)
         if status is None:
-            state.spend(claim_id)
+            state.void_claim(claim_id)
             if claim_id == state.holder and state.status is Status.HELD:
                 state.status = Status.FREE
                 state.holder = ""
             return
         if state.status is Status.DONE:
             return
-        # An owner's word that it ran holds also for a reader that missed the
-        # claim itself.
+        # The owner's record of a run also counts for a reader that missed the
+        # claim.
         state.status = status
         state.holder = claim_id
         state.owner, state.address = self._owner(batch)
