--- a/tests/core/once/once_cluster.py
+++ b/tests/core/once/once_cluster.py
@@ -1,8 +1,8 @@
-"""Several claimants over one log, with every fault under the test's control.
+"""Cluster of claimants on one log, with all faults controlled by the test.
 
-Nothing happens by itself: appends land, replies arrive, records are read and
-runs start only when a step says so, so a pause is simply a step not taken.
-Each step that breaks a promise raises AssertionError.
+Nothing happens by itself: appends are stored, replies arrive, records are read
+and runs start only in explicit steps. A paused process is one without steps.
+A step that violates an invariant raises AssertionError.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 
 @attrs.define(eq=False)
 class Host:
-    """One process, with what is under way at it."""
+    """One process, with its waiting requests, permits and append."""
 
     claimant: claimant_lib.Claimant
     waiting: dict[str, tuple[messages.KeyedRequest, messages.Wait]] = (
         attrs.field(factory=dict)
     )
     permits: list[tuple[str, permits.Permit]] = attrs.field(factory=list)
-    append: records.ClaimBatch | None = None  # Under way.
-    stored: bool = False  # Whether that append has taken effect.
+    append: records.ClaimBatch | None = None  # In flight.
+    stored: bool = False  # Whether the log stored that append.
 
 
 @attrs.define(eq=False)
 class Cluster:
-    """Hosts, the log, and the truth about what ran."""
+    """Hosts, the log, and a record of what actually ran."""
 
     make_claimant: type[claimant_lib.Claimant] = claimant_lib.Claimant
     retention: float = 2.5 * WINDOW
@@ -44,8 +44,8 @@
     log: list[tuple[float, records.ClaimBatch]] = attrs.field(factory=list)
     first: int = 0
     hosts: list[Host] = attrs.field(factory=list)
-    thought_dead: set[identity.Incarnation] = attrs.field(factory=set)
-    in_network: list[records.ClaimBatch] = attrs.field(factory=list)
+    suspected_dead: set[identity.Incarnation] = attrs.field(factory=set)
+    delayed: list[records.ClaimBatch] = attrs.field(factory=list)
     runs: dict[str, list[float]] = attrs.field(factory=dict)
     bodies: dict[str, list[bytes]] = attrs.field(factory=dict)
     refused: set[str] = attrs.field(factory=set)
@@ -53,14 +53,14 @@
     serial: int = 0
 
     def start(self, index: int) -> None:
-        """Starts a host, or starts it again as a new incarnation."""
+        """Starts a host, or restarts it as a new incarnation."""
         self.serial += 1
         incarnation = identity.Incarnation(f"e{index}", self.serial)
         host = Host(
             self.make_claimant(
                 incarnation,
                 f"127.0.0.{index + 1}:80",
-                lambda who: who not in self.thought_dead,
+                lambda who: who not in self.suspected_dead,
                 WINDOW,
             )
         )
@@ -68,21 +68,21 @@
         if index == len(self.hosts):
             self.hosts.append(host)
             return
-        self._lose(self.hosts[index])
+        self._crash(self.hosts[index])
         self.hosts[index] = host
 
-    def _lose(self, host: Host) -> None:
-        self.thought_dead.add(host.claimant.incarnation)
+    def _crash(self, host: Host) -> None:
+        self.suspected_dead.add(host.claimant.incarnation)
         if host.append is not None and not host.stored:
-            self.in_network.append(host.append)
-        # Nobody can ever tell what became of what was under way.
+            self.delayed.append(host.append)
+        # The outcome of everything in progress is lost with the process.
         self.lost_keys |= {r.key for r, _ in host.waiting.values()}
         self.lost_keys |= {permit.key for _, permit in host.permits}
         if host.claimant.outbox:
             self.lost_keys |= set(self.runs) | {"a", "b"}
 
     def begin(self, host: Host, key: str, forwarded: bool) -> None:
-        """A caller sends a request."""
+        """Sends a request from a caller to a host."""
         self.serial += 1
         request = messages.KeyedRequest(
             ACCOUNT, key, "f", f"r{self.serial}", forwarded
@@ -116,7 +116,7 @@
         return any(at > self.now - WINDOW / 2 for at in self.runs.get(key, ()))
 
     def give_up(self, host: Host) -> None:
-        """The longest waiting caller's deadline passes."""
+        """Lets the deadline of the longest waiting caller expire."""
         for request_id, (_, wait) in tuple(host.waiting.items())[:1]:
             del host.waiting[request_id]
             host.claimant.leave(wait, request_id)
@@ -134,13 +134,13 @@
                 self._ask(host, request)
 
     def start_append(self, host: Host) -> None:
-        """The host sends its next batch."""
+        """Starts the host's next append."""
         if host.append is None:
             host.append = host.claimant.next_batch()
             host.stored = False
 
     def land(self, host: Host) -> None:
-        """The log stores the batch; no reply yet."""
+        """Stores the host's append on the log, without a reply."""
         if host.append is not None and not host.stored:
             self._store(host.append)
             host.stored = True
@@ -149,7 +149,7 @@
         self.log.append((self.now, batch))
 
     def reply(self, host: Host) -> None:
-        """The log's reply arrives: stored, or nothing stored."""
+        """Delivers the reply of the log: stored, or not stored."""
         batch, host.append = host.append, None
         if batch is None:
             return
@@ -160,21 +160,21 @@
         self._wake(host)
 
     def lose_reply(self, host: Host) -> None:
-        """No reply comes; a batch not yet stored may land at any time."""
+        """Loses the reply; an unstored batch may still be stored later."""
         batch, host.append = host.append, None
         if batch is None:
             return
         if not host.stored:
-            self.in_network.append(batch)
+            self.delayed.append(batch)
         host.claimant.append_lost(batch, self.now)
 
     def land_late(self, index: int) -> None:
-        """A batch whose sender gave up on it lands."""
-        if self.in_network:
-            self._store(self.in_network.pop(index % len(self.in_network)))
+        """Stores a delayed batch that its sender no longer waits for."""
+        if self.delayed:
+            self._store(self.delayed.pop(index % len(self.delayed)))
 
     def read(self, host: Host, count: int) -> None:
-        """The host reads so many records."""
+        """Reads up to ``count`` records at a host."""
         for _ in range(count):
             offset = host.claimant.view.next_offset
             if offset < self.first:
@@ -188,13 +188,13 @@
         host.claimant.restart_reading(self.first)
 
     def read_all(self, host: Host) -> None:
-        """The host reads to the end."""
+        """Reads all remaining records at a host."""
         self.read(host, len(self.log) + 1)
 
     def run(
         self, host: Host, outcome: outcomes.Outcome = outcomes.Outcome.DONE
     ) -> None:
-        """The host dispatches under its oldest permit, and the run ends."""
+        """Runs the oldest permit of a host to its end."""
         if not host.permits:
             return
         request_id, permit = host.permits.pop(0)
@@ -208,7 +208,7 @@
         self._wake(host)
 
     def run_and_crash(self, index: int) -> None:
-        """The host dispatches, then dies before it can say so."""
+        """Runs a permit, and crashes the host before it records the run."""
         host = self.hosts[index]
         if host.permits:
             self._execute(*host.permits[0])
@@ -220,13 +220,13 @@
         self.runs.setdefault(permit.key, []).append(self.now)
 
     def wait_long(self, seconds: float) -> None:
-        """Time passes: deadlines go by, old records leave the log."""
+        """Advances the clock past deadlines and expires old records."""
         for host in self.hosts:
             while host.waiting:
                 self.give_up(host)
             while host.permits:
                 self.run(host, outcomes.Outcome.NOT_RUN)
-        self.in_network.clear()
+        self.delayed.clear()
         self.now += seconds
         for at, _ in self.log[self.first :]:
             if at >= self.now - self.retention:
@@ -234,8 +234,8 @@
             self.first += 1
 
     def settle(self) -> None:
-        """Ends every run and lets all that is under way come to rest."""
-        while self.in_network:
+        """Ends all runs and completes everything in progress."""
+        while self.delayed:
             self.land_late(0)
         for _ in range(6):
             for host in self.hosts:
@@ -250,12 +250,12 @@
             self.now += 2.0
 
     def check_usable(self, key: str) -> None:
-        """A key that never ran, and that no dead host took along, runs."""
+        """Checks that a key can run, unless it ran or was lost in a crash."""
         self.settle()
         if key in self.lost_keys or self.runs.get(key):
             return
         if self.first:
-            return  # A host that fell behind cannot tell that a key is free.
+            return  # A host that fell behind cannot recognize a free key.
         for host in self.hosts:
             while host.waiting:
                 self.give_up(host)
--- a/tests/core/once/test_core_once_stateful.py
+++ b/tests/core/once/test_core_once_stateful.py
@@ -1,7 +1,7 @@
 # ruff: noqa: D102
-"""At most once under every interleaving that hypothesis thinks of.
+"""Stateful tests of at-most-once execution under arbitrary interleavings.
 
-Each mutant takes one mechanism out; the same checker has to catch it.
+Each mutant disables one mechanism, and the same checker has to detect it.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 
 class AtMostOnce(stateful.RuleBasedStateMachine):
-    """Drives a cluster by random steps."""
+    """Drives a cluster with random steps."""
 
     claimant_class: type[claimant_lib.Claimant] = claimant_lib.Claimant
 
@@ -62,7 +62,7 @@
         stop=strategies.integers(1, 2 * len(STEPS)),
     )
     def serve(self, index: int, key: str, left_out: str, stop: int) -> None:
-        """Takes a request some way, one step perhaps left out."""
+        """Processes a request up to some step, possibly omitting one step."""
         host = self.cluster.hosts[index]
         self.cluster.begin(host, key, False)
         for step in STEPS[:stop]:
@@ -72,10 +72,10 @@
     @stateful.rule(
         index=hosts,
         key=strategies.sampled_from(KEYS),
-        fwd=strategies.booleans(),
+        forwarded=strategies.booleans(),
     )
-    def begin(self, index: int, key: str, fwd: bool) -> None:
-        self.cluster.begin(self.cluster.hosts[index], key, fwd)
+    def begin(self, index: int, key: str, forwarded: bool) -> None:
+        self.cluster.begin(self.cluster.hosts[index], key, forwarded)
 
     @stateful.rule(index=hosts, lands=strategies.booleans())
     def append(self, index: int, lands: bool) -> None:
@@ -121,7 +121,7 @@
     @stateful.rule(index=hosts)
     def suspect_wrongly(self, index: int) -> None:
         host = self.cluster.hosts[index]
-        self.cluster.thought_dead.add(host.claimant.incarnation)
+        self.cluster.suspected_dead.add(host.claimant.incarnation)
 
     @stateful.rule(parts=strategies.sampled_from([1, 1, 1, 2, 4, 8]))
     def wait_long(self, parts: int) -> None:
@@ -145,7 +145,7 @@
 
 
 class StartsOnReply(claimant_lib.Claimant):
-    """Starts a run once the append is acknowledged, without reading."""
+    """Starts a run on the append's reply, without reading the claim back."""
 
     def appended(self, batch: records.ClaimBatch) -> None:
         super().appended(batch)
@@ -156,8 +156,8 @@
                 self._changed[run.claim_id] = messages.Change.MOVED_ON
 
 
-class KeepsWhatItGaveUp(claimant_lib.Claimant):
-    """Releases a claim on the log but does not forget it first."""
+class KeepsAbandonedClaims(claimant_lib.Claimant):
+    """Releases a claim on the log without removing it locally first."""
 
     def _abandon_unstarted(self, run: runs.Run) -> None:
         if run.sent and run.stage.name == "CLAIMING":
@@ -166,8 +166,8 @@
         super()._abandon_unstarted(run)
 
 
-class TakesOverFromTheDead(known_keys.KnownKeys):
-    """Finds a key free whose holder seems to be gone."""
+class FreesKeysOfDeadHosts(known_keys.KnownKeys):
+    """Treats a key as free if its holder is believed to be dead."""
 
     def _held(
         self,
@@ -182,22 +182,22 @@
         return None
 
 
-class RunsAfterTheDead(claimant_lib.Claimant):
-    """Takes a key over from a host that seems to be gone."""
+class TakesOverFromDeadHosts(claimant_lib.Claimant):
+    """Takes a key over from a host that is believed to be dead."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self._known = TakesOverFromTheDead(
+        self._known = FreesKeysOfDeadHosts(
             self.incarnation, self._known.is_alive, self.answers, self.outbox
         )
 
 
 class MutantView(view_lib.KeyView):
-    """Base of views without one mechanism."""
+    """Base class of views with one mechanism disabled."""
 
 
 class LatestClaimWins(MutantView):
-    """Gives a held key to whoever claims it next."""
+    """Gives a held key to the latest claim."""
 
     def _judge(
         self, state: view_lib.KeyState, claim_id: str
@@ -207,8 +207,8 @@
         return super()._judge(state, claim_id)
 
 
-class NeverCloses(MutantView):
-    """Takes every end of a run for a release."""
+class NeverClosesKeys(MutantView):
+    """Treats every end of a run as a release."""
 
     def _end(
         self, offset: int, batch: records.ClaimBatch, ended: records.Ended
@@ -217,8 +217,8 @@
         super()._end(offset, batch, freed)
 
 
-class TrustsAnyStart(MutantView):
-    """Calls a key free that it began to read about too late."""
+class IgnoresMissedWindow(MutantView):
+    """Treats a key as free without having read a whole window."""
 
     def _sees_window(self) -> bool:
         return True
@@ -227,8 +227,8 @@
         return 0.0
 
 
-class ForgetsTheSpent(MutantView):
-    """Lets a released claim win when it lands after its release."""
+class ForgetsVoidClaims(MutantView):
+    """Lets a released claim win if it is stored after its release."""
 
     def _judge(
         self, state: view_lib.KeyState, claim_id: str
@@ -248,17 +248,17 @@
 
 MUTANTS = {
     "starts_on_reply": (StartsOnReply, "ran twice"),
-    "keeps_what_it_gave_up": (KeepsWhatItGaveUp, "ran after|ran twice"),
-    "runs_after_the_dead": (RunsAfterTheDead, "ran twice"),
+    "keeps_abandoned_claims": (KeepsAbandonedClaims, "ran after|ran twice"),
+    "takes_over_from_dead_hosts": (TakesOverFromDeadHosts, "ran twice"),
     "latest_claim_wins": (with_view(LatestClaimWins), "ran twice"),
-    "never_closes": (with_view(NeverCloses), "ran twice"),
+    "never_closes_keys": (with_view(NeverClosesKeys), "ran twice"),
 }
 
 
 @pytest.mark.parametrize("name", MUTANTS)
 def test_checker_catches_a_mechanism_taken_out(name: str) -> None:
-    mutant, complaint = MUTANTS[name]
-    with pytest.raises(AssertionError, match=complaint):
+    mutant, message = MUTANTS[name]
+    with pytest.raises(AssertionError, match=message):
         check(mutant, examples=3000)
 
 
@@ -266,7 +266,7 @@
     owner = cluster.hosts[0]
     cluster.begin(owner, "a", False)
     cluster.start_append(owner)
-    cluster.lose_reply(owner)  # The claim is still in the network.
+    cluster.lose_reply(owner)  # The claim is delayed and not stored yet.
     cluster.give_up(owner)
     cluster.start_append(owner)
     cluster.land(owner)
@@ -289,8 +289,11 @@
 
 
 HISTORIES = {
-    release_lands_before_its_claim: (ForgetsTheSpent, "can never be run"),
-    host_starts_after_retention_took_the_run: (TrustsAnyStart, "ran twice"),
+    release_lands_before_its_claim: (ForgetsVoidClaims, "can never be run"),
+    host_starts_after_retention_took_the_run: (
+        IgnoresMissedWindow,
+        "ran twice",
+    ),
 }
 
 
@@ -298,7 +301,7 @@
 def test_history_needs_its_mechanism(
     history: Callable[[once_cluster.Cluster], None],
 ) -> None:
-    mutant, complaint = HISTORIES[history]
+    mutant, message = HISTORIES[history]
     history(make_cluster(claimant_lib.Claimant))
-    with pytest.raises(AssertionError, match=complaint):
+    with pytest.raises(AssertionError, match=message):
         history(make_cluster(with_view(mutant)))
