--- a/src/hoistmoor/core/limits/accounts.py
+++ b/src/hoistmoor/core/limits/accounts.py
@@ -22,7 +22,7 @@
 
 
 @attrs.define
-class AccountUse:
+class AccountUsage:
     """Current use of this host's fraction of one account's limits.
 
     Attributes:
@@ -44,7 +44,7 @@
 
     def __init__(self, incarnation: identity.Incarnation) -> None:
         self.shares = rates.RateShares(incarnation)
-        self.uses: dict[str, AccountUse] = {}
+        self.uses: dict[str, AccountUsage] = {}
         self._arrivals = 0
 
     def enter(self, row: model.Account, now: float) -> refusals.Refusal | None:
@@ -75,13 +75,13 @@
 
     def _use(
         self, row: model.Account, fraction: float, now: float
-    ) -> AccountUse:
+    ) -> AccountUsage:
         rate = row.rate_limit * fraction
         burst = max(1.0, rate * BURST_SECONDS) if rate > 0 else 0.0
         use = self.uses.get(row.account)
         if use is None:
             bucket = buckets.TokenBucket(rate, burst, burst, now)
-            use = self.uses[row.account] = AccountUse(bucket)
+            use = self.uses[row.account] = AccountUsage(bucket)
         if use.bucket.rate != rate:
             use.bucket.set_rate(rate, burst, now)
         return use
--- a/src/hoistmoor/core/limits/adaptive.py
+++ b/src/hoistmoor/core/limits/adaptive.py
@@ -24,13 +24,13 @@
         floor: Minimum number of slots.
         ceiling: Maximum number of slots.
         value: Current number of slots, including the fraction earned so far.
-        lowered_at: Time of the last decrease.
+        decreased_at: Time of the last decrease.
     """
 
     floor: int
     ceiling: int
     value: float
-    lowered_at: float = float("-inf")
+    decreased_at: float = float("-inf")
 
     @property
     def slots(self) -> int:
@@ -52,7 +52,7 @@
 
     def on_decline(self, now: float) -> None:
         """Lowers the number of slots, at most once per interval."""
-        if now - self.lowered_at < _DECREASE_INTERVAL:
+        if now - self.decreased_at < _DECREASE_INTERVAL:
             return
-        self.lowered_at = now
+        self.decreased_at = now
         self.value = max(float(self.floor), self.value * _DECREASE_FACTOR)
--- a/src/hoistmoor/core/limits/book.py
+++ b/src/hoistmoor/core/limits/book.py
@@ -120,12 +120,12 @@
         )
 
     def ask_peer(
-        self, giver: str, account: str, cost: int, day: int, urgent: bool
+        self, donor: str, account: str, cost: int, day: int, urgent: bool
     ) -> transfers.TransferAsk:
         """Returns a transfer request for a peer, on behalf of a request.
 
         Args:
-            giver: Name of the peer.
+            donor: Name of the peer.
             account: Client account.
             cost: Micros that the request needs.
             day: UTC day on which the request arrived.
@@ -135,14 +135,14 @@
         demand = self.wallet.share(account, day).demand
         low_water = int(demand * wallet.LOW_SECONDS)
         amount = max(2 * cost, low_water, terms.floor // 2)
-        return self.transfers.ask(giver, account, day, amount, urgent)
+        return self.transfers.ask(donor, account, day, amount, urgent)
 
     def give_peer(
-        self, ask: transfers.TransferAsk, now: float
+        self, request: transfers.TransferAsk, now: float
     ) -> transfers.TransferAnswer:
         """Answers a peer's request, deducting from this host's share."""
-        terms = self.terms(ask.account, ask.day)
-        return self.transfers.give(ask, terms, now)
+        terms = self.terms(request.account, request.day)
+        return self.transfers.give(request, terms, now)
 
     def plan(
         self, now: float, needs: Mapping[str, int]
--- a/src/hoistmoor/core/limits/gifts.py
+++ b/src/hoistmoor/core/limits/gifts.py
@@ -16,11 +16,11 @@
 
 if TYPE_CHECKING:
     from hoistmoor.core import identity
-    from hoistmoor.core.limits import wallet as wallet_lib
+    from hoistmoor.core.limits import wallet as local_shares_lib
 
 
 @attrs.frozen
-class GiftItem:
+class HandoffItem:
     """Amount in micros from one account's share for one UTC day."""
 
     account: str
@@ -44,7 +44,7 @@
     incarnation: int
     serial: int
     to: int
-    items: tuple[GiftItem, ...]
+    items: tuple[HandoffItem, ...]
 
 
 @attrs.frozen
@@ -71,10 +71,12 @@
     """
 
     def __init__(
-        self, incarnation: identity.Incarnation, wallet: wallet_lib.Wallet
+        self,
+        incarnation: identity.Incarnation,
+        local_shares: local_shares_lib.Wallet,
     ) -> None:
         self.incarnation = incarnation
-        self.wallet = wallet
+        self.wallet = local_shares
         self._serial = 0
         # Newest incarnation and its newest handoff serial, by sending host.
         self._seen: dict[str, tuple[int, int]] = {}
@@ -92,23 +94,23 @@
         for (account, day), share in sorted(self.wallet.shares.items()):
             amount = share.left // peers
             if day >= today and amount > 0:
-                items.append(GiftItem(account, day, amount))
+                items.append(HandoffItem(account, day, amount))
                 share.granted -= amount
                 share.given += amount
         self._serial += 1
         own = self.incarnation
         return Gift(own.host, own.number, self._serial, to, tuple(items))
 
-    def receive(self, gift: Gift) -> Receipt:
+    def receive(self, handoff: Gift) -> Receipt:
         """Credits a handoff, at most once."""
-        sequence = gift.incarnation, gift.serial
-        newest = self._seen.get(gift.host)
-        if gift.to != self.incarnation.number or (
+        sequence = handoff.incarnation, handoff.serial
+        newest = self._seen.get(handoff.host)
+        if handoff.to != self.incarnation.number or (
             newest and sequence <= newest
         ):
             return Receipt(counted=False)
-        self._seen[gift.host] = sequence
-        for item in gift.items:
+        self._seen[handoff.host] = sequence
+        for item in handoff.items:
             share = self.wallet.share(item.account, item.day)
             share.granted += max(0, item.amount)
             share.taken += max(0, item.amount)
--- a/src/hoistmoor/core/limits/pools.py
+++ b/src/hoistmoor/core/limits/pools.py
@@ -28,7 +28,7 @@
 
     DONE = enum.auto()
     FAILED = enum.auto()
-    DECLINED = enum.auto()  # The backend server was full or leaving.
+    DECLINED = enum.auto()  # The backend server was full or had left.
 
 
 @attrs.define
--- a/src/hoistmoor/core/limits/rates.py
+++ b/src/hoistmoor/core/limits/rates.py
@@ -25,12 +25,12 @@
 
     _Pick = Callable[[float, float], float]
 
-LEAST_WEIGHT = 0.25
-MOST_WEIGHT = 8.0
+MIN_WEIGHT = 0.25
+MAX_WEIGHT = 8.0
 SETTLE_SECONDS = 5.0  # Time until a changed weight fully applies.
-GONE_SECONDS = 30.0  # A lost host is counted for this long.
+LOST_HOST_SECONDS = 30.0  # A lost host is counted for this long.
 REPORT_SECONDS = 60.0  # Minimum time between two reports of a host.
-RENEW_SECONDS = 1_800.0  # Age at which an unchanged report is renewed.
+RENEWAL_SECONDS = 1_800.0  # Age at which an unchanged report is renewed.
 _CACHE_SECONDS = 1.0  # Time for which a computed fraction is cached.
 _HALF_LIFE = 60.0  # Half-life of the smoothed demand, in seconds.
 
@@ -112,7 +112,7 @@
             account for host, account in self._weights if host == report.host
         }
         for account in known | set(reported):
-            value = reported.get(account, LEAST_WEIGHT)
+            value = reported.get(account, MIN_WEIGHT)
             self._set_weight((report.host, account), value, now)
         self._fractions.clear()
 
@@ -141,7 +141,7 @@
         if now - self._reported_at < REPORT_SECONDS:
             return None
         weights = self._own_weights(limits, now)
-        renew = weights and now - self._reported_at >= RENEW_SECONDS
+        renew = weights and now - self._reported_at >= RENEWAL_SECONDS
         if weights == self._reported and not renew:
             return None
         self._reported = weights
@@ -174,7 +174,7 @@
             demand.decay(now)
             limit = limits.get(account, 0.0)
             weight = _weight_of(demand.rate, limit / hosts)
-            if weight > LEAST_WEIGHT:
+            if weight > MIN_WEIGHT:
                 weights.append(records.DemandWeight(account, weight))
         return tuple(weights)
 
@@ -184,7 +184,7 @@
         known = self._weights.get(key)
         if known and known.value == value:
             return
-        before = known.value if known else LEAST_WEIGHT
+        before = known.value if known else MIN_WEIGHT
         self._weights[key] = _Weight(value, before, now)
 
     def _weight(
@@ -192,7 +192,7 @@
     ) -> float:
         known = self._weights.get((host, account))
         if known is None:
-            return LEAST_WEIGHT
+            return MIN_WEIGHT
         if now - known.since < SETTLE_SECONDS:
             return pick(known.value, known.before)
         return known.value
@@ -201,7 +201,7 @@
         gone = {
             host
             for host, at in self._gone_at.items()
-            if now - at > GONE_SECONDS
+            if now - at > LOST_HOST_SECONDS
         }
         if not gone:
             return
@@ -218,6 +218,6 @@
 def _weight_of(demand: float, equal_share: float) -> float:
     """Returns the demand relative to an equal share, as a power of two."""
     if demand <= 0 or equal_share <= 0:
-        return LEAST_WEIGHT
+        return MIN_WEIGHT
     power = round(math.log2(demand / equal_share))
-    return min(MOST_WEIGHT, max(LEAST_WEIGHT, 2.0**power))
+    return min(MAX_WEIGHT, max(MIN_WEIGHT, 2.0**power))
--- a/src/hoistmoor/core/limits/transfers.py
+++ b/src/hoistmoor/core/limits/transfers.py
@@ -14,12 +14,12 @@
 import attrs
 
 from hoistmoor.core import codec
-from hoistmoor.core.limits import wallet as wallet_lib
+from hoistmoor.core.limits import wallet as local_shares_lib
 
 if TYPE_CHECKING:
     from hoistmoor.core import identity
 
-KEPT_ANSWERS = 32  # Per recipient; requests older than these get nothing.
+MAX_KEPT_ANSWERS = 32  # Per recipient; requests older than these get nothing.
 # A donor keeps its share divided by this for its own urgent requests.
 _URGENT_RESERVE_DIVISOR = 4
 
@@ -80,13 +80,13 @@
 
     def is_new(self, serial: int) -> bool:
         """Returns whether ``serial`` was certainly never answered."""
-        full = len(self.answers) >= KEPT_ANSWERS
+        full = len(self.answers) >= MAX_KEPT_ANSWERS
         return not full or serial > min(self.answers)
 
     def store(self, answer: TransferAnswer) -> None:
         """Stores an answer and evicts the oldest one above the limit."""
         self.answers[answer.serial] = answer
-        if len(self.answers) > KEPT_ANSWERS:
+        if len(self.answers) > MAX_KEPT_ANSWERS:
             del self.answers[min(self.answers)]
 
 
@@ -99,10 +99,12 @@
     """
 
     def __init__(
-        self, incarnation: identity.Incarnation, wallet: wallet_lib.Wallet
+        self,
+        incarnation: identity.Incarnation,
+        local_shares: local_shares_lib.Wallet,
     ) -> None:
         self.incarnation = incarnation
-        self.wallet = wallet
+        self.wallet = local_shares
         self._serial = 0
         self._open: dict[tuple[str, str], TransferAsk] = {}
         self._recipients: dict[str, _Recipient] = {}
@@ -127,49 +129,51 @@
             return pending
         self._serial += 1
         own = self.incarnation
-        ask = TransferAsk(
+        request = TransferAsk(
             own.host, own.number, self._serial, account, day, amount, urgent
         )
-        self._open[donor, account] = ask
-        return ask
+        self._open[donor, account] = request
+        return request
 
     def take(self, answer: TransferAnswer) -> int:
         """Credits an answer at most once, and returns its micros."""
-        ask = self._pop_open(answer)
-        if ask is None:
+        request = self._pop_open(answer)
+        if request is None:
             return 0
-        amount = max(0, min(answer.amount, ask.amount))
-        share = self.wallet.share(ask.account, ask.day)
+        amount = max(0, min(answer.amount, request.amount))
+        share = self.wallet.share(request.account, request.day)
         share.granted += amount
         share.taken += amount
         return amount
 
     def give(
-        self, ask: TransferAsk, terms: wallet_lib.Terms, now: float
+        self, request: TransferAsk, terms: local_shares_lib.Terms, now: float
     ) -> TransferAnswer:
         """Deducts what a peer gets from this host's share, and answers it."""
-        recipient = self._recipients.get(ask.host)
-        if recipient is None or recipient.incarnation < ask.incarnation:
-            recipient = self._recipients[ask.host] = _Recipient(ask.incarnation)
-        if recipient.incarnation > ask.incarnation:
-            return _make_answer(ask, 0)  # From a replaced process.
-        if ask.serial in recipient.answers:
-            return recipient.answers[ask.serial]
-        if not recipient.is_new(ask.serial):
-            return _make_answer(ask, 0)
-        answer = _make_answer(ask, self._deduct(ask, terms, now))
+        recipient = self._recipients.get(request.host)
+        if recipient is None or recipient.incarnation < request.incarnation:
+            recipient = self._recipients[request.host] = _Recipient(
+                request.incarnation
+            )
+        if recipient.incarnation > request.incarnation:
+            return _make_answer(request, 0)  # From a replaced process.
+        if request.serial in recipient.answers:
+            return recipient.answers[request.serial]
+        if not recipient.is_new(request.serial):
+            return _make_answer(request, 0)
+        answer = _make_answer(request, self._deduct(request, terms, now))
         recipient.store(answer)
         return answer
 
     def _deduct(
-        self, ask: TransferAsk, terms: wallet_lib.Terms, now: float
+        self, request: TransferAsk, terms: local_shares_lib.Terms, now: float
     ) -> int:
-        share = self.wallet.shares.get((ask.account, ask.day))
-        if share is None or ask.host == self.incarnation.host:
+        share = self.wallet.shares.get((request.account, request.day))
+        if share is None or request.host == self.incarnation.host:
             return 0
         amount = max(
             0,
-            min(ask.amount, _peer_offer(share, terms, now, ask.urgent)),
+            min(request.amount, _peer_offer(share, terms, now, request.urgent)),
         )
         share.granted -= amount
         share.given += amount
@@ -177,23 +181,25 @@
 
     def _pop_open(self, answer: TransferAnswer) -> TransferAsk | None:
         """Removes and returns the open request that ``answer`` is for."""
-        for key, ask in self._open.items():
-            if self._answers(answer, ask):
+        for key, request in self._open.items():
+            if self._answers(answer, request):
                 return self._open.pop(key)
         return None
 
-    def _answers(self, answer: TransferAnswer, ask: TransferAsk) -> bool:
+    def _answers(self, answer: TransferAnswer, request: TransferAsk) -> bool:
         owner = answer.host, answer.incarnation, answer.serial
-        return owner == (ask.host, ask.incarnation, ask.serial)
+        return owner == (request.host, request.incarnation, request.serial)
 
 
-def _make_answer(ask: TransferAsk, amount: int) -> TransferAnswer:
-    return TransferAnswer(ask.host, ask.incarnation, ask.serial, amount)
+def _make_answer(request: TransferAsk, amount: int) -> TransferAnswer:
+    return TransferAnswer(
+        request.host, request.incarnation, request.serial, amount
+    )
 
 
 def _peer_offer(
-    share: wallet_lib.Share,
-    terms: wallet_lib.Terms,
+    share: local_shares_lib.Share,
+    terms: local_shares_lib.Terms,
     now: float,
     urgent: bool,
 ) -> int:
@@ -207,13 +213,15 @@
     if urgent:
         return left // 2
     share.decay(now)
-    own_demand = int(share.demand * wallet_lib.LOW_SECONDS)
+    own_demand = int(share.demand * local_shares_lib.LOW_SECONDS)
     return (
         left - max(own_demand, share.granted // _URGENT_RESERVE_DIVISOR)
     ) // 2
 
 
-def transferable(share: wallet_lib.Share, terms: wallet_lib.Terms) -> int:
+def transferable(
+    share: local_shares_lib.Share, terms: local_shares_lib.Terms
+) -> int:
     """Returns the granted micros that are not needed to cover local use.
 
     After the limit is lowered below the total granted, a granted micro covers
--- a/src/hoistmoor/core/limits/wallet.py
+++ b/src/hoistmoor/core/limits/wallet.py
@@ -16,19 +16,19 @@
 CHUNK_SECONDS = 600.0  # Seconds of local demand that one ask covers.
 LOW_SECONDS = 120.0  # Below this many seconds of demand, more is requested.
 IDLE_SECONDS = 600.0  # Time after which an unneeded amount is returned.
-FLOOR_PART = 8  # All floors together are the limit divided by this.
+FLOOR_DIVISOR = 8  # All floors together are the limit divided by this.
 # Before a host knows the other hosts, it assumes at least this many of them, so
 # that the first shares of all hosts together stay within the floors.
 MOST_HOSTS = 360
 ASK_TIMEOUT = 30.0  # Seconds until an ask that was not read back is dropped.
 # Initial and maximum delay after an ask that was granted nothing, in seconds.
-REASK_AFTER = 5.0
-MAX_REASK_AFTER = 60.0
+MIN_ASK_BACKOFF = 5.0
+MAX_ASK_BACKOFF = 60.0
 # Minimum seconds between two asks for one account over all hosts.
 ASK_SPACING = 0.02
 # Minimum seconds between two repeats of ungranted asks over all hosts.
 REPEAT_SPACING = 5.0
-STARVED_SECONDS = 30.0  # Minimum time between returns for starved hosts.
+STARVED_RETURN_SECONDS = 30.0  # Minimum time between returns for starved hosts.
 _DEMAND_HALF_LIFE = 120.0  # Half-life of the smoothed demand, in seconds.
 
 
@@ -44,7 +44,7 @@
         demand_at: Time of the last update of ``demand``.
         pending: Serial of the ask that was not read back yet; 0 for none.
         asked_at: Time of the last ask.
-        ask_again_at: Earliest time of the next ask.
+        next_ask_at: Earliest time of the next ask.
         refusals: Number of consecutive asks that were granted nothing.
         returned_at: Time of the last return, or of the first grant.
         refused_seen: Refused asks over all hosts at the last return.
@@ -60,7 +60,7 @@
     demand_at: float = 0.0
     pending: int = 0
     asked_at: float = 0.0
-    ask_again_at: float = 0.0
+    next_ask_at: float = 0.0
     refusals: int = 0
     returned_at: float = 0.0
     refused_seen: int = 0
@@ -118,10 +118,10 @@
         hosts = self.hosts
         if not self.is_settled:
             hosts = max(hosts, MOST_HOSTS)
-        return self.limit // (FLOOR_PART * hosts)
+        return self.limit // (FLOOR_DIVISOR * hosts)
 
     @property
-    def crumb(self) -> int:
+    def min_append(self) -> int:
         """Minimum micros that justify an append without a waiting request."""
         return max(1, self.floor // 4)
 
@@ -152,7 +152,7 @@
         day: int,
         now: float,
         terms: Terms,
-        kept_part: float = 0.0,
+        retained_fraction: float = 0.0,
     ) -> bool:
         """Reserves ``cost`` if the share covers it, and returns whether it did.
 
@@ -161,10 +161,10 @@
             day: UTC day that the cost counts for.
             now: Seconds since the epoch.
             terms: Known state of the limit.
-            kept_part: Fraction of the share that must remain available.
+            retained_fraction: Fraction of the share that must remain available.
         """
         share = self.share(terms.account, day)
-        retained = int(share.granted * kept_part)
+        retained = int(share.granted * retained_fraction)
         if cost + retained > spendable(share, terms):
             return False
         share.note_demand(cost, now)
@@ -190,8 +190,8 @@
             share.pending = 0
         share.refusals = 0 if amount else share.refusals + 1
         if not amount:
-            wait = REASK_AFTER * 2.0 ** min(share.refusals - 1, 10)
-            share.ask_again_at = now + min(wait, MAX_REASK_AFTER)
+            wait = MIN_ASK_BACKOFF * 2.0 ** min(share.refusals - 1, 10)
+            share.next_ask_at = now + min(wait, MAX_ASK_BACKOFF)
 
     def failed(self, account: str, day: int, serial: int) -> None:
         """Clears a pending ask that the log did not store."""
@@ -243,7 +243,7 @@
     if need:
         return max(need, chunk)
     low = max(terms.floor // 2, int(share.demand * LOW_SECONDS))
-    return chunk if share.left <= low and chunk >= terms.crumb else 0
+    return chunk if share.left <= low and chunk >= terms.min_append else 0
 
 
 def is_exhausted(share: Share, terms: Terms, now: float) -> bool:
@@ -255,10 +255,10 @@
     """
     if not share.refusals:
         return False
-    if now < share.ask_again_at:
+    if now < share.next_ask_at:
         return True
-    repeat = max(MAX_REASK_AFTER, terms.hosts * REPEAT_SPACING)
-    return terms.remaining < terms.crumb and now - share.asked_at < repeat
+    repeat = max(MAX_ASK_BACKOFF, terms.hosts * REPEAT_SPACING)
+    return terms.remaining < terms.min_append and now - share.asked_at < repeat
 
 
 def _may_ask(share: Share, terms: Terms, now: float) -> bool:
@@ -277,11 +277,11 @@
     """
     share.decay(now)
     starved = terms.refused > share.refused_seen
-    period = STARVED_SECONDS if starved else IDLE_SECONDS
+    period = STARVED_RETURN_SECONDS if starved else IDLE_SECONDS
     if share.pending or share.refusals or now - share.returned_at < period:
         return 0
     target = int(share.demand * LOW_SECONDS)
     if not starved:
         target = max(terms.floor, int(share.demand * CHUNK_SECONDS))
     surplus = share.left - target
-    return surplus if surplus >= terms.crumb else 0
+    return surplus if surplus >= terms.min_append else 0
--- a/src/hoistmoor/core/once/claimant.py
+++ b/src/hoistmoor/core/once/claimant.py
@@ -47,7 +47,7 @@
         address: str,
         is_alive: Callable[[identity.Incarnation], bool],
         window: float = view_lib.DEFAULT_WINDOW,
-        eldest: Callable[[], str] = lambda: "",
+        find_oldest_host: Callable[[], str] = lambda: "",
         serials: Iterator[int] | None = None,
     ) -> None:
         """Creates a claimant without claims that has read nothing yet.
@@ -58,9 +58,9 @@
             is_alive: Returns whether a process is believed to be running. A
                 wrong result can cause a needless refusal, but never a run.
             window: Seconds for which a key is remembered.
-            eldest: Returns ``ip:port`` of the live host with the longest
-                uptime, or an empty string. Requests are forwarded there while
-                this host has read too little of the log to know a key.
+            find_oldest_host: Returns ``ip:port`` of the live host with the
+                longest uptime, or an empty string. Requests are forwarded there
+                while this host has read too little of the log to know a key.
             serials: Serials for the claims of this process. They must be
                 unique even if the process creates several claimants for one
                 stream.
@@ -72,7 +72,7 @@
         self._known = known_keys.KnownKeys(
             incarnation, is_alive, self.answers, self.outbox
         )
-        self._find_oldest_host = eldest
+        self._find_oldest_host = find_oldest_host
         self._serials = serials or itertools.count(1)
         self._runs: dict[str, runs_lib.Run] = {}
         self._changed: dict[str, messages.Change] = {}
--- a/src/hoistmoor/core/once/ticket_book.py
+++ b/src/hoistmoor/core/once/ticket_book.py
@@ -40,7 +40,7 @@
     outcome: outcomes.Outcome | None = None  # None while it runs.
 
 
-BookResult = permits.BeginResult | Running
+TicketResult = permits.BeginResult | Running
 
 
 class TicketBook:
@@ -101,7 +101,7 @@
 
     def begin(
         self, ticket: tickets.Ticket, text: str, fingerprint: str, now: float
-    ) -> BookResult:
+    ) -> TicketResult:
         """Returns whether a ticket of this process may run now.
 
         Args:
@@ -135,7 +135,7 @@
 
     def _result_of_use(
         self, ticket: tickets.Ticket, use: _TicketUse
-    ) -> BookResult | None:
+    ) -> TicketResult | None:
         permit_id = self._permit_id(ticket)
         if use.outcome is None:
             return Running(permit_id)
--- a/tests/core/limits/share_model.py
+++ b/tests/core/limits/share_model.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from hoistmoor.core import identity
-from hoistmoor.core.limits import book as book_lib
+from hoistmoor.core.limits import book as ledger_lib
 from hoistmoor.core.limits import gifts
 from hoistmoor.core.limits import records
 from hoistmoor.core.limits import shares
@@ -28,8 +28,8 @@
 )
 # A mutant's failing example need not be shrunk. Examples are reproducible only
 # for the same set of imported modules, because hypothesis draws constants from
-# all local sources. With one such set, none of the first 600 examples made a
-# ShareBook fail that ignores the records of other hosts.
+# all local sources. With one such set, none of the first 600 examples detected
+# the mutant that ignores the records of other hosts.
 MUTANT_SETTINGS = hypothesis.settings(
     SETTINGS, max_examples=5000, phases=(hypothesis.Phase.generate,)
 )
@@ -43,7 +43,7 @@
 class ShareMachine(stateful.RuleBasedStateMachine):
     """Three hosts share one account's limit, and any may be replaced."""
 
-    make_book = book_lib.ShareBook
+    make_ledger = ledger_lib.ShareBook
 
     def __init__(self) -> None:
         super().__init__()
@@ -51,21 +51,21 @@
         self.log: list[tuple[float, object]] = []
         self.first = 0
         self.started = 0
-        self.dead: list[book_lib.ShareBook] = []
+        self.dead: list[ledger_lib.ShareBook] = []
         self.late: list[object] = []
-        self.runs: list[tuple[book_lib.ShareBook, int, int]] = []
+        self.runs: list[tuple[ledger_lib.ShareBook, int, int]] = []
         self.truth = shares.ShareFold()
-        self.books = [self.start(index) for index in range(3)]
+        self.ledgers = [self.start(index) for index in range(3)]
 
-    def start(self, index: int) -> book_lib.ShareBook:
+    def start(self, index: int) -> ledger_lib.ShareBook:
         """Starts a new process on a host."""
         self.started += 1
         incarnation = identity.Incarnation(f"h{index}", self.started)
-        book = self.make_book(incarnation)
-        book.hosts = 3
-        book.in_force = table_of(LIMIT)
-        book.fold.begin_at(self.first)
-        return book
+        ledger = self.make_ledger(incarnation)
+        ledger.hosts = 3
+        ledger.in_force = table_of(LIMIT)
+        ledger.fold.begin_at(self.first)
+        return ledger
 
     def store(self, record: object) -> None:
         """Appends a record to the log."""
@@ -88,27 +88,30 @@
 
     def run(self, host: int, cost: int) -> bool:
         """Reserves a cost, and returns whether the share covered it."""
-        book = self.books[host]
+        ledger = self.ledgers[host]
         day = records.day_of(self.now)
-        verdict = book.reserve(ACCOUNT, cost, day, self.now)
-        if verdict is not book_lib.Verdict.RESERVED:
+        verdict = ledger.reserve(ACCOUNT, cost, day, self.now)
+        if verdict is not ledger_lib.Verdict.RESERVED:
             return False
-        self.runs.append((book, cost, day))
+        self.runs.append((ledger, cost, day))
         return True
 
     def plan(self, host: int, cost: int, fate: str) -> None:
         """Appends the requests that the host plans, with the given fate."""
-        book = self.books[host]
+        ledger = self.ledgers[host]
         needs = {ACCOUNT: cost} if cost else {}
-        for request in book.plan(self.now, needs):
-            self.send(book, request, fate)
+        for request in ledger.plan(self.now, needs):
+            self.send(ledger, request, fate)
 
     def send(
-        self, book: book_lib.ShareBook, request: records.ShareRequest, fate: str
+        self,
+        ledger: ledger_lib.ShareBook,
+        request: records.ShareRequest,
+        fate: str,
     ) -> None:
         """Appends a request; ``fate`` selects the result of the append."""
         if fate == "refused":
-            book.not_stored(request)
+            ledger.not_stored(request)
         elif fate == "lost":
             pass  # Not stored, and the host gets no reply.
         elif fate == "late":
@@ -125,19 +128,19 @@
     @stateful.rule(host=HOSTS)
     def read(self, host: int) -> None:
         """Reads the log to its end at one host."""
-        book = self.books[host]
-        if book.fold.next_offset < self.first:
-            book.fold.begin_at(self.first)
-        for offset in range(book.fold.next_offset, len(self.log)):
+        ledger = self.ledgers[host]
+        if ledger.fold.next_offset < self.first:
+            ledger.fold.begin_at(self.first)
+        for offset in range(ledger.fold.next_offset, len(self.log)):
             at, record = self.log[offset]
-            book.apply(offset, at, record, self.now)
+            ledger.apply(offset, at, record, self.now)
 
     @stateful.rule(share=st.integers(0, 4))
     def settle(self, share: int) -> None:
         """Ends a request at the given number of quarters of its estimate."""
         if self.runs:
-            book, cost, day = self.runs.pop()
-            book.wallet.settle(ACCOUNT, day, cost, cost * share // 4)
+            ledger, cost, day = self.runs.pop()
+            ledger.wallet.settle(ACCOUNT, day, cost, cost * share // 4)
 
     @stateful.rule()
     def fall_idle(self) -> None:
@@ -145,24 +148,24 @@
         while self.runs:
             self.settle(0)
         self.now += 700
-        for host in range(len(self.books)):
+        for host in range(len(self.ledgers)):
             self.tick(host, "stored")
 
     @stateful.rule(host=HOSTS, graceful=st.booleans())
     def replace(self, host: int, graceful: bool) -> None:
         """Replaces a process that stops or crashes."""
-        book = self.books[host]
+        ledger = self.ledgers[host]
         if graceful:
-            for request in book.give_back(self.now):
+            for request in ledger.give_back(self.now):
                 self.store(request)
-        self.dead.append(book)
-        self.books[host] = self.start(host)
+        self.dead.append(ledger)
+        self.ledgers[host] = self.start(host)
 
     @stateful.rule(host=HOSTS)
     def snapshot(self, host: int) -> None:
         """Delays the snapshot append of a paused process."""
-        if self.books[host].fold.can_snapshot:
-            self.late.append(self.books[host].fold.snapshot())
+        if self.ledgers[host].fold.can_snapshot:
+            self.late.append(self.ledgers[host].fold.snapshot())
 
     @stateful.rule(host=HOSTS, keep=st.sampled_from([0, 2, 5, 40]))
     def start_after_retention(self, host: int, keep: int) -> None:
@@ -179,8 +182,8 @@
     def limit_holds(self) -> None:
         """The shares of a day, including dead processes, stay in the limit."""
         totals: dict[int, list[int]] = {}
-        for book in (*self.books, *self.dead):
-            for (_, day), share in book.wallet.shares.items():
+        for ledger in (*self.ledgers, *self.dead):
+            for (_, day), share in ledger.wallet.shares.items():
                 total = totals.setdefault(day, [0, 0])
                 total[0] += share.granted
                 total[1] += share.spent + share.reserved
@@ -195,9 +198,9 @@
         today = records.day_of(self.now)
         for day in (today, today + 1):
             held = sum(
-                book.wallet.shares[ACCOUNT, day].granted
-                for book in (*self.books, *self.dead)
-                if (ACCOUNT, day) in book.wallet.shares
+                ledger.wallet.shares[ACCOUNT, day].granted
+                for ledger in (*self.ledgers, *self.dead)
+                if (ACCOUNT, day) in ledger.wallet.shares
             )
             known = self.truth.sum_for(ACCOUNT, day)
             assert held <= (known.granted if known else 0)
@@ -214,24 +217,24 @@
         self.answers: list[transfers.TransferAnswer] = []
         super().__init__()
 
-    @stateful.rule(taker=HOSTS, giver=HOSTS, cost=st.integers(1, 10))
-    def ask_peer(self, taker: int, giver: int, cost: int) -> None:
+    @stateful.rule(recipient=HOSTS, donor=HOSTS, cost=st.integers(1, 10))
+    def ask_peer(self, recipient: int, donor: int, cost: int) -> None:
         """Sends a transfer request to a peer; it may be a retry."""
         day = records.day_of(self.now)
-        ask = self.books[taker].ask_peer(
-            f"h{giver}", ACCOUNT, cost * 50, day, urgent=True
+        ask = self.ledgers[recipient].ask_peer(
+            f"h{donor}", ACCOUNT, cost * 50, day, urgent=True
         )
-        self.asks.append((giver, ask))
+        self.asks.append((donor, ask))
 
     @stateful.rule(newest=st.booleans(), again=st.booleans())
     def deliver_ask(self, newest: bool, again: bool) -> None:
         """Delivers a request to the current process; it may be duplicated."""
         if not self.asks:
             return
-        giver, ask = self.asks.pop(-1 if newest else 0)
+        donor, ask = self.asks.pop(-1 if newest else 0)
         if again:
-            self.asks.append((giver, ask))
-        self.answers.append(self.books[giver].give_peer(ask, self.now))
+            self.asks.append((donor, ask))
+        self.answers.append(self.ledgers[donor].give_peer(ask, self.now))
 
     @stateful.rule(newest=st.booleans(), again=st.booleans())
     def deliver_answer(self, newest: bool, again: bool) -> None:
@@ -241,65 +244,67 @@
         answer = self.answers.pop(-1 if newest else 0)
         if again:
             self.answers.append(answer)
-        taker = self.books[int(answer.host[1:])]
-        taker.transfers.take(answer)
+        recipient = self.ledgers[int(answer.host[1:])]
+        recipient.transfers.take(answer)
 
     @stateful.rule()
     def lose_answers(self) -> None:
         """Loses all undelivered answers."""
         self.answers.clear()
 
-    @stateful.rule(taker=HOSTS, giver=HOSTS, cost=st.integers(1, 10))
-    def move(self, taker: int, giver: int, cost: int) -> None:
+    @stateful.rule(recipient=HOSTS, donor=HOSTS, cost=st.integers(1, 10))
+    def move(self, recipient: int, donor: int, cost: int) -> None:
         """Completes a transfer, and the recipient reserves the amount."""
-        self.ask_peer(taker, giver, cost)
+        self.ask_peer(recipient, donor, cost)
         self.deliver_ask(newest=True, again=False)
         self.deliver_answer(newest=True, again=False)
-        self.run(taker, cost * 50)
+        self.run(recipient, cost * 50)
 
-    @stateful.rule(taker=HOSTS, giver=HOSTS, cost=st.integers(1, 10))
-    def die_between(self, taker: int, giver: int, cost: int) -> None:
+    @stateful.rule(recipient=HOSTS, donor=HOSTS, cost=st.integers(1, 10))
+    def die_between(self, recipient: int, donor: int, cost: int) -> None:
         """Duplicates an answer to a new process with the same request."""
-        self.ask_peer(taker, giver, cost)
+        self.ask_peer(recipient, donor, cost)
         self.deliver_ask(newest=True, again=False)
         self.deliver_answer(newest=True, again=True)
-        self.replace(taker, graceful=False)
-        self.ask_peer(taker, giver, cost)
+        self.replace(recipient, graceful=False)
+        self.ask_peer(recipient, donor, cost)
         self.deliver_answer(newest=True, again=False)
 
 
-class GiftMachine(TransferMachine):
+class HandoffMachine(TransferMachine):
     """Adds handoffs by hosts that stop during an outage of the log."""
 
     def __init__(self) -> None:
-        self.gifts: list[tuple[int, gifts.Gift]] = []
+        self.handoffs: list[tuple[int, gifts.Gift]] = []
         super().__init__()
 
-    @stateful.rule(giver=HOSTS, heir=HOSTS, peers=st.integers(1, 3))
-    def leave(self, giver: int, heir: int, peers: int) -> None:
+    @stateful.rule(donor=HOSTS, receiver=HOSTS, peers=st.integers(1, 3))
+    def leave(self, donor: int, receiver: int, peers: int) -> None:
         """Sends a handoff from a stopping host to a peer."""
-        gift = self.books[giver].gifts.part_with(
-            self.books[heir].incarnation.number,
+        handoff = self.ledgers[donor].gifts.part_with(
+            self.ledgers[receiver].incarnation.number,
             records.day_of(self.now),
             peers,
         )
-        self.gifts.append((heir, gift))
+        self.handoffs.append((receiver, handoff))
 
     @stateful.rule(newest=st.booleans(), again=st.booleans())
-    def deliver_gift(self, newest: bool, again: bool) -> None:
+    def deliver_handoff(self, newest: bool, again: bool) -> None:
         """Delivers a handoff to the current process; it may be duplicated."""
-        if not self.gifts:
+        if not self.handoffs:
             return
-        heir, gift = self.gifts.pop(-1 if newest else 0)
+        receiver, handoff = self.handoffs.pop(-1 if newest else 0)
         if again:
-            self.gifts.append((heir, gift))
-        self.books[heir].gifts.receive(gift)
+            self.handoffs.append((receiver, handoff))
+        self.ledgers[receiver].gifts.receive(handoff)
 
-    @stateful.rule(giver=HOSTS, heir=HOSTS, renewed=st.booleans())
-    def leave_and_repeat(self, giver: int, heir: int, renewed: bool) -> None:
+    @stateful.rule(donor=HOSTS, receiver=HOSTS, renewed=st.booleans())
+    def leave_and_repeat(
+        self, donor: int, receiver: int, renewed: bool
+    ) -> None:
         """Delivers a handoff twice, possibly to two processes of one host."""
-        self.leave(giver, heir, 1)
-        self.deliver_gift(newest=True, again=True)
+        self.leave(donor, receiver, 1)
+        self.deliver_handoff(newest=True, again=True)
         if renewed:
-            self.replace(heir, graceful=False)
-        self.deliver_gift(newest=True, again=False)
+            self.replace(receiver, graceful=False)
+        self.deliver_handoff(newest=True, again=False)
--- a/tests/core/limits/test_limits_shares.py
+++ b/tests/core/limits/test_limits_shares.py
@@ -16,7 +16,7 @@
 
 from hoistmoor.core import codec
 from hoistmoor.core import identity
-from hoistmoor.core.limits import book as book_lib
+from hoistmoor.core.limits import book as ledger_lib
 from hoistmoor.core.limits import gifts
 from hoistmoor.core.limits import records
 from hoistmoor.core.limits import shares
@@ -52,7 +52,7 @@
     [
         share_model.ShareMachine,
         share_model.TransferMachine,
-        share_model.GiftMachine,
+        share_model.HandoffMachine,
     ],
 )
 def test_limit_holds_over_crashes_lost_replies_and_retention(
@@ -61,7 +61,7 @@
     stateful.run_state_machine_as_test(machine, settings=share_model.SETTINGS)
 
 
-class SpendsBeforeReadingBack(book_lib.ShareBook):
+class SpendsBeforeReadingBack(ledger_lib.ShareBook):
     """Credits a share when requesting it, before reading it back."""
 
     def plan(
@@ -77,7 +77,7 @@
         return requests
 
 
-class KeepsReturnedAmounts(book_lib.ShareBook):
+class KeepsReturnedAmounts(ledger_lib.ShareBook):
     """Keeps returned amounts, as if a missing reply meant not stored."""
 
     def plan(
@@ -92,7 +92,7 @@
         return requests
 
 
-class IgnoresMissingRecords(book_lib.ShareBook):
+class IgnoresMissingRecords(ledger_lib.ShareBook):
     """Treats the first readable record as the beginning of the stream."""
 
     def __init__(self, incarnation: identity.Incarnation) -> None:
@@ -106,7 +106,7 @@
         self.fold.begin_at = begin
 
 
-class IgnoresOtherHosts(book_lib.ShareBook):
+class IgnoresOtherHosts(ledger_lib.ShareBook):
     """Applies only its own records."""
 
     def apply(self, offset: int, at: float, record: object, now: float) -> bool:
@@ -115,7 +115,7 @@
         return super().apply(offset, at, None if other else record, now)
 
 
-class DeductsAfterAnswering(book_lib.ShareBook):
+class DeductsAfterAnswering(ledger_lib.ShareBook):
     """Deducts a transfer only at the next plan, after answering."""
 
     def __init__(self, incarnation: identity.Incarnation) -> None:
@@ -123,12 +123,12 @@
         self.deferred: list[tuple[wallet.Share, int]] = []
 
     def give_peer(
-        self, ask: transfers.TransferAsk, now: float
+        self, request: transfers.TransferAsk, now: float
     ) -> transfers.TransferAnswer:
         """Answers a request, and postpones the deduction."""
-        share = self.wallet.share(ask.account, ask.day)
+        share = self.wallet.share(request.account, request.day)
         before = share.granted
-        answer = super().give_peer(ask, now)
+        answer = super().give_peer(request, now)
         self.deferred.append((share, before - share.granted))
         share.granted = before
         return answer
@@ -154,12 +154,12 @@
 
 class _CreditsForAnyProcess(transfers.Transfers):
     def _answers(
-        self, answer: transfers.TransferAnswer, ask: transfers.TransferAsk
+        self, answer: transfers.TransferAnswer, request: transfers.TransferAsk
     ) -> bool:
-        return answer.serial == ask.serial
+        return answer.serial == request.serial
 
 
-class CreditsAnswersTwice(book_lib.ShareBook):
+class CreditsAnswersTwice(ledger_lib.ShareBook):
     """Credits an answer every time it is delivered."""
 
     def __init__(self, incarnation: identity.Incarnation) -> None:
@@ -167,7 +167,7 @@
         self.transfers = _CreditsTwice(incarnation, self.wallet)
 
 
-class CreditsAnswersToDeadProcess(book_lib.ShareBook):
+class CreditsAnswersToDeadProcess(ledger_lib.ShareBook):
     """Credits an answer that an earlier process may have credited."""
 
     def __init__(self, incarnation: identity.Incarnation) -> None:
@@ -176,37 +176,37 @@
 
 
 class _CreditsHandoffsTwice(gifts.Gifts):
-    def receive(self, gift: gifts.Gift) -> gifts.Receipt:
+    def receive(self, handoff: gifts.Gift) -> gifts.Receipt:
         """Forgets which handoffs were credited."""
         self._seen.clear()
-        return super().receive(gift)
+        return super().receive(handoff)
 
 
 class _CreditsHandoffsForOthers(gifts.Gifts):
-    def receive(self, gift: gifts.Gift) -> gifts.Receipt:
+    def receive(self, handoff: gifts.Gift) -> gifts.Receipt:
         """Credits a handoff that is addressed to another process."""
-        gift = attrs.evolve(gift, to=self.incarnation.number)
-        return super().receive(gift)
+        handoff = attrs.evolve(handoff, to=self.incarnation.number)
+        return super().receive(handoff)
 
 
 class _KeepsHandoffs(gifts.Gifts):
     def part_with(self, to: int, today: int, peers: int) -> gifts.Gift:
         """Hands off amounts without deducting them."""
-        gift = super().part_with(to, today, peers)
-        for item in gift.items:
+        handoff = super().part_with(to, today, peers)
+        for item in handoff.items:
             self.wallet.share(item.account, item.day).granted += item.amount
-        return gift
+        return handoff
 
 
-def _with_handoffs(broken: type[gifts.Gifts]) -> type[book_lib.ShareBook]:
-    """Returns a ShareBook class with a broken handoff implementation."""
+def _with_handoffs(broken: type[gifts.Gifts]) -> type[ledger_lib.ShareBook]:
+    """Returns a class whose handoff implementation is broken."""
 
-    class Book(book_lib.ShareBook):
+    class Ledger(ledger_lib.ShareBook):
         def __init__(self, incarnation: identity.Incarnation) -> None:
             super().__init__(incarnation)
             self.gifts = broken(incarnation, self.wallet)
 
-    return Book
+    return Ledger
 
 
 @pytest.mark.parametrize(
@@ -219,17 +219,17 @@
         (DeductsAfterAnswering, share_model.TransferMachine),
         (CreditsAnswersTwice, share_model.TransferMachine),
         (CreditsAnswersToDeadProcess, share_model.TransferMachine),
-        (_with_handoffs(_CreditsHandoffsTwice), share_model.GiftMachine),
-        (_with_handoffs(_CreditsHandoffsForOthers), share_model.GiftMachine),
-        (_with_handoffs(_KeepsHandoffs), share_model.GiftMachine),
+        (_with_handoffs(_CreditsHandoffsTwice), share_model.HandoffMachine),
+        (_with_handoffs(_CreditsHandoffsForOthers), share_model.HandoffMachine),
+        (_with_handoffs(_KeepsHandoffs), share_model.HandoffMachine),
     ],
 )
 def test_limit_breaks_without_each_mechanism(
-    mutant: type[book_lib.ShareBook],
+    mutant: type[ledger_lib.ShareBook],
     machine: type[share_model.ShareMachine],
 ) -> None:
     class Mutated(machine):
-        make_book = mutant
+        make_ledger = mutant
 
     with pytest.raises(AssertionError):
         stateful.run_state_machine_as_test(
@@ -262,43 +262,44 @@
 
 
 def test_cut_limit_scales_what_each_host_may_still_spend() -> None:
-    book = book_lib.ShareBook(identity.Incarnation("h1", 1))
-    book.fold.begin_at(0)
-    book.in_force = share_model.table_of(1_000)
+    ledger = ledger_lib.ShareBook(identity.Incarnation("h1", 1))
+    ledger.fold.begin_at(0)
+    ledger.in_force = share_model.table_of(1_000)
     for offset, host in enumerate(("h1", "h2")):
         item = records.ShareAsk(share_model.ACCOUNT, 400, 1_000, 1)
         request = records.ShareRequest(host, 1, 1, DAY, (item,))
-        book.apply(offset, AT, request, AT)
-    book.in_force = share_model.table_of(200, revision=2)
+        ledger.apply(offset, AT, request, AT)
+    ledger.in_force = share_model.table_of(200, revision=2)
     account = share_model.ACCOUNT
-    verdicts = [book.reserve(account, 100, DAY, AT) for _ in range(2)]
+    verdicts = [ledger.reserve(account, 100, DAY, AT) for _ in range(2)]
     assertions.assert_that(
         verdicts,
-        matchers.Equals([book_lib.Verdict.RESERVED, book_lib.Verdict.WAIT]),
+        matchers.Equals([ledger_lib.Verdict.RESERVED, ledger_lib.Verdict.WAIT]),
     )
 
 
 def test_share_comes_back_from_an_idle_host_to_a_starved_one() -> None:
-    books = [
-        book_lib.ShareBook(identity.Incarnation(f"h{n}", 1)) for n in (1, 2)
+    ledgers = [
+        ledger_lib.ShareBook(identity.Incarnation(f"h{n}", 1)) for n in (1, 2)
     ]
     log: list[object] = []
     account = share_model.ACCOUNT
-    for book in books:
-        book.fold.begin_at(0)
-        book.hosts = 2
-        book.in_force = share_model.table_of(1_000)
+    for ledger in ledgers:
+        ledger.fold.begin_at(0)
+        ledger.hosts = 2
+        ledger.in_force = share_model.table_of(1_000)
     now = AT
     covered = 0
     for step in range(200):
         now += 1.0
         needs = ({account: 400} if step == 0 else {}, {account: 50})
-        for book, need in zip(books, needs, strict=True):
-            log.extend(book.plan(now, need))
-            for offset in range(book.fold.next_offset, len(log)):
-                book.apply(offset, now, log[offset], now)
+        for ledger, need in zip(ledgers, needs, strict=True):
+            log.extend(ledger.plan(now, need))
+            for offset in range(ledger.fold.next_offset, len(log)):
+                ledger.apply(offset, now, log[offset], now)
         while (
-            books[1].reserve(account, 50, DAY, now) is book_lib.Verdict.RESERVED
+            ledgers[1].reserve(account, 50, DAY, now)
+            is ledger_lib.Verdict.RESERVED
         ):
             covered += 50
     # The idle host was granted shares for 400 and needs none of them.
@@ -321,20 +322,22 @@
 
 
 def test_outage_over_midnight_finds_shares_of_the_new_day() -> None:
-    book = book_lib.ShareBook(identity.Incarnation("h1", 1))
-    book.fold.begin_at(0)
-    book.hosts = 9
-    book.in_force = share_model.table_of(1_000_000)
+    ledger = ledger_lib.ShareBook(identity.Incarnation("h1", 1))
+    ledger.fold.begin_at(0)
+    ledger.hosts = 9
+    ledger.in_force = share_model.table_of(1_000_000)
     midnight = (DAY + 1) * float(records.SECONDS_PER_DAY)
     offset = 0
     # The log goes down at 18:00.
     for now in range(int(midnight) - 30_000, int(midnight) - 21_600, 10):
-        for request in book.plan(now, {}):
-            book.apply(offset, now, request, now)
+        for request in ledger.plan(now, {}):
+            ledger.apply(offset, now, request, now)
             offset += 1
-    book.log_is_up = False
-    verdict = book.reserve(share_model.ACCOUNT, 10_000, DAY + 1, midnight + 1)
-    assertions.assert_that(verdict, matchers.Equals(book_lib.Verdict.RESERVED))
+    ledger.log_is_up = False
+    verdict = ledger.reserve(share_model.ACCOUNT, 10_000, DAY + 1, midnight + 1)
+    assertions.assert_that(
+        verdict, matchers.Equals(ledger_lib.Verdict.RESERVED)
+    )
 
 
 def test_hosts_that_do_not_know_each_other_yet_leave_most_of_the_limit() -> (
@@ -343,10 +346,10 @@
     fold = shares.ShareFold()
     fold.begin_at(0)
     for offset in range(wallet.MOST_HOSTS):
-        book = book_lib.ShareBook(identity.Incarnation(f"h{offset}", 1))
-        book.fold.begin_at(0)
-        book.in_force = share_model.table_of(1_000_000)
-        (request,) = book.plan(AT, {})
+        ledger = ledger_lib.ShareBook(identity.Incarnation(f"h{offset}", 1))
+        ledger.fold.begin_at(0)
+        ledger.in_force = share_model.table_of(1_000_000)
+        (request,) = ledger.plan(AT, {})
         fold.apply(offset, AT, request)
     known = fold.sum_for(share_model.ACCOUNT, DAY)
     assertions.assert_that(known.granted, matchers.LessThan(125_001))
