--- a/src/hoistmoor/core/limits/book.py
+++ b/src/hoistmoor/core/limits/book.py
@@ -108,13 +108,13 @@
     def terms(self, account: str, day: int) -> wallet.Terms:
         """Returns the known state of an account's limit."""
         row = self.in_force.table.accounts.get(account)
-        known = self.fold.sum_for(account, day)
+        day_sum = self.fold.sum_for(account, day)
         return wallet.Terms(
             account,
             row.spend_limit if row else 0,
             self.in_force.revision,
-            known.granted if known else 0,
-            known.refused if known else 0,
+            day_sum.granted if day_sum else 0,
+            day_sum.refused if day_sum else 0,
             self.hosts,
             self._schedule.is_settled,
         )
@@ -166,9 +166,9 @@
         """Reverts a share request that the log did not store."""
         for ask in request.asks:
             self.wallet.failed(ask.account, request.day, request.serial)
-        for item in request.returns:
-            share = self.wallet.share(item.account, request.day)
-            share.granted += item.amount
+        for returned in request.returns:
+            share = self.wallet.share(returned.account, request.day)
+            share.granted += returned.amount
 
     def give_back(self, now: float) -> tuple[records.ShareRequest, ...]:
         """Returns all unused shares of a stopping host, one request per day."""
@@ -241,11 +241,11 @@
             share = self.wallet.share(ask.account, day)
             share.pending = self._serial
             share.asked_at = now
-        for item in returns:
-            share = self.wallet.share(item.account, day)
-            share.granted -= item.amount
+        for returned in returns:
+            share = self.wallet.share(returned.account, day)
+            share.granted -= returned.amount
             share.returned_at = now
-            share.refused_seen = self.terms(item.account, day).refused
+            share.refused_seen = self.terms(returned.account, day).refused
         return records.ShareRequest(
             self.incarnation.host,
             self.incarnation.number,
--- a/src/hoistmoor/core/limits/queue.py
+++ b/src/hoistmoor/core/limits/queue.py
@@ -174,7 +174,7 @@
 
     def _ahead_of(self, priority: model.Priority) -> int:
         position = ORDER.index(priority)
-        return sum(self.counts[known] for known in ORDER[: position + 1])
+        return sum(self.counts[other] for other in ORDER[: position + 1])
 
     def _usable_slots(self, priority: model.Priority) -> int:
         reserved = math.ceil(self.slots * HEADROOM[priority])
@@ -189,7 +189,7 @@
             return math.inf
         in_use = self.in_use
         total = sum(
-            self.running[known] * self.service_times[known] for known in ORDER
+            self.running[other] * self.service_times[other] for other in ORDER
         )
         mean = total / in_use if in_use else self.service_times[priority]
         return position * mean / slots
--- a/src/hoistmoor/core/limits/rates.py
+++ b/src/hoistmoor/core/limits/rates.py
@@ -83,7 +83,7 @@
         self.incarnation = incarnation
         self.demands: dict[str, Demand] = {}
         self._hosts = {incarnation.host}
-        self._gone_at: dict[str, float] = {}
+        self._lost_at: dict[str, float] = {}
         self._fractions: dict[str, _CachedFraction] = {}
         self._weights: dict[tuple[str, str], _Weight] = {}
         self._reported: tuple[records.DemandWeight, ...] = ()
@@ -93,25 +93,25 @@
         """Updates the set of live hosts."""
         live = {*names, self.incarnation.host}
         for host in self._hosts - live:
-            self._gone_at.setdefault(host, now)
-        for host in live & set(self._gone_at):
-            del self._gone_at[host]
+            self._lost_at.setdefault(host, now)
+        for host in live & set(self._lost_at):
+            del self._lost_at[host]
         self._hosts |= live
-        self._forget_gone(now)
+        self._drop_lost_hosts(now)
         self._fractions.clear()
 
     def count(self, now: float) -> int:
         """Returns the number of hosts that share the limits."""
-        self._forget_gone(now)
+        self._drop_lost_hosts(now)
         return len(self._hosts)
 
     def on_report(self, report: records.DemandReport, now: float) -> None:
         """Applies a host's demand report, including this host's own."""
         reported = {item.account: item.weight for item in report.weights}
-        known = {
+        previous = {
             account for host, account in self._weights if host == report.host
         }
-        for account in known | set(reported):
+        for account in previous | set(reported):
             value = reported.get(account, MIN_WEIGHT)
             self._set_weight((report.host, account), value, now)
         self._fractions.clear()
@@ -122,12 +122,12 @@
 
     def part(self, account: str, now: float) -> float:
         """Returns this host's fraction of an account's limits, at most 1."""
-        known = self._fractions.get(account)
-        if known is None or now >= known.until:
+        cached = self._fractions.get(account)
+        if cached is None or now >= cached.until:
             value = self._work_out_part(account, now)
-            known = _CachedFraction(value, now + _CACHE_SECONDS)
-            self._fractions[account] = known
-        return known.value
+            cached = _CachedFraction(value, now + _CACHE_SECONDS)
+            self._fractions[account] = cached
+        return cached.value
 
     def report_due(
         self, limits: Mapping[str, float], now: float
@@ -155,7 +155,7 @@
         self._reported = ()
 
     def _work_out_part(self, account: str, now: float) -> float:
-        self._forget_gone(now)
+        self._drop_lost_hosts(now)
         own = self.incarnation.host
         own_weight = self._weight(own, account, now, min)
         other_weights = sum(
@@ -181,37 +181,37 @@
     def _set_weight(
         self, key: tuple[str, str], value: float, now: float
     ) -> None:
-        known = self._weights.get(key)
-        if known and known.value == value:
+        current = self._weights.get(key)
+        if current and current.value == value:
             return
-        before = known.value if known else MIN_WEIGHT
+        before = current.value if current else MIN_WEIGHT
         self._weights[key] = _Weight(value, before, now)
 
     def _weight(
         self, host: str, account: str, now: float, pick: _Pick
     ) -> float:
-        known = self._weights.get((host, account))
-        if known is None:
+        current = self._weights.get((host, account))
+        if current is None:
             return MIN_WEIGHT
-        if now - known.since < SETTLE_SECONDS:
-            return pick(known.value, known.before)
-        return known.value
+        if now - current.since < SETTLE_SECONDS:
+            return pick(current.value, current.before)
+        return current.value
 
-    def _forget_gone(self, now: float) -> None:
-        gone = {
+    def _drop_lost_hosts(self, now: float) -> None:
+        lost = {
             host
-            for host, at in self._gone_at.items()
+            for host, at in self._lost_at.items()
             if now - at > LOST_HOST_SECONDS
         }
-        if not gone:
+        if not lost:
             return
-        self._hosts -= gone
-        for host in gone:
-            del self._gone_at[host]
+        self._hosts -= lost
+        for host in lost:
+            del self._lost_at[host]
         self._weights = {
             key: weight
             for key, weight in self._weights.items()
-            if key[0] not in gone
+            if key[0] not in lost
         }
 
 
--- a/src/hoistmoor/core/limits/shares.py
+++ b/src/hoistmoor/core/limits/shares.py
@@ -149,8 +149,8 @@
     def _apply_demand(
         self, report: records.DemandReport, at: float
     ) -> tuple[Grant, ...]:
-        known = self.demands.get(report.host)
-        if known and known.report.incarnation > report.incarnation:
+        previous = self.demands.get(report.host)
+        if previous and previous.report.incarnation > report.incarnation:
             self.ignored += 1
             return ()
         self.demands[report.host] = records.DemandSum(report, at)
@@ -185,27 +185,29 @@
         self.complete_from = 0
 
     def _apply_return(self, item: records.ShareReturn, day: int) -> None:
-        known = self.sums.get((item.account, day))
-        if known is None or item.amount <= 0:
+        day_sum = self.sums.get((item.account, day))
+        if day_sum is None or item.amount <= 0:
             return
-        granted = max(0, known.granted - item.amount)
-        self.sums[item.account, day] = attrs.evolve(known, granted=granted)
+        granted = max(0, day_sum.granted - item.amount)
+        self.sums[item.account, day] = attrs.evolve(day_sum, granted=granted)
 
     def _grant(
         self, ask: records.ShareAsk, request: records.ShareRequest
     ) -> Grant:
         key = ask.account, request.day
-        known = self.sums.get(key)
-        if known is None:
-            known = records.DaySum(*key, 0, ask.limit, ask.revision)
-        if ask.revision > known.revision:
-            known = attrs.evolve(known, limit=ask.limit, revision=ask.revision)
-        remaining = max(0, known.limit - known.granted)
+        day_sum = self.sums.get(key)
+        if day_sum is None:
+            day_sum = records.DaySum(*key, 0, ask.limit, ask.revision)
+        if ask.revision > day_sum.revision:
+            day_sum = attrs.evolve(
+                day_sum, limit=ask.limit, revision=ask.revision
+            )
+        remaining = max(0, day_sum.limit - day_sum.granted)
         amount = max(0, min(ask.amount, remaining))
         self.sums[key] = attrs.evolve(
-            known,
-            granted=known.granted + amount,
-            refused=known.refused + (amount == 0),
+            day_sum,
+            granted=day_sum.granted + amount,
+            refused=day_sum.refused + (amount == 0),
         )
         return Grant(
             ask.account,
--- a/tests/core/limits/share_model.py
+++ b/tests/core/limits/share_model.py
@@ -202,8 +202,8 @@
                 for ledger in (*self.ledgers, *self.dead)
                 if (ACCOUNT, day) in ledger.wallet.shares
             )
-            known = self.truth.sum_for(ACCOUNT, day)
-            assert held <= (known.granted if known else 0)
+            day_sum = self.truth.sum_for(ACCOUNT, day)
+            assert held <= (day_sum.granted if day_sum else 0)
 
 
 class TransferMachine(ShareMachine):
