--- a/tests/core/limits/share_model.py
+++ b/tests/core/limits/share_model.py
@@ -1,4 +1,4 @@
-"""Several hosts, crashes and a faulty log round the shares of a limit."""
+"""Stateful model of hosts that share a limit, with crashes and a faulty log."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from hoistmoor.core import identity
-from hoistmoor.core.limits import book as book_lib
+from hoistmoor.core.limits import book as ledger_lib
 from hoistmoor.core.limits import gifts
 from hoistmoor.core.limits import records
 from hoistmoor.core.limits import shares
@@ -26,9 +26,10 @@
     stateful_step_count=50,
     suppress_health_check=list(hypothesis.HealthCheck),
 )
-# A mutant's failure need not be shrunk. The examples are the same for the same
-# set of imported modules only: hypothesis draws constants of all local sources.
-# With one such set, none of the first 600 broke a book that ignores others.
+# A mutant's failing example need not be shrunk. Examples are reproducible only
+# for the same set of imported modules, because hypothesis draws constants from
+# all local sources. With one such set, none of the first 600 examples detected
+# the mutant that ignores the records of other hosts.
 MUTANT_SETTINGS = hypothesis.settings(
     SETTINGS, max_examples=5000, phases=(hypothesis.Phase.generate,)
 )
@@ -40,9 +41,9 @@
 
 
 class ShareMachine(stateful.RuleBasedStateMachine):
-    """Three hosts share one account's limit; the first may be replaced."""
+    """Three hosts share one account's limit, and any may be replaced."""
 
-    make_book = book_lib.ShareBook
+    make_ledger = ledger_lib.ShareBook
 
     def __init__(self) -> None:
         super().__init__()
@@ -50,21 +51,21 @@
         self.log: list[tuple[float, object]] = []
         self.first = 0
         self.started = 0
-        self.dead: list[book_lib.ShareBook] = []
+        self.dead: list[ledger_lib.ShareBook] = []
         self.late: list[object] = []
-        self.runs: list[tuple[book_lib.ShareBook, int, int]] = []
+        self.runs: list[tuple[ledger_lib.ShareBook, int, int]] = []
         self.truth = shares.ShareFold()
-        self.books = [self.start(index) for index in range(3)]
+        self.ledgers = [self.start(index) for index in range(3)]
 
-    def start(self, index: int) -> book_lib.ShareBook:
-        """Returns a new process on a host."""
+    def start(self, index: int) -> ledger_lib.ShareBook:
+        """Starts a new process on a host."""
         self.started += 1
         incarnation = identity.Incarnation(f"h{index}", self.started)
-        book = self.make_book(incarnation)
-        book.hosts = 3
-        book.in_force = table_of(LIMIT)
-        book.fold.begin_at(self.first)
-        return book
+        ledger = self.make_ledger(incarnation)
+        ledger.hosts = 3
+        ledger.in_force = table_of(LIMIT)
+        ledger.fold.begin_at(self.first)
+        return ledger
 
     def store(self, record: object) -> None:
         """Appends a record to the log."""
@@ -73,7 +74,7 @@
 
     @stateful.rule(host=HOSTS, cost=st.integers(1, 10), fate=FATES)
     def admit(self, host: int, cost: int, fate: str) -> None:
-        """A request comes, and a share is asked for if it must be."""
+        """Admits a request, requesting a share if necessary."""
         cost *= 50
         if not self.run(host, cost):
             self.plan(host, cost, fate)
@@ -82,34 +83,37 @@
 
     @stateful.rule(host=HOSTS, fate=FATES)
     def tick(self, host: int, fate: str) -> None:
-        """The host asks for or gives back what it thinks fit."""
+        """Appends the asks and returns that the host plans on its own."""
         self.plan(host, 0, fate)
 
     def run(self, host: int, cost: int) -> bool:
-        """Reserves a cost and returns whether there was enough."""
-        book = self.books[host]
+        """Reserves a cost, and returns whether the share covered it."""
+        ledger = self.ledgers[host]
         day = records.day_of(self.now)
-        verdict = book.reserve(ACCOUNT, cost, day, self.now)
-        if verdict is not book_lib.Verdict.RESERVED:
+        verdict = ledger.reserve(ACCOUNT, cost, day, self.now)
+        if verdict is not ledger_lib.Verdict.RESERVED:
             return False
-        self.runs.append((book, cost, day))
+        self.runs.append((ledger, cost, day))
         return True
 
     def plan(self, host: int, cost: int, fate: str) -> None:
-        """Appends what the host plans, with a fate of its append."""
-        book = self.books[host]
+        """Appends the requests that the host plans, with the given fate."""
+        ledger = self.ledgers[host]
         needs = {ACCOUNT: cost} if cost else {}
-        for request in book.plan(self.now, needs):
-            self.send(book, request, fate)
+        for request in ledger.plan(self.now, needs):
+            self.send(ledger, request, fate)
 
     def send(
-        self, book: book_lib.ShareBook, request: records.ShareRequest, fate: str
+        self,
+        ledger: ledger_lib.ShareBook,
+        request: records.ShareRequest,
+        fate: str,
     ) -> None:
-        """Appends a request; ``fate`` says what the log makes of it."""
+        """Appends a request; ``fate`` selects the result of the append."""
         if fate == "refused":
-            book.not_stored(request)
+            ledger.not_stored(request)
         elif fate == "lost":
-            pass  # Neither stored nor does the host ever hear.
+            pass  # Not stored, and the host gets no reply.
         elif fate == "late":
             self.late.append(request)
         else:
@@ -117,69 +121,69 @@
 
     @stateful.rule()
     def deliver_late(self) -> None:
-        """Appends of paused processes arrive."""
+        """Stores the delayed appends of paused processes."""
         while self.late:
             self.store(self.late.pop())
 
     @stateful.rule(host=HOSTS)
     def read(self, host: int) -> None:
-        """The host reads the log to its end."""
-        book = self.books[host]
-        if book.fold.next_offset < self.first:
-            book.fold.begin_at(self.first)
-        for offset in range(book.fold.next_offset, len(self.log)):
+        """Reads the log to its end at one host."""
+        ledger = self.ledgers[host]
+        if ledger.fold.next_offset < self.first:
+            ledger.fold.begin_at(self.first)
+        for offset in range(ledger.fold.next_offset, len(self.log)):
             at, record = self.log[offset]
-            book.apply(offset, at, record, self.now)
+            ledger.apply(offset, at, record, self.now)
 
     @stateful.rule(share=st.integers(0, 4))
     def settle(self, share: int) -> None:
-        """A request ends and costs a quarter or more of its estimate."""
+        """Ends a request at the given number of quarters of its estimate."""
         if self.runs:
-            book, cost, day = self.runs.pop()
-            book.wallet.settle(ACCOUNT, day, cost, cost * share // 4)
+            ledger, cost, day = self.runs.pop()
+            ledger.wallet.settle(ACCOUNT, day, cost, cost * share // 4)
 
     @stateful.rule()
     def fall_idle(self) -> None:
-        """Every request ends, costs nothing, and none comes for a while."""
+        """Ends every request at no cost, followed by an idle period."""
         while self.runs:
             self.settle(0)
         self.now += 700
-        for host in range(len(self.books)):
+        for host in range(len(self.ledgers)):
             self.tick(host, "stored")
 
     @stateful.rule(host=HOSTS, graceful=st.booleans())
     def replace(self, host: int, graceful: bool) -> None:
-        """A process stops or dies, and another takes its place."""
-        book = self.books[host]
+        """Replaces a process that stops or crashes."""
+        ledger = self.ledgers[host]
         if graceful:
-            for request in book.give_back(self.now):
+            for request in ledger.give_back(self.now):
                 self.store(request)
-        self.dead.append(book)
-        self.books[host] = self.start(host)
+        self.dead.append(ledger)
+        self.ledgers[host] = self.start(host)
 
     @stateful.rule(host=HOSTS)
     def snapshot(self, host: int) -> None:
-        """A process is paused while it appends a snapshot."""
-        if self.books[host].fold.can_snapshot:
-            self.late.append(self.books[host].fold.snapshot())
+        """Delays the snapshot append of a paused process."""
+        if self.ledgers[host].fold.can_snapshot:
+            self.late.append(self.ledgers[host].fold.snapshot())
 
     @stateful.rule(host=HOSTS, keep=st.sampled_from([0, 2, 5, 40]))
     def start_after_retention(self, host: int, keep: int) -> None:
-        """A process starts that cannot read the oldest records."""
+        """Restarts a process after retention removed the oldest records."""
         self.first = max(self.first, len(self.log) - keep)
         self.replace(host, graceful=False)
 
     @stateful.rule(seconds=st.sampled_from([1, 40, 700, 700, 30_000]))
     def wait(self, seconds: int) -> None:
-        """Time passes."""
+        """Advances the clock."""
         self.now += seconds
 
     @stateful.invariant()
     def limit_holds(self) -> None:
-        """No day's shares, dead processes included, pass the limit."""
+        """The shares of a day, including dead processes, stay in the limit."""
         totals: dict[int, list[int]] = {}
-        for book in (*self.books, *self.dead):
-            for (_, day), share in book.wallet.shares.items():
+        for ledger in (*self.ledgers, *self.dead):
+            for (_, day), share in ledger.wallet.shares.items():
                 total = totals.setdefault(day, [0, 0])
                 total[0] += share.granted
                 total[1] += share.spent + share.reserved
@@ -189,23 +193,23 @@
             assert spent <= granted
 
     @stateful.invariant()
-    def nothing_is_counted_twice(self) -> None:
-        """All processes together hold no more than the log granted them."""
+    def shares_stay_within_grants(self) -> None:
+        """All processes together hold no more than the log granted."""
         today = records.day_of(self.now)
         for day in (today, today + 1):
             held = sum(
-                book.wallet.shares[ACCOUNT, day].granted
-                for book in (*self.books, *self.dead)
-                if (ACCOUNT, day) in book.wallet.shares
+                ledger.wallet.shares[ACCOUNT, day].granted
+                for ledger in (*self.ledgers, *self.dead)
+                if (ACCOUNT, day) in ledger.wallet.shares
             )
-            known = self.truth.sum_for(ACCOUNT, day)
-            assert held <= (known.granted if known else 0)
+            day_sum = self.truth.sum_for(ACCOUNT, day)
+            assert held <= (day_sum.granted if day_sum else 0)
 
 
 class TransferMachine(ShareMachine):
-    """The same hosts also hand parts of their shares to each other.
+    """Adds transfers of shares between the hosts.
 
-    Asks and answers are lost, repeated and kept until other processes run.
+    Requests and answers are lost, repeated, and delayed past process restarts.
     """
 
     def __init__(self) -> None:
@@ -213,92 +217,94 @@
         self.answers: list[transfers.TransferAnswer] = []
         super().__init__()
 
-    @stateful.rule(taker=HOSTS, giver=HOSTS, cost=st.integers(1, 10))
-    def ask_peer(self, taker: int, giver: int, cost: int) -> None:
-        """A host sends an ask to a peer; it may be a repeat."""
+    @stateful.rule(recipient=HOSTS, donor=HOSTS, cost=st.integers(1, 10))
+    def ask_peer(self, recipient: int, donor: int, cost: int) -> None:
+        """Sends a transfer request to a peer; it may be a retry."""
         day = records.day_of(self.now)
-        ask = self.books[taker].ask_peer(
-            f"h{giver}", ACCOUNT, cost * 50, day, urgent=True
+        ask = self.ledgers[recipient].ask_peer(
+            f"h{donor}", ACCOUNT, cost * 50, day, urgent=True
         )
-        self.asks.append((giver, ask))
+        self.asks.append((donor, ask))
 
     @stateful.rule(newest=st.booleans(), again=st.booleans())
     def deliver_ask(self, newest: bool, again: bool) -> None:
-        """An ask arrives at whoever runs there; the network may repeat it."""
+        """Delivers a request to the current process; it may be duplicated."""
         if not self.asks:
             return
-        giver, ask = self.asks.pop(-1 if newest else 0)
+        donor, ask = self.asks.pop(-1 if newest else 0)
         if again:
-            self.asks.append((giver, ask))
-        self.answers.append(self.books[giver].give_peer(ask, self.now))
+            self.asks.append((donor, ask))
+        self.answers.append(self.ledgers[donor].give_peer(ask, self.now))
 
     @stateful.rule(newest=st.booleans(), again=st.booleans())
     def deliver_answer(self, newest: bool, again: bool) -> None:
-        """An answer arrives at whoever runs on the host that asked."""
+        """Delivers an answer to the current process of the requesting host."""
         if not self.answers:
             return
         answer = self.answers.pop(-1 if newest else 0)
         if again:
             self.answers.append(answer)
-        taker = self.books[int(answer.host[1:])]
-        taker.transfers.take(answer)
+        recipient = self.ledgers[int(answer.host[1:])]
+        recipient.transfers.take(answer)
 
     @stateful.rule()
     def lose_answers(self) -> None:
-        """Every answer on its way is lost."""
+        """Loses all undelivered answers."""
         self.answers.clear()
 
-    @stateful.rule(taker=HOSTS, giver=HOSTS, cost=st.integers(1, 10))
-    def move(self, taker: int, giver: int, cost: int) -> None:
-        """A whole exchange succeeds, and the taker spends what it got."""
-        self.ask_peer(taker, giver, cost)
+    @stateful.rule(recipient=HOSTS, donor=HOSTS, cost=st.integers(1, 10))
+    def move(self, recipient: int, donor: int, cost: int) -> None:
+        """Completes a transfer, and the recipient reserves the amount."""
+        self.ask_peer(recipient, donor, cost)
         self.deliver_ask(newest=True, again=False)
         self.deliver_answer(newest=True, again=False)
-        self.run(taker, cost * 50)
+        self.run(recipient, cost * 50)
 
-    @stateful.rule(taker=HOSTS, giver=HOSTS, cost=st.integers(1, 10))
-    def die_between(self, taker: int, giver: int, cost: int) -> None:
-        """An answer comes again once another process has asked the same."""
-        self.ask_peer(taker, giver, cost)
+    @stateful.rule(recipient=HOSTS, donor=HOSTS, cost=st.integers(1, 10))
+    def die_between(self, recipient: int, donor: int, cost: int) -> None:
+        """Duplicates an answer to a new process with the same request."""
+        self.ask_peer(recipient, donor, cost)
         self.deliver_ask(newest=True, again=False)
         self.deliver_answer(newest=True, again=True)
-        self.replace(taker, graceful=False)
-        self.ask_peer(taker, giver, cost)
+        self.replace(recipient, graceful=False)
+        self.ask_peer(recipient, donor, cost)
         self.deliver_answer(newest=True, again=False)
 
 
-class GiftMachine(TransferMachine):
-    """Hosts that stop without the log also leave their shares to others."""
+class HandoffMachine(TransferMachine):
+    """Adds handoffs by hosts that stop during an outage of the log."""
 
     def __init__(self) -> None:
-        self.gifts: list[tuple[int, gifts.Gift]] = []
+        self.handoffs: list[tuple[int, gifts.Gift]] = []
         super().__init__()
 
-    @stateful.rule(giver=HOSTS, heir=HOSTS, peers=st.integers(1, 3))
-    def leave(self, giver: int, heir: int, peers: int) -> None:
-        """A host stops without the log, and leaves a part to a peer."""
-        gift = self.books[giver].gifts.part_with(
-            self.books[heir].incarnation.number,
+    @stateful.rule(donor=HOSTS, receiver=HOSTS, peers=st.integers(1, 3))
+    def leave(self, donor: int, receiver: int, peers: int) -> None:
+        """Sends a handoff from a stopping host to a peer."""
+        handoff = self.ledgers[donor].gifts.part_with(
+            self.ledgers[receiver].incarnation.number,
             records.day_of(self.now),
             peers,
         )
-        self.gifts.append((heir, gift))
+        self.handoffs.append((receiver, handoff))
 
     @stateful.rule(newest=st.booleans(), again=st.booleans())
-    def deliver_gift(self, newest: bool, again: bool) -> None:
-        """A gift arrives at whoever runs there, and may arrive again."""
-        if not self.gifts:
+    def deliver_handoff(self, newest: bool, again: bool) -> None:
+        """Delivers a handoff to the current process; it may be duplicated."""
+        if not self.handoffs:
             return
-        heir, gift = self.gifts.pop(-1 if newest else 0)
+        receiver, handoff = self.handoffs.pop(-1 if newest else 0)
         if again:
-            self.gifts.append((heir, gift))
-        self.books[heir].gifts.receive(gift)
-
-    @stateful.rule(giver=HOSTS, heir=HOSTS, renewed=st.booleans())
-    def leave_and_repeat(self, giver: int, heir: int, renewed: bool) -> None:
-        """A gift arrives twice, perhaps at two processes of one host."""
-        self.leave(giver, heir, 1)
-        self.deliver_gift(newest=True, again=True)
+            self.handoffs.append((receiver, handoff))
+        self.ledgers[receiver].gifts.receive(handoff)
+
+    @stateful.rule(donor=HOSTS, receiver=HOSTS, renewed=st.booleans())
+    def leave_and_repeat(
+        self, donor: int, receiver: int, renewed: bool
+    ) -> None:
+        """Delivers a handoff twice, possibly to two processes of one host."""
+        self.leave(donor, receiver, 1)
+        self.deliver_handoff(newest=True, again=True)
         if renewed:
-            self.replace(heir, graceful=False)
-        self.deliver_gift(newest=True, again=False)
+            self.replace(receiver, graceful=False)
+        self.deliver_handoff(newest=True, again=False)
