--- a/src/hoistmoor/core/security/__init__.py
+++ b/src/hoistmoor/core/security/__init__.py
@@ -1,3 +1,3 @@
-"""Secrets, signed calls between hosts and operators' keys, without I/O."""
+"""Call signatures, derived keys and operator keys, free of I/O."""
 
 from __future__ import annotations
--- a/src/hoistmoor/core/security/calls.py
+++ b/src/hoistmoor/core/security/calls.py
@@ -1,12 +1,12 @@
-"""Signed calls between hosts: who calls whom, when, with which body.
+"""Signatures of calls between hosts.
 
-The signature covers a digest of the body, so that a call is judged before its
-body is read.
+A signature covers the caller, the callee, the time, the method and a digest
+of the body, so that a call can be rejected before its body is read.
 
-A call is signed with a secret of the deployment and so is its reply. The
-time in a call is that of the host called, as far as the caller knows it: a
-host that finds a call too old or too new says its own time, signed, and the
-caller signs again. So clocks need not agree.
+Calls and replies are signed with a secret of the deployment. The timestamp of
+a call is the callee's time as estimated by the caller. A host that receives a
+call with a timestamp outside the tolerance returns its own time, signed, and
+the caller signs the call again. Clocks therefore need not be synchronized.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-TOLERANCE = 10.0  # Seconds that a call may be off the called host's clock.
+TOLERANCE = 10.0  # Maximum difference from the callee's clock, in seconds.
 _PURPOSE = "hoistmoor peer call 1"
-_MS = 1000
+_MS_PER_SECOND = 1000
 _MAX_HEADER_CHARS = 512
 _DIGEST_BYTES = 16
-_STAMP_WORDS = 6
-_REPLY = b"reply\n"
-_TIME = b"time\n"
+_STAMP_FIELDS = 6
+_REPLY_PREFIX = b"reply\n"
+_TIME_PREFIX = b"time\n"
 
 
 class Why(enum.StrEnum):
-    """Why a call was refused."""
+    """Reason for the rejection of a call."""
 
     UNSIGNED = "unsigned"
     MALFORMED = "malformed"
@@ -50,15 +50,15 @@
 
 @attrs.frozen
 class Stamp:
-    """What a call says of itself.
+    """The signed parameters of a call.
 
     Attributes:
         host: Name of the calling host.
-        incarnation: Its incarnation.
-        serial: Counts the calls of this incarnation from 1.
-        at_ms: Milliseconds since the epoch, by the clock of the host called.
-        callee: ``ip:port`` of the host called.
-        digest: Digest of the body, in hex.
+        incarnation: Incarnation of the calling host.
+        serial: Sequence number of the call within the incarnation, from 1.
+        at_ms: Milliseconds since the epoch by the callee's clock.
+        callee: ``ip:port`` of the callee.
+        digest: Digest of the body, in hexadecimal.
     """
 
     host: str
@@ -70,11 +70,11 @@
 
     @property
     def caller(self) -> str:
-        """Names the calling process."""
+        """Identifier of the calling process."""
         return f"{self.host}.{self.incarnation}"
 
     def __str__(self) -> str:
-        """Returns the form that is sent and signed."""
+        """Returns the text that is sent and signed."""
         return (
             f"{self.host} {self.incarnation} {self.serial} {self.at_ms} "
             f"{self.callee} {self.digest}"
@@ -83,11 +83,11 @@
 
 @attrs.frozen
 class Signed:
-    """A call ready to be sent.
+    """The signature of an outgoing call.
 
     Attributes:
-        header: Text that goes with it.
-        mac: Its signature, to which the reply is bound.
+        header: Header value to send with the call.
+        mac: Message authentication code; the reply's code covers it.
     """
 
     header: str
@@ -96,12 +96,12 @@
 
 @attrs.frozen
 class Genuine:
-    """A call that comes from a host of this deployment, for the first time.
+    """An authenticated call that is not a replay.
 
     Attributes:
-        stamp: What it says of itself.
-        mac: Its signature.
-        key: The key that signed it, and signs the reply.
+        stamp: The signed parameters.
+        mac: Message authentication code of the call.
+        key: Key that signed the call; the reply is signed with it too.
     """
 
     stamp: Stamp
@@ -109,22 +109,22 @@
     key: bytes = attrs.field(repr=False)
 
     def is_body(self, body: bytes) -> bool:
-        """Returns whether ``body`` is the one that was signed."""
+        """Returns whether ``body`` matches the signed digest."""
         return hmac.compare_digest(self.stamp.digest, _digest(body))
 
     def reply_header(self, body: bytes) -> str:
-        """Returns the text that goes with the reply ``body``."""
-        return keys.sign(self.key, _REPLY + self.mac + body).hex()
+        """Returns the header value to send with the reply ``body``."""
+        return keys.sign(self.key, _REPLY_PREFIX + self.mac + body).hex()
 
 
 @attrs.frozen
 class Refused:
-    """A call that must not be carried out.
+    """A rejected call.
 
     Attributes:
-        why: The reason.
-        caller: Who it claims to come from; empty where it does not say.
-        time_header: Text that tells the caller this host's time, or empty.
+        why: Reason for the rejection.
+        caller: Claimed caller; empty if the header does not name one.
+        time_header: Header value with this host's signed time, or empty.
     """
 
     why: Why
@@ -133,78 +133,87 @@
 
 
 class Signer:
-    """Signs the calls of one process."""
+    """Signs the outgoing calls of one process."""
 
     def __init__(
         self, host: str, incarnation: int, secrets: Sequence[str]
     ) -> None:
         self._host = host
         self._incarnation = incarnation
-        self._ring = keys.KeyRing.derive(secrets, _PURPOSE)
+        self._key_ring = keys.KeyRing.derive(secrets, _PURPOSE)
         self._serials = itertools.count(1)
 
     def sign(self, method: str, callee: str, body: bytes, now: float) -> Signed:
-        """Returns what to send with a call.
+        """Returns the signature of a call.
 
         Args:
-            method: Path of the method called.
-            callee: ``ip:port`` of the host called.
+            method: Path of the method.
+            callee: ``ip:port`` of the callee.
             body: The encoded message.
-            now: The called host's time, seconds since the epoch.
+            now: The callee's time in seconds since the epoch.
         """
         stamp = Stamp(
             self._host,
             self._incarnation,
             next(self._serials),
-            int(now * _MS),
+            int(now * _MS_PER_SECOND),
             callee,
             _digest(body),
         )
         text = str(stamp)
-        mac = keys.sign(self._ring.keys[0], _signed_text(method, text))
+        mac = keys.sign(self._key_ring.keys[0], _signed_text(method, text))
         return Signed(f"{text} {mac.hex()}", mac)
 
     def is_reply(self, signed: Signed, header: str | None, body: bytes) -> bool:
-        """Returns whether a reply comes from the host that was called."""
+        """Returns whether ``header`` authenticates a reply to ``signed``."""
         mac = _from_hex(header or "")
-        text = _REPLY + signed.mac + body
-        return self._ring.signer_of(text, mac) is not None
+        text = _REPLY_PREFIX + signed.mac + body
+        return self._key_ring.signer_of(text, mac) is not None
 
     def time_of(self, signed: Signed, header: str | None) -> float | None:
-        """Returns the called host's time if its refusal says it."""
+        """Returns the callee's time from a rejection.
+
+        Returns:
+            Seconds since the epoch, or None if ``header`` does not hold a
+            time signed for this call.
+        """
         at_ms, _, mac = (header or "").partition(" ")
-        text = _TIME + signed.mac + at_ms.encode()
-        if self._ring.signer_of(text, _from_hex(mac)) is None:
+        text = _TIME_PREFIX + signed.mac + at_ms.encode()
+        if self._key_ring.signer_of(text, _from_hex(mac)) is None:
             return None
-        return int(at_ms) / _MS
+        return int(at_ms) / _MS_PER_SECOND
 
 
 class Verifier:
-    """Judges the calls that reach one process.
+    """Authenticates the incoming calls of one process.
 
     Args:
-        callee: ``ip:port`` at which others call it.
-        secrets: Secrets of the deployment, each honoured.
-        started: When it started to take calls, seconds since the epoch;
-            older ones may have been seen by its predecessor.
+        callee: ``ip:port`` at which other hosts call this process.
+        secrets: Secrets of the deployment; a call may be signed with any.
+        started: When the process began to accept calls, in seconds since
+            the epoch. Earlier calls are rejected, because the previous
+            process at this address may have executed them.
     """
 
     def __init__(
         self, callee: str, secrets: Sequence[str], started: float
     ) -> None:
         self.callee = callee
-        self._ring = keys.KeyRing.derive(secrets, _PURPOSE)
-        self._started_ms = int(started * _MS)
+        self._key_ring = keys.KeyRing.derive(secrets, _PURPOSE)
+        self._started_ms = int(started * _MS_PER_SECOND)
         self._replays = replays.ReplayWindows(3 * TOLERANCE)
 
     def verify(
         self, method: str, header: str | None, now: float
     ) -> Genuine | Refused:
-        """Returns whether to carry out a call, if its body is the signed one.
+        """Authenticates a call by its header.
+
+        The caller of this method must still compare the body with the signed
+        digest.
 
         Args:
-            method: Path of the method called.
-            header: Text that came with it, if any.
+            method: Path of the method.
+            header: Header value received with the call, if any.
             now: Seconds since the epoch.
         """
         if not header:
@@ -214,18 +223,19 @@
         if stamp is None:
             return Refused(Why.MALFORMED)
         mac = _from_hex(mac_text)
-        # Judged on the text as it came: only the same bytes were signed.
-        key = self._ring.signer_of(_signed_text(method, text), mac)
+        # Verifies the text as received: parsing and formatting it again could
+        # yield bytes that were never signed.
+        key = self._key_ring.signer_of(_signed_text(method, text), mac)
         if key is None:
             return Refused(Why.WRONG_SIGNATURE, stamp.caller)
-        return self._judge(Genuine(stamp, mac, key), now)
+        return self._check_parameters(Genuine(stamp, mac, key), now)
 
-    def _judge(self, call: Genuine, now: float) -> Genuine | Refused:
+    def _check_parameters(self, call: Genuine, now: float) -> Genuine | Refused:
         stamp = call.stamp
         if stamp.callee != self.callee:
             return Refused(Why.MISDIRECTED, stamp.caller)
-        is_off = abs(stamp.at_ms / _MS - now) > TOLERANCE
-        if is_off or stamp.at_ms < self._started_ms:
+        is_skewed = abs(stamp.at_ms / _MS_PER_SECOND - now) > TOLERANCE
+        if is_skewed or stamp.at_ms < self._started_ms:
             return Refused(Why.SKEWED, stamp.caller, _time_header(call, now))
         if not self._replays.is_new(stamp.caller, stamp.serial, now):
             return Refused(Why.REPLAYED, stamp.caller)
@@ -241,16 +251,16 @@
 
 
 def _time_header(call: Genuine, now: float) -> str:
-    at_ms = str(int(now * _MS))
-    mac = keys.sign(call.key, _TIME + call.mac + at_ms.encode())
+    at_ms = str(int(now * _MS_PER_SECOND))
+    mac = keys.sign(call.key, _TIME_PREFIX + call.mac + at_ms.encode())
     return f"{at_ms} {mac.hex()}"
 
 
 def _parse(text: str) -> Stamp | None:
-    words = text.split(" ")
-    if len(text) > _MAX_HEADER_CHARS or len(words) != _STAMP_WORDS:
+    fields = text.split(" ")
+    if len(text) > _MAX_HEADER_CHARS or len(fields) != _STAMP_FIELDS:
         return None
-    host, incarnation, serial, at_ms, callee, digest = words
+    host, incarnation, serial, at_ms, callee, digest = fields
     try:
         return Stamp(
             host, int(incarnation), int(serial), int(at_ms), callee, digest
@@ -262,5 +272,5 @@
 def _from_hex(text: str) -> bytes:
     try:
         return binascii.unhexlify(text)
-    except ValueError:  # Also where it is not ASCII.
+    except ValueError:  # Also raised for text that is not ASCII.
         return b""
--- a/src/hoistmoor/core/security/keys.py
+++ b/src/hoistmoor/core/security/keys.py
@@ -1,4 +1,4 @@
-"""Keys derived from the deployment's secrets, one set for each purpose."""
+"""Signing keys derived from the deployment's secrets, one set per purpose."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 @attrs.frozen
 class KeyRing:
-    """Keys in use; the first signs, each is honoured.
+    """The keys of one purpose; the first one signs, all of them verify.
 
     Attributes:
-        keys: Never empty; not shown in texts of this object.
+        keys: At least one key; excluded from ``repr``.
     """
 
     keys: tuple[bytes, ...] = attrs.field(repr=False)
 
     @classmethod
     def derive(cls, secrets: Iterable[str], purpose: str) -> KeyRing:
-        """Returns keys that are good for one purpose only.
+        """Derives the keys of ``purpose`` from the deployment's secrets.
 
-        What is signed for one purpose is then no signature for another.
+        A signature made for one purpose does not verify for another.
         """
         return cls(
             tuple(
@@ -39,7 +39,7 @@
         )
 
     def signer_of(self, text: bytes, mac: bytes) -> bytes | None:
-        """Returns the key that made ``mac`` over ``text``, or None."""
+        """Returns the key for which ``mac`` authenticates ``text``, or None."""
         for key in self.keys:
             if hmac.compare_digest(mac, sign(key, text)):
                 return key
@@ -47,10 +47,10 @@
 
 
 def sign(key: bytes, text: bytes) -> bytes:
-    """Returns the code that authenticates ``text``."""
+    """Returns the message authentication code of ``text``."""
     return hmac.digest(key, text, _HASH)[:MAC_BYTES]
 
 
 def fingerprint(key: str) -> str:
-    """Returns the SHA-256 of a bearer key, in hex."""
+    """Returns the SHA-256 of a bearer key in hexadecimal."""
     return hashlib.sha256(key.encode(errors="replace")).hexdigest()
--- a/src/hoistmoor/core/security/operators.py
+++ b/src/hoistmoor/core/security/operators.py
@@ -1,4 +1,4 @@
-"""Operators' keys, known to the hosts by their hashes only."""
+"""Verification of operator keys, of which the hosts store only hashes."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 def is_hash(text: str) -> bool:
-    """Returns whether ``text`` can be the SHA-256 of a key, in hex."""
+    """Returns whether ``text`` is formatted as a SHA-256 in hexadecimal."""
     return _SHA256_HEX.fullmatch(text) is not None
 
 
 def is_operator(key: str, hashes: Iterable[str]) -> bool:
-    """Returns whether ``key`` is one of those with the given hashes."""
-    found = keys.fingerprint(key)
-    return any(hmac.compare_digest(found, known) for known in hashes)
+    """Returns whether the hash of ``key`` is among ``hashes``."""
+    fingerprint = keys.fingerprint(key)
+    return any(hmac.compare_digest(fingerprint, known) for known in hashes)
--- a/src/hoistmoor/core/security/replays.py
+++ b/src/hoistmoor/core/security/replays.py
@@ -1,4 +1,4 @@
-"""Finds calls that were seen before."""
+"""Replay detection by a sliding window of sequence numbers per caller."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 import attrs
 
-WIDTH = 4096  # Serials remembered of each caller.
+WIDTH = 4096  # Serials tracked per caller.
 _MASK = (1 << WIDTH) - 1
 
 
 @attrs.define
 class _Window:
-    """Serials seen of one caller: bit n of ``seen`` is ``highest - n``."""
+    """Serials of one caller; bit n of ``seen`` stands for ``highest - n``."""
 
     highest: int = 0
     seen: int = 0
-    heard_at: float = 0.0
+    last_seen_at: float = 0.0
 
     def is_new(self, serial: int) -> bool:
         ahead = serial - self.highest
         if ahead > 0:
-            kept = self.seen << ahead if ahead < WIDTH else 0
-            self.seen = (kept | 1) & _MASK
+            shifted = self.seen << ahead if ahead < WIDTH else 0
+            self.seen = (shifted | 1) & _MASK
             self.highest = serial
             return True
         if -ahead >= WIDTH or self.seen & (1 << -ahead):
@@ -32,14 +32,15 @@
 
 
 class ReplayWindows:
-    """Remembers the serials of each caller for a while.
+    """Detects replayed calls of all callers.
 
-    A caller counts its calls from 1, so calls that overtake each other are
-    told from repeats by a bit each. Serials below the window count as seen.
+    A caller numbers its calls from 1. One bit per serial distinguishes calls
+    that arrive out of order from replays. Serials below the window count as
+    seen.
 
     Args:
-        lifetime: Seconds without a call after which a caller is forgotten.
-            Calls as old as that must be refused for their age.
+        lifetime: Seconds without a call after which a caller's window is
+            removed. Calls of that age must be rejected by their timestamp.
     """
 
     def __init__(self, lifetime: float) -> None:
@@ -49,20 +50,20 @@
         )
 
     def __len__(self) -> int:
-        """Returns how many callers are remembered."""
+        """Returns the number of tracked callers."""
         return len(self._windows)
 
     def is_new(self, caller: str, serial: int, now: float) -> bool:
-        """Notes a genuine call; returns whether it was not seen before."""
-        self._forget(now)
+        """Records an authenticated call; returns whether it is not a replay."""
+        self._remove_expired(now)
         window = self._windows.setdefault(caller, _Window())
-        window.heard_at = now
+        window.last_seen_at = now
         self._windows.move_to_end(caller)
         return window.is_new(serial)
 
-    def _forget(self, now: float) -> None:
-        """Drops the callers heard longest ago, while they are too old."""
+    def _remove_expired(self, now: float) -> None:
+        """Removes up to two expired callers, the least recently seen first."""
         for caller, window in tuple(self._windows.items())[:2]:
-            if now - window.heard_at <= self.lifetime:
+            if now - window.last_seen_at <= self.lifetime:
                 return
             del self._windows[caller]
--- a/tests/core/security/test_security_calls.py
+++ b/tests/core/security/test_security_calls.py
@@ -1,4 +1,4 @@
-"""Signed calls: what is refused, and why; clocks, rotation, replays."""
+"""Tests call signatures: rejection, clock skew, secret rotation, replays."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     return verdict.why if isinstance(verdict, calls.Refused) else None
 
 
-def test_a_call_and_its_reply_are_taken_once() -> None:
+def test_call_and_reply_are_accepted_once() -> None:
     signer, verifier = _signer(), _verifier()
     signed = signer.sign(METHOD, CALLEE, BODY, NOW)
     call = verifier.verify(METHOD, signed.header, NOW + 1)
@@ -51,43 +51,43 @@
 
 
 @pytest.mark.parametrize(
-    ("secret", "callee", "method", "why"),
+    ("secret", "callee", "method", "reason"),
     [
         (NEW, CALLEE, METHOD, calls.Why.WRONG_SIGNATURE),
         (OLD, "10.0.0.3:7001", METHOD, calls.Why.MISDIRECTED),
         (OLD, CALLEE, "/hoistmoor.Peer/Ping", calls.Why.WRONG_SIGNATURE),
     ],
 )
-def test_a_call_of_others_or_for_others_is_refused(
-    secret: str, callee: str, method: str, why: calls.Why
+def test_call_with_other_secret_callee_or_method_is_rejected(
+    secret: str, callee: str, method: str, reason: calls.Why
 ) -> None:
     signed = _signer(secret).sign(method, callee, BODY, NOW)
     verdict = _verifier().verify(METHOD, signed.header, NOW)
-    assertions.assert_that(_why(verdict), matchers.Equals(why))
+    assertions.assert_that(_why(verdict), matchers.Equals(reason))
 
 
 @given(strategies.data())
 @settings(derandomize=True, deadline=None, max_examples=300)
-def test_no_changed_header_is_taken(data: strategies.DataObject) -> None:
+def test_altered_header_is_rejected(data: strategies.DataObject) -> None:
     header = _signer().sign(METHOD, CALLEE, BODY, NOW).header
-    place = data.draw(strategies.integers(0, len(header) - 1))
-    letter = data.draw(strategies.characters(max_codepoint=0x2FF))
-    changed = header[:place] + letter + header[place + 1 :]
+    position = data.draw(strategies.integers(0, len(header) - 1))
+    character = data.draw(strategies.characters(max_codepoint=0x2FF))
+    changed = header[:position] + character + header[position + 1 :]
     verdict = _verifier().verify(METHOD, changed, NOW)
-    # Hexadecimal digits of the signature may be written large.
+    # The signature's hexadecimal digits may be in upper case.
     is_same = changed.lower() == header.lower()
     assert isinstance(verdict, calls.Refused) != is_same
 
 
 @pytest.mark.parametrize("header", ["", None, "x", "a b c d e f g", "é" * 900])
-def test_nonsense_is_refused(header: str | None) -> None:
+def test_malformed_header_is_rejected(header: str | None) -> None:
     assert isinstance(_verifier().verify(METHOD, header, NOW), calls.Refused)
 
 
-@pytest.mark.parametrize("off", [-3600.0, -10.5, 10.5, 86_400.0])
-def test_a_skewed_call_learns_the_time_and_is_taken(off: float) -> None:
+@pytest.mark.parametrize("skew", [-3600.0, -10.5, 10.5, 86_400.0])
+def test_skewed_call_is_accepted_after_time_correction(skew: float) -> None:
     signer, verifier = _signer(), _verifier()
-    signed = signer.sign(METHOD, CALLEE, BODY, NOW + off)
+    signed = signer.sign(METHOD, CALLEE, BODY, NOW + skew)
     refused = verifier.verify(METHOD, signed.header, NOW)
     assert isinstance(refused, calls.Refused)
     assertions.assert_that(refused.why, matchers.Equals(calls.Why.SKEWED))
@@ -95,27 +95,27 @@
     assertions.assert_that(time, matchers.Equals(NOW))
     again = signer.sign(METHOD, CALLEE, BODY, NOW)
     assert isinstance(verifier.verify(METHOD, again.header, NOW), calls.Genuine)
-    # The time is said to one call only, and by nobody without the secret.
+    # The time is bound to one call and can't be forged without the secret.
     assert signer.time_of(again, refused.time_header) is None
     forged = f"{int(NOW * 1000)} {'0' * 32}"
     assert signer.time_of(signed, forged) is None
 
 
-@pytest.mark.parametrize("off", [-9.9, 9.9])
-def test_a_call_within_the_tolerance_is_taken_at_once(off: float) -> None:
-    signed = _signer().sign(METHOD, CALLEE, BODY, NOW + off)
+@pytest.mark.parametrize("skew", [-9.9, 9.9])
+def test_call_within_tolerance_is_accepted(skew: float) -> None:
+    signed = _signer().sign(METHOD, CALLEE, BODY, NOW + skew)
     verdict = _verifier().verify(METHOD, signed.header, NOW)
     assert isinstance(verdict, calls.Genuine)
 
 
-def test_a_call_to_the_predecessor_is_refused() -> None:
+def test_call_sent_before_callee_start_is_rejected() -> None:
     signed = _signer().sign(METHOD, CALLEE, BODY, NOW)
     successor = _verifier(started=NOW + 1)
     verdict = successor.verify(METHOD, signed.header, NOW + 2)
     assertions.assert_that(_why(verdict), matchers.Equals(calls.Why.SKEWED))
 
 
-def test_each_step_of_a_rotation_understands_its_neighbours() -> None:
+def test_consecutive_rotation_steps_interoperate() -> None:
     steps = [(OLD,), (OLD, NEW), (NEW, OLD), (NEW,)]
     for before, after in itertools.pairwise(steps):
         for caller, callee in ((before, after), (after, before)):
@@ -124,14 +124,15 @@
             call = _verifier(*callee).verify(METHOD, signed.header, NOW)
             assert isinstance(call, calls.Genuine), (caller, callee)
             assert signer.is_reply(signed, call.reply_header(b"r"), b"r")
-    signed = _signer(OLD).sign(METHOD, CALLEE, BODY, NOW)  # A step left out.
+    # Skips the intermediate steps of the rotation.
+    signed = _signer(OLD).sign(METHOD, CALLEE, BODY, NOW)
     verdict = _verifier(NEW).verify(METHOD, signed.header, NOW)
     assertions.assert_that(
         _why(verdict), matchers.Equals(calls.Why.WRONG_SIGNATURE)
     )
 
 
-def test_secrets_are_in_no_text_of_these_objects() -> None:
+def test_repr_contains_no_secrets() -> None:
     signed = _signer().sign(METHOD, CALLEE, BODY, NOW)
     call = _verifier().verify(METHOD, signed.header, NOW)
     assert isinstance(call, calls.Genuine)
@@ -142,7 +143,7 @@
 
 @given(strategies.lists(strategies.integers(-9_000, 9_000), max_size=200))
 @settings(derandomize=True, deadline=None)
-def test_no_serial_passes_twice(serials: list[int]) -> None:
+def test_serial_is_accepted_once(serials: list[int]) -> None:
     windows = replays.ReplayWindows(30.0)
     seen: set[int] = set()
     highest = 0
@@ -151,13 +152,13 @@
         highest = max(highest, serial)
         in_window = highest - serial < replays.WIDTH
         expected = serial not in seen and in_window
-        # Serial 0 and less are never sent; refusing them does no harm.
+        # Serials below 1 are never sent, so they may be rejected.
         if serial > 0:
             assertions.assert_that(is_new, matchers.Equals(expected))
             seen.add(serial)
 
 
-def test_callers_unheard_for_long_are_forgotten() -> None:
+def test_inactive_callers_are_removed() -> None:
     windows = replays.ReplayWindows(30.0)
     for number in range(100):
         windows.is_new(f"a.{number}", 1, NOW + number)
--- a/tests/core/security/test_security_tickets.py
+++ b/tests/core/security/test_security_tickets.py
@@ -1,4 +1,4 @@
-"""Tickets through a rotation of secrets; forged and altered ones."""
+"""Tests ticket signatures: secret rotation, forgery and alteration."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 
 
-def test_each_step_of_a_rotation_honours_its_neighbours_tickets() -> None:
+def test_consecutive_rotation_steps_accept_tickets() -> None:
     steps = [[OLD], [OLD, NEW], [NEW, OLD], [NEW]]
     for pair in itertools.pairwise(steps):
         for issuer, host in itertools.permutations(pair):
@@ -25,14 +25,14 @@
             assertions.assert_that(found, matchers.Equals(TICKET))
 
 
-def test_a_step_left_out_and_forged_tickets_are_refused() -> None:
+def test_forged_tickets_and_skipped_rotation_steps_are_rejected() -> None:
     text = tickets.sign(TICKET, [OLD])
-    richer = tickets.Ticket(
+    tampered = tickets.Ticket(
         TICKET.incarnation, TICKET.address, 1, "others", 9e9
     )
-    body, _, _ = tickets.sign(richer, [NEW]).rpartition(".")
+    body, _, _ = tickets.sign(tampered, [NEW]).rpartition(".")
     forged = f"{body}.{text.rpartition('.')[2]}"
-    for bad in (
+    for invalid in (
         tickets.sign(TICKET, [NEW]),
         forged,
         text[:-1],
@@ -40,4 +40,4 @@
         "tkt.é",
     ):
         with pytest.raises(ValueError, match="signature"):
-            tickets.verify(bad, [OLD])
+            tickets.verify(invalid, [OLD])
