--- a/src/hoistmoor/core/routing/__init__.py
+++ b/src/hoistmoor/core/routing/__init__.py
@@ -1,3 +1,3 @@
-"""Where each request goes: versions, cascades, exposure and placement."""
+"""Request routing: version selection, cascades, exposure and placement."""
 
 from __future__ import annotations
--- a/src/hoistmoor/core/routing/affinity.py
+++ b/src/hoistmoor/core/routing/affinity.py
@@ -1,7 +1,8 @@
-"""Which backend servers probably hold the start of a prompt in their cache.
+"""Index of the prompt prefixes that backend servers probably have cached.
 
-Events come late and with gaps, so an entry is a guess: it ages, and a gap in
-a server's events makes this host forget all it knew of that server.
+Cache events arrive late and some are lost, so entries are estimates: they
+expire, and a gap in a server's event sequence invalidates all entries of that
+server.
 """
 
 from __future__ import annotations
@@ -13,50 +14,51 @@
 if TYPE_CHECKING:
     from hoistmoor.core.routing import messages
 
-MAX_BLOCKS = 50_000  # Blocks remembered; the oldest go first.
+MAX_BLOCKS = 50_000  # Blocks indexed; the least recently stored is evicted.
 ENTRY_LIFE_S = 120.0
-MAX_HOLDERS = 4  # Servers remembered per block.
+MAX_HOLDERS = 4  # Servers indexed per block.
 
 
 @attrs.define
-class _Follower:
+class _EventCursor:
     sequence: int = -1
     epoch: int = 0
 
 
 @attrs.define(eq=False)
 class PrefixIndex:
-    """Servers by the hash of a prompt's blocks.
+    """Maps the hashes of prompt blocks to the servers that cache them.
 
     Attributes:
-        holders: For each block hash, (server, its epoch, when) by server.
-        followers: Newest event and epoch of each server.
+        holders: For each block hash, the epoch and time of the entry by
+            server.
+        followers: Latest event sequence number and epoch by server.
     """
 
     holders: dict[int, dict[str, tuple[int, float]]] = attrs.field(factory=dict)
-    followers: dict[str, _Follower] = attrs.field(factory=dict)
+    followers: dict[str, _EventCursor] = attrs.field(factory=dict)
 
     def on_event(self, event: messages.CacheEvent, now: float) -> None:
-        """Takes one event; a gap before it voids the server's entries."""
-        follower = self.followers.setdefault(event.server, _Follower())
-        if event.sequence <= follower.sequence:
+        """Applies an event; a sequence gap invalidates the server's entries."""
+        cursor = self.followers.setdefault(event.server, _EventCursor())
+        if event.sequence <= cursor.sequence:
             return
-        if follower.sequence >= 0 and event.sequence > follower.sequence + 1:
-            follower.epoch += 1
-        follower.sequence = event.sequence
+        if cursor.sequence >= 0 and event.sequence > cursor.sequence + 1:
+            cursor.epoch += 1
+        cursor.sequence = event.sequence
         for block in event.evicted:
             self.holders.get(block, {}).pop(event.server, None)
         self.store(event.server, event.stored, now)
 
     def store(self, server: str, blocks: tuple[int, ...], now: float) -> None:
-        """Notes that ``server`` holds ``blocks``, or soon will."""
-        follower = self.followers.setdefault(server, _Follower())
+        """Records that ``server`` caches ``blocks`` or is about to."""
+        cursor = self.followers.setdefault(server, _EventCursor())
         for block in blocks:
             entry = self.holders.pop(block, {})
             entry.pop(server, None)
             if len(entry) >= MAX_HOLDERS:
                 del entry[next(iter(entry))]
-            entry[server] = (follower.epoch, now)
+            entry[server] = (cursor.epoch, now)
             self.holders[block] = entry
         while len(self.holders) > MAX_BLOCKS:
             del self.holders[next(iter(self.holders))]
@@ -64,18 +66,20 @@
     def find(
         self, prefix: tuple[int, ...], now: float
     ) -> tuple[float, tuple[str, ...]]:
-        """Returns who holds the longest known start of a prompt.
+        """Returns the servers that cache the longest prefix of a prompt.
 
         Args:
-            prefix: Hashes of the prompt's blocks, each over all before it.
-            now: The time.
+            prefix: Hashes of the prompt's blocks; each hash also covers all
+                preceding blocks.
+            now: Current time.
 
         Returns:
-            The share of the prompt held, 0 to 1, and the servers.
+            Cached share of the prompt, 0 to 1, and the names of the servers.
         """
         low, high = 0, len(prefix)
         found: tuple[str, ...] = ()
-        # A prefix is held up to some block and not after it: bisect.
+        # A server caches a prefix up to some block and none after it, so the
+        # end of the longest cached prefix can be found by bisection.
         while low < high:
             middle = (low + high) // 2
             holders = self._live_holders(prefix[middle], now)
--- a/src/hoistmoor/core/routing/cascade.py
+++ b/src/hoistmoor/core/routing/cascade.py
@@ -1,10 +1,11 @@
-"""Plans cascades: the cheapest start and escalation that meet a target.
-
-A policy asks one version and, if its confidence lies below a bucket, asks a
-second. Its expected cost is the first version's plus the chance of escalation
-times the second's; its expected quality is summed over the buckets. The plan
-mixes the two policies that lie round the target on the lower hull of cost
-over quality, so that the target is met and not overpaid.
+"""Planning of cascades that meet a quality target at the lowest cost.
+
+A policy calls one version and escalates to a second one if the confidence of
+the first answer is below a threshold bucket. The expected cost of a policy is
+the cost of the first version plus the escalation probability times the cost
+of the second; its expected quality is summed over the confidence buckets. A
+plan mixes the two policies adjacent to the target on the lower convex hull of
+cost over quality, so that it meets the target without exceeding it.
 """
 
 from __future__ import annotations
@@ -21,23 +22,25 @@
     from hoistmoor.core.table import model
 
 ACCEPT_ALL = 0  # Threshold of a policy that never escalates.
-# Standard deviations by which the exploring plan raises what it expects.
+# Standard deviations that the exploration plan adds to expected quality.
 EXPLORE_Z = 2.0
-# By how much of one version's log odds in a bucket another's move with them.
+# Change of one version's log odds of a good answer per unit of change in
+# another's, for requests in the same confidence bucket.
 SHARED_HARDNESS = 0.8
-EXPLORE_SHARE = 0.1  # Requests that follow the exploring plan.
+EXPLORE_SHARE = 0.1  # Share of requests that follow the exploration plan.
 
 
 @attrs.frozen
 class Policy:
-    """One start, and when to escalate from it.
+    """A first version and the condition for escalation from it.
 
     Attributes:
-        start: Key of the version asked first.
-        threshold: Buckets of confidence below it escalate; 0 for none.
-        then: Key of the version asked next; empty if there is none.
+        start: Key of the first version.
+        threshold: Confidence buckets below this one escalate; 0 for none.
+        then: Key of the version to escalate to; empty if there is none.
         cost: Expected micros per request.
-        quality: Expected share of good answers, moved by the plan's caution.
+        quality: Expected share of good answers, shifted by the number of
+            standard deviations that the policy was planned with.
     """
 
     start: str
@@ -48,11 +51,11 @@
 
     @property
     def steps(self) -> tuple[str, int, str]:
-        """What it does, whatever that costs and gives."""
+        """The policy's versions and threshold, without its estimates."""
         return self.start, self.threshold, self.then
 
     def describe(self) -> str:
-        """Returns one short clause for people."""
+        """Returns a short human-readable description."""
         if not self.then:
             return f"{self.start} alone"
         return f"{self.start}, then {self.then} below bucket {self.threshold}"
@@ -60,13 +63,13 @@
 
 @attrs.frozen
 class Plan:
-    """Two policies and how often each is followed.
+    """A mix of two policies.
 
     Attributes:
-        cheaper: The policy on or below the target.
-        better: The policy on or above it.
+        cheaper: The policy with a quality at or below the target.
+        better: The policy with a quality at or above the target.
         better_share: Share of requests that follow ``better``.
-        meets_target: Whether the target is expected to be met.
+        meets_target: Whether the mix is expected to meet the target.
     """
 
     cheaper: Policy
@@ -75,7 +78,11 @@
     meets_target: bool
 
     def policy(self, uniform: float) -> Policy:
-        """Returns the policy of the request that drew ``uniform``."""
+        """Returns the policy for a request.
+
+        Args:
+            uniform: The request's random number in [0, 1).
+        """
         return self.better if uniform < self.better_share else self.cheaper
 
     @property
@@ -87,15 +94,15 @@
 
 @attrs.frozen
 class Profile:
-    """What the planner needs of one version for one kind of request.
+    """Estimates for one version and one kind of request.
 
     Attributes:
         key: Key of the version.
-        cost: Expected micros of one answer.
-        quality: Expected share of good answers, whatever the confidence.
-        shares: Share of its answers in each bucket of confidence.
+        cost: Expected micros per answer.
+        quality: Expected share of good answers over all buckets.
+        shares: Share of the version's answers in each confidence bucket.
         by_bucket: Expected share of good answers in each bucket.
-        is_silent: Whether its engines give no confidence to judge by.
+        is_silent: Whether the version's engines report no confidence.
     """
 
     key: str
@@ -113,86 +120,94 @@
     tokens: tuple[float, float],
     deviations: Sequence[float],
 ) -> list[Profile]:
-    """Returns a version's profile, once for each hope or caution.
+    """Returns a version's profiles, one for each of ``deviations``.
 
     Args:
-        known: Evidence from ratings.
+        known: Quality estimates from ratings.
         row: The version.
         kind: Kind of the request.
-        tokens: Usual prompt and output tokens of this kind.
-        deviations: Deviations added to each expectation; below 0 for caution.
+        tokens: Average prompt and output tokens of this kind.
+        deviations: Standard deviations added to the expected quality; a
+            negative value gives a pessimistic profile.
     """
     shares = known.bucket_shares(row, kind)
     means = [estimate.mean for estimate in known.of_buckets(row, kind)]
     mean = _dot(shares, means)
-    whole = known.of_kind(row, kind)
-    # Only answers that were confident enough went out and got rated, so the
-    # kind's own ratings flatter it; the buckets' do not.
-    offset = 0.0 if known.has_buckets(row, kind) else whole.mean - mean
+    overall = known.of_kind(row, kind)
+    # Only answers above the escalation threshold are delivered and rated, so
+    # the kind's own ratings are biased upwards. Those of the buckets are not.
+    offset = 0.0 if known.has_buckets(row, kind) else overall.mean - mean
     found = []
     for z in deviations:
-        # Buckets err apart from each other; their sum errs as the whole does.
-        shift = whole.bound(z) - whole.mean
-        by_bucket = _shifted(means, shares, shift)
+        # The errors of the buckets are independent, and that of their sum is
+        # the error of the overall estimate, which is therefore distributed.
+        shift = overall.bound(z) - overall.mean
+        by_bucket = _distribute_shift(means, shares, shift)
         found.append(
             Profile(
                 row.key,
                 cost(row, tokens),
-                _clip(mean + offset + shift),
+                _clamp(mean + offset + shift),
                 tuple(shares),
-                tuple(_clip(value + offset) for value in by_bucket),
+                tuple(_clamp(value + offset) for value in by_bucket),
                 row.key in known.silent,
             )
         )
     return found
 
 
-def _clip(share: float) -> float:
+def _clamp(share: float) -> float:
     return min(1.0, max(0.0, share))
 
 
-def _shifted(
+def _distribute_shift(
     means: list[float], shares: list[float], shift: float
 ) -> list[float]:
-    """Spreads a shift of the whole over buckets, by their uncertainty."""
-    spreads = [math.sqrt(max(1e-6, mean * (1.0 - mean))) for mean in means]
+    """Distributes a shift of the overall mean over the buckets.
+
+    Each bucket gets a part in proportion to its standard deviation.
+    """
+    deviations = [math.sqrt(max(1e-6, mean * (1.0 - mean))) for mean in means]
     total = sum(
-        share * spread for share, spread in zip(shares, spreads, strict=True)
+        share * deviation
+        for share, deviation in zip(shares, deviations, strict=True)
     )
     return [
-        mean + shift * spread / total
-        for mean, spread in zip(means, spreads, strict=True)
+        mean + shift * deviation / total
+        for mean, deviation in zip(means, deviations, strict=True)
     ]
 
 
 def cost(row: model.Version, tokens: tuple[float, float]) -> float:
-    """Returns the expected micros of one answer."""
+    """Returns the expected micros per answer."""
     prompt, output = tokens
     return (prompt * row.input_price + output * row.output_price) / 1000.0
 
 
 def singles(profiles: Sequence[Profile]) -> list[Policy]:
-    """Returns the policies that ask one version and accept its answer."""
+    """Returns the policies that accept any answer of a single version."""
     return [Policy(p.key, ACCEPT_ALL, "", p.cost, p.quality) for p in profiles]
 
 
 def policies(profiles: Sequence[Profile]) -> list[Policy]:
-    """Returns every policy of one or two versions."""
+    """Returns all policies with one or two versions."""
     found = singles(profiles)
     for first in profiles:
         if first.is_silent:
             continue
-        hardness = _hardness(first)
+        difficulty_factors = _difficulty_factors(first)
         for second in profiles:
             if first.cost < second.cost:
-                found.extend(_two_step(first, second, hardness))
+                found.extend(
+                    _two_step_policies(first, second, difficulty_factors)
+                )
     return found
 
 
-def _two_step(
-    first: Profile, second: Profile, hardness: list[float]
+def _two_step_policies(
+    first: Profile, second: Profile, difficulty_factors: list[float]
 ) -> list[Policy]:
-    after = _quality_after(first, second, hardness)
+    quality_after = _quality_after_escalation(first, second, difficulty_factors)
     quality = _dot(first.shares, first.by_bucket)
     found = []
     escalated = 0.0
@@ -200,33 +215,35 @@
         bucket = threshold - 1
         share = first.shares[bucket]
         escalated += share
-        quality += share * (after[bucket] - first.by_bucket[bucket])
+        quality += share * (quality_after[bucket] - first.by_bucket[bucket])
         cost = first.cost + escalated * second.cost
         found.append(Policy(first.key, threshold, second.key, cost, quality))
     return found
 
 
-def _hardness(first: Profile) -> list[float]:
-    """Returns the factor on another version's odds, by bucket of the first.
+def _difficulty_factors(first: Profile) -> list[float]:
+    """Returns the factors on a second version's odds by bucket of ``first``.
 
-    What is hard for one version is mostly hard for the other.
+    Requests that are difficult for one version are mostly difficult for
+    others too.
     """
-    usual = _log_odds(_dot(first.shares, first.by_bucket))
+    mean = _log_odds(_dot(first.shares, first.by_bucket))
     return [
-        math.exp(SHARED_HARDNESS * (_log_odds(quality) - usual))
+        math.exp(SHARED_HARDNESS * (_log_odds(quality) - mean))
         for quality in first.by_bucket
     ]
 
 
-def _quality_after(
-    first: Profile, second: Profile, hardness: list[float]
+def _quality_after_escalation(
+    first: Profile, second: Profile, difficulty_factors: list[float]
 ) -> list[float]:
-    """Returns the second version's quality by bucket of the first's.
+    """Returns the quality of ``second`` by confidence bucket of ``first``.
 
-    Over all buckets the second must come to its own quality.
+    The result is scaled so that its mean over all buckets is the overall
+    quality of ``second``.
     """
     odds = math.exp(_log_odds(second.quality))
-    bad = [1.0 / (1.0 + odds * factor) for factor in hardness]
+    bad = [1.0 / (1.0 + odds * factor) for factor in difficulty_factors]
     scale = (1.0 - second.quality) / max(1e-9, _dot(first.shares, bad))
     return [1.0 - min(1.0, scale * share) for share in bad]
 
@@ -245,23 +262,23 @@
 
     Args:
         candidates: At least one policy.
-        target: Wanted share of good answers.
+        target: Target share of good answers.
 
     Returns:
-        The plan; the one of the best quality if none meets the target.
+        The plan, or that of the highest quality if none meets the target.
     """
     return plan_on(hull(candidates), target)
 
 
 def plan_on(options: Sequence[Policy], target: float) -> Plan:
-    """Returns the plan for ``target`` on a hull, as ``plan`` does."""
+    """Returns the cheapest plan for ``target`` from a precomputed hull."""
     best = options[-1]
     if best.quality < target:
         return Plan(best, best, 1.0, meets_target=False)
     if options[0].quality >= target:
         return Plan(options[0], options[0], 1.0, meets_target=True)
-    place = next(i for i, p in enumerate(options) if p.quality >= target)
-    below, above = options[place - 1], options[place]
+    index = next(i for i, p in enumerate(options) if p.quality >= target)
+    below, above = options[index - 1], options[index]
     share = (target - below.quality) / (above.quality - below.quality)
     return Plan(below, above, share, meets_target=True)
 
@@ -269,40 +286,40 @@
 def made_up(
     target: float, exploring: Plan, expected: Sequence[Policy]
 ) -> float:
-    """Returns the target that makes up for what exploration costs.
+    """Returns the target that offsets the quality lost to exploration.
 
     Args:
-        target: Wanted share of good answers over all requests.
-        exploring: The plan that ``EXPLORE_SHARE`` of them follow.
-        expected: The same policies with their quality as expected.
+        target: Target share of good answers over all requests.
+        exploring: The plan of the requests that explore.
+        expected: The policies of ``exploring`` with their expected quality.
     """
     quality = {policy.steps: policy.quality for policy in expected}
 
-    def of(policy: Policy) -> float:
+    def quality_of(policy: Policy) -> float:
         return quality[policy.steps]
 
     share = exploring.better_share
-    reached = share * of(exploring.better)
-    reached += (1.0 - share) * of(exploring.cheaper)
-    missing = max(0.0, target - reached)
-    return target + missing * EXPLORE_SHARE / (1.0 - EXPLORE_SHARE)
+    reached = share * quality_of(exploring.better)
+    reached += (1.0 - share) * quality_of(exploring.cheaper)
+    shortfall = max(0.0, target - reached)
+    return target + shortfall * EXPLORE_SHARE / (1.0 - EXPLORE_SHARE)
 
 
 def hull(candidates: Sequence[Policy]) -> list[Policy]:
-    """Returns the lower hull of cost over quality, cheapest first."""
+    """Returns the lower convex hull of cost over quality, cheapest first."""
     ordered = sorted(candidates, key=lambda p: (p.cost, -p.quality))
     found: list[Policy] = []
     for policy in ordered:
         if found and policy.quality <= found[-1].quality:
             continue
-        while len(found) > 1 and _lies_above(found[-2], found[-1], policy):
+        while len(found) > 1 and _is_above_hull(found[-2], found[-1], policy):
             found.pop()
         found.append(policy)
     return found
 
 
-def _lies_above(left: Policy, middle: Policy, right: Policy) -> bool:
-    """Returns whether mixing the outer two is as cheap as the middle."""
+def _is_above_hull(left: Policy, middle: Policy, right: Policy) -> bool:
+    """Returns whether a mix of the outer two is no costlier than ``middle``."""
     return (middle.cost - left.cost) * (right.quality - left.quality) >= (
         right.cost - left.cost
     ) * (middle.quality - left.quality)
--- a/src/hoistmoor/core/routing/evidence.py
+++ b/src/hoistmoor/core/routing/evidence.py
@@ -1,8 +1,9 @@
-"""What rated answers say of each version: late, sparse and fading.
+"""Estimates of answer quality from late and sparse ratings.
 
 The share of good answers is estimated per version, per kind of request and
-per bucket of the engine's confidence. Each finer estimate starts from the
-coarser one, so that a cell with few ratings says what its parent says.
+per bucket of the engine's confidence. Each estimate takes the coarser one as
+its prior, so a cell with few ratings stays close to its parent. Ratings lose
+weight exponentially with age.
 """
 
 from __future__ import annotations
@@ -20,35 +21,39 @@
     from hoistmoor.core.routing import messages
     from hoistmoor.core.table import model
 
-# Upper edges of the buckets of confidence; the last bucket has none.
+# Upper edges of the confidence buckets; the last bucket has none.
 BUCKET_EDGES = (0.3, 0.45, 0.55, 0.65, 0.72, 0.79, 0.85, 0.9, 0.95)
 BUCKETS = len(BUCKET_EDGES) + 1
-_MIDDLES = tuple(
+_BUCKET_MIDPOINTS = tuple(
     (low + high) / 2.0
     for low, high in itertools.pairwise((0.0, *BUCKET_EDGES, 1.0))
 )
 NO_BUCKET = -1
-HALF_LIFE_S = 6 * 3600.0  # After it a rating counts half.
-PRIOR_STRENGTH = 20.0  # Ratings that the table's prior quality is worth.
-KIND_STRENGTH = 8.0  # Ratings that the version's estimate is worth.
-MISS_STRENGTH = 100.0  # Answers with no miss that are taken as seen.
-_MISS_DEVIATION = 0.4  # Of one answer's quality round its expectation.
-BUCKET_STRENGTH = 5.0  # Ratings that the kind's estimate is worth.
-# Deviation of a kind's log odds of a good answer from its version's.
+HALF_LIFE_S = 6 * 3600.0  # Age at which the weight of a rating has halved.
+# Prior strengths as equivalent numbers of ratings: of the table's prior
+# quality, of the version's estimate, and of the assumption of unbiased
+# estimates.
+PRIOR_STRENGTH = 20.0
+KIND_STRENGTH = 8.0
+MISS_STRENGTH = 100.0
+# Standard deviation of one answer's quality from its expectation.
+_QUALITY_DEVIATION = 0.4
+BUCKET_STRENGTH = 5.0  # Prior strength of the kind's estimate, in ratings.
+# Standard deviation of a kind's log odds of a good answer from its version's.
 KIND_SPREAD = 0.7
-# Requests that reach an escalation are the hard ones: before any rating, the
-# odds of a good answer to them are this part of the usual.
+# Prior factor on the odds of a good answer after an escalation. Only the
+# difficult requests are escalated.
 ESCALATED_ODDS = 0.25
-# Before any rating, the log odds of a good answer rise by this much per unit
-# of confidence. Engines' confidence is rarely worthless and rarely this good.
+# Prior increase of the log odds of a good answer per unit of confidence.
+# Confidence is rarely uninformative and rarely as informative as this.
 CONFIDENCE_SLOPE = 6.0
-_LOWEST, _HIGHEST = 0.002, 0.998
-_ESCALATED = "e"
-_TAG = "~"
+_MIN_SHARE, _MAX_SHARE = 0.002, 0.998
+_ESCALATED_SUFFIX = "e"
+_TAG_SEPARATOR = "~"
 
 
 def bucket_of(confidence: float | None) -> int:
-    """Returns the bucket of a confidence; ``NO_BUCKET`` if there is none."""
+    """Returns the bucket of ``confidence``; ``NO_BUCKET`` for None."""
     if confidence is None:
         return NO_BUCKET
     return bisect.bisect_right(BUCKET_EDGES, confidence)
@@ -57,32 +62,37 @@
 def tag_answer(
     attempt_id: str, confidence: float | None, escalated: bool
 ) -> str:
-    """Returns the id under which an answer is handed in for rating.
+    """Returns the id under which an answer is submitted for rating.
 
-    The id carries what a rating needs to be of use at every host, so that
-    none has to remember the answer.
+    The id encodes the confidence bucket and whether the answer followed an
+    escalation, so that any host can use the rating without having stored the
+    answer.
     """
-    mark = _ESCALATED if escalated else ""
-    return f"{attempt_id}{_TAG}{bucket_of(confidence)}{mark}"
+    suffix = _ESCALATED_SUFFIX if escalated else ""
+    return f"{attempt_id}{_TAG_SEPARATOR}{bucket_of(confidence)}{suffix}"
 
 
 def read_tag(answer_id: str) -> tuple[int, bool]:
-    """Returns the bucket and whether the answer followed an escalation."""
-    _, found, tag = answer_id.rpartition(_TAG)
-    number = tag.removesuffix(_ESCALATED)
+    """Parses an answer id.
+
+    Returns:
+        The confidence bucket, and whether the answer followed an escalation.
+    """
+    _, found, tag = answer_id.rpartition(_TAG_SEPARATOR)
+    number = tag.removesuffix(_ESCALATED_SUFFIX)
     if not found or not number.isdecimal() or int(number) >= BUCKETS:
-        return NO_BUCKET, tag == f"{NO_BUCKET}{_ESCALATED}"
-    return int(number), tag.endswith(_ESCALATED)
+        return NO_BUCKET, tag == f"{NO_BUCKET}{_ESCALATED_SUFFIX}"
+    return int(number), tag.endswith(_ESCALATED_SUFFIX)
 
 
 @attrs.define
 class Tally:
-    """Good and bad answers, fading with time.
+    """Exponentially decayed counts of good and bad answers.
 
     Attributes:
         good: Weight of good answers.
         bad: Weight of bad answers.
-        at: When the weights were last faded.
+        at: Time up to which the weights are decayed.
     """
 
     good: float = 0.0
@@ -101,7 +111,7 @@
         self.bad += not good
 
     def fade(self, now: float) -> None:
-        """Lets the weights fade up to ``now``."""
+        """Decays the weights up to ``now``."""
         if now > self.at:
             factor = 0.5 ** ((now - self.at) / HALF_LIFE_S)
             self.good *= factor
@@ -111,12 +121,12 @@
 
 @attrs.define
 class Miss:
-    """How far delivered answers fell short of what was expected.
+    """Decayed sum of the differences between expected and rated quality.
 
     Attributes:
-        total: Sum of expected less delivered quality.
-        count: Weight of the answers behind it.
-        at: When both were last faded.
+        total: Sum of expected minus rated quality.
+        count: Weight of the answers in the sum.
+        at: Time up to which the sum and the weight are decayed.
     """
 
     total: float = 0.0
@@ -124,7 +134,12 @@
     at: float = 0.0
 
     def add(self, missing: float, now: float) -> None:
-        """Counts one answer."""
+        """Counts one answer.
+
+        Args:
+            missing: Expected minus rated quality.
+            now: Current time.
+        """
         factor = 0.5 ** (max(0.0, now - self.at) / HALF_LIFE_S)
         self.total = self.total * factor + missing
         self.count = self.count * factor + 1.0
@@ -133,12 +148,12 @@
 
 @attrs.frozen
 class Estimate:
-    """A share of good answers, and how sure it is.
+    """An estimated share of good answers.
 
     Attributes:
-        mean: Expected share of good answers.
-        variance: Variance of that expectation.
-        count: Weight of the ratings behind it, without its parent's.
+        mean: Posterior mean.
+        variance: Posterior variance.
+        count: Weight of the ratings of the cell itself, without the prior.
     """
 
     mean: float
@@ -146,12 +161,12 @@
     count: float
 
     def bound(self, z: float) -> float:
-        """Returns the mean moved by ``z`` standard deviations, in [0, 1]."""
+        """Returns the mean plus ``z`` standard deviations, within [0, 1]."""
         return min(1.0, max(0.0, self.mean + z * math.sqrt(self.variance)))
 
 
 def _posterior(tally: Tally | None, mean: float, strength: float) -> Estimate:
-    mean = min(_HIGHEST, max(_LOWEST, mean))
+    mean = min(_MAX_SHARE, max(_MIN_SHARE, mean))
     good = mean * strength + (tally.good if tally else 0.0)
     total = strength + (tally.count if tally else 0.0)
     share = good / total
@@ -159,16 +174,16 @@
 
 
 def lowered(estimate: Estimate, deviations: float) -> float:
-    """Returns a careful reading of an estimate, on the scale of log odds.
+    """Returns a lower bound of an estimate, computed on the log odds scale.
 
-    A kind of request may differ from its version's mean by ``KIND_SPREAD``;
-    ratings of that kind narrow it.
+    The deviation of a kind of request from its version's mean is assumed to
+    be normal; ratings of that kind reduce its variance.
 
     Args:
         estimate: The estimate for a kind of request.
-        deviations: Deviations by which it is lowered.
+        deviations: Standard deviations by which to lower it.
     """
-    mean = min(_HIGHEST, max(_LOWEST, estimate.mean))
+    mean = min(_MAX_SHARE, max(_MIN_SHARE, estimate.mean))
     precision = KIND_SPREAD**-2 + estimate.count * mean * (1.0 - mean)
     factor = math.exp(-deviations / math.sqrt(precision))
     return _share(factor * _odds(mean))
@@ -179,26 +194,26 @@
 
 
 def _odds(share: float) -> float:
-    share = min(_HIGHEST, max(_LOWEST, share))
+    share = min(_MAX_SHARE, max(_MIN_SHARE, share))
     return share / (1.0 - share)
 
 
 _Cell = tuple[str, str, int]
 _ALL_KINDS = "*"
-_AFTER_ESCALATION = BUCKETS  # A cell of its own, beside the buckets.
+_AFTER_ESCALATION = BUCKETS  # Cell index for answers after an escalation.
 
 
 @attrs.define
 class Evidence:
-    """Estimates for every version, from the ratings seen by this host.
+    """Quality estimates of all versions from the ratings read by this host.
 
     Attributes:
         tallies: Ratings by version, kind (``*`` for all) and bucket.
         buckets: Answers per bucket, rated or not, by version and kind.
-        misses: Expected less delivered quality, by kind.
-        silent: Versions whose engines give no confidence with an answer.
-        revision: Grows with each rating.
-        answers: Answers counted in ``buckets``.
+        misses: Calibration errors by kind.
+        silent: Versions whose engines report no confidence.
+        revision: Number of ratings counted.
+        answers: Number of answers counted in ``buckets``.
     """
 
     tallies: dict[_Cell, Tally] = attrs.field(factory=dict)
@@ -210,25 +225,26 @@
 
     @property
     def weight(self) -> float:
-        """Weight of all ratings, faded up to the last of each kind."""
+        """Weight of all ratings, decayed up to the last one of each kind."""
         return sum(miss.count for miss in self.misses.values())
 
     def on_rating(
         self, rating: messages.Rating, row: model.Version | None, now: float
     ) -> None:
-        """Counts one rating in each cell that it speaks for.
+        """Counts a rating in every cell that it belongs to.
 
         Args:
             rating: The rating.
             row: The version's row; None if the table no longer has it.
-            now: The time.
+            now: Current time.
         """
         version = f"{rating.model}@{rating.version}"
         bucket, escalated = read_tag(rating.answer_id)
         if row is not None:
-            self._compare(rating, row, now)
+            self._record_error(rating, row, now)
         if escalated:
-            # Requests that reach an escalation are the hard ones.
+            # Escalated requests are the difficult ones, so they have cells of
+            # their own.
             cells = [
                 (version, kind, _AFTER_ESCALATION)
                 for kind in (rating.kind, _ALL_KINDS)
@@ -242,10 +258,10 @@
             self.tallies.setdefault(cell, Tally(at=now)).add(rating.good, now)
         self.revision += 1
 
-    def _compare(
+    def _record_error(
         self, rating: messages.Rating, row: model.Version, now: float
     ) -> None:
-        """Counts a rating against what was expected of the answer."""
+        """Records the difference between the expected and the rated quality."""
         bucket, escalated = read_tag(rating.answer_id)
         expected = (
             self.after_escalation(row, rating.kind)
@@ -256,21 +272,29 @@
         miss.add(expected.mean - rating.good, now)
 
     def margin(self, kind: str, target: float, z: float) -> float:
-        """Returns what to add to a target so that it is met after all.
+        """Returns the margin to add to a target to offset calibration errors.
 
-        It is how far answers of this kind, of whatever version, have fallen
-        short of what was expected of them, plus ``z`` deviations of that.
-        The higher the target, the less its answers vary. The target is one
-        over all of an account's requests, and kinds err apart from each
-        other, so that their deviations partly cancel.
+        The margin is the mean shortfall of answers of this kind, over all
+        versions, plus ``z`` standard deviations. Both are scaled to the
+        target, because the quality of answers varies less near 1. The target
+        applies to all requests of an account and the errors of its kinds are
+        independent, so the deviation is reduced accordingly.
+
+        Args:
+            kind: Kind of the request.
+            target: Target share of good answers.
+            z: Standard deviations to add.
         """
         miss = self.misses.get(kind, Miss())
         count = miss.count + MISS_STRENGTH
-        spread = math.sqrt(target * (1.0 - target))
-        bias = miss.total / count * spread / _MISS_DEVIATION
-        return bias + z * self._cancelled() * spread / math.sqrt(count)
+        deviation = math.sqrt(target * (1.0 - target))
+        bias = miss.total / count * deviation / _QUALITY_DEVIATION
+        return bias + z * self._deviation_factor() * deviation / math.sqrt(
+            count
+        )
 
-    def _cancelled(self) -> float:
+    def _deviation_factor(self) -> float:
+        """Returns the factor on the deviation of a mean over all kinds."""
         counts = [miss.count for miss in self.misses.values()]
         total = sum(counts)
         if not total:
@@ -280,7 +304,7 @@
     def on_answer(
         self, version: str, kind: str, confidence: float | None
     ) -> None:
-        """Counts one answer, rated or not, in its bucket of confidence."""
+        """Counts an answer, rated or not, in its confidence bucket."""
         bucket = bucket_of(confidence)
         if bucket == NO_BUCKET:
             self.silent.add(version)
@@ -291,7 +315,7 @@
         self.answers += 1
 
     def of_version(self, row: model.Version) -> Estimate:
-        """Returns the estimate over all kinds of request."""
+        """Returns the estimate over all kinds of requests."""
         tally = self.tallies.get((row.key, _ALL_KINDS, NO_BUCKET))
         return _posterior(tally, row.prior_quality, PRIOR_STRENGTH)
 
@@ -301,37 +325,39 @@
         return _posterior(tally, self.of_version(row).mean, KIND_STRENGTH)
 
     def after_escalation(self, row: model.Version, kind: str) -> Estimate:
-        """Returns the estimate for requests that another version failed."""
+        """Returns the estimate for requests escalated from other versions."""
         overall = self.of_version(row).mean
         pooled = _posterior(
             self.tallies.get((row.key, _ALL_KINDS, _AFTER_ESCALATION)),
             _share(ESCALATED_ODDS * _odds(overall)),
             KIND_STRENGTH,
         )
-        harder = _odds(pooled.mean) / _odds(overall)
-        mean = _share(harder * _odds(self.of_kind(row, kind).mean))
+        difficulty = _odds(pooled.mean) / _odds(overall)
+        mean = _share(difficulty * _odds(self.of_kind(row, kind).mean))
         tally = self.tallies.get((row.key, kind, _AFTER_ESCALATION))
         return _posterior(tally, mean, KIND_STRENGTH)
 
     def of_bucket(self, row: model.Version, kind: str, bucket: int) -> Estimate:
-        """Returns the estimate for one kind at one bucket of confidence."""
+        """Returns the estimate for one kind and one confidence bucket."""
         if bucket == NO_BUCKET:
             return self.of_kind(row, kind)
-        return self._of_buckets(row, kind, (bucket,))[0]
+        return self._estimate_buckets(row, kind, (bucket,))[0]
 
     def of_buckets(self, row: model.Version, kind: str) -> list[Estimate]:
-        """Returns the estimates for one kind at each bucket."""
-        return self._of_buckets(row, kind, range(BUCKETS))
+        """Returns the estimates for one kind by confidence bucket."""
+        return self._estimate_buckets(row, kind, range(BUCKETS))
 
-    def _of_buckets(
+    def _estimate_buckets(
         self, row: model.Version, kind: str, buckets: Iterable[int]
     ) -> list[Estimate]:
         overall = _odds(self.of_version(row).mean)
-        of_kind = _odds(self.of_kind(row, kind).mean) / overall
-        centre = self._mean_confidence(row, kind)
+        kind_factor = _odds(self.of_kind(row, kind).mean) / overall
+        mean_confidence = self._mean_confidence(row, kind)
         found = []
         for bucket in buckets:
-            slope = math.exp(CONFIDENCE_SLOPE * (_MIDDLES[bucket] - centre))
+            slope = math.exp(
+                CONFIDENCE_SLOPE * (_BUCKET_MIDPOINTS[bucket] - mean_confidence)
+            )
             pooled = _posterior(
                 self.tallies.get((row.key, _ALL_KINDS, bucket)),
                 _share(slope * overall),
@@ -339,7 +365,7 @@
             )
             own = _posterior(
                 self.tallies.get((row.key, kind, bucket)),
-                _share(_odds(pooled.mean) * of_kind),
+                _share(_odds(pooled.mean) * kind_factor),
                 BUCKET_STRENGTH,
             )
             found.append(own)
@@ -347,10 +373,12 @@
 
     def _mean_confidence(self, row: model.Version, kind: str) -> float:
         shares = self.bucket_shares(row, kind)
-        return sum(s * m for s, m in zip(shares, _MIDDLES, strict=True))
+        return sum(
+            s * m for s, m in zip(shares, _BUCKET_MIDPOINTS, strict=True)
+        )
 
     def has_buckets(self, row: model.Version, kind: str) -> bool:
-        """Returns whether the engine gave a confidence with some answer."""
+        """Returns whether any answer of this kind came with a confidence."""
         return (row.key, kind) in self.buckets
 
     def bucket_shares(self, row: model.Version, kind: str) -> list[float]:
--- a/src/hoistmoor/core/routing/exposure.py
+++ b/src/hoistmoor/core/routing/exposure.py
@@ -1,11 +1,11 @@
-"""The cap on unproved answers, shared over hosts that cannot ask each other.
-
-Before a host sends a request to an unproved candidate it must hold a slice of
-the candidate's cap. It asks for one by a record on the log. Every reader folds
-these records in the order of the log and grants a claim only while the sum of
-all granted slices stays within the cap; so all agree, however their views of
-the fleet differ. Slices are never given back: a host that dies takes the rest
-of its slice along, which errs on the safe side.
+"""Cap on the answers of unproven candidates, enforced over all hosts.
+
+A host must hold a slice of a candidate's cap before it sends a request to the
+candidate. It claims a slice by appending a record to the log. Every reader
+applies these records in log order and grants a claim only while the sum of all
+granted slices is within the cap, so all readers agree without communicating,
+even if their views of the fleet differ. Slices are never returned: what a
+crashed host has not used is lost, which keeps the total below the cap.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 if TYPE_CHECKING:
     from hoistmoor.core.table import model
 
-MAX_OPEN_CLAIM_S = 3.0  # After it, an unanswered claim is made again.
+MAX_OPEN_CLAIM_S = 3.0  # Seconds before an unsettled claim is repeated.
 REMINDER_PERIOD_S = 1800.0  # Must be well below the log's retention.
-SLICES_PER_HOST = 4  # Slices that a host's even part of the cap is cut into.
+SLICES_PER_HOST = 4  # Slices per host in an even division of the cap.
 
 
 def row_digest(row: model.Version) -> str:
-    """Returns a digest of what operators said of a version's roll-out.
+    """Returns a digest of the fields that control a version's rollout.
 
-    An edit of any of these fields starts the count anew and lifts a
+    An edit of any of these fields resets the exposure count and lifts a
     withdrawal; an edit of weights or prices does not.
     """
     text = f"{row.key} {row.stage} {row.prior_quality} {row.exposure_cap}"
@@ -38,18 +38,18 @@
 
 @attrs.define
 class ExposureFold:
-    """Grants claims in the order of the log; the same at every reader.
+    """Grants claims in log order, with the same result at every reader.
 
-    A reader that starts after the stream's first record does not know what
-    was granted before. It grants nothing until it meets a tally by a reader
-    that knew, and can apply every claim since.
+    A reader that starts after the first record of the stream does not know
+    the earlier grants. It grants nothing until it reads a tally from a
+    complete reader and has all claims that follow the tally.
 
     Attributes:
-        granted: Sum of the slices granted, by digest of the version's row.
-        settled: Amount granted by claim id, 0 for a claim that got none.
-        is_complete: Whether ``granted`` holds all claims ever made.
+        granted: Sum of the granted slices by digest of the version's row.
+        settled: Granted amount by claim id; 0 for a denied claim.
+        is_complete: Whether ``granted`` covers all claims of the stream.
         waiting: Claims read while incomplete, with their offsets.
-        first: Offset of the first record read without a gap after it.
+        first: Offset from which records were read without a gap.
     """
 
     granted: dict[str, int] = attrs.field(factory=dict)
@@ -61,13 +61,16 @@
     first: int = 0
 
     def on_gap(self, first: int) -> None:
-        """Notes that records before offset ``first`` were not read."""
+        """Handles the loss of all records before offset ``first``."""
         self.is_complete = False
         self.first = first
         self.waiting.clear()
 
     def on_claim(self, offset: int, claim: messages.ExposureClaim) -> int:
-        """Returns how much of ``claim`` is granted; a repeat counts once."""
+        """Applies a claim and returns the amount granted.
+
+        A repeated claim is counted once.
+        """
         if not self.is_complete:
             self.waiting.append((offset, claim))
             return 0
@@ -76,14 +79,14 @@
     def _grant(self, claim: messages.ExposureClaim) -> int:
         if claim.claim_id in self.settled:
             return self.settled[claim.claim_id]
-        so_far = self.granted.get(claim.row_digest, 0)
-        amount = max(0, min(claim.amount, claim.cap - so_far))
-        self.granted[claim.row_digest] = so_far + amount
+        granted = self.granted.get(claim.row_digest, 0)
+        amount = max(0, min(claim.amount, claim.cap - granted))
+        self.granted[claim.row_digest] = granted + amount
         self.settled[claim.claim_id] = amount
         return amount
 
     def on_tally(self, tally: messages.ExposureTally) -> None:
-        """Completes a fold that can apply every claim since the tally."""
+        """Applies a tally if all claims that follow it have been read."""
         if self.is_complete or tally.as_of < self.first:
             return
         self.granted = dict(tally.granted)
@@ -96,14 +99,15 @@
 
 @attrs.define
 class ExposureBudget:
-    """What this incarnation may still spend on each candidate.
+    """Remaining exposure budget of this incarnation by candidate.
 
     Attributes:
-        holder: This incarnation; no other may spend its slices.
-        fold: Claims of all hosts.
-        left: Unproved answers left, by digest of the version's row.
-        open_claims: Claim not yet settled, and when it was made, by digest.
-        serial: Counts this incarnation's claims.
+        holder: Id of this incarnation; no other may use its slices.
+        fold: State of the claims of all hosts.
+        left: Remaining unproven answers by digest of the version's row.
+        open_claims: Unsettled claim and the time of its last append by
+            digest.
+        serial: Number of claims made by this incarnation.
     """
 
     holder: str
@@ -115,7 +119,7 @@
     serial: int = 0
 
     def on_claim(self, offset: int, claim: messages.ExposureClaim) -> None:
-        """Takes a claim read from the log, of this host or another."""
+        """Applies a claim read from the log, of this or another host."""
         is_first = claim.claim_id not in self.fold.settled
         amount = self.fold.on_claim(offset, claim)
         if claim.holder != self.holder or not is_first:
@@ -125,7 +129,7 @@
         self.left[digest] = self.left.get(digest, 0) + amount
 
     def spend(self, digest: str) -> bool:
-        """Returns whether one more unproved answer is allowed; counts it."""
+        """Consumes one unproven answer; returns False if none is left."""
         left = self.left.get(digest, 0)
         if left <= 0:
             return False
@@ -135,13 +139,13 @@
     def claim_if_low(
         self, row: model.Version, digest: str, hosts: int, now: float
     ) -> messages.ExposureClaim | None:
-        """Returns a claim to put on the log, if one is due.
+        """Returns a claim to append to the log, if one is due.
 
         Args:
             row: The candidate.
             digest: Digest of its row.
-            hosts: Hosts known; sizes the slice, and no more than that.
-            now: The time.
+            hosts: Number of known hosts; affects only the size of the slice.
+            now: Current time.
         """
         if self.left.get(digest, 0) > 0 or not self.fold.is_complete:
             return None
@@ -150,7 +154,7 @@
         claim, made_at = self.open_claims.get(digest, (None, 0.0))
         if claim is not None and now < made_at + MAX_OPEN_CLAIM_S:
             return None
-        # An unanswered claim is repeated under its own id.
+        # An unsettled claim is repeated under the same id, so it counts once.
         claim = claim or self._new_claim(row, digest, hosts)
         self.open_claims[digest] = (claim, now)
         return claim
@@ -172,16 +176,17 @@
 
 @attrs.define
 class Reminder:
-    """Says when to repeat what the log would otherwise drop.
+    """Schedules the repetition of records before log retention removes them.
 
-    The hosts take turns by chance: one that reads another's reminder waits
-    for a whole period again.
+    Hosts are scheduled at pseudo-random times within the period. A host that
+    reads the repetition of another host schedules its own anew.
 
     Attributes:
-        holder: This incarnation; its hash is its place in the period.
+        holder: Id of this incarnation; hashed into its time in the period.
         next_offset: Offset after the last record read.
-        due_at: When this host's reminder is due; 0 before the first look.
-        was_reminded: Whether another host's was read since the last look.
+        due_at: When this host's repetition is due; 0 before the first check.
+        was_reminded: Whether another host's repetition was read since the
+            last check.
     """
 
     holder: str
@@ -190,17 +195,17 @@
     was_reminded: bool = False
 
     def on_record(self, offset: int, record: object) -> None:
-        """Takes any record of the stream."""
+        """Handles any record of the stream."""
         self.next_offset = offset + 1
         if isinstance(record, messages.ExposureTally):
             self.was_reminded = True
 
     def is_due(self, now: float) -> bool:
-        """Returns whether to write a reminder now; then waits again."""
+        """Returns whether to repeat the records now, and reschedules."""
         if self.due_at and not self.was_reminded and now < self.due_at:
             return False
         is_due = self.due_at > 0.0 and not self.was_reminded
         self.was_reminded = False
-        place = hashing.unit(self.holder, round(self.due_at))
-        self.due_at = now + REMINDER_PERIOD_S * (0.5 + place)
+        jitter = hashing.unit(self.holder, round(self.due_at))
+        self.due_at = now + REMINDER_PERIOD_S * (0.5 + jitter)
         return is_due
--- a/src/hoistmoor/core/routing/hashing.py
+++ b/src/hoistmoor/core/routing/hashing.py
@@ -1,4 +1,4 @@
-"""Randomness that is the same at every host for the same request."""
+"""Hash-based randomness that every host derives alike from the same key."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 def unit(key: str, seed: int) -> float:
-    """Returns a number in [0, 1) that depends on ``key`` and ``seed``."""
+    """Returns a uniform number in [0, 1) derived from ``key`` and ``seed``."""
     return xxhash.xxh3_64_intdigest(key.encode(), seed) / _TWO_64
 
 
 def weighted_pick(key: str, weights: tuple[tuple[str, float], ...]) -> str:
     """Picks a name by weighted rendezvous hashing.
 
-    A change of one name's weight moves only keys to or from that name.
+    A change to the weight of one name moves keys only to or from that name.
 
     Args:
-        key: What to place, such as a session.
-        weights: Names with their weights; at least one.
+        key: Key to assign, such as the id of a session.
+        weights: At least one name with its weight.
 
     Returns:
         The name with the highest score.
@@ -30,36 +30,36 @@
     best = ""
     best_score = -math.inf
     for name, weight in weights:
-        score = _score(key, name, weight)
+        score = _rendezvous_score(key, name, weight)
         if score > best_score:
             best, best_score = name, score
     return best
 
 
-def _score(key: str, name: str, weight: float) -> float:
+def _rendezvous_score(key: str, name: str, weight: float) -> float:
     if weight <= 0.0:
         return -1e300
     uniform = (xxhash.xxh3_64_intdigest(f"{name}/{key}".encode()) + 1) / _TWO_64
-    # A uniform of 1 has no logarithm to divide by; it is the best score.
+    # log(1) is 0, so the divisor is bounded; a hash of 1 has the best score.
     return -weight / min(math.log(uniform), -1e-300)
 
 
-_UNIT_STEPS = 1 << 30  # Numbers that ``Draws.unit`` tells apart.
+_UNIT_STEPS = 1 << 30  # Number of distinct results of ``Draws.unit``.
 
 
 @attrs.define
 class Draws:
-    """A stream of pseudo-random integers; cheaper than one hash each.
+    """A pseudo-random number generator, faster than a hash per number.
 
     Attributes:
-        state: 64-bit state of a linear congruential generator.
+        state: 64-bit state of the linear congruential generator.
     """
 
     state: int
 
     @classmethod
     def seeded(cls, seed: int) -> Draws:
-        """Returns a stream far from that of any other seed."""
+        """Returns a generator whose state is a hash of ``seed``."""
         return cls(xxhash.xxh3_64_intdigest(str(seed).encode()))
 
     def below(self, limit: int) -> int:
--- a/src/hoistmoor/core/routing/knowledge.py
+++ b/src/hoistmoor/core/routing/knowledge.py
@@ -1,4 +1,4 @@
-"""What one host knows, kept right as news comes in."""
+"""The state that routing decisions of one host depend on, and its updates."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from hoistmoor.core.routing import turns
 from hoistmoor.core.table import model
 
-_TOKEN_STEP = 0.05  # Weight of the newest answer in a kind's usual tokens.
+_TOKEN_WEIGHT = 0.05  # Weight of the latest answer in a kind's average tokens.
 
 
 @attrs.define(eq=False)
 class Cached:
-    """Options worked out once.
+    """A cache entry of options.
 
     Attributes:
-        epoch: Epoch of the knowledge behind them.
-        until: When they are worked out anew at the latest.
+        epoch: Epoch of the state that the options were computed from.
+        until: When the entry expires.
         value: The options.
     """
 
@@ -35,34 +35,34 @@
 
 
 class Knowledge:
-    """Takes the news of one host, and keeps what decisions depend on.
+    """Routing state of one host, updated by events.
 
     Attributes:
-        seed: This host's source of randomness.
+        seed: Random seed of this host.
         revision: Revision of the table in force.
         fleet: Backend servers.
-        evidence: Estimates of quality.
-        watch: Tests for versions that turn bad.
+        evidence: Quality estimates.
+        watch: Tests for versions whose quality degrades.
         budget: This incarnation's slices of exposure caps.
-        prefixes: Which servers hold which prompt prefixes.
-        catalog: The table, seen by what each account may use.
-        retries: When refused callers come back, by version or service.
-        effects: Records that wait to be taken.
-        draws: This host's stream of randomness.
-        cache: What each account may be served by, until the news changes it.
-        epoch: Counts the changes that void the cache.
-        next_expiry: When silent servers are looked for next.
-        reminder: When to repeat records before the log drops them.
+        prefixes: Index of the prompt prefixes cached by servers.
+        catalog: The versions that each account may use.
+        retries: Retry schedules for refused callers by version or service.
+        effects: Records to append to the evidence stream.
+        draws: Random number generator of this host.
+        cache: Options by account, model and kind of request.
+        epoch: Number of invalidations of ``cache``.
+        next_expiry: When the next check for outdated load reports is due.
+        reminder: When to repeat records before log retention removes them.
     """
 
     def __init__(self, local_domain: str, seed: int, holder: str = "") -> None:
-        """Starts with an empty table.
+        """Creates the state for an empty table.
 
         Args:
             local_domain: This host's failure domain.
-            seed: Source of randomness; differs between hosts.
-            holder: This incarnation. Without one no work is ever sent to an
-                unproved candidate.
+            seed: Random seed; different at each host.
+            holder: Id of this incarnation. If empty, no work is sent to
+                unproven candidates.
         """
         self.seed = seed
         self.revision = -1
@@ -84,7 +84,7 @@
 
     @property
     def hosts(self) -> int:
-        """Entry hosts known; see ``on_hosts``."""
+        """Number of known entry hosts; see ``on_hosts``."""
         return self.fleet.hosts
 
     @hosts.setter
@@ -92,7 +92,7 @@
         self.on_hosts(hosts)
 
     def on_table(self, in_force: model.TableInForce) -> None:
-        """Takes a newer table; an older one is ignored."""
+        """Applies a table unless a newer one is in force."""
         if in_force.revision < self.revision:
             return
         self.revision = in_force.revision
@@ -102,14 +102,17 @@
         self.forget_options()
 
     def on_load(self, report: messages.LoadReport, now: float) -> None:
-        """Takes a backend server's load report."""
+        """Applies the load report of a backend server."""
         self.fleet.wake(now)
         self.fleet.on_load(report)
         if self.reminder.is_due(now):
-            self._remind()
+            self._repeat_records()
 
-    def _remind(self) -> None:
-        """Repeats what later starters must know before the log drops it."""
+    def _repeat_records(self) -> None:
+        """Repeats the records that hosts need if they start later.
+
+        Log retention may have removed the original records by then.
+        """
         fold = self.budget.fold
         if fold.is_complete and fold.granted:
             tally = messages.ExposureTally(
@@ -119,7 +122,12 @@
         self.effects.extend(self.watch.withdrawn.values())
 
     def on_rating(self, rating: messages.Rating, now: float) -> None:
-        """Takes a rating; may withdraw its version here and by an effect."""
+        """Applies a rating.
+
+        If the sequential test then shows that the version has degraded, it is
+        withdrawn at this host at once and at all others by a record, unless
+        no other active version is left.
+        """
         row = self.catalog.table.versions.get(
             f"{rating.model}@{rating.version}"
         )
@@ -131,7 +139,10 @@
         self.evidence.on_rating(rating, row, now)
 
     def _has_alternative(self, row: model.Version) -> bool:
-        """Whether some version would be left; ratings may be wrong too."""
+        """Returns whether another active version is left.
+
+        The last one is never withdrawn, because ratings may be wrong.
+        """
         return any(
             other.key != row.key
             and other.stage is model.Stage.ACTIVE
@@ -144,7 +155,7 @@
         self.forget_options()
 
     def on_evidence(self, offset: int, record: object) -> None:
-        """Takes a record read from the evidence stream; others are ignored."""
+        """Applies a record of the evidence stream; ignores unknown types."""
         self.reminder.on_record(offset, record)
         if isinstance(record, messages.Withdrawal):
             self._withdraw(record)
@@ -154,19 +165,19 @@
             self.budget.fold.on_tally(record)
 
     def on_evidence_gap(self, first: int) -> None:
-        """Notes that evidence records before offset ``first`` are lost."""
+        """Handles the loss of evidence records before offset ``first``."""
         self.budget.fold.on_gap(first)
 
     def on_hosts(self, hosts: int) -> None:
-        """Takes the number of entry hosts known.
+        """Sets the number of known entry hosts.
 
-        It sizes this host's slices of exposure caps and its fair share of a
-        server; neither is unsafe if hosts disagree on it.
+        It determines the size of this host's slices of exposure caps and its
+        fair share of a server. Both are safe if hosts disagree on the number.
         """
         self.fleet.on_hosts(hosts)
 
     def on_cache_event(self, event: messages.CacheEvent, now: float) -> None:
-        """Takes a change of a backend server's prefix cache."""
+        """Applies a change of a backend server's prefix cache."""
         self.prefixes.on_event(event, now)
 
     def on_leaving(self, address: str) -> None:
@@ -178,8 +189,8 @@
         self.fleet.set_leaving(address, is_leaving=False)
 
     def on_started(self, server: str, version: str, now: float) -> None:
-        """Counts an attempt that was dispatched."""
-        del version  # A server's concurrency is over all its versions.
+        """Counts a dispatched attempt."""
+        del version  # The concurrency of a server covers all its versions.
         self.fleet.on_started(server, now)
 
     def on_finished(
@@ -189,32 +200,32 @@
         result: messages.AttemptResult,
         now: float,
     ) -> None:
-        """Counts the end of an attempt that was dispatched."""
+        """Counts the end of a dispatched attempt."""
         self.fleet.on_finished(server, version, result, now)
         self.retry_schedule(version).on_finished(now)
         if not result.ok or not version:
             return
-        self._learn_tokens(result)
+        self._update_tokens(result)
         if not result.escalated:
             self.evidence.on_answer(version, result.kind, result.confidence)
 
-    def _learn_tokens(self, result: messages.AttemptResult) -> None:
-        new = (float(result.prompt_tokens), float(result.tokens))
-        prompt, output = self.catalog.tokens.get(result.kind, new)
+    def _update_tokens(self, result: messages.AttemptResult) -> None:
+        latest = (float(result.prompt_tokens), float(result.tokens))
+        prompt, output = self.catalog.tokens.get(result.kind, latest)
         self.catalog.tokens[result.kind] = (
-            prompt + _TOKEN_STEP * (new[0] - prompt),
-            output + _TOKEN_STEP * (new[1] - output),
+            prompt + _TOKEN_WEIGHT * (latest[0] - prompt),
+            output + _TOKEN_WEIGHT * (latest[1] - output),
         )
 
     def take_effects(self) -> list[messages.Effect]:
-        """Returns the records to append to the evidence stream, once."""
-        taken, self.effects = self.effects, []
-        return taken
+        """Removes and returns the records for the evidence stream."""
+        effects, self.effects = self.effects, []
+        return effects
 
     def options_for(
         self, account: str, name: str, kind: str, now: float
     ) -> options.ModelOptions | options.AutoOptions | None:
-        """Returns what an account may be served by, worked out or cached."""
+        """Returns the options of an account for a model, cached if possible."""
         key = (account, name, kind)
         cached = self.cache.get(key)
         if cached and cached.epoch == self.epoch and now < cached.until:
@@ -229,12 +240,16 @@
         return value
 
     def forget_options(self) -> None:
-        """Voids what was worked out, after news that changes it."""
+        """Invalidates the cached options."""
         self.epoch += 1
         self.cache.clear()
 
     def retry_schedule(self, key: str) -> retry.RetrySchedule:
-        """Returns when callers refused by ``key`` come back."""
+        """Returns the retry schedule for callers refused by ``key``.
+
+        Args:
+            key: Key of a version, or name of a model or service.
+        """
         schedule = self.retries.get(key)
         if schedule is None:
             schedule = self.retries[key] = retry.RetrySchedule()
--- a/src/hoistmoor/core/routing/menus.py
+++ b/src/hoistmoor/core/routing/menus.py
@@ -1,9 +1,10 @@
-"""Policies to plan with, worked out once for all accounts that share them.
+"""Cache of the policies for planning, shared between accounts.
 
-Which policies there are depends on the versions that an account may use and on
-the kind of request, not on the account or its target. The costly part of a
-plan is therefore shared, and made anew only when the evidence behind it has
-moved or a version's row has changed, at a bounded pace.
+The available policies depend on the versions that an account may use and on
+the kind of request, not on the account or its target. The expensive part of
+planning is therefore shared. It is repeated only after a change of a version's
+row or a sufficient change of the quality estimates, the latter at a limited
+rate.
 """
 
 from __future__ import annotations
@@ -14,22 +15,23 @@
 from hoistmoor.core.routing import evidence
 from hoistmoor.core.table import model
 
-SHORTEST_LIFE_S = 5.0  # Evidence may change a menu this much later.
-LONGEST_LIFE_S = 60.0  # Even with little news a menu is made anew then.
-LEAST_GAP_S = 0.25  # Between two that are made because evidence moved.
-MOVED_RATINGS = 0.005  # New ratings, as a share of those that count.
-MOVED_ANSWERS = 0.1  # New answers, as a share of those before.
-MOST_KEPT = 256  # Menus; callers name kinds as they like.
+SHORTEST_LIFE_S = 5.0  # Minimum age before changed estimates are applied.
+LONGEST_LIFE_S = 60.0  # Maximum age, regardless of changes.
+LEAST_GAP_S = 0.25  # Minimum interval between refreshes over all entries.
+MOVED_RATINGS = 0.005  # New ratings that cause a refresh, as a share.
+MOVED_ANSWERS = 0.1  # New answers that cause a refresh, as a share.
+MOST_KEPT = 256  # Bounds the entries, because callers choose kinds freely.
 
 
 @attrs.frozen
 class Menu:
-    """The policies worth planning with, cheapest first.
+    """Lower hulls of cost over quality, cheapest policy first.
 
     Attributes:
-        expected: Lower hull of cost over expected quality.
-        hopeful: The same of hopeful estimates, for exploration.
-        singles: The same of policies that never escalate.
+        expected: Hull of all policies by their expected quality.
+        hopeful: Hull of all policies by their optimistic quality, for
+            exploration.
+        singles: Hull of the policies that never escalate.
         explored: The policies of ``hopeful`` with their expected quality.
         qualities: Expected share of good answers by version.
     """
@@ -41,13 +43,18 @@
     qualities: dict[str, float]
 
     def exploring(self, target: float) -> cascade.Plan:
-        """Returns the plan of the requests that gather evidence."""
+        """Returns the plan of the requests that explore."""
         return cascade.plan_on(self.hopeful, target)
 
     def cautious(self, wanted: float, exploring: cascade.Plan) -> cascade.Plan:
-        """Returns the plan of the others, which make up for exploration."""
-        made_up = cascade.made_up(wanted, exploring, self.explored)
-        return cascade.plan_on(self.expected, made_up)
+        """Returns the plan of the other requests.
+
+        Args:
+            wanted: Target share of good answers, margin included.
+            exploring: The exploration plan, whose quality loss is offset.
+        """
+        target = cascade.made_up(wanted, exploring, self.explored)
+        return cascade.plan_on(self.expected, target)
 
     def steady(self, wanted: float) -> cascade.Plan:
         """Returns the plan of sessions, which cannot escalate."""
@@ -55,8 +62,8 @@
 
 
 @attrs.frozen
-class _Kept:
-    """A menu, and what it was made of."""
+class _Entry:
+    """A cache entry and the state of its inputs."""
 
     menu: Menu
     rows: tuple[model.Version, ...]
@@ -68,17 +75,17 @@
 
 @attrs.define(eq=False)
 class Menus:
-    """The menus in use.
+    """Cache of policy hulls.
 
     Attributes:
-        known: Evidence from ratings.
-        kept: Menus by kind of request and keys of the versions.
-        made: Menus made so far.
-        next_at: When the next may be made because evidence moved.
+        known: Quality estimates from ratings.
+        kept: Cache entries by kind of request and keys of the versions.
+        made: Number of entries computed.
+        next_at: Earliest time of the next refresh of any entry.
     """
 
     known: evidence.Evidence
-    kept: dict[tuple[str, tuple[str, ...]], _Kept] = attrs.field(factory=dict)
+    kept: dict[tuple[str, tuple[str, ...]], _Entry] = attrs.field(factory=dict)
     made: int = 0
     next_at: float = 0.0
 
@@ -89,25 +96,25 @@
         tokens: tuple[float, float],
         now: float,
     ) -> Menu:
-        """Returns the menu of a kind of request.
+        """Returns the policies for a kind of request.
 
         Args:
-            rows: Versions that may be asked, at least one.
-            kind: Kind of request.
-            tokens: Usual prompt and output tokens of this kind.
-            now: The time.
+            rows: At least one version that may be called.
+            kind: Kind of the request.
+            tokens: Average prompt and output tokens of this kind.
+            now: Current time.
         """
         key = (kind, tuple(row.key for row in rows))
-        kept = self.kept.get(key)
-        if kept is not None and kept.rows == rows:
-            if not self._is_due(kept, now):
-                return kept.menu
+        entry = self.kept.get(key)
+        if entry is not None and entry.rows == rows:
+            if not self._needs_refresh(entry, now):
+                return entry.menu
             self.next_at = now + LEAST_GAP_S
         if len(self.kept) >= MOST_KEPT:
             self.kept.clear()
         self.made += 1
         menu = make_menu(self.known, rows, kind, tokens)
-        self.kept[key] = _Kept(
+        self.kept[key] = _Entry(
             menu,
             rows,
             now,
@@ -117,18 +124,18 @@
         )
         return menu
 
-    def _is_due(self, kept: _Kept, now: float) -> bool:
-        if now < self.next_at or now < kept.made_at + SHORTEST_LIFE_S:
+    def _needs_refresh(self, entry: _Entry, now: float) -> bool:
+        if now < self.next_at or now < entry.made_at + SHORTEST_LIFE_S:
             return False
-        return now >= kept.made_at + LONGEST_LIFE_S or self._has_moved(kept)
+        return now >= entry.made_at + LONGEST_LIFE_S or self._has_changed(entry)
 
-    def _has_moved(self, kept: _Kept) -> bool:
-        ratings = self.known.revision - kept.ratings
-        answers = self.known.answers - kept.answers
+    def _has_changed(self, entry: _Entry) -> bool:
+        ratings = self.known.revision - entry.ratings
+        answers = self.known.answers - entry.answers
         return (
             ratings >= max(1.0, MOVED_RATINGS * self.known.weight)
-            or answers > MOVED_ANSWERS * kept.answers
-            or kept.silent != self.known.silent
+            or answers > MOVED_ANSWERS * entry.answers
+            or entry.silent != self.known.silent
         )
 
 
@@ -138,19 +145,19 @@
     kind: str,
     tokens: tuple[float, float],
 ) -> Menu:
-    """Returns the menu that the evidence gives now."""
+    """Computes the policies from the current quality estimates."""
     deviations = (0.0, cascade.EXPLORE_Z)
     pairs = [
         cascade.profiles(known, row, kind, tokens, deviations) for row in rows
     ]
     means = [mean for mean, _ in pairs]
     expected = cascade.policies(means)
-    hopeful = cascade.hull(cascade.policies([hope for _, hope in pairs]))
-    wanted = {policy.steps for policy in hopeful}
+    optimistic = cascade.hull(cascade.policies([raised for _, raised in pairs]))
+    explored = {policy.steps for policy in optimistic}
     return Menu(
         tuple(cascade.hull(expected)),
-        tuple(hopeful),
+        tuple(optimistic),
         tuple(cascade.hull(cascade.singles(means))),
-        tuple(policy for policy in expected if policy.steps in wanted),
+        tuple(policy for policy in expected if policy.steps in explored),
         {row.key: known.of_kind(row, kind).mean for row in rows},
     )
--- a/src/hoistmoor/core/routing/messages.py
+++ b/src/hoistmoor/core/routing/messages.py
@@ -1,4 +1,4 @@
-"""What goes into the router and what comes out of it."""
+"""Inputs and outputs of the router."""
 
 from __future__ import annotations
 
@@ -12,16 +12,19 @@
     """One request for a model.
 
     Attributes:
-        request_id: Names the request; also the source of its randomness.
+        request_id: Id of the request; also seeds its random draws.
         account: Name of the client account.
         model: A model, ``model@version``, or ``auto``.
         kind: The caller's label for this kind of request; may be empty.
-        pin: The version that the request's session is held to, if any.
+        pin: Key of the version that the request's session is pinned to, if
+            any.
         prompt_tokens: Estimated length of the prompt.
-        max_tokens: Most tokens that the answer may have.
-        prefix: Hashes of the prompt's blocks, each over all before it.
-        urgent: Whether somebody waits for the answer.
-        session: Names the session, so that two first requests of it agree.
+        max_tokens: Maximum number of tokens of the answer.
+        prefix: Hashes of the prompt's blocks; each hash also covers all
+            preceding blocks.
+        urgent: Whether a user waits for the answer.
+        session: Id of the session; concurrent first requests of a session
+            are routed to the same version by it.
     """
 
     request_id: str
@@ -38,13 +41,13 @@
 
 @attrs.frozen
 class CandidateNote:
-    """Why one candidate won or lost.
+    """Why a version or backend server was chosen or not.
 
     Attributes:
         version: Key of the version; empty for a plain service.
         server: Name of the backend server; empty for the version as a whole.
-        verdict: What was decided and why.
-        expected_cost: Micros per request, escalations included.
+        verdict: The decision and its reason.
+        expected_cost: Expected micros per answer.
         load: Estimated calls on the server as a share of its capacity.
     """
 
@@ -57,19 +60,19 @@
 
 @attrs.frozen
 class Choice:
-    """Where to send one attempt.
+    """The destination of one attempt.
 
     Attributes:
         version: Key of the version; empty for a plain service.
         server: Name of the backend server.
         address: ``ip:port`` of the backend server.
-        hold_answer: Whether the answer must be judged before it is forwarded.
-        reason: One short clause for people.
-        version_notes: Why each version won or lost; shared by all requests
-            that were decided on the same plan.
-        server_notes: Backend servers weighed and their estimated load.
-        escalated: Whether this attempt follows one that was judged too weak.
-        threshold: Buckets of confidence below it escalate.
+        hold_answer: Whether the answer is buffered until it is evaluated.
+        reason: Short human-readable reason.
+        version_notes: Why each version was chosen or not; shared by all
+            requests with the same plan.
+        server_notes: Backend servers considered and their estimated load.
+        escalated: Whether this attempt follows an escalation.
+        threshold: Confidence buckets below this one escalate.
         then: Key of the version to escalate to; empty if there is none.
     """
 
@@ -86,7 +89,7 @@
 
     @property
     def notes(self) -> tuple[CandidateNote, ...]:
-        """Every candidate weighed, versions first."""
+        """All candidates considered, versions first."""
         return self.version_notes + tuple(
             CandidateNote(self.version, name, self._verdict(name), load=load)
             for name, load in self.server_notes
@@ -98,12 +101,12 @@
 
 @attrs.frozen
 class AnswerFacts:
-    """What is known of a whole answer before it is forwarded.
+    """Properties of a complete answer that has not been forwarded yet.
 
     Attributes:
-        confidence: The engine's mean token probability; None if not given.
+        confidence: Mean token probability; None if the engine reports none.
         finish_reason: Why generation ended, such as ``stop`` or ``length``.
-        tokens: Tokens generated.
+        tokens: Number of tokens generated.
     """
 
     confidence: float | None
@@ -113,10 +116,10 @@
 
 @attrs.frozen
 class Accept:
-    """The answer may be forwarded.
+    """Decision to forward the answer.
 
     Attributes:
-        reason: One short clause for people.
+        reason: Short human-readable reason.
     """
 
     reason: str
@@ -124,11 +127,11 @@
 
 @attrs.frozen
 class Escalate:
-    """The answer is too weak; ask again.
+    """Decision to discard the answer and call another version.
 
     Attributes:
-        choice: Where to ask.
-        reason: One short clause for people.
+        choice: Destination of the next attempt.
+        reason: Short human-readable reason.
     """
 
     choice: Choice
@@ -137,17 +140,17 @@
 
 @attrs.frozen
 class LoadReport:
-    """A backend server's own account of its load, some time ago.
+    """The load that a backend server reported at some past time.
 
     Attributes:
         server: Name of the backend server.
-        incarnation: Which run of the server reports.
+        incarnation: Number of the server's start.
         state: ``live`` or ``leaving``.
-        running: Calls being served.
-        queued: Calls waiting.
-        capacity: Calls that it serves at once.
-        versions: Keys of the versions loaded; empty for a plain service.
-        at: When the server measured this.
+        running: Number of calls being served.
+        queued: Number of waiting calls.
+        capacity: Maximum number of concurrent calls.
+        versions: Keys of the loaded versions; empty for a plain service.
+        at: When the server measured the load.
     """
 
     server: str
@@ -162,15 +165,15 @@
 
 @attrs.frozen
 class Rating:
-    """A verdict on one answer, some time after it was given.
+    """A rating of one answer, received some time after the answer.
 
     Attributes:
-        answer_id: Names the answer; see ``evidence.tag_answer``.
+        answer_id: Id of the answer; see ``evidence.tag_answer``.
         model: Name of the model.
         version: Name of the version.
         kind: Kind of the request.
         good: Whether the answer was good.
-        at: When it was rated.
+        at: When the answer was rated.
     """
 
     answer_id: str
@@ -183,19 +186,19 @@
 
 @attrs.frozen
 class AttemptResult:
-    """How one attempt ended.
+    """The outcome of one attempt.
 
     Attributes:
-        ok: Whether a whole answer came.
-        declined: Whether the server said that it did not run it.
-        cancelled: Whether it was given up here, which says nothing of the
-            server.
-        seconds: From dispatch to the end.
-        tokens: Tokens generated.
+        ok: Whether the attempt yielded a complete answer.
+        declined: Whether the server refused the call without running it.
+        cancelled: Whether this host cancelled the attempt; such an attempt
+            does not count for the server's health.
+        seconds: Time from dispatch to the end.
+        tokens: Number of tokens generated.
         kind: Kind of the request.
-        confidence: The engine's mean token probability; None if not given.
-        prompt_tokens: Length of the prompt.
-        escalated: Whether the attempt followed one judged too weak.
+        confidence: Mean token probability; None if the engine reports none.
+        prompt_tokens: Number of tokens of the prompt.
+        escalated: Whether the attempt followed an escalation.
     """
 
     ok: bool
@@ -211,13 +214,13 @@
 
 @attrs.frozen
 class CacheEvent:
-    """A change of one backend server's prefix cache, published late.
+    """A change of a backend server's prefix cache, received with a delay.
 
     Attributes:
         server: Name of the backend server.
-        sequence: Counts the server's events; a jump means that some are lost.
-        stored: Hashes of blocks now cached.
-        evicted: Hashes of blocks no longer cached.
+        sequence: Sequence number of the event; a gap means lost events.
+        stored: Hashes of the blocks added to the cache.
+        evicted: Hashes of the blocks removed from the cache.
     """
 
     server: str
@@ -228,16 +231,16 @@
 
 @attrs.frozen
 class Withdrawal:
-    """Evidence record: a version proved bad, for all kinds or for one.
+    """Evidence record: withdraws a degraded version for one or all kinds.
 
     Attributes:
         version: Key of the version.
         kind: Kind of request; ``*`` for all.
-        row_digest: Digest of the version's row that it was decided on. An
-            operator's edit of the row's stage, prior quality or cap lifts it.
+        row_digest: Digest of the version's row at the decision. An operator's
+            edit of the row's stage, prior quality or cap lifts the withdrawal.
         by: Host that decided.
-        at: When.
-        evidence: The test's value against its threshold, for people.
+        at: Time of the decision.
+        evidence: Human-readable test statistic and threshold.
     """
 
     version: str
@@ -250,15 +253,15 @@
 
 @attrs.frozen
 class ExposureClaim:
-    """Evidence record: one host asks for a slice of a version's cap.
+    """Evidence record: a host claims a slice of a version's exposure cap.
 
     Attributes:
-        claim_id: Names the claim; a repeat of it counts once.
+        claim_id: Id of the claim; a repetition counts once.
         version: Key of the version.
-        row_digest: Digest of the version's row that it was made on.
-        holder: The incarnation that may spend the slice.
-        amount: Unproved answers asked for.
-        cap: The version's cap when the claim was made.
+        row_digest: Digest of the version's row at the time of the claim.
+        holder: Incarnation that may use the slice.
+        amount: Number of unproven answers claimed.
+        cap: The version's cap at the time of the claim.
     """
 
     claim_id: str
@@ -271,11 +274,14 @@
 
 @attrs.frozen
 class ExposureTally:
-    """Evidence record: all slices granted, for hosts that start later.
+    """Evidence record: the sum of all granted slices.
+
+    Hosts that start after the original claims were removed from the log
+    initialize their state from it.
 
     Attributes:
-        as_of: Offset after the last record that the tally holds.
-        granted: Sum of the slices granted, by digest of the version's row.
+        as_of: Offset after the last record included in the tally.
+        granted: Sum of the granted slices by digest of the version's row.
     """
 
     as_of: int
--- a/src/hoistmoor/core/routing/options.py
+++ b/src/hoistmoor/core/routing/options.py
@@ -1,7 +1,8 @@
-"""Which versions a client account may be served by, worked out in advance.
+"""The versions that may serve a client account.
 
-All that does not depend on the single request is worked out once per table
-revision, withdrawal or change of evidence, and shared by the requests after.
+Everything that does not depend on the individual request is computed once per
+table revision, withdrawal or change of quality estimates, and reused by the
+requests that follow.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from hoistmoor.core.table import model
 
 NEW_WORK_STAGES = frozenset({model.Stage.ACTIVE, model.Stage.CANDIDATE})
-PLAN_LIFE_S = 5.0  # Evidence may change a plan this much later.
+PLAN_LIFE_S = 5.0  # Maximum delay before new estimates affect a plan.
 _STAGE_VERDICTS = {
     model.Stage.DRAINING: "draining: its sessions only",
     model.Stage.WITHDRAWN: "withdrawn by the operators",
@@ -30,12 +31,13 @@
 
 @attrs.frozen
 class ModelOptions:
-    """Versions of one model that an account may use now.
+    """The versions of one model that an account may use.
 
     Attributes:
-        weights: Key and weight of each version, candidates by their share.
-        totals: Running sums of the weights.
-        notes: Why each version is in or out.
+        weights: Key and weight of each version; the weight of a candidate is
+            derived from its rollout share.
+        totals: Cumulative sums of the weights.
+        notes: Why each version is included or excluded.
     """
 
     weights: tuple[tuple[str, float], ...]
@@ -45,17 +47,17 @@
 
 @attrs.frozen
 class AutoOptions:
-    """How ``auto`` serves one kind of request of one account.
+    """The plans of the model ``auto`` for one account and kind of request.
 
     Attributes:
-        cautious: The plan that nearly all requests follow.
-        exploring: The plan of the few that gather evidence.
-        steady: The plan of sessions, which keep one version and so cannot
+        cautious: Plan of most requests.
+        exploring: Plan of the requests that explore.
+        steady: Plan of sessions, which keep one version and therefore cannot
             escalate.
-        fallbacks: Versions for when the planned one has no capacity.
-        candidates: Unproved candidates by the version they stand in for,
-            with their share of its requests.
-        notes: Why each version is in or out.
+        fallbacks: Versions to use if the planned one has no capacity.
+        candidates: Unproven candidate and its share of the requests, by key
+            of the version that it replaces for them.
+        notes: Why each version is included or excluded.
     """
 
     cautious: cascade.Plan
@@ -68,15 +70,15 @@
 
 @attrs.define
 class Catalog:
-    """The table in force, seen by what each account may use.
+    """Computes the options of each account from the table in force.
 
     Attributes:
         table: The table in force.
-        known: Evidence from ratings.
-        watch: What evidence has withdrawn.
-        progress: Which candidates are proved, and the share of the others.
-        tokens: Usual prompt and output tokens by kind of request.
-        menus: Policies to plan with, shared by the accounts.
+        known: Quality estimates from ratings.
+        watch: Withdrawals of degraded versions.
+        progress: Rollout progress of the candidates.
+        tokens: Average prompt and output tokens by kind of request.
+        menus: Policies for planning, shared by the accounts.
     """
 
     table: model.Table
@@ -87,17 +89,17 @@
     menus: menus_lib.Menus = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Starts with no menu."""
+        """Creates an empty policy cache."""
         self.menus = menus_lib.Menus(self.known)
 
     @property
     def caution(self) -> float:
-        """Deviations of the quality delivered that a plan allows for."""
+        """Standard deviations of quality included in the margin of a plan."""
         confidence = limits.value(self.table, "quality_confidence")
         return statistics.NormalDist().inv_cdf(confidence)
 
     def verdict(self, account: str, row: model.Version, kind: str) -> str:
-        """Returns why ``row`` may not get new work; empty if it may."""
+        """Returns why ``row`` is excluded from new work; empty if it is not."""
         if self.table.grant_for(account, row) is None:
             return "not granted"
         if row.stage not in NEW_WORK_STAGES:
@@ -107,7 +109,7 @@
         return ""
 
     def may_keep(self, account: str, key: str, kind: str) -> bool:
-        """Returns whether a session on version ``key`` may go on there."""
+        """Returns whether a session may stay on version ``key``."""
         row = self.table.versions.get(key)
         return (
             row is not None
@@ -117,7 +119,13 @@
         )
 
     def for_model(self, account: str, name: str, kind: str) -> ModelOptions:
-        """Returns the options for requests that name a model."""
+        """Returns the options for requests that name a model.
+
+        Args:
+            account: Name of the client account.
+            name: Name of the model.
+            kind: Kind of the request.
+        """
         rows = self.table.versions_by_model.get(name, ())
         notes = []
         weights = []
@@ -144,7 +152,7 @@
     def for_auto(
         self, account: str, kind: str, now: float
     ) -> AutoOptions | None:
-        """Returns the options for ``auto``; None if nothing is granted."""
+        """Returns the options for ``auto``; None if no version is allowed."""
         verdicts = {
             key: self.verdict(account, row, kind)
             for key, row in self.table.versions.items()
@@ -152,28 +160,28 @@
         usable = [
             row for key, row in self.table.versions.items() if not verdicts[key]
         ]
-        settled = [row for row in usable if not self._is_unproved(row)]
-        if not settled:
-            settled = usable
-        if not settled:
+        plannable = [row for row in usable if not self._is_unproven(row)]
+        if not plannable:
+            plannable = usable
+        if not plannable:
             return None
         tokens = self.tokens.get(kind, (200.0, 150.0))
         target = self.target(account)
-        menu = self.menus.of(tuple(settled), kind, tokens, now)
-        wanted = target + self.known.margin(kind, target, self.caution)
+        menu = self.menus.of(tuple(plannable), kind, tokens, now)
+        safe_target = target + self.known.margin(kind, target, self.caution)
         exploring = menu.exploring(target)
-        cautious = menu.cautious(wanted, exploring)
+        cautious = menu.cautious(safe_target, exploring)
         return AutoOptions(
             cautious,
             exploring,
-            menu.steady(wanted),
-            _fallbacks(settled, menu, target, tokens),
-            self._stand_ins(usable, settled),
+            menu.steady(safe_target),
+            _fallbacks(plannable, menu, target, tokens),
+            self._candidates(usable, plannable),
             self._notes(verdicts, kind, tokens, menu, cautious),
         )
 
     def target(self, account: str) -> float:
-        """Returns the strictest quality target of the account's grants."""
+        """Returns the highest quality target of the account's grants."""
         return max(
             (
                 grant.quality_target
@@ -183,23 +191,24 @@
             default=0.0,
         )
 
-    def _is_unproved(self, row: model.Version) -> bool:
+    def _is_unproven(self, row: model.Version) -> bool:
         return (
             row.stage is model.Stage.CANDIDATE
             and not self.progress.is_proved(row, self.known)
         )
 
-    def _stand_ins(
-        self, usable: list[model.Version], settled: list[model.Version]
+    def _candidates(
+        self, usable: list[model.Version], plannable: list[model.Version]
     ) -> dict[str, tuple[str, float]]:
+        """Returns the unproven candidates by the versions they replace."""
         found: dict[str, tuple[str, float]] = {}
         for row in usable:
-            if not self._is_unproved(row):
+            if not self._is_unproven(row):
                 continue
-            siblings = [r for r in settled if r.model == row.model]
+            siblings = [r for r in plannable if r.model == row.model]
             others = sum(r.weight for r in siblings)
             share = self.progress.share(row, others, self.known)
-            for sibling in siblings or settled:
+            for sibling in siblings or plannable:
                 found[sibling.key] = (row.key, share)
         return found
 
@@ -236,12 +245,16 @@
     target: float,
     tokens: tuple[float, float],
 ) -> tuple[str, ...]:
-    """Returns those that meet the target, cheapest first, then the best."""
+    """Returns the order in which versions are tried as fallbacks.
+
+    Versions that meet the target come first, by cost. The others follow by
+    decreasing quality.
+    """
 
-    def order(row: model.Version) -> tuple[bool, float]:
+    def sort_key(row: model.Version) -> tuple[bool, float]:
         quality = menu.qualities[row.key]
         if quality >= target:
             return False, cascade.cost(row, tokens)
         return True, -quality
 
-    return tuple(row.key for row in sorted(rows, key=order))
+    return tuple(row.key for row in sorted(rows, key=sort_key))
--- a/src/hoistmoor/core/routing/placement.py
+++ b/src/hoistmoor/core/routing/placement.py
@@ -1,9 +1,9 @@
-"""Chooses a backend server of a pool under load reports that lag.
+"""Selection of a backend server from a pool by delayed load reports.
 
-Two servers are drawn at random and the better one wins: with reports that
-lag, a full scan sends every host to the same server. Servers elsewhere are
-weighed only when those near are busy, and servers that probably hold the
-prompt's start in their cache are weighed too.
+The better of two random servers is selected ("power of two choices"). With
+delayed reports, a full scan would send all hosts to the same server. Servers
+of other failure domains are considered only if the local ones are busy.
+Servers that probably have a prefix of the prompt cached get a bonus.
 """
 
 from __future__ import annotations
@@ -14,16 +14,19 @@
     from hoistmoor.core.routing import hashing
     from hoistmoor.core.routing import servers
 
-BUSY_SHARE = 0.75  # Above it, servers elsewhere are weighed as well.
-PROBES = 3  # Servers asked for their load before a call goes to one of them.
-KNOWN_S = 5.0  # The load of a server heard of within it need not be asked for.
-AFFINITY_GAIN = 0.5  # For a prompt held whole, in shares of capacity.
+BUSY_SHARE = 0.75  # Load at which servers of other domains are considered.
+PROBES = 3  # Maximum number of servers probed for their load before a call.
+KNOWN_S = 5.0  # Age up to which a load report makes a probe unnecessary.
+AFFINITY_GAIN = 0.5  # Bonus for a fully cached prompt, in shares of capacity.
 
 Weighed = tuple[tuple[str, float], ...]
 
 
 def score(server: servers.ServerState) -> float:
-    """Returns the load as a share of capacity; lower is better."""
+    """Returns the load with one more call as a share of capacity.
+
+    Servers of other failure domains are charged a penalty. Lower is better.
+    """
     return (server.load + 1) / server.row.concurrency + server.far_bias
 
 
@@ -33,15 +36,16 @@
     """Draws two ready servers and returns the better one.
 
     Args:
-        pool: Where to look.
-        excluded: Names of servers that must not be chosen.
-        draws: Source of randomness.
+        pool: Pool to select from.
+        excluded: Names of servers that must not be selected.
+        draws: Random number generator.
 
     Returns:
-        The server, or None if no server is ready, and those weighed.
+        The server, or None if none is ready, and the scores of the servers
+        considered.
     """
     if excluded:
-        return _pick_scanning(pool, excluded)
+        return _pick_by_scan(pool, excluded)
     near, far = pool.near.members, pool.far.members
     if not near:
         return _better_of_two(far, draws)
@@ -65,8 +69,8 @@
     first_score = score(first)
     if size == 1:
         return first, ((first.name, first_score),)
-    place = draws.below(size - 1)
-    second = ready[place]
+    index = draws.below(size - 1)
+    second = ready[index]
     if second is first:
         second = ready[-1]
     second_score = score(second)
@@ -76,10 +80,10 @@
     return first, ((first.name, first_score), (second.name, second_score))
 
 
-def _pick_scanning(
+def _pick_by_scan(
     pool: servers.Pool, excluded: frozenset[str]
 ) -> tuple[servers.ServerState | None, Weighed]:
-    """Scans the pool; only for retries, which are few."""
+    """Selects the best server by a full scan, used only for rare retries."""
     ready = [
         server
         for server in (*pool.near.members, *pool.far.members)
@@ -98,14 +102,14 @@
     rival: servers.ServerState,
     excluded: frozenset[str],
 ) -> servers.ServerState:
-    """Returns a holder of the prompt's start if that pays, else ``rival``.
+    """Returns a server with a cached prefix if its score is best.
 
     Args:
-        pool: Where to look.
-        holders: Names of servers that probably hold the prompt's start.
-        held_share: Share of the prompt held, 0 to 1.
-        rival: The best server found without regard to caches.
-        excluded: Names of servers that must not be chosen.
+        pool: Pool to select from.
+        holders: Names of servers that probably have the prefix cached.
+        held_share: Cached share of the prompt, 0 to 1.
+        rival: Best server by load; returned unless a holder is better.
+        excluded: Names of servers that must not be selected.
     """
     best, best_score = rival, score(rival)
     if rival.name in holders:
@@ -114,9 +118,9 @@
         server = pool.servers.get(name)
         if server is None or name in excluded or not server.is_ready:
             continue
-        its_score = score(server) - AFFINITY_GAIN * held_share
-        if its_score < best_score:
-            best, best_score = server, its_score
+        holder_score = score(server) - AFFINITY_GAIN * held_share
+        if holder_score < best_score:
+            best, best_score = server, holder_score
     return best
 
 
@@ -127,18 +131,19 @@
     draws: hashing.Draws,
     now: float,
 ) -> tuple[str, ...]:
-    """Returns the servers whose load is worth asking for before a call.
+    """Returns the servers to probe for their load before a call.
 
     Args:
-        pool: Where ``chosen`` was found.
-        chosen: The server that a call would go to.
-        excluded: Names of servers that must not be chosen.
-        draws: Source of randomness.
-        now: The time.
+        pool: Pool of ``chosen``.
+        chosen: The server selected for the call.
+        excluded: Names of servers that must not be selected.
+        draws: Random number generator.
+        now: Current time.
 
     Returns:
-        ``chosen`` and others drawn with it; nothing if its load is known, or
-        its calls are over before their report would be.
+        The names of ``chosen`` and of other random servers. Empty if the load
+        of ``chosen`` is known, or if its calls are too short for a report of
+        them to arrive in time.
     """
     if chosen.is_short:
         return ()
@@ -156,7 +161,7 @@
 def best_of(
     pool: servers.Pool, names: tuple[str, ...]
 ) -> servers.ServerState | None:
-    """Returns the least loaded of some servers, if any is ready."""
+    """Returns the ready server of ``names`` with the lowest score, if any."""
     found = [pool.servers[name] for name in names if name in pool.servers]
     ready = [server for server in found if server.is_ready]
     return min(ready, key=score, default=None)
--- a/src/hoistmoor/core/routing/rollout.py
+++ b/src/hoistmoor/core/routing/rollout.py
@@ -1,4 +1,4 @@
-"""How much of a model's traffic a new version gets, as evidence grows."""
+"""Share of a model's traffic that a new version gets during its rollout."""
 
 from __future__ import annotations
 
@@ -12,37 +12,38 @@
 if TYPE_CHECKING:
     from hoistmoor.core.table import model
 
-# Few, because a cap of some hundred answers yields no more ratings; a version
-# that passes by luck is still watched by the sequential test.
-PROOF_RATINGS = 15.0  # Ratings before a candidate can count as proved.
+# Minimum number of ratings of a proven candidate. The number is low, because
+# an exposure cap of a few hundred answers yields no more ratings. A version
+# that passes by chance is still monitored by the sequential test.
+PROOF_RATINGS = 15.0
 PROOF_Z = 0.84  # One-sided confidence of 0.8.
-SHORTFALL = 0.05  # Shares of good answers by which it may fall short.
-FIRST_SHARE = 0.05  # Share of its model's traffic before any evidence.
+SHORTFALL = 0.05  # Tolerated shortfall from the prior quality.
+FIRST_SHARE = 0.05  # Share of the model's traffic before any rating.
 
 
 @attrs.define
 class Progress:
-    """Which candidates are proved; once proved they stay so.
+    """Tracks which candidates are proven; a proven candidate stays proven.
 
     Attributes:
-        proved: Digests of the rows of the proved candidates.
+        proved: Digests of the rows of the proven candidates.
     """
 
     proved: set[str] = attrs.field(factory=set)
 
     def is_proved(self, row: model.Version, known: evidence.Evidence) -> bool:
-        """Returns whether the evidence on a candidate suffices."""
+        """Returns whether the ratings of a candidate prove its quality."""
         digest = exposure.row_digest(row)
         if digest in self.proved:
             return True
         estimate = known.of_version(row)
-        is_enough = (
+        is_proven = (
             estimate.count >= PROOF_RATINGS
             and estimate.bound(-PROOF_Z) >= row.prior_quality - SHORTFALL
         )
-        if is_enough:
+        if is_proven:
             self.proved.add(digest)
-        return is_enough
+        return is_proven
 
     def share(
         self, row: model.Version, others: float, known: evidence.Evidence
@@ -51,14 +52,17 @@
 
         Args:
             row: The candidate.
-            others: Weight of the model's other versions.
-            known: Evidence from ratings.
+            others: Total weight of the model's other versions.
+            known: Quality estimates from ratings.
         """
-        full = row.weight / max(1e-9, row.weight + others)
+        full_share = row.weight / max(1e-9, row.weight + others)
         if self.is_proved(row, known):
-            return full
+            return full_share
         estimate = known.of_version(row)
-        grown = min(1.0, estimate.count / PROOF_RATINGS)
+        progress = min(1.0, estimate.count / PROOF_RATINGS)
         if estimate.mean < row.prior_quality - SHORTFALL:
-            grown = 0.0
-        return min(full, FIRST_SHARE + (full - FIRST_SHARE) * 0.5 * grown)
+            progress = 0.0
+        return min(
+            full_share,
+            FIRST_SHARE + (full_share - FIRST_SHARE) * 0.5 * progress,
+        )
--- a/src/hoistmoor/core/routing/router.py
+++ b/src/hoistmoor/core/routing/router.py
@@ -1,4 +1,4 @@
-"""The router: chooses a version and a backend server for each attempt."""
+"""Selection of a version and a backend server for each attempt."""
 
 from __future__ import annotations
 
@@ -21,15 +21,16 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-_EXPLORE_SEED = 1  # Seeds of independent draws for the same request.
+# Seeds of independent random draws for the same request.
+_EXPLORE_SEED = 1
 _CANDIDATE_SEED = 2
 _PLAN_SEED = 3
 _EXPIRE_EVERY_S = 1.0
 
 
-@attrs.define  # Frozen would cost a tenth of the decision.
-class _Wanted:
-    """A version to try, and what to do with its answer."""
+@attrs.define  # A frozen class would add a tenth to the time of a decision.
+class _Attempt:
+    """A version to try and the policy for its answer."""
 
     version: str
     reason: str
@@ -37,7 +38,7 @@
 
 
 class Router(knowledge.Knowledge):
-    """Decides for one host on what it knows."""
+    """Makes the routing decisions of one host from its local state."""
 
     def choose(
         self,
@@ -45,33 +46,33 @@
         excluded: frozenset[str],
         now: float,
     ) -> messages.Choice | refusals.Refusal:
-        """Returns where to send the next attempt of a request.
+        """Returns the destination of the next attempt of a request.
 
-        Grants and stages are checked against the table in force now.
+        Grants and stages are checked against the table in force.
 
         Args:
             query: The request.
             excluded: Names of servers that must not be chosen.
-            now: The time.
+            now: Current time.
         """
         if self.fleet.rests and self.fleet.rests[0][0] <= now:
             self.fleet.wake(now)
-        moved = ""
+        reason_prefix = ""
         if query.pin:
             if self.catalog.may_keep(query.account, query.pin, query.kind):
-                wanted = _Wanted(query.pin, "the session's version")
-                return self._place(query, wanted, (), excluded, now)
-            moved = f"moved from {query.pin}: "
+                attempt = _Attempt(query.pin, "the session's version")
+                return self._place(query, attempt, (), excluded, now)
+            reason_prefix = f"moved from {query.pin}: "
         if query.model == model.AUTO_MODEL:
-            return self._choose_auto(query, moved, excluded, now)
+            return self._choose_auto(query, reason_prefix, excluded, now)
         if "@" in query.model:
-            return self._choose_named(query, moved, excluded, now)
-        return self._choose_weighted(query, moved, excluded, now)
+            return self._choose_named(query, reason_prefix, excluded, now)
+        return self._choose_weighted(query, reason_prefix, excluded, now)
 
     def _choose_named(
         self,
         query: messages.RouteQuery,
-        moved: str,
+        reason_prefix: str,
         excluded: frozenset[str],
         now: float,
     ) -> messages.Choice | refusals.Refusal:
@@ -88,13 +89,15 @@
             return self._no_capacity(
                 query, f"{row.key} has used up its share of unproved", now
             )
-        wanted = _Wanted(row.key, moved + "the caller named this version")
-        return self._place(query, wanted, (), excluded, now)
+        attempt = _Attempt(
+            row.key, reason_prefix + "the caller named this version"
+        )
+        return self._place(query, attempt, (), excluded, now)
 
     def _choose_weighted(
         self,
         query: messages.RouteQuery,
-        moved: str,
+        reason_prefix: str,
         excluded: frozenset[str],
         now: float,
     ) -> messages.Choice | refusals.Refusal:
@@ -102,12 +105,16 @@
         assert isinstance(found, options.ModelOptions)
         if not found.weights:
             return self._refuse_model(query, found.notes)
-        first = _draw(found, query, self.seed)
-        choice = self._try_share(query, first, found, moved, excluded, now)
+        first = _draw_version(found, query, self.seed)
+        choice = self._try_share(
+            query, first, found, reason_prefix, excluded, now
+        )
         if choice is not None:
             return choice
         for key, _ in found.weights:
-            choice = self._try_share(query, key, found, moved, excluded, now)
+            choice = self._try_share(
+                query, key, found, reason_prefix, excluded, now
+            )
             if choice is not None:
                 return choice
         return self._no_capacity(query, query.model, now)
@@ -117,24 +124,24 @@
         query: messages.RouteQuery,
         key: str,
         found: options.ModelOptions,
-        moved: str,
+        reason_prefix: str,
         excluded: frozenset[str],
         now: float,
     ) -> messages.Choice | None:
-        """Returns a server of version ``key``, if one may take the request."""
+        """Returns a choice of version ``key``, or None if it can't serve."""
         if not self.fleet.pools[key].is_ready:
             return None
         row = self.catalog.table.versions[key]
         if not self._may_expose(row, now, query.session):
             return None
-        wanted = _Wanted(key, f"{moved}share of {query.model}")
-        choice = self._place(query, wanted, found.notes, excluded, now)
+        attempt = _Attempt(key, f"{reason_prefix}share of {query.model}")
+        choice = self._place(query, attempt, found.notes, excluded, now)
         return choice if isinstance(choice, messages.Choice) else None
 
     def _choose_auto(
         self,
         query: messages.RouteQuery,
-        moved: str,
+        reason_prefix: str,
         excluded: frozenset[str],
         now: float,
     ) -> messages.Choice | refusals.Refusal:
@@ -145,10 +152,10 @@
             return _refuse(
                 refusals.Reason.NOT_GRANTED, f"{query.account} has no version"
             )
-        for wanted in self._auto_order(query, found, moved, now):
-            if not self.fleet.pools[wanted.version].is_ready:
+        for attempt in self._auto_order(query, found, reason_prefix, now):
+            if not self.fleet.pools[attempt.version].is_ready:
                 continue
-            choice = self._place(query, wanted, found.notes, excluded, now)
+            choice = self._place(query, attempt, found.notes, excluded, now)
             if isinstance(choice, messages.Choice):
                 return choice
         return self._no_capacity(query, query.model, now)
@@ -157,29 +164,32 @@
         self,
         query: messages.RouteQuery,
         found: options.AutoOptions,
-        moved: str,
+        reason_prefix: str,
         now: float,
-    ) -> Iterator[_Wanted]:
-        """Yields what to try: candidate, plan, then the fallbacks."""
+    ) -> Iterator[_Attempt]:
+        """Yields the versions to try: candidate, planned one, fallbacks."""
         key = query.request_id
         plan = found.cautious
         if query.session:
-            # All first requests of a session agree, whatever their hosts.
+            # Draws by the session, so that concurrent first requests of it get
+            # the same version at all hosts.
             plan, key = found.steady, query.session
         elif hashing.unit(key, _EXPLORE_SEED) < cascade.EXPLORE_SHARE:
             plan = found.exploring
         policy = plan.policy(hashing.unit(key, _PLAN_SEED))
-        stand_in = found.candidates.get(policy.start)
-        if stand_in and not query.session:
-            name, share = stand_in
+        candidate = found.candidates.get(policy.start)
+        if candidate and not query.session:
+            name, share = candidate
             row = self.catalog.table.versions[name]
             is_drawn = hashing.unit(key, _CANDIDATE_SEED) < share
             if is_drawn and self._may_expose(row, now):
-                yield _Wanted(name, f"{moved}gathers evidence", policy)
-        yield _Wanted(policy.start, f"{moved}cheapest plan", policy)
+                yield _Attempt(name, f"{reason_prefix}gathers evidence", policy)
+        yield _Attempt(policy.start, f"{reason_prefix}cheapest plan", policy)
         for version in found.fallbacks:
             if version != policy.start:
-                yield _Wanted(version, f"{moved}the plan has no capacity")
+                yield _Attempt(
+                    version, f"{reason_prefix}the plan has no capacity"
+                )
 
     def judge(
         self,
@@ -188,13 +198,13 @@
         answer: messages.AnswerFacts,
         now: float,
     ) -> messages.Accept | messages.Escalate:
-        """Returns whether a held answer may be forwarded.
+        """Decides whether to forward a held answer or to escalate.
 
         Args:
             query: The request.
-            choice: The attempt that gave the answer.
-            answer: What is known of the answer.
-            now: The time.
+            choice: The choice that yielded the answer.
+            answer: Properties of the answer.
+            now: Current time.
         """
         if not choice.hold_answer:
             return messages.Accept("not a step of a cascade")
@@ -204,8 +214,8 @@
         if bucket >= choice.threshold:
             return messages.Accept(f"bucket {bucket} is confident enough")
         for version in self._escalations(query, choice, now):
-            wanted = _Wanted(version, f"escalated from {choice.version}")
-            found = self._place(query, wanted, (), frozenset(), now)
+            attempt = _Attempt(version, f"escalated from {choice.version}")
+            found = self._place(query, attempt, (), frozenset(), now)
             if isinstance(found, messages.Choice):
                 return messages.Escalate(
                     attrs.evolve(found, escalated=True),
@@ -216,7 +226,11 @@
     def _escalations(
         self, query: messages.RouteQuery, choice: messages.Choice, now: float
     ) -> Iterator[str]:
-        """Yields versions allowed now: the planned one, then better ones."""
+        """Yields the versions to escalate to.
+
+        The planned one comes first. Fallbacks with a higher price than the
+        current version follow.
+        """
         versions = self.catalog.table.versions
         planned = versions.get(choice.then)
         if planned and not self.catalog.verdict(
@@ -237,13 +251,19 @@
     def choose_server(
         self, service: str, excluded: frozenset[str], now: float
     ) -> messages.Choice | refusals.Refusal:
-        """Returns a backend server of a plain service."""
+        """Returns a backend server of a plain service.
+
+        Args:
+            service: Name of the service.
+            excluded: Names of servers that must not be chosen.
+            now: Current time.
+        """
         self.fleet.wake(now)
         query = messages.RouteQuery(f"{service}/{now}", "", service)
         if service not in self.fleet.pools:
             return _refuse(refusals.Reason.UNKNOWN_SERVICE, service)
-        wanted = _Wanted(service, "least loaded of two drawn")
-        choice = self._place(query, wanted, (), excluded, now)
+        attempt = _Attempt(service, "least loaded of two drawn")
+        choice = self._place(query, attempt, (), excluded, now)
         if isinstance(choice, refusals.Refusal):
             return choice
         return attrs.evolve(choice, version="")
@@ -251,10 +271,16 @@
     def to_probe(
         self, choice: messages.Choice, excluded: frozenset[str], now: float
     ) -> tuple[str, ...]:
-        """Returns servers to ask for their load before ``choice`` is sent.
+        """Returns the servers to probe for their load before a dispatch.
+
+        The caller passes the reports to ``on_load`` and then calls
+        ``best_probed``. It does not wait for servers that do not reply at
+        once.
 
-        Whoever asks hands the reports to ``on_load``, then calls
-        ``best_probed``. One that does not answer at once is not waited for.
+        Args:
+            choice: The choice to be dispatched.
+            excluded: Names of servers that must not be chosen.
+            now: Current time.
         """
         server = self.fleet.by_name.get(choice.server)
         pool = self.fleet.pools.get(choice.version)
@@ -265,10 +291,10 @@
     def best_probed(
         self, choice: messages.Choice, names: tuple[str, ...]
     ) -> messages.Choice:
-        """Returns ``choice`` at the least loaded of the servers asked.
+        """Returns ``choice`` with the least loaded of the probed servers.
 
-        It is for the same version; if none of them is ready any more,
-        ``choice`` stays as it was.
+        The version stays the same. If none of the servers is ready any more,
+        ``choice`` is returned unchanged.
         """
         pool = self.fleet.pools.get(choice.version)
         server = placement.best_of(pool, names) if pool else None
@@ -278,23 +304,21 @@
             choice, server=server.name, address=server.row.address
         )
 
-    # Helpers.
-
     def _place(
         self,
         query: messages.RouteQuery,
-        wanted: _Wanted,
+        attempt: _Attempt,
         notes: tuple[messages.CandidateNote, ...],
         excluded: frozenset[str],
         now: float,
     ) -> messages.Choice | refusals.Refusal:
-        pool = self.fleet.pools[wanted.version]
+        pool = self.fleet.pools[attempt.version]
         if not pool.is_ready and now >= self.next_expiry:
             self.next_expiry = now + _EXPIRE_EVERY_S
             self.fleet.expire_reports(pool, now)
         server, weighed = placement.pick(pool, excluded, self.draws)
         if server is None:
-            return self._no_capacity(query, wanted.version, now)
+            return self._no_capacity(query, attempt.version, now)
         if query.prefix:
             share, holders = self.prefixes.find(query.prefix, now)
             if holders:
@@ -302,14 +326,14 @@
                     pool, holders, share, server, excluded
                 )
             self.prefixes.store(server.name, query.prefix, now)
-        policy = wanted.policy
+        policy = attempt.policy
         threshold = policy.threshold if policy else cascade.ACCEPT_ALL
         return messages.Choice(
-            wanted.version,
+            attempt.version,
             server.row.server,
             server.row.address,
             threshold > cascade.ACCEPT_ALL,
-            wanted.reason,
+            attempt.reason,
             notes,
             weighed,
             False,
@@ -320,13 +344,14 @@
     def _may_expose(
         self, row: model.Version, now: float, session: str = ""
     ) -> bool:
-        """Returns whether ``row`` may get one more request; counts it."""
+        """Returns whether ``row`` may get a request, and counts it if so."""
         if row.stage is not model.Stage.CANDIDATE:
             return True
         if self.catalog.progress.is_proved(row, self.evidence):
             return True
         if session or not self.budget.holder:
-            # A session must be able to stay, whatever is left of the cap.
+            # A session must be able to stay on its version, even if the cap
+            # is exhausted, so it never starts on an unproven one.
             return False
         digest = self.watch.digests[row.key]
         is_allowed = self.budget.spend(digest)
@@ -350,13 +375,13 @@
         )
 
     def _no_capacity(
-        self, query: messages.RouteQuery, what: str, now: float
+        self, query: messages.RouteQuery, target: str, now: float
     ) -> refusals.Refusal:
-        schedule = self.retry_schedule(what)
+        schedule = self.retry_schedule(target)
         return refusals.Refusal(
             refusals.Reason.NO_CAPACITY,
             outcomes.Outcome.NOT_RUN,
-            f"no backend server for {what} can take more work",
+            f"no backend server for {target} can take more work",
             retry_after=schedule.wait(query.request_id, self.seed, now),
         )
 
@@ -368,12 +393,12 @@
     return refusals.Refusal(reason, outcomes.Outcome.NOT_RUN, detail)
 
 
-def _draw(
+def _draw_version(
     found: options.ModelOptions, query: messages.RouteQuery, seed: int
 ) -> str:
     if query.session:
         return hashing.weighted_pick(query.session, found.weights)
     total = found.totals[-1]
     point = hashing.unit(query.request_id, seed) * total
-    place = bisect.bisect_right(found.totals, point)
-    return found.weights[min(place, len(found.weights) - 1)][0]
+    index = bisect.bisect_right(found.totals, point)
+    return found.weights[min(index, len(found.weights) - 1)][0]
--- a/src/hoistmoor/core/routing/turns.py
+++ b/src/hoistmoor/core/routing/turns.py
@@ -1,6 +1,7 @@
-"""Watches every version for a turn to the bad, and withdraws it here at once.
+"""Detection and withdrawal of versions whose quality degrades.
 
-The decision is also an effect for the log, by which all hosts follow.
+A host withdraws a degraded version locally at once. The decision is also
+appended to the log, from which all other hosts apply it.
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
     from hoistmoor.core.table import model
 
 ALL_KINDS = "*"
-# Shares of good answers by which a version may fall short of its baseline
-# without being watched for it, on top of the baseline's uncertainty.
+# Tolerated shortfall of the share of good answers from the baseline, in
+# addition to the uncertainty of the baseline.
 TOLERANCE = 0.02
-TOLERANCE_Z = 1.0
+TOLERANCE_Z = 1.0  # Uncertainty of the baseline, in standard deviations.
 ESCALATED_Z = 2.5  # The same for answers after an escalation.
-FIRST_LEVELS_AT = 10  # Ratings after which a watch learns its own levels.
-QUIET = 20.0  # A test's value above which its levels are not learnt anew.
+FIRST_LEVELS_AT = 10  # Ratings before the baselines are first estimated anew.
+QUIET = 20.0  # Statistic from which the baselines are not estimated anew.
 
 
 @attrs.define
@@ -33,10 +34,10 @@
     """The test of one version for one kind of request.
 
     Attributes:
+        levels: Lowest acceptable share of good answers by confidence bucket;
+            the last one is for answers without a bucket.
         detector: The sequential test.
-        levels: Share of good answers that counts as well, by bucket of
-            confidence; the last is for answers of no bucket.
-        relearn_at: Ratings at which the levels are learnt anew.
+        relearn_at: Number of ratings at which the levels are estimated anew.
     """
 
     levels: tuple[float, ...]
@@ -48,15 +49,15 @@
 
 @attrs.define
 class TurnWatch:
-    """All tests, and what they or other hosts have withdrawn.
+    """Tests of all versions, and the withdrawals by this and other hosts.
 
     Attributes:
-        host: Name of this host, for the records.
+        host: Name of this host, written to the records.
         watches: Tests by version, kind and whether after an escalation.
-        withdrawn: Records in force by version and kind.
-        digests: Digest of each version's row in force.
-        pending: Records whose row is not the one in force.
-        threshold: Value at which a test gives the alarm.
+        withdrawn: Withdrawals in force by version and kind.
+        digests: Digest of each version's row in the table in force.
+        pending: Withdrawals decided on a row other than the one in force.
+        threshold: Value of the statistic at which a test raises an alarm.
     """
 
     host: str
@@ -71,7 +72,7 @@
     threshold: float = sequential.threshold(0.99)
 
     def on_table(self, table: model.Table) -> None:
-        """Lifts what was decided on a row that operators have edited."""
+        """Lifts the withdrawals of versions whose rows were edited."""
         confidence = limits.value(table, "withdraw_confidence")
         self.threshold = sequential.threshold(confidence)
         before = self.digests
@@ -84,22 +85,26 @@
             for key, watch in self.watches.items()
             if key[0] not in edited
         }
-        # A record may be read before the edit that it was decided on.
+        # A withdrawal may be read before the table that it was decided on.
         known = self.pending | self.withdrawn
-        self.withdrawn = {k: w for k, w in known.items() if self._holds(w)}
-        self.pending = {k: w for k, w in known.items() if not self._holds(w)}
+        self.withdrawn = {
+            k: w for k, w in known.items() if self._is_in_force(w)
+        }
+        self.pending = {
+            k: w for k, w in known.items() if not self._is_in_force(w)
+        }
 
-    def _holds(self, record: messages.Withdrawal) -> bool:
+    def _is_in_force(self, record: messages.Withdrawal) -> bool:
         return self.digests.get(record.version) == record.row_digest
 
     def on_withdrawal(self, record: messages.Withdrawal) -> None:
-        """Follows a record of this host or another."""
+        """Applies a withdrawal decided by this or another host."""
         key = (record.version, record.kind)
-        target = self.withdrawn if self._holds(record) else self.pending
+        target = self.withdrawn if self._is_in_force(record) else self.pending
         target[key] = record
 
     def is_withdrawn(self, version: str, kind: str) -> bool:
-        """Returns whether evidence forbids new work of ``kind``."""
+        """Returns whether ``version`` is withdrawn for ``kind``."""
         return bool(self.withdrawn) and (
             (version, ALL_KINDS) in self.withdrawn
             or (version, kind) in self.withdrawn
@@ -112,10 +117,10 @@
         known: evidence.Evidence,
         now: float,
     ) -> messages.Withdrawal | None:
-        """Takes a rating that ``known`` does not hold yet.
+        """Tests a rating that ``known`` does not include yet.
 
         Returns:
-            The record to put on the log, if the version is to be withdrawn.
+            The record for the log if the version must be withdrawn.
         """
         bucket, escalated = evidence.read_tag(rating.answer_id)
         kinds = (rating.kind,) if escalated else (rating.kind, ALL_KINDS)
@@ -139,18 +144,20 @@
         key = (row.key, kind, escalated)
         watch = self.watches.get(key)
         if watch is None:
-            watch = Watch(_levels(row, rated_kind, escalated, known))
+            watch = Watch(_estimate_levels(row, rated_kind, escalated, known))
             self.watches[key] = watch
         elif kind == ALL_KINDS:
-            # Kinds differ; what is normal is what this rating's kind gives.
-            own = self.watches.get((row.key, rated_kind, escalated))
-            watch.levels = own.levels if own else watch.levels
+            # Kinds differ in quality, so each rating is compared with the
+            # baseline of its own kind.
+            of_kind = self.watches.get((row.key, rated_kind, escalated))
+            watch.levels = of_kind.levels if of_kind else watch.levels
         elif (
             watch.detector.ratings >= watch.relearn_at
             and watch.detector.value < QUIET
         ):
-            # Twice as rarely each time: a slow turn must not become normal.
-            watch.levels = _levels(row, kind, escalated, known)
+            # The intervals double, so that slow degradation does not become
+            # part of the baseline.
+            watch.levels = _estimate_levels(row, kind, escalated, known)
             watch.relearn_at *= 2
         return watch
 
@@ -171,14 +178,15 @@
         return record
 
 
-def _levels(
+def _estimate_levels(
     row: model.Version,
     kind: str,
     escalated: bool,
     known: evidence.Evidence,
 ) -> tuple[float, ...]:
     if escalated:
-        # How hard the requests are that come here changes with each plan.
+        # The difficulty of escalated requests changes with the plan, so there
+        # is one baseline for all buckets and it has a wider margin.
         level = evidence.lowered(known.after_escalation(row, kind), ESCALATED_Z)
         return (level - TOLERANCE,) * (evidence.BUCKETS + 1)
     estimates = (*known.of_buckets(row, kind), known.of_kind(row, kind))
@@ -191,6 +199,6 @@
 def _level(estimate: evidence.Estimate, kind_level: float) -> float:
     level = evidence.lowered(estimate, TOLERANCE_Z)
     if estimate.count < FIRST_LEVELS_AT:
-        # Not yet known to be better than the others.
+        # Too few ratings to show that the bucket is better than its kind.
         return min(level, kind_level)
     return level
