--- a/src/hoistmoor/core/routing/menus.py
+++ b/src/hoistmoor/core/routing/menus.py
@@ -18,8 +18,10 @@
 SHORTEST_LIFE_S = 5.0  # Minimum age before changed estimates are applied.
 LONGEST_LIFE_S = 60.0  # Maximum age, regardless of changes.
 LEAST_GAP_S = 0.25  # Minimum interval between refreshes over all entries.
-MOVED_RATINGS = 0.005  # New ratings that cause a refresh, as a share.
-MOVED_ANSWERS = 0.1  # New answers that cause a refresh, as a share.
+# New ratings that cause a refresh, as a share of the weight of all ratings.
+MOVED_RATINGS = 0.005
+# New answers that cause a refresh, as a share of those at the last refresh.
+MOVED_ANSWERS = 0.1
 MOST_KEPT = 256  # Bounds the entries, because callers choose kinds freely.
 
 
--- a/src/hoistmoor/core/routing/servers.py
+++ b/src/hoistmoor/core/routing/servers.py
@@ -16,9 +16,8 @@
 # Load, as a share of the concurrency, above which a host may use only its fair
 # share of a server with short calls.
 SHORT_ROOM = 0.85
-_MIN_REPORT_WEIGHT = (
-    0.15  # Minimum weight of the latest report, for short calls.
-)
+# Minimum weight of the latest report in the estimate, for short calls.
+_MIN_REPORT_WEIGHT = 0.15
 _DURATION_WEIGHT = 0.1  # Weight of the latest call in the mean duration.
 
 
--- a/tests/core/routing/conftest.py
+++ b/tests/core/routing/conftest.py
@@ -1,4 +1,4 @@
-"""Shared tables and routers of the routing tests."""
+"""Fixtures of the routing tests."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
     def make(
         table: model.Table, host: str = "bangna-1", seed: int = 7
     ) -> router.Router:
-        made = router.Router("bangna", seed, host)
-        made.on_table(model.TableInForce(1, table))
-        return made
+        created = router.Router("bangna", seed, host)
+        created.on_table(model.TableInForce(1, table))
+        return created
 
     return make
--- a/tests/core/routing/routing_rows.py
+++ b/tests/core/routing/routing_rows.py
@@ -1,4 +1,4 @@
-"""Rows, queries and news from which the routing tests are made."""
+"""Factories of tables, rows, queries and events for the routing tests."""
 
 from __future__ import annotations
 
--- a/tests/core/routing/test_routing_cancelled.py
+++ b/tests/core/routing/test_routing_cancelled.py
@@ -1,4 +1,4 @@
-"""Attempts that are given up here say nothing of their backend servers."""
+"""Tests that cancelled attempts do not affect the state of their servers."""
 
 from __future__ import annotations
 
@@ -17,15 +17,17 @@
 @pytest.mark.parametrize(
     ("result", "is_ready"), [(DECLINED, False), (CANCELLED, True)]
 )
-def test_only_a_server_that_declined_rests(
+def test_only_a_declined_call_starts_a_rest(
     result: messages.AttemptResult, is_ready: bool
 ) -> None:
-    made = fleet.Fleet("bangna")
-    made.on_table(routing_rows.table(routing_rows.DEFAULT_VERSIONS, servers=2))
-    for name in made.by_name:
-        made.on_load(routing_rows.report(name, 1.0))
-        made.on_started(name, 1.0)
-        made.on_finished(name, "small@v1", result, 1.0)
+    backends = fleet.Fleet("bangna")
+    backends.on_table(
+        routing_rows.table(routing_rows.DEFAULT_VERSIONS, servers=2)
+    )
+    for name in backends.by_name:
+        backends.on_load(routing_rows.report(name, 1.0))
+        backends.on_started(name, 1.0)
+        backends.on_finished(name, "small@v1", result, 1.0)
     assertions.assert_that(
-        made.pools["small@v1"].is_ready, matchers.Is(is_ready)
+        backends.pools["small@v1"].is_ready, matchers.Is(is_ready)
     )
--- a/tests/core/routing/test_routing_evidence.py
+++ b/tests/core/routing/test_routing_evidence.py
@@ -1,4 +1,4 @@
-"""Evidence, the plans made of it, and the test for a turn to the bad."""
+"""Tests quality estimates, cascade plans and the detection of degradation."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
         (None, False, (-1, False)),
     ],
 )
-def test_answer_ids_carry_bucket_and_escalation(
+def test_answer_id_encodes_bucket_and_escalation(
     confidence: float | None, escalated: bool, expected: tuple[int, bool]
 ) -> None:
     tagged = evidence.tag_answer("h.1.2~x", confidence, escalated)
@@ -43,16 +43,16 @@
     )
 
 
-def test_estimates_start_at_the_prior_follow_ratings_and_fade() -> None:
+def test_estimates_start_at_prior_follow_ratings_and_decay() -> None:
     known = evidence.Evidence()
     first = known.of_kind(SMALL, "answer")
     assertions.assert_that(first.mean, matchers.Equals(0.8))
     for _ in range(200):
         bad = routing_rows.rating(SMALL.key, good=False)
         known.on_rating(bad, SMALL, 0.0)
-    after = known.of_kind(SMALL, "answer")
-    assert after.mean < 0.1
-    assert after.variance < first.variance
+    posterior = known.of_kind(SMALL, "answer")
+    assert posterior.mean < 0.1
+    assert posterior.variance < first.variance
     known.on_rating(
         routing_rows.rating(SMALL.key, good=True),
         SMALL,
@@ -77,7 +77,7 @@
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(policies=policy_lists, target=strategies.floats(0.0, 1.0))
-def test_plan_meets_the_target_and_no_single_policy_is_cheaper(
+def test_plan_meets_target_and_no_single_policy_is_cheaper(
     policies: list[cascade.Policy], target: float
 ) -> None:
     plan = cascade.plan(policies, target)
@@ -92,21 +92,23 @@
         assert plan.better.quality == max(p.quality for p in policies)
 
 
-def test_a_cascade_is_planned_once_confidence_proves_worth_it() -> None:
+def test_cascade_is_planned_once_confidence_predicts_quality() -> None:
     known = evidence.Evidence()
     for number in range(600):
-        is_sure = number % 4 > 0
-        confidence = 0.97 if is_sure else 0.2
+        is_confident = number % 4 > 0
+        confidence = 0.97 if is_confident else 0.2
         answer = evidence.tag_answer(f"r{number}", confidence, False)
         known.on_answer(SMALL.key, "answer", confidence)
         known.on_rating(
-            routing_rows.rating(SMALL.key, good=is_sure, answer=answer),
+            routing_rows.rating(SMALL.key, good=is_confident, answer=answer),
             SMALL,
             0.0,
         )
-        after = evidence.tag_answer(f"e{number}", 0.9, True)
+        escalated = evidence.tag_answer(f"e{number}", 0.9, True)
         known.on_rating(
-            routing_rows.rating(LARGE.key, good=number % 10 > 0, answer=after),
+            routing_rows.rating(
+                LARGE.key, good=number % 10 > 0, answer=escalated
+            ),
             LARGE,
             0.0,
         )
@@ -121,28 +123,28 @@
 
 
 def _ratings_until_alarm(
-    quality: float, baseline: float, limit: float, seed: int, most: int
+    quality: float, baseline: float, limit: float, seed: int, max_ratings: int
 ) -> int:
     source = random.Random(f"detector {seed}")
     detector = sequential.TurnDetector()
-    for number in range(1, most + 1):
+    for number in range(1, max_ratings + 1):
         detector.add(source.random() < quality, baseline)
         if detector.value >= limit:
             return number
-    return most
+    return max_ratings
 
 
-def test_false_alarms_are_as_rare_as_stated_and_turns_are_found() -> None:
-    # A low threshold, so that false alarms can be counted in a short run.
+def test_false_alarm_rate_and_detection_delay_are_within_bounds() -> None:
+    # A low threshold makes false alarms frequent enough for a short run.
     runs = [_ratings_until_alarm(0.9, 0.9, 100.0, i, 2000) for i in range(60)]
     assert sum(runs) / len(runs) >= 100.0
     limit = sequential.threshold(0.99)
-    found = [_ratings_until_alarm(0.4, 0.9, limit, i, 500) for i in range(60)]
+    delays = [_ratings_until_alarm(0.4, 0.9, limit, i, 500) for i in range(60)]
     bound = sequential.detection_limit(0.9, 0.4, 0.99)
-    assert sum(found) / len(found) <= 1.5 * bound
+    assert sum(delays) / len(delays) <= 1.5 * bound
 
 
-def test_a_version_that_turns_bad_late_is_withdrawn(
+def test_version_that_degrades_late_is_withdrawn(
     make_table: MakeTable, make_router: MakeRouter
 ) -> None:
     router = make_router(make_table())
@@ -161,10 +163,10 @@
     assertions.assert_that(router.take_effects(), matchers.HasLength(1))
 
 
-def test_without_the_watch_a_turn_goes_on(
+def test_degraded_version_is_kept_without_the_monitor(
     make_table: MakeTable, make_router: MakeRouter
 ) -> None:
-    """Takes the mechanism out: the same ratings withdraw nothing."""
+    """Checks that bad ratings withdraw nothing if the monitor is disabled."""
     router = make_router(make_table())
     router.watch.threshold = float("inf")
     for number in range(100):
@@ -173,20 +175,20 @@
     assert not router.watch.is_withdrawn(MEDIUM.key, "answer")
 
 
-def test_the_margin_makes_up_for_hopes_and_shrinks_with_ratings() -> None:
+def test_margin_covers_calibration_error_and_shrinks_with_ratings() -> None:
     known = evidence.Evidence()
     first = known.margin("answer", 0.8, 1.28)
     for number in range(400):
         rating = routing_rows.rating(SMALL.key, good=number % 5 > 0)
         known.on_rating(rating, SMALL, 0.0)
-    honest = known.margin("answer", 0.8, 1.28)
-    assert 0.0 < honest < first / 2.0
+    calibrated = known.margin("answer", 0.8, 1.28)
+    assert 0.0 < calibrated < first / 2.0
     for _ in range(30):
         known.on_rating(routing_rows.rating(SMALL.key, False), SMALL, 0.0)
-    assert known.margin("answer", 0.8, 1.28) > 1.5 * honest
+    assert known.margin("answer", 0.8, 1.28) > 1.5 * calibrated
 
 
-def test_no_cascade_starts_at_a_version_without_confidence() -> None:
+def test_no_cascade_starts_with_a_version_without_confidence() -> None:
     known = evidence.Evidence()
 
     def starts() -> set[str]:
--- a/tests/core/routing/test_routing_exposure.py
+++ b/tests/core/routing/test_routing_exposure.py
@@ -1,4 +1,7 @@
-"""The cap on unproved answers holds over hosts, losses and repeats."""
+"""Tests that the cap on unproven answers holds over all hosts.
+
+Claims may be repeated or lost, and hosts may read the log with a delay.
+"""
 
 from __future__ import annotations
 
@@ -20,13 +23,13 @@
     from conftest import MakeTable
 
 CAP = 20
-NOBODY: frozenset[str] = frozenset()
+NO_SERVERS: frozenset[str] = frozenset()
 ROW = routing_rows.version_row("small@v2", stage=model.Stage.CANDIDATE, cap=CAP)
 DIGEST = exposure.row_digest(ROW)
 
 
 class Fleet:
-    """Hosts and a log whose replies get lost and whose readers lag."""
+    """Simulated hosts that read a log with lost and repeated appends late."""
 
     def __init__(self, fold: type[exposure.ExposureFold]) -> None:
         self.fold = fold
@@ -36,14 +39,14 @@
         self.spent = 0
 
     def start(self) -> None:
-        """Starts one more host."""
+        """Starts another host."""
         name = f"host-{len(self.budgets)}"
         budget = exposure.ExposureBudget(name, self.fold())
         self.budgets.append(budget)
         self.read.append(0)
 
     def use(self, host: int, now: float, views: int, repeats: int) -> None:
-        """Spends at a host, and appends what it claims."""
+        """Uses the budget of a host and appends its claim ``repeats`` times."""
         budget = self.budgets[host % len(self.budgets)]
         self.spent += budget.spend(DIGEST)
         claim = budget.claim_if_low(ROW, DIGEST, views, now)
@@ -51,7 +54,7 @@
             self.log += [claim] * repeats
 
     def catch_up(self, host: int, records: int) -> None:
-        """Lets a host read on."""
+        """Lets a host read up to ``records`` further records."""
         host %= len(self.budgets)
         start = self.read[host]
         page = self.log[start : start + records]
@@ -60,7 +63,7 @@
         self.read[host] = start + len(page)
 
 
-acts = strategies.lists(
+actions = strategies.lists(
     strategies.one_of(
         strategies.tuples(strategies.just("start")),
         strategies.tuples(
@@ -79,18 +82,18 @@
 )
 
 
-def _drive(fold: type[exposure.ExposureFold], acts: list) -> int:
+def _run(fold: type[exposure.ExposureFold], actions: list) -> int:
     fleet = Fleet(fold)
     fleet.start()
     now = 0.0
-    for act in acts:
+    for action in actions:
         now += 5.0
-        if act[0] == "start":
+        if action[0] == "start":
             fleet.start()
-        elif act[0] == "use":
-            fleet.use(act[1], now, act[2], act[3])
+        elif action[0] == "use":
+            fleet.use(action[1], now, action[2], action[3])
         else:
-            fleet.catch_up(act[1], act[2])
+            fleet.catch_up(action[1], action[2])
     for host in range(len(fleet.budgets)):
         fleet.catch_up(host, len(fleet.log))
         while fleet.budgets[host].spend(DIGEST):
@@ -99,23 +102,23 @@
 
 
 @settings(derandomize=True, deadline=None, max_examples=200)
-@given(acts=acts)
-def test_cap_is_never_passed(acts: list) -> None:
-    assert _drive(exposure.ExposureFold, acts) <= CAP
+@given(actions=actions)
+def test_cap_is_never_exceeded(actions: list) -> None:
+    assert _run(exposure.ExposureFold, actions) <= CAP
 
 
-def test_cap_is_passed_without_the_fold() -> None:
-    """Takes the mechanism out: each host grants its own claims."""
+def test_cap_is_exceeded_without_the_fold() -> None:
+    """Checks that the cap is exceeded if claims are granted unconditionally."""
 
-    class Generous(exposure.ExposureFold):
+    class Unlimited(exposure.ExposureFold):
         def _grant(self, claim: messages.ExposureClaim) -> int:
             self.settled[claim.claim_id] = claim.amount
             return claim.amount
 
-    acts: list = []
+    actions: list = []
     for host in range(8):
-        acts += [("start",), ("use", host, 1, 1), ("catch_up", host, 9)]
-    assertions.assert_that(_drive(Generous, acts), matchers.GreaterThan(CAP))
+        actions += [("start",), ("use", host, 1, 1), ("catch_up", host, 9)]
+    assertions.assert_that(_run(Unlimited, actions), matchers.GreaterThan(CAP))
 
 
 def _claim(number: int, amount: int = 8) -> messages.ExposureClaim:
@@ -124,13 +127,13 @@
     )
 
 
-def test_a_late_starter_grants_nothing_until_a_tally() -> None:
+def test_late_reader_grants_nothing_before_a_tally() -> None:
     budget = exposure.ExposureBudget("h")
     budget.fold.on_gap(2)
     budget.on_claim(2, _claim(2))
     assertions.assert_that(budget.spend(DIGEST), matchers.Equals(False))
     assert budget.claim_if_low(ROW, DIGEST, 1, 0.0) is None
-    # Two claims of 8 before the gap, and one after: 4 of 20 are left.
+    # With two claims of 8 before the gap, 4 of 20 are left for the third one.
     budget.fold.on_tally(messages.ExposureTally(1, {DIGEST: 8}))
     assertions.assert_that(budget.fold.is_complete, matchers.Equals(False))
     budget.fold.on_tally(messages.ExposureTally(2, {DIGEST: 16}))
@@ -139,7 +142,7 @@
     assert budget.claim_if_low(ROW, DIGEST, 1, 0.0) is None
 
 
-def test_unproved_candidate_needs_a_slice_and_takes_no_session(
+def test_unproven_candidate_needs_a_slice_and_gets_no_session(
     make_table: MakeTable, make_router: MakeRouter
 ) -> None:
     versions = (
@@ -152,7 +155,7 @@
     chosen = set()
     for number in range(400):
         found = router.choose(
-            routing_rows.query(number, model="small"), NOBODY, 0.0
+            routing_rows.query(number, model="small"), NO_SERVERS, 0.0
         )
         chosen.add(found.version)
     assertions.assert_that(chosen, matchers.Equals({"small@v1"}))
@@ -162,7 +165,7 @@
     versions_chosen = [
         router.choose(
             routing_rows.query(number, model="small", session=session),
-            NOBODY,
+            NO_SERVERS,
             0.0,
         ).version
         for session in ("", "s")
@@ -177,7 +180,7 @@
     )
 
 
-def test_one_host_reminds_later_starters(
+def test_records_are_repeated_for_late_readers(
     make_table: MakeTable, make_router: MakeRouter
 ) -> None:
     table = make_table((*routing_rows.DEFAULT_VERSIONS, ROW))
@@ -188,20 +191,20 @@
     log.append(messages.Withdrawal(row.key, "*", digest, "h", 0.0, ""))
     read = [0] * len(hosts)
     for now in range(0, 3600, 10):
-        for place, host in enumerate(hosts):
-            for offset in range(read[place], len(log)):
+        for index, host in enumerate(hosts):
+            for offset in range(read[index], len(log)):
                 host.on_evidence(offset, log[offset])
-            read[place] = len(log)
+            read[index] = len(log)
             host.on_load(routing_rows.report("llm-0", float(now)), float(now))
             log += host.take_effects()
     tallies = [r for r in log if isinstance(r, messages.ExposureTally)]
     assert 1 <= len(tallies) <= 6
-    late = make_router(table, "late", seed=9)
-    late.on_evidence_gap(2)
+    late_router = make_router(table, "late", seed=9)
+    late_router.on_evidence_gap(2)
     for offset in range(2, len(log)):
-        late.on_evidence(offset, log[offset])
-    assert late.budget.fold.is_complete
+        late_router.on_evidence(offset, log[offset])
+    assert late_router.budget.fold.is_complete
     assertions.assert_that(
-        late.budget.fold.granted, matchers.Equals({DIGEST: 8})
+        late_router.budget.fold.granted, matchers.Equals({DIGEST: 8})
     )
-    assert late.watch.is_withdrawn("large@v1", "answer")
+    assert late_router.watch.is_withdrawn("large@v1", "answer")
--- a/tests/core/routing/test_routing_golden.py
+++ b/tests/core/routing/test_routing_golden.py
@@ -1,6 +1,6 @@
-"""A whole cascade session, kept as a golden file.
+"""Golden file test of a session with a cascade.
 
-To renew it on purpose, delete the file, run the test and review the change.
+To update the golden file, delete it, run the test and review the change.
 """
 
 from __future__ import annotations
@@ -25,15 +25,19 @@
     from hoistmoor.core.routing import router as router_lib
 
 GOLDEN = pathlib.Path(__file__).parent / "golden" / "cascade.txt"
-NOBODY: frozenset[str] = frozenset()
+NO_SERVERS: frozenset[str] = frozenset()
 SMALL, MEDIUM, LARGE = routing_rows.DEFAULT_VERSIONS
 
 
-def _teach(router: router_lib.Router) -> None:
-    """Shows that confidence foretells quality, and that large is worth it."""
+def _train(router: router_lib.Router) -> None:
+    """Trains the estimates.
+
+    The confidence of the small version then predicts its quality, and the
+    large version is worth its price.
+    """
     for number in range(400):
-        is_sure = number % 4 > 0
-        confidence = 0.97 if is_sure else 0.2
+        is_confident = number % 4 > 0
+        confidence = 0.97 if is_confident else 0.2
         done = messages.AttemptResult(
             ok=True,
             seconds=2.0,
@@ -44,16 +48,16 @@
         )
         router.on_finished("llm-0", SMALL.key, done, 1.0)
         answer = evidence.tag_answer(f"r{number}", confidence, False)
-        good = is_sure or number % 8 == 0
+        good = is_confident or number % 8 == 0
         router.on_rating(routing_rows.rating(SMALL.key, good, answer), 1.0)
-        sure = evidence.tag_answer(f"l{number}", 0.97, False)
+        confident = evidence.tag_answer(f"l{number}", 0.97, False)
         router.on_rating(
-            routing_rows.rating(LARGE.key, number % 50 > 0, sure), 1.0
+            routing_rows.rating(LARGE.key, number % 50 > 0, confident), 1.0
         )
 
 
 class Session:
-    """Asks, judges and writes down each step."""
+    """Routes requests, evaluates answers and records each step."""
 
     def __init__(self, router: router_lib.Router) -> None:
         self.router = router
@@ -63,10 +67,10 @@
     def ask(
         self, number: int, pin: str | None = None
     ) -> tuple[messages.RouteQuery, messages.Choice | refusals.Refusal]:
-        """Asks for a choice."""
+        """Routes a request."""
         query = routing_rows.query(number, pin=pin)
-        found = self.router.choose(query, NOBODY, self.now)
-        self.lines.append(f"ask {number} pin={pin}: {self._show(found)}")
+        found = self.router.choose(query, NO_SERVERS, self.now)
+        self.lines.append(f"ask {number} pin={pin}: {self._describe(found)}")
         return query, found
 
     def answer(
@@ -75,29 +79,31 @@
         choice: messages.Choice,
         confidence: float,
     ) -> messages.Choice:
-        """Hands in an answer for judgement."""
+        """Evaluates an answer; returns the choice that is then in effect."""
         facts = messages.AnswerFacts(confidence)
         verdict = self.router.judge(query, choice, facts, self.now)
         if isinstance(verdict, messages.Accept):
             self.lines.append(f"  {confidence}: accepted, {verdict.reason}")
             return choice
-        shown = self._show(verdict.choice)
-        self.lines.append(f"  {confidence}: {verdict.reason}; {shown}")
+        description = self._describe(verdict.choice)
+        self.lines.append(f"  {confidence}: {verdict.reason}; {description}")
         return verdict.choice
 
-    def _show(self, found: messages.Choice | refusals.Refusal) -> str:
+    def _describe(self, found: messages.Choice | refusals.Refusal) -> str:
         if not isinstance(found, messages.Choice):
             return f"refused, {found.reason}: {found.detail}"
         held = "held" if found.hold_answer else "streamed"
         return f"{found.version} at {found.server}, {held}: {found.reason}"
 
 
-def _play(router: router_lib.Router, table: model.Table) -> list[str]:
+def _run_session(router: router_lib.Router, table: model.Table) -> list[str]:
     session = Session(router)
     first = next(
         number
         for number in range(100)
-        if router.choose(routing_rows.query(number), NOBODY, 10.0).hold_answer
+        if router.choose(
+            routing_rows.query(number), NO_SERVERS, 10.0
+        ).hold_answer
     )
     query, choice = session.ask(first)
     session.answer(query, choice, 0.97)
@@ -111,7 +117,7 @@
     router.on_table(model.TableInForce(2, edited))
     session.answer(query, choice, 0.2)
     session.ask(first, pin=last.version)
-    session.lines.append("the grants go")
+    session.lines.append("all grants are removed")
     router.on_table(model.TableInForce(3, attrs.evolve(edited, grants={})))
     session.answer(query, choice, 0.2)
     session.ask(first, pin=SMALL.key)
@@ -123,9 +129,9 @@
 ) -> None:
     table = make_table(target=0.92)
     router = make_router(table)
-    _teach(router)
-    played = "\n".join(_play(router, table)) + "\n"
+    _train(router)
+    actual = "\n".join(_run_session(router, table)) + "\n"
     if not GOLDEN.exists():
-        GOLDEN.write_text(played, encoding="utf-8")
-    recorded = GOLDEN.read_text(encoding="utf-8")
-    assertions.assert_that(played, matchers.Equals(recorded))
+        GOLDEN.write_text(actual, encoding="utf-8")
+    expected = GOLDEN.read_text(encoding="utf-8")
+    assertions.assert_that(actual, matchers.Equals(expected))
--- a/tests/core/routing/test_routing_menus.py
+++ b/tests/core/routing/test_routing_menus.py
@@ -1,4 +1,4 @@
-"""Plans shared between accounts: when they are made anew, and when not."""
+"""Tests when the plans shared between accounts are recomputed."""
 
 from __future__ import annotations
 
@@ -26,57 +26,61 @@
 
 
 @pytest.fixture
-def kept() -> menus.Menus:
+def cache() -> menus.Menus:
     return menus.Menus(evidence.Evidence())
 
 
-def test_a_menu_is_kept_until_its_evidence_moves_enough(
-    kept: menus.Menus,
+def test_entry_is_reused_until_estimates_change_enough(
+    cache: menus.Menus,
 ) -> None:
-    rate(kept.known, 1000, 0.0)
-    first = kept.of(ROWS, "answer", TOKENS, 1.0)
-    rate(kept.known, 3, 2.0)
-    assert kept.of(ROWS, "answer", TOKENS, 30.0) is first
-    rate(kept.known, 3, 31.0)
-    second = kept.of(ROWS, "answer", TOKENS, 32.0)
+    rate(cache.known, 1000, 0.0)
+    first = cache.of(ROWS, "answer", TOKENS, 1.0)
+    rate(cache.known, 3, 2.0)
+    assert cache.of(ROWS, "answer", TOKENS, 30.0) is first
+    rate(cache.known, 3, 31.0)
+    second = cache.of(ROWS, "answer", TOKENS, 32.0)
     assert second is not first
-    rate(kept.known, 500, 33.0)
-    assert kept.of(ROWS, "answer", TOKENS, 34.0) is second
-    third = kept.of(ROWS, "answer", TOKENS, 38.0)
+    rate(cache.known, 500, 33.0)
+    assert cache.of(ROWS, "answer", TOKENS, 34.0) is second
+    third = cache.of(ROWS, "answer", TOKENS, 38.0)
     assert third is not second
     late = 38.0 + menus.LONGEST_LIFE_S
-    assert kept.of(ROWS, "answer", TOKENS, late) is not third
+    assert cache.of(ROWS, "answer", TOKENS, late) is not third
 
 
-def test_an_edited_row_makes_a_menu_anew_at_once(kept: menus.Menus) -> None:
-    first = kept.of(ROWS, "answer", TOKENS, 1.0)
-    dearer = (attrs.evolve(ROWS[0], output_price=900), *ROWS[1:])
-    second = kept.of(dearer, "answer", TOKENS, 1.0)
+def test_edited_row_refreshes_an_entry_at_once(cache: menus.Menus) -> None:
+    first = cache.of(ROWS, "answer", TOKENS, 1.0)
+    edited = (attrs.evolve(ROWS[0], output_price=900), *ROWS[1:])
+    second = cache.of(edited, "answer", TOKENS, 1.0)
     assertions.assert_that(second, matchers.Not(matchers.Equals(first)))
-    assert kept.of(dearer, "answer", TOKENS, 1.0) is second
+    assert cache.of(edited, "answer", TOKENS, 1.0) is second
 
 
-def test_work_on_moved_evidence_is_bounded_by_the_second(
-    kept: menus.Menus,
+def test_refresh_rate_is_limited(
+    cache: menus.Menus,
 ) -> None:
     kinds = [f"kind-{i}" for i in range(40)]
     for kind in kinds:
-        kept.of(ROWS, kind, TOKENS, 0.0)
-    made = kept.made
+        cache.of(ROWS, kind, TOKENS, 0.0)
+    made_before = cache.made
     for tick in range(100):
         now = 100.0 + tick / 10.0
-        rate(kept.known, 10, now)
+        rate(cache.known, 10, now)
         for kind in kinds:
-            kept.of(ROWS, kind, TOKENS, now)
-    most = 10.0 / menus.LEAST_GAP_S + 1
-    assertions.assert_that(kept.made - made, matchers.LessThan(most + 1))
-    assertions.assert_that(kept.made - made, matchers.GreaterThan(most / 2))
+            cache.of(ROWS, kind, TOKENS, now)
+    limit = 10.0 / menus.LEAST_GAP_S + 1
+    assertions.assert_that(
+        cache.made - made_before, matchers.LessThan(limit + 1)
+    )
+    assertions.assert_that(
+        cache.made - made_before, matchers.GreaterThan(limit / 2)
+    )
 
 
-def test_unknown_kinds_do_not_fill_the_memory(kept: menus.Menus) -> None:
+def test_number_of_entries_is_limited(cache: menus.Menus) -> None:
     for number in range(2 * menus.MOST_KEPT):
-        kept.of(ROWS[:1], f"kind-{number}", TOKENS, 0.0)
-    assert len(kept.kept) <= menus.MOST_KEPT
+        cache.of(ROWS[:1], f"kind-{number}", TOKENS, 0.0)
+    assert len(cache.kept) <= menus.MOST_KEPT
 
 
 @pytest.fixture
@@ -87,10 +91,10 @@
         for account, target in (("agents", 0.85), ("shops", 0.95))
         for grant in table.grants.values()
     ]
-    made = router_lib.Router("bangna", 7, "bangna-1")
+    created = router_lib.Router("bangna", 7, "bangna-1")
     table = attrs.evolve(table, grants={row.key: row for row in grants})
-    made.on_table(model.TableInForce(1, table))
-    return made
+    created.on_table(model.TableInForce(1, table))
+    return created
 
 
 def auto(
@@ -101,7 +105,7 @@
     return found
 
 
-def test_accounts_share_a_menu_and_keep_their_own_targets(
+def test_accounts_share_an_entry_with_separate_targets(
     two_accounts: router_lib.Router,
 ) -> None:
     low = auto(two_accounts, "agents", 1.0)
@@ -110,7 +114,7 @@
     assert low.cautious.cost < high.cautious.cost
 
 
-def test_a_withdrawal_voids_a_shared_plan_at_once(
+def test_withdrawal_invalidates_a_shared_plan_at_once(
     two_accounts: router_lib.Router,
 ) -> None:
     planned = auto(two_accounts, "shops", 1.0).cautious.better.start
--- a/tests/core/routing/test_routing_probes.py
+++ b/tests/core/routing/test_routing_probes.py
@@ -1,4 +1,4 @@
-"""Servers asked for their load before a call, where reports are rare."""
+"""Tests probes of the load of servers before a call."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
     from hoistmoor.core.routing import router as router_lib
 
-NOBODY: frozenset[str] = frozenset()
+NO_SERVERS: frozenset[str] = frozenset()
 NOW = 100.0
-NAMED = routing_rows.query(model="small@v1")
+QUERY = routing_rows.query(model="small@v1")
 
 
 @pytest.fixture
@@ -28,7 +28,7 @@
 
 
 def choose(router: router_lib.Router) -> messages.Choice:
-    found = router.choose(NAMED, NOBODY, NOW)
+    found = router.choose(QUERY, NO_SERVERS, NOW)
     assert isinstance(found, messages.Choice)
     return found
 
@@ -39,11 +39,11 @@
     )
 
 
-def test_a_call_goes_to_the_least_loaded_of_those_asked(
+def test_call_goes_to_the_least_loaded_probed_server(
     router: router_lib.Router,
 ) -> None:
     choice = choose(router)
-    names = router.to_probe(choice, NOBODY, NOW)
+    names = router.to_probe(choice, NO_SERVERS, NOW)
     assertions.assert_that(names, matchers.Contains(choice.server))
     assert 2 <= len(names) <= placement.PROBES
     for name in names:
@@ -55,19 +55,19 @@
     assertions.assert_that(best.address, matchers.Equals(row.address))
 
 
-def test_nobody_is_asked_again_while_the_load_is_known(
+def test_no_server_is_probed_while_its_load_is_known(
     router: router_lib.Router,
 ) -> None:
     choice = choose(router)
     report(router, choice.server, 1)
     assertions.assert_that(
-        router.to_probe(choice, NOBODY, NOW + 1.0), matchers.Equals(())
+        router.to_probe(choice, NO_SERVERS, NOW + 1.0), matchers.Equals(())
     )
-    late = NOW + placement.KNOWN_S + 1.0
-    assert router.to_probe(choice, NOBODY, late)
+    expired = NOW + placement.KNOWN_S + 1.0
+    assert router.to_probe(choice, NO_SERVERS, expired)
 
 
-def test_nobody_is_asked_for_calls_that_are_over_before_the_report(
+def test_no_server_is_probed_for_short_calls(
     router: router_lib.Router,
 ) -> None:
     choice = choose(router)
@@ -76,18 +76,18 @@
         done = messages.AttemptResult(ok=True, seconds=0.1)
         router.on_finished(choice.server, choice.version, done, NOW)
     assertions.assert_that(
-        router.to_probe(choice, NOBODY, NOW), matchers.Equals(())
+        router.to_probe(choice, NO_SERVERS, NOW), matchers.Equals(())
     )
 
 
-def test_leaving_excluded_and_silent_servers_are_not_taken(
+def test_leaving_excluded_and_full_servers_are_not_chosen(
     router: router_lib.Router,
 ) -> None:
     choice = choose(router)
-    names = router.to_probe(choice, NOBODY, NOW)
+    names = router.to_probe(choice, NO_SERVERS, NOW)
     others = frozenset(names) - {choice.server}
-    asked = router.to_probe(choice, others, NOW)
-    assert not others & set(asked)
+    probed = router.to_probe(choice, others, NOW)
+    assert not others & set(probed)
     for name in others:
         router.on_leaving(router.fleet.by_name[name].row.address)
     report(router, choice.server, 7)
@@ -95,7 +95,8 @@
         router.best_probed(choice, names).server, matchers.Equals(choice.server)
     )
     report(router, choice.server, 8)
-    # None that was asked is ready: the choice stays, and may be declined.
+    # No probed server is ready, so the choice is kept although the server may
+    # decline the call.
     assertions.assert_that(
         router.best_probed(choice, names), matchers.Equals(choice)
     )
--- a/tests/core/routing/test_routing_router.py
+++ b/tests/core/routing/test_routing_router.py
@@ -1,4 +1,4 @@
-"""What the router must never do, whatever it has been told."""
+"""Tests the invariants of the router under any order of events."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     from conftest import MakeRouter
     from conftest import MakeTable
 
-NOBODY: frozenset[str] = frozenset()
+NO_SERVERS: frozenset[str] = frozenset()
 STAGES = tuple(model.Stage)
 NAMES = ("small@v1", "medium@v1", "large@v1")
 
@@ -100,8 +100,8 @@
 
 @settings(derandomize=True, deadline=None, max_examples=150)
 @given(steps=steps)
-def test_only_granted_versions_in_their_stage_get_work(steps: list) -> None:
-    """Interleaves edits, withdrawals and requests with held answers."""
+def test_only_granted_versions_in_a_serving_stage_get_work(steps: list) -> None:
+    """Interleaves table edits, withdrawals, requests and held answers."""
     _interleave(router_lib.Router("bangna", 7, "bangna-1"), steps)
 
 
@@ -114,7 +114,7 @@
         ("turn", "small@v1"),
     ],
 )
-def test_the_interleaving_catches_a_router_without_its_check(
+def test_interleaving_detects_a_missing_check(
     monkeypatch: pytest.MonkeyPatch, step: tuple
 ) -> None:
     monkeypatch.setattr(options.Catalog, "verdict", lambda *_: "")
@@ -137,16 +137,18 @@
     confidence: float,
     now: float,
 ) -> None:
-    found = router.choose(query, NOBODY, now)
+    found = router.choose(query, NO_SERVERS, now)
     if isinstance(found, messages.Choice):
         _check_allowed(router, table, query, found)
         held.append((query, found))
     if not held:
         return
-    asked, choice = held.pop(0)
-    verdict = router.judge(asked, choice, messages.AnswerFacts(confidence), now)
+    judged, choice = held.pop(0)
+    verdict = router.judge(
+        judged, choice, messages.AnswerFacts(confidence), now
+    )
     if isinstance(verdict, messages.Escalate):
-        fresh = attrs.evolve(asked, pin=None)
+        fresh = attrs.evolve(judged, pin=None)
         _check_allowed(router, table, fresh, verdict.choice)
 
 
@@ -170,34 +172,34 @@
     table = _restage(make_table(), "medium@v1", model.Stage.DRAINING)
     router = make_router(table)
     query = routing_rows.query(1, model="medium", pin="medium@v1")
-    choice = router.choose(query, NOBODY, 0.0)
+    choice = router.choose(query, NO_SERVERS, 0.0)
     assertions.assert_that(choice.version, matchers.Equals("medium@v1"))
     assertions.assert_that(choice.hold_answer, matchers.Equals(False))
     _expect_refusal(
-        router.choose(attrs.evolve(query, pin=None), NOBODY, 0.0),
+        router.choose(attrs.evolve(query, pin=None), NO_SERVERS, 0.0),
         refusals.Reason.VERSION_WITHDRAWN,
     )
 
 
-def test_session_moves_from_a_withdrawn_version_and_says_so(
+def test_session_moves_from_a_withdrawn_version_with_a_reason(
     make_table: MakeTable, make_router: MakeRouter
 ) -> None:
     table = _restage(make_table(), "medium@v1", model.Stage.WITHDRAWN)
     query = routing_rows.query(1, pin="medium@v1")
-    choice = make_router(table).choose(query, NOBODY, 0.0)
+    choice = make_router(table).choose(query, NO_SERVERS, 0.0)
     assertions.assert_that(choice.version, matchers.NotEquals("medium@v1"))
     assertions.assert_that(
         choice.reason, matchers.StartsWith("moved from medium@v1")
     )
 
 
-def test_first_requests_of_a_session_agree_at_all_hosts(
+def test_first_requests_of_a_session_agree_on_all_hosts(
     make_table: MakeTable, make_router: MakeRouter
 ) -> None:
     routers = [make_router(make_table(), f"h{i}", seed=i) for i in range(5)]
     versions = {
         router.choose(
-            routing_rows.query(i, model="auto", session="s1"), NOBODY, 0.0
+            routing_rows.query(i, model="auto", session="s1"), NO_SERVERS, 0.0
         ).version
         for i, router in enumerate(routers)
     }
@@ -213,7 +215,7 @@
         ("large@v1", refusals.Reason.NOT_GRANTED),
     ],
 )
-def test_refuses_what_is_unknown_or_not_granted(
+def test_unknown_and_ungranted_models_are_refused(
     make_table: MakeTable,
     make_router: MakeRouter,
     name: str,
@@ -221,11 +223,11 @@
 ) -> None:
     router = make_router(make_table(granted=("small",)))
     _expect_refusal(
-        router.choose(routing_rows.query(model=name), NOBODY, 0.0), reason
+        router.choose(routing_rows.query(model=name), NO_SERVERS, 0.0), reason
     )
 
 
-def test_pool_out_of_capacity_is_refused_at_once_and_spread(
+def test_requests_to_a_full_pool_are_refused_with_spread_retries(
     make_table: MakeTable, make_router: MakeRouter
 ) -> None:
     router = make_router(make_table(servers=2))
@@ -234,19 +236,19 @@
         router.on_load(full, 1.0)
     waits = []
     for number in range(200):
-        found = router.choose(routing_rows.query(number), NOBODY, 1.5)
+        found = router.choose(routing_rows.query(number), NO_SERVERS, 1.5)
         _expect_refusal(found, refusals.Reason.NO_CAPACITY)
         waits.append(found.wait)
-    # Returning callers are spread at the pace of the pool, not all at once.
+    # Retries are spread at the rate at which calls to the pool end.
     busiest = max(waits.count(wait) for wait in set(waits[:100]))
     assertions.assert_that(busiest, matchers.LessThan(20))
     assertions.assert_that(max(waits), matchers.LessThan(61))
     router.on_load(routing_rows.report("llm-0", 2.0), 2.0)
-    choice = router.choose(routing_rows.query(0), NOBODY, 2.0)
+    choice = router.choose(routing_rows.query(0), NO_SERVERS, 2.0)
     assertions.assert_that(choice, matchers.IsInstance(messages.Choice))
 
 
-def test_withdrawal_spares_the_last_version_and_other_kinds(
+def test_last_active_version_is_not_withdrawn(
     make_table: MakeTable, make_router: MakeRouter
 ) -> None:
     router = make_router(make_table())
@@ -266,7 +268,7 @@
     assertions.assert_that(left, matchers.HasLength(1))
 
 
-def test_withdrawal_by_kind_reaches_other_hosts_until_an_edit(
+def test_withdrawal_of_a_kind_applies_until_the_row_is_edited(
     make_table: MakeTable, make_router: MakeRouter
 ) -> None:
     table = make_table()
@@ -275,13 +277,13 @@
     router.on_evidence(4, record)
     named = routing_rows.query(model="small@v1", kind="receipt")
     _expect_refusal(
-        router.choose(named, NOBODY, 0.0), refusals.Reason.VERSION_WITHDRAWN
+        router.choose(named, NO_SERVERS, 0.0), refusals.Reason.VERSION_WITHDRAWN
     )
     other = attrs.evolve(named, kind="answer")
-    choice = router.choose(other, NOBODY, 0.0)
+    choice = router.choose(other, NO_SERVERS, 0.0)
     assertions.assert_that(choice, matchers.IsInstance(messages.Choice))
     row = attrs.evolve(table.versions["small@v1"], prior_quality=0.7)
     edited = attrs.evolve(table, versions={**table.versions, row.key: row})
     router.on_table(model.TableInForce(5, edited))
-    lifted = router.choose(named, NOBODY, 0.0)
+    lifted = router.choose(named, NO_SERVERS, 0.0)
     assertions.assert_that(lifted, matchers.IsInstance(messages.Choice))
