--- a/src/hoistmoor/core/routing/turns.py
+++ b/src/hoistmoor/core/routing/turns.py
@@ -189,10 +189,10 @@
         # is one baseline for all buckets and it has a wider margin.
         level = evidence.lowered(known.after_escalation(row, kind), ESCALATED_Z)
         return (level - TOLERANCE,) * (evidence.BUCKETS + 1)
-    estimates = (*known.of_buckets(row, kind), known.of_kind(row, kind))
+    by_bucket = (*known.of_buckets(row, kind), known.of_kind(row, kind))
     kind_level = evidence.lowered(known.of_kind(row, kind), TOLERANCE_Z)
     return tuple(
-        _level(estimate, kind_level) - TOLERANCE for estimate in estimates
+        _level(estimate, kind_level) - TOLERANCE for estimate in by_bucket
     )
 
 
--- a/tests/core/routing/test_routing_evidence.py
+++ b/tests/core/routing/test_routing_evidence.py
@@ -44,21 +44,21 @@
 
 
 def test_estimates_start_at_prior_follow_ratings_and_decay() -> None:
-    known = evidence.Evidence()
-    first = known.of_kind(SMALL, "answer")
+    estimates = evidence.Evidence()
+    first = estimates.of_kind(SMALL, "answer")
     assertions.assert_that(first.mean, matchers.Equals(0.8))
     for _ in range(200):
         bad = routing_rows.rating(SMALL.key, good=False)
-        known.on_rating(bad, SMALL, 0.0)
-    posterior = known.of_kind(SMALL, "answer")
+        estimates.on_rating(bad, SMALL, 0.0)
+    posterior = estimates.of_kind(SMALL, "answer")
     assert posterior.mean < 0.1
     assert posterior.variance < first.variance
-    known.on_rating(
+    estimates.on_rating(
         routing_rows.rating(SMALL.key, good=True),
         SMALL,
         50 * evidence.HALF_LIFE_S,
     )
-    assert known.of_kind(SMALL, "answer").mean > 0.7
+    assert estimates.of_kind(SMALL, "answer").mean > 0.7
 
 
 policy_lists = strategies.lists(
@@ -93,19 +93,19 @@
 
 
 def test_cascade_is_planned_once_confidence_predicts_quality() -> None:
-    known = evidence.Evidence()
+    estimates = evidence.Evidence()
     for number in range(600):
         is_confident = number % 4 > 0
         confidence = 0.97 if is_confident else 0.2
         answer = evidence.tag_answer(f"r{number}", confidence, False)
-        known.on_answer(SMALL.key, "answer", confidence)
-        known.on_rating(
+        estimates.on_answer(SMALL.key, "answer", confidence)
+        estimates.on_rating(
             routing_rows.rating(SMALL.key, good=is_confident, answer=answer),
             SMALL,
             0.0,
         )
         escalated = evidence.tag_answer(f"e{number}", 0.9, True)
-        known.on_rating(
+        estimates.on_rating(
             routing_rows.rating(
                 LARGE.key, good=number % 10 > 0, answer=escalated
             ),
@@ -113,7 +113,7 @@
             0.0,
         )
     profiles = [
-        cascade.profiles(known, row, "answer", (100.0, 100.0), (-1.0,))[0]
+        cascade.profiles(estimates, row, "answer", (100.0, 100.0), (-1.0,))[0]
         for row in (SMALL, LARGE)
     ]
     plan = cascade.plan(cascade.policies(profiles), 0.9)
@@ -176,30 +176,30 @@
 
 
 def test_margin_covers_calibration_error_and_shrinks_with_ratings() -> None:
-    known = evidence.Evidence()
-    first = known.margin("answer", 0.8, 1.28)
+    estimates = evidence.Evidence()
+    first = estimates.margin("answer", 0.8, 1.28)
     for number in range(400):
         rating = routing_rows.rating(SMALL.key, good=number % 5 > 0)
-        known.on_rating(rating, SMALL, 0.0)
-    calibrated = known.margin("answer", 0.8, 1.28)
+        estimates.on_rating(rating, SMALL, 0.0)
+    calibrated = estimates.margin("answer", 0.8, 1.28)
     assert 0.0 < calibrated < first / 2.0
     for _ in range(30):
-        known.on_rating(routing_rows.rating(SMALL.key, False), SMALL, 0.0)
-    assert known.margin("answer", 0.8, 1.28) > 1.5 * calibrated
+        estimates.on_rating(routing_rows.rating(SMALL.key, False), SMALL, 0.0)
+    assert estimates.margin("answer", 0.8, 1.28) > 1.5 * calibrated
 
 
 def test_no_cascade_starts_with_a_version_without_confidence() -> None:
-    known = evidence.Evidence()
+    estimates = evidence.Evidence()
 
     def starts() -> set[str]:
         profiles = [
-            cascade.profiles(known, row, "answer", (100.0, 100.0), (0.0,))[0]
+            cascade.profiles(estimates, row, "answer", (100.0, 100.0), (0.0,))[0]
             for row in (SMALL, LARGE)
         ]
         return {p.start for p in cascade.policies(profiles) if p.then}
 
     assertions.assert_that(starts(), matchers.Equals({SMALL.key}))
-    known.on_answer(SMALL.key, "answer", None)
+    estimates.on_answer(SMALL.key, "answer", None)
     assertions.assert_that(starts(), matchers.Equals(set()))
-    known.on_answer(SMALL.key, "answer", 0.9)
+    estimates.on_answer(SMALL.key, "answer", 0.9)
     assertions.assert_that(starts(), matchers.Equals({SMALL.key}))
--- a/tests/core/routing/test_routing_menus.py
+++ b/tests/core/routing/test_routing_menus.py
@@ -19,10 +19,10 @@
 TOKENS = (100.0, 100.0)
 
 
-def rate(known: evidence.Evidence, ratings: int, now: float) -> None:
+def rate(estimates: evidence.Evidence, ratings: int, now: float) -> None:
     for number in range(ratings):
         rating = routing_rows.rating(ROWS[0].key, good=number % 5 > 0)
-        known.on_rating(rating, ROWS[0], now)
+        estimates.on_rating(rating, ROWS[0], now)
 
 
 @pytest.fixture
