--- a/tests/core/routing/test_routing_evidence.py
+++ b/tests/core/routing/test_routing_evidence.py
@@ -193,7 +193,9 @@
 
     def starts() -> set[str]:
         profiles = [
-            cascade.profiles(estimates, row, "answer", (100.0, 100.0), (0.0,))[0]
+            cascade.profiles(estimates, row, "answer", (100.0, 100.0), (0.0,))[
+                0
+            ]
             for row in (SMALL, LARGE)
         ]
         return {p.start for p in cascade.policies(profiles) if p.then}
