--- a/tests/core/routing/test_routing_probes.py
+++ b/tests/core/routing/test_routing_probes.py
@@ -1,4 +1,4 @@
-"""Tests probes of the load of servers before a call."""
+"""Tests probes of the load of servers before a call, if reports are rare."""
 
 from __future__ import annotations
 
