--- a/src/hoistmoor/core/sessions/__init__.py
+++ b/src/hoistmoor/core/sessions/__init__.py
@@ -1,3 +1,3 @@
-"""Sessions: signed tokens, pins, and where copies of pins are kept."""
+"""Session affinity: signed tokens, version pins and placement of pins."""
 
 from __future__ import annotations
--- a/src/hoistmoor/core/sessions/choice.py
+++ b/src/hoistmoor/core/sessions/choice.py
@@ -1,4 +1,4 @@
-"""Weighted rendezvous hashing of sessions over versions, and over hosts."""
+"""Rendezvous hashing of sessions to versions and to home hosts."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
     from collections.abc import Iterable
 
 _HASH_BITS = 64
-_SHARE_BITS = 52  # So that a share is strictly between 0 and 1.
+_UNIFORM_BITS = 52  # Plus one half, exact in a double: 0 < x < 1.
 
 
 class EntryHost(Protocol):
-    """What must be known of an entry host that may keep copies of pins."""
+    """An entry host that can store copies of pins."""
 
     @property
     def name(self) -> str:
@@ -26,16 +26,16 @@
 
     @property
     def failure_domain(self) -> str:
-        """Where it stands."""
+        """Failure domain that the host belongs to."""
 
 
 @attrs.frozen
 class HomeHost:
-    """The least that is an ``EntryHost``.
+    """A minimal ``EntryHost``.
 
     Attributes:
         name: Name of the host.
-        failure_domain: Where it stands.
+        failure_domain: Failure domain that the host belongs to.
     """
 
     name: str
@@ -43,7 +43,7 @@
 
 
 def is_usable(table: model.Table, account: str, version_key: str) -> bool:
-    """Returns whether a session of ``account`` may stay on the version."""
+    """Returns whether a session of ``account`` may be pinned to a version."""
     version = table.versions.get(version_key)
     if version is None or version.stage is model.Stage.WITHDRAWN:
         return False
@@ -53,16 +53,17 @@
 def choose_version(
     table: model.Table, account: str, session: str, model_name: str
 ) -> str | None:
-    """Returns the version for a new session, or None when none is open.
+    """Returns the version for a new session, or None if none is eligible.
 
-    Two hosts with the same table revision choose the same version. Versions
-    that are not proved yet get whole sessions only when none is active.
+    The choice is deterministic: hosts with the same table revision choose the
+    same version. Candidate versions, whose quality is not established yet,
+    receive new sessions only if no active version is eligible.
 
     Args:
         table: The table in force.
-        account: The session's client account.
+        account: Client account that owns the session.
         session: Name of the session.
-        model_name: A model's name; for any other name the result is None.
+        model_name: Name of a model; the result is None for any other name.
     """
     owner = f"{account}|{session}"
     granted = [
@@ -73,40 +74,41 @@
     for stage in (model.Stage.ACTIVE, model.Stage.CANDIDATE):
         rows = [version for version in granted if version.stage is stage]
         if rows:
-            return max(rows, key=lambda row: _version_rank(row, owner)).key
+            return max(rows, key=lambda row: _version_score(row, owner)).key
     return None
 
 
 def homes(
     hosts: Iterable[EntryHost], account: str, session: str
 ) -> tuple[str, ...]:
-    """Returns the hosts that keep a session's pin: two at most.
+    """Returns the names of the hosts that store a session's pin, at most two.
 
-    The second stands in another failure domain than the first, if there is
-    one. When one host comes or goes, at least one of two homes stays.
+    The second host is in another failure domain than the first if possible.
+    When a single host joins or leaves, at least one of two home hosts remains
+    the same.
     """
     owner = f"|{account}|{session}".encode()
     ranked = [
-        (_host_rank(host.name, owner), host.name, host.failure_domain)
+        (_host_score(host.name, owner), host.name, host.failure_domain)
         for host in hosts
     ]
     if len(ranked) < 2:
         return tuple(name for _, name, _ in ranked)
     _, first, domain = max(ranked)
-    elsewhere = [item for item in ranked if item[2] != domain]
-    others = elsewhere or [item for item in ranked if item[1] != first]
+    other_domains = [item for item in ranked if item[2] != domain]
+    others = other_domains or [item for item in ranked if item[1] != first]
     return first, max(others)[1]
 
 
-def _version_rank(version: model.Version, owner: str) -> tuple[float, str]:
-    # Weighted rendezvous: the weights decide shares, and a changed weight
-    # moves only the sessions that it must.
-    bits = _hash(f"{version.key}|{owner}") >> (_HASH_BITS - _SHARE_BITS)
-    share = (bits + 0.5) / 2.0**_SHARE_BITS
-    return -version.weight / math.log(share), version.key
+def _version_score(version: model.Version, owner: str) -> tuple[float, str]:
+    # Weighted rendezvous hashing: sessions are distributed in proportion to
+    # the weights, and a weight change moves only as many as necessary.
+    bits = _hash(f"{version.key}|{owner}") >> (_HASH_BITS - _UNIFORM_BITS)
+    uniform = (bits + 0.5) / 2.0**_UNIFORM_BITS
+    return -version.weight / math.log(uniform), version.key
 
 
-def _host_rank(name: str, owner: bytes) -> int:
+def _host_score(name: str, owner: bytes) -> int:
     return xxhash.xxh3_64_intdigest(name.encode() + owner)
 
 
--- a/src/hoistmoor/core/sessions/pins.py
+++ b/src/hoistmoor/core/sessions/pins.py
@@ -1,8 +1,9 @@
-"""Pins: which version a session stays on, and which of two pins stands.
+"""Session pins: the version each session is bound to.
 
-A home host keeps the first pin that it is given. Should two homes have been
-given different pins, every reader takes the one that ``preferred`` names and
-writes it back, so that the pin outlives either home.
+A session's pin is replicated on its home hosts. A home host keeps the first
+pin that it receives. If two home hosts hold different pins, every reader
+resolves the conflict with ``preferred`` and writes the result back, so that the
+pin survives the loss of either host.
 """
 
 from __future__ import annotations
@@ -18,18 +19,18 @@
     from collections.abc import Iterable
 
 MAX_SESSION_CHARS = 256
-_WIRE_SEPARATOR = "\n"  # Session ids are printable, so it is in none.
-DEFAULT_CAPACITY = 50_000  # Pins; about 400 bytes each.
+_WIRE_SEPARATOR = "\n"  # Session ids are printable and never contain it.
+DEFAULT_CAPACITY = 50_000  # A pin takes about 400 bytes.
 
 
 @attrs.frozen
 class PinKey:
-    """Names one pin.
+    """Identifies a pin.
 
     Attributes:
-        account: The session's client account.
+        account: Client account that owns the session.
         session: Name of the session.
-        model: Model that the caller named, ``auto`` included.
+        model: Model name that the caller sent; may be ``auto``.
     """
 
     account: str
@@ -38,29 +39,29 @@
 
     @classmethod
     def from_wire(cls, account: str, name: str) -> PinKey:
-        """Returns the key that peers name by ``account`` and ``name``."""
+        """Parses a key from its form in calls between hosts."""
         session, _, model = name.rpartition(_WIRE_SEPARATOR)
         return cls(account, session, model)
 
     @property
     def wire_name(self) -> str:
-        """Session and model as one text for calls between hosts."""
+        """Session and model, joined for calls between hosts."""
         return f"{self.session}{_WIRE_SEPARATOR}{self.model}"
 
 
 @attrs.frozen
 class Pin:
-    """The version that a session stays on.
+    """Binds a session to a version.
 
     Attributes:
-        account: The session's client account.
+        account: Client account that owns the session.
         session: Name of the session.
-        model: Model that the caller named.
+        model: Model name that the caller sent.
         version: Key of the pinned version.
-        revision: Table revision under which it was chosen.
-        moves: How often the session left a withdrawn version.
-        settled: Whether a host compared the copies of both homes. A home
-            that was merely offered a pin asks the other home first.
+        revision: Table revision under which the version was chosen.
+        moves: Number of times the session moved off a withdrawn version.
+        settled: Whether a host has compared the copies on both home hosts.
+            A home host with an unsettled pin asks the other one first.
     """
 
     account: str
@@ -73,7 +74,7 @@
 
     @property
     def key(self) -> PinKey:
-        """Returns the pin's name."""
+        """Returns the key that identifies this pin."""
         return PinKey(self.account, self.session, self.model)
 
 
@@ -82,10 +83,11 @@
 
 
 def preferred(pins: Iterable[Pin]) -> Pin | None:
-    """Returns the pin that stands among copies, the same at every host.
+    """Resolves a conflict between copies of a pin.
 
-    The newest move wins; among equal moves the lowest revision, then the
-    lowest version.
+    The result is the same on every host and in any order of the copies. The
+    pin with the most moves wins; ties are broken by the lowest revision, then
+    by the lowest version.
     """
     return min(pins, key=_precedence, default=None)
 
@@ -95,11 +97,11 @@
 
 
 class PinMap:
-    """A bounded map of pins; the least recently used one goes first.
+    """A bounded map of pins with least-recently-used eviction.
 
     Attributes:
-        capacity: Pins kept at most.
-        dropped: Pins that went for want of room.
+        capacity: Maximum number of pins.
+        dropped: Number of pins evicted so far.
     """
 
     def __init__(self, capacity: int = DEFAULT_CAPACITY) -> None:
@@ -110,26 +112,30 @@
         )
 
     def __len__(self) -> int:
-        """Returns how many pins are kept."""
+        """Returns the number of pins in the map."""
         return len(self.pins)
 
     def find(self, key: PinKey) -> Pin | None:
-        """Returns the pin kept under ``key``, if any."""
+        """Returns the pin for ``key``, if any, and marks it as used."""
         pin = self.pins.get(key)
         if pin:
             self.pins.move_to_end(key)
         return pin
 
     def keep(self, offered: Pin) -> Pin:
-        """Keeps a pin unless one stands, and returns the one that stands."""
-        standing = self.find(offered.key)
-        if standing and not _replaces(offered, standing):
-            return standing
+        """Stores a pin unless the current one takes precedence.
+
+        Returns:
+            The pin that is stored under the key afterwards.
+        """
+        current = self.find(offered.key)
+        if current and not _supersedes(offered, current):
+            return current
         self.put(offered)
         return offered
 
     def put(self, pin: Pin) -> None:
-        """Keeps ``pin`` in place of whatever stands under its key."""
+        """Stores ``pin``, replacing any pin with the same key."""
         self.pins[pin.key] = pin
         self.pins.move_to_end(pin.key)
         if len(self.pins) > self.capacity:
@@ -137,7 +143,7 @@
             self.dropped += 1
 
 
-def _replaces(offered: Pin, standing: Pin) -> bool:
-    if offered.moves != standing.moves:
-        return offered.moves > standing.moves
-    return offered.settled and _precedence(offered) < _precedence(standing)
+def _supersedes(offered: Pin, current: Pin) -> bool:
+    if offered.moves != current.moves:
+        return offered.moves > current.moves
+    return offered.settled and _precedence(offered) < _precedence(current)
--- a/src/hoistmoor/core/sessions/tokens.py
+++ b/src/hoistmoor/core/sessions/tokens.py
@@ -1,6 +1,6 @@
-"""Session tokens: a pin that its caller carries, signed by the deployment.
+"""Session tokens: signed pins that callers send back with each request.
 
-Any host that knows a secret honours a token with no state of its own.
+Any host that has the deployment's secrets can verify a token statelessly.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 
 
 class SessionTokenError(errors.HoistmoorError):
-    """A session header is not one that this deployment can honour."""
+    """A session header holds an invalid token."""
 
 
 @attrs.frozen
 class SessionToken:
-    """What a session token says.
+    """The payload of a session token.
 
     Attributes:
         account: Client account that the token was issued to.
         session: Name of the session, unique within the account.
-        model: Model that the caller named when the session was pinned.
+        model: Model name that the caller sent when the session was pinned.
         version: Key of the pinned version, ``model@version``.
         issued_at: Seconds since the epoch.
     """
@@ -51,32 +51,33 @@
 
 
 def is_token(header_value: str) -> bool:
-    """Returns whether the header claims to be a token, not a plain id."""
+    """Returns whether the header holds a token and not a plain session id."""
     return header_value.startswith(PREFIX)
 
 
 def sign(token: SessionToken, secrets: Sequence[str]) -> str:
-    """Returns the header value for ``token``, signed with the first secret."""
+    """Encodes ``token`` as a header value, signed with the first secret."""
     body = codec.encode(token)
-    return PREFIX + _to_text(_mac(body, secrets[0]) + body)
+    return PREFIX + _encode_base64(_mac(body, secrets[0]) + body)
 
 
 def verify(
     header_value: str, account: str, secrets: Sequence[str]
 ) -> SessionToken:
-    """Returns the token that ``header_value`` holds.
+    """Decodes a header value and verifies its signature and account.
 
     Args:
-        header_value: Text that starts with ``PREFIX``.
-        account: The client account that sent it.
-        secrets: Secrets in use; the newest first.
+        header_value: Header value that starts with ``PREFIX``.
+        account: Client account that sent the token.
+        secrets: Accepted secrets, newest first.
 
     Raises:
-        SessionTokenError: No secret made it, or it is another account's.
+        SessionTokenError: The token is malformed, its signature matches none
+            of the secrets, or it was issued to another account.
     """
-    packed = _to_bytes(header_value)
-    mac, body = packed[:_MAC_BYTES], packed[_MAC_BYTES:]
-    if not any(_is_mac(mac, body, secret) for secret in secrets):
+    data = _decode_base64(header_value)
+    mac, body = data[:_MAC_BYTES], data[_MAC_BYTES:]
+    if not any(_verify_mac(mac, body, secret) for secret in secrets):
         raise SessionTokenError(
             "the session token is not signed by this deployment",
             "Send no session header to begin a new session.",
@@ -95,15 +96,15 @@
     return digest.digest()[:_MAC_BYTES]
 
 
-def _is_mac(mac: bytes, body: bytes, secret: str) -> bool:
+def _verify_mac(mac: bytes, body: bytes, secret: str) -> bool:
     return hmac.compare_digest(mac, _mac(body, secret))
 
 
-def _to_text(packed: bytes) -> str:
-    return base64.urlsafe_b64encode(packed).decode().rstrip("=")
+def _encode_base64(data: bytes) -> str:
+    return base64.urlsafe_b64encode(data).decode().rstrip("=")
 
 
-def _to_bytes(header_value: str) -> bytes:
+def _decode_base64(header_value: str) -> bytes:
     text = header_value.removeprefix(PREFIX)
     padding = "=" * (-len(text) % 4)
     try:
--- a/tests/core/sessions/test_sessions_tokens.py
+++ b/tests/core/sessions/test_sessions_tokens.py
@@ -1,4 +1,4 @@
-"""Session tokens, and the choice of versions and home hosts."""
+"""Session tokens, pins, and selection of versions and home hosts."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 SETTINGS = hypothesis.settings(derandomize=True, deadline=None)
 
 
-def table_of(**weights: float) -> model.Table:
+def make_table(**weights: float) -> model.Table:
     rows = [
         model.Version(
             "thai", name, "llm", model.Stage.ACTIVE, weight, 1, 1, 0.9, 10, 1
@@ -36,7 +36,7 @@
     )
 
 
-def spread(table: model.Table, count: int = 4_000) -> list[str | None]:
+def choose_versions(table: model.Table, count: int = 4_000) -> list[str | None]:
     return [
         choice.choose_version(table, "agents", f"s{n}", "thai")
         for n in range(count)
@@ -51,16 +51,16 @@
 
 @hypothesis.given(st.integers(0, 400), st.integers(1, 255))
 @SETTINGS
-def test_changed_token_never_passes(place: int, change: int) -> None:
+def test_changed_token_never_passes(index: int, change: int) -> None:
     value = tokens.sign(TOKEN, ["secret"])
-    place = len(tokens.PREFIX) + place % (len(value) - len(tokens.PREFIX))
-    letter = chr((ord(value[place]) + change) % 256)
-    changed = value[:place] + letter + value[place + 1 :]
+    index = len(tokens.PREFIX) + index % (len(value) - len(tokens.PREFIX))
+    character = chr((ord(value[index]) + change) % 256)
+    changed = value[:index] + character + value[index + 1 :]
     try:
         found = tokens.verify(changed, "agents", ["secret"])
     except tokens.SessionTokenError:
         return
-    # Base64 leaves some bits of its last letter unused.
+    # The last base64 character has unused bits: changing them has no effect.
     assertions.assert_that(found, matchers.Equals(TOKEN))
 
 
@@ -76,7 +76,7 @@
 
 
 def test_sessions_spread_by_weight() -> None:
-    chosen = spread(table_of(a=3.0, b=1.0))
+    chosen = choose_versions(make_table(a=3.0, b=1.0))
     assertions.assert_that(
         abs(chosen.count("thai@a") / len(chosen) - 0.75),
         matchers.LessThan(0.03),
@@ -84,35 +84,36 @@
 
 
 def test_changed_weight_moves_only_the_sessions_it_must() -> None:
-    before = spread(table_of(a=1.0, b=1.0))
-    after = spread(table_of(a=1.0, b=2.0))
+    before = choose_versions(make_table(a=1.0, b=1.0))
+    after = choose_versions(make_table(a=1.0, b=2.0))
     moved = [old for old, new in zip(before, after, strict=True) if old != new]
     assertions.assert_that(set(moved), matchers.Equals({"thai@a"}))
     assertions.assert_that(len(moved) / 4_000, matchers.LessThan(0.2))
 
 
 def test_draining_and_candidate_versions_get_no_new_sessions() -> None:
-    table = table_of(a=1.0, b=1.0, c=1.0)
+    table = make_table(a=1.0, b=1.0, c=1.0)
     stages = {"a": model.Stage.DRAINING, "b": model.Stage.CANDIDATE}
     versions = {
         key: attrs.evolve(row, stage=stages.get(row.version, row.stage))
         for key, row in table.versions.items()
     }
-    chosen = spread(attrs.evolve(table, versions=versions), 200)
+    chosen = choose_versions(attrs.evolve(table, versions=versions), 200)
     assertions.assert_that(set(chosen), matchers.Equals({"thai@c"}))
 
 
 def test_one_of_two_homes_stays_when_a_host_comes_or_goes() -> None:
     hosts = [choice.HomeHost(f"h{n}", f"d{n % 3}") for n in range(9)]
     for n in range(200):
-        both = choice.homes(hosts, "agents", f"s{n}")
-        domains = {both[0][1:], both[1][1:]}
+        home_hosts = choice.homes(hosts, "agents", f"s{n}")
+        domains = {home_hosts[0][1:], home_hosts[1][1:]}
         assertions.assert_that(domains, matchers.HasLength(2))
-        for gone in hosts:
-            rest = [host for host in hosts if host != gone]
-            left = choice.homes(rest, "agents", f"s{n}")
+        for removed in hosts:
+            remaining = [host for host in hosts if host != removed]
+            remaining_homes = choice.homes(remaining, "agents", f"s{n}")
             assertions.assert_that(
-                set(both) & set(left), matchers.Not(matchers.Equals(set()))
+                set(home_hosts) & set(remaining_homes),
+                matchers.Not(matchers.Equals(set())),
             )
 
 
@@ -140,12 +141,12 @@
 
 
 def test_home_keeps_the_first_pin_and_drops_the_oldest_session() -> None:
-    kept = pins.PinMap(capacity=2)
+    pin_map = pins.PinMap(capacity=2)
     first = pins.Pin("agents", "s1", "thai", "thai@2", 7)
-    kept.keep(first)
-    rival = attrs.evolve(first, version="thai@1", revision=6)
-    assertions.assert_that(kept.keep(rival), matchers.Equals(first))
+    pin_map.keep(first)
+    conflicting = attrs.evolve(first, version="thai@1", revision=6)
+    assertions.assert_that(pin_map.keep(conflicting), matchers.Equals(first))
     for session in ("s2", "s3"):
-        kept.keep(attrs.evolve(first, session=session))
-    assertions.assert_that(kept.find(first.key), matchers.Is(None))
-    assertions.assert_that(kept.dropped, matchers.Equals(1))
+        pin_map.keep(attrs.evolve(first, session=session))
+    assertions.assert_that(pin_map.find(first.key), matchers.Is(None))
+    assertions.assert_that(pin_map.dropped, matchers.Equals(1))
