--- a/src/hoistmoor/core/requests/__init__.py
+++ b/src/hoistmoor/core/requests/__init__.py
@@ -1,3 +1,3 @@
-"""The life of one request, from its headers to its final answer."""
+"""Request processing, from parsed headers to the final response."""
 
 from __future__ import annotations
--- a/src/hoistmoor/core/requests/admission.py
+++ b/src/hoistmoor/core/requests/admission.py
@@ -1,4 +1,4 @@
-"""First check of a request against the table in force."""
+"""Authentication and authorization of requests by the table in force."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-_ANY = "*"
+_WILDCARD = "*"
 
 
 def account_of(table: model.Table, bearer: str) -> model.Account:
-    """Returns the client account that a bearer key belongs to.
+    """Returns the client account that owns a bearer key.
 
     Raises:
         parsing.RefusedError: No client account has the key.
@@ -31,12 +31,12 @@
 
 
 def check_model(table: model.Table, account: str, name: str) -> None:
-    """Checks that an account may ask for a model, pinned or not, or ``auto``.
+    """Checks that an account may use a model, a pinned version or ``auto``.
 
     Raises:
         parsing.RefusedError: The model is unknown, withdrawn or not granted.
     """
-    versions = _versions_named(table, name)
+    versions = _matching_versions(table, name)
     if not versions:
         raise parsing.refuse(
             refusals.Reason.UNKNOWN_MODEL, f"the table has no model {name!r}"
@@ -53,7 +53,7 @@
         )
 
 
-def _versions_named(table: model.Table, name: str) -> list[model.Version]:
+def _matching_versions(table: model.Table, name: str) -> list[model.Version]:
     if name == model.AUTO_MODEL:
         return list(table.versions.values())
     pinned = table.versions.get(name)
@@ -63,7 +63,7 @@
 
 
 def granted_models(table: model.Table, account: str) -> Iterable[model.Version]:
-    """Yields each version that an account may use now."""
+    """Yields the versions that an account may currently use."""
     for key in sorted(table.versions):
         version = table.versions[key]
         if version.stage is model.Stage.WITHDRAWN:
@@ -75,24 +75,24 @@
 def find_call(
     table: model.Table, account: str, service: str, method: str, path: str
 ) -> model.Call:
-    """Returns the table's row for a call to a plain service.
+    """Returns the row of the table for a call of a plain service.
 
     Args:
         table: The table in force.
         account: Name of the client account.
         service: Name of the service.
-        method: HTTP method in capitals.
-        path: Path below the service, without the query string.
+        method: HTTP method, in upper case.
+        path: Path below the service, excluding the query string.
 
     Raises:
-        parsing.RefusedError: The service or call is unknown or not allowed.
+        parsing.RefusedError: The service or call is unknown or not granted.
     """
     row = table.services.get(service)
     if row is None or row.kind is not model.ServiceKind.PLAIN:
         raise parsing.refuse(
             refusals.Reason.UNKNOWN_SERVICE, f"no plain service {service!r}"
         )
-    if _ANY not in row.accounts and account not in row.accounts:
+    if _WILDCARD not in row.accounts and account not in row.accounts:
         raise parsing.refuse(
             refusals.Reason.NOT_GRANTED, f"{account} may not call {service!r}"
         )
@@ -107,8 +107,13 @@
 
 
 def _path_matches(pattern: str, path: str) -> bool:
-    wanted = pattern.strip("/").split("/")
-    given = path.strip("/").split("/")
-    if len(wanted) != len(given):
+    pattern_segments = pattern.strip("/").split("/")
+    path_segments = path.strip("/").split("/")
+    if len(pattern_segments) != len(path_segments):
         return False
-    return all(w in (_ANY, g) for w, g in zip(wanted, given, strict=True))
+    return all(
+        expected in (_WILDCARD, segment)
+        for expected, segment in zip(
+            pattern_segments, path_segments, strict=True
+        )
+    )
--- a/src/hoistmoor/core/requests/chunks.py
+++ b/src/hoistmoor/core/requests/chunks.py
@@ -1,7 +1,7 @@
-"""Reads the chunks of a streamed chat answer and puts whole answers together.
+"""Parses the chunks of streamed chat responses and assembles full responses.
 
-The shapes are those of the chat completions interface: each event is one JSON
-object, and the answer ends with the event ``[DONE]``.
+The format is that of the chat completions API: each event is a JSON object,
+and the stream ends with the event ``[DONE]``.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from hoistmoor.core.requests import decisions
 
-_DATA = b"data: "
+_DATA_PREFIX = b"data: "
 _EVENT_END = b"\n\n"
 DONE = b"[DONE]"
 _OK = 200
@@ -26,24 +26,24 @@
 
 
 def event(payload: bytes) -> bytes:
-    """Returns a server-sent event that carries ``payload``."""
-    return _DATA + payload + _EVENT_END
+    """Encodes ``payload`` as a server-sent event."""
+    return _DATA_PREFIX + payload + _EVENT_END
 
 
 def payload_of(frame: bytes) -> bytes:
-    """Returns what a server-sent event carries."""
-    return frame.removeprefix(_DATA).strip()
+    """Returns the payload of a server-sent event."""
+    return frame.removeprefix(_DATA_PREFIX).strip()
 
 
 @attrs.define
 class ChunkReader:
-    """Gathers what a streamed answer says of itself.
+    """Collects the metadata of a streamed response.
 
     Attributes:
-        prompt_tokens: As the engine counted.
-        output_tokens: As the engine counted.
-        finish_reason: Empty until the engine gave one.
-        confidence: Mean token probability; 1 where the engine gives none.
+        prompt_tokens: Prompt tokens, as counted by the engine.
+        output_tokens: Generated tokens, as counted by the engine.
+        finish_reason: Empty until the engine reports one.
+        confidence: Mean token probability; 1 if the engine reports none.
     """
 
     prompt_tokens: int = 0
@@ -52,7 +52,7 @@
     confidence: float = 1.0
 
     def read(self, frame: bytes) -> None:
-        """Takes one event in; other events than chunks are passed over."""
+        """Parses one event; events that are not chunks are ignored."""
         chunk = _parse(payload_of(frame))
         self._read_usage(chunk.get("usage") or {})
         self.confidence = chunk.get("confidence", self.confidence)
@@ -66,12 +66,12 @@
 
     @property
     def is_whole(self) -> bool:
-        """Whether the engine said why it ended."""
+        """Whether the engine has reported a finish reason."""
         return bool(self.finish_reason)
 
     @property
     def facts(self) -> messages.AnswerFacts:
-        """What the whole answer says of itself."""
+        """Metadata of the complete response."""
         return messages.AnswerFacts(
             status=_OK,
             content_type=_SSE,
@@ -91,12 +91,12 @@
 
 
 def text_of(frames: list[bytes]) -> str:
-    """Returns the text that the chunks of an answer add up to."""
-    pieces = []
+    """Returns the concatenated text of a response's chunks."""
+    texts = []
     for frame in frames:
         for choice in _parse(payload_of(frame)).get("choices", ()):
-            pieces.append(choice.get("delta", {}).get("content") or "")
-    return "".join(pieces)
+            texts.append(choice.get("delta", {}).get("content") or "")
+    return "".join(texts)
 
 
 def as_sent(
@@ -105,22 +105,22 @@
     frames: list[bytes],
     facts: messages.AnswerFacts,
 ) -> tuple[bytes, str]:
-    """Returns the whole answer as its caller gets it, and its content type.
+    """Returns the full response as sent to the caller, and its content type.
 
     Args:
-        request: What was asked.
-        decision: Says who answered.
-        frames: The answer's frames, in order.
-        facts: What the answer says of itself.
+        request: The request.
+        decision: Explanation of the request, which has the version that ran it.
+        frames: Frames of the response, in order.
+        facts: Metadata of the response.
     """
     if isinstance(request, kinds.CallRequest):
         return b"".join(frames), facts.content_type
     if request.stream:
         return b"".join((*frames, event(DONE))), _SSE
-    return _completion(decision, frames, facts), _JSON
+    return _make_completion(decision, frames, facts), _JSON
 
 
-def _completion(
+def _make_completion(
     decision: decisions.Decision,
     frames: list[bytes],
     facts: messages.AnswerFacts,
--- a/src/hoistmoor/core/requests/decision_batch.py
+++ b/src/hoistmoor/core/requests/decision_batch.py
@@ -1,8 +1,9 @@
-"""Which decisions outlive their host, within a budget of bytes.
+"""Batches decisions for the log, within a byte budget.
 
-Every host keeps its newest decisions in memory. A part of them also goes on
-the log, so that they can be asked for once the host is gone: the ones that
-people ask about first, then as many others as the budget allows.
+Every host keeps its most recent decisions in memory. Some of them are also
+appended to the log, so that they can be queried after the host has gone: first
+those that are most likely to be queried, then as many others as the budget
+allows.
 """
 
 from __future__ import annotations
@@ -15,21 +16,21 @@
 from hoistmoor.core import outcomes
 from hoistmoor.core.requests import decisions
 
-BYTES_PER_SECOND = 2_000.0  # A node's part of its control budget.
-MOST_BYTES = 64_000  # Of one batch on the log.
-MOST_WAITING = 2_000  # Decisions; older ones of little interest go first.
-APPENDS_PER_SECOND = 20.0  # Of all hosts together, at the log.
-SHORTEST_PERIOD = 2.0  # Seconds between two batches of one host.
+BYTES_PER_SECOND = 2_000.0  # Out of a host's control traffic budget.
+MAX_BATCH_BYTES = 64_000
+MAX_PENDING = 2_000  # Decisions; the oldest of low interest are dropped first.
+APPENDS_PER_SECOND = 20.0  # To the log, by all hosts together.
+MIN_PERIOD = 2.0  # Seconds between two batches of one host.
 
 
 @attrs.frozen
 class DecisionBatch:
-    """Decisions of one process, as they stand on the log.
+    """Decisions of one process, as stored on the log.
 
     Attributes:
         host: Name of the host.
-        incarnation: Which run of it.
-        decisions: In the order in which they were closed.
+        incarnation: Number of the host's incarnation.
+        decisions: Those of high interest first, each in order of closing.
     """
 
     host: str
@@ -41,15 +42,15 @@
 
 
 def period(hosts: int) -> float:
-    """Returns the seconds between two batches of one of ``hosts`` hosts."""
-    return max(SHORTEST_PERIOD, hosts / APPENDS_PER_SECOND)
+    """Returns the seconds between two batches of a host, given ``hosts``."""
+    return max(MIN_PERIOD, hosts / APPENDS_PER_SECOND)
 
 
-def is_of_interest(decision: decisions.Decision) -> bool:
-    """Returns whether people are likely to ask about a decision.
+def is_high_interest(decision: decisions.Decision) -> bool:
+    """Returns whether a decision is likely to be queried.
 
-    Those are refusals after work may have begun, requests that took more than
-    one attempt, and calls of plain services that cost something.
+    These are requests with an unknown outcome, requests that took more than
+    one attempt, and calls of plain services with a cost.
     """
     if decision.outcome == outcomes.Outcome.UNKNOWN:
         return True
@@ -59,50 +60,54 @@
 
 
 class DecisionBuffer:
-    """Decisions that wait for the log.
+    """Buffers decisions until they are appended to the log.
 
     Attributes:
-        dropped: Decisions for which there was no room.
+        dropped: Number of decisions dropped because the buffer was full.
     """
 
     def __init__(self, incarnation_host: str, incarnation: int) -> None:
         self.dropped = 0
         self._host = incarnation_host
         self._incarnation = incarnation
-        self._wanted: deque[decisions.Decision] = deque()
-        self._others: deque[decisions.Decision] = deque()
+        self._high_interest: deque[decisions.Decision] = deque()
+        self._low_interest: deque[decisions.Decision] = deque()
 
     def __len__(self) -> int:
-        """Returns how many decisions wait."""
-        return len(self._wanted) + len(self._others)
+        """Returns the number of pending decisions."""
+        return len(self._high_interest) + len(self._low_interest)
 
     def add(self, decision: decisions.Decision) -> None:
-        """Takes a closed decision; may drop one of less interest."""
-        queue = self._wanted if is_of_interest(decision) else self._others
+        """Adds a closed decision; drops one of low interest if full."""
+        queue = (
+            self._high_interest
+            if is_high_interest(decision)
+            else self._low_interest
+        )
         queue.append(decision)
-        while len(self) > MOST_WAITING:
+        while len(self) > MAX_PENDING:
             self._drop_one()
 
     def _drop_one(self) -> None:
         self.dropped += 1
-        (self._others or self._wanted).popleft()
+        (self._low_interest or self._high_interest).popleft()
 
     def take(self, seconds: float) -> DecisionBatch | None:
-        """Returns the next batch, or None when nothing waits.
+        """Removes and returns the next batch, or None if none is pending.
 
         Args:
-            seconds: Since the last batch; the budget grows with them.
+            seconds: Time since the last batch; the byte budget grows with it.
         """
-        left = min(MOST_BYTES, seconds * BYTES_PER_SECOND)
-        taken: list[decisions.Decision] = []
-        for queue in (self._wanted, self._others):
+        remaining_bytes = min(MAX_BATCH_BYTES, seconds * BYTES_PER_SECOND)
+        batch: list[decisions.Decision] = []
+        for queue in (self._high_interest, self._low_interest):
             while queue:
                 size = len(codec.encode(queue[0]))
-                if taken and size > left:
-                    return self._batch(taken)
-                left -= size
-                taken.append(queue.popleft())
-        return self._batch(taken) if taken else None
-
-    def _batch(self, taken: list[decisions.Decision]) -> DecisionBatch:
-        return DecisionBatch(self._host, self._incarnation, tuple(taken))
+                if batch and size > remaining_bytes:
+                    return self._batch(batch)
+                remaining_bytes -= size
+                batch.append(queue.popleft())
+        return self._batch(batch) if batch else None
+
+    def _batch(self, batch: list[decisions.Decision]) -> DecisionBatch:
+        return DecisionBatch(self._host, self._incarnation, tuple(batch))
--- a/src/hoistmoor/core/requests/decisions.py
+++ b/src/hoistmoor/core/requests/decisions.py
@@ -1,4 +1,4 @@
-"""The explanation that is kept of each request."""
+"""Decision records, which explain how each request was processed."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 @attrs.frozen
 class Step:
-    """One thing that was decided or that happened.
+    """A decision or event during the processing of a request.
 
     Attributes:
-        after: Seconds since the request arrived.
-        event: Short name of what happened.
-        detail: One sentence for people.
+        after: Seconds since the arrival of the request.
+        event: Short name of the event.
+        detail: One sentence, meant to be read by people.
     """
 
     after: float
@@ -27,24 +27,24 @@
 
 @attrs.define
 class Decision:
-    """Why a request was answered or refused as it was.
+    """Explains how a request was processed and why.
 
     Attributes:
-        request_id: Which request.
-        account: Name of the client account; empty where the key was wrong.
-        asked: The model or call asked for.
-        kind: The caller's own name for this kind of request.
-        arrived: Seconds since the epoch.
-        revision: Revision of the table it was decided by.
-        pin: Version that the session was pinned to, if any.
-        steps: What happened, in order.
-        choice: The last choice, with every candidate weighed and its verdict.
-        version: Version or call that answered.
-        server: Backend server that answered.
-        attempts: Dispatches to backend servers.
-        outcome: ``not_run``, ``done`` or ``unknown``; empty while it runs.
-        reason: Reason of the refusal; empty for an answer.
-        cost: Micros billed.
+        request_id: Id of the request.
+        account: Name of the client account; empty if the key was not valid.
+        asked: The requested model or call.
+        kind: Label that the caller gave to this kind of request.
+        arrived: Time of arrival, in seconds since the epoch.
+        revision: Table revision that the decision is based on.
+        pin: Version that the session is pinned to, if any.
+        steps: Decisions and events, in order.
+        choice: The last choice, with all candidates and their verdicts.
+        version: Version or call that produced the response.
+        server: Backend server that produced the response.
+        attempts: Number of dispatches to backend servers.
+        outcome: ``not_run``, ``done`` or ``unknown``; empty while running.
+        reason: Reason for a refusal; empty if the request was not refused.
+        cost: Amount billed, in micros.
     """
 
     request_id: str
@@ -65,16 +65,16 @@
 
     @classmethod
     def opened(cls, request_id: str, asked: str) -> Decision:
-        """Returns the decision on a request of which little is known yet."""
+        """Returns the decision for a request that is not authenticated yet."""
         return cls(request_id, "", asked, "", 0.0, NO_REVISION)
 
     def note(self, now: float, event: str, detail: str) -> None:
-        """Adds a step.
+        """Appends a step.
 
         Args:
             now: Seconds since the epoch.
-            event: Short name of what happened.
-            detail: One sentence for people.
+            event: Short name of the event.
+            detail: One sentence, meant to be read by people.
         """
         after = round(now - self.arrived, 6)
         self.steps.append(Step(after, event, detail))
--- a/src/hoistmoor/core/requests/kind_book.py
+++ b/src/hoistmoor/core/requests/kind_book.py
@@ -1,29 +1,29 @@
-"""Bounds how many kinds of request callers may name.
+"""Limits the number of request kinds per client account.
 
-Evidence and plans are kept per kind, so that a caller who names a new kind
-with each request would fill every host's memory.
+Evidence and plans are stored per kind: without a limit, a caller that sends a
+new kind with each request would exhaust the memory of every host.
 """
 
 from __future__ import annotations
 
-KINDS_PER_ACCOUNT = 32
-OTHER = "other"
+MAX_KINDS_PER_ACCOUNT = 32
+OTHER_KIND = "other"
 
 
 class KindBook:
-    """The kinds that each client account has named at this host."""
+    """Tracks the kinds that each client account has used at this host."""
 
-    def __init__(self, per_account: int = KINDS_PER_ACCOUNT) -> None:
-        """Makes an empty book of ``per_account`` kinds at most for each."""
+    def __init__(self, per_account: int = MAX_KINDS_PER_ACCOUNT) -> None:
+        """Limits each client account to ``per_account`` kinds."""
         self._per_account = per_account
         self._kinds: dict[str, set[str]] = {}
 
     def admit(self, account: str, kind: str) -> str:
-        """Returns ``kind``, or ``OTHER`` once the account has named enough."""
+        """Returns ``kind``, or ``OTHER_KIND`` once the limit is reached."""
         known = self._kinds.setdefault(account, set())
         if kind in known:
             return kind
         if len(known) >= self._per_account:
-            return OTHER
+            return OTHER_KIND
         known.add(kind)
         return kind
--- a/src/hoistmoor/core/requests/kinds.py
+++ b/src/hoistmoor/core/requests/kinds.py
@@ -1,4 +1,4 @@
-"""Requests as callers mean them, after their headers and body were checked."""
+"""Typed requests, with validated headers and bodies."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 
 @attrs.frozen
 class Envelope:
-    """What every request carries, whatever it asks for.
+    """Attributes that all types of requests have in common.
 
     Attributes:
-        request_id: Names the request; its incarnation is this process.
+        request_id: Identifies the request; its incarnation is this process.
         account: Name of the client account.
-        arrived: When the request came, seconds since the epoch.
-        deadline: When its answer is worth nothing any more, same clock.
-        idempotency_key: The caller's key or ticket, if any.
-        session: The session header as sent, if any.
-        fingerprint: Hash of method, path and body: one key, one fingerprint.
-        priority: How long the request can wait.
-        forwarded: Whether another host of the system passed it on.
+        arrived: Time of arrival, in seconds since the epoch.
+        deadline: Time after which a response is useless, on the same clock.
+        idempotency_key: Idempotency key or ticket sent by the caller, if any.
+        session: Session header as sent, if any.
+        fingerprint: Hash of method, path and body; all requests with the same
+            idempotency key must have the same fingerprint.
+        priority: How long the request may be queued.
+        forwarded: Whether another host of the deployment forwarded it.
     """
 
     request_id: identity.RequestId
@@ -39,18 +40,18 @@
 
 @attrs.frozen
 class ChatRequest:
-    """A request for a model's answer.
+    """A chat completion request.
 
     Attributes:
-        envelope: What every request carries.
-        model: A model, a pinned ``model@version``, or ``auto``.
-        stream: Whether the caller wants server-sent events.
-        kind: The caller's own name for this kind of request.
+        envelope: Attributes common to all requests.
+        model: Name of a model, a pinned ``model@version``, or ``auto``.
+        stream: Whether the caller requested server-sent events.
+        kind: Label that the caller gave to this kind of request.
         body: The parsed body.
         raw: The body as sent.
-        prompt_tokens: Estimated length of the prompt, tokens.
-        max_tokens: Most tokens to generate.
-        prefix: Hashes of the prompt's leading blocks, longest last.
+        prompt_tokens: Estimated length of the prompt in tokens.
+        max_tokens: Maximum number of tokens to generate.
+        prefix: Hashes of the prompt's prefixes, the longest last.
     """
 
     envelope: Envelope
@@ -69,11 +70,11 @@
     """A call to a plain service.
 
     Attributes:
-        envelope: What every request carries.
-        call: The table's row for this kind of call.
-        path: Path below the service, with its query string.
-        content_type: Of the body; empty where there is none.
-        body: As sent.
+        envelope: Attributes common to all requests.
+        call: Row of the table for this call.
+        path: Path below the service, including the query string.
+        content_type: Content type of the body; empty if none was sent.
+        body: The body as sent.
     """
 
     envelope: Envelope
--- a/src/hoistmoor/core/requests/machine.py
+++ b/src/hoistmoor/core/requests/machine.py
@@ -1,10 +1,13 @@
-"""The state machine that carries one request to its final answer.
+"""The state machine of a single request.
 
-It decides what is sent where, what may be sent again, what the caller is told
-and what is billed. It promises that a caller gets one final answer, that a
-call which must not be repeated is dispatched again only while it is certain
-that it did not run, and that the end mark goes out only after the bill is
-safe.
+It decides about dispatch, retries, the response to the caller and the bill. It
+guarantees that
+
+- a caller receives a single final response,
+- a call that is not idempotent is dispatched again only if it is certain that
+  it has not run, and
+- the end marker of a response is sent only after its bill is secured, or is
+  reported as delayed and retried by the biller.
 """
 
 from __future__ import annotations
@@ -39,7 +42,7 @@
 
 
 class Phase(enum.Enum):
-    """Where a request stands."""
+    """Phase of a request."""
 
     ADMITTED = enum.auto()
     CHOOSING = enum.auto()
@@ -50,13 +53,13 @@
 
 
 class RequestMachine:
-    """One request, from admission to its final answer.
+    """Processes one request, from admission to its final response.
 
     Attributes:
-        request: What is wanted.
-        decision: The explanation, filled in as the request goes on.
-        phase: Where the request stands.
-        late_frames: Frames of given-up attempts that were dropped.
+        request: The request.
+        decision: Explanation of the request, updated by each event.
+        phase: Current phase.
+        late_frames: Number of dropped events of abandoned attempts.
     """
 
     def __init__(
@@ -77,32 +80,32 @@
         self._state = outcomes.ExchangeState.UNSENT
         self._excluded: frozenset[str] = frozenset()
         self._held: list[bytes] = []
-        self._fallback: _HeldAnswer | None = None
+        self._fallback: _HeldResponse | None = None
         self._facts: messages.AnswerFacts | None = None
         self._forwarded = False
-        self._caller_answered = False
+        self._caller_done = False
         self._may_have_run = False
 
     @property
     def closed(self) -> bool:
-        """Whether nothing more will be asked for."""
+        """Whether the request has ended; no further effects follow."""
         return self.phase is Phase.CLOSED
 
     @property
     def held_frames(self) -> list[bytes]:
-        """Frames that wait for a verdict on the whole answer."""
+        """Frames that are held until the complete response is judged."""
         return self._held
 
     @property
     def current_attempt(self) -> identity.AttemptId | None:
-        """The attempt under way or last made."""
+        """The running or most recent attempt."""
         return self._attempt
 
     def handle(self, event: messages.Event, now: float) -> Effects:
-        """Takes an event in and returns what is to be done, in order.
+        """Processes an event and returns the resulting effects, in order.
 
         Args:
-            event: What happened.
+            event: The event.
             now: Seconds since the epoch.
         """
         if self.closed:
@@ -160,9 +163,9 @@
         if not self._is_current(event.attempt):
             return ()
         self._state = outcomes.ExchangeState.ANSWERING
-        if self._caller_answered:
+        if self._caller_done:
             return (messages.Keep(event.data),)
-        if self._holds_answer:
+        if self._holds_response:
             self._held.append(event.data)
             return ()
         self._forwarded = True
@@ -174,11 +177,11 @@
             return ()
         assert self._choice is not None
         self._state = outcomes.ExchangeState.ANSWERED
-        self._note_outcome(self._state)
+        self._record_outcome(self._state)
         self._facts = event.facts
         self._meter.add(self._choice.version, event.facts)
         self.decision.note(now, "answered", f"by {self._choice.server}")
-        if self._holds_answer and not self._caller_answered:
+        if self._holds_response and not self._caller_done:
             self.phase = Phase.JUDGING
             return (messages.Judge(self._choice, event.facts),)
         return self._bill(now)
@@ -188,7 +191,7 @@
         if self.phase is not Phase.JUDGING:
             return ()
         self.decision.note(now, "accepted", event.reason)
-        return self._release_held(now)
+        return self._forward_held(now)
 
     @_on.register
     def _(self, event: messages.AnswerEscalated, now: float) -> Effects:
@@ -197,7 +200,7 @@
         assert self._choice is not None
         assert self._facts is not None
         self.decision.note(now, "escalated", event.reason)
-        self._fallback = _HeldAnswer(self._choice, self._facts, self._held)
+        self._fallback = _HeldResponse(self._choice, self._facts, self._held)
         return self._dispatch(event.choice, now)
 
     @_on.register
@@ -206,28 +209,29 @@
             return ()
         assert self._choice is not None
         self._state = event.state
-        self._note_outcome(event.state)
+        self._record_outcome(event.state)
         self._excluded |= {self._choice.server}
         reason = _REASON_BY_STATE[event.state]
         self.decision.note(now, reason, event.detail)
-        if self._caller_answered:
+        if self._caller_done:
             return self._close(self._outcome(), now)
         if self._fallback is not None and not self._forwarded:
             return self._deliver_fallback("the better version failed", now)
-        if self._may_try_again(now):
+        if self._may_retry(now):
             self.phase = Phase.CHOOSING
             return (messages.Choose(self._excluded, reason),)
         refusal = self._refusal_of_last_attempt(event.detail)
         return self._refuse(refusal, now)
 
     @property
-    def _holds_answer(self) -> bool:
-        # What must not be repeated has no better answer to wait for.
+    def _holds_response(self) -> bool:
+        # A call that is not idempotent cannot be escalated to another version,
+        # so there is no reason to hold its response.
         if self._choice is None or not self._idempotent:
             return False
         return self._choice.hold_answer
 
-    def _may_try_again(self, now: float) -> bool:
+    def _may_retry(self, now: float) -> bool:
         if self._forwarded or now >= self.request.envelope.deadline:
             return False
         if self.decision.attempts >= self._max_attempts:
@@ -238,28 +242,29 @@
         reason = _REASON_BY_STATE[self._state]
         return refusals.Refusal(reason, self._outcome(), detail)
 
-    def _note_outcome(self, state: outcomes.ExchangeState) -> None:
+    def _record_outcome(self, state: outcomes.ExchangeState) -> None:
         outcome = outcomes.OUTCOME_BY_STATE[state]
         if outcome is not outcomes.Outcome.NOT_RUN:
             self._may_have_run = True
 
     def _outcome(self) -> outcomes.Outcome:
-        # One attempt that may have run outweighs any later one that did not.
+        # A single attempt that may have run makes the outcome unknown, even if
+        # later attempts certainly did not run.
         if self._may_have_run:
             return outcomes.Outcome.UNKNOWN
         return outcomes.Outcome.NOT_RUN
 
-    def _deliver_fallback(self, why: str, now: float) -> Effects:
+    def _deliver_fallback(self, cause: str, now: float) -> Effects:
         assert self._fallback is not None
-        self.decision.note(now, "kept", f"the held answer goes out: {why}")
+        self.decision.note(now, "kept", f"the held answer goes out: {cause}")
         self._choice = self._fallback.choice
         self.decision.choice = self._choice
         self._facts = self._fallback.facts
         self._held = self._fallback.frames
         self._state = outcomes.ExchangeState.ANSWERED
-        return self._release_held(now)
+        return self._forward_held(now)
 
-    def _release_held(self, now: float) -> Effects:
+    def _forward_held(self, now: float) -> Effects:
         held = tuple(messages.Forward(data) for data in self._held)
         self._forwarded = bool(held)
         self._held = []
@@ -295,24 +300,24 @@
 
     def _complete(self, now: float) -> Effects:
         assert self._facts is not None
-        closing = self._close(outcomes.Outcome.DONE, now)
-        if self._caller_answered:
-            return closing
-        self._caller_answered = True
-        return (messages.Complete(self._facts), *closing)
+        close_effects = self._close(outcomes.Outcome.DONE, now)
+        if self._caller_done:
+            return close_effects
+        self._caller_done = True
+        return (messages.Complete(self._facts), *close_effects)
 
     @_on.register
     def _(self, event: messages.DeadlineReached, now: float) -> Effects:
-        if self._caller_answered or self.phase is Phase.BILLING:
+        if self._caller_done or self.phase is Phase.BILLING:
             return ()
         if self.phase is Phase.JUDGING:
             self.decision.note(now, "accepted", "no time to judge the answer")
-            return self._release_held(now)
+            return self._forward_held(now)
         if self._fallback is not None and not self._forwarded:
             cancel = self._cancel_running()
             kept = self._deliver_fallback("the deadline passed", now)
             return (*cancel, *kept)
-        return self._give_up(
+        return self._abandon(
             refusals.Reason.DEADLINE_EXCEEDED,
             "the deadline passed before a whole answer came",
             event.state,
@@ -321,17 +326,17 @@
 
     @_on.register
     def _(self, event: messages.CallerLeft, now: float) -> Effects:
-        if self._caller_answered or self.phase is Phase.BILLING:
-            self._caller_answered = True
+        if self._caller_done or self.phase is Phase.BILLING:
+            self._caller_done = True
             return ()
-        return self._give_up(
+        return self._abandon(
             refusals.Reason.CALLER_LEFT,
             "the caller closed the connection",
             event.state,
             now,
         )
 
-    def _give_up(
+    def _abandon(
         self,
         reason: refusals.Reason,
         detail: str,
@@ -339,15 +344,15 @@
         now: float,
     ) -> Effects:
         if self.phase is Phase.RUNNING:
-            self._note_outcome(state)
+            self._record_outcome(state)
         refusal = refusals.Refusal(reason, self._outcome(), detail)
         unsent = state is outcomes.ExchangeState.UNSENT
         if self.phase is not Phase.RUNNING or self._idempotent or unsent:
             cancel = self._cancel_running()
             return (*cancel, *self._refuse(refusal, now))
-        # The backend server may be doing the work: its answer is waited for
-        # without the caller, so that the outcome can be told later.
-        return (self._tell_caller(refusal, now),)
+        # The backend server may be running the call. The attempt continues
+        # without the caller, so that its outcome can be reported later.
+        return (self._refuse_caller(refusal, now),)
 
     def _cancel_running(self) -> Effects:
         if self.phase is not Phase.RUNNING or self._attempt is None:
@@ -355,13 +360,13 @@
         return (messages.Cancel(self._attempt),)
 
     def _refuse(self, refusal: refusals.Refusal, now: float) -> Effects:
-        telling = self._tell_caller(refusal, now)
-        return (telling, *self._close(refusal.outcome, now))
+        refuse = self._refuse_caller(refusal, now)
+        return (refuse, *self._close(refusal.outcome, now))
 
-    def _tell_caller(
+    def _refuse_caller(
         self, refusal: refusals.Refusal, now: float
     ) -> messages.Refuse:
-        self._caller_answered = True
+        self._caller_done = True
         self.decision.reason = refusal.reason
         self.decision.note(now, "refused", refusal.detail)
         return messages.Refuse(refusal, self._forwarded)
@@ -378,8 +383,8 @@
         return False
 
 
-class _HeldAnswer:
-    """A cheaper version's answer, kept in case the better one fails."""
+class _HeldResponse:
+    """Response of a cheaper version, the fallback if the better one fails."""
 
     def __init__(
         self,
--- a/src/hoistmoor/core/requests/messages.py
+++ b/src/hoistmoor/core/requests/messages.py
@@ -1,8 +1,8 @@
-"""What the request machine is told, and what it asks for.
+"""Events consumed and effects produced by the request state machine.
 
-Events come in from the tasks round the core; effects go out to them. Every
-event about an attempt names it, so that a late or crossed frame of another
-attempt is told apart by its id and never by its order.
+Events come from the tasks around the core, which carry out the effects. Every
+event about an attempt has the attempt's id, so that late or reordered frames
+of another attempt are recognized by id and never by their order.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 @attrs.frozen
 class AnswerFacts:
-    """What a whole answer says of itself.
+    """Metadata of a complete response.
 
     Attributes:
         status: HTTP status code.
-        content_type: Of the body.
+        content_type: Content type of the body.
         prompt_tokens: Billed prompt tokens; 0 for plain services.
         output_tokens: Generated tokens; 0 for plain services.
-        finish_reason: As the engine gave it; empty for plain services.
+        finish_reason: As reported by the engine; empty for plain services.
         confidence: Mean token probability, 0 to 1; 1 for plain services.
     """
 
@@ -42,30 +42,30 @@
 
 @attrs.frozen
 class Started:
-    """The request was admitted and may go to a backend server."""
+    """The request was admitted and may be sent to a backend server."""
 
 
 @attrs.frozen
 class Chosen:
-    """The router found a backend server."""
+    """The router chose a backend server."""
 
     choice: routing.Choice
 
 
 @attrs.frozen
 class NotChosen:
-    """The router found none, or the retry budget is spent."""
+    """No backend server is available, or the retry budget is exhausted."""
 
     refusal: refusals.Refusal
 
 
 @attrs.frozen
 class FrameArrived:
-    """A piece of an attempt's answer came.
+    """A frame of an attempt's response was received.
 
     Attributes:
-        attempt: Whose answer it belongs to.
-        data: The frame as it goes to the caller.
+        attempt: Attempt that the response belongs to.
+        data: The frame as forwarded to the caller.
     """
 
     attempt: identity.AttemptId
@@ -74,7 +74,7 @@
 
 @attrs.frozen
 class AnswerEnded:
-    """An attempt's whole answer came, end mark included."""
+    """An attempt's response was received completely, end marker included."""
 
     attempt: identity.AttemptId
     facts: AnswerFacts
@@ -82,12 +82,12 @@
 
 @attrs.frozen
 class AttemptFailed:
-    """An attempt ended without a whole answer.
+    """An attempt ended without a complete response.
 
     Attributes:
-        attempt: Which.
-        state: How far the exchange had come.
-        detail: One sentence for the explanation.
+        attempt: The attempt that failed.
+        state: Progress of the exchange.
+        detail: One sentence for the request's explanation.
     """
 
     attempt: identity.AttemptId
@@ -97,14 +97,14 @@
 
 @attrs.frozen
 class AnswerAccepted:
-    """The held answer is good enough to be delivered."""
+    """The held response is good enough to be delivered."""
 
     reason: str
 
 
 @attrs.frozen
 class AnswerEscalated:
-    """The held answer is to be replaced by a better version's."""
+    """The held response is to be replaced by one of a better version."""
 
     choice: routing.Choice
     reason: str
@@ -112,12 +112,12 @@
 
 @attrs.frozen
 class BillSecured:
-    """The bill is in the log or held by a peer in another domain."""
+    """The bill is on the log or held by a peer in another failure domain."""
 
 
 @attrs.frozen
 class BillDelayed:
-    """The bill could not be secured in time; the biller keeps trying."""
+    """The bill could not be secured in time; the biller keeps retrying."""
 
 
 @attrs.frozen
@@ -125,7 +125,7 @@
     """The request's deadline passed.
 
     Attributes:
-        state: How far the running exchange had come at that moment.
+        state: Progress of the running exchange at that time.
     """
 
     state: outcomes.ExchangeState
@@ -136,7 +136,7 @@
     """The caller's connection closed.
 
     Attributes:
-        state: How far the running exchange had come at that moment.
+        state: Progress of the running exchange at that time.
     """
 
     state: outcomes.ExchangeState
@@ -163,12 +163,12 @@
 
 @attrs.frozen
 class Choose:
-    """Ask the router for a backend server.
+    """Asks the router for a backend server.
 
     Attributes:
-        excluded: Names of backend servers that already failed.
-        retry_reason: Why another attempt is wanted; empty for the first. A
-            retry needs leave from the retry budget.
+        excluded: Names of backend servers that have already failed.
+        retry_reason: Why another attempt is needed; empty for the first one. A
+            retry must be permitted by the retry budget.
     """
 
     excluded: frozenset[str]
@@ -177,7 +177,7 @@
 
 @attrs.frozen
 class Dispatch:
-    """Send the request to the chosen backend server."""
+    """Sends the request to the chosen backend server."""
 
     attempt: identity.AttemptId
     choice: routing.Choice
@@ -185,28 +185,32 @@
 
 @attrs.frozen
 class Cancel:
-    """Give an attempt up and drop its connection."""
+    """Abandons an attempt and closes its connection."""
 
     attempt: identity.AttemptId
 
 
 @attrs.frozen
 class Forward:
-    """Pass a frame on to the caller."""
+    """Forwards a frame to the caller."""
 
     data: bytes
 
 
 @attrs.frozen
 class Keep:
-    """Keep a frame for later askers: the caller has its final answer."""
+    """Stores a frame without forwarding it.
+
+    The caller already has its final response; the frames are part of the
+    response to later requests with the same idempotency key or ticket.
+    """
 
     data: bytes
 
 
 @attrs.frozen
 class Judge:
-    """Ask the router whether the held answer will do."""
+    """Asks the router whether the held response is good enough."""
 
     choice: routing.Choice
     facts: AnswerFacts
@@ -214,26 +218,26 @@
 
 @attrs.frozen
 class SecureBill:
-    """Put the bill where it outlives this host."""
+    """Stores the bill where it survives the loss of this host."""
 
     bill: bills.Bill
 
 
 @attrs.frozen
 class Complete:
-    """Send the end mark: the answer is whole."""
+    """Completes the response by sending its end marker."""
 
     facts: AnswerFacts
 
 
 @attrs.frozen
 class Refuse:
-    """Tell the caller that no whole answer will come.
+    """Tells the caller that there will be no complete response.
 
     Attributes:
-        refusal: What the caller is told.
-        began: Whether frames were forwarded, so that the refusal has to go
-            out as the stream's last event.
+        refusal: Reason, outcome and detail for the caller.
+        began: Whether frames were forwarded, so that the refusal has to be
+            sent as the last event of the stream.
     """
 
     refusal: refusals.Refusal
@@ -242,11 +246,11 @@
 
 @attrs.frozen
 class Close:
-    """The matter is closed; nothing follows.
+    """Ends the request; no further effects follow.
 
     Attributes:
-        outcome: What became of the request.
-        cost: Micros billed.
+        outcome: Final outcome of the request.
+        cost: Amount billed, in micros.
     """
 
     outcome: outcomes.Outcome
--- a/src/hoistmoor/core/requests/parsing.py
+++ b/src/hoistmoor/core/requests/parsing.py
@@ -1,4 +1,4 @@
-"""Checks headers and bodies and turns them into typed requests."""
+"""Validates headers and bodies and converts them to typed requests."""
 
 from __future__ import annotations
 
@@ -26,24 +26,24 @@
 KIND_HEADER = "X-Hoistmoor-Kind"
 FORWARDED_HEADER = "X-Hoistmoor-Forwarded"
 
-_BEARER = "Bearer "
-_LONGEST_HEADER = 4096
-_LONGEST_KEY = 200
-_LONGEST_KIND = 64
+_BEARER_PREFIX = "Bearer "
+_MAX_HEADER_CHARS = 4096
+_MAX_KEY_CHARS = 200
+_MAX_KIND_CHARS = 64
 _BYTES_PER_TOKEN = 4
 _DEFAULT_MAX_TOKENS = 256
-_MOST_TOKENS = 32_768
+_MAX_TOKENS = 32_768
 _PREFIX_BLOCK_BYTES = 512
-_MOST_PREFIX_BLOCKS = 16
-_LONGEST_WAIT = 3600.0
+_MAX_PREFIX_BLOCKS = 16
+_MAX_DEADLINE_SECONDS = 3600.0
 _DEFAULT_KIND = "chat"
 
 
 class RefusedError(errors.HoistmoorError):
-    """Raised where a check ends in a refusal.
+    """Raised when a request is refused by a check.
 
     Attributes:
-        refusal: What the caller is told.
+        refusal: Reason, outcome and detail for the caller.
     """
 
     def __init__(self, refusal: refusals.Refusal) -> None:
@@ -52,7 +52,7 @@
 
 
 def refuse(reason: refusals.Reason, detail: str) -> RefusedError:
-    """Returns the error for a request of which no byte went anywhere."""
+    """Returns the error for a request that was not sent to any server."""
     return RefusedError(
         refusals.Refusal(reason, outcomes.Outcome.NOT_RUN, detail)
     )
@@ -60,16 +60,16 @@
 
 @attrs.frozen
 class Headers:
-    """A request's headers, checked.
+    """The validated headers of a request.
 
     Attributes:
-        bearer: The caller's key.
-        idempotency_key: The caller's key or ticket, if any.
-        session: As sent, if any.
-        deadline: Seconds since the epoch, if the caller set one.
-        priority: If the caller set one.
-        kind: The caller's own name for this kind of request.
-        forwarded: Whether another host of the system passed it on.
+        bearer: API key of the caller.
+        idempotency_key: Idempotency key or ticket sent by the caller, if any.
+        session: Session header as sent, if any.
+        deadline: Deadline set by the caller, if any; seconds since the epoch.
+        priority: Priority set by the caller, if any.
+        kind: Label that the caller gave to this kind of request.
+        forwarded: Whether another host of the deployment forwarded it.
     """
 
     bearer: str
@@ -82,46 +82,49 @@
 
 
 def parse_headers(headers: Mapping[str, str], now: float) -> Headers:
-    """Returns the checked headers.
+    """Validates and parses headers.
 
     Args:
         headers: Case-insensitive mapping of header names to values.
         now: Seconds since the epoch.
 
     Raises:
-        RefusedError: A header is missing or holds nonsense.
+        RefusedError: A header is missing or invalid.
     """
     return Headers(
-        bearer=_bearer(headers),
-        idempotency_key=_bounded(headers, KEY_HEADER, _LONGEST_KEY),
-        session=_bounded(headers, SESSION_HEADER, _LONGEST_HEADER),
-        deadline=_deadline(headers, now),
-        priority=_priority(headers),
-        kind=_bounded(headers, KIND_HEADER, _LONGEST_KIND) or _DEFAULT_KIND,
+        bearer=_parse_bearer(headers),
+        idempotency_key=_optional_text(headers, KEY_HEADER, _MAX_KEY_CHARS),
+        session=_optional_text(headers, SESSION_HEADER, _MAX_HEADER_CHARS),
+        deadline=_parse_deadline(headers, now),
+        priority=_parse_priority(headers),
+        kind=_optional_text(headers, KIND_HEADER, _MAX_KIND_CHARS)
+        or _DEFAULT_KIND,
         forwarded=FORWARDED_HEADER in headers,
     )
 
 
-def _bearer(headers: Mapping[str, str]) -> str:
+def _parse_bearer(headers: Mapping[str, str]) -> str:
     value = headers.get("Authorization", "")
-    if not value.startswith(_BEARER):
+    if not value.startswith(_BEARER_PREFIX):
         raise refuse(refusals.Reason.NO_KEY, "no bearer key was sent")
-    return value[len(_BEARER) :].strip()
+    return value[len(_BEARER_PREFIX) :].strip()
 
 
-def _bounded(headers: Mapping[str, str], name: str, longest: int) -> str | None:
+def _optional_text(
+    headers: Mapping[str, str], name: str, max_chars: int
+) -> str | None:
     value = headers.get(name)
     if value is None:
         return None
-    if not value or len(value) > longest or not value.isprintable():
+    if not value or len(value) > max_chars or not value.isprintable():
         raise refuse(
             refusals.Reason.BAD_HEADER,
-            f"{name} must be 1 to {longest} printable characters",
+            f"{name} must be 1 to {max_chars} printable characters",
         )
     return value
 
 
-def _deadline(headers: Mapping[str, str], now: float) -> float | None:
+def _parse_deadline(headers: Mapping[str, str], now: float) -> float | None:
     value = headers.get(DEADLINE_HEADER)
     if value is None:
         return None
@@ -131,18 +134,18 @@
         number = float("nan")
     relative = value.startswith("+")
     deadline = now + number if relative else number
-    if not deadline < now + _LONGEST_WAIT:
+    if not deadline < now + _MAX_DEADLINE_SECONDS:
         raise refuse(
             refusals.Reason.BAD_HEADER,
             f"{DEADLINE_HEADER} must be +SECONDS or seconds since the epoch, "
-            f"at most {_LONGEST_WAIT:.0f} s ahead",
+            f"at most {_MAX_DEADLINE_SECONDS:.0f} s ahead",
         )
     if deadline <= now:
         raise refuse(refusals.Reason.DEADLINE_PAST, "the deadline has passed")
     return deadline
 
 
-def _priority(headers: Mapping[str, str]) -> table_model.Priority | None:
+def _parse_priority(headers: Mapping[str, str]) -> table_model.Priority | None:
     value = headers.get(PRIORITY_HEADER)
     if value is None:
         return None
@@ -157,7 +160,7 @@
 
 
 def fingerprint(method: str, path: str, body: bytes) -> str:
-    """Returns a hash of what the request asks for, as hex."""
+    """Returns a hash of the method, path and body, in hexadecimal."""
     digest = xxhash.xxh3_128(method.encode())
     digest.update(b"\0" + path.encode() + b"\0")
     digest.update(body)
@@ -168,12 +171,12 @@
     headers: Headers,
     request_id: identity.RequestId,
     account: str,
-    print_of_request: str,
+    request_fingerprint: str,
     now: float,
     default_timeout: float,
     default_priority: table_model.Priority,
 ) -> kinds.Envelope:
-    """Returns the envelope of a request whose caller is known."""
+    """Returns the envelope of an authenticated request."""
     return kinds.Envelope(
         request_id=request_id,
         account=account,
@@ -181,17 +184,17 @@
         deadline=headers.deadline or now + default_timeout,
         idempotency_key=headers.idempotency_key,
         session=headers.session,
-        fingerprint=print_of_request,
+        fingerprint=request_fingerprint,
         priority=headers.priority or default_priority,
         forwarded=headers.forwarded,
     )
 
 
 def parse_chat_body(body: bytes) -> dict[str, Any]:
-    """Returns the body of a chat request, checked.
+    """Parses and validates the body of a chat request.
 
     Raises:
-        RefusedError: It is not a chat request in JSON.
+        RefusedError: The body is not a valid chat request in JSON.
     """
     try:
         parsed = orjson.loads(body)
@@ -227,12 +230,12 @@
 
 
 def _check_max_tokens(parsed: dict[str, Any]) -> None:
-    wanted = parsed.get("max_tokens", _DEFAULT_MAX_TOKENS)
-    whole = isinstance(wanted, int) and not isinstance(wanted, bool)
-    if not whole or not 0 < wanted <= _MOST_TOKENS:
+    max_tokens = parsed.get("max_tokens", _DEFAULT_MAX_TOKENS)
+    is_int = isinstance(max_tokens, int) and not isinstance(max_tokens, bool)
+    if not is_int or not 0 < max_tokens <= _MAX_TOKENS:
         raise refuse(
             refusals.Reason.BAD_BODY,
-            f"max_tokens must be a whole number from 1 to {_MOST_TOKENS}",
+            f"max_tokens must be a whole number from 1 to {_MAX_TOKENS}",
         )
 
 
@@ -244,7 +247,14 @@
 def chat_request(
     shared: kinds.Envelope, kind: str, body: dict[str, Any], raw: bytes
 ) -> kinds.ChatRequest:
-    """Returns the typed request of a checked body, sent as ``raw``."""
+    """Returns the typed request for a validated body.
+
+    Args:
+        shared: Envelope of the request.
+        kind: Label that the caller gave to this kind of request.
+        body: The parsed body.
+        raw: The body as sent.
+    """
     prompt = orjson.dumps(body["messages"])
     return kinds.ChatRequest(
         envelope=shared,
@@ -260,7 +270,7 @@
 
 
 def _prefix_hashes(prompt: bytes) -> tuple[int, ...]:
-    blocks = min(len(prompt) // _PREFIX_BLOCK_BYTES, _MOST_PREFIX_BLOCKS)
+    blocks = min(len(prompt) // _PREFIX_BLOCK_BYTES, _MAX_PREFIX_BLOCKS)
     digest = xxhash.xxh3_64()
     hashes = []
     for block in range(blocks):
--- a/src/hoistmoor/core/requests/pools.py
+++ b/src/hoistmoor/core/requests/pools.py
@@ -1,4 +1,4 @@
-"""Which service's backend servers a request will run on."""
+"""Selects the server pool of a request."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 @singledispatch
 def pool_of(request: kinds.Request, table: model.Table) -> str:
-    """Returns the name of the service; empty where there is none."""
+    """Returns the name of the service that the request runs on.
+
+    The name is empty if no granted version matches the request.
+    """
     raise NotImplementedError(type(request))
 
 
@@ -19,8 +22,8 @@
 def _(request: kinds.ChatRequest, table: model.Table) -> str:
     account = request.envelope.account
     for version in admission.granted_models(table, account):
-        named = request.model in (version.key, version.model)
-        if named or request.model == model.AUTO_MODEL:
+        is_match = request.model in (version.key, version.model)
+        if is_match or request.model == model.AUTO_MODEL:
             return version.service
     return ""
 
--- a/src/hoistmoor/core/requests/pricing.py
+++ b/src/hoistmoor/core/requests/pricing.py
@@ -1,4 +1,4 @@
-"""What a request costs, and whether it may be repeated."""
+"""Prices of requests, and whether they may be sent again."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 if TYPE_CHECKING:
     from hoistmoor.core.requests import messages
 
-_TOKENS_PER_PRICE = 1000
+_TOKENS_PER_PRICE_UNIT = 1000
 _FIRST_ERROR_STATUS = 400
 
 
 @singledispatch
 def is_idempotent(request: kinds.Request) -> bool:
-    """Returns whether a request may be sent again after it may have run."""
+    """Returns whether a request may be resent after it may have run."""
     raise NotImplementedError(type(request))
 
 
@@ -34,19 +34,19 @@
 
 @singledispatch
 def estimate(request: kinds.Request, table: model.Table) -> int:
-    """Returns the most that a first attempt may cost, in micros."""
+    """Returns the maximum cost of a first attempt, in micros."""
     raise NotImplementedError(type(request))
 
 
 @estimate.register
 def _(request: kinds.ChatRequest, table: model.Table) -> int:
-    dearest = max(
+    most_expensive = max(
         table.versions.values(), key=lambda row: row.output_price, default=None
     )
-    named = table.versions.get(request.model, dearest)
-    if named is None:
+    version = table.versions.get(request.model, most_expensive)
+    if version is None:
         return 0
-    return price(named, request.prompt_tokens, request.max_tokens)
+    return price(version, request.prompt_tokens, request.max_tokens)
 
 
 @estimate.register
@@ -55,15 +55,15 @@
 
 
 def price(version: model.Version, prompt_tokens: int, tokens: int) -> int:
-    """Returns the price of one answer in micros, rounded up."""
+    """Returns the price of a response in micros, rounded up."""
     micros = version.input_price * prompt_tokens + version.output_price * tokens
-    return -(-micros // _TOKENS_PER_PRICE)
+    return -(-micros // _TOKENS_PER_PRICE_UNIT)
 
 
 class Meter:
-    """Adds up the whole answers that one request took.
+    """Accumulates the usage of all complete responses to one request.
 
-    Attempts that failed are not charged: the caller got nothing from them.
+    Failed attempts are not charged, as the caller received nothing from them.
     """
 
     def __init__(self, request: kinds.Request, table: model.Table) -> None:
@@ -74,11 +74,11 @@
         self.output_tokens = 0
 
     def add(self, item: str, facts: messages.AnswerFacts) -> None:
-        """Counts a whole answer.
+        """Records a complete response.
 
         Args:
-            item: Key of the version or of the call that answered.
-            facts: What the answer says of itself.
+            item: Key of the version or call that produced the response.
+            facts: Metadata of the response.
         """
         self.prompt_tokens += facts.prompt_tokens
         self.output_tokens += facts.output_tokens
@@ -93,11 +93,11 @@
     def bill(
         self, item: str, attempts: int, revision: int, now: float
     ) -> bills.Bill:
-        """Returns the request's one bill."""
-        shared = self.request.envelope
+        """Returns the single bill of the request."""
+        envelope = self.request.envelope
         return bills.Bill(
-            account=shared.account,
-            request_id=str(shared.request_id),
+            account=envelope.account,
+            request_id=str(envelope.request_id),
             item=item,
             prompt_tokens=self.prompt_tokens,
             output_tokens=self.output_tokens,
--- a/src/hoistmoor/core/requests/routes.py
+++ b/src/hoistmoor/core/requests/routes.py
@@ -1,4 +1,4 @@
-"""How each kind of request asks the router, and reports back to it."""
+"""Routing queries and result reports for each type of request."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 Judgement = routing.Accept | routing.Escalate
 
-_LONGEST_DETACHED = 60.0  # Seconds that a call may outlive its caller.
+_MAX_DETACHED_SECONDS = 60.0  # For which a call may outlive its caller.
 
 
 class Route(Protocol):
-    """Asks the router on behalf of one request."""
+    """Queries the router on behalf of one request."""
 
     def choose(
         self, router: router_lib.Router, excluded: frozenset[str], now: float
     ) -> routing.Choice | refusals.Refusal:
-        """Returns where the next attempt goes."""
+        """Returns the backend server for the next attempt."""
 
     def to_probe(
         self,
@@ -36,7 +36,7 @@
         excluded: frozenset[str],
         now: float,
     ) -> tuple[str, ...]:
-        """Returns backend servers to ask for their load before dispatch."""
+        """Returns backend servers to probe for their load before dispatch."""
 
     def judge(
         self,
@@ -45,18 +45,22 @@
         facts: messages.AnswerFacts,
         now: float,
     ) -> Judgement:
-        """Returns whether a held answer will do."""
+        """Returns whether a held response is good enough."""
 
     def timeout(self, left: float) -> float:
-        """Returns how long an attempt may take, given the seconds left."""
+        """Returns the timeout of an attempt, in seconds.
+
+        Args:
+            left: Seconds until the deadline of the request.
+        """
 
 
 @attrs.frozen
 class ChatRoute:
-    """A chat request's way to a version and a backend server.
+    """Routes a chat request to a version and a backend server.
 
     Attributes:
-        query: What the router is asked, the session's pin included.
+        query: Query to the router, including the session's pin.
     """
 
     query: routing.RouteQuery
@@ -64,7 +68,7 @@
     def choose(
         self, router: router_lib.Router, excluded: frozenset[str], now: float
     ) -> routing.Choice | refusals.Refusal:
-        """Returns where the next attempt goes."""
+        """Returns the backend server for the next attempt."""
         return router.choose(self.query, excluded, now)
 
     def to_probe(
@@ -74,7 +78,7 @@
         excluded: frozenset[str],
         now: float,
     ) -> tuple[str, ...]:
-        """Returns a few, where what is known of the pool is old."""
+        """Returns a few servers if the load reports of the pool are stale."""
         return router.to_probe(choice, excluded, now)
 
     def judge(
@@ -84,23 +88,23 @@
         facts: messages.AnswerFacts,
         now: float,
     ) -> Judgement:
-        """Returns whether a held answer will do."""
-        answer = routing.AnswerFacts(
+        """Returns whether a held response is good enough."""
+        response = routing.AnswerFacts(
             facts.confidence, facts.finish_reason, facts.output_tokens
         )
-        return router.judge(self.query, choice, answer, now)
+        return router.judge(self.query, choice, response, now)
 
     def timeout(self, left: float) -> float:
-        """Returns the seconds left: nobody waits for a late answer."""
+        """Returns ``left``, as a late response is of no use to the caller."""
         return max(0.0, left)
 
 
 @attrs.frozen
 class CallRoute:
-    """A plain call's way to a backend server.
+    """Routes a call of a plain service to a backend server.
 
     Attributes:
-        call: The table's row for this kind of call.
+        call: Row of the table for this call.
     """
 
     call: model.Call
@@ -108,11 +112,11 @@
     def choose(
         self, router: router_lib.Router, excluded: frozenset[str], now: float
     ) -> routing.Choice | refusals.Refusal:
-        """Returns where the next attempt goes."""
-        found = router.choose_server(self.call.service, excluded, now)
-        if isinstance(found, routing.Choice):
-            return attrs.evolve(found, version=self.call.key)
-        return found
+        """Returns the backend server for the next attempt."""
+        chosen = router.choose_server(self.call.service, excluded, now)
+        if isinstance(chosen, routing.Choice):
+            return attrs.evolve(chosen, version=self.call.key)
+        return chosen
 
     def to_probe(
         self,
@@ -121,7 +125,7 @@
         excluded: frozenset[str],
         now: float,
     ) -> tuple[str, ...]:
-        """Returns none: a plain call is over before an answer would come."""
+        """Returns none: the call would take less time than the probe."""
         return ()
 
     def judge(
@@ -131,14 +135,18 @@
         facts: messages.AnswerFacts,
         now: float,
     ) -> Judgement:
-        """Returns that the answer will do: a plain call has no cascade."""
+        """Accepts the response, as plain calls have no cascade."""
         return routing.Accept("a plain call has no cascade")
 
     def timeout(self, left: float) -> float:
-        """Returns longer than the caller waits, to learn the outcome."""
+        """Returns a timeout that is long enough to learn the outcome.
+
+        An attempt that must not be repeated may outlive the deadline, so that
+        its outcome can be reported later.
+        """
         if self.call.idempotent:
             return max(0.0, left)
-        return max(0.0, left) + _LONGEST_DETACHED
+        return max(0.0, left) + _MAX_DETACHED_SECONDS
 
 
 @singledispatch
@@ -146,26 +154,26 @@
     """Returns the route of a request.
 
     Args:
-        request: What is wanted.
-        pin: Key of the version that the session must run on, if any.
-        session: Name of the session; empty where there is none.
+        request: The request.
+        pin: Key of the version that the session is pinned to, if any.
+        session: Name of the session; empty if there is none.
     """
     raise NotImplementedError(type(request))
 
 
 @route_of.register
 def _(request: kinds.ChatRequest, pin: str | None, session: str) -> Route:
-    shared = request.envelope
+    envelope = request.envelope
     query = routing.RouteQuery(
-        request_id=str(shared.request_id),
-        account=shared.account,
+        request_id=str(envelope.request_id),
+        account=envelope.account,
         model=request.model,
         kind=request.kind,
         pin=pin,
         prompt_tokens=request.prompt_tokens,
         max_tokens=request.max_tokens,
         prefix=request.prefix,
-        urgent=shared.priority is model.Priority.URGENT,
+        urgent=envelope.priority is model.Priority.URGENT,
         session=session,
     )
     return ChatRoute(query)
@@ -186,16 +194,16 @@
     cancelled: bool,
     seconds: float,
 ) -> routing.AttemptResult:
-    """Returns what the router learns from the end of an attempt.
+    """Returns the result of an attempt for the router.
 
     Args:
-        request: What was wanted.
-        choice: Where the attempt went.
-        facts: Of the whole answer; None where there is none.
-        ok: Whether a whole answer came.
-        declined: Whether the backend server said that it did not run it.
-        cancelled: Whether it was given up here.
-        seconds: From dispatch to the end.
+        request: The request.
+        choice: The choice that the attempt was dispatched to.
+        facts: Metadata of the complete response; None if there is none.
+        ok: Whether a complete response was received.
+        declined: Whether the backend server reported that it did not run it.
+        cancelled: Whether the attempt was cancelled by this host.
+        seconds: Duration of the attempt, from dispatch to its end.
     """
     kind = request.kind if isinstance(request, kinds.ChatRequest) else ""
     return routing.AttemptResult(
--- a/src/hoistmoor/core/requests/wire.py
+++ b/src/hoistmoor/core/requests/wire.py
@@ -1,4 +1,4 @@
-"""What goes to a backend server for one attempt."""
+"""HTTP requests to backend servers."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 JSON = "application/json"
 
 _CHAT_PATH = "/v1/chat/completions"
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 @attrs.frozen
 class BackendCall:
-    """One HTTP request to a backend server.
+    """The HTTP request of one attempt.
 
     Attributes:
         method: HTTP method.
         url: Absolute URL.
         headers: Header fields.
-        body: As sent.
-        streams: Whether the answer comes as server-sent events.
+        body: Request body.
+        streams: Whether the response consists of server-sent events.
     """
 
     method: str
@@ -49,12 +49,12 @@
     attempt: identity.AttemptId,
     now: float,
 ) -> BackendCall:
-    """Returns the HTTP request of one attempt.
+    """Builds the HTTP request of one attempt.
 
     Args:
-        request: What the caller wants.
-        choice: Where it goes.
-        attempt: Names the attempt; the backend server sends it back.
+        request: The caller's request.
+        choice: The chosen version and backend server.
+        attempt: Id of the attempt, which the backend server sends back.
         now: Seconds since the epoch.
     """
     raise NotImplementedError(type(request))
@@ -67,12 +67,13 @@
     attempt: identity.AttemptId,
     now: float,
 ) -> BackendCall:
-    # Engines always stream, so that a cut answer is told from a whole one.
+    # Always requests a stream from the engine: its end marker tells a complete
+    # response from a truncated one.
     body = dict(request.body)
     body["model"] = choice.version
     body["stream"] = True
     body["max_tokens"] = request.max_tokens
-    headers = _shared_headers(request.envelope, attempt, now)
+    headers = _common_headers(request.envelope, attempt, now)
     headers["Content-Type"] = JSON
     return BackendCall(
         method="POST",
@@ -90,7 +91,7 @@
     attempt: identity.AttemptId,
     now: float,
 ) -> BackendCall:
-    headers = _shared_headers(request.envelope, attempt, now)
+    headers = _common_headers(request.envelope, attempt, now)
     if request.content_type:
         headers["Content-Type"] = request.content_type
     if request.envelope.idempotency_key:
@@ -104,12 +105,12 @@
     )
 
 
-def _shared_headers(
-    shared: kinds.Envelope, attempt: identity.AttemptId, now: float
+def _common_headers(
+    envelope: kinds.Envelope, attempt: identity.AttemptId, now: float
 ) -> dict[str, str]:
-    left = max(0.0, shared.deadline - now)
+    remaining = max(0.0, envelope.deadline - now)
     return {
         ATTEMPT_HEADER: str(attempt),
-        PRIORITY_HEADER: shared.priority.value,
-        TIMEOUT_HEADER: str(math.ceil(left * _MS)),
+        PRIORITY_HEADER: envelope.priority.value,
+        TIMEOUT_HEADER: str(math.ceil(remaining * _MS_PER_SECOND)),
     }
--- a/tests/core/requests/requests_cases.py
+++ b/tests/core/requests/requests_cases.py
@@ -1,4 +1,4 @@
-"""Builders shared by the tests of the request machine."""
+"""Builders for the tests of the request state machine."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 def call_row(*, idempotent: bool) -> model.Call:
-    """Returns a row for a call."""
+    """Returns the row of a call in the table."""
     return model.Call(
         "counter", "POST", "/confirm", idempotent, model.Priority.URGENT, 2000
     )
 
 
 def envelope(key: str | None = None) -> kinds.Envelope:
-    """Returns an envelope whose deadline is ten seconds off."""
+    """Returns an envelope with a deadline in ten seconds."""
     return kinds.Envelope(
         request_id=REQUEST_ID,
         account="agents",
@@ -46,7 +46,7 @@
 
 
 def call_request(*, idempotent: bool) -> kinds.CallRequest:
-    """Returns a call to a plain service."""
+    """Returns a call of a plain service."""
     row = call_row(idempotent=idempotent)
     return kinds.CallRequest(envelope(), row, "/confirm", "", b"{}")
 
@@ -60,7 +60,7 @@
 
 
 def make_machine(request: kinds.Request) -> machine.RequestMachine:
-    """Returns a machine whose request was admitted."""
+    """Returns the machine of an admitted request."""
     decision = decisions.Decision(
         str(REQUEST_ID), "agents", "asked", "chat", NOW, 3
     )
@@ -75,28 +75,28 @@
 
 
 def dispatch(
-    subject: machine.RequestMachine, where: routing.Choice
+    machine_under_test: machine.RequestMachine, where: routing.Choice
 ) -> identity.AttemptId:
-    """Has the machine dispatch to ``where`` and returns the attempt's id."""
-    effects = subject.handle(messages.Chosen(where), NOW)
+    """Dispatches an attempt to ``where`` and returns its id."""
+    effects = machine_under_test.handle(messages.Chosen(where), NOW)
     (sent,) = effects
     assert isinstance(sent, messages.Dispatch)
     return sent.attempt
 
 
 def started(request: kinds.Request) -> machine.RequestMachine:
-    """Returns a machine that waits for its first choice."""
-    subject = make_machine(request)
-    subject.handle(messages.Started(), NOW)
-    return subject
+    """Returns a machine that waits for the router's first choice."""
+    machine_under_test = make_machine(request)
+    machine_under_test.handle(messages.Started(), NOW)
+    return machine_under_test
 
 
 def refusal_in(
     effects: tuple[messages.Effect, ...],
 ) -> messages.Refuse | None:
-    """Returns the refusal among effects, if there is one."""
-    found = [e for e in effects if isinstance(e, messages.Refuse)]
-    return found[0] if found else None
+    """Returns the first refusal among the effects, if any."""
+    refusals = [e for e in effects if isinstance(e, messages.Refuse)]
+    return refusals[0] if refusals else None
 
 
 CUTS = (
--- a/tests/core/requests/test_core_requests_stateful.py
+++ b/tests/core/requests/test_core_requests_stateful.py
@@ -1,4 +1,4 @@
-"""Any order of events keeps the request machine's promises."""
+"""Invariants of the request state machine for any order of events."""
 
 from __future__ import annotations
 
@@ -48,14 +48,19 @@
 )
 
 
-class World:
-    """Plays the tasks round one machine and records what they saw.
+class Simulation:
+    """Simulates the tasks around a machine and records its effects.
 
     Attributes:
-        states: How far each attempt's exchange came.
-        caller: What the caller was told, in order.
-        bills: Bills handed over.
-        closings: Outcomes recorded at the end.
+        machine: The machine under test.
+        states: State of each attempt's exchange.
+        caller: Final responses to the caller: ``whole`` or an outcome.
+        bills: Bills to be secured.
+        secured_before_end: Whether the bill of each complete response was
+            secured before its end marker was sent.
+        closings: Outcomes of the effects that end the request.
+        unsafe_retries: Dispatches that could repeat a call which is not
+            idempotent and may have run.
     """
 
     def __init__(self, request: kinds.Request) -> None:
@@ -65,22 +70,22 @@
         self.bills: list[bills.Bill] = []
         self.secured_before_end = True
         self.closings: list[outcomes.Outcome] = []
-        self.unsafe_resends = 0
+        self.unsafe_retries = 0
         self.secured = False
         self.idempotent = not hasattr(request, "call") or (
             request.call.idempotent
         )
-        self.act(messages.Started())
+        self.handle(messages.Started())
 
-    def act(self, event: messages.Event) -> None:
-        """Gives the machine an event and does what it asks for."""
+    def handle(self, event: messages.Event) -> None:
+        """Passes an event to the machine and records its effects."""
         for effect in self.machine.handle(event, cases.NOW):
-            self.do(effect)
+            self.record_effect(effect)
 
-    def do(self, effect: messages.Effect) -> None:
+    def record_effect(self, effect: messages.Effect) -> None:
         """Records an effect."""
         if isinstance(effect, messages.Dispatch):
-            self.note_dispatch(effect.attempt)
+            self.record_dispatch(effect.attempt)
         if isinstance(effect, messages.SecureBill):
             self.bills.append(effect.bill)
         if isinstance(effect, messages.Complete):
@@ -91,38 +96,38 @@
         if isinstance(effect, messages.Close):
             self.closings.append(effect.outcome)
 
-    def note_dispatch(self, attempt: identity.AttemptId) -> None:
-        """Counts a dispatch that might repeat what already ran."""
+    def record_dispatch(self, attempt: identity.AttemptId) -> None:
+        """Records a dispatch and counts it if it is an unsafe retry."""
         may_have_run = [
             state
             for state in self.states.values()
             if state not in (State.UNSENT, State.DECLINED)
         ]
         if may_have_run and not self.idempotent:
-            self.unsafe_resends += 1
+            self.unsafe_retries += 1
         self.states[attempt] = State.SENT
 
-    def play(self, name: str, state: State) -> None:
-        """Plays one named event."""
+    def generate(self, name: str, state: State) -> None:
+        """Generates the event called ``name``."""
         attempt = self.machine.current_attempt
         if name in ("chosen", "held"):
             choice = cases.choice("a", hold=name == "held")
-            self.act(messages.Chosen(choice))
+            self.handle(messages.Chosen(choice))
         elif name == "none":
-            self.act(NOT_CHOSEN)
+            self.handle(NOT_CHOSEN)
         elif name in ("deadline", "left"):
             kind = {
                 "deadline": messages.DeadlineReached,
                 "left": messages.CallerLeft,
             }[name]
-            self.act(kind(self.states.get(attempt, State.UNSENT)))
+            self.handle(kind(self.states.get(attempt, State.UNSENT)))
         elif name in ("accept", "escalate", "secured", "delayed"):
-            self.play_verdict(name)
+            self.generate_result(name)
         elif attempt is not None:
-            self.play_attempt(name, attempt, state)
+            self.generate_attempt_event(name, attempt, state)
 
-    def play_verdict(self, name: str) -> None:
-        """Plays an answer of the router or of the biller."""
+    def generate_result(self, name: str) -> None:
+        """Generates a result of the router or the biller."""
         if name in ("secured", "delayed") and self.bills:
             self.secured = True
         events = {
@@ -133,27 +138,27 @@
             "secured": messages.BillSecured(),
             "delayed": messages.BillDelayed(),
         }
-        self.act(events[name])
+        self.handle(events[name])
 
-    def play_attempt(
+    def generate_attempt_event(
         self, name: str, attempt: identity.AttemptId, state: State
     ) -> None:
-        """Plays an event of the newest attempt, or of an older one."""
+        """Generates an event of the latest attempt, or of the first one."""
         if name == "late":
             attempt = next(iter(self.states))
             name = "frame"
         if name == "failed":
             if self.machine.phase is machine_lib.Phase.RUNNING:
                 self.states[attempt] = state
-            self.act(messages.AttemptFailed(attempt, state, "cut"))
+            self.handle(messages.AttemptFailed(attempt, state, "cut"))
         elif name == "ended":
-            self.act(
+            self.handle(
                 messages.AnswerEnded(
                     attempt, messages.AnswerFacts(200, "", 5, 5, "stop", 0.5)
                 )
             )
         else:
-            self.act(messages.FrameArrived(attempt, b"x"))
+            self.handle(messages.FrameArrived(attempt, b"x"))
 
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=600)
@@ -168,25 +173,25 @@
         "once": cases.call_request(idempotent=False),
         "repeatable": cases.call_request(idempotent=True),
     }[kind]
-    world = World(request)
+    simulation = Simulation(request)
     for name, state in steps:
-        world.play(name, state)
-    check(world)
+        simulation.generate(name, state)
+    check_invariants(simulation)
 
 
-def check(world: World) -> None:
-    """Decides each promise on what the world recorded."""
-    assertions.assert_that(world.unsafe_resends, matchers.Equals(0))
-    assertions.assert_that(len(world.caller), matchers.LessThan(2))
-    assertions.assert_that(len(world.bills), matchers.LessThan(2))
-    assertions.assert_that(len(world.closings), matchers.LessThan(2))
-    assertions.assert_that(world.secured_before_end, matchers.Is(True))
+def check_invariants(simulation: Simulation) -> None:
+    """Asserts the invariants on the recorded effects."""
+    assertions.assert_that(simulation.unsafe_retries, matchers.Equals(0))
+    assertions.assert_that(len(simulation.caller), matchers.LessThan(2))
+    assertions.assert_that(len(simulation.bills), matchers.LessThan(2))
+    assertions.assert_that(len(simulation.closings), matchers.LessThan(2))
+    assertions.assert_that(simulation.secured_before_end, matchers.Is(True))
     ran = [
         state
-        for state in world.states.values()
+        for state in simulation.states.values()
         if state not in (State.UNSENT, State.DECLINED)
     ]
-    if outcomes.Outcome.NOT_RUN in (*world.caller, *world.closings):
+    if outcomes.Outcome.NOT_RUN in (*simulation.caller, *simulation.closings):
         assertions.assert_that(ran, matchers.Equals([]))
 
 
@@ -194,26 +199,28 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(outcomes, "may_resend", lambda *_: True)
-    world = World(cases.call_request(idempotent=False))
+    simulation = Simulation(cases.call_request(idempotent=False))
     for name in ("chosen", "failed", "chosen"):
-        world.play(name, State.SENT)
+        simulation.generate(name, State.SENT)
     with pytest.raises(matchers.MismatchError):
-        check(world)
+        check_invariants(simulation)
 
 
 def test_the_check_catches_an_outcome_by_the_last_attempt_alone(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def forget(self: machine_lib.RequestMachine, state: State) -> None:
+    def record_last(self: machine_lib.RequestMachine, state: State) -> None:
         outcome = outcomes.OUTCOME_BY_STATE[state]
         self._may_have_run = outcome is not outcomes.Outcome.NOT_RUN
 
-    monkeypatch.setattr(machine_lib.RequestMachine, "_note_outcome", forget)
-    world = World(cases.call_request(idempotent=True))
-    world.play("chosen", State.SENT)
-    world.play("failed", State.SENT)
-    world.play("chosen", State.SENT)
-    world.play("failed", State.UNSENT)
-    world.play("none", State.SENT)
+    monkeypatch.setattr(
+        machine_lib.RequestMachine, "_record_outcome", record_last
+    )
+    simulation = Simulation(cases.call_request(idempotent=True))
+    simulation.generate("chosen", State.SENT)
+    simulation.generate("failed", State.SENT)
+    simulation.generate("chosen", State.SENT)
+    simulation.generate("failed", State.UNSENT)
+    simulation.generate("none", State.SENT)
     with pytest.raises(matchers.MismatchError):
-        check(world)
+        check_invariants(simulation)
