--- a/src/hoistmoor/core/requests/chunks.py
+++ b/src/hoistmoor/core/requests/chunks.py
@@ -103,7 +103,7 @@
     request: kinds.Request,
     decision: decisions.Decision,
     frames: list[bytes],
-    facts: messages.AnswerFacts,
+    metadata: messages.AnswerFacts,
 ) -> tuple[bytes, str]:
     """Returns the full response as sent to the caller, and its content type.
 
@@ -111,19 +111,19 @@
         request: The request.
         decision: Explanation of the request, which has the version that ran it.
         frames: Frames of the response, in order.
-        facts: Metadata of the response.
+        metadata: Metadata of the response.
     """
     if isinstance(request, kinds.CallRequest):
-        return b"".join(frames), facts.content_type
+        return b"".join(frames), metadata.content_type
     if request.stream:
         return b"".join((*frames, event(DONE))), _SSE
-    return _make_completion(decision, frames, facts), _JSON
+    return _make_completion(decision, frames, metadata), _JSON
 
 
 def _make_completion(
     decision: decisions.Decision,
     frames: list[bytes],
-    facts: messages.AnswerFacts,
+    metadata: messages.AnswerFacts,
 ) -> bytes:
     body = {
         "id": decision.request_id,
@@ -134,13 +134,13 @@
             {
                 "index": 0,
                 "message": {"role": "assistant", "content": text_of(frames)},
-                "finish_reason": facts.finish_reason,
+                "finish_reason": metadata.finish_reason,
             }
         ],
         "usage": {
-            "prompt_tokens": facts.prompt_tokens,
-            "completion_tokens": facts.output_tokens,
-            "total_tokens": facts.prompt_tokens + facts.output_tokens,
+            "prompt_tokens": metadata.prompt_tokens,
+            "completion_tokens": metadata.output_tokens,
+            "total_tokens": metadata.prompt_tokens + metadata.output_tokens,
         },
     }
     return orjson.dumps(body)
--- a/src/hoistmoor/core/requests/decision_batch.py
+++ b/src/hoistmoor/core/requests/decision_batch.py
@@ -20,7 +20,7 @@
 MAX_BATCH_BYTES = 64_000
 MAX_PENDING = 2_000  # Decisions; the oldest of low interest are dropped first.
 APPENDS_PER_SECOND = 20.0  # To the log, by all hosts together.
-MIN_PERIOD = 2.0  # Seconds between two batches of one host.
+MIN_INTERVAL = 2.0  # Seconds between two batches of one host.
 
 
 @attrs.frozen
@@ -43,7 +43,7 @@
 
 def period(hosts: int) -> float:
     """Returns the seconds between two batches of a host, given ``hosts``."""
-    return max(MIN_PERIOD, hosts / APPENDS_PER_SECOND)
+    return max(MIN_INTERVAL, hosts / APPENDS_PER_SECOND)
 
 
 def is_high_interest(decision: decisions.Decision) -> bool:
@@ -66,9 +66,9 @@
         dropped: Number of decisions dropped because the buffer was full.
     """
 
-    def __init__(self, incarnation_host: str, incarnation: int) -> None:
+    def __init__(self, host: str, incarnation: int) -> None:
         self.dropped = 0
-        self._host = incarnation_host
+        self._host = host
         self._incarnation = incarnation
         self._high_interest: deque[decisions.Decision] = deque()
         self._low_interest: deque[decisions.Decision] = deque()
--- a/src/hoistmoor/core/requests/machine.py
+++ b/src/hoistmoor/core/requests/machine.py
@@ -81,7 +81,7 @@
         self._excluded: frozenset[str] = frozenset()
         self._held: list[bytes] = []
         self._fallback: _HeldResponse | None = None
-        self._facts: messages.AnswerFacts | None = None
+        self._metadata: messages.AnswerFacts | None = None
         self._forwarded = False
         self._caller_done = False
         self._may_have_run = False
@@ -178,7 +178,7 @@
         assert self._choice is not None
         self._state = outcomes.ExchangeState.ANSWERED
         self._record_outcome(self._state)
-        self._facts = event.facts
+        self._metadata = event.facts
         self._meter.add(self._choice.version, event.facts)
         self.decision.note(now, "answered", f"by {self._choice.server}")
         if self._holds_response and not self._caller_done:
@@ -198,9 +198,9 @@
         if self.phase is not Phase.JUDGING:
             return ()
         assert self._choice is not None
-        assert self._facts is not None
+        assert self._metadata is not None
         self.decision.note(now, "escalated", event.reason)
-        self._fallback = _HeldResponse(self._choice, self._facts, self._held)
+        self._fallback = _HeldResponse(self._choice, self._metadata, self._held)
         return self._dispatch(event.choice, now)
 
     @_on.register
@@ -259,7 +259,7 @@
         self.decision.note(now, "kept", f"the held answer goes out: {cause}")
         self._choice = self._fallback.choice
         self.decision.choice = self._choice
-        self._facts = self._fallback.facts
+        self._metadata = self._fallback.metadata
         self._held = self._fallback.frames
         self._state = outcomes.ExchangeState.ANSWERED
         return self._forward_held(now)
@@ -299,12 +299,12 @@
         return self._complete(now)
 
     def _complete(self, now: float) -> Effects:
-        assert self._facts is not None
+        assert self._metadata is not None
         close_effects = self._close(outcomes.Outcome.DONE, now)
         if self._caller_done:
             return close_effects
         self._caller_done = True
-        return (messages.Complete(self._facts), *close_effects)
+        return (messages.Complete(self._metadata), *close_effects)
 
     @_on.register
     def _(self, event: messages.DeadlineReached, now: float) -> Effects:
@@ -389,9 +389,9 @@
     def __init__(
         self,
         choice: routing.Choice,
-        facts: messages.AnswerFacts,
+        metadata: messages.AnswerFacts,
         frames: list[bytes],
     ) -> None:
         self.choice = choice
-        self.facts = facts
+        self.metadata = metadata
         self.frames = frames
--- a/src/hoistmoor/core/requests/pricing.py
+++ b/src/hoistmoor/core/requests/pricing.py
@@ -73,22 +73,24 @@
         self.prompt_tokens = 0
         self.output_tokens = 0
 
-    def add(self, item: str, facts: messages.AnswerFacts) -> None:
+    def add(self, item: str, metadata: messages.AnswerFacts) -> None:
         """Records a complete response.
 
         Args:
             item: Key of the version or call that produced the response.
-            facts: Metadata of the response.
+            metadata: Metadata of the response.
         """
-        self.prompt_tokens += facts.prompt_tokens
-        self.output_tokens += facts.output_tokens
-        if facts.status >= _FIRST_ERROR_STATUS:
+        self.prompt_tokens += metadata.prompt_tokens
+        self.output_tokens += metadata.output_tokens
+        if metadata.status >= _FIRST_ERROR_STATUS:
             return
         if isinstance(self.request, kinds.CallRequest):
             self.amount += self.request.call.price
             return
         version = self.table.versions[item]
-        self.amount += price(version, facts.prompt_tokens, facts.output_tokens)
+        self.amount += price(
+            version, metadata.prompt_tokens, metadata.output_tokens
+        )
 
     def bill(
         self, item: str, attempts: int, revision: int, now: float
--- a/src/hoistmoor/core/requests/routes.py
+++ b/src/hoistmoor/core/requests/routes.py
@@ -42,7 +42,7 @@
         self,
         router: router_lib.Router,
         choice: routing.Choice,
-        facts: messages.AnswerFacts,
+        metadata: messages.AnswerFacts,
         now: float,
     ) -> Judgement:
         """Returns whether a held response is good enough."""
@@ -85,12 +85,12 @@
         self,
         router: router_lib.Router,
         choice: routing.Choice,
-        facts: messages.AnswerFacts,
+        metadata: messages.AnswerFacts,
         now: float,
     ) -> Judgement:
         """Returns whether a held response is good enough."""
         response = routing.AnswerFacts(
-            facts.confidence, facts.finish_reason, facts.output_tokens
+            metadata.confidence, metadata.finish_reason, metadata.output_tokens
         )
         return router.judge(self.query, choice, response, now)
 
@@ -132,7 +132,7 @@
         self,
         router: router_lib.Router,
         choice: routing.Choice,
-        facts: messages.AnswerFacts,
+        metadata: messages.AnswerFacts,
         now: float,
     ) -> Judgement:
         """Accepts the response, as plain calls have no cascade."""
@@ -187,7 +187,7 @@
 def attempt_result(
     request: kinds.Request,
     choice: routing.Choice,
-    facts: messages.AnswerFacts | None,
+    metadata: messages.AnswerFacts | None,
     *,
     ok: bool,
     declined: bool,
@@ -199,7 +199,7 @@
     Args:
         request: The request.
         choice: The choice that the attempt was dispatched to.
-        facts: Metadata of the complete response; None if there is none.
+        metadata: Metadata of the complete response; None if there is none.
         ok: Whether a complete response was received.
         declined: Whether the backend server reported that it did not run it.
         cancelled: Whether the attempt was cancelled by this host.
@@ -211,9 +211,9 @@
         declined=declined,
         cancelled=cancelled,
         seconds=seconds,
-        tokens=facts.output_tokens if facts else 0,
+        tokens=metadata.output_tokens if metadata else 0,
         kind=kind,
-        confidence=facts.confidence if facts else None,
-        prompt_tokens=facts.prompt_tokens if facts else 0,
+        confidence=metadata.confidence if metadata else None,
+        prompt_tokens=metadata.prompt_tokens if metadata else 0,
         escalated=choice.escalated,
     )
