--- a/src/hoistmoor/core/requests/decision_batch.py
+++ b/src/hoistmoor/core/requests/decision_batch.py
@@ -99,15 +99,15 @@
             seconds: Time since the last batch; the byte budget grows with it.
         """
         remaining_bytes = min(MAX_BATCH_BYTES, seconds * BYTES_PER_SECOND)
-        batch: list[decisions.Decision] = []
+        selected: list[decisions.Decision] = []
         for queue in (self._high_interest, self._low_interest):
             while queue:
                 size = len(codec.encode(queue[0]))
-                if batch and size > remaining_bytes:
-                    return self._batch(batch)
+                if selected and size > remaining_bytes:
+                    return self._make_batch(selected)
                 remaining_bytes -= size
-                batch.append(queue.popleft())
-        return self._batch(batch) if batch else None
+                selected.append(queue.popleft())
+        return self._make_batch(selected) if selected else None
 
-    def _batch(self, batch: list[decisions.Decision]) -> DecisionBatch:
-        return DecisionBatch(self._host, self._incarnation, tuple(batch))
+    def _make_batch(self, selected: list[decisions.Decision]) -> DecisionBatch:
+        return DecisionBatch(self._host, self._incarnation, tuple(selected))
--- a/src/hoistmoor/core/requests/machine.py
+++ b/src/hoistmoor/core/requests/machine.py
@@ -83,6 +83,7 @@
         self._fallback: _HeldResponse | None = None
         self._metadata: messages.AnswerFacts | None = None
         self._forwarded = False
+        # Whether the caller got its final response or has disconnected.
         self._caller_done = False
         self._may_have_run = False
 
@@ -315,8 +316,8 @@
             return self._forward_held(now)
         if self._fallback is not None and not self._forwarded:
             cancel = self._cancel_running()
-            kept = self._deliver_fallback("the deadline passed", now)
-            return (*cancel, *kept)
+            deliver = self._deliver_fallback("the deadline passed", now)
+            return (*cancel, *deliver)
         return self._abandon(
             refusals.Reason.DEADLINE_EXCEEDED,
             "the deadline passed before a whole answer came",
--- a/src/hoistmoor/core/requests/parsing.py
+++ b/src/hoistmoor/core/requests/parsing.py
@@ -245,19 +245,19 @@
 
 
 def chat_request(
-    shared: kinds.Envelope, kind: str, body: dict[str, Any], raw: bytes
+    envelope: kinds.Envelope, kind: str, body: dict[str, Any], raw: bytes
 ) -> kinds.ChatRequest:
     """Returns the typed request for a validated body.
 
     Args:
-        shared: Envelope of the request.
+        envelope: Envelope of the request.
         kind: Label that the caller gave to this kind of request.
         body: The parsed body.
         raw: The body as sent.
     """
     prompt = orjson.dumps(body["messages"])
     return kinds.ChatRequest(
-        envelope=shared,
+        envelope=envelope,
         model=body["model"],
         stream=body.get("stream", False),
         kind=kind,
--- a/src/hoistmoor/core/requests/routes.py
+++ b/src/hoistmoor/core/requests/routes.py
@@ -47,11 +47,11 @@
     ) -> Judgement:
         """Returns whether a held response is good enough."""
 
-    def timeout(self, left: float) -> float:
+    def timeout(self, remaining: float) -> float:
         """Returns the timeout of an attempt, in seconds.
 
         Args:
-            left: Seconds until the deadline of the request.
+            remaining: Seconds until the deadline of the request.
         """
 
 
@@ -94,9 +94,9 @@
         )
         return router.judge(self.query, choice, response, now)
 
-    def timeout(self, left: float) -> float:
-        """Returns ``left``, as a late response is of no use to the caller."""
-        return max(0.0, left)
+    def timeout(self, remaining: float) -> float:
+        """Returns ``remaining``: a late response is of no use to callers."""
+        return max(0.0, remaining)
 
 
 @attrs.frozen
@@ -138,15 +138,15 @@
         """Accepts the response, as plain calls have no cascade."""
         return routing.Accept("a plain call has no cascade")
 
-    def timeout(self, left: float) -> float:
+    def timeout(self, remaining: float) -> float:
         """Returns a timeout that is long enough to learn the outcome.
 
         An attempt that must not be repeated may outlive the deadline, so that
         its outcome can be reported later.
         """
         if self.call.idempotent:
-            return max(0.0, left)
-        return max(0.0, left) + _MAX_DETACHED_SECONDS
+            return max(0.0, remaining)
+        return max(0.0, remaining) + _MAX_DETACHED_SECONDS
 
 
 @singledispatch
