--- a/src/hoistmoor/core/steward/__init__.py
+++ b/src/hoistmoor/core/steward/__init__.py
@@ -1,3 +1,3 @@
-"""Decisions of the steward: leases, roll-outs and orders to engines."""
+"""Decision logic of the steward: leases, rollouts and engine orders."""
 
 from __future__ import annotations
--- a/src/hoistmoor/core/steward/actor.py
+++ b/src/hoistmoor/core/steward/actor.py
@@ -1,9 +1,9 @@
-"""One steward: what it has read, whether it acts, and what it appends next.
+"""The state of one steward and the records that it should append next.
 
-Whether it *acts* is a guess that saves work; it is never what makes an act
-safe. A record that it appends too late does not hold, by the fold; an order
-that it gives too late is refused by its number, or corrected by the steward
-that acts then.
+Whether a steward considers itself *active* only avoids useless work; safety
+does not depend on it. The fold rejects records that a former active steward
+appends too late. Engines reject its late orders by their fencing token, or the
+current active steward corrects them.
 """
 
 from __future__ import annotations
@@ -24,7 +24,8 @@
 if TYPE_CHECKING:
     from hoistmoor.core.table import model
 
-ASK_AGAIN_SECONDS = 1.0  # Pause after a lease record that was not read yet.
+# Minimum interval between lease records, as the last may not be read back yet.
+LEASE_RETRY_SECONDS = 1.0
 
 
 @attrs.define
@@ -32,93 +33,94 @@
     """The state of one steward process.
 
     Attributes:
-        me: This process.
-        fold: What it has read of the stream.
-        duration: Seconds for which it asks for the lease.
-        seen_at: Its own time when it read the newest change to the lease.
-        asked_at: Its own time when it last sent a lease record.
-        confirmed_at: When it sent the newest lease record that it has since
-            read back as accepted.
+        me: Incarnation of this process.
+        fold: Fold of the part of the stream read so far.
+        duration: Lease duration to request, in seconds.
+        policy: Evidence required to advance a rollout.
+        seen_at: Local time at which the last lease change was read.
+        asked_at: Local time at which the last lease record was sent.
+        confirmed_at: Local time at which the last lease record that was read
+            back as accepted had been sent.
     """
 
     me: identity.Incarnation
     fold: fold_lib.StewardFold = attrs.field(factory=fold_lib.StewardFold)
     duration: float = lease_lib.LEASE_SECONDS
     policy: evidence.Policy = attrs.field(factory=evidence.Policy)
-    seen_at: float = float("inf")  # Nothing was read yet.
+    seen_at: float = float("inf")  # No record was read yet.
     asked_at: float = float("-inf")
     confirmed_at: float = float("-inf")
 
     @property
     def lease(self) -> lease_lib.Lease | None:
-        """The newest lease granted, as far as this process has read."""
+        """The last granted lease in the part of the stream read so far."""
         return self.fold.state.lease
 
     @property
     def fencing(self) -> int | None:
-        """The fencing number that this process holds, as far as it read."""
+        """The fencing token of this process's lease; None without a lease."""
         lease = self.lease
         if lease is None or lease.released or lease.holder != self.me:
             return None
         return lease.fencing
 
     def begin(self, start: int, now: float) -> None:
-        """Starts reading at ``start``, with nothing known before it."""
+        """Resets the fold to read from offset ``start`` on."""
         self.fold = fold_lib.StewardFold(start=start)
         self.seen_at = now
 
     def on_record(
         self, offset: int, at: float, record: Any, now: float
-    ) -> fold_lib.Verdict:
-        """Folds one record of the stream.
+    ) -> fold_lib.ApplyResult:
+        """Applies one record of the stream.
 
         Args:
-            offset: The record's offset.
-            at: Its append time, from the log.
-            record: The decoded record, or None if it did not decode.
-            now: This host's time.
+            offset: Offset of the record.
+            at: Append time of the record.
+            record: The decoded record; None if it is undecodable.
+            now: Local time, in seconds.
         """
         before = self.lease
-        verdict = self.fold.apply(offset, at, record)
+        result = self.fold.apply(offset, at, record)
         if self.lease != before:
             self.seen_at = now
             if self.fencing is not None:
                 self.confirmed_at = self.asked_at
-        return verdict
+        return result
 
     def acting(self, now: float) -> int | None:
-        """Returns the fencing number to act with, or None to stand by."""
+        """Returns the fencing token if this steward is active, else None."""
         if not self.fold.complete or now - self.confirmed_at >= self.duration:
             return None
         return self.fencing
 
     def lease_record(self, now: float) -> Any | None:
-        """Returns the lease record to append now, or None."""
+        """Returns the lease request or renewal to append now, or None."""
         if not self.fold.complete:
             return None
-        if now - self.asked_at < ASK_AGAIN_SECONDS:
+        if now - self.asked_at < LEASE_RETRY_SECONDS:
             return None
-        sighting = lease_lib.Sighting(self.lease, self.seen_at)
+        observed = lease_lib.ObservedLease(self.lease, self.seen_at)
         fencing = self.fencing
         if fencing is not None:
-            if now < sighting.renew_at(self.duration):
+            if now < observed.next_renewal_at(self.duration):
                 return None
             self.asked_at = now
             return records.LeaseRenewal(self.me, fencing, self.duration)
-        if now < sighting.ask_at(self.me.host, self.duration):
+        if now < observed.next_request_at(self.me.host, self.duration):
             return None
         self.asked_at = now
         return records.LeaseRequest(self.me, self.duration)
 
     def release_record(self) -> records.LeaseRelease | None:
-        """Returns the record that gives the lease up, if it is held."""
+        """Returns the record that releases the lease, or None without one."""
         fencing = self.fencing
         return None if fencing is None else records.LeaseRelease(fencing)
 
     def rollout_records(
         self, table: model.Table, now: float
     ) -> tuple[Any, ...]:
-        """Returns the roll-out records to append now."""
+        """Returns the rollout records to append now, if active."""
         fencing = self.acting(now)
         if fencing is None:
             return ()
@@ -133,7 +135,14 @@
         ratings_next: int,
         now: float,
     ) -> records.EvidenceCounted | None:
-        """Returns the record that counts one range of ratings, if due."""
+        """Returns the record for a range of counted ratings, or None.
+
+        Args:
+            counts: Ratings in the range, by version.
+            ratings_from: Offset of the first rating counted.
+            ratings_next: Offset after the last rating counted.
+            now: Local time, in seconds.
+        """
         fencing = self.acting(now)
         if fencing is None or ratings_next <= ratings_from:
             return None
@@ -142,11 +151,16 @@
         )
 
     def needs_snapshot(self, first: int, now: float) -> bool:
-        """Returns whether to append a snapshot of this stream now."""
+        """Returns whether to append a snapshot of this stream now.
+
+        Args:
+            first: Oldest offset still on the log.
+            now: Local time, in seconds.
+        """
         return self.acting(now) is not None and snapshots.is_due(
             self.fold, first
         )
 
     def view(self) -> rollouts.RolloutView:
-        """Returns roll-outs, withdrawals and drains as read so far."""
+        """Returns the rollouts, withdrawals and drains read so far."""
         return self.fold.view()
--- a/src/hoistmoor/core/steward/evidence.py
+++ b/src/hoistmoor/core/steward/evidence.py
@@ -1,8 +1,9 @@
-"""What rated answers say of a version's quality.
+"""Judges the quality of a version by its rated responses.
 
-Ratings are sparse, so a share of good answers means little by itself. A stage
-is passed when even the lower end of the Wilson interval is good enough. That
-a version turns bad is for the entries' sequential test to find.
+Ratings are sparse, so the observed share of good responses is unreliable. A
+version passes a stage only if the lower bound of the Wilson score interval is
+high enough. Regressions of a version are detected elsewhere, by the sequential
+test of the entry hosts.
 """
 
 from __future__ import annotations
@@ -18,8 +19,8 @@
     from collections.abc import Iterable
 
 
-class RatedAnswer(Protocol):
-    """The part of a rating that is counted."""
+class RatedResponse(Protocol):
+    """The attributes of a rating that are counted."""
 
     @property
     def model(self) -> str:
@@ -31,32 +32,33 @@
 
     @property
     def good(self) -> bool:
-        """Whether the answer was good."""
+        """Whether the response was rated good."""
 
 
 @attrs.frozen
 class Policy:
-    """How much evidence a roll-out needs.
+    """The evidence required to advance a rollout.
 
     Attributes:
-        ratings_per_stage: Rated answers that each stage needs of its own.
-        margin: How far below the version's prior quality is still good.
-        deviations: Half width of the interval, in standard deviations. Small,
-            as a cap of some hundred answers yields only some ten ratings.
+        ratings_per_stage: Ratings required within each stage.
+        margin: Accepted shortfall from the version's prior quality.
+        z_score: Half width of the interval, in standard z_score. It is
+            small because a cap of about a hundred responses yields only about
+            ten ratings.
     """
 
     ratings_per_stage: int = 5
     margin: float = 0.1
-    deviations: float = 0.84
+    z_score: float = 0.84
 
 
-def lower_bound(count: records.RatedCount, deviations: float) -> float:
-    """Returns the lower end of the Wilson interval, 0 to 1."""
+def lower_bound(count: records.RatedCount, z_score: float) -> float:
+    """Returns the lower bound of the Wilson score interval, 0 to 1."""
     rated = count.rated
     if rated == 0:
         return 0.0
     share = count.good / rated
-    spread = deviations * deviations / rated
+    spread = z_score * z_score / rated
     centre = share + spread / 2
     half = math.sqrt(share * (1 - share) * spread + spread * spread / 4)
     return (centre - half) / (1 + spread)
@@ -65,15 +67,15 @@
 def is_good(
     count: records.RatedCount, prior_quality: float, policy: Policy
 ) -> bool:
-    """Returns whether ``count`` shows a version to be as good as expected."""
+    """Returns whether ``count`` shows a version to meet its prior quality."""
     floor = max(0.0, prior_quality - policy.margin)
-    return lower_bound(count, policy.deviations) >= floor
+    return lower_bound(count, policy.z_score) >= floor
 
 
 def count_ratings(
-    ratings: Iterable[RatedAnswer],
+    ratings: Iterable[RatedResponse],
 ) -> dict[str, records.RatedCount]:
-    """Returns rated answers by ``model@version``."""
+    """Returns the number of good and bad ratings by ``model@version``."""
     counts: dict[str, records.RatedCount] = {}
     for rating in ratings:
         version = f"{rating.model}@{rating.version}"
--- a/src/hoistmoor/core/steward/fold.py
+++ b/src/hoistmoor/core/steward/fold.py
@@ -1,4 +1,4 @@
-"""Folds the stream ``steward`` by offset, alike on every host."""
+"""The fold of the stream ``steward``, deterministic on every host."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 from hoistmoor.core.steward import transitions
 
 
-class Verdict(enum.StrEnum):
-    """What the fold did with a record."""
+class ApplyResult(enum.StrEnum):
+    """The outcome of applying a record."""
 
     ACCEPTED = "accepted"
-    REJECTED = "rejected"  # Superseded writer, repeat, skipped step or early.
-    SEEN = "seen"  # Its offset is not after the last one folded.
+    REJECTED = "rejected"  # Stale fencing token, duplicate or out of sequence.
+    SEEN = "seen"  # The offset was applied before.
 
 
 @attrs.define
 class StewardFold:
-    """The state of the stream at the last offset read.
+    """The state of the stream after the last offset read.
 
-    A reader that starts after the stream's first record lacks what stood
-    before. It keeps the records it reads until it finds a snapshot that they
-    continue, and counts as incomplete until then.
+    A reader that starts after the first record of the stream is incomplete: it
+    does not know the records before its start. It buffers the records it reads
+    until it finds a snapshot that covers the gap.
 
     Attributes:
-        start: The first offset that will be applied.
-        state: The fold; not to be relied on while incomplete.
-        next_offset: The offset after the last record folded.
-        complete: Whether the state rests on the whole history.
-        snapshot_as_of: ``as_of`` of the newest snapshot seen; -1 for none.
+        start: First offset to apply.
+        state: State of the stream; unreliable while incomplete.
+        next_offset: Offset after the last applied record.
+        complete: Whether the state is based on the whole history.
+        snapshot_as_of: ``as_of`` of the newest snapshot read; -1 for none.
     """
 
     start: int = 0
@@ -46,57 +46,59 @@
         default=attrs.Factory(lambda self: self.start == 0, takes_self=True)
     )
     snapshot_as_of: int = -1
-    _kept: list[tuple[int, float, Any]] = attrs.field(factory=list)
+    _buffered: list[tuple[int, float, Any]] = attrs.field(factory=list)
 
-    def apply(self, offset: int, at: float, record: Any) -> Verdict:
-        """Folds one record; offsets must come in order.
+    def apply(self, offset: int, at: float, record: Any) -> ApplyResult:
+        """Applies one record; offsets must be in ascending order.
 
         Args:
-            offset: The record's offset.
-            at: The record's append time, from the log.
-            record: The decoded record; None for one that did not decode.
+            offset: Offset of the record.
+            at: Append time of the record.
+            record: The decoded record; None if it is undecodable.
         """
         if offset < self.next_offset:
-            return Verdict.SEEN
+            return ApplyResult.SEEN
         self.next_offset = offset + 1
         if isinstance(record, state_lib.StewardSnapshot):
-            return self._on_snapshot(offset, record)
+            return self._apply_snapshot(offset, record)
         if isinstance(record, records.HistoryReset):
-            self._become_complete()
+            self._mark_complete()
         if not self.complete:
-            self._kept.append((offset, at, record))
-        return self._advance(offset, at, record)
+            self._buffered.append((offset, at, record))
+        return self._apply_transition(offset, at, record)
 
     def view(self) -> rollouts.RolloutView:
-        """Returns what entries need to know of the roll-outs."""
+        """Returns the view of the rollouts that entry hosts use."""
         return rollouts.RolloutView(self.state, self.complete)
 
     def snapshot(self) -> state_lib.StewardSnapshot:
-        """Returns the snapshot of everything folded so far."""
+        """Returns a snapshot of all records applied so far."""
         return state_lib.StewardSnapshot(self.next_offset - 1, self.state)
 
-    def _advance(self, offset: int, at: float, record: Any) -> Verdict:
+    def _apply_transition(
+        self, offset: int, at: float, record: Any
+    ) -> ApplyResult:
         log_time = max(at, self.state.log_time)
-        before = transitions.Before(self.state, offset, log_time)
-        changed = transitions.transition(record, before)
+        context = transitions.TransitionContext(self.state, offset, log_time)
+        changed = transitions.transition(record, context)
         self.state = attrs.evolve(changed or self.state, log_time=log_time)
-        return Verdict.REJECTED if changed is None else Verdict.ACCEPTED
+        return ApplyResult.REJECTED if changed is None else ApplyResult.ACCEPTED
 
-    def _on_snapshot(
+    def _apply_snapshot(
         self, offset: int, snapshot: state_lib.StewardSnapshot
-    ) -> Verdict:
+    ) -> ApplyResult:
         if snapshot.as_of >= offset:
-            return Verdict.REJECTED  # It speaks of what was not yet written.
+            return ApplyResult.REJECTED  # It claims records that follow it.
         self.snapshot_as_of = max(self.snapshot_as_of, snapshot.as_of)
         if self.complete or snapshot.as_of < self.start - 1:
-            return Verdict.REJECTED
-        later = [kept for kept in self._kept if kept[0] > snapshot.as_of]
+            return ApplyResult.REJECTED
+        later = [entry for entry in self._buffered if entry[0] > snapshot.as_of]
         self.state = snapshot.state
-        self._become_complete()
+        self._mark_complete()
         for offset, at, record in later:
-            self._advance(offset, at, record)
-        return Verdict.ACCEPTED
+            self._apply_transition(offset, at, record)
+        return ApplyResult.ACCEPTED
 
-    def _become_complete(self) -> None:
+    def _mark_complete(self) -> None:
         self.complete = True
-        self._kept = []
+        self._buffered = []
--- a/src/hoistmoor/core/steward/lease.py
+++ b/src/hoistmoor/core/steward/lease.py
@@ -1,7 +1,8 @@
-"""The lease by which one steward acts, decided by the log's order alone.
+"""The lease that makes one steward active.
 
-Time here is *log time*: the log's own append times, never falling. No host's
-clock takes part in deciding who holds the lease.
+The holder is determined by the order of the records and by *log time* alone:
+the append times that the log assigns, made non-decreasing. The clocks of the
+hosts do not affect who is_current the lease.
 """
 
 from __future__ import annotations
@@ -20,19 +21,21 @@
 LEASE_SECONDS = 15.0
 RENEWALS_PER_LEASE = 3
 TAKEOVER_SECONDS = 4.0
-GROUP_SIZE = 1000  # Hosts for which attempts stay few; no exact count needed.
+# Number of hosts up to which few request the lease at once. It is an order of
+# magnitude; the exact number of hosts is not needed.
+GROUP_SIZE = 1000
 _HASH_RANGE = float(1 << 64)
 
 
 @attrs.frozen
 class Lease:
-    """The newest lease granted.
+    """The last granted lease.
 
     Attributes:
-        fencing: Offset of the request that was granted.
-        holder: The steward that asked.
-        expires_at: Log time at which others may ask for it.
-        released: Whether its holder gave it up.
+        fencing: Fencing token: the offset of the granted request.
+        holder: Steward that requested the lease.
+        expires_at: Log time from which other requests are granted.
+        released: Whether the holder released it.
     """
 
     fencing: int
@@ -41,58 +44,59 @@
     released: bool = False
 
 
-def on_request(
+def apply_request(
     lease: Lease | None,
     request: records.LeaseRequest,
     offset: int,
     log_time: float,
 ) -> Lease | None:
-    """Returns the new lease, or None if the request is too early."""
+    """Returns the granted lease, or None while another lease is valid."""
     if lease and not lease.released and log_time < lease.expires_at:
         return None
     return Lease(offset, request.holder, log_time + request.duration)
 
 
-def on_renewal(
+def apply_renewal(
     lease: Lease | None, renewal: records.LeaseRenewal, log_time: float
 ) -> Lease | None:
-    """Returns the renewed lease, or None if it is not the newest.
+    """Returns the renewed lease, or None if it is no longer current.
 
-    A renewal after expiry counts as long as nobody else was granted the
-    lease in between: the log's order has no second claimant then.
+    A renewal after expiry is accepted if no other steward was granted the
+    lease in between: by the order of the log there is no second holder then.
     """
-    if not holds(lease, renewal.fencing):
+    if not is_current(lease, renewal.fencing):
         return None
     assert lease
     return attrs.evolve(lease, expires_at=log_time + renewal.duration)
 
 
-def on_release(
+def apply_release(
     lease: Lease | None, release: records.LeaseRelease
 ) -> Lease | None:
-    """Returns the released lease, or None if it is not the newest."""
-    if not holds(lease, release.fencing):
+    """Returns the released lease, or None if it is no longer current."""
+    if not is_current(lease, release.fencing):
         return None
     assert lease
     return attrs.evolve(lease, released=True)
 
 
-def holds(lease: Lease | None, fencing: int) -> bool:
-    """Returns whether ``fencing`` names the lease in force."""
+def is_current(lease: Lease | None, fencing: int) -> bool:
+    """Returns whether ``fencing`` is the token of the current lease."""
     return lease is not None and lease.fencing == fencing and not lease.released
 
 
 def takeover_delay(host: str, fencing: int) -> float:
-    """Returns how long a host waits after expiry before it asks, in seconds.
+    """Returns the delay after expiry before a host requests the lease.
 
-    The delays are drawn from a truncated exponential that is rare near zero
-    (the timer of RFC 5401), so that the number of hosts which ask before
-    they have read the first request does not grow with the number of hosts.
+    The delays, in seconds, follow the truncated exponential distribution of
+    the timer of RFC 5401, in which small values are rare. The number of hosts
+    that send a request before they read the first one therefore does not grow
+    with the number of hosts.
 
     Args:
-        host: Name of the host that waits.
-        fencing: Fencing number of the expired lease, so that each takeover
-            has another order.
+        host: Name of the waiting host.
+        fencing: Fencing token of the expired lease. It is part of the hash so
+            that the order of the hosts differs between takeovers.
     """
     seed = f"{host}/{fencing}"
     fraction = xxhash.xxh64_intdigest(seed.encode()) / _HASH_RANGE
@@ -102,29 +106,31 @@
 
 
 @attrs.frozen
-class Sighting:
-    """A lease as one host has read it.
+class ObservedLease:
+    """A lease as observed by one host.
 
     Attributes:
-        lease: The lease; None if there was none yet.
-        seen_at: This host's time when it read the newest change to it.
+        lease: The lease; None if none was granted yet.
+        observed_at: Local time at which the last change of it was read.
     """
 
     lease: Lease | None
-    seen_at: float
+    observed_at: float
 
-    def ask_at(self, host: str, duration: float = LEASE_SECONDS) -> float:
-        """Returns the host's own time at which it should ask for the lease.
+    def next_request_at(
+        self, host: str, duration: float = LEASE_SECONDS
+    ) -> float:
+        """Returns the local time at which the host should request the lease.
 
-        The change was appended before it was read, so that a full duration
-        of waiting here is at least a full duration of log time.
+        The change was appended before it was read, so once ``duration`` has
+        passed locally it has also passed in log time.
         """
         if self.lease is None or self.lease.released:
             fencing = self.lease.fencing if self.lease else -1
-            return self.seen_at + takeover_delay(host, fencing)
+            return self.observed_at + takeover_delay(host, fencing)
         delay = takeover_delay(host, self.lease.fencing)
-        return self.seen_at + duration + delay
+        return self.observed_at + duration + delay
 
-    def renew_at(self, duration: float = LEASE_SECONDS) -> float:
-        """Returns the host's own time at which a holder should renew."""
-        return self.seen_at + duration / RENEWALS_PER_LEASE
+    def next_renewal_at(self, duration: float = LEASE_SECONDS) -> float:
+        """Returns the local time at which the holder should renew the lease."""
+        return self.observed_at + duration / RENEWALS_PER_LEASE
--- a/src/hoistmoor/core/steward/placement.py
+++ b/src/hoistmoor/core/steward/placement.py
@@ -1,4 +1,4 @@
-"""Which engine should have which versions loaded."""
+"""Assigns model versions to the backend servers that should load them."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 if TYPE_CHECKING:
     from hoistmoor.core.steward import rollouts
 
-MISSED_READS = 3  # Reads in a row that fail before replicas move elsewhere.
+MAX_FAILED_READS = 3  # Consecutive failures after which replicas are moved.
 
 
 @attrs.frozen
 class EngineCondition:
-    """What one engine said when its state was last read back.
+    """The last state read from an engine.
 
     Attributes:
-        fencing: Highest fencing number that it has seen.
-        wanted: Versions of the newest order it took.
+        fencing: Highest fencing token that the engine has received.
+        wanted: Versions of the last order that the engine accepted.
         loaded: Versions that serve requests.
-        loading: Versions on their way.
-        leaving: Whether it takes no new work.
-        missed: Reads that failed since.
+        loading: Versions being loaded.
+        leaving: Whether the engine accepts no new requests.
+        missed: Consecutive failed reads since.
     """
 
     fencing: int = -1
@@ -39,28 +39,28 @@
 
     @property
     def present(self) -> frozenset[str]:
-        """Versions loaded or on their way."""
+        """Versions loaded or being loaded."""
         return self.loaded | self.loading
 
     @property
     def changing(self) -> bool:
-        """Whether an order is still being carried out."""
+        """Whether an order is still being executed."""
         return bool(self.loading) or self.wanted != self.loaded
 
     @property
     def usable(self) -> bool:
-        """Whether replicas on it count."""
-        return not self.leaving and self.missed < MISSED_READS
+        """Whether replicas on the engine count as available."""
+        return not self.leaving and self.missed < MAX_FAILED_READS
 
 
 Conditions = Mapping[str, EngineCondition]
 
 
 def wanted_replicas(version: model.Version, view: rollouts.RolloutView) -> int:
-    """Returns how many engines should have ``version`` loaded.
+    """Returns the number of engines that should load ``version``.
 
-    A candidate is loaded somewhere before its first answer, and grows with
-    its share.
+    A candidate gets one replica as soon as its rollout starts, before it
+    serves any request, and further replicas in proportion to its share.
     """
     if version.stage is model.Stage.WITHDRAWN or view.withdrawn(version):
         return 0
@@ -76,7 +76,13 @@
     view: rollouts.RolloutView,
     conditions: Conditions,
 ) -> list[model.Server]:
-    """Returns the servers of a pool on which replicas count."""
+    """Returns the backend servers that can be assigned replicas.
+
+    Args:
+        servers: Backend servers of one pool.
+        view: Rollouts, withdrawals and drains.
+        conditions: Last state read from each engine, by backend server.
+    """
     return [
         server
         for server in servers
@@ -92,28 +98,29 @@
     view: rollouts.RolloutView,
     conditions: Conditions,
 ) -> dict[str, frozenset[str]]:
-    """Returns the versions that each server of one pool should have.
+    """Returns the versions that each backend server of a pool should load.
 
-    Replicas of a version spread over the failure domains first, stay where
-    they are next, and go to the servers with the fewest versions last.
+    The criteria for a replica are, in this order: spread over the failure
+    domains, stay where it is loaded, and prefer backend servers with few
+    versions.
 
     Args:
-        versions: The pool's versions.
-        servers: The pool's usable servers.
-        view: Roll-outs and withdrawals.
-        conditions: What the servers have loaded now.
+        versions: Versions of the pool.
+        servers: Usable backend servers of the pool.
+        view: Rollouts and withdrawals.
+        conditions: Last state read from each engine, by backend server.
     """
     assigned: dict[str, set[str]] = {row.server: set() for row in servers}
     for version in versions:
-        queues = _queues(version.key, servers, assigned, conditions)
+        queues = _domain_queues(version.key, servers, assigned, conditions)
         for _ in range(min(wanted_replicas(version, view), len(servers))):
-            assigned[_take(queues)].add(version.key)
+            assigned[_take_best(queues)].add(version.key)
     return {name: frozenset(keys) for name, keys in assigned.items()}
 
 
 @attrs.define
-class _Queue:
-    """Servers of one failure domain, best first, and how many were taken."""
+class _DomainQueue:
+    """Ranked backend servers of a failure domain; the first are taken."""
 
     ranked: list[tuple[bool, int, int, str]]
     taken: int = 0
@@ -122,12 +129,12 @@
         return (self.taken, *self.ranked[self.taken])
 
 
-def _queues(
+def _domain_queues(
     version: str,
     servers: Sequence[model.Server],
     assigned: Mapping[str, set[str]],
     conditions: Conditions,
-) -> list[_Queue]:
+) -> list[_DomainQueue]:
     grouped: dict[str, list[tuple[bool, int, int, str]]] = {}
     for row in servers:
         name = row.server
@@ -138,12 +145,12 @@
             name,
         )
         grouped.setdefault(row.failure_domain, []).append(rank)
-    return [_Queue(sorted(ranks)) for ranks in grouped.values()]
+    return [_DomainQueue(sorted(ranks)) for ranks in grouped.values()]
 
 
-def _take(queues: list[_Queue]) -> str:
+def _take_best(queues: list[_DomainQueue]) -> str:
     open_queues = [queue for queue in queues if queue.taken < len(queue.ranked)]
-    best = min(open_queues, key=_Queue.cost)
+    best = min(open_queues, key=_DomainQueue.cost)
     name = best.ranked[best.taken][-1]
     best.taken += 1
     return name
--- a/src/hoistmoor/core/steward/planner.py
+++ b/src/hoistmoor/core/steward/planner.py
@@ -1,11 +1,12 @@
-"""Which orders bring the engines one safe step nearer to what is wanted.
-
-The plan is level-triggered: it compares what engines say they have with what
-they should have, and remembers no order. So it does not matter who gave the
-last order, whether its reply was lost, or whether a superseded steward's
-order arrived late: the next pass sees the outcome and corrects it. An engine
-that checks fencing numbers is also told the new number when a steward takes
-over, changed or not, so that it refuses what the former one has under way.
+"""Plans the orders that move engines towards their target state in safe steps.
+
+The planner is level-triggered: it compares the reported state of the engines
+with the target state and does not remember orders. It is therefore irrelevant
+who sent the last order, whether its reply was lost, or whether an order of a
+superseded steward arrived late: the next pass reads the outcome and corrects
+it. After a takeover, engines that check fencing tokens also receive the new
+token if their versions are unchanged, so that they reject orders of the former
+active steward that are still in flight.
 """
 
 from __future__ import annotations
@@ -18,8 +19,8 @@
 from hoistmoor.core.steward import rollouts
 from hoistmoor.core.table import model
 
-POOL_PART = 5  # One in so many servers of a pool may change at once.
-UNLOAD_DELAY = 60.0  # Seconds that work on an unwanted replica may end in.
+SERVERS_PER_CHANGE = 5  # One in this many servers of a pool may change at once.
+UNLOAD_DELAY_SECONDS = 60.0  # Time for requests on an unwanted replica to end.
 
 
 @attrs.frozen
@@ -27,9 +28,10 @@
     """An order to one engine.
 
     Attributes:
-        server: The engine's row in the table.
-        wanted: Versions that it should have, and no others.
-        loads: Those of them that it must fetch from the weight store.
+        server: Row of the backend server in the table.
+        wanted: Versions to have loaded; all others are unloaded.
+        loads: Versions among them that have to be fetched from the weight
+            store.
     """
 
     server: model.Server
@@ -39,16 +41,17 @@
 
 @attrs.define
 class Planner:
-    """Plans orders for all pools.
+    """Plans the orders of all pools.
 
     Attributes:
-        unload_delay: Seconds that a replica must have been unwanted before
-            it is unloaded, so that the work on it can end.
-        unwanted_since: When each replica was first seen as unwanted, by
-            server and version. Only a delay rests on it.
+        unload_delay: Seconds between a replica becoming unwanted and being
+            unloaded, so that its requests can end.
+        unwanted_since: Time at which each unwanted replica was first
+            observed, by backend server and version. If it is lost, unloading
+            is only delayed.
     """
 
-    unload_delay: float = UNLOAD_DELAY
+    unload_delay: float = UNLOAD_DELAY_SECONDS
     unwanted_since: dict[tuple[str, str], float] = attrs.field(factory=dict)
 
     def plan(
@@ -59,14 +62,14 @@
         fencing: int,
         now: float,
     ) -> tuple[PlannedOrder, ...]:
-        """Returns the orders that may be given now.
+        """Returns the orders to send now.
 
         Args:
             table: The table in force.
-            view: Roll-outs, withdrawals and drains.
-            conditions: What each engine last said, by server.
-            fencing: Fencing number of the acting steward.
-            now: This host's time, in seconds.
+            view: Rollouts, withdrawals and drains.
+            conditions: Last state read from each engine, by backend server.
+            fencing: Fencing token of the active steward.
+            now: Local time, in seconds.
         """
         orders: list[PlannedOrder] = []
         for service in table.services.values():
@@ -74,7 +77,7 @@
                 pool = _Pool.build(service.service, table, view, conditions)
                 orders += self._plan_pool(pool, now)
         ordered = {order.server.server for order in orders}
-        return (*orders, *_claims(table, conditions, fencing, ordered))
+        return (*orders, *_fencing_updates(table, conditions, fencing, ordered))
 
     def _plan_pool(self, pool: _Pool, now: float) -> list[PlannedOrder]:
         removable = self._removable(pool, now)
@@ -86,11 +89,11 @@
             if wanted != condition.wanted:
                 loads = wanted - condition.present
                 orders.append(PlannedOrder(server, wanted, loads))
-        orders.sort(key=pool.urgency)
-        return pool.within_limit(orders)
+        orders.sort(key=pool.scarcity_key)
+        return pool.limit_changes(orders)
 
     def _removable(self, pool: _Pool, now: float) -> dict[str, set[str]]:
-        """Returns the replicas that may be unloaded now, by server."""
+        """Returns the versions that may be unloaded now, by backend server."""
         loaded = dict(pool.loaded)
         removable: dict[str, set[str]] = {}
         for server in pool.servers:
@@ -99,22 +102,26 @@
             surplus = present - pool.targets[name]
             removable[name] = set()
             for version in sorted(surplus):
-                if not self._waited(name, version, now):
+                if not self._is_unload_delay_over(name, version, now):
                     continue
-                if not pool.may_unload(name, version, loaded):
+                if not pool.can_unload(name, version, loaded):
                     continue
                 removable[name].add(version)
                 if version in pool.conditions[name].loaded:
                     loaded[version] -= 1
-            self._forget(name, surplus)
+            self._discard_obsolete_times(name, surplus)
         return removable
 
-    def _waited(self, server: str, version: str, now: float) -> bool:
+    def _is_unload_delay_over(
+        self, server: str, version: str, now: float
+    ) -> bool:
         since = self.unwanted_since.setdefault((server, version), now)
         return now - since >= self.unload_delay
 
-    def _forget(self, server: str, surplus: frozenset[str]) -> None:
-        """Drops the times of replicas that are wanted again or gone."""
+    def _discard_obsolete_times(
+        self, server: str, surplus: frozenset[str]
+    ) -> None:
+        """Removes the times of replicas that are wanted again or unloaded."""
         for key in [
             key
             for key in self.unwanted_since
@@ -123,13 +130,13 @@
             del self.unwanted_since[key]
 
 
-def _claims(
+def _fencing_updates(
     table: model.Table,
     conditions: placement.Conditions,
     fencing: int,
     ordered: set[str],
 ) -> Iterator[PlannedOrder]:
-    """Yields orders that change nothing but the number an engine has seen."""
+    """Yields orders that only update the fencing token of an engine."""
     for name, condition in conditions.items():
         row = table.servers.get(name)
         if row is None or not row.checks_fencing or name in ordered:
@@ -140,7 +147,7 @@
 
 @attrs.frozen
 class _Pool:
-    """One engine service as the plan sees it."""
+    """Target and reported state of one engine service."""
 
     servers: Sequence[model.Server]
     conditions: placement.Conditions
@@ -170,39 +177,41 @@
             for version in versions
         }
         targets = placement.assign(versions, servers, view, conditions)
-        loaded = _count_loaded(servers, conditions)
+        loaded = _count_replicas(servers, conditions)
         return cls(servers, conditions, targets, replicas, loaded)
 
-    def may_unload(
+    def can_unload(
         self, server: str, version: str, loaded: dict[str, int]
     ) -> bool:
-        """Returns whether enough other replicas of ``version`` serve."""
+        """Returns whether enough other replicas of ``version`` are loaded."""
         if version not in self.conditions[server].loaded:
             return True
         return loaded[version] > self.replicas.get(version, 0)
 
-    def within_limit(self, orders: list[PlannedOrder]) -> list[PlannedOrder]:
-        """Returns the orders that keep to the limit on servers changing.
+    def limit_changes(self, orders: list[PlannedOrder]) -> list[PlannedOrder]:
+        """Returns the orders within the limit on concurrent changes.
 
-        An order to a server that is changing already starts no new change.
+        Orders to backend servers that are already changing do not count.
         """
         changing = {
             row.server
             for row in self.servers
             if self.conditions[row.server].changing
         }
-        free = max(1, len(self.servers) // POOL_PART) - len(changing)
+        remaining = max(1, len(self.servers) // SERVERS_PER_CHANGE) - len(
+            changing
+        )
         allowed = []
         for order in orders:
             if order.server.server not in changing:
-                free -= 1
-                if free < 0:
+                remaining -= 1
+                if remaining < 0:
                     continue
             allowed.append(order)
         return allowed
 
-    def urgency(self, order: PlannedOrder) -> tuple[int, str]:
-        """Returns a sort key: versions with the fewest replicas first."""
+    def scarcity_key(self, order: PlannedOrder) -> tuple[int, str]:
+        """Returns a sort key that puts versions with few replicas first."""
         scarcest = min(
             (self.loaded.get(version, 0) for version in order.loads),
             default=len(self.servers),
@@ -210,10 +219,10 @@
         return scarcest, order.server.server
 
 
-def _count_loaded(
+def _count_replicas(
     servers: Sequence[model.Server], conditions: placement.Conditions
 ) -> dict[str, int]:
-    """Returns how many usable servers have each version loaded."""
+    """Returns the number of usable servers that have each version loaded."""
     loaded: dict[str, int] = {}
     for server in servers:
         for version in conditions[server.server].loaded:
--- a/src/hoistmoor/core/steward/progress.py
+++ b/src/hoistmoor/core/steward/progress.py
@@ -1,7 +1,7 @@
-"""Which records move the roll-outs on, given the log and the table.
+"""Decides which records advance the rollouts.
 
-The decision rests on the fold alone: a steward that takes over goes on from
-where the last accepted record left off.
+The decision depends only on the stream's state and the table, so a steward
+that takes over continues after the last accepted record.
 """
 
 from __future__ import annotations
@@ -27,23 +27,23 @@
     fencing: int,
     policy: evidence.Policy,
 ) -> tuple[Any, ...]:
-    """Returns the records that the acting steward should append now.
+    """Returns the rollout records that the active steward should append now.
 
     Args:
-        state: The fold, read to the stream's end.
+        state: State at the end of the stream.
         table: The table in force.
-        fencing: Fencing number of the acting steward.
-        policy: How much evidence a stage needs.
+        fencing: Fencing token of the active steward.
+        policy: Evidence required to advance a rollout.
     """
     due: list[Any] = []
     for key in sorted(table.versions):
         version = table.versions[key]
         if version.stage is model.Stage.CANDIDATE:
-            due += _due_for(state, version, fencing, policy)
+            due += _due_records_of(state, version, fencing, policy)
     return tuple(due)
 
 
-def _due_for(
+def _due_records_of(
     state: state_lib.StewardState,
     version: model.Version,
     fencing: int,
@@ -59,15 +59,15 @@
     if rollout.done or rollout.paused:
         return ()
     if rollout.stage_index < 0:
-        return (_step(key, 0, fencing),)
+        return (_step_record(key, 0, fencing),)
     count = state.counts.get(key, records.RatedCount())
     is_good = evidence.is_good(count, version.prior_quality, policy)
-    if is_good and _stage_served(rollout, count, policy):
-        return (_next(key, rollout, fencing),)
+    if is_good and _has_enough_ratings(rollout, count, policy):
+        return (_advance_record(key, rollout, fencing),)
     return ()
 
 
-def _stage_served(
+def _has_enough_ratings(
     rollout: state_lib.Rollout,
     count: records.RatedCount,
     policy: evidence.Policy,
@@ -76,12 +76,16 @@
     return new >= policy.ratings_per_stage
 
 
-def _step(version: str, stage_index: int, fencing: int) -> records.RolloutStep:
+def _step_record(
+    version: str, stage_index: int, fencing: int
+) -> records.RolloutStep:
     share = state_lib.STAGE_SHARES[stage_index]
     return records.RolloutStep(version, stage_index, share, fencing)
 
 
-def _next(version: str, rollout: state_lib.Rollout, fencing: int) -> Any:
+def _advance_record(
+    version: str, rollout: state_lib.Rollout, fencing: int
+) -> Any:
     if rollout.stage_index == _LAST_STAGE:
         return records.RolloutDone(version, fencing)
-    return _step(version, rollout.stage_index + 1, fencing)
+    return _step_record(version, rollout.stage_index + 1, fencing)
--- a/src/hoistmoor/core/steward/records.py
+++ b/src/hoistmoor/core/steward/records.py
@@ -1,8 +1,8 @@
 """Records of the stream ``steward``.
 
-A record with a ``fencing`` number is written by a steward in its office, and
-holds only if that lease is in force at the record's own offset. The others
-come from operators and entry hosts, and hold wherever they stand.
+A record with a fencing token, ``fencing``, is written by the active steward and
+accepted only if that lease is current at the record's own offset. All other
+records come from operators and entry hosts and are not bound to a lease.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 @attrs.frozen
 class LeaseRequest:
-    """Asks for the lease; if granted, its offset is the fencing number.
+    """Requests the lease; if granted, its offset is the fencing token.
 
     Attributes:
-        holder: The steward that asks.
-        duration: Seconds of log time until the lease lapses unrenewed.
+        holder: Steward that requests the lease.
+        duration: Seconds of log time until the lease expires unless renewed.
     """
 
     holder: identity.Incarnation
@@ -28,12 +28,12 @@
 
 @attrs.frozen
 class LeaseRenewal:
-    """Extends the lease of that fencing number.
+    """Extends the lease with the given fencing token.
 
     Attributes:
-        holder: The steward that holds the lease.
-        fencing: Fencing number of the lease.
-        duration: Seconds of log time, counted from this record.
+        holder: Steward that holds the lease.
+        fencing: Fencing token of the lease.
+        duration: Seconds of log time from this record to the new expiry.
     """
 
     holder: identity.Incarnation
@@ -43,20 +43,20 @@
 
 @attrs.frozen
 class LeaseRelease:
-    """Ends the lease of that fencing number at once."""
+    """Ends the lease with the given fencing token immediately."""
 
     fencing: int
 
 
 @attrs.frozen
 class RolloutStart:
-    """Opens the roll-out of a candidate version.
+    """Starts the rollout of a candidate version.
 
     Attributes:
         version: ``model@version``.
-        row_digest: Digest of its row in the table. Operators begin a
-            roll-out anew by an edit that changes it.
-        fencing: Fencing number of the writer's lease.
+        row_digest: Digest of the row in the table. Operators restart a rollout
+            by editing the row in a way that changes the digest.
+        fencing: Fencing token of the writer's lease.
     """
 
     version: str
@@ -66,13 +66,13 @@
 
 @attrs.frozen
 class RolloutStep:
-    """Moves a roll-out one stage on.
+    """Advances a rollout by one stage.
 
     Attributes:
         version: ``model@version``.
-        stage_index: The stage it is in from here on, counted from 0.
+        stage_index: Index of the new stage, from 0.
         share: Factor on the version's weight in the table, 0 to 1.
-        fencing: Fencing number of the writer's lease.
+        fencing: Fencing token of the writer's lease.
     """
 
     version: str
@@ -83,7 +83,7 @@
 
 @attrs.frozen
 class RolloutDone:
-    """Ends a roll-out: the version is proved and no cap holds any more."""
+    """Completes a rollout: the version is validated and no cap applies."""
 
     version: str
     fencing: int
@@ -91,11 +91,11 @@
 
 @attrs.frozen
 class RolloutHold:
-    """An operator pauses or resumes a roll-out.
+    """An operator pauses or resumes a rollout.
 
     Attributes:
         version: ``model@version``.
-        paused: Whether it is to stand still.
+        paused: Whether the rollout is to be paused.
         by: Name of the operator.
     """
 
@@ -106,18 +106,19 @@
 
 @attrs.frozen
 class VersionWithdrawn:
-    """A version was found bad in service and gets no replicas any more.
+    """Withdraws a version of poor quality, which gets no more replicas.
 
-    Entries act on the ``Withdrawal`` of the stream ``evidence`` themselves;
-    this keeps the finding for stewards beyond that stream's retention.
+    Entry hosts react to the ``Withdrawal`` on the stream ``evidence`` directly.
+    This record keeps the finding for stewards beyond the retention of that
+    stream.
 
     Attributes:
         version: ``model@version``.
         reason: One sentence for the operators.
-        by: The host that found it.
-        evidence: What the finding rests on, in words.
-        row_digest: Digest of the row that it was found for. An operator's
-            edit that changes the digest lifts the withdrawal.
+        by: Host that reported the finding.
+        evidence: Description of the evidence.
+        row_digest: Digest of the row concerned. An operator's edit that
+            changes the digest lifts the withdrawal.
     """
 
     version: str
@@ -129,11 +130,11 @@
 
 @attrs.frozen
 class RatedCount:
-    """Rated answers of one version.
+    """Number of rated responses of one version.
 
     Attributes:
-        good: Answers rated good.
-        bad: Answers rated bad.
+        good: Responses rated good.
+        bad: Responses rated bad.
     """
 
     good: int = 0
@@ -141,7 +142,7 @@
 
     @property
     def rated(self) -> int:
-        """All rated answers."""
+        """The number of all rated responses."""
         return self.good + self.bad
 
     def plus(self, other: RatedCount) -> RatedCount:
@@ -151,14 +152,14 @@
 
 @attrs.frozen
 class EvidenceCounted:
-    """Ratings of one range of the rating service, counted once.
+    """Ratings within one range of offsets of the rating service.
 
     Attributes:
-        ratings_from: First offset counted; the former record's end, so that
-            no rating counts twice or is left out.
-        ratings_next: The offset after the last one counted.
-        counts: Rated answers by version within that range.
-        fencing: Fencing number of the writer's lease.
+        ratings_from: First offset counted. It must be the ``ratings_next`` of
+            the previous record, so that each rating is counted exactly once.
+        ratings_next: Offset after the last one counted.
+        counts: Rated responses within the range, by version.
+        fencing: Fencing token of the writer's lease.
     """
 
     ratings_from: int
@@ -169,11 +170,11 @@
 
 @attrs.frozen
 class ServerDrain:
-    """An operator takes a backend server out of use, or gives it back.
+    """An operator drains a backend server or returns it to service.
 
     Attributes:
         server: Name of the backend server.
-        draining: Whether it is to get no new work.
+        draining: Whether the backend server is to get no new requests.
         by: Name of the operator.
     """
 
@@ -184,7 +185,7 @@
 
 @attrs.frozen
 class HistoryReset:
-    """An operator starts the stream's state afresh after its loss.
+    """An operator resets the state after the stream's history was lost.
 
     Attributes:
         by: Name of the operator.
@@ -193,7 +194,7 @@
     by: str
 
 
-for _name, _cls in {
+for _name, _class in {
     "steward.lease_request": LeaseRequest,
     "steward.lease_renewal": LeaseRenewal,
     "steward.lease_release": LeaseRelease,
@@ -206,4 +207,4 @@
     "steward.server_drain": ServerDrain,
     "steward.history_reset": HistoryReset,
 }.items():
-    codec.register(_name, _cls)
+    codec.register(_name, _class)
--- a/src/hoistmoor/core/steward/rollouts.py
+++ b/src/hoistmoor/core/steward/rollouts.py
@@ -1,4 +1,4 @@
-"""What entries read from the roll-outs."""
+"""The view of rollouts that entry hosts use."""
 
 from __future__ import annotations
 
@@ -16,12 +16,13 @@
 
 @attrs.frozen
 class RolloutView:
-    """Roll-outs, withdrawals and drains at one offset.
+    """Rollouts, withdrawals and drains at one offset of the stream.
 
     Attributes:
-        state: The fold of the stream ``steward``.
-        complete: Whether it rests on the whole history. If not, no candidate
-            gets a share: what was withdrawn or used up is not known.
+        state: State of the stream ``steward``.
+        complete: Whether the state is based on the whole history. If it is
+            not, candidates get no share, as earlier withdrawals and used-up
+            caps are unknown.
     """
 
     state: state_lib.StewardState = attrs.field(factory=state_lib.StewardState)
@@ -36,33 +37,34 @@
         return rollout.share if is_same else 0.0
 
     def withdrawn(self, version: model.Version) -> bool:
-        """Returns whether the version was found bad in service."""
+        """Returns whether the version was withdrawn for poor quality."""
         return is_withdrawn(self.state, version)
 
     def is_open(self, version: model.Version) -> bool:
-        """Returns whether a roll-out of this very row is on the log."""
+        """Returns whether a rollout of exactly this row was started."""
         rollout = self.state.rollouts.get(version.key)
         if not self.complete or rollout is None or self.withdrawn(version):
             return False
         return rollout.row_digest == exposure.row_digest(version)
 
     def paused(self, version: model.Version) -> bool:
-        """Returns whether an operator paused the roll-out."""
+        """Returns whether an operator paused the rollout of the version."""
         rollout = self.state.rollouts.get(version.key)
         return rollout is not None and rollout.paused
 
     def evidence(self, version: str) -> records.RatedCount:
-        """Returns the rated answers counted for ``version``."""
+        """Returns the number of rated responses of ``version``."""
         return self.state.counts.get(version, records.RatedCount())
 
     def draining(self, server: str) -> bool:
-        """Returns whether an operator took the backend server out of use."""
+        """Returns whether an operator is draining the backend server."""
         return server in self.state.draining
 
 
 def is_withdrawn(state: state_lib.StewardState, version: model.Version) -> bool:
-    """Returns whether this very row of a version was found bad."""
-    found = state.withdrawn.get(version.key)
-    return found is not None and found.row_digest == exposure.row_digest(
-        version
+    """Returns whether exactly this row of a version was withdrawn."""
+    withdrawal = state.withdrawn.get(version.key)
+    return (
+        withdrawal is not None
+        and withdrawal.row_digest == exposure.row_digest(version)
     )
--- a/src/hoistmoor/core/steward/snapshots.py
+++ b/src/hoistmoor/core/steward/snapshots.py
@@ -1,4 +1,4 @@
-"""When the stream ``steward`` needs a new snapshot of its own state."""
+"""Decides when to append a new snapshot to the stream ``steward``."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 if TYPE_CHECKING:
     from hoistmoor.core.steward import fold as fold_lib
 
-MAX_RECORDS_BETWEEN = 500  # About forty minutes of renewals.
-TAIL_RECORDS = 4 * MAX_RECORDS_BETWEEN  # Read first by one that starts.
+MAX_RECORDS_BETWEEN = 500  # About 40 minutes of lease renewals.
+TAIL_RECORDS = 4 * MAX_RECORDS_BETWEEN  # Read first by a starting process.
 
 
 def is_due(fold: fold_lib.StewardFold, first: int) -> bool:
-    """Returns whether the acting steward should append a snapshot now.
+    """Returns whether the active steward should append a snapshot now.
 
     Args:
-        fold: Its fold, read to the stream's end.
-        first: The oldest offset that the log still has.
+        fold: Fold of the stream up to its end.
+        first: Oldest offset still on the log.
     """
     if not fold.complete:
         return False
@@ -24,18 +24,19 @@
 
 
 def is_late(as_of: int, next_offset: int, first: int) -> bool:
-    """Returns whether a summary of any stream should be renewed.
+    """Returns whether a new summary of any stream is due.
 
     Args:
-        as_of: Offset of the last record that the newest summary counts in;
-            -1 for none.
-        next_offset: The offset after the stream's last record.
-        first: The oldest offset that the log still has.
+        as_of: Offset of the last record that the newest summary includes; -1
+            without a summary.
+        next_offset: Offset after the last record of the stream.
+        first: Oldest offset still on the log.
     """
     since = next_offset - 1 - as_of
     if since >= MAX_RECORDS_BETWEEN:
         return True
     if first == 0:
         return False
-    # Retention has come half-way to the point that the summary stands for.
+    # ``as_of`` is in the older half of the log, so that retention may soon pass
+    # it and make the summary useless.
     return as_of - first < since
--- a/src/hoistmoor/core/steward/state.py
+++ b/src/hoistmoor/core/steward/state.py
@@ -1,4 +1,4 @@
-"""What the stream ``steward`` says in sum, as one immutable value."""
+"""The state of the stream ``steward`` as an immutable value."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 @attrs.frozen
 class Rollout:
-    """How far the roll-out of one version has come.
+    """The progress of the rollout of one version.
 
     Attributes:
-        row_digest: Digest of the version's row that it was opened for.
-        stage_index: The stage in force; -1 before the first step.
+        row_digest: Digest of the version's row at the start of the rollout.
+        stage_index: Index of the current stage; -1 before the first step.
         share: Factor on the version's weight in the table, 0 to 1.
         paused: Whether an operator paused it.
-        done: Whether the version is proved.
-        rated_before: Rated answers when the stage in force began.
+        done: Whether the rollout is complete.
+        rated_before: Rated responses at the start of the current stage.
         changed_at: Log time of the last step.
     """
 
@@ -36,15 +36,15 @@
 
 @attrs.frozen
 class StewardState:
-    """The fold of the stream up to some offset.
+    """The state of the stream after some offset.
 
     Attributes:
-        log_time: The latest append time seen, seconds since the epoch.
-        lease: The newest lease granted.
-        rollouts: Roll-outs by version.
-        withdrawn: Withdrawals found in service, by version.
-        draining: Operators' names by backend server taken out of use.
-        counts: Rated answers by version.
+        log_time: Highest append time so far, in seconds since the epoch.
+        lease: The last granted lease.
+        rollouts: Rollouts by version.
+        withdrawn: Withdrawals by version.
+        draining: Name of the operator by backend server being drained.
+        counts: Rated responses by version.
         ratings_next: Offset of the first rating not yet counted.
     """
 
@@ -59,14 +59,14 @@
 
 @attrs.frozen
 class StewardSnapshot:
-    """The fold up to ``as_of``, kept on the stream before retention.
+    """The state after offset ``as_of``, appended before retention removes it.
 
-    It needs no fencing number: the fold up to an offset is the same for
-    everybody and for ever, so that a late snapshot is merely an older one.
+    It needs no fencing token: the state after an offset is the same for every
+    reader, so a snapshot that is appended late is only an older one.
 
     Attributes:
-        as_of: Offset of the last record folded in.
-        state: The fold.
+        as_of: Offset of the last record included.
+        state: State after that record.
     """
 
     as_of: int
--- a/src/hoistmoor/core/steward/steering.py
+++ b/src/hoistmoor/core/steward/steering.py
@@ -1,9 +1,9 @@
-"""The table as the router should see it: roll-outs and drains applied.
+"""Applies rollouts, withdrawals and drains to the table for the router.
 
-Operators' rows say what is wanted in the end. On the way there the stream
-``steward`` narrows them: a candidate gets its stage's part of its weight, a
-version found bad is withdrawn, and a draining backend server is left out.
-Accounts, limits and sessions go by the operators' table itself.
+The operators' rows define the target. The stream ``steward`` restricts it
+during rollouts: the weight of a candidate is scaled by the share of its stage,
+versions found bad are withdrawn, and draining backend servers are removed.
+Accounts, limits and sessions use the operators' table unchanged.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
     Args:
         in_force: The operators' table.
-        view: What the stream ``steward`` says.
+        view: Rollouts, withdrawals and drains.
     """
     table = in_force.table
     versions = {
--- a/src/hoistmoor/core/steward/transitions.py
+++ b/src/hoistmoor/core/steward/transitions.py
@@ -1,8 +1,8 @@
-"""How each record of the stream ``steward`` changes the state.
+"""State transitions for the records of the stream ``steward``.
 
-Every function here returns the next state, or None if the record does not
-hold: its writer's lease was not in force there, or it repeats or skips a
-step. The rules read the log only, so that every reader agrees.
+Each transition returns the next state, or None if the record is rejected: the
+writer's lease is not current at its offset, or it repeats or skips a step. The
+rules depend on the log only, so all readers agree on the state.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 
 @attrs.frozen
-class Before:
-    """What a record meets at its place on the stream.
+class TransitionContext:
+    """The context in which a record is applied.
 
     Attributes:
-        state: The fold of all records before it.
-        offset: The record's offset.
-        log_time: The log's time there, never falling.
+        state: State after all earlier records.
+        offset: Offset of the record.
+        log_time: Log time of the record.
     """
 
     state: state_lib.StewardState
@@ -39,9 +39,9 @@
 @functools.singledispatch
 def transition(
     record: Any,
-    before: Before,
+    context: TransitionContext,
 ) -> _State | None:
-    """Returns the state after ``record``, or None if it does not hold."""
+    """Returns the state after ``record``, or None if it is rejected."""
     return None
 
 
@@ -50,37 +50,45 @@
 
 
 @transition.register
-def _(record: records.LeaseRequest, before: Before) -> _State | None:
-    granted = lease_lib.on_request(
-        before.state.lease, record, before.offset, before.log_time
+def _(
+    record: records.LeaseRequest, context: TransitionContext
+) -> _State | None:
+    granted = lease_lib.apply_request(
+        context.state.lease, record, context.offset, context.log_time
     )
-    return _with_lease(before.state, granted)
+    return _with_lease(context.state, granted)
 
 
 @transition.register
-def _(record: records.LeaseRenewal, before: Before) -> _State | None:
-    renewed = lease_lib.on_renewal(before.state.lease, record, before.log_time)
-    return _with_lease(before.state, renewed)
+def _(
+    record: records.LeaseRenewal, context: TransitionContext
+) -> _State | None:
+    renewed = lease_lib.apply_renewal(
+        context.state.lease, record, context.log_time
+    )
+    return _with_lease(context.state, renewed)
 
 
 @transition.register
-def _(record: records.LeaseRelease, before: Before) -> _State | None:
+def _(
+    record: records.LeaseRelease, context: TransitionContext
+) -> _State | None:
     return _with_lease(
-        before.state, lease_lib.on_release(before.state.lease, record)
+        context.state, lease_lib.apply_release(context.state.lease, record)
     )
 
 
-def _open_rollout(
+def _changeable_rollout(
     state: _State, version: str, fencing: int
 ) -> state_lib.Rollout | None:
-    """Returns the roll-out, if the writer may change it and it is open."""
-    if not lease_lib.holds(state.lease, fencing):
+    """Returns the rollout if it is in progress and the writer may change it."""
+    if not lease_lib.is_current(state.lease, fencing):
         return None
     rollout = state.rollouts.get(version)
     if rollout is None or rollout.done:
         return None
-    found = state.withdrawn.get(version)
-    is_withdrawn = found and found.row_digest == rollout.row_digest
+    withdrawal = state.withdrawn.get(version)
+    is_withdrawn = withdrawal and withdrawal.row_digest == rollout.row_digest
     return None if is_withdrawn else rollout
 
 
@@ -95,16 +103,18 @@
 
 
 @transition.register
-def _(record: records.RolloutStart, before: Before) -> _State | None:
-    state = before.state
-    if not lease_lib.holds(state.lease, record.fencing):
+def _(
+    record: records.RolloutStart, context: TransitionContext
+) -> _State | None:
+    state = context.state
+    if not lease_lib.is_current(state.lease, record.fencing):
         return None
     rollout = state.rollouts.get(record.version)
-    found = state.withdrawn.get(record.version)
-    digests = {row.row_digest for row in (rollout, found) if row}
+    withdrawal = state.withdrawn.get(record.version)
+    digests = {row.row_digest for row in (rollout, withdrawal) if row}
     if record.row_digest in digests:
         return None
-    # Ratings of what the row stood for before say nothing of this roll-out.
+    # Ratings of the former row do not apply to this rollout.
     return _with_rollout(
         attrs.evolve(
             state,
@@ -117,82 +127,86 @@
 
 
 @transition.register
-def _(record: records.RolloutStep, before: Before) -> _State | None:
-    rollout = _open_rollout(before.state, record.version, record.fencing)
+def _(record: records.RolloutStep, context: TransitionContext) -> _State | None:
+    rollout = _changeable_rollout(context.state, record.version, record.fencing)
     if rollout is None or rollout.paused:
         return None
     if record.stage_index != rollout.stage_index + 1:
         return None
-    moved = attrs.evolve(
+    advanced = attrs.evolve(
         rollout,
         stage_index=record.stage_index,
         share=record.share,
-        rated_before=before.state.counts.get(
+        rated_before=context.state.counts.get(
             record.version, records.RatedCount()
         ),
-        changed_at=before.log_time,
+        changed_at=context.log_time,
     )
-    return _with_rollout(before.state, record.version, moved)
+    return _with_rollout(context.state, record.version, advanced)
 
 
 @transition.register
-def _(record: records.RolloutDone, before: Before) -> _State | None:
-    rollout = _open_rollout(before.state, record.version, record.fencing)
+def _(record: records.RolloutDone, context: TransitionContext) -> _State | None:
+    rollout = _changeable_rollout(context.state, record.version, record.fencing)
     if rollout is None or rollout.paused:
         return None
     if rollout.stage_index != len(state_lib.STAGE_SHARES) - 1:
         return None
     done = attrs.evolve(
-        rollout, done=True, share=1.0, changed_at=before.log_time
+        rollout, done=True, share=1.0, changed_at=context.log_time
     )
-    return _with_rollout(before.state, record.version, done)
+    return _with_rollout(context.state, record.version, done)
 
 
 @transition.register
-def _(record: records.RolloutHold, before: Before) -> _State | None:
-    rollout = before.state.rollouts.get(record.version)
+def _(record: records.RolloutHold, context: TransitionContext) -> _State | None:
+    rollout = context.state.rollouts.get(record.version)
     if rollout is None:
         return None
-    held = attrs.evolve(rollout, paused=record.paused)
-    return _with_rollout(before.state, record.version, held)
+    updated = attrs.evolve(rollout, paused=record.paused)
+    return _with_rollout(context.state, record.version, updated)
 
 
 @transition.register
-def _(record: records.VersionWithdrawn, before: Before) -> _State | None:
-    state = before.state
-    found = state.withdrawn.get(record.version)
-    if found and found.row_digest == record.row_digest:
+def _(
+    record: records.VersionWithdrawn, context: TransitionContext
+) -> _State | None:
+    state = context.state
+    withdrawal = state.withdrawn.get(record.version)
+    if withdrawal and withdrawal.row_digest == record.row_digest:
         return None
     withdrawn = {**state.withdrawn, record.version: record}
     return attrs.evolve(state, withdrawn=withdrawn)
 
 
 @transition.register
-def _(record: records.EvidenceCounted, before: Before) -> _State | None:
-    if not lease_lib.holds(before.state.lease, record.fencing):
+def _(
+    record: records.EvidenceCounted, context: TransitionContext
+) -> _State | None:
+    if not lease_lib.is_current(context.state.lease, record.fencing):
         return None
-    if record.ratings_from != before.state.ratings_next:
+    if record.ratings_from != context.state.ratings_next:
         return None
-    counts = dict(before.state.counts)
+    counts = dict(context.state.counts)
     for version, count in record.counts.items():
         counts[version] = counts.get(version, records.RatedCount()).plus(count)
     return attrs.evolve(
-        before.state, counts=counts, ratings_next=record.ratings_next
+        context.state, counts=counts, ratings_next=record.ratings_next
     )
 
 
 @transition.register
-def _(record: records.ServerDrain, before: Before) -> _State | None:
-    draining = dict(before.state.draining)
+def _(record: records.ServerDrain, context: TransitionContext) -> _State | None:
+    draining = dict(context.state.draining)
     draining.pop(record.server, None)
     if record.draining:
         draining[record.server] = record.by
-    return attrs.evolve(before.state, draining=draining)
+    return attrs.evolve(context.state, draining=draining)
 
 
 @transition.register
 def _(
     record: records.HistoryReset,
-    before: Before,
+    context: TransitionContext,
 ) -> _State | None:
-    return state_lib.StewardState(log_time=before.log_time)
+    return state_lib.StewardState(log_time=context.log_time)
--- a/tests/core/billing/billing_cluster.py
+++ b/tests/core/billing/billing_cluster.py
@@ -156,7 +156,10 @@
                 self.reply(host, True)
 
     def check(self) -> None:
-        """Checks that no completed request is unbilled and none billed twice."""
+        """Checks that each completed request is billed exactly once.
+
+        All other requests are billed at most once.
+        """
         self.complete_all()
         statement = self.make_statement()
         for offset, payload in enumerate(self.log):
--- a/tests/core/steward/steward_checks.py
+++ b/tests/core/steward/steward_checks.py
@@ -1,4 +1,4 @@
-"""What must hold of the stream, written without the fold's own code."""
+"""Safety checks of the stream, independent of the implementation."""
 
 from __future__ import annotations
 
@@ -13,7 +13,13 @@
     before: state_lib.StewardState | None,
     after: state_lib.StewardState,
 ) -> None:
-    """Judges one accepted record by rules written without the fold's code."""
+    """Checks that a record was accepted rightly.
+
+    Args:
+        record: The accepted record.
+        before: State before the record; None for the first record.
+        after: State after the record.
+    """
     lease = before.lease if before else None
     fencing = getattr(record, "fencing", None)
     if fencing is not None:
@@ -29,8 +35,8 @@
             continue
         assert rollout.stage_index in (old.stage_index, old.stage_index + 1)
         assert rollout.done or not old.done
-    for version, found in before.withdrawn.items():
+    for version, withdrawal in before.withdrawn.items():
         if version not in after.withdrawn:
-            # Only a roll-out of another row of the table lifts it.
+            # A withdrawal is lifted only by the rollout of an edited row.
             assert isinstance(record, records.RolloutStart)
-            assert record.row_digest != found.row_digest
+            assert record.row_digest != withdrawal.row_digest
--- a/tests/core/steward/steward_world.py
+++ b/tests/core/steward/steward_world.py
@@ -1,8 +1,8 @@
-"""Several stewards, a log and engines in one process, for tests.
+"""Simulates several stewards, a log and engines in one process.
 
-Effects do not happen when they are decided: they go to ``in_flight`` and are
-delivered, late or never, as the test chooses. So a steward may be paused, or
-end, between its decision and the effect.
+Records and orders do not take effect when they are decided. They are added to
+``in_flight`` and the test delivers them, late or never, so that a steward can
+pause or end between a decision and its effect.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 
 @attrs.define
 class Log:
-    """The stream, with the fold of a reader that misses nothing."""
+    """The stream and a reference fold that has applied all its records."""
 
     entries: list[tuple[float, bytes]] = attrs.field(factory=list)
     is_up: bool = True
@@ -67,12 +67,12 @@
     accepted: list[Any] = attrs.field(factory=list)
 
     def append(self, record: Any, at: float) -> int:
-        """Stores a record, and judges it as every reader will."""
+        """Stores a record and applies it to the reference fold."""
         payload = codec.encode(record)
         offset = len(self.entries)
         self.entries.append((at, payload))
-        verdict = self.reference.apply(offset, at, codec.decode(payload))
-        if verdict is fold_lib.Verdict.ACCEPTED:
+        result = self.reference.apply(offset, at, codec.decode(payload))
+        if result is fold_lib.ApplyResult.ACCEPTED:
             self.accepted.append((offset, record))
         self.states.append(self.reference.state)
         return offset
@@ -80,21 +80,21 @@
 
 @attrs.define
 class Engine:
-    """Obeys orders; one that honours fencing numbers refuses old ones."""
+    """An engine; rejects stale fencing tokens if ``checks_fencing`` is set."""
 
-    honours: bool
+    checks_fencing: bool
     condition: placement.EngineCondition = attrs.field(
         factory=lambda: placement.EngineCondition(
             wanted=frozenset({OLD}), loaded=frozenset({OLD})
         )
     )
-    obeyed: list[int] = attrs.field(factory=list)
+    accepted_tokens: list[int] = attrs.field(factory=list)
 
     def order(self, fencing: int, wanted: frozenset[str]) -> bool:
-        """Takes or refuses an order."""
-        if self.honours and fencing < self.condition.fencing:
+        """Accepts or rejects an order and returns whether it was accepted."""
+        if self.checks_fencing and fencing < self.condition.fencing:
             return False
-        self.obeyed.append(fencing)
+        self.accepted_tokens.append(fencing)
         loaded = self.condition.loaded & wanted
         self.condition = placement.EngineCondition(
             max(fencing, self.condition.fencing),
@@ -105,20 +105,20 @@
         return True
 
     def finish_loading(self) -> None:
-        """Has everything wanted serve."""
+        """Completes the loading of all wanted versions."""
         self.condition = attrs.evolve(
             self.condition, loaded=self.condition.wanted, loading=frozenset()
         )
 
     def restart(self) -> None:
-        """Forgets everything."""
+        """Loses all state."""
         self.condition = placement.EngineCondition()
-        self.obeyed = []
+        self.accepted_tokens = []
 
 
 @attrs.define
 class Steward:
-    """One process: an actor, its planner and a reading position."""
+    """One steward process."""
 
     actor: actor_lib.Actor
     planner: planner_lib.Planner
@@ -127,7 +127,7 @@
 
 @attrs.define
 class World:
-    """Everything at once; ``now`` is true time in seconds."""
+    """The whole simulation; ``now`` is the current time in seconds."""
 
     table: model.Table = attrs.field(factory=make_table)
     log: Log = attrs.field(factory=Log)
@@ -138,7 +138,7 @@
     started: int = 0
 
     def __attrs_post_init__(self) -> None:
-        """Makes an engine for each row."""
+        """Creates an engine for each backend server."""
         for name, row in self.table.servers.items():
             self.engines[name] = Engine(row.checks_fencing)
 
@@ -171,19 +171,19 @@
             steward.actor.on_record(offset, at, record, self.now)
 
     def decide_lease(self, steward: Steward) -> None:
-        """Puts the lease record that is due in flight."""
+        """Adds the due lease record to ``in_flight``."""
         record = steward.actor.lease_record(self.now)
         if record is not None:
             self.in_flight.append(record)
 
     def decide_rollouts(self, steward: Steward) -> None:
-        """Puts the roll-out records that are due in flight."""
+        """Adds the due rollout records to ``in_flight``."""
         self.in_flight += steward.actor.rollout_records(self.table, self.now)
 
     def plan(
         self, steward: Steward, fencing: int
     ) -> tuple[planner_lib.PlannedOrder, ...]:
-        """Returns the orders that are due."""
+        """Returns the due orders."""
         return steward.planner.plan(
             self.table,
             steward.actor.view(),
@@ -193,7 +193,7 @@
         )
 
     def decide_orders(self, steward: Steward) -> None:
-        """Puts the orders that are due in flight."""
+        """Adds the due orders to ``in_flight``."""
         fencing = steward.actor.acting(self.now)
         if fencing is not None:
             self.in_flight += [
@@ -201,7 +201,7 @@
             ]
 
     def deliver(self, index: int) -> None:
-        """Lets one effect happen."""
+        """Delivers one record or order."""
         effect = self.in_flight.pop(index)
         if isinstance(effect, tuple):
             fencing, order = effect
@@ -210,12 +210,12 @@
             self.log.append(effect, self.now)
 
     def deliver_all(self) -> None:
-        """Lets all effects happen."""
+        """Delivers all records and orders."""
         while self.in_flight:
             self.deliver(0)
 
     def rate(self, good: int, bad: int) -> None:
-        """Has whoever acts count that many ratings of the new version."""
+        """Adds a record of the lease holder with ratings of the new version."""
         state = self.log.reference.state
         if state.lease is None or state.lease.released:
             return
@@ -228,19 +228,19 @@
         )
 
     def settle(self, rounds: int = 40) -> None:
-        """Lets everybody work undisturbed until nothing changes."""
+        """Runs all stewards without faults until the state is stable."""
         self.log.is_up = True
         self.deliver_all()
         for _ in range(rounds):
             self.now += 3.0
             for steward in self.stewards:
                 steward.paused = False
-                self.turn(steward)
+                self.run_duties(steward)
             for engine in self.engines.values():
                 engine.finish_loading()
 
-    def turn(self, steward: Steward) -> None:
-        """Lets one steward do everything it would, with no fault between."""
+    def run_duties(self, steward: Steward) -> None:
+        """Runs all duties of one steward without faults."""
         for decide in (
             self.decide_lease,
             self.decide_rollouts,
--- a/tests/core/steward/test_core_steward_any_records.py
+++ b/tests/core/steward/test_core_steward_any_records.py
@@ -1,4 +1,4 @@
-"""Any records in any order fold soundly; a broken rule is caught."""
+"""The fold is safe for any records in any order; broken rules are detected."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 SETTINGS = hypothesis.settings(
     derandomize=True, deadline=None, max_examples=300
 )
-UNSHRUNK = hypothesis.settings(
+WITHOUT_SHRINKING = hypothesis.settings(
     SETTINGS, phases=[hypothesis.Phase.generate], report_multiple_bugs=False
 )
 HOLDERS = st.sampled_from([identity.Incarnation(host, 1) for host in "ab"])
@@ -51,7 +51,7 @@
 )
 PAUSES = st.sampled_from([0.0, 1.0, 1.0, 20.0, -20.0])
 STREAMS = st.lists(st.tuples(PAUSES, RECORDS), min_size=10, max_size=40)
-BEGINNING = (
+INITIAL_RECORDS = (
     records.LeaseRequest(identity.Incarnation("a", 1), 15.0),
     records.RolloutStart(worlds.NEW, "new", 0),
 )
@@ -60,7 +60,7 @@
 def check_stream(stream: list[tuple[float, Any]]) -> None:
     log = worlds.Log()
     now = 100.0
-    for record in BEGINNING:
+    for record in INITIAL_RECORDS:
         log.append(record, now)
     for pause, record in stream:
         now += pause
@@ -70,37 +70,37 @@
         checks.check_accepted(record, before, log.states[offset])
 
 
-def test_any_records_fold_soundly() -> None:
+def test_fold_is_safe_for_any_records() -> None:
     SETTINGS(hypothesis.given(STREAMS)(check_stream))()
 
 
-def grant_at_once(
+def grant_always(
     lease: Any, request: Any, offset: int, log_time: float
 ) -> lease_lib.Lease:
     return lease_lib.Lease(offset, request.holder, log_time + request.duration)
 
 
-def hold_always(lease: Any, fencing: int) -> bool:
+def is_always_current(lease: Any, fencing: int) -> bool:
     return lease is not None
 
 
-def step_freely(record: Any, before: transitions.Before) -> Any:
-    rollout = before.state.rollouts.get(record.version, state_lib.Rollout())
-    moved = attrs.evolve(
+def accept_any_step(record: Any, context: transitions.TransitionContext) -> Any:
+    rollout = context.state.rollouts.get(record.version, state_lib.Rollout())
+    advanced = attrs.evolve(
         rollout, stage_index=record.stage_index, share=record.share
     )
-    rollouts = {**before.state.rollouts, record.version: moved}
-    return attrs.evolve(before.state, rollouts=rollouts)
+    rollouts = {**context.state.rollouts, record.version: advanced}
+    return attrs.evolve(context.state, rollouts=rollouts)
 
 
 def replace_transition(record_class: type[Any], change: Any) -> Any:
     def apply(monkeypatch: pytest.MonkeyPatch) -> None:
-        kept = transitions.transition
+        original = transitions.transition
 
-        def patched(record: Any, before: transitions.Before) -> Any:
+        def patched(record: Any, context: transitions.TransitionContext) -> Any:
             if isinstance(record, record_class):
-                return change(record, before)
-            return kept(record, before)
+                return change(record, context)
+            return original(record, context)
 
         monkeypatch.setattr(transitions, "transition", patched)
 
@@ -109,19 +109,21 @@
 
 MUTATIONS: dict[str, Callable[[pytest.MonkeyPatch], None]] = {
     "lease granted before expiry": lambda patch: patch.setattr(
-        lease_lib, "on_request", grant_at_once
+        lease_lib, "apply_request", grant_always
     ),
-    "old fencing numbers hold": lambda patch: patch.setattr(
-        lease_lib, "holds", hold_always
+    "stale fencing tokens accepted": lambda patch: patch.setattr(
+        lease_lib, "is_current", is_always_current
+    ),
+    "stages may be skipped": replace_transition(
+        records.RolloutStep, accept_any_step
     ),
-    "steps may skip": replace_transition(records.RolloutStep, step_freely),
 }
 
 
 @pytest.mark.parametrize("mutation", MUTATIONS)
-def test_broken_rules_are_caught(
+def test_broken_rules_are_detected(
     mutation: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     MUTATIONS[mutation](monkeypatch)
     with pytest.raises(AssertionError):
-        UNSHRUNK(hypothesis.given(STREAMS)(check_stream))()
+        WITHOUT_SHRINKING(hypothesis.given(STREAMS)(check_stream))()
--- a/tests/core/steward/test_core_steward_fold.py
+++ b/tests/core/steward/test_core_steward_fold.py
@@ -1,4 +1,4 @@
-"""Starting late, snapshots, and records that do not hold."""
+"""Starting from a snapshot, rejected records and evidence for a stage."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def fold_of(history: tuple[Any, ...], start: int = 0) -> fold_lib.StewardFold:
-    """Returns the fold of ``history`` from offset ``start`` on."""
+    """Returns a fold that has read ``history`` from offset ``start`` on."""
     fold = fold_lib.StewardFold(start=start)
     for offset, record in enumerate(history):
         if offset >= start:
@@ -45,17 +45,17 @@
 
 
 def through_codec(record: Any) -> Any:
-    """Returns ``record`` as another host reads it."""
+    """Returns ``record`` encoded and decoded again."""
     return codec.decode(codec.encode(record))
 
 
 @pytest.mark.parametrize("record", [record for record in HISTORY if record])
-def test_records_survive_the_codec(record: Any) -> None:
+def test_records_round_trip_through_the_codec(record: Any) -> None:
     assertions.assert_that(through_codec(record), matchers.Equals(record))
 
 
 @pytest.mark.parametrize("as_of", range(3, 8))
-def test_late_starter_catches_up_from_any_usable_snapshot(as_of: int) -> None:
+def test_late_reader_catches_up_from_any_usable_snapshot(as_of: int) -> None:
     snapshot = through_codec(fold_of(HISTORY[: as_of + 1]).snapshot())
     stream = (*HISTORY, snapshot, records.ServerDrain("s2", True, "op"))
     late = fold_of(stream, start=4)
@@ -64,7 +64,7 @@
     assertions.assert_that(late.state, matchers.Equals(whole.state))
 
 
-def test_snapshot_older_than_the_gap_is_not_used() -> None:
+def test_snapshot_that_leaves_a_gap_is_not_used() -> None:
     snapshot = fold_of(HISTORY[:3]).snapshot()
     late = fold_of((*HISTORY, snapshot), start=4)
     assert not late.complete
@@ -78,7 +78,7 @@
     )
 
 
-def test_lost_history_gives_candidates_nothing_until_reset() -> None:
+def test_candidates_get_no_share_after_lost_history_until_reset() -> None:
     late = fold_of(HISTORY[:5], start=2)
     view = late.view()
     assert view.share(worlds.CANDIDATE) == 0
@@ -103,53 +103,53 @@
         None,
     ],
 )
-def test_records_that_do_not_hold_change_nothing(record: Any) -> None:
+def test_rejected_records_do_not_change_the_state(record: Any) -> None:
     fold = fold_of(HISTORY[:7])
     before = fold.state
-    assert fold.apply(7, 107.0, record) is fold_lib.Verdict.REJECTED
+    assert fold.apply(7, 107.0, record) is fold_lib.ApplyResult.REJECTED
     after = attrs.evolve(fold.state, log_time=before.log_time)
     assertions.assert_that(after, matchers.Equals(before))
 
 
-def test_withdrawn_version_gets_nothing_more() -> None:
+def test_withdrawn_version_gets_no_share() -> None:
     fold = fold_of(HISTORY)
     step = records.RolloutStep(worlds.NEW, 1, 0.5, 0)
-    assert fold.apply(8, 108.0, step) is fold_lib.Verdict.REJECTED
+    assert fold.apply(8, 108.0, step) is fold_lib.ApplyResult.REJECTED
     view = fold.view()
     assert view.withdrawn(worlds.CANDIDATE)
     assert view.share(worlds.CANDIDATE) == 0
 
 
-def test_paused_roll_out_stays_where_it_is() -> None:
+def test_paused_rollout_does_not_advance() -> None:
     fold = fold_of(HISTORY[:7])
     fold.apply(7, 107.0, records.RolloutHold(worlds.NEW, True, "op"))
     step = records.RolloutStep(worlds.NEW, 1, 0.5, 0)
-    assert fold.apply(8, 108.0, step) is fold_lib.Verdict.REJECTED
+    assert fold.apply(8, 108.0, step) is fold_lib.ApplyResult.REJECTED
     fold.apply(9, 109.0, records.RolloutHold(worlds.NEW, False, "op"))
-    assert fold.apply(10, 110.0, step) is fold_lib.Verdict.ACCEPTED
+    assert fold.apply(10, 110.0, step) is fold_lib.ApplyResult.ACCEPTED
 
 
-def test_edit_of_the_row_begins_anew_and_lifts_a_withdrawal() -> None:
+def test_edit_of_the_row_restarts_the_rollout_and_lifts_a_withdrawal() -> None:
     fold = fold_of(HISTORY)
     edited = attrs.evolve(worlds.CANDIDATE, prior_quality=0.7)
     digest = exposure.row_digest(edited)
     again = records.RolloutStart(worlds.NEW, worlds.DIGEST, 0)
-    assert fold.apply(8, 108.0, again) is fold_lib.Verdict.REJECTED
-    anew = records.RolloutStart(worlds.NEW, digest, 0)
-    assert fold.apply(9, 109.0, anew) is fold_lib.Verdict.ACCEPTED
+    assert fold.apply(8, 108.0, again) is fold_lib.ApplyResult.REJECTED
+    restart = records.RolloutStart(worlds.NEW, digest, 0)
+    assert fold.apply(9, 109.0, restart) is fold_lib.ApplyResult.ACCEPTED
     view = fold.view()
     assert not view.withdrawn(edited)
     assert view.share(edited) == 0
     assert view.evidence(worlds.NEW).rated == 0
 
 
-def test_withdrawal_of_a_replaced_row_stops_nothing() -> None:
+def test_withdrawal_of_a_replaced_row_has_no_effect() -> None:
     fold = fold_of(HISTORY[:7])
     old = attrs.evolve(WITHDRAWAL, row_digest="older")
     fold.apply(7, 107.0, old)
     assert not fold.view().withdrawn(worlds.CANDIDATE)
     step = records.RolloutStep(worlds.NEW, 1, 0.5, 0)
-    assert fold.apply(8, 108.0, step) is fold_lib.Verdict.ACCEPTED
+    assert fold.apply(8, 108.0, step) is fold_lib.ApplyResult.ACCEPTED
 
 
 @pytest.mark.parametrize(
@@ -163,9 +163,7 @@
         (10, 5, False),
     ],
 )
-def test_stage_is_passed_on_evidence_only(
-    good: int, bad: int, passes: bool
-) -> None:
+def test_stage_requires_evidence(good: int, bad: int, passes: bool) -> None:
     count = records.RatedCount(good, bad)
     assert evidence.is_good(count, 0.8, evidence.Policy()) is passes
 
@@ -174,7 +172,7 @@
     ("first", "records_since", "due"),
     [(0, 10, False), (0, 500, True), (4, 2, False), (4, 8, True)],
 )
-def test_snapshot_is_due_before_retention_takes_the_last(
+def test_snapshot_is_due_before_retention_removes_the_last(
     first: int, records_since: int, due: bool
 ) -> None:
     snapshot = fold_of(HISTORY).snapshot()
--- a/tests/core/steward/test_core_steward_planner.py
+++ b/tests/core/steward/test_core_steward_planner.py
@@ -1,4 +1,4 @@
-"""Orders: safe steps, spread, and limits on what changes at once."""
+"""Planned orders: safe steps, spread of replicas, and concurrent changes."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     from hoistmoor.core.table import model
 
 OLD, NEW = worlds.OLD, worlds.NEW
-DELAY = planner_lib.UNLOAD_DELAY
+DELAY = planner_lib.UNLOAD_DELAY_SECONDS
 
 
 def engine(*versions: str) -> placement.EngineCondition:
-    """Returns an engine that serves ``versions`` and wants no others."""
+    """Returns the condition of an engine with ``versions`` loaded."""
     return placement.EngineCondition(
         wanted=frozenset(versions), loaded=frozenset(versions)
     )
@@ -39,17 +39,17 @@
     view: rollouts.RolloutView,
     conditions: dict[str, placement.EngineCondition],
 ) -> int:
-    """Carries all orders out, pass after pass; returns the most at once."""
+    """Executes all orders; returns the maximum number planned at once."""
     planner = planner_lib.Planner()
-    most = 0
+    maximum = 0
     for now in range(0, 3000, 30):
         orders = planner.plan(table, view, conditions, -1, float(now))
-        most = max(most, len(orders))
+        maximum = max(maximum, len(orders))
         for order in orders:
             conditions[order.server.server] = engine(*order.wanted)
         check_old_version_serves(conditions)
     assert planner.plan(table, view, conditions, -1, 9000.0) == ()
-    return most
+    return maximum
 
 
 def check_old_version_serves(
@@ -65,19 +65,19 @@
 
 
 @pytest.mark.parametrize("servers", [2, 9, 40])
-def test_replicas_spread_and_pool_changes_bit_by_bit(servers: int) -> None:
+def test_replicas_spread_and_the_pool_changes_gradually(servers: int) -> None:
     table = worlds.make_table(servers, domains=2)
     conditions = {name: engine() for name in table.servers}
     conditions["s0"] = engine(OLD)
-    most = settle(table, view_of(share=1.0), conditions)
-    assert most <= max(1, servers // planner_lib.POOL_PART)
+    maximum = settle(table, view_of(share=1.0), conditions)
+    assert maximum <= max(1, servers // planner_lib.SERVERS_PER_CHANGE)
     for version in (OLD, NEW):
         names = holders(conditions, version)
         domains = {table.servers[name].failure_domain for name in names}
         assert (len(names), len(domains)) == (2, 2)
 
 
-def test_move_loads_before_it_unloads() -> None:
+def test_moved_replica_is_loaded_before_it_is_unloaded() -> None:
     table = worlds.make_table(2, domains=1)
     version = attrs.evolve(table.versions[OLD], replicas=1)
     table = attrs.evolve(table, versions={OLD: version})
@@ -89,7 +89,7 @@
     assert orders[0].loads == {OLD}
 
 
-def test_replica_in_use_is_unloaded_only_after_the_delay() -> None:
+def test_unwanted_replica_is_unloaded_only_after_the_delay() -> None:
     table = worlds.make_table(4)
     conditions = {name: engine(OLD) for name in table.servers}
     planner = planner_lib.Planner()
@@ -99,12 +99,16 @@
     assert len(planner.plan(table, view, conditions, -1, DELAY)) == 1
 
 
-def test_last_replica_stays_while_its_successor_loads() -> None:
+def test_last_replica_is_kept_while_its_replacement_loads() -> None:
     table = worlds.make_table(4)
-    away = placement.EngineCondition(
+    loading_engine = placement.EngineCondition(
         wanted=frozenset({OLD}), loading=frozenset({OLD})
     )
-    conditions = {"s0": engine(OLD), "s1": away, "s2": engine(OLD, "m@0")}
+    conditions = {
+        "s0": engine(OLD),
+        "s1": loading_engine,
+        "s2": engine(OLD, "m@0"),
+    }
     conditions["s3"] = engine(OLD)
     planner = planner_lib.Planner(unload_delay=0.0)
     for order in planner.plan(
@@ -124,24 +128,24 @@
     assert not holders(conditions, NEW)
 
 
-def test_failed_server_is_replaced_and_takes_up_its_place_again() -> None:
+def test_failed_server_is_replaced_and_rejoins_after_recovery() -> None:
     table = worlds.make_table(4)
     conditions = {name: engine() for name in table.servers}
     conditions["s0"] = engine(OLD)
     view = rollouts.RolloutView()
     settle(table, view, conditions)
-    lost = min(holders(conditions, OLD))
-    conditions[lost] = attrs.evolve(
-        conditions[lost], missed=placement.MISSED_READS
+    failed = min(holders(conditions, OLD))
+    conditions[failed] = attrs.evolve(
+        conditions[failed], missed=placement.MAX_FAILED_READS
     )
     settle(table, view, conditions)
-    assert len(holders(conditions, OLD) - {lost}) == 2
-    conditions[lost] = engine()
+    assert len(holders(conditions, OLD) - {failed}) == 2
+    conditions[failed] = engine()
     settle(table, view, conditions)
     assert len(holders(conditions, OLD)) == 2
 
 
-def test_engine_that_never_loads_blocks_no_other_correction() -> None:
+def test_engine_that_never_finishes_loading_can_be_corrected() -> None:
     table = worlds.make_table(4)
     stuck = placement.EngineCondition(
         wanted=frozenset({"m@0"}), loading=frozenset({"m@0"})
--- a/tests/core/steward/test_core_steward_stateful.py
+++ b/tests/core/steward/test_core_steward_stateful.py
@@ -1,4 +1,4 @@
-"""Stewards that pause, end and act late, against one log."""
+"""Safety and convergence of stewards that freeze, restart and act late."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     stateful_step_count=80,
     suppress_health_check=list(hypothesis.HealthCheck),
 )
-UNSHRUNK = hypothesis.settings(
+WITHOUT_SHRINKING = hypothesis.settings(
     SETTINGS, phases=[hypothesis.Phase.generate], report_multiple_bugs=False
 )
 STEWARDS = st.integers(0, 2)
@@ -33,8 +33,8 @@
 ENGINES = st.sampled_from(["s0", "s1", "s2", "s3"])
 
 
-class Machine(stateful.RuleBasedStateMachine):
-    """Interleaves everything that can go wrong."""
+class StewardMachine(stateful.RuleBasedStateMachine):
+    """Interleaves steward duties with random faults."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -50,30 +50,30 @@
 
     @stateful.rule(seconds=st.sampled_from([0.5, 1.0, 3.0, 6.0]))
     def wait(self, seconds: float) -> None:
-        """Lets time pass."""
+        """Advances the time."""
         self.world.now += seconds
 
     @stateful.initialize()
     def open_rollout(self) -> None:
-        """One steward acts, and the roll-out has begun."""
-        self.take_office(0)
+        """Makes one steward active and has it start the rollout."""
+        self.acquire_lease(0)
         self.work(0, turns=4)
         self.rate(1, 0)
 
     @stateful.rule(index=STEWARDS, turns=st.integers(1, 4))
     def work(self, index: int, turns: int = 1) -> None:
-        """Whole undisturbed turns of one steward."""
+        """Runs all duties of one steward without faults."""
         if steward := self.steward(index):
-            waiting = self.world.in_flight
+            in_flight = self.world.in_flight
             self.world.in_flight = []
             for _ in range(turns):
-                self.world.turn(steward)
+                self.world.run_duties(steward)
                 self.world.now += 3.0
-            self.world.in_flight = waiting
+            self.world.in_flight = in_flight
 
     @stateful.rule(index=STEWARDS)
-    def take_office(self, index: int) -> None:
-        """One steward waits, asks for the lease and reads the outcome."""
+    def acquire_lease(self, index: int) -> None:
+        """Has a steward wait, request the lease and read the outcome."""
         if steward := self.steward(index):
             self.world.read(steward)
             self.world.now += 20.0
@@ -82,60 +82,60 @@
             self.world.read(steward)
 
     @stateful.rule(index=STEWARDS)
-    def ask_late(self, index: int) -> None:
-        """One steward asks for the lease, and the record is under way."""
+    def request_lease_late(self, index: int) -> None:
+        """Has a steward request the lease; the record stays in flight."""
         if steward := self.steward(index):
             self.world.read(steward)
             self.world.now += 20.0
             self.world.decide_lease(steward)
 
-    @stateful.rule(index=STEWARDS, fresh=st.booleans())
-    def orders(self, index: int, fresh: bool) -> None:
-        """Decides on orders, from old news or new."""
+    @stateful.rule(index=STEWARDS, reads_first=st.booleans())
+    def orders(self, index: int, reads_first: bool) -> None:
+        """Decides on orders, from the current or an older state."""
         if steward := self.steward(index):
-            if fresh:
+            if reads_first:
                 self.world.read(steward)
             self.world.decide_orders(steward)
 
-    @stateful.rule(index=STEWARDS, fresh=st.booleans())
-    def rollouts(self, index: int, fresh: bool) -> None:
-        """Decides on records, from old news or new."""
+    @stateful.rule(index=STEWARDS, reads_first=st.booleans())
+    def rollouts(self, index: int, reads_first: bool) -> None:
+        """Decides on records, from the current or an older state."""
         if steward := self.steward(index):
-            if fresh:
+            if reads_first:
                 self.world.read(steward)
             self.world.decide_rollouts(steward)
 
     @stateful.rule(index=STEWARDS)
     def freeze(self, index: int) -> None:
-        """Freezes a steward past its lease."""
+        """Freezes a steward until after its lease expires."""
         self.world.stewards[index].paused = True
         self.world.now += 20.0
 
     @stateful.rule()
-    def thaw(self) -> None:
-        """Lets frozen stewards go on, unaware."""
+    def resume(self) -> None:
+        """Resumes frozen stewards, which do not notice the pause."""
         for steward in self.world.stewards:
             steward.paused = False
 
     @stateful.rule(index=STEWARDS)
-    def end(self, index: int) -> None:
+    def restart(self, index: int) -> None:
         """Replaces a steward by a new incarnation."""
         self.world.restart(index)
 
     @stateful.rule(index=STEWARDS)
     def release(self, index: int) -> None:
-        """Has a steward give its lease up."""
+        """Has a steward release its lease."""
         if steward := self.steward(index):
             record = steward.actor.release_record()
             self.world.in_flight += [record] if record else []
 
     def deliver_newest(self) -> None:
-        """Lets the newest effect happen."""
+        """Delivers the newest record or order."""
         if self.world.in_flight:
             self.world.deliver(len(self.world.in_flight) - 1)
 
     def pick(self, choice: int, orders: bool) -> int | None:
-        """Returns the index of an order or a record that is in flight."""
+        """Returns the index of an order or record in flight."""
         found = [
             index
             for index, effect in enumerate(self.world.in_flight)
@@ -145,14 +145,14 @@
 
     @stateful.rule(choice=CHOICES, orders=st.booleans())
     def deliver(self, choice: int, orders: bool) -> None:
-        """Lets any one effect happen, in any order."""
+        """Delivers any record or order, in any sequence."""
         index = self.pick(choice, orders)
         if index is not None:
             self.world.deliver(index)
 
     @stateful.rule(choice=CHOICES, orders=st.booleans())
     def repeat(self, choice: int, orders: bool) -> None:
-        """Lets an effect happen that will happen again, as after a retry."""
+        """Delivers a record or order that is delivered again, as by a retry."""
         index = self.pick(choice, orders)
         if index is not None:
             self.world.in_flight.append(self.world.in_flight[index])
@@ -160,50 +160,50 @@
 
     @stateful.rule(choice=CHOICES, orders=st.booleans())
     def lose(self, choice: int, orders: bool) -> None:
-        """Loses an effect."""
+        """Loses a record or order."""
         index = self.pick(choice, orders)
         if index is not None:
             self.world.in_flight.pop(index)
 
     @stateful.rule()
     def deliver_all(self) -> None:
-        """Lets all effects happen."""
+        """Delivers all records and orders."""
         self.world.deliver_all()
 
     @stateful.rule(is_up=st.sampled_from([True, True, False]))
     def outage(self, is_up: bool) -> None:
-        """Takes the log down, or up."""
+        """Makes the log unavailable or available."""
         self.world.log.is_up = is_up
 
     @stateful.rule(
         good=st.sampled_from([2, 12, 12]), bad=st.sampled_from([0, 0, 1])
     )
     def rate(self, good: int, bad: int) -> None:
-        """Counts ratings."""
+        """Appends a count of ratings."""
         self.world.rate(good, bad)
         self.deliver_newest()
 
     @stateful.rule(paused=st.sampled_from([False, False, True]))
     def hold(self, paused: bool) -> None:
-        """Has an operator pause or resume."""
+        """Has an operator pause or resume the rollout."""
         self.world.in_flight.append(
             records.RolloutHold(worlds.NEW, paused, "op")
         )
 
     @stateful.rule()
     def load(self) -> None:
-        """Lets engines finish loading."""
+        """Completes the loading on all engines."""
         for engine in self.world.engines.values():
             engine.finish_loading()
 
     @stateful.rule(name=ENGINES)
     def restart_engine(self, name: str) -> None:
-        """Has an engine forget everything."""
+        """Restarts an engine, which loses its state."""
         self.world.engines[name].restart()
 
     @stateful.invariant()
-    def accepted_records_are_the_holders(self) -> None:
-        """Judges each accepted record."""
+    def accepted_records_are_valid(self) -> None:
+        """Checks each accepted record."""
         log = self.world.log
         for offset, record in log.accepted[self.checked :]:
             before = log.states[offset - 1] if offset else None
@@ -212,7 +212,7 @@
 
     @stateful.invariant()
     def readers_agree(self) -> None:
-        """Compares all folds with the reference."""
+        """Compares the folds of all stewards with the reference."""
         for steward in self.world.stewards:
             fold = steward.actor.fold
             if fold.next_offset:
@@ -220,14 +220,17 @@
                 assert fold.state == reference
 
     @stateful.invariant()
-    def fencing_engines_never_go_back(self) -> None:
-        """Looks at what they obeyed."""
+    def fencing_tokens_never_decrease(self) -> None:
+        """Checks the tokens of orders that fencing engines accepted."""
         for name, engine in self.world.engines.items():
             if self.world.table.servers[name].checks_fencing:
-                assert engine.obeyed == sorted(engine.obeyed)
+                assert engine.accepted_tokens == sorted(engine.accepted_tokens)
 
     def teardown(self) -> None:
-        """Once the faults end, one steward acts and all is as wanted."""
+        """Checks that without faults the stewards and engines converge.
+
+        One steward is active then and plans no further orders.
+        """
         self.world.settle()
         now = self.world.now
         acting = [
@@ -238,17 +241,17 @@
         assert len(acting) == 1
         assert self.world.plan(acting[0], acting[0].actor.fencing or 0) == ()
         check_engines(self.world)
-        self.check_numbers(acting[0].actor.fencing or 0)
+        self.check_fencing_tokens(acting[0].actor.fencing or 0)
 
-    def check_numbers(self, fencing: int) -> None:
-        """Engines that check numbers refuse all but the acting steward."""
+    def check_fencing_tokens(self, fencing: int) -> None:
+        """Checks that fencing engines have the active steward's token."""
         for name, engine in self.world.engines.items():
             if self.world.table.servers[name].checks_fencing:
                 assert engine.condition.fencing == fencing
 
 
 def check_engines(world: worlds.World) -> None:
-    """Counts the replicas that engines have against the table."""
+    """Checks the number of loaded replicas of each version."""
     state = world.log.reference.state
     loaded = [engine.condition.loaded for engine in world.engines.values()]
     assert sum(worlds.OLD in versions for versions in loaded) == 2
@@ -258,55 +261,57 @@
     assert sum(worlds.NEW in versions for versions in loaded) == wanted
 
 
-def test_stewards_keep_their_promises() -> None:
-    stateful.run_state_machine_as_test(Machine, settings=SETTINGS)
+def test_invariants_hold_under_random_faults() -> None:
+    stateful.run_state_machine_as_test(StewardMachine, settings=SETTINGS)
 
 
 @attrs.define
 class RememberingPlanner(planner_lib.Planner):
-    """Gives each order once, instead of comparing with what engines say."""
+    """Sends each order once, instead of comparing with the engines' state."""
 
-    given: dict[str, frozenset[str]] = attrs.field(factory=dict)
+    sent_orders: dict[str, frozenset[str]] = attrs.field(factory=dict)
 
     def plan(self, *args: Any, **kwargs: Any) -> Any:
-        """Leaves out what was ordered before."""
+        """Returns the orders that were not sent before."""
         due = [
             order
             for order in super().plan(*args, **kwargs)
-            if self.given.get(order.server.server) != order.wanted
+            if self.sent_orders.get(order.server.server) != order.wanted
         ]
-        self.given.update({row.server.server: row.wanted for row in due})
+        self.sent_orders.update({row.server.server: row.wanted for row in due})
         return tuple(due)
 
 
-def obey_always(
+def accept_always(
     self: worlds.Engine, fencing: int, wanted: frozenset[str]
 ) -> bool:
-    self.obeyed.append(fencing)
+    self.accepted_tokens.append(fencing)
     return True
 
 
-def claim_nothing(*args: Any) -> tuple[()]:
+def no_fencing_updates(*args: Any) -> tuple[()]:
     return ()
 
 
 MUTATIONS: dict[str, Callable[[pytest.MonkeyPatch], None]] = {
-    "orders given once only": lambda patch: patch.setattr(
+    "orders sent only once": lambda patch: patch.setattr(
         planner_lib, "Planner", RememberingPlanner
     ),
-    "new numbers told with changes only": lambda patch: patch.setattr(
-        planner_lib, "_claims", claim_nothing
+    "new fencing tokens sent only with changes": lambda patch: patch.setattr(
+        planner_lib, "_fencing_updates", no_fencing_updates
     ),
-    "engines obey anybody": lambda patch: patch.setattr(
-        worlds.Engine, "order", obey_always
+    "engines accept any fencing token": lambda patch: patch.setattr(
+        worlds.Engine, "order", accept_always
     ),
 }
 
 
 @pytest.mark.parametrize("mutation", MUTATIONS)
-def test_broken_mechanisms_are_caught(
+def test_broken_mechanisms_are_detected(
     mutation: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     MUTATIONS[mutation](monkeypatch)
     with pytest.raises(AssertionError):
-        stateful.run_state_machine_as_test(Machine, settings=UNSHRUNK)
+        stateful.run_state_machine_as_test(
+            StewardMachine, settings=WITHOUT_SHRINKING
+        )
--- a/tests/core/steward/test_core_steward_steering.py
+++ b/tests/core/steward/test_core_steward_steering.py
@@ -1,4 +1,4 @@
-"""What routers are told of roll-outs and drains."""
+"""What routers are told of rollouts and drains."""
 
 from __future__ import annotations
 
