--- a/src/hoistmoor/core/billing/book.py
+++ b/src/hoistmoor/core/billing/book.py
@@ -19,7 +19,7 @@
 
 
 @attrs.frozen
-class Hold:
+class HeldCopy:
     """A peer's copy of a batch.
 
     Attributes:
@@ -36,7 +36,8 @@
 
     Attributes:
         owner: Incarnation of this process.
-        capacity: Number of pending bills at which the book is full.
+        capacity: Number of pending bills from which on the host should stop
+            accepting requests.
     """
 
     def __init__(
@@ -47,7 +48,7 @@
         self._serial = 0
         self._bills: dict[str, bills.Bill] = {}
         self._unsecured: dict[str, bills.Bill] = {}
-        self._holds: dict[str, Hold] = {}
+        self._copies: dict[str, HeldCopy] = {}
         self._appending: bills.BillBatch | None = None
 
     def __len__(self) -> int:
@@ -67,7 +68,7 @@
     @property
     def holders(self) -> set[identity.Incarnation]:
         """Incarnations of the peers that hold copies of pending bills."""
-        return {hold.holder for hold in self._holds.values()}
+        return {copy.holder for copy in self._copies.values()}
 
     def add(self, bill: bills.Bill) -> None:
         """Adds a bill unless one for the same request is pending."""
@@ -92,18 +93,18 @@
             Whether the copy is still needed. It is not if every bill in it
             was stored on the log in the meantime.
         """
-        hold = Hold(holder, batch.batch_id)
+        copy = HeldCopy(holder, batch.batch_id)
         pending = [id_ for id_ in _request_ids(batch) if id_ in self._bills]
         for request_id in pending:
             self._unsecured.pop(request_id, None)
-            self._holds[request_id] = hold
+            self._copies[request_id] = copy
         return bool(pending)
 
     def holder_gone(self, holder: identity.Incarnation) -> None:
         """Marks the bills held by a failed peer as unsecured again."""
-        for request_id, hold in tuple(self._holds.items()):
-            if hold.holder == holder:
-                del self._holds[request_id]
+        for request_id, copy in tuple(self._copies.items()):
+            if copy.holder == holder:
+                del self._copies[request_id]
                 self._unsecured[request_id] = self._bills[request_id]
 
     def next_append(self) -> bills.BillBatch | None:
@@ -115,21 +116,21 @@
             self._appending = self._batch(self._bills)
         return self._appending
 
-    def appended(self, batch: bills.BillBatch) -> set[Hold]:
+    def appended(self, batch: bills.BillBatch) -> set[HeldCopy]:
         """Records that a batch is on the log.
 
         Returns:
             Copies that the peers can release.
         """
         self._appending = None
-        released: set[Hold | None] = set()
+        released: set[HeldCopy | None] = set()
         for request_id in _request_ids(batch):
             self._bills.pop(request_id, None)
             self._unsecured.pop(request_id, None)
-            released.add(self._holds.pop(request_id, None))
+            released.add(self._copies.pop(request_id, None))
         # A copy is needed until every bill in its batch is on the log.
-        released -= set(self._holds.values())
-        return {hold for hold in released if hold is not None}
+        released -= set(self._copies.values())
+        return {copy for copy in released if copy is not None}
 
     def _batch(self, source: dict[str, bills.Bill]) -> bills.BillBatch | None:
         if not source:
--- a/src/hoistmoor/core/billing/statement.py
+++ b/src/hoistmoor/core/billing/statement.py
@@ -22,7 +22,7 @@
 
 # The billed ids of an incarnation are dropped this long after its last new
 # bill. A duplicate that arrives later is billed twice.
-DEDUPLICATION_SECONDS = 7 * 24 * 3600.0  # Seconds.
+DEDUPLICATION_SECONDS = 7 * 24 * 3600.0
 
 
 @attrs.define
--- a/src/hoistmoor/core/steward/actor.py
+++ b/src/hoistmoor/core/steward/actor.py
@@ -37,7 +37,7 @@
         fold: Fold of the part of the stream read so far.
         duration: Lease duration to request, in seconds.
         policy: Evidence required to advance a rollout.
-        seen_at: Local time at which the last lease change was read.
+        lease_observed_at: Local time at which the last lease change was read.
         asked_at: Local time at which the last lease record was sent.
         confirmed_at: Local time at which the last lease record that was read
             back as accepted had been sent.
@@ -46,8 +46,10 @@
     me: identity.Incarnation
     fold: fold_lib.StewardFold = attrs.field(factory=fold_lib.StewardFold)
     duration: float = lease_lib.LEASE_SECONDS
-    policy: evidence.Policy = attrs.field(factory=evidence.Policy)
-    seen_at: float = float("inf")  # No record was read yet.
+    policy: evidence.EvidencePolicy = attrs.field(
+        factory=evidence.EvidencePolicy
+    )
+    lease_observed_at: float = float("inf")  # No record was read yet.
     asked_at: float = float("-inf")
     confirmed_at: float = float("-inf")
 
@@ -67,7 +69,7 @@
     def begin(self, start: int, now: float) -> None:
         """Resets the fold to read from offset ``start`` on."""
         self.fold = fold_lib.StewardFold(start=start)
-        self.seen_at = now
+        self.lease_observed_at = now
 
     def on_record(
         self, offset: int, at: float, record: Any, now: float
@@ -83,7 +85,7 @@
         before = self.lease
         result = self.fold.apply(offset, at, record)
         if self.lease != before:
-            self.seen_at = now
+            self.lease_observed_at = now
             if self.fencing is not None:
                 self.confirmed_at = self.asked_at
         return result
@@ -100,7 +102,7 @@
             return None
         if now - self.asked_at < LEASE_RETRY_SECONDS:
             return None
-        observed = lease_lib.ObservedLease(self.lease, self.seen_at)
+        observed = lease_lib.ObservedLease(self.lease, self.lease_observed_at)
         fencing = self.fencing
         if fencing is not None:
             if now < observed.next_renewal_at(self.duration):
--- a/src/hoistmoor/core/steward/evidence.py
+++ b/src/hoistmoor/core/steward/evidence.py
@@ -36,13 +36,13 @@
 
 
 @attrs.frozen
-class Policy:
+class EvidencePolicy:
     """The evidence required to advance a rollout.
 
     Attributes:
         ratings_per_stage: Ratings required within each stage.
         margin: Accepted shortfall from the version's prior quality.
-        z_score: Half width of the interval, in standard z_score. It is
+        z_score: Half width of the interval, in standard deviations. It is
             small because a cap of about a hundred responses yields only about
             ten ratings.
     """
@@ -65,7 +65,7 @@
 
 
 def is_good(
-    count: records.RatedCount, prior_quality: float, policy: Policy
+    count: records.RatedCount, prior_quality: float, policy: EvidencePolicy
 ) -> bool:
     """Returns whether ``count`` shows a version to meet its prior quality."""
     floor = max(0.0, prior_quality - policy.margin)
--- a/src/hoistmoor/core/steward/fold.py
+++ b/src/hoistmoor/core/steward/fold.py
@@ -17,7 +17,7 @@
     """The outcome of applying a record."""
 
     ACCEPTED = "accepted"
-    REJECTED = "rejected"  # Stale fencing token, duplicate or out of sequence.
+    REJECTED = "rejected"  # Stale token, duplicate, skipped step or early.
     SEEN = "seen"  # The offset was applied before.
 
 
@@ -88,7 +88,7 @@
         self, offset: int, snapshot: state_lib.StewardSnapshot
     ) -> ApplyResult:
         if snapshot.as_of >= offset:
-            return ApplyResult.REJECTED  # It claims records that follow it.
+            return ApplyResult.REJECTED  # It claims to include later records.
         self.snapshot_as_of = max(self.snapshot_as_of, snapshot.as_of)
         if self.complete or snapshot.as_of < self.start - 1:
             return ApplyResult.REJECTED
--- a/src/hoistmoor/core/steward/lease.py
+++ b/src/hoistmoor/core/steward/lease.py
@@ -2,7 +2,7 @@
 
 The holder is determined by the order of the records and by *log time* alone:
 the append times that the log assigns, made non-decreasing. The clocks of the
-hosts do not affect who is_current the lease.
+hosts do not affect who holds the lease.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/core/steward/placement.py
+++ b/src/hoistmoor/core/steward/placement.py
@@ -27,7 +27,7 @@
         loaded: Versions that serve requests.
         loading: Versions being loaded.
         leaving: Whether the engine accepts no new requests.
-        missed: Consecutive failed reads since.
+        missed: Consecutive failed reads since that state was read.
     """
 
     fencing: int = -1
@@ -43,12 +43,12 @@
         return self.loaded | self.loading
 
     @property
-    def changing(self) -> bool:
+    def is_changing(self) -> bool:
         """Whether an order is still being executed."""
         return bool(self.loading) or self.wanted != self.loaded
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether replicas on the engine count as available."""
         return not self.leaving and self.missed < MAX_FAILED_READS
 
@@ -88,7 +88,7 @@
         for server in servers
         if not view.draining(server.server)
         and server.server in conditions
-        and conditions[server.server].usable
+        and conditions[server.server].is_usable
     ]
 
 
@@ -120,7 +120,7 @@
 
 @attrs.define
 class _DomainQueue:
-    """Ranked backend servers of a failure domain; the first are taken."""
+    """Backend servers of a failure domain, best first, and the number taken."""
 
     ranked: list[tuple[bool, int, int, str]]
     taken: int = 0
--- a/src/hoistmoor/core/steward/planner.py
+++ b/src/hoistmoor/core/steward/planner.py
@@ -196,7 +196,7 @@
         changing = {
             row.server
             for row in self.servers
-            if self.conditions[row.server].changing
+            if self.conditions[row.server].is_changing
         }
         remaining = max(1, len(self.servers) // SERVERS_PER_CHANGE) - len(
             changing
--- a/src/hoistmoor/core/steward/progress.py
+++ b/src/hoistmoor/core/steward/progress.py
@@ -25,7 +25,7 @@
     state: state_lib.StewardState,
     table: model.Table,
     fencing: int,
-    policy: evidence.Policy,
+    policy: evidence.EvidencePolicy,
 ) -> tuple[Any, ...]:
     """Returns the rollout records that the active steward should append now.
 
@@ -47,7 +47,7 @@
     state: state_lib.StewardState,
     version: model.Version,
     fencing: int,
-    policy: evidence.Policy,
+    policy: evidence.EvidencePolicy,
 ) -> Sequence[Any]:
     key = version.key
     digest = exposure.row_digest(version)
@@ -70,7 +70,7 @@
 def _has_enough_ratings(
     rollout: state_lib.Rollout,
     count: records.RatedCount,
-    policy: evidence.Policy,
+    policy: evidence.EvidencePolicy,
 ) -> bool:
     new = count.rated - rollout.rated_before.rated
     return new >= policy.ratings_per_stage
--- a/src/hoistmoor/core/steward/rollouts.py
+++ b/src/hoistmoor/core/steward/rollouts.py
@@ -47,12 +47,12 @@
             return False
         return rollout.row_digest == exposure.row_digest(version)
 
-    def paused(self, version: model.Version) -> bool:
+    def is_paused(self, version: model.Version) -> bool:
         """Returns whether an operator paused the rollout of the version."""
         rollout = self.state.rollouts.get(version.key)
         return rollout is not None and rollout.paused
 
-    def evidence(self, version: str) -> records.RatedCount:
+    def rated_count(self, version: str) -> records.RatedCount:
         """Returns the number of rated responses of ``version``."""
         return self.state.counts.get(version, records.RatedCount())
 
--- a/src/hoistmoor/core/steward/state.py
+++ b/src/hoistmoor/core/steward/state.py
@@ -59,7 +59,9 @@
 
 @attrs.frozen
 class StewardSnapshot:
-    """The state after offset ``as_of``, appended before retention removes it.
+    """The state after offset ``as_of``, which outlasts the records before it.
+
+    A reader starts from it once retention has removed those records.
 
     It needs no fencing token: the state after an offset is the same for every
     reader, so a snapshot that is appended late is only an older one.
--- a/tests/core/billing/billing_cluster.py
+++ b/tests/core/billing/billing_cluster.py
@@ -12,7 +12,7 @@
 from hoistmoor.core import codec
 from hoistmoor.core import identity
 from hoistmoor.core.billing import bills
-from hoistmoor.core.billing import book as book_lib
+from hoistmoor.core.billing import book as pending_lib
 from hoistmoor.core.billing import held as held_lib
 from hoistmoor.core.billing import statement as statement_lib
 
@@ -24,7 +24,7 @@
     """One incarnation of a host and its append in progress, if any."""
 
     incarnation: identity.Incarnation
-    book: book_lib.BillBook
+    pending: pending_lib.BillBook
     held: held_lib.HeldBatches
     append: bills.BillBatch | None = None  # In progress.
     stored: bool = False  # Whether the log has stored that append.
@@ -35,7 +35,7 @@
 class Cluster:
     """Hosts, the log, and the state to check the statement against."""
 
-    make_book: type[book_lib.BillBook] = book_lib.BillBook
+    make_pending: type[pending_lib.BillBook] = pending_lib.BillBook
     make_held: type[held_lib.HeldBatches] = held_lib.HeldBatches
     make_statement: type[statement_lib.Statement] = statement_lib.Statement
     log: list[bytes] = attrs.field(factory=list)
@@ -49,7 +49,9 @@
         """Starts a host; kills the former incarnation if there is one."""
         self.starts += 1
         incarnation = identity.Incarnation(f"e{index}", self.starts)
-        host = Host(incarnation, self.make_book(incarnation), self.make_held())
+        host = Host(
+            incarnation, self.make_pending(incarnation), self.make_held()
+        )
         if index == len(self.hosts):
             self.hosts.append(host)
             return
@@ -64,13 +66,13 @@
     def _all_request_ids(self) -> set[str]:
         request_ids = {id_ for payload in self.log for id_ in _ids(payload)}
         for host in self.hosts:
-            request_ids |= set(host.book._bills)
+            request_ids |= set(host.pending._bills)
             for batch in host.held._batches.values():
                 request_ids |= {bill.request_id for bill in batch.bills}
         return request_ids
 
     def _has_bill(self, host: Host, request_id: str) -> bool:
-        if request_id in host.book._bills:
+        if request_id in host.pending._bills:
             return True
         return any(
             bill.request_id == request_id
@@ -86,24 +88,24 @@
         """Completes a request, whose response waits for a secured bill."""
         host.serial += 1
         request_id = str(identity.RequestId(host.incarnation, host.serial))
-        host.book.add(
+        host.pending.add(
             bills.Bill("acme", request_id, "m@1", 1, 1, AMOUNT, 1, 0.0, 1)
         )
 
     def hold(self, host: Host, at: Host, reply: bool) -> None:
         """Has a peer hold the host's unsecured bills; its reply may be lost."""
-        batch = host.book.next_hold()
+        batch = host.pending.next_hold()
         if batch is None or at is host:
             return
         at.held.hold(codec.decode(codec.encode(batch)))
         if reply:
-            host.book.held(batch, at.incarnation)
+            host.pending.held(batch, at.incarnation)
             self.completed |= {bill.request_id for bill in batch.bills}
 
     def start_append(self, host: Host) -> None:
         """Sends the host's next batch to the log."""
         if host.append is None:
-            host.append = host.book.next_append()
+            host.append = host.pending.next_append()
             host.stored = False
 
     def store(self, host: Host) -> None:
@@ -118,10 +120,10 @@
         if batch is None or not host.stored:
             return
         self.completed |= {bill.request_id for bill in batch.bills}
-        for hold in host.book.appended(batch):
+        for copy in host.pending.appended(batch):
             for peer in self.hosts:
-                if released and peer.incarnation == hold.holder:
-                    peer.held.release([hold.batch_id])
+                if released and peer.incarnation == copy.holder:
+                    peer.held.release([copy.batch_id])
 
     def lose_reply(self, host: Host) -> None:
         """Loses the reply; an append not yet stored may be stored later."""
@@ -136,9 +138,9 @@
 
     def check_peers(self, host: Host, reply: bool) -> None:
         """Has the host detect failed peers and handle their batches."""
-        for holder in host.book.holders:
+        for holder in host.pending.holders:
             if not self.is_alive(holder):
-                host.book.holder_gone(holder)
+                host.pending.holder_gone(holder)
         for batch in host.held.orphans(self.is_alive):
             self.log.append(codec.encode(batch))
             if reply:
--- a/tests/core/billing/test_core_billing_stateful.py
+++ b/tests/core/billing/test_core_billing_stateful.py
@@ -112,7 +112,7 @@
         super().held(batch, holder)
         for bill in batch.bills:
             self._bills.pop(bill.request_id, None)
-            self._holds.pop(bill.request_id, None)
+            self._copies.pop(bill.request_id, None)
         return True
 
 
@@ -120,9 +120,9 @@
     """Does not mark bills as unsecured when their holder fails."""
 
     def holder_gone(self, holder: identity.Incarnation) -> None:
-        held = [id_ for id_, h in self._holds.items() if h.holder == holder]
+        held = [id_ for id_, h in self._copies.items() if h.holder == holder]
         for request_id in held:
-            del self._holds[request_id]
+            del self._copies[request_id]
 
 
 MUTANTS = {
@@ -131,7 +131,7 @@
         "more than once",
     ),
     "ignores_orphans": ({"make_held": IgnoresOrphans}, "never billed"),
-    "drops_held_bills": ({"make_book": DropsHeldBills}, "never billed"),
+    "drops_held_bills": ({"make_pending": DropsHeldBills}, "never billed"),
 }
 
 
@@ -162,5 +162,5 @@
     fail_holder_then_owner(billing_cluster.Cluster())
     with pytest.raises(AssertionError, match="no process has the bill"):
         fail_holder_then_owner(
-            billing_cluster.Cluster(make_book=IgnoresFailedHolders)
+            billing_cluster.Cluster(make_pending=IgnoresFailedHolders)
         )
--- a/tests/core/steward/steward_world.py
+++ b/tests/core/steward/steward_world.py
@@ -147,7 +147,9 @@
         self.started += 1
         me = identity.Incarnation(host, self.started)
         steward = Steward(
-            actor_lib.Actor(me, policy=evidence.Policy(ratings_per_stage=2)),
+            actor_lib.Actor(
+                me, policy=evidence.EvidencePolicy(ratings_per_stage=2)
+            ),
             planner_lib.Planner(UNLOAD_DELAY),
         )
         steward.actor.begin(0, self.now)
--- a/tests/core/steward/test_core_steward_fold.py
+++ b/tests/core/steward/test_core_steward_fold.py
@@ -140,7 +140,7 @@
     view = fold.view()
     assert not view.withdrawn(edited)
     assert view.share(edited) == 0
-    assert view.evidence(worlds.NEW).rated == 0
+    assert view.rated_count(worlds.NEW).rated == 0
 
 
 def test_withdrawal_of_a_replaced_row_has_no_effect() -> None:
@@ -165,7 +165,7 @@
 )
 def test_stage_requires_evidence(good: int, bad: int, passes: bool) -> None:
     count = records.RatedCount(good, bad)
-    assert evidence.is_good(count, 0.8, evidence.Policy()) is passes
+    assert evidence.is_good(count, 0.8, evidence.EvidencePolicy()) is passes
 
 
 @pytest.mark.parametrize(
--- a/tests/core/steward/test_core_steward_stateful.py
+++ b/tests/core/steward/test_core_steward_stateful.py
@@ -233,15 +233,15 @@
         """
         self.world.settle()
         now = self.world.now
-        acting = [
+        active = [
             steward
             for steward in self.world.stewards
             if steward.actor.acting(now) is not None
         ]
-        assert len(acting) == 1
-        assert self.world.plan(acting[0], acting[0].actor.fencing or 0) == ()
+        assert len(active) == 1
+        assert self.world.plan(active[0], active[0].actor.fencing or 0) == ()
         check_engines(self.world)
-        self.check_fencing_tokens(acting[0].actor.fencing or 0)
+        self.check_fencing_tokens(active[0].actor.fencing or 0)
 
     def check_fencing_tokens(self, fencing: int) -> None:
         """Checks that fencing engines have the active steward's token."""
--- a/tests/core/steward/test_core_steward_steering.py
+++ b/tests/core/steward/test_core_steward_steering.py
@@ -1,4 +1,4 @@
-"""What routers are told of rollouts and drains."""
+"""The steered table under rollouts, withdrawals and drains."""
 
 from __future__ import annotations
 
@@ -18,21 +18,23 @@
     return steering.steer(in_force, view).table
 
 
-def test_candidate_gets_its_stages_part_of_its_weight() -> None:
+def test_weight_of_candidate_is_scaled_by_the_share_of_its_stage() -> None:
     rollout = state_lib.Rollout(worlds.DIGEST, 0, 0.25)
     state = state_lib.StewardState(rollouts={worlds.NEW: rollout})
     assert steer(state).versions[worlds.NEW].weight == 0.25
     assert steer(state).versions[worlds.OLD].weight == 1.0
     assert steer(state, complete=False).versions[worlds.NEW].weight == 0.0
-    edited = attrs.evolve(rollout, row_digest="older")
-    state = state_lib.StewardState(rollouts={worlds.NEW: edited})
+    older = attrs.evolve(rollout, row_digest="older")
+    state = state_lib.StewardState(rollouts={worlds.NEW: older})
     assert steer(state).versions[worlds.NEW].weight == 0.0
 
 
-def test_bad_version_and_draining_server_get_nothing() -> None:
-    found = records.VersionWithdrawn(worlds.NEW, "", "x", "", worlds.DIGEST)
+def test_withdrawn_version_and_draining_server_get_no_traffic() -> None:
+    withdrawal = records.VersionWithdrawn(
+        worlds.NEW, "", "x", "", worlds.DIGEST
+    )
     state = state_lib.StewardState(
-        withdrawn={worlds.NEW: found}, draining={"s1": "op"}
+        withdrawn={worlds.NEW: withdrawal}, draining={"s1": "op"}
     )
     table = steer(state)
     assert table.versions[worlds.NEW].stage is model.Stage.WITHDRAWN
