--- a/src/hoistmoor/platform/__init__.py
+++ b/src/hoistmoor/platform/__init__.py
@@ -1,7 +1,7 @@
-"""The users' platform: its names, formats and calls, and nothing else.
+"""Adapter for the deployment platform: its names, formats and API calls.
 
-Nothing here decides anything. What the platform says is decoded once into the
-product's types; what the product says is encoded on its way out.
+This package contains no policy. Platform data is decoded once, on arrival,
+into the product's types; outgoing data is encoded here.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/platform/codec.py
+++ b/src/hoistmoor/platform/codec.py
@@ -1,4 +1,4 @@
-"""Translates the platform's records into the product's types and back."""
+"""Converts between platform records and the product's types."""
 
 from __future__ import annotations
 
@@ -37,39 +37,39 @@
 
 
 class PlatformCodec:
-    """Reads operators' and servers' records, writes statuses."""
+    """Decodes operator and server records, and encodes roll-out statuses."""
 
     def configuration(
         self, record: topics.Record
     ) -> configuration.Configuration | None:
-        """Returns the configuration, if the record holds one."""
+        """Returns the configuration, or None for any other record."""
         if record.key != _CONFIGURATION_KEY:
             return None
         fields = _load(record)
         try:
             return _configuration(fields)
         except (AttributeError, KeyError, TypeError, ValueError) as error:
-            raise _unreadable(record, error) from error
+            raise _codec_error(record, error) from error
 
     def order(self, record: topics.Record) -> phases.Order | None:
-        """Returns the roll-out order, if the record holds one."""
+        """Returns the roll-out order, or None for any other record."""
         if not record.key.startswith(_ROLLOUT_PREFIX):
             return None
         fields = _load(record, fields_lib.ORDER)
         return phases.Order(
             service=fields["service"],
-            target=fields["target"],  # A version, not an address.
+            target=fields["target"],  # A version, not a network address.
             duration=float(fields["duration_s"]),
             number=record.place.serial,
         )
 
     def evacuated_zone(self, record: topics.Record) -> str | None:
-        """Returns the failure domain that the record says to evacuate."""
+        """Returns the failure domain to evacuate, or None."""
         zone = record.key.removeprefix(_EVACUATION_PREFIX)
         return None if zone == record.key else zone
 
     def server(self, record: topics.Record) -> server_lib.ServerEntry:
-        """Returns a backend server's entry."""
+        """Returns the registry entry of a backend server."""
         fields = _load(record, fields_lib.SERVER)
         return server_lib.ServerEntry(
             server_id=record.key,
@@ -86,7 +86,7 @@
         )
 
     def status(self, record: phases.PhaseRecord) -> tuple[str, bytes]:
-        """Returns key and value of a roll-out's status."""
+        """Returns the key and value of a roll-out status record."""
         fields = {
             "service": record.service,
             "state": _STATES[record.phase],
@@ -97,31 +97,31 @@
 
 def _load(
     record: topics.Record,
-    table: Mapping[str, fields_lib.Field] | None = None,
+    schema: Mapping[str, fields_lib.Field] | None = None,
 ) -> dict[str, Any]:
-    """Returns the fields of a record, checked.
+    """Parses a record and validates its fields.
 
     Args:
-        record: The record.
-        table: What may stand in its fields; None to check none.
+        record: Record whose value is a JSON object.
+        schema: Validators by field name; None to skip validation.
 
     Raises:
-        CodecError: It is no object, or a field does not fit.
+        CodecError: The value is not a JSON object, or a field is invalid.
     """
     try:
         fields = orjson.loads(record.value or b"")
         if not isinstance(fields, dict):
-            raise fields_lib.FieldError("the record is no object")
-        fields_lib.check(fields, table or {})
-    except ValueError as error:  # Of JSON, or of a field.
-        raise _unreadable(record, error) from error
+            raise fields_lib.FieldError("the record is not a JSON object")
+        fields_lib.check(fields, schema or {})
+    except ValueError as error:  # JSONDecodeError or FieldError.
+        raise _codec_error(record, error) from error
     return fields
 
 
-def _unreadable(record: topics.Record, error: Exception) -> errors.CodecError:
+def _codec_error(record: topics.Record, error: Exception) -> errors.CodecError:
     return errors.CodecError(
-        f"record {record.place.text} of {record.key} cannot be read: {error}",
-        "Look at the record in the store.",
+        f"cannot decode record {record.place.text} of {record.key}: {error}",
+        "Inspect the record in the store.",
     )
 
 
--- a/src/hoistmoor/platform/fields.py
+++ b/src/hoistmoor/platform/fields.py
@@ -1,8 +1,7 @@
-"""Checks the fields of records that any program may have written.
+"""Validates the fields of records from untrusted writers.
 
-A record is read whole or not at all: one that lacks a field, or has one of
-another type, names nothing to be used. What is not listed here is ignored, so
-that new fields may come.
+A record with a missing required field or a field of the wrong type is rejected
+as a whole. Unknown fields are ignored for forward compatibility.
 """
 
 from __future__ import annotations
@@ -16,18 +15,20 @@
 from hoistmoor.core import errors
 from hoistmoor.utils import addresses
 
-LONGEST_TEXT = 256  # Characters; names on the platform have a tenth of them.
-MOST_SLOTS = 1_000_000  # Far above any server; a larger number is no count.
+# In characters; names on the platform are about a tenth as long.
+MAX_TEXT_LENGTH = 256
+# Far above the capacity of any server; larger values are invalid.
+MAX_SLOTS = 1_000_000
 
 
 @attrs.frozen
 class Field:
-    """One field of a record.
+    """Validation rule for one field of a record.
 
     Attributes:
-        is_valid: Returns whether a value may stand there.
-        expected: What may stand there, for people.
-        is_required: Whether the record means nothing without it.
+        is_valid: Returns whether a value is acceptable.
+        expected: Description of acceptable values, for error messages.
+        is_required: Whether a record without the field is rejected.
     """
 
     is_valid: Callable[[Any], bool]
@@ -36,18 +37,18 @@
 
 
 class FieldError(ValueError):
-    """A field is missing, or has a value that cannot stand there."""
+    """A required field is missing, or a field has an invalid value."""
 
 
 def check(fields: Mapping[str, Any], table: Mapping[str, Field]) -> None:
-    """Checks the fields of a record.
+    """Validates the fields of a record.
 
     Args:
-        fields: As decoded.
-        table: What may stand in each field, by its name.
+        fields: Decoded fields.
+        table: Validation rules by field name.
 
     Raises:
-        FieldError: One is missing or does not fit; names it.
+        FieldError: A field is missing or invalid; the message names it.
     """
     for name, field in table.items():
         if name not in fields:
@@ -58,26 +59,26 @@
 
 
 def is_text(value: Any) -> bool:
-    """Returns whether a value is printable text and not empty."""
+    """Returns whether a value is a non-empty printable string."""
     return (
         isinstance(value, str)
-        and 0 < len(value) <= LONGEST_TEXT
+        and 0 < len(value) <= MAX_TEXT_LENGTH
         and value.isprintable()
     )
 
 
 def is_whole(value: Any) -> bool:
-    """Returns whether a value is a whole number, 0 or more."""
+    """Returns whether a value is a non-negative integer; rejects booleans."""
     return type(value) is int and value >= 0
 
 
 def is_amount(value: Any) -> bool:
-    """Returns whether a value is a finite number, 0 or more."""
+    """Returns whether a value is a finite non-negative number."""
     return type(value) in (int, float) and 0 <= value < math.inf
 
 
 def is_address(value: Any) -> bool:
-    """Returns whether a value is ``ip:port`` with a number for each."""
+    """Returns whether a value is a numeric IPv4 ``ip:port``."""
     if not isinstance(value, str) or "[" in value:
         return False
     try:
@@ -87,38 +88,39 @@
     return ":" not in address.ip and address.port > 0
 
 
-def _is_slots(value: Any) -> bool:
-    return is_whole(value) and 0 < value <= MOST_SLOTS
+def _is_slot_count(value: Any) -> bool:
+    return is_whole(value) and 0 < value <= MAX_SLOTS
 
 
-def _is_models(value: Any) -> bool:
+def _is_model_list(value: Any) -> bool:
     return isinstance(value, list) and all(
         isinstance(each, dict) and is_text(each.get("name")) for each in value
     )
 
 
-def _one_of(*words: str) -> Field:
+def _one_of(*choices: str) -> Field:
     return Field(
-        lambda value: isinstance(value, str) and value in words,
-        " or ".join(words),
+        lambda value: isinstance(value, str) and value in choices,
+        " or ".join(choices),
     )
 
 
-TEXT = Field(is_text, "a text")
-WHOLE = Field(is_whole, "a whole number")
-AMOUNT = Field(is_amount, "a number")
+TEXT = Field(is_text, "a non-empty printable string")
+WHOLE = Field(is_whole, "a non-negative integer")
+AMOUNT = Field(is_amount, "a non-negative number")
 
 SERVER = {
     "service": TEXT,
     "address": Field(is_address, "ip:port"),
     "zone": TEXT,
     "version": TEXT,
-    "slots": Field(_is_slots, "a number of slots"),
+    "slots": Field(_is_slot_count, "a positive slot count"),
     "state": _one_of("ready", "draining"),
     "warmup_left_ms": AMOUNT,
     "sequence": WHOLE,
-    # Unix milliseconds. Deployments whose servers tell none are still served.
-    "born": Field(is_whole, "a whole number", is_required=False),
-    "models": Field(_is_models, "a list of models", is_required=False),
+    # Start time in Unix milliseconds; optional, since the servers of some
+    # deployments do not report it.
+    "born": Field(is_whole, "a non-negative integer", is_required=False),
+    "models": Field(_is_model_list, "a list of models", is_required=False),
 }
 ORDER = {"service": TEXT, "target": TEXT, "duration_s": AMOUNT}
--- a/src/hoistmoor/platform/main.py
+++ b/src/hoistmoor/platform/main.py
@@ -1,4 +1,4 @@
-"""Starts a relay on the users' platform."""
+"""Entry point of a relay on the deployment platform."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def main() -> int:
-    """Runs the program; returns its exit code."""
+    """Runs the relay and returns the process exit code."""
     try:
         path = pathlib.Path(os.environ[SETTINGS_VARIABLE])
         settings = settings_lib.read(path.read_bytes())
@@ -46,10 +46,10 @@
             history=history,
         )
 
-    def read_again() -> relay_settings.RelaySettings:
+    def reload_settings() -> relay_settings.RelaySettings:
         return settings_lib.read(path.read_bytes()).relay
 
-    uvloop.run(application.serve(read_again, connect))
+    uvloop.run(application.serve(reload_settings, connect))
     return 0
 
 
--- a/src/hoistmoor/platform/names.py
+++ b/src/hoistmoor/platform/names.py
@@ -1,10 +1,11 @@
-"""Names of headers on the platform."""
+"""HTTP header names of the platform."""
 
 from __future__ import annotations
 
 from hoistmoor.relay.front import header_names
 
-# The server at the address is another one than the request names.
+# 421 Misdirected Request: the address now belongs to another server than the
+# one that the request names.
 NOT_RUN_STATUSES = frozenset({421})
 
 HEADERS = header_names.HeaderNames(
@@ -26,9 +27,10 @@
     session="Session",
     last_event="Last-Event-Id",
     word_prefixes=("hoistmoor-", "server-"),
-    # The answers' ids are checked; versions of weights are the store's.
+    # The id in a response is verified separately, and weight versions are read
+    # from the store.
     needless=frozenset({"hoistmoor-instance-id", "hoistmoor-weight-versions"}),
-    # Orders to an engine; a caller's own must not reach one.
+    # Engine directives; values set by callers must not reach an engine.
     stripped=frozenset(
         {
             "hoistmoor-retention",
--- a/src/hoistmoor/platform/settings.py
+++ b/src/hoistmoor/platform/settings.py
@@ -1,4 +1,4 @@
-"""Reads the platform's settings file into the relay's settings."""
+"""Parses the platform's settings file into relay settings."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class PlatformSettings:
-    """What the settings file says.
+    """Contents of the settings file.
 
     Attributes:
         relay: Settings of the relay.
@@ -28,16 +28,16 @@
 
 
 def read(data: bytes) -> PlatformSettings:
-    """Returns the settings that a file holds.
+    """Parses the contents of a settings file.
 
     Raises:
-        ConfigurationError: A field is missing or of another type.
+        ConfigurationError: A field is missing or has the wrong type.
     """
     try:
         return _decode(orjson.loads(data))
     except (KeyError, TypeError, ValueError) as error:
         raise errors.ConfigurationError(
-            f"the settings file cannot be read: {error!r}",
+            f"invalid settings file: {error!r}",
             "Compare it with deploy/settings.json.",
         ) from error
 
--- a/src/hoistmoor/platform/store.py
+++ b/src/hoistmoor/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store: keyed topics of one partition."""
+"""Client for the platform's store: keyed, single-partition topics."""
 
 from __future__ import annotations
 
@@ -21,24 +21,25 @@
 
     import aiohttp
 
-# Seconds without an answer. The store answers in about 4 ms, a slow one was
-# seen to take a hundred times that.
+# Seconds. The store usually responds in about 4 ms; a slow store has been
+# observed to take a hundred times as long.
 CALL_TIMEOUT = 1.0
-APPENDED = 400  # Records of one append; a host's entry has some 100 bytes.
-# Times that newest records are read anew as the history changed between pages.
-SNAPSHOT_TRIES = 3
+# Records per append request; a host's entry has about 100 bytes.
+APPEND_BATCH_SIZE = 400
+# Attempts to read a snapshot when the store's history changes between pages.
+SNAPSHOT_ATTEMPTS = 3
 _LENGTH = struct.Struct(">I")
-_OFFSETS = struct.Struct(">QQ")  # End, and first one kept.
+_OFFSETS = struct.Struct(">QQ")  # End offset, and first retained offset.
 _PARTITION = "0"
-_ERA = "Store-Era"  # Header of all answers.
+_ERA_HEADER = "Store-Era"  # Present in every response.
 
 
 class StoreTopic:
-    """One keyed topic; stateless but for the session.
+    """Client for one keyed topic; holds no state besides the HTTP session.
 
     Attributes:
-        topic: Its name there.
-        history: Takes the era of each answer.
+        topic: Name of the topic in the store.
+        history: Store history, updated with the era of each response.
     """
 
     def __init__(
@@ -48,13 +49,13 @@
         topic: str,
         history: history_lib.StoreHistory,
     ) -> None:
-        """Makes the topic.
+        """Initializes the client without connecting.
 
         Args:
-            session: From ``clients.sessions``; stays the caller's.
+            session: Session from ``clients.sessions``; not closed here.
             address: ``ip:port`` of the store.
-            topic: Its name there.
-            history: Takes the era of each answer.
+            topic: Name of the topic in the store.
+            history: Store history to update with the era of each response.
         """
         self.topic = topic
         self.history = history
@@ -63,14 +64,14 @@
 
     async def newest(self) -> topics.Batch:
         """Returns the newest record of each key."""
-        for _ in range(SNAPSHOT_TRIES):
+        for _ in range(SNAPSHOT_ATTEMPTS):
             try:
                 return await self._read_pages()
             except errors.LogHistoryChangedError:
                 continue
         raise errors.LogUnavailableError(
-            f"the store's history changed while {self.topic} was read",
-            "Wait, then try again.",
+            f"the store's history changed while reading {self.topic}",
+            "Retry later.",
         )
 
     async def _read_pages(self) -> topics.Batch:
@@ -81,16 +82,16 @@
             more = {"after": records[-1].key} if records else {}
             body, era = await self._read("log-newest", more)
             page = orjson.loads(body)
-            # Pages are no snapshot: what changed since the first is read
-            # again.
+            # Pages are not a consistent snapshot: the batch ends at the end
+            # offset of the first page, so later changes are read again.
             end = end or topics.Place(era, page["end_offset"])
             self._check_era(end.era, era)
-            records += [_entry(each, era) for each in page["entries"]]
+            records += [_parse_entry(each, era) for each in page["entries"]]
         assert end is not None
         return topics.Batch(tuple(records), end, is_snapshot=True)
 
     async def changes(self, place: topics.Place, wait: float) -> topics.Batch:
-        """Returns the records from ``place`` on."""
+        """Returns the records from ``place`` on; waits up to ``wait`` s."""
         offset = place.offset
         query = {"source": str(offset), "wait_ms": str(int(wait * 1000))}
         data, era = await self._read("log-read", query, wait)
@@ -98,13 +99,13 @@
         end, first = _OFFSETS.unpack_from(data)
         if end < offset:
             raise errors.LogOffsetExpiredError(self.topic, offset, first)
-        records = tuple(_records(data[_OFFSETS.size :], place))
+        records = tuple(_parse_records(data[_OFFSETS.size :], place))
         return topics.Batch(records, place.after(len(records)))
 
     async def put(
         self, key: str, value: bytes, expected: topics.Place | None = None
     ) -> topics.Place | None:
-        """Adds a record; see ``ports.KeyedTopic``."""
+        """Appends a record; see ``ports.KeyedTopic``."""
         if expected is not None and expected.era != self.history.era:
             return None
         query = {}
@@ -114,36 +115,37 @@
             "POST",
             "log-append",
             query,
-            _framed(key, value),
+            _frame_record(key, value),
         )
         if status == 412:
             return None
         if status != 200:
-            raise self._refused("log-append", status)
+            raise self._unexpected_status("log-append", status)
         if expected is not None and expected.era != era:
-            return None  # The condition held by chance, in another history.
+            # The offsets matched by coincidence, in another history.
+            return None
         return topics.Place(era, orjson.loads(body)["end_offset"])
 
     async def put_all(self, records: dict[str, bytes]) -> None:
-        """Adds a record for each key; see ``ports.KeyedTopic``."""
-        framed = [_framed(key, value) for key, value in records.items()]
-        for first in range(0, len(framed), APPENDED):
-            body = b"".join(framed[first : first + APPENDED])
+        """Appends a record for each key; see ``ports.KeyedTopic``."""
+        framed = [_frame_record(key, value) for key, value in records.items()]
+        for first in range(0, len(framed), APPEND_BATCH_SIZE):
+            body = b"".join(framed[first : first + APPEND_BATCH_SIZE])
             status, _, _ = await self._call("POST", "log-append", {}, body)
             if status != 200:
-                raise self._refused("log-append", status)
+                raise self._unexpected_status("log-append", status)
 
     async def _read(
         self, call: str, query: dict[str, str], wait: float = 0.0
     ) -> tuple[bytes, int]:
-        """Returns an answer's body and its era."""
+        """Returns the body and era of a successful read."""
         status, body, era = await self._call("GET", call, query, b"", wait)
         if status == 410:
             first = orjson.loads(body)["start_offset"]
             wanted = int(query.get("source", 0))
             raise errors.LogOffsetExpiredError(self.topic, wanted, first)
         if status != 200:
-            raise self._refused(call, status)
+            raise self._unexpected_status(call, status)
         return body, era
 
     def _check_era(self, expected: int, era: int) -> None:
@@ -158,7 +160,7 @@
         body: bytes,
         wait: float = 0.0,
     ) -> tuple[int, bytes, int]:
-        """Returns an answer's status, its body and its era."""
+        """Returns the status, body and era of a response."""
         known = self.history.era
         try:
             async with self._session.request(
@@ -168,30 +170,32 @@
                 data=body or None,
                 timeout=replies.timeout_of(CALL_TIMEOUT + wait),
             ) as reply:
-                era = self.history.take_answer(_era_of(reply.headers), known)
+                era = self.history.take_answer(_parse_era(reply.headers), known)
                 return reply.status, await reply.read(), era
         except replies.TRANSPORT_ERRORS as error:
             raise errors.LogOutcomeUnknownError(
-                f"the store gave no answer to {call}: {error!r}",
+                f"no response from the store to {call}: {error!r}",
                 "Read the topic before writing again.",
             ) from error
 
-    def _refused(self, call: str, status: int) -> errors.LogUnavailableError:
+    def _unexpected_status(
+        self, call: str, status: int
+    ) -> errors.LogUnavailableError:
         return errors.LogUnavailableError(
-            f"the store answered {status} to {call} of {self.topic}",
-            "Wait, then try again.",
+            f"the store returned {status} to {call} of {self.topic}",
+            "Retry later.",
         )
 
 
-def _framed(key: str, value: bytes) -> bytes:
-    """Returns a record as an append carries it."""
+def _frame_record(key: str, value: bytes) -> bytes:
+    """Returns a record in the wire format of an append request."""
     name = key.encode()
     content = bytes([len(name)]) + name + value
     return _LENGTH.pack(len(content)) + content
 
 
-def _era_of(headers: Mapping[str, str]) -> history_lib.EraWord:
-    text = headers.get(_ERA)
+def _parse_era(headers: Mapping[str, str]) -> history_lib.EraWord:
+    text = headers.get(_ERA_HEADER)
     if text is None:
         return history_lib.EraWord()
     is_number = text.isascii() and text.isdigit() and len(text) < 10
@@ -201,32 +205,33 @@
     return history_lib.EraWord(text, era)
 
 
-def _entry(fields: dict[str, Any], era: int) -> topics.Record:
+def _parse_entry(fields: dict[str, Any], era: int) -> topics.Record:
     value = fields.get("value")
     return topics.Record(
         fields["key"],
-        _from_base64(value) if value else None,
+        _decode_base64(value) if value else None,
         topics.Place(era, fields["offset"]),
     )
 
 
-def _from_base64(text: str) -> bytes:
+def _decode_base64(text: str) -> bytes:
     try:
         return base64.b64decode(text)
     except binascii.Error:
-        # Left to the decoder of the record, which says what is wrong with it.
+        # Kept as is: decoding the record reports what is wrong with it.
         return text.encode()
 
 
-def _records(data: bytes, place: topics.Place) -> Iterator[topics.Record]:
-    at = 0
-    while at < len(data):
-        (length,) = _LENGTH.unpack_from(data, at)
-        at += _LENGTH.size
-        content = data[at : at + length]
-        at += length
+def _parse_records(data: bytes, place: topics.Place) -> Iterator[topics.Record]:
+    position = 0
+    while position < len(data):
+        (length,) = _LENGTH.unpack_from(data, position)
+        position += _LENGTH.size
+        content = data[position : position + length]
+        position += length
         key_end = 1 + (content[0] if content else 0)
-        # A key of another writer may be no text; it must not hide the rest.
+        # Another writer's key may not be UTF-8; the records after it must
+        # still be read.
         key = content[1:key_end].decode(errors="backslashreplace")
         yield topics.Record(key, content[key_end:] or None, place)
         place = place.after(1)
@@ -237,7 +242,7 @@
     address: str,
     history: history_lib.StoreHistory,
 ) -> ports.Topics:
-    """Returns the topics of the store at ``address``."""
+    """Returns clients for the relay's topics in the store at ``address``."""
     topic = functools.partial(StoreTopic, session, address, history=history)
     return ports.Topics(
         operator=topic("keyed.op"),
