--- a/src/hoistmoor/relay/front/__init__.py
+++ b/src/hoistmoor/relay/front/__init__.py
@@ -1,6 +1,6 @@
-"""Callers' side: requests read, checked, carried out and answered.
+"""HTTP front end: reads, admits, forwards and answers callers' requests.
 
-The application starts it; it asks the core for each decision.
+Routing and retry decisions are made by the core.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/relay/front/admission.py
+++ b/src/hoistmoor/relay/front/admission.py
@@ -1,4 +1,4 @@
-"""Checks a caller's request before anything is sent."""
+"""Validates and authenticates a request before it is forwarded."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from hoistmoor.core.routing import hashing
     from hoistmoor.relay import state as state_lib
 
-DEFAULT_DEADLINE = 60.0  # Seconds, for callers that tell none.
+DEFAULT_DEADLINE = 60.0  # Seconds, for requests without a deadline header.
 _MS = 1000.0
 
 
@@ -28,10 +28,10 @@
 
     Attributes:
         method: HTTP method.
-        target: Path and query as written.
+        target: Path and query as received, without decoding.
         host: Value of the Host header.
         headers: All headers.
-        arrived: Steady time at which it was read.
+        arrived: Monotonic time at which the head was read.
     """
 
     method: str
@@ -42,12 +42,12 @@
 
     @property
     def path(self) -> str:
-        """Path without its query."""
+        """Path without the query string."""
         return self.target.partition("?")[0]
 
 
 class Admission:
-    """Decides which requests are taken."""
+    """Decides which requests are admitted."""
 
     def __init__(
         self,
@@ -60,91 +60,99 @@
         self._draws = draws
 
     def admit(self, head: Head) -> requests.RelayRequest | refusals.Refusal:
-        """Returns the request as taken, or why it is refused."""
+        """Returns the admitted request, or the reason for its refusal."""
         if self._state.stopping:
-            return _refuse(refusals.Reason.STOPPING, "this host stops")
-        found = self._state.configuration
-        if found is None:
-            return _refuse(refusals.Reason.NO_TABLE, "no configuration yet")
+            return _refuse(
+                refusals.Reason.STOPPING, "this host is shutting down"
+            )
+        config = self._state.configuration
+        if config is None:
+            return _refuse(
+                refusals.Reason.NO_TABLE, "no configuration has been loaded"
+            )
         request_id = head.headers.get(self._names.request_id, "")
         if not request_id:
             return _refuse(
                 refusals.Reason.BAD_HEADER,
-                f"{self._names.request_id} is missing",
+                f"the {self._names.request_id} header is missing",
             )
-        return self._admit_by(found, head, request_id)
+        return self._admit_with(config, head, request_id)
 
-    def _admit_by(
+    def _admit_with(
         self,
-        found: configuration_lib.Configuration,
+        config: configuration_lib.Configuration,
         head: Head,
         request_id: str,
     ) -> requests.RelayRequest | refusals.Refusal:
-        route = found.find_route(head.host, head.path)
+        route = config.find_route(head.host, head.path)
         now = self._state.clock()
         lease = self._state.lease
         if route is None:
-            # A newer configuration may have the route.
+            # A newer configuration may define the route.
             if not lease.is_current(now):
-                return self._stale()
+                return self._refuse_as_stale()
             return _refuse(
-                refusals.Reason.UNKNOWN_CALL, "no route has this host and path"
+                refusals.Reason.UNKNOWN_CALL,
+                "no route matches the host and path",
             )
         account = None
-        if found.accounts and not route.anonymous:
+        if config.accounts and not route.anonymous:
             if not lease.holds(now):
-                return self._stale()
-            account = found.find_account(self._key_of(head))
+                return self._refuse_as_stale()
+            account = config.find_account(self._key_of(head))
             if account is None:
-                # A newer configuration may have the key.
+                # A newer configuration may include the key.
                 if not lease.is_current(now):
-                    return self._stale()
+                    return self._refuse_as_stale()
                 return _refuse(
-                    refusals.Reason.WRONG_KEY, "the key belongs to no account"
+                    refusals.Reason.WRONG_KEY,
+                    "the key does not belong to any client account",
                 )
-        return self._take(found, head, request_id, route, account)
+        return self._build_request(config, head, request_id, route, account)
 
-    def _stale(self) -> refusals.Refusal:
+    def _refuse_as_stale(self) -> refusals.Refusal:
         age = self._state.lease.age(self._state.clock())
         return _refuse(
             refusals.Reason.TABLE_STALE,
-            f"the configuration was last known current {age:.1f} s ago",
+            f"the configuration was last confirmed {age:.1f} s ago",
         )
 
     def _key_of(self, head: Head) -> str:
         scheme, _, key = head.headers.get("Authorization", "").partition(" ")
         return key.strip() if scheme == self._names.key_scheme else ""
 
-    def _take(
+    def _build_request(
         self,
-        found: configuration_lib.Configuration,
+        config: configuration_lib.Configuration,
         head: Head,
         request_id: str,
         route: configuration_lib.Route,
         account: configuration_lib.ClientAccount | None,
     ) -> requests.RelayRequest | refusals.Refusal:
         headers, names = head.headers, self._names
-        allowed = header_values.parse_number(headers.get(names.deadline_ms))
-        patience = DEFAULT_DEADLINE if allowed is None else allowed / _MS
-        if patience <= 0:
-            return _refuse(refusals.Reason.DEADLINE_PAST, "no time is left")
+        limit_ms = header_values.parse_number(headers.get(names.deadline_ms))
+        time_limit = DEFAULT_DEADLINE if limit_ms is None else limit_ms / _MS
+        if time_limit <= 0:
+            return _refuse(
+                refusals.Reason.DEADLINE_PAST, "the deadline has passed"
+            )
         prompt = header_values.parse_prompt(
             headers.get(names.model),
             headers.get(names.tokens),
             headers.get(names.prefix),
         )
         service = self._draw_service(route)
-        described = found.services.get(service)
+        service_config = config.services.get(service)
         return requests.RelayRequest(
             request_id=request_id,
             route=route,
             service=service,
             account=account.name if account else "",
-            revision=found.revision,
+            revision=config.revision,
             arrived=head.arrived,
-            deadline=head.arrived + min(patience, route.timeout),
+            deadline=head.arrived + min(time_limit, route.timeout),
             prompt=prompt,
-            model_costs=described.model_costs if described else {},
+            model_costs=service_config.model_costs if service_config else {},
             session=headers.get(names.session, ""),
             last_event=header_values.parse_number(
                 headers.get(names.last_event)
@@ -166,7 +174,7 @@
     route: configuration_lib.Route,
     account: configuration_lib.ClientAccount | None,
 ) -> int:
-    """Returns a request's priority: the account's goes before the route's."""
+    """Returns a request's priority; the account's overrides the route's."""
     if account is None or account.priority is None:
         return route.priority
     return account.priority
--- a/src/hoistmoor/relay/front/attempt.py
+++ b/src/hoistmoor/relay/front/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a relayed request, and what it shows of its server."""
+"""One attempt to forward a request, and its measurements of the server."""
 
 from __future__ import annotations
 
@@ -22,41 +22,43 @@
     _State.DECLINED: pace.AttemptOutcome.FULL,
     _State.UNSENT: pace.AttemptOutcome.UNREACHABLE,
 }
-_FAILED_STATUS = 500  # From here on a status says that the server failed.
+_MIN_FAILURE_STATUS = 500  # Lowest status code that counts as server failure.
 
 
 def words_against(server: server_lib.ServerState, now: float) -> dict[str, str]:
-    """Returns what a server has said against a send, by the kind of word."""
-    words = {}
+    """Returns the server's notices against new requests, by kind."""
+    notices = {}
     if server.limit.rate is not None:
-        words["limit"] = str(server.limit.rate)
+        notices["limit"] = str(server.limit.rate)
     if server.departure.said_at is not None:
-        words["leaving"] = f"said {now - server.departure.said_at:.3f}s before"
+        notices["leaving"] = (
+            f"said {now - server.departure.said_at:.3f}s before"
+        )
     if server.rest.left(now):
-        words["rest"] = f"{server.rest.left(now):.3f}s left"
-    return words
+        notices["rest"] = f"{server.rest.left(now):.3f}s left"
+    return notices
 
 
 @attrs.define
 class Attempt:
-    """One attempt at a backend server, and what it has shown so far.
+    """One attempt at a backend server, and its measurements so far.
 
     Attributes:
-        send: What is sent, and to whom.
-        started: Steady time at which it began.
-        exchange: Carries it.
-        head: Head of the answer; None before it came.
-        first: Steady time of the first events of a stream; None before them.
-        latest: Steady time of the newest events.
-        longest_pause: Seconds between two arrivals of events, at most.
-        events_before: Events of the stream that attempts before it brought.
-        body: Parts of an answer that is not a stream.
-        is_dropped: Whether it was given up for a larger model's answer.
-        is_cut: Whether the connection ended before the answer did.
-        detail: What went wrong, for people.
-        asks_rest: Whether its server asked for rest with the answer.
-        words: What its server had said against a send when it was sent, by
-            the kind of word.
+        send: Decision that names the server and the model.
+        started: Monotonic time at which the attempt started.
+        exchange: HTTP exchange that carries the attempt.
+        head: Head of the response; None until it has arrived.
+        first: Monotonic time of a stream's first events; None until then.
+        latest: Monotonic time of the latest events.
+        longest_pause: Longest time in seconds between two arrivals of events.
+        events_before: Events of the stream that earlier attempts delivered.
+        body: Parts of a response that is not streamed.
+        is_dropped: Whether it was abandoned in favor of a larger model.
+        is_cut: Whether the connection closed before the response was complete.
+        detail: Description of the failure, for people.
+        asks_rest: Whether the server requested a back-off with the response.
+        words: The server's notices against new requests at the time of the
+            attempt, by kind.
     """
 
     send: messages.Send
@@ -75,7 +77,7 @@
     words: dict[str, str] = attrs.field(factory=dict)
 
     def note_events(self, now: float) -> None:
-        """Notes that events of the stream came."""
+        """Records the arrival of events of the stream."""
         if self.first is None:
             self.first = now
         else:
@@ -83,7 +85,7 @@
         self.latest = now
 
     def waits(self) -> str:
-        """Returns what made a stream late: its first event, or a pause."""
+        """Returns a stream's time to first event and longest pause."""
         if self.first is None:
             return ""
         first = self.first - self.started
@@ -91,17 +93,17 @@
 
     @property
     def status(self) -> int:
-        """HTTP status code of the answer; 0 without one."""
+        """HTTP status code of the response; 0 without one."""
         return self.head.status if self.head else 0
 
     def outcome(
         self, state: outcomes.ExchangeState, replaced: Container[int]
     ) -> pace.AttemptOutcome:
-        """Returns how it went, as far as its server is concerned.
+        """Returns the outcome as it affects the health of the server.
 
         Args:
-            state: How far its exchange had come when it ended.
-            replaced: Status codes with which another server answers at the
+            state: Final state of the exchange.
+            replaced: Status codes that mean that another server now has the
                 address.
         """
         if self.is_dropped:
@@ -110,8 +112,8 @@
             return pace.AttemptOutcome.REPLACED
         if self.asks_rest:
             return pace.AttemptOutcome.FULL
-        is_whole = state is _State.ANSWERED
-        if is_whole and self.status < _FAILED_STATUS:
+        is_complete = state is _State.ANSWERED
+        if is_complete and self.status < _MIN_FAILURE_STATUS:
             return pace.AttemptOutcome.WELL
         return _OUTCOMES.get(state, pace.AttemptOutcome.FAILED)
 
@@ -122,39 +124,42 @@
         target: float,
         events: int,
     ) -> pace.Measured | None:
-        """Returns what it shows of its server's version, if anything.
+        """Returns a measurement of the server's version, or None.
 
-        An answer that was cut shows nothing: its server may have died,
-        whatever the version. Nor does one that asks for rest.
+        A response that was cut off is not counted, since the server may have
+        died for reasons unrelated to its version. Neither is a response that
+        requests a back-off.
 
         Args:
-            state: How far its exchange had come when it ended.
-            now: Steady time.
+            state: Final state of the exchange.
+            now: Monotonic time.
             target: Seconds that the route allows for the first part.
-            events: Events of the stream that it brought.
+            events: Events of the stream that this attempt delivered.
         """
-        took = now - self.started
-        is_silent = state is _State.SENT and took > target
-        is_whole = state is _State.ANSWERED
-        if not (is_whole or is_silent or self.is_dropped) or self.asks_rest:
+        duration = now - self.started
+        is_silent = state is _State.SENT and duration > target
+        is_complete = state is _State.ANSWERED
+        if not (is_complete or is_silent or self.is_dropped) or self.asks_rest:
             return None
         first = self.first or now
         return pace.Measured(
             self.send.model,
             first - self.started,
-            took,
-            events if is_whole else 0,
-            self.status >= _FAILED_STATUS,
-            is_whole=is_whole,
+            duration,
+            events if is_complete else 0,
+            self.status >= _MIN_FAILURE_STATUS,
+            is_whole=is_complete,
             is_silent=is_silent,
         )
 
     def text(self, state: outcomes.ExchangeState, now: float) -> str:
-        """Returns it in one line, for the log."""
+        """Returns a one-line summary for the event log."""
         entry = self.send.server.entry
-        words = "".join(f" {word} {text}" for word, text in self.words.items())
+        notices = "".join(
+            f" {kind} {text}" for kind, text in self.words.items()
+        )
         return (
             f"{entry.server_id} {entry.version} {self.send.model}"
             f" {state.name.lower()} {self.status}"
-            f" {now - self.started:.3f}s{self.waits()}{words} {self.detail}"
+            f" {now - self.started:.3f}s{self.waits()}{notices} {self.detail}"
         )
--- a/src/hoistmoor/relay/front/caller_answer.py
+++ b/src/hoistmoor/relay/front/caller_answer.py
@@ -1,4 +1,4 @@
-"""The answer to one caller: begun once, then whole or visibly cut."""
+"""Response to a caller: started at most once, then completed or aborted."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class CallerAnswer:
-    """Writes one answer.
+    """Writes the response to one request.
 
     Attributes:
-        response: Once it has begun.
+        response: The HTTP response; None until it has been started.
     """
 
     def __init__(
@@ -29,13 +29,13 @@
         keep_open: bool,
         wait_for: Callable[[refusals.Reason], float],
     ) -> None:
-        """Makes an answer.
+        """Initializes a response without sending anything.
 
         Args:
-            request: What is answered.
-            keep_open: Whether the connection may be used again.
-            wait_for: Tells after how many seconds a caller that is refused
-                for a reason should come back.
+            request: Request to respond to.
+            keep_open: Whether the connection may be reused.
+            wait_for: Returns the Retry-After delay in seconds for a refusal
+                reason.
         """
         self.response: web.StreamResponse | None = None
         self._request = request
@@ -43,7 +43,7 @@
         self._wait_for = wait_for
 
     async def begin(self, head: exchange_lib.Head) -> None:
-        """Sends a server's head; the body follows in chunks."""
+        """Sends a server's response head; the body follows in chunks."""
         response = web.StreamResponse(
             status=head.status, headers=forwarding.to_caller(head.headers)
         )
@@ -51,12 +51,12 @@
         await self._prepare(response)
 
     async def write(self, data: bytes) -> None:
-        """Sends a part of the body; waits while the caller is slow."""
+        """Sends a part of the body, applying back-pressure."""
         assert self.response is not None
         await self.response.write(data)
 
     async def end(self) -> web.StreamResponse:
-        """Ends an answer that has begun."""
+        """Completes a response that has been started."""
         assert self.response is not None
         await self.response.write_eof()
         return self.response
@@ -64,7 +64,7 @@
     async def deliver(
         self, head: exchange_lib.Head, body: bytes
     ) -> web.StreamResponse:
-        """Sends a whole answer of a server."""
+        """Sends a complete response of a server."""
         response = web.Response(
             status=head.status,
             headers=forwarding.to_caller(head.headers),
@@ -75,7 +75,7 @@
         return response
 
     async def refuse(self, refusal: refusals.Refusal) -> web.StreamResponse:
-        """Sends a refusal; the status says whether the request has run."""
+        """Sends a refusal; its status shows whether the request has run."""
         response = web.json_response(
             {
                 "reason": refusal.reason.value,
@@ -93,7 +93,7 @@
         return response
 
     def cut(self) -> web.StreamResponse:
-        """Cuts the connection, so that the answer does not look whole."""
+        """Aborts the connection, so that the response looks incomplete."""
         assert self.response is not None
         self.response.force_close()
         if self._request.transport is not None:
@@ -108,10 +108,11 @@
 
 
 def _status_of(refusal: refusals.Refusal) -> int:
-    """Returns the status code.
+    """Returns the status code of a refusal.
 
-    503 promises that the request has not run. A gateway's own codes promise
-    nothing, so a refusal that knows more does not use them.
+    503 guarantees that the request has not run. Other gateway codes guarantee
+    nothing: a request that is known not to have run gets 503 instead, and one
+    that may have run gets 502 instead of 503.
     """
     status = int(refusal.rule.status)
     if status >= 500 and refusal.outcome is outcomes.Outcome.NOT_RUN:
--- a/src/hoistmoor/relay/front/forwarding.py
+++ b/src/hoistmoor/relay/front/forwarding.py
@@ -1,4 +1,4 @@
-"""Headers that go on to a backend server, and back to the caller."""
+"""Headers to forward to a backend server and back to the caller."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
     from hoistmoor.core.relay.course import requests
 
 _MS = 1000.0
-DEADLINE_SLACK = 0.01  # Seconds kept back, for the answer's way to here.
+# Seconds subtracted from the server's deadline, for the response to arrive.
+DEADLINE_SLACK = 0.01
 
 
 def to_server(
@@ -28,17 +29,18 @@
     last_event: int | None,
     now: float,
 ) -> CIMultiDict[str]:
-    """Returns the headers of one attempt.
+    """Returns the request headers of one attempt.
 
     Args:
-        headers: As the caller sent them.
-        names: What headers are called.
-        request: The request.
-        send: The attempt.
-        last_event: Newest event that the caller has; None for none.
-        now: Steady time.
+        headers: Headers sent by the caller.
+        names: Header names of the platform.
+        request: Admitted request.
+        send: Decision that names the server and the model.
+        last_event: Id of the last event that the caller has received; None if
+            there is none.
+        now: Monotonic time.
     """
-    dropped = names.set_here | _named_in_connection(headers)
+    dropped = names.set_here | _connection_options(headers)
     result = CIMultiDict(
         (name, value)
         for name, value in headers.items()
@@ -60,8 +62,8 @@
 
 
 def to_caller(headers: Mapping[str, str]) -> CIMultiDict[str]:
-    """Returns the headers of an answer without those of its connection."""
-    dropped = header_names.HOP_BY_HOP | _named_in_connection(headers)
+    """Returns the headers of a response without the hop-by-hop headers."""
+    dropped = header_names.HOP_BY_HOP | _connection_options(headers)
     return CIMultiDict(
         (name, value)
         for name, value in headers.items()
@@ -69,6 +71,6 @@
     )
 
 
-def _named_in_connection(headers: Mapping[str, str]) -> frozenset[str]:
+def _connection_options(headers: Mapping[str, str]) -> frozenset[str]:
     text = headers.get("Connection", "")
     return frozenset(word.strip().lower() for word in text.split(","))
--- a/src/hoistmoor/relay/front/front.py
+++ b/src/hoistmoor/relay/front/front.py
@@ -1,4 +1,4 @@
-"""Reads callers' requests and answers the balancer's question."""
+"""HTTP handlers for callers' requests, readiness probes and metrics."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class BodyTooLargeError(Exception):
-    """A body exceeds its bound."""
+    """A request body exceeds the configured size limit."""
 
 
 class Front:
-    """Serves callers.
+    """Handles callers' requests.
 
     Attributes:
-        running: Requests under way.
+        running: Tasks of the requests in progress.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self._draws = draws
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answers one request."""
+        """Handles one request."""
         task = asyncio.current_task()
         assert task is not None
         self.running.add(task)
@@ -82,33 +82,35 @@
                 str(error),
             )
             return await self._refuse(head, answer, refusal)
-        named = attrs.evolve(
+        identified = attrs.evolve(
             admitted,
             fingerprint=fingerprint.of_request(
                 head.method, head.host, head.target, admitted.account, body
             ),
         )
-        self._state.router.note_request(named, self._state.clock())
+        self._state.router.note_request(identified, self._state.clock())
         task = relay_task.RelayTask(
-            self._state, self._links, head, named, body, answer
+            self._state, self._links, head, identified, body, answer
         )
         return await task.run()
 
     async def _read_body(self, request: web.BaseRequest) -> bytes:
-        """Reads a body within its bound."""
+        """Reads a request body within the configured size limit."""
         if "100-continue" in request.headers.get("Expect", "").lower():
             assert request.transport is not None
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         if not request.can_read_body:
             return b""
         assert self._state.configuration is not None
-        bound = self._state.configuration.limits.body_bytes
+        limit = self._state.configuration.limits.body_bytes
         parts = []
         size = 0
         async for data in request.content.iter_any():
             size += len(data)
-            if size > bound:
-                raise BodyTooLargeError(f"a body may have {bound} bytes")
+            if size > limit:
+                raise BodyTooLargeError(
+                    f"the request body exceeds {limit} bytes"
+                )
             parts.append(data)
         return b"".join(parts)
 
@@ -118,7 +120,7 @@
         )
 
     async def _skip_body(self, request: web.BaseRequest) -> None:
-        """Reads a refused request to its end, so that its caller can hear."""
+        """Drains a refused request's body so that the caller sees the reply."""
         async for _ in request.content.iter_any():
             pass
 
@@ -145,14 +147,14 @@
 
 
 class Readiness:
-    """Answers the balancer: whether callers should be sent here."""
+    """Answers the load balancer's readiness probe."""
 
     def __init__(self, state: state_lib.RelayState) -> None:
         self._state = state
         self._was_ready: bool | None = None
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answers 200 or 503, whatever the path."""
+        """Responds with 200 or 503, regardless of the path."""
         is_ready = self._state.is_ready()
         if is_ready != self._was_ready:
             self._was_ready = is_ready
@@ -166,13 +168,13 @@
 
 
 class MetricsPage:
-    """Serves counters and histograms."""
+    """Serves the metrics in the Prometheus text format."""
 
     def __init__(self, state: state_lib.RelayState) -> None:
         self._state = state
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answers with the text of all counters."""
+        """Responds with all metrics."""
         return web.Response(
             body=self._state.counters.text(), content_type="text/plain"
         )
--- a/src/hoistmoor/relay/front/header_names.py
+++ b/src/hoistmoor/relay/front/header_names.py
@@ -1,10 +1,11 @@
-"""Headers between callers, the relay and backend servers."""
+"""Header names used between callers, the relay and backend servers."""
 
 from __future__ import annotations
 
 import attrs
 
-# Of one connection only (RFC 9110, 7.6.1), or set anew for each.
+# Connection-specific headers (RFC 9110, section 7.6.1), and headers that are
+# generated for each connection.
 HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -27,27 +28,31 @@
     """Names of the headers that the relay reads or sets.
 
     Attributes:
-        request_id: The caller's id of its attempt; echoed by servers.
-        deadline_ms: Milliseconds left, told by callers and to servers.
-        key_scheme: Word before the key in ``Authorization``.
-        account: Name of the client account, told to servers.
+        request_id: Id of the request attempt, chosen by the caller and echoed
+            by servers.
+        deadline_ms: Remaining time in milliseconds, from callers and to
+            servers.
+        key_scheme: Authentication scheme in ``Authorization``.
+        account: Name of the client account, sent to servers.
         expected_server: Id of the server that may run the request.
-        signature: Proof that an answer is a server's own.
-        not_run: Says that the server did not run the request.
+        signature: Proof that a response was made by the server itself.
+        not_run: Marks a response whose server did not run the request.
         load: A server's running and waiting requests, and its slots.
-        limit: Requests a second that a server takes from all hosts together.
-        leaving: Says that a server is about to end.
-        model: Model asked for.
-        tokens: Tokens of the prompt, and new tokens at most.
-        prefix: Parts of the prompt, as ``name:tokens`` with commas.
-        confidence: A model's opinion of its answer, 0 to 100.
-        urgency: Rank at a server, 0 to 9; 0 is first.
-        session: The caller's name for a session.
-        last_event: Newest event of a stream that the caller has.
+        limit: Requests per second that a server accepts from all hosts
+            together.
+        leaving: Announces that a server is about to terminate.
+        model: Requested model.
+        tokens: Tokens of the prompt, and the maximum of new tokens.
+        prefix: Parts of the prompt, as comma-separated ``name:tokens``.
+        confidence: A model's confidence in its answer, 0 to 100.
+        urgency: Scheduling rank at a server, 0 (first) to 9.
+        session: Session id chosen by the caller.
+        last_event: Id of the last stream event that the caller has received.
         stripped: Further headers that callers may not set, in lower case.
-        word_prefixes: Begin the names of what servers say, in lower case.
-        needless: Names of these, in lower case, that need not be read.
-        read: Names of these, in lower case, that are read or need not be.
+        word_prefixes: Prefixes of the headers in which servers report about
+            themselves, in lower case.
+        needless: Such headers that are ignored on purpose, in lower case.
+        read: Such headers that are read or ignored on purpose, in lower case.
     """
 
     request_id: str = "X-Request-Id"
@@ -74,7 +79,7 @@
 
     @read.default
     def _(self) -> frozenset[str]:
-        """Returns names that are read or need not be, in lower case."""
+        """Returns the names that are read or ignored, in lower case."""
         names = (
             self.request_id,
             self.signature,
@@ -87,13 +92,13 @@
         return frozenset(name.lower() for name in names) | self.needless
 
     def is_unread(self, name: str) -> bool:
-        """Returns whether a header of an answer is a word nobody reads."""
+        """Returns whether a response header is an unrecognized report."""
         lower = name.lower()
         return lower.startswith(self.word_prefixes) and lower not in self.read
 
     @property
     def set_here(self) -> frozenset[str]:
-        """Names, in lower case, that a caller's request loses."""
+        """Headers removed from a caller's request, in lower case."""
         own = (self.account, self.expected_server, self.urgency)
         return frozenset(
             {"authorization", *(name.lower() for name in own)}
--- a/src/hoistmoor/relay/front/links.py
+++ b/src/hoistmoor/relay/front/links.py
@@ -1,4 +1,4 @@
-"""How this host reaches backend servers."""
+"""Connections from this host to backend servers."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
     from hoistmoor.core.relay.course import requests
     from hoistmoor.relay.front import admission
 
-CONNECT_TIMEOUT = 0.3  # Seconds; a lost opening packet is sent again after 1.
+CONNECT_TIMEOUT = 0.3  # Seconds; a lost SYN is retransmitted only after 1 s.
 
 
 @attrs.frozen
 class BackendSessions:
-    """Open connections to backend servers.
+    """HTTP sessions for backend servers.
 
-    A server may drop a kept connection at any moment, and a request that was
-    on its way then may have run. So one that may run once only gets a new
-    connection: where that fails, it certainly has not run.
+    A server may close a keep-alive connection at any time, and a request in
+    flight at that moment may have run. A request that must not run twice
+    therefore uses a new connection: if connecting fails, it has not run.
 
     Attributes:
-        kept: Keeps its connections for the next requests.
-        fresh: Opens one for each request.
+        kept: Session that reuses connections.
+        fresh: Session that opens a connection for each request.
     """
 
     kept: aiohttp.ClientSession
@@ -46,14 +46,14 @@
 
 @attrs.frozen
 class Links:
-    """How servers are reached.
+    """Everything that is needed to send requests to backend servers.
 
     Attributes:
-        sessions: Open connections to them.
-        names: What headers are called.
-        dialect: How servers name an attempt and decline it.
-        ends: Tells which servers have ended.
-        deadlines: Has timers count suspensions of the machine.
+        sessions: HTTP sessions.
+        names: Header names of the platform.
+        dialect: How servers identify and decline an attempt.
+        ends: Detects which servers have terminated.
+        deadlines: Makes timeouts account for suspensions of the machine.
     """
 
     sessions: BackendSessions
@@ -71,15 +71,16 @@
         last_event: int | None,
         now: float,
     ) -> exchange_lib.Exchange:
-        """Returns the exchange of an attempt; nothing is sent yet.
+        """Creates the exchange of an attempt without sending anything.
 
         Args:
             head: Head of the caller's request.
-            request: The request.
-            send: The attempt.
+            request: Admitted request.
+            send: Decision that names the server and the model.
             body: Body of the caller's request.
-            last_event: Newest event that the caller has; None for none.
-            now: Steady time.
+            last_event: Id of the last event that the caller has received; None
+                if there is none.
+            now: Monotonic time.
         """
         return exchange_lib.Exchange(
             self.sessions.for_route(request.route),
--- a/src/hoistmoor/relay/front/relay_task.py
+++ b/src/hoistmoor/relay/front/relay_task.py
@@ -1,4 +1,4 @@
-"""Carries one admitted request: attempts, one after the other, to its end."""
+"""Forwards an admitted request in successive attempts until it completes."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 _State = outcomes.ExchangeState
 
-# Where an exchange ends so, the server is not at the request any more.
-_OVER = frozenset({_State.UNSENT, _State.ANSWERED, _State.DECLINED})
+# Final states in which the server no longer works on the request.
+_FINISHED = frozenset({_State.UNSENT, _State.ANSWERED, _State.DECLINED})
 
 
 class RelayTask:
-    """One request at this host."""
+    """Runs one admitted request on this host."""
 
     def __init__(
         self,
@@ -53,12 +53,12 @@
         self._answer = answer
         self._machine = machine_lib.RelayMachine(request, state.router)
         self._sequence = streams.EventSequence(last_id=request.last_event)
-        self._kept: attempt_lib.Attempt | None = None
+        self._last_attempt: attempt_lib.Attempt | None = None
         self._is_stream = request.route.kind is configuration.RouteKind.STREAM
-        self._trail: list[str] = []
+        self._attempt_summaries: list[str] = []
 
     async def run(self) -> web.StreamResponse:
-        """Returns the final answer, sent."""
+        """Runs the request and returns the response after sending it."""
         sessions = self._state.router.rollouts.sessions
         version = sessions.version_of(self._request.session, self._now())
         effect = self._machine.handle(messages.Started(), self._now())
@@ -69,7 +69,9 @@
             version = effect.server.entry.version
             effect = await self._attempt(effect)
         response = await self._finish(effect)
-        request_line.note_end(self._state, self._request, effect, self._trail)
+        request_line.note_end(
+            self._state, self._request, effect, self._attempt_summaries
+        )
         return response
 
     def _now(self) -> float:
@@ -79,25 +81,25 @@
         if isinstance(effect, messages.Deliver):
             if self._answer.response is not None:
                 return await self._answer.end()
-            assert self._kept is not None
-            assert self._kept.head is not None
+            assert self._last_attempt is not None
+            assert self._last_attempt.head is not None
             return await self._answer.deliver(
-                self._kept.head, b"".join(self._kept.body)
+                self._last_attempt.head, b"".join(self._last_attempt.body)
             )
         if isinstance(effect, messages.Refuse):
             return await self._answer.refuse(effect.refusal)
         return self._answer.cut()
 
     async def _attempt(self, send: messages.Send) -> messages.Effect:
-        """Makes one attempt; returns what to do next."""
-        attempt = self._open(send)
+        """Makes one attempt and returns the next effect."""
+        attempt = self._open_attempt(send)
         outcome = pace.AttemptOutcome.LEFT
         try:
-            state = await self._exchange_in_time(attempt)
+            state = await self._exchange_until_deadline(attempt)
             outcome = attempt.outcome(
                 state, self._links.dialect.not_run_statuses
             )
-            send.run.is_over = state in _OVER
+            send.run.is_over = state in _FINISHED
             send.run.is_cut = attempt.is_cut
         finally:
             attempt.exchange.cancel()
@@ -110,13 +112,13 @@
             )
         if attempt.is_cut:
             await self._links.ends.has_ended(send.server)
-        self._note_attempt(attempt, state)
+        self._record_attempt(attempt, state)
         is_late = self._now() >= self._request.deadline
         if is_late and state is not _State.ANSWERED:
             return self._machine.handle(
                 messages.DeadlineReached(state), self._now()
             )
-        self._kept = attempt
+        self._last_attempt = attempt
         return self._machine.handle(
             messages.AttemptEnded(
                 state,
@@ -128,7 +130,7 @@
             self._now(),
         )
 
-    def _open(self, send: messages.Send) -> attempt_lib.Attempt:
+    def _open_attempt(self, send: messages.Send) -> attempt_lib.Attempt:
         now = self._now()
         exchange = self._links.open_exchange(
             self._head,
@@ -140,27 +142,28 @@
         )
         self._sequence.begin_run()
         self._state.server_beliefs.note_send(send.server)
-        words = attempt_lib.words_against(send.server, now)
-        for word in words:
-            self._state.counters.sends_despite.labels(word).inc()
+        notices = attempt_lib.words_against(send.server, now)
+        for kind in notices:
+            self._state.counters.sends_despite.labels(kind).inc()
         return attempt_lib.Attempt(
             send,
             now,
             exchange,
             events_before=self._sequence.events,
-            words=words,
+            words=notices,
         )
 
-    async def _exchange_in_time(
+    async def _exchange_until_deadline(
         self, attempt: attempt_lib.Attempt
     ) -> outcomes.ExchangeState:
-        """Returns how far the exchange had come when it ended.
+        """Runs the exchange until its deadline and returns its final state.
 
-        Its own timer stands still while the machine is suspended.
+        The exchange's own timer does not advance while the machine is
+        suspended.
         """
-        left = max(0.0, attempt.send.deadline - self._now())
+        remaining = max(0.0, attempt.send.deadline - self._now())
         timer = asyncio.timeout(None)
-        with self._links.deadlines.counted(timer, left):
+        with self._links.deadlines.counted(timer, remaining):
             try:
                 async with timer:
                     return await self._exchange(attempt)
@@ -174,10 +177,10 @@
     async def _exchange(
         self, attempt: attempt_lib.Attempt
     ) -> outcomes.ExchangeState:
-        """Returns how far the exchange had come when it ended."""
+        """Runs the exchange and returns its final state."""
         try:
             async for part in attempt.exchange:
-                await self._take(attempt, part)
+                await self._handle_part(attempt, part)
                 if attempt.is_dropped:
                     return _State.ANSWERING
         except (
@@ -190,29 +193,29 @@
             return _State.ANSWERING if state is _State.ANSWERED else state
         return attempt.exchange.state
 
-    async def _take(
+    async def _handle_part(
         self, attempt: attempt_lib.Attempt, part: exchange_lib.Part
     ) -> None:
         if isinstance(part, exchange_lib.Head):
-            await self._take_head(attempt, part)
+            await self._handle_head(attempt, part)
         elif isinstance(part, exchange_lib.Frame):
-            await self._take_data(attempt, part.data)
-        elif self._passes(attempt) and self._sequence.has_partial:
+            await self._handle_data(attempt, part.data)
+        elif self._is_passed_through(attempt) and self._sequence.has_partial:
             raise streams.StreamOrderError(
-                "a stream ended within an event",
-                "Ask another backend server for the rest.",
+                "the stream ended in the middle of an event",
+                "Request the remaining events from another backend server.",
             )
 
-    async def _take_head(
+    async def _handle_head(
         self, attempt: attempt_lib.Attempt, head: exchange_lib.Head
     ) -> None:
         names = self._links.names
-        self._take_report(attempt, head)
+        self._apply_report(attempt, head)
         if attempt.exchange.state is _State.DECLINED:
             attempt.detail = f"declined with {head.status}"
             attempt.head = head
             return
-        self._check_genuine(attempt, head)
+        self._check_authentic(attempt, head)
         attempt.head = head
         attempt.send.run.note_head(self._now())
         self._state.router.note_first(self._request, attempt.send, self._now())
@@ -226,10 +229,10 @@
             attempt.is_dropped = True
             attempt.detail = f"confidence {confidence}"
 
-    def _take_report(
+    def _apply_report(
         self, attempt: attempt_lib.Attempt, head: exchange_lib.Head
     ) -> None:
-        """Takes what the server tells of itself, if it is that server."""
+        """Applies the server's report, unless another server responded."""
         if head.status in self._links.dialect.not_run_statuses:
             return
         names = self._links.names
@@ -242,29 +245,34 @@
             is_success=head.status < 300 and names.signature in head.headers,
         )
 
-    def _check_genuine(
+    def _check_authentic(
         self, attempt: attempt_lib.Attempt, head: exchange_lib.Head
     ) -> None:
-        """Checks that an answer's bytes are those that the server made."""
+        """Checks that a response was made by the server and is unmodified.
+
+        Raises:
+            BackendProtocolError: The response is encoded, or a success without
+                a signature.
+        """
         encoding = head.headers.get("Content-Encoding", "identity")
         signed = self._links.names.signature in head.headers
         if encoding == "identity" and (signed or head.status >= 300):
             return
         raise exchange_errors.BackendProtocolError(
             attempt.exchange.state,
-            "the answer is not what the server made",
-            "Ask another backend server.",
+            "the response is unsigned or was modified on the way",
+            "Retry on another backend server.",
         )
 
-    def _passes(self, attempt: attempt_lib.Attempt) -> bool:
-        """Returns whether an answer goes to the caller as it comes."""
+    def _is_passed_through(self, attempt: attempt_lib.Attempt) -> bool:
+        """Returns whether a response is streamed to the caller."""
         head = attempt.head
         return self._is_stream and head is not None and head.status < 300
 
-    async def _take_data(
+    async def _handle_data(
         self, attempt: attempt_lib.Attempt, data: bytes
     ) -> None:
-        if not self._passes(attempt):
+        if not self._is_passed_through(attempt):
             attempt.send.run.note_part()
             attempt.body.append(data)
             return
@@ -279,11 +287,11 @@
             self._machine.note_begun()
         await self._answer.write(events)
 
-    def _note_attempt(
+    def _record_attempt(
         self, attempt: attempt_lib.Attempt, state: outcomes.ExchangeState
     ) -> None:
         self._state.counters.attempts.labels(state.name.lower()).inc()
-        self._trail.append(attempt.text(state, self._now()))
+        self._attempt_summaries.append(attempt.text(state, self._now()))
         measured = attempt.measured(
             state,
             self._now(),
--- a/src/hoistmoor/relay/front/request_line.py
+++ b/src/hoistmoor/relay/front/request_line.py
@@ -1,4 +1,4 @@
-"""Writes the lines of a request, and counts it once it has ended."""
+"""Event log lines and metrics of a request."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
     send: messages.Send,
     before: str | None,
 ) -> None:
-    """Writes the version that a session's attempt goes to.
+    """Logs the version to which a session's attempt is sent.
 
-    While a roll-out goes on, or where it is another one than before: then the
-    lines of all hosts tell together how a session went.
+    A line is written during a roll-out and whenever the version changes, so
+    that the logs of all hosts together show the history of the session.
 
     Args:
-        state: What this host knows.
-        request: The request.
-        send: The attempt.
-        before: Version of the session, as far as this host knows.
+        state: State of this host.
+        request: Admitted request.
+        send: Decision that names the server.
+        before: Previous version of the session, as known to this host.
     """
     if not request.session:
         return
@@ -54,15 +54,18 @@
     effect: messages.Effect,
     attempts: list[str],
 ) -> None:
-    """Counts a request; writes it unless it was plainly served.
+    """Counts a finished request, and logs it unless it was unremarkable.
+
+    A request is unremarkable if its first attempt was delivered within the
+    route's latency target.
 
     Args:
-        state: What this host knows.
-        request: The request.
-        effect: How it ended.
-        attempts: A text for each of its attempts.
+        state: State of this host.
+        request: Admitted request.
+        effect: Final effect of the request.
+        attempts: Summary of each attempt.
     """
-    reason, outcome = _ending(effect)
+    reason, outcome = _reason_and_outcome(effect)
     took = state.clock() - request.arrived
     route = request.route
     state.counters.answers.labels(reason, outcome).inc()
@@ -86,8 +89,8 @@
     )
 
 
-def _ending(effect: messages.Effect) -> tuple[str, str]:
-    """Returns reason and outcome, for logs and metrics."""
+def _reason_and_outcome(effect: messages.Effect) -> tuple[str, str]:
+    """Returns the reason and outcome for logs and metrics."""
     if isinstance(effect, messages.Refuse):
         return effect.refusal.reason.value, effect.refusal.outcome.value
     if isinstance(effect, messages.Break):
--- a/src/hoistmoor/relay/front/server_reports.py
+++ b/src/hoistmoor/relay/front/server_reports.py
@@ -1,7 +1,6 @@
-"""Reads what a backend server tells of itself with an answer.
+"""Parses the report about itself that a backend server adds to a response.
 
-A word that cannot be read counts as none, and is told apart from none, so
-that it can be logged.
+A malformed value is treated as missing, but recorded so that it can be logged.
 """
 
 from __future__ import annotations
@@ -17,28 +16,29 @@
 
     from hoistmoor.relay.front import header_names
 
-# Digits, with a fraction or none; no sign, no exponent, no word for infinity.
+# Digits with an optional fraction; no sign, exponent, infinity or NaN.
 _DECIMAL = re.compile(r"\d{1,9}(\.\d{0,9})?|\.\d{1,9}", re.ASCII)
 _YES = re.compile("1")
-RETRY_AFTER = "Retry-After"  # RFC 9110, 10.2.3; here in seconds, no date.
-TURNED_AWAY = 503  # The status with which it asks for rest.
-LONGEST_SHOWN = 40  # Characters of an unreadable value that are kept.
+# RFC 9110, section 10.2.3; only seconds are supported, not dates.
+RETRY_AFTER = "Retry-After"
+BACKOFF_STATUS = 503  # Status with which a server requests a back-off.
+LONGEST_SHOWN = 40  # Characters of a malformed value that are kept.
 
 
 def parse_report(
     status: int, headers: MultiMapping[str], names: header_names.HeaderNames
 ) -> reports.ServerReport:
-    """Returns what a server tells of itself with an answer.
+    """Returns the report in a response.
 
     Args:
-        status: HTTP status code of the answer.
-        headers: Its headers.
-        names: What headers are called.
+        status: HTTP status code of the response.
+        headers: Headers of the response.
+        names: Header names of the platform.
     """
     unreadable: dict[reports.Word, str] = {}
     limit = _value_of(headers, names.limit)
     leaving = _value_of(headers, names.leaving)
-    rest = _value_of(headers, RETRY_AFTER) if status == TURNED_AWAY else None
+    rest = _value_of(headers, RETRY_AFTER) if status == BACKOFF_STATUS else None
     for word, text, form in (
         (reports.Word.LIMIT, limit, _DECIMAL),
         (reports.Word.LEAVING, leaving, _YES),
@@ -48,26 +48,26 @@
             unreadable[word] = text[:LONGEST_SHOWN] or "nothing"
     return reports.ServerReport(
         parse_load(headers.get(names.load)),
-        _number(limit, reports.Word.LIMIT in unreadable),
+        _to_number(limit, reports.Word.LIMIT in unreadable),
         leaving is not None and reports.Word.LEAVING not in unreadable,
-        _number(rest, reports.Word.REST in unreadable),
+        _to_number(rest, reports.Word.REST in unreadable),
         unreadable,
         tuple(name for name in headers if names.is_unread(name)),
     )
 
 
 def _value_of(headers: MultiMapping[str], name: str) -> str | None:
-    """Returns a header's value; of several that differ, all."""
+    """Returns a header's value; joins repeated values that differ."""
     values = dict.fromkeys(headers.getall(name, ()))
     return ", ".join(values) if values else None
 
 
-def _number(text: str | None, is_unreadable: bool) -> float | None:
+def _to_number(text: str | None, is_unreadable: bool) -> float | None:
     return None if text is None or is_unreadable else float(text)
 
 
 def parse_load(text: str | None) -> reports.LoadReport | None:
-    """Returns a load report, or None if there is none that can be read."""
+    """Returns a load report, or None if it is missing or malformed."""
     numbers = header_values.parse_numbers(text)
     if len(numbers) != 3:
         return None
