--- a/src/hoistmoor/relay/__init__.py
+++ b/src/hoistmoor/relay/__init__.py
@@ -1,6 +1,7 @@
-"""The relay: passes requests on unread, by host and path.
+"""The relay: a reverse proxy that routes requests by host and path.
 
-Sockets and timers round ``core.relay``.
+Request bodies are forwarded without being parsed. This package provides the
+sockets and timers; the decisions are made in ``core.relay``.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/relay/application.py
+++ b/src/hoistmoor/relay/application.py
@@ -1,4 +1,4 @@
-"""Builds a relay: its state, its tasks and its ways to the outside."""
+"""Assembles a relay from its state, background tasks and connections."""
 
 from __future__ import annotations
 
@@ -48,22 +48,24 @@
     from hoistmoor.relay import settings as settings_lib
     from hoistmoor.relay.store import ports
 
-IDLE_TO_SERVERS = 4.0  # Seconds that an unused connection to one is kept.
-UNANSWERED = 2.0  # Seconds that bytes to a server may stay unacknowledged.
+# Seconds for which an idle connection to a backend server is kept open.
+BACKEND_IDLE_TIMEOUT = 4.0
+# Seconds for which sent bytes may stay unacknowledged (TCP_USER_TIMEOUT).
+UNACKNOWLEDGED_TIMEOUT = 2.0
 LOG_DESCRIPTOR = 1  # Standard output.
 
 
 class Relay:
-    """One relay and its tasks.
+    """A relay and its background tasks.
 
     Attributes:
-        settings: Its settings.
-        settings_task: Takes changed settings.
-        suspension: Notices that the machine was suspended.
-        state: What it knows.
-        front: Serves callers.
-        followers: Read the topics, by name.
-        loops: What runs while it serves, by name.
+        settings: Settings in force.
+        settings_task: Reloads the settings.
+        suspension: Detects that the machine was suspended.
+        state: State shared by the tasks.
+        front: Handles callers' requests.
+        followers: Topic followers by topic name.
+        loops: Background tasks by name, run while the relay serves.
     """
 
     def __init__(
@@ -75,15 +77,15 @@
         read_settings: Callable[[], settings_lib.RelaySettings],
         clock: Callable[[], float] = clocks.steady,
     ) -> None:
-        """Makes a relay; nothing runs yet.
+        """Initializes a relay without starting its tasks.
 
         Args:
-            settings: Its settings.
-            platform: Where it learns what it must know.
-            backends: Open connections to backend servers.
-            peer_session: Opens connections to other relays.
-            read_settings: Reads the settings again.
-            clock: Steady time that counts suspensions, in seconds.
+            settings: Initial settings.
+            platform: Source of configuration, servers and roll-outs.
+            backends: HTTP sessions for backend servers.
+            peer_session: HTTP session for other relays.
+            read_settings: Reads the current settings.
+            clock: Monotonic time in seconds, including time in suspend.
         """
         self.settings = settings
         seed = int.from_bytes(os.urandom(8), "big")
@@ -137,7 +139,7 @@
             platform,
             self._gate,
             self._heard,
-            # Where other hosts may be asked, it is known soon who reads.
+            # With peers, wait until it is known which host reads the store.
             yields=bool(settings.peer_listen),
         )
         era_watch.EraWatch(self.state, self.followers).attach()
@@ -152,14 +154,14 @@
 
     @property
     def addresses(self) -> list[str]:
-        """``ip:port`` of the listeners.
+        """``ip:port`` of each listener.
 
-        In this order: callers, balancer, metrics, other relays.
+        The order is: callers, load balancer, metrics, other relays.
         """
         return self._serving.addresses
 
     def apply(self, settings: settings_lib.RelaySettings) -> None:
-        """Puts changed settings in force; addresses stay until a restart."""
+        """Applies changed settings; listen addresses need a restart."""
         self.settings = settings
         self.state.lease.bound = settings.revocation
         self.state.lease.is_strict = settings.is_revocation_strict
@@ -192,13 +194,13 @@
         if not settings.peer_listen:
             self.state.router.fleet.shares.take_hosts([settings.host])
             return
-        own = mirror.Host(
+        own_host = mirror.Host(
             settings.host, settings.zone, settings.peer_listen, settings.link
         )
         listing = listing_lib.SelfListing(
             self.state,
             platform.topics.hosts,
-            own,
+            own_host,
             self._sources,
             self._heard.hosts,
             is_first_start=settings.is_first_start,
@@ -216,7 +218,7 @@
         self.loops["peers"] = reader.run
 
     async def serve(self, stop: asyncio.Event) -> None:
-        """Serves until ``stop`` is set, then stops gracefully."""
+        """Serves until ``stop`` is set, then shuts down gracefully."""
         await self._serving.serve(stop)
 
 
@@ -241,28 +243,27 @@
     """Runs a relay until SIGTERM or SIGINT.
 
     Args:
-        read_settings: Reads its settings, now and whenever they may have
-            changed.
-        connect: Makes the platform on a session for calls to it.
+        read_settings: Reads the settings, at startup and on each reload.
+        connect: Creates the platform adapter on an HTTP session.
     """
     stop = signals.stop_event()
     async with contextlib.AsyncExitStack() as stack:
         platform_session = await stack.enter_async_context(
-            sessions.make_session(unanswered_timeout=UNANSWERED)
+            sessions.make_session(unanswered_timeout=UNACKNOWLEDGED_TIMEOUT)
         )
         platform = connect(platform_session)
-        open_to_servers = functools.partial(
+        make_backend_session = functools.partial(
             sessions.make_session,
             connect_timeout=links_lib.CONNECT_TIMEOUT,
             total_timeout=None,
-            idle_timeout=IDLE_TO_SERVERS,
+            idle_timeout=BACKEND_IDLE_TIMEOUT,
             attempt_header=platform.headers.request_id,
-            unanswered_timeout=UNANSWERED,
+            unanswered_timeout=UNACKNOWLEDGED_TIMEOUT,
         )
         backends = links_lib.BackendSessions(
-            await stack.enter_async_context(open_to_servers()),
+            await stack.enter_async_context(make_backend_session()),
             await stack.enter_async_context(
-                open_to_servers(reuse_connections=False)
+                make_backend_session(reuse_connections=False)
             ),
         )
         relay = Relay(
--- a/src/hoistmoor/relay/counters.py
+++ b/src/hoistmoor/relay/counters.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of the relay, served as text."""
+"""Prometheus metrics of the relay."""
 
 from __future__ import annotations
 
@@ -8,52 +8,53 @@
 
 
 class Counters:
-    """What the relay counts.
+    """Metrics of one relay.
 
     Attributes:
-        registry: All of them.
-        answers: Requests by how they ended.
-        attempts: Attempts by how their exchange ended.
-        sends_despite: Attempts sent to servers that had named a limit, said
-            that they leave, or asked for rest, by word.
-        beliefs: Changes of what this host believes, by kind.
-        durations: Seconds from a request to its final answer.
+        registry: Registry that holds all metrics.
+        answers: Requests by reason and outcome.
+        attempts: Attempts by the final state of their exchange.
+        sends_despite: Attempts sent to servers that had announced a rate
+            limit, their departure or a back-off, by kind of notice.
+        beliefs: State changes on this host, by kind.
+        durations: Seconds from a request to its final response.
         configuration_age: Seconds since the configuration was known current.
-        store_era: Number of the store's history that is known here.
-        unusable_eras: Answers of the store whose era says nothing, by why.
-        dropped_copies: Copies of topics that were older than what is known.
+        store_era: Number of the store's history, as known to this host.
+        unusable_eras: Store responses without a usable era, by kind.
+        dropped_copies: Copies of topics from other hosts that were discarded
+            as older than the local copy, by topic.
     """
 
     def __init__(self) -> None:
         self.registry = prometheus_client.CollectorRegistry()
         self.answers = prometheus_client.Counter(
             "hoistmoor_relay_answers",
-            "Requests by how they ended.",
+            "Requests by reason and outcome.",
             ["reason", "outcome"],
             registry=self.registry,
         )
         self.attempts = prometheus_client.Counter(
             "hoistmoor_relay_attempts",
-            "Attempts by the state in which they ended.",
+            "Attempts by the final state of their exchange.",
             ["state"],
             registry=self.registry,
         )
         self.sends_despite = prometheus_client.Counter(
             "hoistmoor_relay_sends_despite",
-            "Attempts sent to servers that had named a limit, said that they"
-            " leave, or asked for rest.",
+            "Attempts sent to servers that had announced a rate limit, their"
+            " departure or a back-off.",
             ["word"],
             registry=self.registry,
         )
         self.beliefs = prometheus_client.Counter(
             "hoistmoor_relay_belief_changes",
-            "Changes of what this host believes.",
+            "State changes on this host.",
             ["kind"],
             registry=self.registry,
         )
         self.durations = prometheus_client.Histogram(
             "hoistmoor_relay_seconds",
-            "Seconds from a request to its final answer.",
+            "Seconds from a request to its final response.",
             ["route"],
             buckets=_BUCKETS,
             registry=self.registry,
@@ -67,22 +68,23 @@
 
         self.store_era = prometheus_client.Gauge(
             "hoistmoor_relay_store_era",
-            "Number of the store's history; rises when it lost writes.",
+            "Number of the store's history; increases when writes are lost.",
             registry=self.registry,
         )
         self.unusable_eras = prometheus_client.Counter(
             "hoistmoor_relay_unusable_eras",
-            "Answers of the store whose era says nothing.",
+            "Store responses without a usable era.",
             ["kind"],
             registry=self.registry,
         )
         self.dropped_copies = prometheus_client.Counter(
             "hoistmoor_relay_dropped_copies",
-            "Copies of other hosts that were older than what is known here.",
+            "Copies of topics from other hosts that were older than the local"
+            " copy.",
             ["topic"],
             registry=self.registry,
         )
 
     def text(self) -> bytes:
-        """Returns all of them in the text format."""
+        """Returns all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
--- a/src/hoistmoor/relay/event_log.py
+++ b/src/hoistmoor/relay/event_log.py
@@ -1,4 +1,4 @@
-"""Structured lines on standard output, one a decision, bounded under load."""
+"""Rate-limited JSON event log, one line per decision."""
 
 from __future__ import annotations
 
@@ -12,19 +12,22 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-LINES_A_SECOND = 100.0  # Of one kind; measured: about 1% of a core.
-BURST = 200.0  # Lines of one kind that may come at once.
+# Sustained rate per kind of event; costs about 1% of a CPU core.
+LINES_PER_SECOND = 100.0
+BURST = 200.0  # Lines per kind of event that may be written at once.
 
 
 @attrs.define
-class _Bucket:
+class _TokenBucket:
     tokens: float = BURST
-    at: float = 0.0
+    updated_at: float = 0.0
     left_out: int = 0
 
-    def take(self, now: float) -> bool:
-        self.tokens = min(BURST, self.tokens + (now - self.at) * LINES_A_SECOND)
-        self.at = now
+    def try_take(self, now: float) -> bool:
+        self.tokens = min(
+            BURST, self.tokens + (now - self.updated_at) * LINES_PER_SECOND
+        )
+        self.updated_at = now
         if self.tokens < 1.0:
             self.left_out += 1
             return False
@@ -33,10 +36,11 @@
 
 
 class EventLog:
-    """Writes lines of JSON; never waits for whoever reads them.
+    """Writes JSON lines without ever blocking on a slow reader.
 
-    Each kind of line has its own bound, so that many lines of one kind do not
-    hide the others. A line tells how many of its kind were left out before.
+    Each kind of event has its own rate limit, so that a burst of one kind does
+    not suppress the others. A line reports how many lines of its kind were
+    dropped before it.
     """
 
     def __init__(
@@ -48,19 +52,21 @@
         self.host = host
         self.descriptor = descriptor
         self._clock = clock
-        self._buckets: dict[str, _Bucket] = collections.defaultdict(_Bucket)
+        self._buckets: dict[str, _TokenBucket] = collections.defaultdict(
+            _TokenBucket
+        )
         os.set_blocking(self.descriptor, False)
 
     def write(self, kind: str, **fields: object) -> None:
         """Writes one line.
 
         Args:
-            kind: Few, and this program's own.
-            **fields: What decided, and the outcome.
+            kind: Kind of event; a fixed set, since each has a token bucket.
+            **fields: Inputs and outcome of the decision.
         """
         now = self._clock()
         bucket = self._buckets[kind]
-        if not bucket.take(now):
+        if not bucket.try_take(now):
             return
         line: dict[str, object] = {
             "t": round(now, 3),
@@ -74,7 +80,7 @@
         try:
             os.write(self.descriptor, data)
         except BlockingIOError:
-            # The reader is behind: the next line tells that one is missing.
+            # The pipe is full: the next line reports the dropped one.
             bucket.left_out += 1
             return
         bucket.left_out = 0
--- a/src/hoistmoor/relay/server_beliefs.py
+++ b/src/hoistmoor/relay/server_beliefs.py
@@ -1,6 +1,7 @@
-"""Takes what servers say of themselves, and writes each change of belief.
+"""Applies servers' reports about themselves and logs each state change.
 
-Two ways lead here: an answer to this host, and another host's word of one.
+Reports arrive either with a response to this host or from another host that
+received one.
 """
 
 from __future__ import annotations
@@ -18,11 +19,12 @@
     from hoistmoor.core.relay.servers import fleet as fleet_lib
     from hoistmoor.core.relay.servers import server as server_lib
 
-MOST_UNREAD = 64  # Names of words that are written, at most.
+# Distinct unknown header names to log; bounds memory and log volume.
+MAX_LOGGED_NAMES = 64
 
 
 class ServerBeliefs:
-    """What this host believes of servers by their own word."""
+    """Updates the state of servers from their own reports."""
 
     def __init__(
         self,
@@ -31,19 +33,19 @@
         believe: Callable[..., None],
         has_urgent_news: asyncio.Event,
     ) -> None:
-        """Makes the beliefs of a host that was told nothing.
+        """Initializes the tracker without any reports.
 
         Args:
-            fleet: The servers.
-            clock: Steady time, in seconds.
-            believe: Writes and counts a change, by its kind and fields.
-            has_urgent_news: Set once another host should be told at once.
+            fleet: Known backend servers.
+            clock: Monotonic time in seconds.
+            believe: Logs and counts a state change, given its kind and fields.
+            has_urgent_news: Set when peers should be informed immediately.
         """
         self._fleet = fleet
         self._clock = clock
         self._believe = believe
         self._has_urgent_news = has_urgent_news
-        self._unread: set[str] = set()  # Names that were written.
+        self._logged_names: set[str] = set()
 
     def take_report(
         self,
@@ -53,41 +55,42 @@
         *,
         is_success: bool,
     ) -> None:
-        """Takes what a server told of itself with an answer to this host.
+        """Applies the report in a response to this host.
 
         Args:
-            server: The server.
-            report: What it told.
-            sent_at: Steady time at which the request was sent.
-            is_success: Whether the server made the answer and it is a success:
-                others may lack what it would name.
+            server: Server that sent the response.
+            report: Report parsed from the response.
+            sent_at: Monotonic time at which the request was sent.
+            is_success: Whether the response is a success from the server
+                itself. Other responses may omit a limit that is still in
+                force.
         """
         if report.load is not None:
             server.load.note(report.load, server.in_flight, self._clock())
         for word, text in report.unreadable.items():
-            self._note_unreadable(server, word, text)
+            self._log_unreadable(server, word, text)
         for name in report.unread:
-            self._note_unread(server, name)
-        self._take_limit(server, report, sent_at, is_success=is_success)
+            self._log_unknown_header(server, name)
+        self._apply_limit(server, report, sent_at, is_success=is_success)
         if report.is_leaving:
-            self._take_leaving(server)
+            self._apply_departure(server)
         if report.rest:
-            self._take_rest(server, report.rest)
+            self._apply_rest(server, report.rest)
 
     def note_send(self, server: server_lib.ServerState) -> None:
-        """Notes that a request of this host is sent to a server."""
+        """Records that this host is sending a request to a server."""
         now = self._clock()
         if server.rest.note_send(now):
-            self._write(
+            self._log_change(
                 "server_rest_over",
                 server,
                 since=round(now - server.rest.until, 3),
             )
 
     def note_replaced(self, server: server_lib.ServerState) -> None:
-        """Notes that another start has followed one of a server."""
+        """Records that a new incarnation has replaced a server."""
         if server.departure.said_at is not None:
-            self._write(
+            self._log_change(
                 "server_leaving_over",
                 server,
                 born=server.entry.born,
@@ -95,39 +98,42 @@
             )
 
     def take_limits(self, words: limit_words.LimitWords, now: float) -> None:
-        """Takes what another host says of servers' limits.
+        """Applies the server limits received from another host.
 
         Args:
-            words: By the server's identity.
-            now: Steady time at which their ages are counted.
+            words: Limits by server identity.
+            now: Monotonic time to which their ages refer.
         """
         for news in limit_words.take(self._fleet, words, now):
-            self._note_limit(news, told=True)
+            self._log_limit(news, told=True)
 
     def take_departures(self, ages: departure_words.Ages, now: float) -> None:
-        """Takes what another host says of starts of servers that leave.
+        """Applies the departures of servers received from another host.
 
         Args:
-            ages: Seconds since each said so, by its identity.
-            now: Steady time at which they are counted.
+            ages: Seconds since each departure was announced, by server
+                identity.
+            now: Monotonic time to which the ages refer.
         """
         for identity, age in ages.items():
             if age > departure_words.LIFE:
                 continue
             if self._fleet.note_departure(identity, now - age):
-                self._note_departure(identity, age, told=True)
+                self._log_departure(identity, age, told=True)
 
-    def _take_leaving(self, server: server_lib.ServerState) -> None:
+    def _apply_departure(self, server: server_lib.ServerState) -> None:
         identity = server.entry.identity
         server.departure.note(self._clock())
         listed = self._fleet.find(identity)
         if listed and listed.departure is not server.departure:
-            return  # Another start that has its name must not pay for it.
+            # A late response of a previous incarnation must not mark the
+            # current one as leaving.
+            return
         if self._fleet.note_departure(identity, self._clock()):
-            self._note_departure(identity, 0.0, told=False)
+            self._log_departure(identity, 0.0, told=False)
 
-    def _note_departure(self, identity: str, age: float, *, told: bool) -> None:
-        """Writes that a start leaves; has others be told at once."""
+    def _log_departure(self, identity: str, age: float, *, told: bool) -> None:
+        """Logs that a server incarnation is leaving and informs peers."""
         self._has_urgent_news.set()
         server = self._fleet.find(identity)
         self._believe(
@@ -139,12 +145,12 @@
             in_flight=server.in_flight if server else 0,
         )
 
-    def _take_rest(
+    def _apply_rest(
         self, server: server_lib.ServerState, seconds: float
     ) -> None:
         kept = min(seconds, self._fleet.longest_rest)
         if server.rest.note(kept, self._clock()):
-            self._write(
+            self._log_change(
                 "server_rests",
                 server,
                 born=server.entry.born,
@@ -153,7 +159,7 @@
                 in_flight=server.in_flight,
             )
 
-    def _take_limit(
+    def _apply_limit(
         self,
         server: server_lib.ServerState,
         report: reports.ServerReport,
@@ -170,14 +176,17 @@
         else:
             is_news = is_success and server.limit.note_unnamed(sent_at, now)
         if is_news:
-            self._note_limit(limit_words.LimitNews(server, before), told=False)
+            self._log_limit(limit_words.LimitNews(server, before), told=False)
+
+    def _log_limit(self, news: limit_words.LimitNews, *, told: bool) -> None:
+        """Logs a change of a limit.
 
-    def _note_limit(self, news: limit_words.LimitNews, *, told: bool) -> None:
-        """Writes a change of a limit; has its begin and end told at once."""
+        Peers are informed immediately when a limit begins or ends.
+        """
         server = news.server
         if news.before is None or server.limit.rate is None:
             self._has_urgent_news.set()
-        self._write(
+        self._log_change(
             "server_limit",
             server,
             limit=server.limit.rate,
@@ -186,23 +195,28 @@
             in_flight=server.in_flight,
         )
 
-    def _note_unread(self, server: server_lib.ServerState, name: str) -> None:
-        """Writes once for each name that servers say what nothing reads."""
-        if name in self._unread or len(self._unread) >= MOST_UNREAD:
+    def _log_unknown_header(
+        self, server: server_lib.ServerState, name: str
+    ) -> None:
+        """Logs each unrecognized header name once."""
+        if (
+            name in self._logged_names
+            or len(self._logged_names) >= MAX_LOGGED_NAMES
+        ):
             return
-        self._unread.add(name)
-        self._write("server_word_unread", server, name=name)
+        self._logged_names.add(name)
+        self._log_change("server_word_unread", server, name=name)
 
-    def _note_unreadable(
+    def _log_unreadable(
         self, server: server_lib.ServerState, word: str, text: str
     ) -> None:
-        """Writes it once: it comes with each answer, and changes nothing."""
+        """Logs a malformed value when it changes; servers repeat it."""
         if server.unreadable.get(word) == text:
             return
         server.unreadable[word] = text
-        self._write(f"server_{word}_unreadable", server, detail=text)
+        self._log_change(f"server_{word}_unreadable", server, detail=text)
 
-    def _write(
+    def _log_change(
         self, kind: str, server: server_lib.ServerState, **fields: object
     ) -> None:
         self._believe(
--- a/src/hoistmoor/relay/serving.py
+++ b/src/hoistmoor/relay/serving.py
@@ -1,4 +1,4 @@
-"""Runs a relay's tasks and listeners until it is to stop, then ends them."""
+"""Runs a relay's tasks and listeners, and shuts them down gracefully."""
 
 from __future__ import annotations
 
@@ -19,22 +19,23 @@
     from hoistmoor.relay import state as state_lib
     from hoistmoor.relay.store import follower as follower_lib
 
-# Seconds from the stop signal in which requests are still taken: the balancer
-# asks once a second and needs two refusals.
+# Seconds after the stop signal during which requests are still accepted: the
+# load balancer probes once a second and needs two failed probes.
 TAKE_ON = 2.5
-# Seconds between two looks at the clock meanwhile: it goes on while the machine
-# is suspended, and timers do not.
-STOP_LOOK = 0.5
-STOP_MARGIN = 0.8  # Seconds before the end by force at which requests are cut.
-LARGEST_LINE = 16384  # Bytes of one line of a request's head.
+# Seconds between checks of the clock while requests finish: unlike timers, the
+# clock advances while the machine is suspended.
+STOP_POLL_INTERVAL = 0.5
+# Seconds before the forced stop at which remaining requests are cut off.
+STOP_MARGIN = 0.8
+MAX_HEADER_LINE = 16384  # Bytes per line of a request head.
 
 
 class Serving:
-    """One relay's tasks and listeners.
+    """Lifecycle of a relay's background tasks and listeners.
 
     Attributes:
-        addresses: ``ip:port`` of each listener: callers, balancer, metrics,
-            other relays.
+        addresses: ``ip:port`` of each listener: callers, load balancer,
+            metrics, other relays.
     """
 
     def __init__(
@@ -45,13 +46,13 @@
         loops: Mapping[str, Callable[[], Coroutine[Any, Any, None]]],
         settings: Callable[[], settings_lib.RelaySettings],
     ) -> None:
-        """Makes it; nothing runs yet.
+        """Initializes the relay's lifecycle without starting anything.
 
         Args:
-            state: What the relay knows.
-            front: Serves callers.
-            followers: Read the topics, by name.
-            loops: What runs while it serves, by name.
+            state: State of the relay.
+            front: Handles callers' requests.
+            followers: Topic followers by topic name.
+            loops: Background tasks by name.
             settings: Returns the settings in force.
         """
         self.addresses: list[str] = []
@@ -62,7 +63,7 @@
         self._settings = settings
 
     async def serve(self, stop: asyncio.Event) -> None:
-        """Serves until ``stop`` is set, then stops gracefully."""
+        """Serves until ``stop`` is set, then shuts down gracefully."""
         runners = await self._listen()
         tasks = [
             asyncio.create_task(loop(), name=name)
@@ -70,7 +71,9 @@
         ]
         self._state.log.write("start", listen=self._settings().listen)
         gc.collect()
-        gc.freeze()  # What a start makes is never garbage; do not scan it.
+        # Objects from startup live as long as the process, so the garbage
+        # collector need not scan them.
+        gc.freeze()
         try:
             stopping = asyncio.create_task(stop.wait())
             await asyncio.wait(
@@ -90,25 +93,25 @@
     async def _listen(self) -> list[web.ServerRunner]:
         settings = self._settings()
         readiness = front_lib.Readiness(self._state)
-        pages = [
+        handlers = [
             (settings.listen, self._front.handle),
             (settings.ready_listen, readiness.handle),
         ]
         if settings.metrics_listen:
             metrics = front_lib.MetricsPage(self._state)
-            pages.append((settings.metrics_listen, metrics.handle))
+            handlers.append((settings.metrics_listen, metrics.handle))
         if settings.peer_listen:
             answers = answers_lib.PeerAnswers(self._state, self._followers)
-            pages.append((settings.peer_listen, answers.handle))
+            handlers.append((settings.peer_listen, answers.handle))
         runners = []
-        for address, handler in pages:
+        for address, handler in handlers:
             server = web.Server(
                 handler,
                 handler_cancellation=True,
                 access_log=None,
                 auto_decompress=False,
-                max_line_size=LARGEST_LINE,
-                max_field_size=LARGEST_LINE,
+                max_line_size=MAX_HEADER_LINE,
+                max_field_size=MAX_HEADER_LINE,
                 keepalive_timeout=3600.0,
             )
             runner = web.ServerRunner(server, shutdown_timeout=0.1)
@@ -120,7 +123,7 @@
         return runners
 
     async def _stop(self) -> None:
-        """Ends each request with its whole answer while there is time."""
+        """Drains the relay: lets running requests finish until the timeout."""
         state = self._state
         began = state.clock()
         state.log.write("stopping", running=len(self._front.running))
@@ -131,6 +134,6 @@
         while self._front.running and state.clock() < end:
             await asyncio.wait(
                 set(self._front.running),
-                timeout=min(STOP_LOOK, end - state.clock()),
+                timeout=min(STOP_POLL_INTERVAL, end - state.clock()),
             )
         state.log.write("stop", left=len(self._front.running))
--- a/src/hoistmoor/relay/settings.py
+++ b/src/hoistmoor/relay/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the relay, in the product's own terms and units."""
+"""Settings of the relay, independent of the platform's file format."""
 
 from __future__ import annotations
 
@@ -13,29 +13,31 @@
 
     Attributes:
         host: Name of this host.
-        zone: Its failure domain.
+        zone: Failure domain of this host.
         listen: ``ip:port`` for callers.
-        ready_listen: ``ip:port`` for the balancer's question.
-        metrics_listen: ``ip:port`` for metrics; empty for none.
-        peer_listen: ``ip:port`` for the other relays; empty to ask none and
-            be asked by none.
-        revocation: Seconds within which a key taken away must be refused.
-        is_revocation_strict: Whether that holds while the store is away, at
-            the price of refusing all requests with a key.
-        stop_timeout: Seconds from a stop signal to the end by force.
-        repeat_ratio: Repeats allowed for each request to a service.
-        repeat_window: Seconds over which both are counted.
-        repeat_spare: Repeats that a host may make without any request.
-        repeat_slack: Repeats that all hosts together may make so; None for no
-            bound.
-        session_life: Seconds after its last request that a session lives.
-        warmup_factor: Times the rate that a service states for cold servers
-            which these may get.
-        warmup_spare: Requests in a second that they may get on top.
-        longest_rest: Seconds that a backend server may ask a host to leave it
-            alone. What it asks for beyond them it has to ask for again.
-        link: Mbit/s of this host's link; 0 if it is not known.
-        is_first_start: Whether all hosts start now for the first time.
+        ready_listen: ``ip:port`` for the load balancer's readiness probe.
+        metrics_listen: ``ip:port`` for metrics; empty to disable them.
+        peer_listen: ``ip:port`` for other relays; empty to neither send nor
+            accept peer requests.
+        revocation: Seconds within which a revoked key must be refused.
+        is_revocation_strict: Whether that bound also holds while the store is
+            unreachable, at the cost of refusing all requests with a key.
+        stop_timeout: Seconds from a stop signal to the forced stop.
+        repeat_ratio: Retries allowed per request to a service.
+        repeat_window: Seconds over which requests and retries are counted.
+        repeat_spare: Retries that a host may make regardless of requests.
+        repeat_slack: Retries that all hosts together may make regardless of
+            requests; None for no bound.
+        session_life: Seconds after its last request for which a session is
+            kept.
+        warmup_factor: Multiple of a service's warm-up rate that a cold server
+            may receive.
+        warmup_spare: Requests per second that a cold server may receive in
+            addition.
+        longest_rest: Seconds of back-off that a backend server may request at
+            once. For a longer one, it has to repeat the request.
+        link: Bandwidth of this host's link in Mbit/s; 0 if unknown.
+        is_first_start: Whether this is the first start of all hosts.
     """
 
     host: str
--- a/src/hoistmoor/relay/settings_task.py
+++ b/src/hoistmoor/relay/settings_task.py
@@ -1,4 +1,4 @@
-"""Takes changed settings while the relay runs."""
+"""Reloads changed settings while the relay is running."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
     from hoistmoor.relay import settings as settings_lib
     from hoistmoor.relay import state as state_lib
 
-# Seconds between two looks at the settings, which may change with no signal.
-PERIOD = 2.0
+# Seconds between checks of the settings, which may change without a signal.
+POLL_INTERVAL = 2.0
 
 
 class SettingsTask:
-    """Reads the settings again, on a signal and now and then.
+    """Reloads the settings periodically and on a signal.
 
     Attributes:
-        settings: In force.
-        changed: Set by a signal, to look at once.
+        settings: Settings in force.
+        changed: Set by a signal to request an immediate reload.
     """
 
     def __init__(
@@ -33,13 +33,13 @@
         read: Callable[[], settings_lib.RelaySettings],
         apply: Callable[[settings_lib.RelaySettings], None],
     ) -> None:
-        """Makes the task.
+        """Initializes the task without starting it.
 
         Args:
-            state: What the relay knows.
-            settings: In force now.
-            read: Reads them again.
-            apply: Puts them in force.
+            state: State of the relay.
+            settings: Settings in force.
+            read: Reads the current settings.
+            apply: Applies changed settings.
         """
         self.settings = settings
         self.changed = asyncio.Event()
@@ -48,24 +48,26 @@
         self._apply = apply
 
     async def run(self) -> None:
-        """Looks until cancelled."""
+        """Reloads the settings until cancelled."""
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(PERIOD):
+                async with asyncio.timeout(POLL_INTERVAL):
                     await self.changed.wait()
             self.look(signalled=self.changed.is_set())
             self.changed.clear()
 
     def look(self, *, signalled: bool) -> None:
-        """Reads the settings once, and keeps the old ones if they are bad."""
+        """Reloads the settings once; keeps the old ones if they are invalid."""
         try:
-            found = self._read()
+            loaded = self._read()
         except (OSError, errors.ConfigurationError) as error:
             self._state.log.write("settings_unreadable", detail=str(error))
             return
-        is_new = found != self.settings
-        if is_new:
-            self.settings = found
-            self._apply(found)
-        if is_new or signalled:
-            self._state.believe("settings", signalled=signalled, changed=is_new)
+        is_changed = loaded != self.settings
+        if is_changed:
+            self.settings = loaded
+            self._apply(loaded)
+        if is_changed or signalled:
+            self._state.believe(
+                "settings", signalled=signalled, changed=is_changed
+            )
--- a/src/hoistmoor/relay/state.py
+++ b/src/hoistmoor/relay/state.py
@@ -1,4 +1,4 @@
-"""What one relay knows; its tasks share it."""
+"""State of a relay, shared by its tasks."""
 
 from __future__ import annotations
 
@@ -23,30 +23,31 @@
 
 @attrs.define(eq=False)
 class RelayState:
-    """What one relay knows.
+    """State of a relay.
 
     Attributes:
-        clock: Steady time that counts suspensions, in seconds.
-        log: Where decisions are written.
-        counters: What is counted.
-        router: Backend servers, roll-outs, budgets.
-        lease: Whether the configuration may be used.
+        clock: Monotonic time in seconds, including time in suspend.
+        log: Event log of decisions.
+        counters: Metrics.
+        router: Backend servers, roll-outs and budgets.
+        lease: Whether the configuration may still be used.
         outstanding: Work of other hosts at the backend servers.
-        run_name: Name of this run of this host; no other has it.
-        history: The store's history, as far as this host knows.
-        evidence: Counts in roll-outs of the hosts that ask this one.
-        configuration: In force here; None before the first.
-        configuration_record: The record that holds it, which the store may
-            have lost.
-        topics_read: Topics whose newest records were read.
-        draining: Whether a stop signal came; requests are still taken.
+        run_name: Unique name of this run of the host's process.
+        history: History of the store, as known to this host.
+        evidence: Roll-out counts of the hosts that read through this one.
+        configuration: Configuration in force; None before the first.
+        configuration_record: Record that holds the configuration; the store
+            may have lost it.
+        topics_read: Topics whose newest records have been read.
+        draining: Whether a stop signal was received; requests are still
+            accepted.
         stopping: Whether new requests are refused.
-        source: Name of the host that is asked for what the store says; empty
-            while this host reads the store itself.
-        depth: Hosts between this one and the store.
-        started_at: Steady time at which this process began.
-        has_urgent_news: Set once another host should be told at once.
-        server_beliefs: Takes what servers say of themselves.
+        source: Name of the host from which this one reads the store's topics;
+            empty while it reads the store directly.
+        depth: Number of hosts between this one and the store.
+        started_at: Monotonic time at which this process started.
+        has_urgent_news: Set when peers should be informed immediately.
+        server_beliefs: Applies servers' reports about themselves.
     """
 
     clock: Callable[[], float]
@@ -74,26 +75,26 @@
     server_beliefs: server_beliefs_lib.ServerBeliefs = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Notes the time."""
+        """Records the start time and connects the server reports."""
         self.started_at = self.clock()
         self.server_beliefs = server_beliefs_lib.ServerBeliefs(
             self.router.fleet, self.clock, self.believe, self.has_urgent_news
         )
 
     def believe(self, kind: str, **fields: object) -> None:
-        """Writes and counts a change of what this host believes."""
+        """Logs and counts a state change."""
         self.log.write(kind, **fields)
         self.counters.beliefs.labels(kind).inc()
 
     @property
     def revision(self) -> int:
-        """Revision of the configuration in force here; -1 for none."""
+        """Revision of the configuration in force; -1 for none."""
         return self.configuration.revision if self.configuration else -1
 
     def note_unreadable(
         self, kind: str, record: topics.Record, error: Exception
     ) -> None:
-        """Writes and counts a record that says nothing that can be used."""
+        """Logs and counts a record that cannot be decoded."""
         self.believe(
             f"{kind}_unreadable",
             key=record.key,
@@ -102,14 +103,16 @@
         )
 
     def note_server_end(self, server: server_lib.ServerState) -> None:
-        """Notes that a start of a server is over, as this host found."""
+        """Records that this host found a server incarnation terminated."""
         if server.has_ended:
             return
-        self._log_end(server, told=False)
+        self._log_server_end(server, told=False)
         self.router.note_server_end(server, self.clock())
         self.note_suspects()
 
-    def _log_end(self, server: server_lib.ServerState, *, told: bool) -> None:
+    def _log_server_end(
+        self, server: server_lib.ServerState, *, told: bool
+    ) -> None:
         now = self.clock()
         self.believe(
             "server_ended",
@@ -123,13 +126,13 @@
         )
 
     def take_suspects(self, told: Iterable[suspect_state.Suspect]) -> None:
-        """Takes what another host holds against requests."""
+        """Merges the suspected requests received from another host."""
         for server in self.router.take_suspects(told, self.clock()):
-            self._log_end(server, told=True)
+            self._log_server_end(server, told=True)
         self.note_suspects()
 
     def note_suspects(self) -> None:
-        """Writes whom this host refuses now, and has others be told at once."""
+        """Logs newly quarantined requests and informs peers immediately."""
         suspects = self.router.suspects
         if suspects.newly_quarantined:
             self.has_urgent_news.set()
@@ -138,9 +141,9 @@
         suspects.newly_quarantined.clear()
 
     def known_evidence(self) -> tuple[evidence_lib.Evidence, ...]:
-        """Returns the counts of this host and of those that ask it.
+        """Returns the counts of this host and of those that read through it.
 
-        Only of the roll-outs under way.
+        Covers only roll-outs in progress.
         """
         rollouts = self.router.rollouts
         for evidence in rollouts.counted(self.run_name):
@@ -155,10 +158,13 @@
         )
 
     def look_for_doubts(self, told: tuple[int, ...] = ()) -> tuple[int, ...]:
-        """Returns the numbers of all orders whose targets are doubted.
+        """Marks failing roll-outs as doubted.
 
         Args:
-            told: Those that another host told.
+            told: Order numbers that another host reported as doubted.
+
+        Returns:
+            Numbers of all orders whose target version is doubted.
         """
         rollouts = self.router.rollouts
         pooled = {
@@ -186,9 +192,9 @@
         return rollouts.doubts()
 
     def unable_for(self) -> float:
-        """Returns the seconds since requests with a key could be served.
+        """Returns the seconds for which requests with a key are not served.
 
-        0 while they can be.
+        0 while they are served.
         """
         now = self.clock()
         if self.lease.holds(now):
@@ -196,7 +202,7 @@
         return min(now - self.started_at, self.lease.over_for(now))
 
     def is_ready(self) -> bool:
-        """Returns whether callers should be sent here."""
+        """Returns whether the load balancer should send callers here."""
         return (
             not self.draining
             and self.configuration is not None
--- a/src/hoistmoor/relay/suspension.py
+++ b/src/hoistmoor/relay/suspension.py
@@ -1,8 +1,8 @@
-"""Notices that the machine was suspended, and ends what is overdue.
+"""Detects that the machine was suspended and adjusts pending deadlines.
 
-Timers stand still while a machine is suspended; leases, ages, rests and
-budgets are read from a clock that does not. What waits on a timer until a
-deadline has to be told.
+Event loop timers do not advance while a machine is suspended, whereas leases,
+ages, back-offs and budgets use a clock that does. Timers that wait for a
+deadline are therefore rescheduled after a suspension.
 """
 
 from __future__ import annotations
@@ -16,27 +16,30 @@
 
     from hoistmoor.relay import state as state_lib
 
-PERIOD = 0.5  # Seconds between two looks; what is overdue ends that late.
-LEAST = 0.1  # Seconds; the two clocks are not read at the same moment.
+# Seconds between checks; overdue requests end up to this much late.
+POLL_INTERVAL = 0.5
+# Seconds; the clocks are not read at the same instant, so smaller differences
+# are not suspensions.
+MIN_SUSPENSION = 0.1
 
 
 class Deadlines:
-    """Timers that are started only once the machine was suspended.
+    """Timeouts that are armed only after the machine was suspended.
 
-    Until then whatever waits has a timer of its own.
+    Without a suspension, the waiting operations rely on their own timers.
     """
 
     def __init__(self) -> None:
-        # When each is due, on the clock of timers.
+        # Due time of each timeout, on the event loop's clock.
         self._due: dict[asyncio.Timeout, float] = {}
 
     @contextlib.contextmanager
     def counted(self, timer: asyncio.Timeout, seconds: float) -> Iterator[None]:
-        """Has a timer count suspensions while the block runs.
+        """Makes a timeout account for suspensions while the block runs.
 
         Args:
-            timer: Not started.
-            seconds: From now on until it is due.
+            timer: Timeout that is not armed yet.
+            seconds: Seconds from now until it is due.
         """
         now = asyncio.get_running_loop().time()
         self._due[timer] = now + seconds
@@ -46,7 +49,7 @@
             del self._due[timer]
 
     def advance(self, seconds: float) -> None:
-        """Has all timers end by so many seconds sooner."""
+        """Moves all due times earlier by the length of a suspension."""
         for timer in self._due:
             self._due[timer] -= seconds
             if not timer.expired():
@@ -54,7 +57,7 @@
 
 
 class SuspensionWatch:
-    """Compares the clock of timers with the one that beliefs age by."""
+    """Compares the event loop's clock with one that includes suspensions."""
 
     def __init__(
         self, state: state_lib.RelayState, deadlines: Deadlines
@@ -63,15 +66,15 @@
         self._deadlines = deadlines
 
     async def run(self) -> None:
-        """Looks until cancelled."""
+        """Checks for suspensions until cancelled."""
         loop = asyncio.get_running_loop()
-        ahead = self._state.clock() - loop.time()
+        offset = self._state.clock() - loop.time()
         while True:
-            await asyncio.sleep(PERIOD)
-            now_ahead = self._state.clock() - loop.time()
-            slept = now_ahead - ahead
-            if slept < LEAST:
+            await asyncio.sleep(POLL_INTERVAL)
+            new_offset = self._state.clock() - loop.time()
+            suspended = new_offset - offset
+            if suspended < MIN_SUSPENSION:
                 continue
-            ahead = now_ahead
-            self._deadlines.advance(slept)
-            self._state.believe("resumed", suspended=round(slept, 3))
+            offset = new_offset
+            self._deadlines.advance(suspended)
+            self._state.believe("resumed", suspended=round(suspended, 3))
