--- a/tests/platform/conftest.py
+++ b/tests/platform/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the platform's tests: a store that answers on loopback."""
+"""Fixtures for platform tests: a stand-in store on loopback."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 async def standin() -> AsyncIterator[
     tuple[store_standin.StoreStandin, store_standin.Topic, store.StoreTopic]
 ]:
-    """The stand-in, one of its topics, and the client that reads it."""
-    made = store_standin.StoreStandin()
-    runner = web.AppRunner(made.application())
+    """The stand-in store, one of its topics, and a client for that topic."""
+    store_server = store_standin.StoreStandin()
+    runner = web.AppRunner(store_server.application())
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0).start()
     ip, port = runner.addresses[0]
@@ -32,5 +32,5 @@
         client = store.StoreTopic(
             session, f"{ip}:{port}", TOPIC, history.StoreHistory()
         )
-        yield made, made.topic(TOPIC), client
+        yield store_server, store_server.topic(TOPIC), client
     await runner.cleanup()
--- a/tests/platform/test_platform_codec.py
+++ b/tests/platform/test_platform_codec.py
@@ -1,4 +1,4 @@
-"""The platform's records in the product's types."""
+"""Conversion between platform records and the product's types."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     "resumable": True,
     "itl_target_ms": 1200,
 }
-PLAIN = {
+UNWEIGHTED_ROUTE = {
     "name": "r-2",
     "host": "shop.example",
     "path_prefix": "/confirm/",
@@ -51,7 +51,7 @@
 }
 CONFIG = {
     "version": 7,
-    "routes": [ROUTE, PLAIN],
+    "routes": [ROUTE, UNWEIGHTED_ROUTE],
     "services": [
         {
             "name": "a",
@@ -82,7 +82,7 @@
     return topics.Record(key, orjson.dumps(fields), relay_parts.at(offset))
 
 
-def test_a_configuration_is_decoded_once_and_whole() -> None:
+def test_decodes_a_complete_configuration() -> None:
     found = CODEC.configuration(record("config", CONFIG))
     assert found is not None
     assertions.assert_that(found.revision, matchers.Equals(7))
@@ -102,19 +102,19 @@
     assertions.assert_that(confirm.max_attempts, matchers.Equals(1))
     assertions.assert_that(found.services["a"].has_engine, matchers.Is(True))
     assertions.assert_that(found.limits.body_bytes, matchers.Equals(100))
-    holder = found.find_account("k2")
-    assert holder is not None
-    assertions.assert_that(holder.name, matchers.Equals("farm"))
+    account = found.find_account("k2")
+    assert account is not None
+    assertions.assert_that(account.name, matchers.Equals("farm"))
 
 
-def test_other_keys_hold_no_configuration() -> None:
+def test_records_with_other_keys_are_not_decoded() -> None:
     assertions.assert_that(
         CODEC.configuration(record("rollout/a", {})), matchers.Is(None)
     )
     assertions.assert_that(CODEC.order(record("config", {})), matchers.Is(None))
 
 
-def test_an_order_is_numbered_by_its_offset() -> None:
+def test_order_number_is_the_record_offset() -> None:
     fields = {"service": "a", "target": "v2", "duration_s": 12}
     found = CODEC.order(record("rollout/a", fields, offset=9))
     assertions.assert_that(
@@ -125,7 +125,7 @@
 @pytest.mark.parametrize(
     ("state", "leaving"), [("ready", False), ("draining", True)]
 )
-def test_a_server_entry(state: str, leaving: bool) -> None:
+def test_decodes_a_server_entry(state: str, leaving: bool) -> None:
     fields = {**SERVER, "state": state, "warmup_left_ms": 500}
     found = CODEC.server(record("i-1", fields))
     assertions.assert_that(found.server_id, matchers.Equals("i-1"))
@@ -137,12 +137,12 @@
 
 
 @pytest.mark.parametrize("value", [b"", b"{", b"[]", b'{"service":"a"}'])
-def test_an_unreadable_entry_is_an_error(value: bytes) -> None:
+def test_malformed_server_entry_raises_codec_error(value: bytes) -> None:
     with pytest.raises(errors.CodecError):
         CODEC.server(topics.Record("i-1", value, relay_parts.at(0)))
 
 
-JUNK = (
+INVALID_FIELDS = (
     [("slots", value) for value in ("16", None, 0, -1, 1.5, True, 1e12, [16])]
     + [("version", value) for value in (["v1"], None, 3, "", "v\x00")]
     + [("service", value) for value in (["a"], None, {}, "")]
@@ -169,8 +169,8 @@
 )
 
 
-@pytest.mark.parametrize(("name", "value"), JUNK)
-def test_an_entry_with_a_field_of_another_type_names_no_server(
+@pytest.mark.parametrize(("name", "value"), INVALID_FIELDS)
+def test_server_entry_with_an_invalid_field_raises_codec_error(
     name: str, value: object
 ) -> None:
     with pytest.raises(errors.CodecError, match=name):
@@ -181,7 +181,9 @@
 
 
 @pytest.mark.parametrize("name", sorted(SERVER.keys() - OPTIONAL))
-def test_an_entry_that_lacks_a_field_names_no_server(name: str) -> None:
+def test_server_entry_with_a_missing_field_raises_codec_error(
+    name: str,
+) -> None:
     fields = {key: value for key, value in SERVER.items() if key != name}
     with pytest.raises(errors.CodecError, match=name):
         CODEC.server(record("i-1", fields))
@@ -212,7 +214,7 @@
         found = CODEC.server(record("i-1", {**SERVER, name: value}))
     except errors.CodecError:
         return
-    # What was taken has the types on which every choice of a server rests.
+    # An accepted entry has the types that server selection relies on.
     hash(found)
     kinds = (found.version, found.zone, found.service, found.address)
     assertions.assert_that(
@@ -239,7 +241,7 @@
     "change",
     [{"service": 3}, {"target": ["v2"]}, {"target": ""}, {"duration_s": "12"}],
 )
-def test_an_order_with_a_field_of_another_type_is_an_error(
+def test_order_with_an_invalid_field_raises_codec_error(
     change: dict[str, object],
 ) -> None:
     fields = {"service": "a", "target": "v2", "duration_s": 12, **change}
@@ -256,7 +258,7 @@
         (phases.Phase.REVERTED, "reverted"),
     ],
 )
-def test_a_status(phase: phases.Phase, state: str) -> None:
+def test_encodes_a_roll_out_status(phase: phases.Phase, state: str) -> None:
     key, value = CODEC.status(phases.PhaseRecord("a", "v2", 9, phase))
     assertions.assert_that(key, matchers.Equals("rollout/a"))
     fields = orjson.loads(value)
@@ -264,7 +266,7 @@
     assertions.assert_that(fields["target"], matchers.Equals("v2"))
 
 
-def test_settings_in_the_product_s_units() -> None:
+def test_settings_are_converted_to_relay_units() -> None:
     fields = {
         "node_name": "edge-1",
         "zone": "bangna",
@@ -292,7 +294,7 @@
         settings.read(orjson.dumps(fields))
 
 
-def test_headers_that_callers_may_not_set_are_stripped() -> None:
+def test_protected_headers_are_stripped_from_requests() -> None:
     for name in ("authorization", "hoistmoor-tenant", "kv-from"):
         assertions.assert_that(
             name in names.HEADERS.set_here, matchers.Is(True)
@@ -303,7 +305,7 @@
     ("text", "expected"),
     [("3,0,8", (3, 0, 8)), ("", None), ("1,2", None), ("a,b,c", None)],
 )
-def test_loads_that_cannot_be_read_tell_nothing(
+def test_malformed_load_reports_are_ignored(
     text: str, expected: tuple[int, int, int] | None
 ) -> None:
     found = server_reports.parse_load(text)
@@ -311,7 +313,7 @@
     assertions.assert_that(read, matchers.Equals(expected))
 
 
-def test_prompts() -> None:
+def test_prompt_headers_are_parsed() -> None:
     found = header_values.parse_prompt("*", "1460,80", "5c:800,91:410,e4:250")
     assert found is not None
     assertions.assert_that(found.subject, matchers.Equals("91"))
--- a/tests/platform/test_platform_store.py
+++ b/tests/platform/test_platform_store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store."""
+"""Client for the platform's store."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
     from hoistmoor.platform import store
 
-Made = tuple[
+StoreFixture = tuple[
     "store_standin.StoreStandin", "store_standin.Topic", "store.StoreTopic"
 ]
 
 
-async def test_newest_records_come_from_all_pages(standin: Made) -> None:
+async def test_newest_reads_all_pages(standin: StoreFixture) -> None:
     _, stored, topic = standin
     stored.records = [(key, b"old") for key in "abcde"]
     stored.records += [("b", b"new"), ("c", b"")]
@@ -36,8 +36,8 @@
     assertions.assert_that(batch.end, matchers.Equals(relay_parts.at(7)))
 
 
-async def test_changes_have_their_offsets_and_dropped_keys(
-    standin: Made,
+async def test_changes_include_offsets_and_deleted_keys(
+    standin: StoreFixture,
 ) -> None:
     made, stored, topic = standin
     stored.records = [("a", b"1"), ("b", b"\x00\xff"), ("a", b"")]
@@ -54,7 +54,9 @@
     assertions.assert_that(query["wait_ms"], matchers.Equals("500"))
 
 
-async def test_forgotten_and_rewound_history_is_told(standin: Made) -> None:
+async def test_expired_and_future_offsets_raise_offset_expired(
+    standin: StoreFixture,
+) -> None:
     made, stored, topic = standin
     stored.records = [("a", b"1")] * 5
     stored.first_kept = 3
@@ -65,7 +67,9 @@
         await topic.changes(relay_parts.at(9), 0.0)
 
 
-async def test_a_conditional_write_has_one_winner(standin: Made) -> None:
+async def test_only_one_conditional_write_succeeds(
+    standin: StoreFixture,
+) -> None:
     _made, stored, topic = standin
     assertions.assert_that(
         await topic.put("k", b"first", relay_parts.at(0)),
@@ -78,7 +82,9 @@
 
 
 @pytest.mark.parametrize("status", [429, 503, 507, 500])
-async def test_refused_calls_are_errors(standin: Made, status: int) -> None:
+async def test_error_responses_raise_log_unavailable(
+    standin: StoreFixture, status: int
+) -> None:
     made, _stored, topic = standin
     made.status = status
     with pytest.raises(errors.LogUnavailableError):
@@ -88,9 +94,9 @@
 
 
 async def test_a_place_of_an_older_history_is_not_read_from(
-    standin: Made,
+    standin: StoreFixture,
 ) -> None:
-    # The new history may be longer than the place that was read to.
+    # The new history may be longer than the offset that was read up to.
     made, stored, topic = standin
     stored.records = [("a", b"1")] * 5
     made.era = "1"
@@ -105,23 +111,23 @@
 
 
 async def test_pages_of_two_histories_are_no_snapshot(
-    standin: Made, monkeypatch: pytest.MonkeyPatch
+    standin: StoreFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     made, stored, topic = standin
     stored.records = [(key, b"old") for key in "abcdef"]
     made.era = "1"
-    page = type(made)._newest
+    read_page = type(made)._newest
 
-    def change_after_the_first(
+    def change_history_after_first_page(
         _: store_standin.StoreStandin, topic: store_standin.Topic, after: str
     ) -> Any:
-        answer = page(made, topic, after)
+        answer = read_page(made, topic, after)
         if after and made.era == "1":
             made.era = "2"
             stored.records = [(key, b"new") for key in "ab"]
         return answer
 
-    monkeypatch.setattr(type(made), "_newest", change_after_the_first)
+    monkeypatch.setattr(type(made), "_newest", change_history_after_first_page)
     batch = await topic.newest()
     found = {each.key: each.value for each in batch.records}
     assertions.assert_that(found, matchers.Equals({"a": b"new", "b": b"new"}))
@@ -129,7 +135,7 @@
 
 
 async def test_a_condition_does_not_hold_in_another_history(
-    standin: Made,
+    standin: StoreFixture,
 ) -> None:
     made, stored, topic = standin
     made.era = "1"
@@ -139,7 +145,7 @@
     assertions.assert_that(
         await topic.put("k", b"second", end), matchers.Is(None)
     )
-    # Now that the new history is known, nothing is sent.
+    # Once the new history is known, the write is rejected without a request.
     assertions.assert_that(
         await topic.put("k", b"third", end), matchers.Is(None)
     )
@@ -158,17 +164,17 @@
     ],
 )
 async def test_an_era_that_says_nothing_changes_nothing(
-    standin: Made, text: str | None, kind: history.Unusable
+    standin: StoreFixture, text: str | None, kind: history.Unusable
 ) -> None:
     made, stored, topic = standin
     made.era = "2"
     stored.records = [("a", b"1")]
     known = await topic.newest()
-    told: list[history.Unusable] = []
-    topic.history.on_unusable = lambda why, _: told.append(why)
+    reported: list[history.Unusable] = []
+    topic.history.on_unusable = lambda why, _: reported.append(why)
     made.era = text
     stored.records.append(("a", b"2"))
     batch = await topic.changes(known.end, 0.0)
     assertions.assert_that(batch.end, matchers.Equals(relay_parts.at(2, 2)))
     assertions.assert_that(topic.history.era, matchers.Equals(2))
-    assertions.assert_that(told, matchers.Equals([kind]))
+    assertions.assert_that(reported, matchers.Equals([kind]))
--- a/tests/relay/front/test_relay_path.py
+++ b/tests/relay/front/test_relay_path.py
@@ -1,4 +1,4 @@
-"""Requests through a relay, with backend servers that misbehave."""
+"""Requests through a relay to faulty backend servers."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
-    """Ends a connection with a reset, not with an orderly close."""
+    """Closes a connection with a TCP reset instead of a FIN."""
     linger = struct.pack("ii", 1, 0)
     opened = writer.get_extra_info("socket")
     opened.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
@@ -64,7 +64,7 @@
     )
 
 
-async def test_a_request_goes_on_unread(harness: Harness) -> None:
+async def test_a_request_is_forwarded_unmodified(harness: Harness) -> None:
     backend = await harness.add_backend("s1", answer_done)
     path = "/look/a%2Fb//c?x=%20&y"
     async with harness.call(
@@ -107,18 +107,18 @@
         ("/look/", {"X-Deadline-Ms": "0"}, 400),
     ],
 )
-async def test_what_is_not_allowed_is_not_run(
+async def test_inadmissible_requests_are_not_run(
     harness: Harness, path: str, headers: dict[str, str], status: int
 ) -> None:
     backend = await harness.add_backend("s1", answer_done)
     async with harness.call(path, headers=headers) as reply:
         assertions.assert_that(reply.status, matchers.Equals(status))
-        told = await reply.json()
-    assertions.assert_that(told["outcome"], matchers.Equals("not_run"))
+        refusal = await reply.json()
+    assertions.assert_that(refusal["outcome"], matchers.Equals("not_run"))
     assertions.assert_that(backend.requests, matchers.HasLength(0))
 
 
-async def test_a_body_over_the_bound_is_not_run(harness: Harness) -> None:
+async def test_an_oversized_body_is_not_run(harness: Harness) -> None:
     backend = await harness.add_backend("s1", answer_done)
     size = 4 * 1024 * 1024 + 1
     async with harness.call("/look/", data=b"x" * size) as reply:
@@ -126,28 +126,28 @@
     assertions.assert_that(backend.requests, matchers.HasLength(0))
 
 
-async def test_a_cut_that_may_have_run_is_told_and_not_repeated(
+async def test_a_non_idempotent_request_with_unknown_outcome_is_not_retried(
     harness: Harness,
 ) -> None:
     first = await harness.add_backend("s1", cut)
     second = await harness.add_backend("s2", cut)
     async with harness.call("/confirm/") as reply:
         assertions.assert_that(reply.status, matchers.Equals(502))
-        told = await reply.json()
-    assertions.assert_that(told["outcome"], matchers.Equals("unknown"))
+        refusal = await reply.json()
+    assertions.assert_that(refusal["outcome"], matchers.Equals("unknown"))
     runs = len(first.requests) + len(second.requests)
     assertions.assert_that(runs, matchers.Equals(1))
     assertions.assert_that("Retry-After" in reply.headers, matchers.Is(False))
 
 
-async def test_what_every_server_declines_has_not_run(
+async def test_a_request_declined_by_all_servers_is_not_run(
     harness: Harness,
 ) -> None:
     await harness.add_backend("s1", decline)
     async with harness.call("/confirm/") as reply:
         assertions.assert_that(reply.status, matchers.Equals(503))
-        told = await reply.json()
-    assertions.assert_that(told["outcome"], matchers.Equals("not_run"))
+        refusal = await reply.json()
+    assertions.assert_that(refusal["outcome"], matchers.Equals("not_run"))
     assertions.assert_that("Retry-After" in reply.headers, matchers.Is(True))
 
 
@@ -161,16 +161,16 @@
         b"no protocol at all\r\n\r\n",
     ],
 )
-async def test_bytes_that_are_no_answer_are_not_passed_on(
+async def test_malformed_responses_are_not_forwarded(
     harness: Harness, bad: bytes
 ) -> None:
-    async def spoil(
+    async def respond_malformed(
         backend: Backend, request: bytes, writer: asyncio.StreamWriter
     ) -> None:
         writer.write(bad)
         writer.close()
 
-    await harness.add_backend("s1", spoil)
+    await harness.add_backend("s1", respond_malformed)
     async with harness.call("/confirm/") as reply:
         assertions.assert_that(reply.status, matchers.Equals(502))
         body = await reply.read()
@@ -178,44 +178,44 @@
 
 
 @pytest.mark.parametrize("path", ["/confirm/", "/look/"])
-async def test_surplus_bytes_reach_no_other_request(
+async def test_surplus_bytes_do_not_reach_another_request(
     harness: Harness, path: str
 ) -> None:
-    async def twice(
+    async def respond_twice(
         backend: Backend, request: bytes, writer: asyncio.StreamWriter
     ) -> None:
         writer.write(BODY + BODY.replace(b"done", b"more"))
 
-    await harness.add_backend("s1", twice)
+    await harness.add_backend("s1", respond_twice)
     for _ in range(3):
         async with harness.call(path) as reply:
             body = await reply.read()
         assertions.assert_that(body, matchers.Equals(b"done"))
 
 
-async def test_a_dropped_connection_leaves_no_doubt_about_what_runs_once(
+async def test_a_non_idempotent_request_never_uses_a_stale_connection(
     harness: Harness,
 ) -> None:
-    async def drop_after_an_answer(
+    async def reset_after_first_response(
         backend: Backend, request: bytes, writer: asyncio.StreamWriter
     ) -> None:
         used = getattr(writer, "used", False)
-        if used:  # Whatever is sent next on a kept connection is reset.
+        if used:  # Resets a reused connection at its second request.
             reset_connection(writer)
             return
         writer.used = True  # type: ignore[attr-defined]
         writer.write(BODY)
 
-    await harness.add_backend("s1", drop_after_an_answer)
+    await harness.add_backend("s1", reset_after_first_response)
     for _ in range(3):
         async with harness.call("/confirm/") as reply:
             assertions.assert_that(reply.status, matchers.Equals(200))
 
 
-async def test_a_cut_stream_goes_on_at_another_server(
+async def test_a_cut_stream_resumes_at_another_server(
     harness: Harness,
 ) -> None:
-    async def half_or_rest(
+    async def stream_first_half_or_rest(
         backend: Backend, request: bytes, writer: asyncio.StreamWriter
     ) -> None:
         if b"Last-Event-Id: 2" in request:
@@ -226,7 +226,9 @@
         writer.transport.abort()
 
     servers = [
-        await harness.add_backend(f"e{number}", half_or_rest, service="llm")
+        await harness.add_backend(
+            f"e{number}", stream_first_half_or_rest, service="llm"
+        )
         for number in range(2)
     ]
     async with harness.call("/chat/", headers=MODEL) as reply:
@@ -238,17 +240,17 @@
     assertions.assert_that(asked, matchers.Equals([1, 1]))
 
 
-async def test_a_stream_that_cannot_go_on_does_not_look_whole(
+async def test_a_stream_that_cannot_resume_looks_incomplete(
     harness: Harness,
 ) -> None:
-    async def half(
+    async def stream_first_half(
         backend: Backend, request: bytes, writer: asyncio.StreamWriter
     ) -> None:
         writer.write(STREAM + chunk(event(1)))
         await asyncio.sleep(0.05)
         writer.transport.abort()
 
-    await harness.add_backend("e1", half, service="llm")
+    await harness.add_backend("e1", stream_first_half, service="llm")
     with pytest.raises(aiohttp.ClientError):
         async with harness.call("/chat/", headers=MODEL) as reply:
             await reply.read()
@@ -257,7 +259,7 @@
 async def test_a_failure_after_a_cut_does_not_make_a_stream_whole(
     harness: Harness,
 ) -> None:
-    async def half_then_fail(
+    async def stream_first_half_then_fail(
         backend: Backend, request: bytes, writer: asyncio.StreamWriter
     ) -> None:
         if b"Last-Event-Id" in request:
@@ -271,13 +273,15 @@
         writer.transport.abort()
 
     for number in range(2):
-        await harness.add_backend(f"e{number}", half_then_fail, service="llm")
+        await harness.add_backend(
+            f"e{number}", stream_first_half_then_fail, service="llm"
+        )
     with pytest.raises(aiohttp.ClientError):
         async with harness.call("/chat/", headers=MODEL) as reply:
             await reply.read()
 
 
-async def test_an_unframed_answer_that_is_reset_is_not_whole(
+async def test_an_unframed_response_ended_by_a_reset_is_incomplete(
     harness: Harness,
 ) -> None:
     async def reset(
@@ -292,7 +296,9 @@
         assertions.assert_that(reply.status, matchers.Equals(502))
 
 
-async def test_an_unframed_answer_that_ends_is_whole(harness: Harness) -> None:
+async def test_an_unframed_response_ended_by_a_close_is_complete(
+    harness: Harness,
+) -> None:
     async def close(
         backend: Backend, request: bytes, writer: asyncio.StreamWriter
     ) -> None:
@@ -305,7 +311,9 @@
     assertions.assert_that(body, matchers.Equals(b"done"))
 
 
-async def test_a_caller_that_leaves_ends_its_run(harness: Harness) -> None:
+async def test_a_disconnected_caller_cancels_its_request(
+    harness: Harness,
+) -> None:
     async def hold(
         backend: Backend, request: bytes, writer: asyncio.StreamWriter
     ) -> None:
@@ -325,19 +333,21 @@
     assertions.assert_that(backend.requests, matchers.HasLength(1))
 
 
-async def test_an_unsure_answer_never_reaches_the_caller(
+async def test_a_low_confidence_response_never_reaches_the_caller(
     harness: Harness,
 ) -> None:
-    async def by_model(
+    async def respond_by_model(
         backend: Backend, request: bytes, writer: asyncio.StreamWriter
     ) -> None:
         if b"X-Model: small" in request:
-            unsure = STREAM.replace(b"\r\n\r\n", b"\r\nX-Confidence: 3\r\n\r\n")
-            writer.write(unsure + chunk(b"id: 1\ndata: poor\n\n") + END)
+            low_confidence = STREAM.replace(
+                b"\r\n\r\n", b"\r\nX-Confidence: 3\r\n\r\n"
+            )
+            writer.write(low_confidence + chunk(b"id: 1\ndata: poor\n\n") + END)
         else:
             writer.write(STREAM + chunk(event(1)) + END)
 
-    backend = await harness.add_backend("e1", by_model, service="llm")
+    backend = await harness.add_backend("e1", respond_by_model, service="llm")
     async with harness.call("/chat/", headers=MODEL) as reply:
         body = await reply.read()
     assertions.assert_that(body, matchers.Equals(event(1)))
@@ -347,7 +357,7 @@
     )
 
 
-async def test_without_the_store_keys_are_refused_in_time(
+async def test_keys_are_refused_in_time_during_a_store_outage(
     harness: Harness,
 ) -> None:
     backend = await harness.add_backend("s1", answer_done)
@@ -373,7 +383,7 @@
     ("path", "key", "status"),
     [
         ("/look/", "key1", 200),
-        # A newer configuration may have the key or the route.
+        # A newer configuration may include the key or define the route.
         ("/look/", "wrong", 503),
         ("/nowhere/", "key1", 503),
     ],
@@ -385,7 +395,7 @@
     harness.platform.operator.is_away = True
     lease = harness.state.lease
     lease.is_strict = False
-    lease.bound = 0.0  # Whatever is known is too old to be sure of.
+    lease.bound = 0.0  # Makes the known configuration count as outdated.
     async with harness.call(
         path, headers={"Authorization": f"Bearer {key}"}
     ) as reply:
@@ -406,7 +416,7 @@
     assertions.assert_that(harness.state.configuration, matchers.Is(newer))
 
 
-async def test_a_stop_ends_what_runs_and_refuses_the_rest(
+async def test_a_stop_completes_running_requests_and_refuses_new_ones(
     harness: Harness,
 ) -> None:
     release = asyncio.Event()
@@ -422,9 +432,9 @@
     await harness.until(lambda: bool(backend.requests))
     harness.stop.set()
     await harness.until(lambda: harness.state.stopping)
-    status, told = await _status(harness, "/confirm/")
+    status, refusal = await _status(harness, "/confirm/")
     assertions.assert_that(status, matchers.Equals(503))
-    assertions.assert_that(told, matchers.Contains("not_run"))
+    assertions.assert_that(refusal, matchers.Contains("not_run"))
     release.set()
     status, _ = await running
     assertions.assert_that(status, matchers.Equals(200))
@@ -436,7 +446,7 @@
         return reply.status, await reply.text()
 
 
-async def test_a_bad_version_is_reverted_on_the_store(
+async def test_a_failing_version_is_reverted_in_the_store(
     harness: Harness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def fail(
@@ -481,7 +491,7 @@
     assertions.assert_that(south.requests, matchers.HasLength(4))
 
 
-async def test_with_all_servers_evacuated_callers_are_refused_at_once(
+async def test_requests_are_refused_immediately_when_all_servers_are_evacuated(
     harness: Harness,
 ) -> None:
     backend = await harness.add_backend("s1", answer_done, zone="north")
--- a/tests/relay/front/test_relay_reports.py
+++ b/tests/relay/front/test_relay_reports.py
@@ -1,4 +1,4 @@
-"""What servers tell of themselves with their answers."""
+"""Servers' reports about themselves in their responses."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
         "9" * 400,
     ],
 )
-def test_other_texts_are_no_limit(text: str) -> None:
+def test_malformed_limits_are_recorded_as_unreadable(text: str) -> None:
     report = parse(("X-Server-Limit", text), ("X-Load", "3,0,8"))
     assertions.assert_that(report.limit, matchers.Is(None))
     shown = report.unreadable[reports.Word.LIMIT]
@@ -72,10 +72,12 @@
     assertions.assert_that(report.load.running, matchers.Equals(3))
 
 
-def test_a_server_says_that_it_leaves_in_one_way() -> None:
-    said = ("x-server-leaving", "1")
-    assertions.assert_that(parse(said).is_leaving, matchers.Is(True))
-    assertions.assert_that(parse(said, said).is_leaving, matchers.Is(True))
+def test_only_the_value_1_announces_a_departure() -> None:
+    departure = ("x-server-leaving", "1")
+    assertions.assert_that(parse(departure).is_leaving, matchers.Is(True))
+    assertions.assert_that(
+        parse(departure, departure).is_leaving, matchers.Is(True)
+    )
     assertions.assert_that(parse().is_leaving, matchers.Is(False))
 
 
@@ -83,7 +85,9 @@
     "texts",
     [("",), ("0",), ("yes",), ("true",), ("1, 1",), ("1", "0"), ("11",)],
 )
-def test_other_texts_do_not_say_that_it_leaves(texts: tuple[str, ...]) -> None:
+def test_malformed_departures_are_recorded_as_unreadable(
+    texts: tuple[str, ...],
+) -> None:
     report = parse(*(("X-Server-Leaving", text) for text in texts))
     assertions.assert_that(report.is_leaving, matchers.Is(False))
     assertions.assert_that(
@@ -92,11 +96,15 @@
 
 
 @pytest.mark.parametrize(("text", "rest"), [("3", 3.0), ("0.25", 0.25)])
-def test_a_rest_is_asked_for_with_503_alone(text: str, rest: float) -> None:
-    asked = ("Retry-After", text)
-    assertions.assert_that(parse(asked, status=503).rest, matchers.Equals(rest))
+def test_a_back_off_is_requested_only_with_status_503(
+    text: str, rest: float
+) -> None:
+    back_off = ("Retry-After", text)
+    assertions.assert_that(
+        parse(back_off, status=503).rest, matchers.Equals(rest)
+    )
     for status in (200, 429, 500):
-        report = parse(asked, status=status)
+        report = parse(back_off, status=status)
         assertions.assert_that(report.rest, matchers.Is(None))
         assertions.assert_that(report.unreadable, matchers.Equals({}))
 
@@ -113,7 +121,9 @@
         ("9" * 40,),
     ],
 )
-def test_other_texts_ask_for_no_rest(texts: tuple[str, ...]) -> None:
+def test_malformed_back_offs_are_recorded_as_unreadable(
+    texts: tuple[str, ...],
+) -> None:
     report = parse(*(("Retry-After", text) for text in texts), status=503)
     assertions.assert_that(report.rest, matchers.Is(None))
     assertions.assert_that(
@@ -121,11 +131,11 @@
     )
 
 
-class Speaker:
-    """A server that answers with the heads that it is given.
+class ReportingServer:
+    """A backend server with a configurable response head.
 
     Attributes:
-        status: Status line, from the code on.
+        status: Status code and reason phrase.
         headers: Header lines.
     """
 
@@ -136,46 +146,48 @@
     async def __call__(
         self, _: Backend, request: bytes, writer: asyncio.StreamWriter
     ) -> None:
-        """Answers one request."""
+        """Responds to one request."""
         writer.write(HEAD % (self.status, self.headers))
 
 
-async def ask(harness: Harness) -> None:
+async def send_request(harness: Harness) -> None:
     async with harness.call("/look/a") as reply:
         await reply.read()
 
 
-async def add_speaker(
+async def add_reporting_server(
     harness: Harness,
-) -> tuple[Speaker, server_lib.ServerState]:
-    """Starts a server; returns it, and what the relay knows of it."""
-    speaker = Speaker()
-    await harness.add_backend("s1", speaker)
-    return speaker, harness.state.router.fleet.servers["s1"]
+) -> tuple[ReportingServer, server_lib.ServerState]:
+    """Starts a server; returns it and the relay's state for it."""
+    backend = ReportingServer()
+    await harness.add_backend("s1", backend)
+    return backend, harness.state.router.fleet.servers["s1"]
 
 
-async def test_a_limit_holds_while_answers_name_it(harness: Harness) -> None:
-    speaker, server = await add_speaker(harness)
-    speaker.headers = SIGNED + b"X-Server-Limit: 50\r\n"
-    await ask(harness)
+async def test_a_limit_applies_while_responses_announce_it(
+    harness: Harness,
+) -> None:
+    backend, server = await add_reporting_server(harness)
+    backend.headers = SIGNED + b"X-Server-Limit: 50\r\n"
+    await send_request(harness)
     assertions.assert_that(server.limit.rate, matchers.Equals(50.0))
-    speaker.headers = SIGNED + b"X-Server-Limit: 40\r\n"
-    await ask(harness)
+    backend.headers = SIGNED + b"X-Server-Limit: 40\r\n"
+    await send_request(harness)
     assertions.assert_that(server.limit.rate, matchers.Equals(40.0))
-    speaker.headers = SIGNED
-    await ask(harness)
+    backend.headers = SIGNED
+    await send_request(harness)
     assertions.assert_that(server.limit.rate, matchers.Is(None))
 
 
-async def test_what_is_no_limit_changes_nothing(harness: Harness) -> None:
-    speaker, server = await add_speaker(harness)
-    speaker.headers = SIGNED + b"X-Server-Limit: -1\r\n"
-    await ask(harness)
+async def test_a_malformed_limit_changes_nothing(harness: Harness) -> None:
+    backend, server = await add_reporting_server(harness)
+    backend.headers = SIGNED + b"X-Server-Limit: -1\r\n"
+    await send_request(harness)
     assertions.assert_that(server.limit.rate, matchers.Is(None))
-    speaker.headers = SIGNED + b"X-Server-Limit: 50\r\n"
-    await ask(harness)
-    speaker.headers = SIGNED + b"X-Server-Limit: many\r\n"
-    await ask(harness)
+    backend.headers = SIGNED + b"X-Server-Limit: 50\r\n"
+    await send_request(harness)
+    backend.headers = SIGNED + b"X-Server-Limit: many\r\n"
+    await send_request(harness)
     assertions.assert_that(server.limit.rate, matchers.Equals(50.0))
 
 
@@ -187,26 +199,26 @@
         (b"421 Another", b"X-Not-Run: 1\r\nX-Server-Limit: 3\r\n"),
     ],
 )
-async def test_what_is_no_success_of_it_ends_no_limit(
+async def test_only_a_success_of_the_server_itself_ends_a_limit(
     harness: Harness, status: bytes, headers: bytes
 ) -> None:
-    speaker, server = await add_speaker(harness)
-    speaker.headers = SIGNED + b"X-Server-Limit: 50\r\n"
-    await ask(harness)
-    speaker.status, speaker.headers = status, headers
-    await ask(harness)
+    backend, server = await add_reporting_server(harness)
+    backend.headers = SIGNED + b"X-Server-Limit: 50\r\n"
+    await send_request(harness)
+    backend.status, backend.headers = status, headers
+    await send_request(harness)
     assertions.assert_that(server.limit.rate, matchers.Equals(50.0))
 
 
-async def test_what_a_server_says_of_its_end_and_rest_is_believed(
+async def test_an_announced_departure_and_back_off_are_applied(
     harness: Harness,
 ) -> None:
-    speaker, server = await add_speaker(harness)
-    speaker.status, speaker.headers = (
+    backend, server = await add_reporting_server(harness)
+    backend.status, backend.headers = (
         b"503 Resting",
         b"X-Not-Run: 1\r\nRetry-After: 30\r\nX-Server-Leaving: 1\r\n",
     )
-    await ask(harness)
+    await send_request(harness)
     left = server.rest.left(harness.state.clock())
     assertions.assert_that(left, matchers.GreaterThan(0.0))
     assertions.assert_that(
@@ -214,36 +226,36 @@
     )
 
 
-async def test_whoever_asks_for_rest_has_not_failed(harness: Harness) -> None:
-    speaker, server = await add_speaker(harness)
-    # It does not say that it has not run the request.
-    speaker.status, speaker.headers = b"503 Resting", b"Retry-After: 0.01\r\n"
+async def test_a_back_off_request_is_not_a_failure(harness: Harness) -> None:
+    backend, server = await add_reporting_server(harness)
+    # The response lacks the header that says the request was not run.
+    backend.status, backend.headers = b"503 Resting", b"Retry-After: 0.01\r\n"
     for _ in range(5):
         await harness.until(lambda: not server.rest.left(harness.state.clock()))
-        await ask(harness)
+        await send_request(harness)
     assertions.assert_that(server.health.failures, matchers.Equals(0))
     assertions.assert_that(server.health.is_ejected, matchers.Is(False))
 
 
-async def test_a_rest_is_kept_to_for_a_while_at_most(harness: Harness) -> None:
-    speaker, server = await add_speaker(harness)
-    speaker.status, speaker.headers = (
+async def test_a_back_off_is_capped(harness: Harness) -> None:
+    backend, server = await add_reporting_server(harness)
+    backend.status, backend.headers = (
         b"503 Resting",
         b"X-Not-Run: 1\r\nRetry-After: 999999\r\n",
     )
-    await ask(harness)
+    await send_request(harness)
     assertions.assert_that(
         server.rest.left(harness.state.clock()),
         matchers.LessThan(rests.LONGEST + 1e-9),
     )
 
 
-def test_a_word_that_nothing_reads_is_named() -> None:
+def test_unrecognized_report_headers_are_listed() -> None:
     report = parse(
         ("X-Server-Mood", "low"), ("X-Server-Limit", "3"), ("Server", "any")
     )
     assertions.assert_that(report.unread, matchers.Equals(("X-Server-Mood",)))
-    said = multidict.CIMultiDict(
+    headers = multidict.CIMultiDict(
         [
             ("Hoistmoor-Response-Signature", "s"),
             ("Hoistmoor-Instance-Load", "1,0,8"),
@@ -252,17 +264,17 @@
             ("Server-Limit", "2"),
         ]
     )
-    read = server_reports.parse_report(200, said, platform_names.HEADERS)
-    assertions.assert_that(read.unread, matchers.Equals(()))
-    said["Server-Wish"] = "tea"
-    read = server_reports.parse_report(200, said, platform_names.HEADERS)
-    assertions.assert_that(read.unread, matchers.Equals(("Server-Wish",)))
+    parsed = server_reports.parse_report(200, headers, platform_names.HEADERS)
+    assertions.assert_that(parsed.unread, matchers.Equals(()))
+    headers["Server-Wish"] = "tea"
+    parsed = server_reports.parse_report(200, headers, platform_names.HEADERS)
+    assertions.assert_that(parsed.unread, matchers.Equals(("Server-Wish",)))
 
 
-async def test_a_late_answer_of_the_start_before_binds_nobody(
+async def test_a_late_response_of_a_previous_incarnation_is_ignored(
     harness: Harness,
 ) -> None:
-    _, before = await add_speaker(harness)
+    _, before = await add_reporting_server(harness)
     fleet, beliefs = harness.state.router.fleet, harness.state.server_beliefs
     fleet.put(relay_parts.entry("s1", address="127.0.0.1:9"), 0.0)
     beliefs.take_report(
--- a/tests/relay/front/test_relay_request_line.py
+++ b/tests/relay/front/test_relay_request_line.py
@@ -1,4 +1,4 @@
-"""Lines that tell how a session went over the versions of a service."""
+"""Event log lines that trace a session across the versions of a service."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 
 
 @pytest.fixture
-def lines() -> Iterator[tuple[state_lib.RelayState, int]]:
-    """A host's state, and where its lines can be read."""
+def logged_state() -> Iterator[tuple[state_lib.RelayState, int]]:
+    """A host's state, and the descriptor to read its event log from."""
     reading, writing = os.pipe()
     os.set_blocking(reading, False)
     yield relay_states.fresh(relay_states.Clock(), writing), reading
@@ -41,7 +41,7 @@
     )
 
 
-def read(descriptor: int) -> list[dict[str, object]]:
+def read_lines(descriptor: int) -> list[dict[str, object]]:
     try:
         data = os.read(descriptor, 65536)
     except BlockingIOError:
@@ -49,35 +49,35 @@
     return [orjson.loads(line) for line in data.splitlines()]
 
 
-def test_a_change_of_a_sessions_version_is_written(
-    lines: tuple[state_lib.RelayState, int],
+def test_a_change_of_a_sessions_version_is_logged(
+    logged_state: tuple[state_lib.RelayState, int],
 ) -> None:
-    state, written = lines
+    state, descriptor = logged_state
     request = relay_parts.request(session="s1")
     request_line.note_version(state, request, send_to("v1"), None)
     request_line.note_version(state, request, send_to("v1"), "v1")
-    plain = relay_parts.request()
-    request_line.note_version(state, plain, send_to("v2"), "v1")
-    assertions.assert_that(read(written), matchers.Equals([]))
+    sessionless = relay_parts.request()
+    request_line.note_version(state, sessionless, send_to("v2"), "v1")
+    assertions.assert_that(read_lines(descriptor), matchers.Equals([]))
     request_line.note_version(state, request, send_to("v2"), "v1")
-    (line,) = read(written)
-    told = {key: line[key] for key in ("session", "before", "version")}
+    (line,) = read_lines(descriptor)
+    logged = {key: line[key] for key in ("session", "before", "version")}
     assertions.assert_that(
-        told,
+        logged,
         matchers.Equals({"session": "s1", "before": "v1", "version": "v2"}),
     )
 
 
-def test_each_request_of_a_session_is_written_during_a_roll_out(
-    lines: tuple[state_lib.RelayState, int],
+def test_each_session_request_is_logged_during_a_roll_out(
+    logged_state: tuple[state_lib.RelayState, int],
 ) -> None:
-    state, written = lines
+    state, descriptor = logged_state
     order = phases.Order("desk", "v2", 60.0, 7)
     state.router.rollouts.take_order(order, 100.0)
     request = relay_parts.request(session="s1")
     request_line.note_version(state, request, send_to("v1"), "v1")
-    (line,) = read(written)
-    told = {key: line[key] for key in ("version", "order", "phase")}
+    (line,) = read_lines(descriptor)
+    logged = {key: line[key] for key in ("version", "order", "phase")}
     assertions.assert_that(
-        told, matchers.Equals({"version": "v1", "order": 7, "phase": "trial"})
+        logged, matchers.Equals({"version": "v1", "order": 7, "phase": "trial"})
     )
