--- a/tests/relay/conftest.py
+++ b/tests/relay/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the relay's tests: a platform in memory, servers, a relay."""
+"""Fixtures for relay tests: an in-memory platform, servers and a relay."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 if TYPE_CHECKING:
     from hoistmoor.relay import state as state_lib
 
-PATIENCE = 20.0  # Seconds; only a hang of a busy machine comes near.
+PATIENCE = 20.0  # Seconds; only reached if a test hangs on a busy machine.
 
 Answer = Callable[["Backend", bytes, asyncio.StreamWriter], Awaitable[None]]
 
 
 @attrs.define
 class Backend:
-    """A backend server whose answers are written byte by byte.
+    """A backend server that writes raw response bytes.
 
     Attributes:
-        answer: Called with each request that came whole.
-        address: ``ip:port``.
-        requests: The requests that came whole, as bytes.
+        answer: Called with each complete request to write the response.
+        address: ``ip:port`` of the server.
+        requests: Raw bytes of each complete request.
         left: Set when the peer closes a connection.
     """
 
@@ -48,7 +48,7 @@
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Reads requests off one connection and has them answered."""
+        """Reads the requests of one connection and responds to them."""
         with contextlib.suppress(asyncio.IncompleteReadError, OSError):
             while not writer.is_closing():
                 head = await reader.readuntil(b"\r\n\r\n")
@@ -65,16 +65,16 @@
 
 @attrs.define
 class Harness:
-    """A relay, its platform and its callers.
+    """A relay with its platform and callers.
 
     Attributes:
-        platform: The platform in memory.
-        relay: The relay.
-        base: URL at which it serves callers.
-        ready: URL of the balancer's question.
-        caller: Session of callers.
-        stop: Stops the relay.
-        backends: Backend servers by name.
+        platform: The in-memory platform.
+        relay: The relay under test.
+        base: URL at which the relay serves callers.
+        ready: URL of the readiness probe.
+        caller: HTTP session of the callers.
+        stop: Stops the relay when set.
+        backends: Closes the backend servers on exit.
     """
 
     platform: relay_platform.MemoryPlatform
@@ -87,13 +87,13 @@
 
     @property
     def state(self) -> state_lib.RelayState:
-        """What the relay knows."""
+        """State of the relay."""
         return self.relay.state
 
     async def add_backend(
         self, server_id: str, answer: Answer, **fields: Any
     ) -> Backend:
-        """Starts a backend server and lists it."""
+        """Starts and registers a backend server."""
         backend = Backend(answer)
         server = await asyncio.start_server(backend.serve, "127.0.0.1", 0)
         self.backends.callback(server.close)
@@ -105,7 +105,7 @@
         return backend
 
     async def until(self, condition: Callable[[], bool]) -> None:
-        """Waits for a condition."""
+        """Waits until a condition holds."""
         async with asyncio.timeout(PATIENCE):
             while not condition():
                 await asyncio.sleep(0.01)
@@ -113,7 +113,7 @@
     def call(
         self, path: str, method: str = "POST", **options: Any
     ) -> aiohttp.client._RequestContextManager:
-        """Calls the relay as the account's holder does."""
+        """Calls the relay with the key of the client account."""
         headers = {
             "Host": "shop.example",
             "X-Request-Id": "r1",
@@ -130,13 +130,14 @@
 async def harness(
     monkeypatch: pytest.MonkeyPatch,
 ) -> AsyncIterator[Harness]:
-    """A relay that has read its configuration."""
+    """A ready relay that has loaded its configuration."""
     monkeypatch.setattr(followers, "SERVERS_PAUSE", 0.02)
     monkeypatch.setattr(followers, "OPERATOR_WAIT", 0.2)
     monkeypatch.setattr(serving, "TAKE_ON", 0.1)
-    # The lines go nowhere; pytest's own capture cannot be made non-blocking.
-    nowhere = os.open(os.devnull, os.O_WRONLY)
-    monkeypatch.setattr(application, "LOG_DESCRIPTOR", nowhere)
+    # Event lines go to /dev/null, since the file that pytest captures output
+    # with cannot be made non-blocking.
+    null_device = os.open(os.devnull, os.O_WRONLY)
+    monkeypatch.setattr(application, "LOG_DESCRIPTOR", null_device)
     platform = relay_platform.MemoryPlatform()
     await platform.publish(platform.operator, "config", relay_parts.in_force())
     settings = settings_lib.RelaySettings(
@@ -152,10 +153,10 @@
                 sessions.make_session(
                     total_timeout=None,
                     attempt_header="X-Request-Id",
-                    reuse_connections=reuses,
+                    reuse_connections=reuse_connections,
                 )
             )
-            for reuses in (True, False)
+            for reuse_connections in (True, False)
         ]
         caller = await stack.enter_async_context(aiohttp.ClientSession())
         relay = application.Relay(
@@ -169,19 +170,19 @@
         async with asyncio.timeout(PATIENCE):
             while len(relay.addresses) < 2:
                 await asyncio.sleep(0.01)
-        callers, ready = relay.addresses
-        made = Harness(
+        caller_address, ready = relay.addresses
+        opened = Harness(
             platform,
             relay,
-            f"http://{callers}",
+            f"http://{caller_address}",
             f"http://{ready}",
             caller,
             stop,
             stack,
         )
-        await made.until(relay.state.is_ready)
-        yield made
+        await opened.until(relay.state.is_ready)
+        yield opened
         stop.set()
         async with asyncio.timeout(PATIENCE):
             await task
-    os.close(nowhere)
+    os.close(null_device)
--- a/tests/relay/engine_traffic.py
+++ b/tests/relay/engine_traffic.py
@@ -1,8 +1,8 @@
-"""Callers of many hosts in virtual time, before engines that say something.
+"""Simulated callers and engines for a swarm of hosts, in virtual time.
 
-Each request goes through the hosts' own decisions: a machine of its own, the
-host's router, and what the engine tells of itself in its answer. Only sockets
-are left out.
+Each request runs through the hosts' real decisions: its own state machine, the
+host's router, and the report in the engine's response. Only the sockets are
+simulated.
 """
 
 from __future__ import annotations
@@ -23,47 +23,54 @@
 from hoistmoor.core.relay.course import requests
 from hoistmoor.core.relay.servers import reports
 
-# The promise to a server that names a limit: from some seconds after it first
-# did, it gets in any window at most so many times what the limit allows and a
-# few requests more, from hosts that were told a while ago.
+# Guarantee for a server that announces a limit: once SETTLED seconds have
+# passed since its first announcement, hosts that were informed at least
+# INFORMED_FOR seconds ago send it, in any WINDOW seconds, at most FACTOR times
+# what the limit allows plus SPARE requests.
 SETTLED = 3.0
 WINDOW = 4.0
 FACTOR = 1.5
 SPARE = 5.0
-TOLD_FOR = 0.5
-# Hosts, engines and requests a second: the sizes of the deployments, and the
-# size that is planned for.
+INFORMED_FOR = 0.5
+# Engines and requests per second by number of hosts: the sizes of the
+# deployments, and the planned size.
 SIZES = {7: (6, 35.0), 84: (60, 300.0), 360: (90, 850.0)}
-SUBJECTS = 200  # Starts of prompts, so that all engines are wanted alike.
-FIRST_PART = 0.1  # Seconds until an answer begins.
-WHOLE = 1.0  # Seconds until it has ended.
-# The promise to a server that says it leaves: of callers who call longer than
-# so many seconds after a host has passed that on, it gets nothing from there.
+PREFIXES = 200  # Distinct prompt prefixes; enough to load all engines equally.
+FIRST_PART = 0.1  # Seconds until the first part of a response.
+COMPLETION = 1.0  # Seconds until a response is complete.
+# Guarantee for a server that announces its departure: it receives no request
+# from a host whose caller called more than this many seconds after that host
+# had forwarded the announcement.
 LEAVING_HEARD = 2.0
-# The promise to a server that asks a host for rest: so many seconds later it
-# gets nothing from there until the rest is over.
+# Guarantee for a server that requests a back-off from a host: after this many
+# seconds, it receives nothing from that host until the back-off is over.
 REST_HEARD = 0.5
 
 
 @attrs.define
 class Engine:
-    """One engine, what it names, and what it gets.
+    """A simulated engine with its announcements and received requests.
+
+    All times are virtual.
 
     Attributes:
-        name: Its id.
-        limit: Requests a second that it takes from all hosts; None for all.
-        named_at: When it first named a limit.
-        told: When each host was first told, by the host's name.
-        arrived: When requests came, from any host.
-        counted: When requests came from hosts that had been told.
-        is_leaving: Whether it says that it leaves.
-        leaving_passed_on: When each host first passed on an answer that says
-            so, by the host's name.
-        after_leaving: Requests that came though they should not, then.
-        rest: Seconds of rest that it asks of whom it turns away; None while
-            it turns nobody away.
-        rests: Since when and until when each host was to send nothing.
-        during_rest: Requests that came though they should not, then.
+        name: Server id.
+        limit: Announced limit in requests per second from all hosts; None
+            for no limit.
+        named_at: Time at which the limit was first announced.
+        told: Time at which each host first received the limit, by host name.
+        arrived: Arrival times of all requests.
+        counted: Arrival times of requests from hosts that knew the limit.
+        is_leaving: Whether it announces its departure.
+        leaving_passed_on: Time at which each host first forwarded a response
+            that announced the departure, by host name.
+        after_leaving: Arrival times of requests that violated the guarantee
+            for leaving servers.
+        rest: Seconds of back-off that it requests when it declines; None
+            while it accepts requests.
+        rests: Start and end of each host's back-off, by host name.
+        during_rest: Arrival times of requests that violated the guarantee for
+            back-offs.
     """
 
     name: str
@@ -80,22 +87,22 @@
     during_rest: list[float] = attrs.field(factory=list)
 
     def begin_limit(self, limit: float) -> None:
-        """Names a limit from now on."""
+        """Starts to announce a limit."""
         self.limit = limit
         self.named_at = asyncio.get_running_loop().time()
 
     def end_limit(self) -> None:
-        """Names none from now on."""
+        """Stops announcing a limit."""
         self.limit = None
         self.told.clear()
 
     def start_anew(self) -> None:
-        """Ends, and starts by the same name."""
+        """Restarts as a new incarnation with the same id."""
         self.is_leaving = False
         self.leaving_passed_on.clear()
 
     def take(self, host: str, called_at: float) -> None:
-        """Gets a request, of a caller who called some time before."""
+        """Records a request from a host whose caller called earlier."""
         now = asyncio.get_running_loop().time()
         self.arrived.append(now)
         if called_at > self.leaving_passed_on.get(host, now) + LEAVING_HEARD:
@@ -103,11 +110,11 @@
         since, until = self.rests.get(host, (now, now))
         if since + REST_HEARD < now < until:
             self.during_rest.append(now)
-        if now - self.told.get(host, now) >= TOLD_FOR:
+        if now - self.told.get(host, now) >= INFORMED_FOR:
             self.counted.append(now)
 
     def answer(self, host: str) -> reports.ServerReport:
-        """Answers a host; returns what the answer says."""
+        """Responds to a host and returns the report in the response."""
         now = asyncio.get_running_loop().time()
         if self.limit is not None:
             self.told.setdefault(host, now)
@@ -121,7 +128,7 @@
         )
 
     def most_in_a_window(self) -> int:
-        """Returns the most that counts within one window."""
+        """Returns the maximum number of counted requests in one window."""
         counted = [at for at in self.counted if at >= self.named_at + SETTLED]
         return max(
             (
@@ -132,27 +139,26 @@
         )
 
     def rate_since(self, begin: float) -> float:
-        """Returns the requests a second that it has got since a moment."""
+        """Returns the requests per second received since a point in time."""
         now = asyncio.get_running_loop().time()
         count = len(self.arrived) - bisect.bisect_left(self.arrived, begin)
         return count / (now - begin)
 
 
 def allowed(limit: float) -> float:
-    """Returns the requests that may count within one window."""
+    """Returns the maximum number of counted requests allowed in one window."""
     return FACTOR * limit * WINDOW + SPARE
 
 
 @attrs.frozen
 class Refused:
-    """A call that was refused.
+    """A refused call.
 
     Attributes:
-        refusal: How.
+        refusal: The refusal.
         took: Seconds from the call to the refusal.
-        sent: Engines that had got it.
-        rest_left: Seconds until the first of the rests ends that engines had
-            asked of the host.
+        sent: Number of attempts that were sent to engines.
+        rest_left: Seconds until the earliest back-off of the host ends.
     """
 
     refusal: refusals.Refusal
@@ -162,23 +168,23 @@
 
 
 class Traffic:
-    """Callers of all hosts of a swarm, and the engines behind these.
+    """Callers and engines of a swarm.
 
     Attributes:
-        engines: The engines.
-        refused: Refused calls, in order.
-        delivered: How many requests were answered.
+        engines: The simulated engines.
+        refused: Refused calls in order.
+        delivered: Number of requests that were served.
     """
 
     def __init__(
         self, swarm: relay_swarm.Swarm, engines: int, rate: float
     ) -> None:
-        """Makes callers that send nothing yet.
+        """Initializes the traffic without sending requests.
 
         Args:
-            swarm: The hosts.
-            engines: How many.
-            rate: Requests a second, of all callers.
+            swarm: Hosts to call.
+            engines: Number of engines.
+            rate: Requests per second of all callers together.
         """
         self.engines = [Engine(f"e{number}") for number in range(engines)]
         self.refused: list[Refused] = []
@@ -190,14 +196,14 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def begin(self) -> None:
-        """Lists the engines; callers send from then on."""
+        """Registers the engines and starts the callers."""
         for engine in self.engines:
             await self.list_engine(engine, born=1000)
         await self._swarm.until(self._knows_engines)
         self._start(self._call())
 
     async def list_engine(self, engine: Engine, born: int) -> None:
-        """Lists an engine's start."""
+        """Registers an incarnation of an engine in the store."""
         entry = relay_parts.entry(
             engine.name,
             service="llm",
@@ -208,12 +214,12 @@
         await self._swarm.store.publish("servers", engine.name, entry)
 
     def most_wanted(self, count: int) -> list[Engine]:
-        """Returns the engines that have got the most requests."""
+        """Returns the engines that have received the most requests."""
         by_demand = sorted(self.engines, key=lambda each: len(each.arrived))
         return by_demand[-count:]
 
     def share_served(self) -> float:
-        """Returns the part of the calls that have ended which was answered."""
+        """Returns the fraction of finished calls that were served."""
         return self.delivered / (self.delivered + len(self.refused))
 
     def _knows_engines(self, member: relay_swarm.Member) -> bool:
@@ -235,12 +241,12 @@
                 self._start(self._serve(member))
 
     def _draw_prompt(self) -> requests.Prompt:
-        """Returns a prompt that shares its start with some others."""
-        subject = self._draws.randrange(SUBJECTS)
+        """Returns a prompt that shares its prefix with some others."""
+        prefix = self._draws.randrange(PREFIXES)
         return attrs.evolve(
             relay_parts.PROMPT,
             parts=(
-                requests.PromptPart(f"shared{subject}", 500),
+                requests.PromptPart(f"shared{prefix}", 500),
                 requests.PromptPart("own", 500),
             ),
         )
@@ -261,11 +267,11 @@
         while isinstance(effect, messages.Send):
             effect = await self._attempt(member, machine, effect)
         if isinstance(effect, messages.Refuse):
-            self.refused.append(self._refused(member, machine, effect))
+            self.refused.append(self._describe_refusal(member, machine, effect))
         else:
             self.delivered += 1
 
-    def _refused(
+    def _describe_refusal(
         self,
         member: relay_swarm.Member,
         machine: machine_lib.RelayMachine,
@@ -295,25 +301,25 @@
         sent_at = state.clock()
         await asyncio.sleep(relay_swarm.LATENCY)
         engine.take(member.name, machine.request.arrived)
-        turned_away = engine.rest is not None
-        await asyncio.sleep(relay_swarm.LATENCY if turned_away else FIRST_PART)
+        is_declined = engine.rest is not None
+        await asyncio.sleep(relay_swarm.LATENCY if is_declined else FIRST_PART)
         state.server_beliefs.take_report(
             send.server,
             engine.answer(member.name),
             sent_at,
-            is_success=not turned_away,
+            is_success=not is_declined,
         )
-        if not turned_away:
-            await asyncio.sleep(WHOLE - FIRST_PART)
-        status, exchange_state, outcome = _ENDS[turned_away]
+        if not is_declined:
+            await asyncio.sleep(COMPLETION - FIRST_PART)
+        status, exchange_state, outcome = _RESULTS[is_declined]
         state.router.note_ended(machine.request, send, outcome, state.clock())
         return machine.handle(
             messages.AttemptEnded(exchange_state, status), state.clock()
         )
 
 
-# Status, state and outcome of an attempt, by whether it was turned away.
-_ENDS = {
+# Status, state and outcome of an attempt, by whether it was declined.
+_RESULTS = {
     False: (200, outcomes.ExchangeState.ANSWERED, pace.AttemptOutcome.WELL),
     True: (503, outcomes.ExchangeState.DECLINED, pace.AttemptOutcome.FULL),
 }
@@ -322,15 +328,15 @@
 async def begin(
     hosts: int, engines: int | None = None
 ) -> tuple[relay_swarm.Swarm, Traffic]:
-    """Returns hosts and their callers, who have called for a while.
+    """Returns a swarm and its traffic after a warm-up of three seconds.
 
     Args:
-        hosts: How many; a size in ``SIZES``.
-        engines: How many, if not those of the size.
+        hosts: Number of hosts; a key of ``SIZES``.
+        engines: Number of engines; None for that in ``SIZES``.
     """
-    usual, rate = SIZES[hosts]
+    default_engines, rate = SIZES[hosts]
     swarm = await relay_swarm.calm_swarm(hosts)
-    traffic = Traffic(swarm, engines or usual, rate)
+    traffic = Traffic(swarm, engines or default_engines, rate)
     await traffic.begin()
     await asyncio.sleep(3.0)
     return swarm, traffic
--- a/tests/relay/relay_cluster.py
+++ b/tests/relay/relay_cluster.py
@@ -1,9 +1,9 @@
-"""Several real relays before engines that can end and come back.
+"""Several real relays with engines that can crash and restart.
 
-Relays, engines and callers speak over loopback; the store is in memory. An
-engine ends by itself, or by a request whose body says so: it begins to answer,
-then resets all its connections and takes no more. Another start of it has
-another id, at the same address.
+Relays, engines and callers communicate over loopback; the store is in memory.
+An engine crashes on its own or on a request whose body contains ``CRASH``: it
+starts to respond, then resets all its connections and accepts no more. After a
+restart, it has a new id at the same address.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 
     import pytest
 
-PATIENCE = 30.0  # Seconds; only a hang of a busy machine comes near.
-POLL = 0.01  # Seconds between two looks at a condition.
-CRASH = b"crash"  # In the body of a request that ends each engine.
-EVENTS = 4  # Of a whole stream.
-# Configurations that come into force one after the other, everywhere, while
-# the hosts are given time to talk: each takes one question of each host.
+PATIENCE = 30.0  # Seconds; only reached if a test hangs on a busy machine.
+POLL = 0.01  # Seconds between checks of a condition.
+CRASH = b"crash"  # Marks the body of a request that crashes every engine.
+EVENTS = 4  # Events of a complete stream.
+# Configurations to publish in sequence so that hosts exchange their state: each
+# one takes effect everywhere after one peer request of each host.
 ROUNDS = 4
 _IP = f"127.{1 + os.getpid() // 250 % 200}.{os.getpid() % 250}"
 _PORT = 17353
@@ -45,18 +45,18 @@
 
 @attrs.define(eq=False)
 class Engine:
-    """One backend server over its starts.
+    """A backend server across its restarts.
 
     Attributes:
-        name: Of all its starts.
-        address: ``ip:port``.
-        starts: How often it has started.
-        ends: How often it has ended.
-        arrived: Bodies of the requests that came whole, of all starts.
-        running: Bodies of the requests that it is at.
-        pace: Set while streams go on.
-        words: Further lines of the head of each of its answers.
-        turns_away: Whether it declines all requests, as not run.
+        name: Name shared by all incarnations.
+        address: ``ip:port`` of the server.
+        starts: Number of starts.
+        ends: Number of crashes.
+        arrived: Bodies of the complete requests to all incarnations.
+        running: Bodies of the requests in progress.
+        pace: Event that lets streams proceed while it is set.
+        words: Additional header lines of each response.
+        turns_away: Whether it declines all requests as not run.
     """
 
     name: str
@@ -73,22 +73,22 @@
 
     @property
     def server_id(self) -> str:
-        """Id of its present start."""
+        """Id of the current incarnation."""
         return f"{self.name}-{self.starts}"
 
     @property
     def is_up(self) -> bool:
-        """Whether it takes connections."""
+        """Whether it accepts connections."""
         return self._server is not None
 
     async def start(self) -> None:
-        """Begins to take connections."""
+        """Starts to accept connections."""
         ip, _, port = self.address.partition(":")
         self.starts += 1
         self._server = await asyncio.start_server(self._serve, ip, int(port))
 
     def end(self) -> None:
-        """Ends as a process does that crashes."""
+        """Crashes: resets all connections and stops listening."""
         if self._server is None:
             return
         self._server.close()
@@ -151,18 +151,18 @@
 
 
 def _value_of(head: bytes, name: bytes) -> bytes:
-    found = re.search(rb"(?im)^" + name + rb": *([^\r\n]*)", head)
-    return found[1] if found else b""
+    match = re.search(rb"(?im)^" + name + rb": *([^\r\n]*)", head)
+    return match[1] if match else b""
 
 
 @attrs.define
 class Answer:
-    """What a caller got.
+    """Response received by a caller.
 
     Attributes:
-        status: HTTP status code; 0 if the answer was cut.
-        body: Its bytes.
-        retry_after: Value of that header, or empty.
+        status: HTTP status code; 0 if the response was cut off.
+        body: Body of the response.
+        retry_after: Value of the Retry-After header, or empty.
     """
 
     status: int
@@ -171,7 +171,7 @@
 
     @property
     def is_whole_stream(self) -> bool:
-        """Whether all events came, once each and in order."""
+        """Whether each event arrived exactly once and in order."""
         numbers = re.findall(rb"id: (\d+)", self.body)
         whole = [b"%d" % number for number in range(1, EVENTS + 1)]
         return self.status == 200 and numbers == whole
@@ -179,14 +179,14 @@
 
 @attrs.define(eq=False)
 class Cluster:
-    """Relays, engines, callers and the store between them.
+    """Relays with their engines, callers and store.
 
     Attributes:
-        platform: The store.
-        relays: The relays that run, in the order of their start.
-        engines: The engines.
-        caller: Session of all callers.
-        peers: Session on which relays ask one another.
+        platform: In-memory platform with the store.
+        relays: Running relays by number.
+        engines: Backend servers.
+        caller: HTTP session of all callers.
+        peers: HTTP session for requests between relays.
     """
 
     platform: relay_platform.MemoryPlatform
@@ -198,7 +198,7 @@
     _revision: int = 1
 
     async def start_relay(self, number: int) -> application.Relay:
-        """Starts a relay that knows nothing, and waits until it is ready."""
+        """Starts a relay without prior state and waits until it is ready."""
         settings = settings_lib.RelaySettings(
             host=f"h{number}",
             zone=f"z{number}",
@@ -220,20 +220,20 @@
         return relay
 
     async def restart_relays(self) -> None:
-        """Ends all relays at once and starts them anew."""
+        """Stops all relays at once and restarts them."""
         await self.stop_relays()
         starts = [self.start_relay(n) for n in range(len(self.relays))]
         self.relays = list(await asyncio.gather(*starts))
         await self.know_engines()
 
     async def stop_relays(self) -> None:
-        """Ends all relays with no word to anybody."""
+        """Stops all relays without a graceful shutdown."""
         for task in self._tasks.values():
             task.cancel()
         await asyncio.gather(*self._tasks.values(), return_exceptions=True)
 
     async def revive(self) -> None:
-        """Starts the engines that have ended, and waits until that is known."""
+        """Restarts crashed engines and waits until all relays know them."""
         for engine in self.engines:
             if engine.is_up:
                 continue
@@ -250,7 +250,7 @@
         await self.know_engines()
 
     async def know_engines(self) -> None:
-        """Waits until all relays know the engines as they are."""
+        """Waits until all relays know the current incarnations."""
         wanted = {engine.server_id for engine in self.engines}
         await until(
             lambda: all(
@@ -260,7 +260,7 @@
         )
 
     async def talk(self) -> None:
-        """Gives all relays time to tell one another what they know."""
+        """Gives all relays time to exchange their state."""
         for _ in range(ROUNDS):
             self._revision += 1
             newer = relay_parts.in_force(self._revision)
@@ -274,7 +274,7 @@
     async def call(
         self, relay: int, body: bytes, name: str = "r1", path: str = "/chat/a"
     ) -> Answer:
-        """Sends a request to one relay, as the account's holder does."""
+        """Sends a request to one relay with the key of the client account."""
         headers = {
             "Host": "shop.example",
             "X-Request-Id": name,
@@ -295,7 +295,7 @@
             return Answer(0)
 
     async def find_wanted(self) -> Engine:
-        """Returns the engine that all hosts choose first for their calls."""
+        """Returns the engine that the hosts prefer for the test's calls."""
         for number in range(len(self.relays)):
             await self.call(number, b"before")
         return max(self.engines, key=lambda each: len(each.arrived))
@@ -303,7 +303,7 @@
     async def call_until(
         self, knows: Callable[[application.Relay], bool]
     ) -> None:
-        """Calls each relay until it knows something."""
+        """Calls each relay until a condition holds for it."""
         async with asyncio.timeout(PATIENCE):
             for number, relay in enumerate(self.relays):
                 while not knows(relay):
@@ -312,11 +312,11 @@
     async def assert_all_served_without(
         self, engine: Engine, calls: int
     ) -> None:
-        """Asserts that calls are answered, and that one engine gets none.
+        """Asserts that all calls are served without using one engine.
 
         Args:
-            engine: The engine.
-            calls: How many are made at each relay.
+            engine: Engine that must receive no request.
+            calls: Number of calls to each relay.
         """
         engine.arrived.clear()
         for number in range(len(self.relays)):
@@ -328,20 +328,20 @@
         assertions.assert_that(engine.arrived, matchers.Equals([]))
 
     def tries_of(self, body: bytes) -> int:
-        """Returns how often engines got a request with this body."""
+        """Returns how many requests with this body engines have received."""
         return sum(engine.arrived.count(body) for engine in self.engines)
 
     def running(self, body: bytes) -> list[Engine]:
-        """Returns the engines that are at a request with this body."""
+        """Returns the engines that are running a request with this body."""
         return [each for each in self.engines if body in each.running]
 
     def ends(self) -> int:
-        """Returns how often engines have ended."""
+        """Returns the total number of engine crashes."""
         return sum(engine.ends for engine in self.engines)
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Waits for a condition."""
+    """Waits until a condition holds."""
     async with asyncio.timeout(PATIENCE):
         while not condition():
             await asyncio.sleep(POLL)
@@ -351,9 +351,9 @@
 async def open_cluster(
     monkeypatch: pytest.MonkeyPatch, relays: int, engines: int
 ) -> AsyncIterator[Cluster]:
-    """Starts relays and engines; ends all of them at last."""
-    nowhere = os.open(os.devnull, os.O_WRONLY)
-    monkeypatch.setattr(application, "LOG_DESCRIPTOR", nowhere)
+    """Starts relays and engines, and stops all of them on exit."""
+    null_device = os.open(os.devnull, os.O_WRONLY)
+    monkeypatch.setattr(application, "LOG_DESCRIPTOR", null_device)
     monkeypatch.setattr(followers, "SERVERS_PAUSE", 0.02)
     monkeypatch.setattr(followers, "OPERATOR_WAIT", 0.2)
     monkeypatch.setattr(followers, "HOSTS_PAUSE", 0.02)
@@ -387,4 +387,4 @@
             await cluster.stop_relays()
             for engine in cluster.engines:
                 engine.end()
-    os.close(nowhere)
+    os.close(null_device)
--- a/tests/relay/relay_swarm.py
+++ b/tests/relay/relay_swarm.py
@@ -1,9 +1,9 @@
-"""Many relays before one store, in one process and in virtual time.
+"""Many relays with one store, in one process and in virtual time.
 
-The relays' own tasks run; their sockets do not. A call to the store or to
-another relay takes a few milliseconds and the time that its bytes need on the
-links of both ends, so that what a herd of hosts does shows in seconds of
-virtual time and in calls.
+The relays' real tasks run, but their sockets are simulated. A call to the store
+or to another relay takes a few milliseconds plus the transfer time on the links
+of both ends, so that the collective behaviour of many hosts can be measured in
+virtual seconds and in calls.
 """
 
 from __future__ import annotations
@@ -36,14 +36,15 @@
     from hoistmoor.core.relay.beliefs import mirror
     from hoistmoor.core.relay.beliefs import topics as topics_lib
 
-LATENCY = 0.003  # Seconds that a small message takes.
-CHUNK = 16384  # Bytes sent at once; transfers on one link take turns.
-RECORD_BYTES = 60  # Bytes of a record besides its value.
-BEAT = 1.2  # Seconds between two heartbeats of a backend server.
-STORE_TIMEOUT = 1.0  # Seconds after which a silent store is given up.
-CLOCK_STEP = 1e-6  # Seconds; shorter waits would not move the clock.
-_NOWHERE = os.open(os.devnull, os.O_WRONLY)
-# What a relay runs here; its settings and the watch of its lease do not matter.
+LATENCY = 0.003  # Seconds to deliver a small message.
+CHUNK = 16384  # Bytes sent at once; transfers on a link are interleaved.
+RECORD_BYTES = 60  # Overhead of a record in addition to its value.
+HEARTBEAT_INTERVAL = 1.2  # Seconds between heartbeats of a backend server.
+STORE_TIMEOUT = 1.0  # Seconds after which calls to a silent store fail.
+CLOCK_STEP = 1e-6  # Seconds; shorter waits would not advance the clock.
+_NULL_DEVICE = os.open(os.devnull, os.O_WRONLY)
+# Background tasks to run. Reloading of settings and the lease watch are not
+# needed here.
 _LOOPS = (
     "operator",
     "servers",
@@ -58,14 +59,14 @@
 
 
 class _JumpingSelector(selectors.SelectSelector):
-    """Never waits: the clock of its loop jumps instead."""
+    """A selector that advances its loop's clock instead of waiting."""
 
     loop: VirtualLoop
 
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Returns what is ready now; moves the clock if nothing is."""
+        """Returns ready events; advances the clock if there are none."""
         ready = super().select(0)
         if not ready and timeout:
             self.loop.now += max(timeout, CLOCK_STEP)
@@ -73,7 +74,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time passes only while all its tasks wait."""
+    """An event loop whose clock advances only while all tasks wait."""
 
     def __init__(self) -> None:
         selector = _JumpingSelector()
@@ -88,12 +89,12 @@
 
 @attrs.define(eq=False)
 class Link:
-    """One host's link, both ways.
+    """Full-duplex network link of one host.
 
     Attributes:
-        rate: Bytes a second.
-        out_free: When what is being sent is out.
-        in_free: When what is being received is in.
+        rate: Bandwidth in bytes per second.
+        out_free: Time at which the outgoing direction becomes free.
+        in_free: Time at which the incoming direction becomes free.
     """
 
     rate: float
@@ -102,7 +103,7 @@
 
 
 async def transfer(source: Link, target: Link, size: int) -> None:
-    """Takes the time that bytes need; others on the links take turns."""
+    """Waits for the transfer time of bytes that share both links."""
     loop = asyncio.get_running_loop()
     for at in range(0, size, CHUNK):
         part = min(CHUNK, size - at)
@@ -116,13 +117,13 @@
 
 
 class Store:
-    """The platform's store.
+    """Simulated store of the platform.
 
     Attributes:
-        fault: What becomes of a host's calls, by the host's name: ``reset``,
-            ``silent``, ``busy`` or empty; "" stands for all others.
-        calls: Calls by host, call and topic.
-        link: Its own link.
+        fault: Fault injected into a host's calls, by host name: ``reset``,
+            ``silent``, ``busy`` or empty. The name "" is the default.
+        calls: Number of calls by host, method and topic.
+        link: Network link of the store.
     """
 
     def __init__(self) -> None:
@@ -135,35 +136,35 @@
         self.changed = asyncio.Event()
 
     def fault_of(self, host: str) -> str:
-        """Returns what becomes of a host's calls now."""
+        """Returns the fault that currently affects a host's calls."""
         return self.fault.get(host, self.fault.get("", ""))
 
     def wake(self) -> None:
-        """Has held reads look again."""
+        """Wakes pending long polls."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     async def publish(self, topic: str, key: str, value: object) -> None:
-        """Adds an object to a topic."""
+        """Appends an object to a topic."""
         target = getattr(self.platform, topic)
         await self.platform.publish(target, key, value)
         self.wake()
 
     async def publish_large(self, key: str, value: object, size: int) -> None:
-        """Adds an object to the operators' topic that takes many bytes."""
+        """Appends an object of a given size to the operators' topic."""
         name = os.urandom(size)
         self.platform.codec.known[name] = value
         await self.platform.operator.put(key, name)
         self.wake()
 
     def total(self) -> int:
-        """Returns the calls of all hosts."""
+        """Returns the total number of calls of all hosts."""
         return sum(self.calls.values())
 
 
 @attrs.define(eq=False)
 class StoreTopic:
-    """One host's way to one topic."""
+    """One host's client for one topic."""
 
     store: Store
     name: str
@@ -179,7 +180,7 @@
     async def newest(self) -> topics_lib.Batch:
         """Returns the newest record of each key."""
         await self._call("newest", 0.0)
-        return await self._bring(await self._shared.newest())
+        return await self._deliver(await self._shared.newest())
 
     async def changes(
         self, place: topics_lib.Place, wait: float
@@ -191,10 +192,10 @@
             found = await self._shared.changes(place, 0.0)
             left = end - asyncio.get_running_loop().time()
             if found.records or left <= CLOCK_STEP:
-                return await self._bring(found)
+                return await self._deliver(found)
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self.store.changed.wait(), left)
-            await self._fail(left)
+            await self._apply_fault(left)
 
     async def put(
         self,
@@ -202,14 +203,14 @@
         value: bytes,
         expected: topics_lib.Place | None = None,
     ) -> topics_lib.Place | None:
-        """Adds a record."""
+        """Appends a record."""
         await self._call("put", 0.0)
         put = await self._shared.put(key, value, expected)
         self.store.wake()
         return put
 
     async def put_all(self, records: dict[str, bytes]) -> None:
-        """Adds a record for each key, in one call."""
+        """Appends a record for each key in a single call."""
         await self._call("put", 0.0)
         await self._shared.put_all(records)
         self.store.wake()
@@ -217,16 +218,16 @@
     async def _call(self, call: str, wait: float) -> None:
         self.store.calls[self.host, call, self.name] += 1
         await asyncio.sleep(LATENCY)
-        await self._fail(wait)
+        await self._apply_fault(wait)
 
-    async def _fail(self, wait: float) -> None:
+    async def _apply_fault(self, wait: float) -> None:
         fault = self.store.fault_of(self.host)
         if fault == "silent":
             await asyncio.sleep(STORE_TIMEOUT + wait)
         if fault:
             raise errors.LogUnavailableError(fault, "Wait.")
 
-    async def _bring(self, batch: topics_lib.Batch) -> topics_lib.Batch:
+    async def _deliver(self, batch: topics_lib.Batch) -> topics_lib.Batch:
         size = sum(
             RECORD_BYTES + len(each.value or b"") for each in batch.records
         )
@@ -235,11 +236,11 @@
 
 
 class Member:
-    """One host: its relay while it runs.
+    """A host and its relay.
 
     Attributes:
-        name: Of the host.
-        relay: Its present run; None while it is down.
+        name: Name of the host.
+        relay: Running relay; None while the host is down.
     """
 
     def __init__(
@@ -256,12 +257,12 @@
             zone=zone,
             listen="127.0.0.1:0",
             ready_listen="127.0.0.1:0",
-            peer_listen="10.0.0.1:1",  # Questions go by the name.
+            peer_listen="10.0.0.1:1",  # Peers are addressed by name instead.
             link=megabits,
         )
 
     def start(self) -> None:
-        """Begins a run that knows nothing."""
+        """Starts a relay without prior state."""
         self._settings = attrs.evolve(
             self._settings, is_first_start=not self._has_run
         )
@@ -276,7 +277,7 @@
             "quarantine",
         )
         port = self._swarm.store.platform.as_port()
-        own = {
+        topic_clients = {
             name: StoreTopic(
                 self._swarm.store, name, self.name, self.link, port.history
             )
@@ -285,7 +286,9 @@
         session: Any = None
         self.relay = application.Relay(
             self._settings,
-            attrs.evolve(port, topics=attrs.evolve(port.topics, **own)),
+            attrs.evolve(
+                port, topics=attrs.evolve(port.topics, **topic_clients)
+            ),
             session,
             session,
             lambda: self._settings,
@@ -300,13 +303,13 @@
         ]
 
     def stop(self) -> None:
-        """Ends the run."""
+        """Stops the relay without a graceful shutdown."""
         self.relay = None
         for task in self._tasks:
             task.cancel()
 
     async def answer(self, question: bytes, asker: Member) -> bytes:
-        """Answers another relay."""
+        """Responds to a request of another relay."""
         await asyncio.sleep(LATENCY)
         if self.relay is None:
             raise aiohttp.ClientOSError(111, "refused")
@@ -334,7 +337,7 @@
 
     @property
     def reads(self) -> bool:
-        """Whether it reads the store itself."""
+        """Whether it reads the store directly."""
         return self.relay is not None and not self.relay.state.source
 
     @property
@@ -346,37 +349,37 @@
 
     @property
     def evacuated(self) -> set[str]:
-        """Failure domains that get nothing from here."""
+        """Failure domains to which this host sends no requests."""
         if self.relay is None:
             return set()
         return set(self.relay.state.router.fleet.evacuated)
 
     @property
     def revision(self) -> int:
-        """Revision of the configuration in force here; 0 for none."""
+        """Revision of the configuration in force; 0 for none."""
         if self.relay is None or self.relay.state.configuration is None:
             return 0
         return self.relay.state.configuration.revision
 
 
 class Swarm:
-    """Many hosts, the store, and their clock.
+    """Many hosts with one store.
 
     Attributes:
-        store: The store.
-        members: The hosts.
-        by_state: Hosts by the identity of their run's state.
-        cut_off: Names of hosts that can't reach the others.
+        store: The simulated store.
+        members: All hosts.
+        by_state: Hosts by the ``id()`` of their relay's state.
+        cut_off: Names of hosts that are partitioned from the others.
     """
 
     def __init__(self, hosts: int, zones: int, strong: int) -> None:
-        """Makes hosts that do not run yet.
+        """Initializes the hosts without starting them.
 
         Args:
-            hosts: How many.
-            zones: Failure domains that they are spread over.
-            strong: Hosts of each failure domain that have a link of 200
-                Mbit/s; the others have 20.
+            hosts: Number of hosts.
+            zones: Number of failure domains.
+            strong: Number of hosts per failure domain with a link of 200
+                Mbit/s; the others have 20 Mbit/s.
         """
         self.store = Store()
         self.by_state: dict[int, Member] = {}
@@ -395,7 +398,7 @@
     async def ask(
         self, client: peer_client.PeerClient, host: mirror.Host, data: bytes
     ) -> peer_codec.CopyAnswer:
-        """Carries a question from one relay to another."""
+        """Delivers a request from one relay to another."""
         asker = self.by_state[id(client._state)]
         if {asker.name, host.name} & self.cut_off:
             await asyncio.sleep(peer_client.TIMEOUT)
@@ -404,16 +407,16 @@
         return peer_codec.decode_answer(answer)
 
     async def begin(self, servers: int = 45) -> None:
-        """Starts all hosts within 0.3 s and lists backend servers."""
+        """Starts all hosts within 0.3 s and registers backend servers."""
         await self.store.publish("operator", "config", relay_parts.in_force())
-        self._beats = asyncio.create_task(self._beat(servers))
+        self._heartbeats = asyncio.create_task(self._send_heartbeats(servers))
         for number, member in enumerate(self.members):
             asyncio.get_running_loop().call_later(
                 0.3 * number / len(self.members), member.start
             )
 
-    async def _beat(self, servers: int) -> None:
-        """Has the backend servers write their heartbeats."""
+    async def _send_heartbeats(self, servers: int) -> None:
+        """Writes the heartbeats of the backend servers."""
         number = 0
         while True:
             name = f"s{number % servers}"
@@ -421,12 +424,15 @@
             if not self.store.fault_of(""):
                 await self.store.publish("servers", name, entry)
             number += 1
-            await asyncio.sleep(BEAT / servers)
+            await asyncio.sleep(HEARTBEAT_INTERVAL / servers)
 
     async def until(
         self, condition: Callable[[Member], bool], patience: float = 60.0
     ) -> float:
-        """Returns the seconds until a condition holds for all that run."""
+        """Returns the seconds until a condition holds for all running hosts.
+
+        Returns infinity if it does not hold in time.
+        """
         loop = asyncio.get_running_loop()
         began = loop.time()
         while loop.time() < began + patience:
@@ -437,15 +443,15 @@
         return float("inf")
 
     def readers(self) -> int:
-        """Returns how many hosts read the store now."""
+        """Returns the number of hosts that read the store directly."""
         return sum(each.reads for each in self.members)
 
 
 def play(
     monkeypatch: pytest.MonkeyPatch, scenario: Coroutine[Any, Any, None]
 ) -> None:
-    """Runs a scenario to its end in virtual time."""
-    monkeypatch.setattr(application, "LOG_DESCRIPTOR", _NOWHERE)
+    """Runs a scenario to completion in virtual time."""
+    monkeypatch.setattr(application, "LOG_DESCRIPTOR", _NULL_DEVICE)
 
     async def exchange(
         client: peer_client.PeerClient, host: mirror.Host, data: bytes
@@ -458,7 +464,7 @@
     try:
         loop.run_until_complete(scenario)
     finally:
-        # Also after a failure: what is left would fail another test.
+        # Also after a failure, since leftover tasks would fail another test.
         left = asyncio.all_tasks(loop)
         for task in left:
             task.cancel()
@@ -472,14 +478,14 @@
 
 
 def swarm_of(hosts: int, zones: int = 6, strong: int = 3) -> Swarm:
-    """Returns a swarm for the running scenario; see ``Swarm``."""
-    made = Swarm(hosts, zones, strong)
-    _SWARMS[asyncio.get_running_loop()] = made
-    return made
+    """Creates the swarm of the running scenario; see ``Swarm``."""
+    swarm = Swarm(hosts, zones, strong)
+    _SWARMS[asyncio.get_running_loop()] = swarm
+    return swarm
 
 
 async def calm_swarm(hosts: int) -> Swarm:
-    """Returns hosts that have started, with no calls counted yet."""
+    """Starts a swarm, waits until it is current and resets the call counts."""
     swarm = swarm_of(hosts)
     await swarm.begin()
     await asyncio.sleep(5.0)
--- a/tests/relay/swarm_troubles.py
+++ b/tests/relay/swarm_troubles.py
@@ -1,4 +1,4 @@
-"""What may leave the hosts of a swarm with little knowledge."""
+"""Faults that leave the hosts of a swarm with incomplete information."""
 
 from __future__ import annotations
 
@@ -10,46 +10,49 @@
 
 
 def store_away(swarm: relay_swarm.Swarm) -> None:
-    """No host hears the store."""
+    """Makes the store unreachable for all hosts."""
     swarm.store.fault[""] = "silent"
 
 
 def hosts_with_old_lists(swarm: relay_swarm.Swarm) -> None:
-    """Each host lacks a fifth of the others, and lists some that have gone."""
+    """Gives each host a stale list of the others.
+
+    Each list lacks a fifth of the hosts and contains some that do not exist.
+    """
     draws = random.Random(1)
     listed = [each.name for each in swarm.members]
-    gone = [f"gone{number}" for number in range(len(listed) // 10 + 1)]
+    departed = [f"gone{number}" for number in range(len(listed) // 10 + 1)]
     for member in swarm.members:
         assert member.relay is not None
         known = [
             name
-            for name in listed + gone
+            for name in listed + departed
             if name == member.name or draws.random() > 0.2
         ]
         member.relay.state.router.fleet.shares.take_hosts(known)
 
 
-def third_of(swarm: relay_swarm.Swarm) -> list[relay_swarm.Member]:
+def sample_third(swarm: relay_swarm.Swarm) -> list[relay_swarm.Member]:
     draws = random.Random(2)
     return draws.sample(swarm.members, len(swarm.members) // 3)
 
 
 def third_cut_off(swarm: relay_swarm.Swarm) -> None:
-    """A third hears neither the store nor others, and serves on."""
-    cut = third_of(swarm)
-    swarm.cut_off = frozenset(member.name for member in cut)
-    for member in cut:
+    """Partitions a third from the store and the others; it keeps serving."""
+    partitioned = sample_third(swarm)
+    swarm.cut_off = frozenset(member.name for member in partitioned)
+    for member in partitioned:
         swarm.store.fault[member.name] = "silent"
 
 
 def third_down(swarm: relay_swarm.Swarm) -> None:
-    """A third has ended, and stays on the lists of the others."""
-    for member in third_of(swarm):
+    """Stops a third of the hosts, which stay on the lists of the others."""
+    for member in sample_third(swarm):
         member.stop()
 
 
 def all_restarted(swarm: relay_swarm.Swarm) -> None:
-    """All start anew at once and know nothing of limits."""
+    """Restarts all hosts at once, which loses their knowledge of limits."""
     for member in swarm.members:
         member.stop()
     for member in swarm.members:
--- a/tests/relay/test_relay_crashing_request.py
+++ b/tests/relay/test_relay_crashing_request.py
@@ -1,16 +1,18 @@
-"""A request that ends each server which runs it, at several hosts.
+"""A request that crashes every server that runs it, on several hosts.
 
-One request ended 21 servers. A host took each cut for the server's fault,
-rested the server and sent the request to the next one; another try of it, at
-any host, had another id and began anew. All six engines were down for seconds,
-four times in a minute, and all that ran beside it was cut with it. The lines of
-one host, 0.25 s apart, the last of them of a fourth engine's end:
+Guards against retrying such a request until no server is left. In an observed
+failure, one request crashed 21 servers: each host attributed the closed
+connection to the server and retried on the next one, and every attempt of the
+caller had a new id and started over. All six engines were down for seconds,
+four times within a minute, and all requests on them were cut off. The attempts
+of one host, 0.25 s apart, the last of them at a fourth engine:
 
     i-207cc4c419 v1 answering 200 0.246s connection cut
     i-0ebdf8eac2 v1 answering 200 0.143s connection cut
     i-6d238cf6b4 v1 answering 200 0.308s connection cut
 
-Over all hosts the same path, account and body was cut 28 times in 17 seconds.
+Across all hosts, requests with the same path, account and body were cut off 28
+times in 17 seconds.
 """
 
 from __future__ import annotations
@@ -28,39 +30,41 @@
 
 RELAYS = 3
 ENGINES = 6
-POISON = b"crash, please"
-# Tries of such a request that may still reach servers, once three have ended
-# and the hosts have had time to tell one another.
-MOST_TRIES = 3
+CRASHING_BODY = b"crash, please"
+# Attempts that may still reach servers after three of them have crashed and the
+# hosts have exchanged their state.
+MAX_ATTEMPTS = 3
 
 
 @pytest.fixture
 async def cluster(
     monkeypatch: pytest.MonkeyPatch,
 ) -> AsyncIterator[relay_cluster.Cluster]:
-    """Three relays before six engines."""
+    """Three relays with six engines."""
     async with relay_cluster.open_cluster(
         monkeypatch, RELAYS, ENGINES
     ) as opened:
         yield opened
 
 
-async def end_three(cluster: relay_cluster.Cluster) -> None:
-    """Has the request end three servers, at whatever hosts it takes."""
-    turn = 0
-    while cluster.ends() < 3 and turn < 6:
-        await cluster.call(turn % RELAYS, POISON, f"p{turn}")
+async def crash_three_servers(cluster: relay_cluster.Cluster) -> None:
+    """Sends the request to each host until three servers crashed."""
+    attempt = 0
+    while cluster.ends() < 3 and attempt < 6:
+        await cluster.call(attempt % RELAYS, CRASHING_BODY, f"p{attempt}")
         await cluster.revive()
-        turn += 1
+        attempt += 1
 
 
-async def tries_that_arrive(cluster: relay_cluster.Cluster, tries: int) -> int:
-    """Returns how many tries of the request reach a server."""
+async def count_arriving_attempts(
+    cluster: relay_cluster.Cluster, attempts: int
+) -> int:
+    """Returns how many of the caller's attempts reach a server."""
     arrived = 0
-    for number in range(tries):
-        before = cluster.tries_of(POISON)
-        await cluster.call(number % RELAYS, POISON, f"q{number}")
-        arrived += cluster.tries_of(POISON) > before
+    for number in range(attempts):
+        before = cluster.tries_of(CRASHING_BODY)
+        await cluster.call(number % RELAYS, CRASHING_BODY, f"q{number}")
+        arrived += cluster.tries_of(CRASHING_BODY) > before
         await cluster.revive()
     return arrived
 
@@ -68,76 +72,80 @@
 async def test_a_request_that_ends_servers_is_sent_no_more(
     cluster: relay_cluster.Cluster,
 ) -> None:
-    await end_three(cluster)
+    await crash_three_servers(cluster)
     await cluster.talk()
-    arrived = await tries_that_arrive(cluster, 3 * RELAYS)
-    assertions.assert_that(arrived, matchers.LessThan(MOST_TRIES + 1))
+    arrived = await count_arriving_attempts(cluster, 3 * RELAYS)
+    assertions.assert_that(arrived, matchers.LessThan(MAX_ATTEMPTS + 1))
 
 
-async def test_hosts_that_start_anew_still_know_the_request(
+async def test_quarantine_survives_restart_of_all_relays(
     cluster: relay_cluster.Cluster,
 ) -> None:
-    await end_three(cluster)
+    await crash_three_servers(cluster)
     await cluster.talk()
     arrived = 0
     for _ in range(3):
         await cluster.restart_relays()
-        arrived += await tries_that_arrive(cluster, RELAYS)
-    assertions.assert_that(arrived, matchers.LessThan(MOST_TRIES + 1))
+        arrived += await count_arriving_attempts(cluster, RELAYS)
+    assertions.assert_that(arrived, matchers.LessThan(MAX_ATTEMPTS + 1))
 
 
-async def run_beside(
+async def start_concurrent_streams(
     cluster: relay_cluster.Cluster, count: int
 ) -> list[asyncio.Task[relay_cluster.Answer]]:
-    """Starts streams at all servers, which go on once these are let to."""
+    """Starts streams on all servers that pause after their first event."""
     for engine in cluster.engines:
         engine.pace.clear()
     bodies = [b"beside %d" % number for number in range(count)]
-    beside = [
+    streams = [
         asyncio.create_task(
             cluster.call(number % RELAYS, body, f"b{number}", f"/chat/{number}")
         )
         for number, body in enumerate(bodies)
     ]
     await relay_cluster.until(lambda: all(map(cluster.tries_of, bodies)))
-    return beside
+    return streams
 
 
-async def assert_all_whole(
+async def assert_all_complete(
     cluster: relay_cluster.Cluster,
-    beside: list[asyncio.Task[relay_cluster.Answer]],
+    streams: list[asyncio.Task[relay_cluster.Answer]],
 ) -> None:
     for engine in cluster.engines:
         engine.pace.set()
-    answers = await asyncio.gather(*beside)
-    whole = [answer.is_whole_stream for answer in answers]
-    assertions.assert_that(whole.count(False), matchers.Equals(0))
+    answers = await asyncio.gather(*streams)
+    complete = [answer.is_whole_stream for answer in answers]
+    assertions.assert_that(complete.count(False), matchers.Equals(0))
 
 
 async def test_what_runs_beside_it_costs_callers_nothing(
     cluster: relay_cluster.Cluster,
 ) -> None:
-    beside = await run_beside(cluster, 4 * ENGINES)
+    streams = await start_concurrent_streams(cluster, 4 * ENGINES)
     for number in range(RELAYS):
-        await cluster.call(number, POISON, f"p{number}")
+        await cluster.call(number, CRASHING_BODY, f"p{number}")
         await cluster.revive()
         await cluster.talk()
-    await assert_all_whole(cluster, beside)
+    await assert_all_complete(cluster, streams)
 
 
-async def test_two_tries_at_once_leave_servers_for_the_others(
+async def test_two_concurrent_attempts_leave_servers_available(
     cluster: relay_cluster.Cluster,
 ) -> None:
-    # Each of two hosts lets it end two servers. With a third one each, all six
-    # would be gone, and 48 neighbours with them (in four of five runs).
-    beside = await run_beside(cluster, 8 * ENGINES)
+    # Each of the two hosts lets the request crash two servers. With a third
+    # attempt per host, all six servers would crash together with the 48
+    # concurrent streams (in four of five runs).
+    streams = await start_concurrent_streams(cluster, 8 * ENGINES)
     await asyncio.gather(
-        *(cluster.call(number, POISON, f"p{number}") for number in range(2))
+        *(
+            cluster.call(number, CRASHING_BODY, f"p{number}")
+            for number in range(2)
+        )
     )
     assertions.assert_that(cluster.ends(), matchers.LessThan(5))
     await cluster.talk()
     await cluster.revive()
-    await assert_all_whole(cluster, beside)
+    await assert_all_complete(cluster, streams)
 
 
 async def test_servers_that_end_by_themselves_cost_callers_nothing(
@@ -150,7 +158,7 @@
     for _ in range(3):
         await relay_cluster.until(lambda: bool(cluster.running(body)))
         cluster.running(body)[0].end()
-        # A server takes longer to come back than a request to go on.
+        # A server takes longer to restart than a request to resume.
         await relay_cluster.until(
             lambda: bool(cluster.running(body)) or call.done()
         )
--- a/tests/relay/test_relay_leaving_server.py
+++ b/tests/relay/test_relay_leaving_server.py
@@ -1,11 +1,13 @@
-"""A server that says in its answers that it leaves.
+"""A server that announces its departure in its responses.
 
-An engine said so while the store was away, so that the store listed it as
-leaving twelve seconds later only. Each host went on choosing it, one of them
-9.8 s after it had passed on an answer with that word, another 11.1 s after:
-nobody read the word. What ran there when the engine ended was cut. The engine
-got 4 and 13 requests in the two seconds after its word, 9 and 5 in the seconds
-in which the store came back, and nothing once the store had listed it:
+Guards against sending requests to a server whose announcement has not reached
+the store. In an observed failure, an engine announced its departure while the
+store was unreachable, so the store listed it as leaving only twelve seconds
+later. The header was not evaluated: two hosts still chose the engine 9.8 s and
+11.1 s after they had forwarded a response with it, and the requests that were
+running when the engine terminated were cut off. The engine received 4 and 13
+requests in the two seconds after its announcement, 9 and 5 while the store
+recovered, and none once the store had listed it:
 
     8.442 bangna-3 has passed on an answer of 9b29cd that says so
     19.503 a request of a caller who called at 19.497 reaches it from bangna-3
@@ -32,9 +34,9 @@
     from collections.abc import Callable
 
 LEAVES = b"X-Server-Leaving: 1\r\n"
-CALLS = 30  # Of callers at each host, once the word is known.
-AWAY = 12.0  # Seconds for which the store is away.
-ALL_TOLD = 2.0  # Seconds until one host's answer is known to all.
+CALLS = 30  # Calls per host once the departure is known.
+OUTAGE = 12.0  # Seconds for which the store is unreachable.
+PROPAGATION = 2.0  # Seconds until all hosts know what one has received.
 
 
 @pytest.mark.parametrize("relays", [3, 7])
@@ -56,7 +58,7 @@
 
 
 @pytest.mark.parametrize("hosts", engine_traffic.SIZES)
-def test_no_host_sends_to_a_leaving_server_while_the_store_is_away(
+def test_no_host_uses_a_leaving_server_during_a_store_outage(
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
@@ -64,13 +66,13 @@
         swarm_troubles.store_away(swarm)
         (engine,) = traffic.most_wanted(1)
         engine.is_leaving = True
-        await asyncio.sleep(AWAY)
+        await asyncio.sleep(OUTAGE)
         swarm.store.fault.clear()
         await asyncio.sleep(3.0)
         assertions.assert_that(engine.after_leaving, matchers.Equals([]))
-        # One host's answer is enough for all.
+        # A response to one host is enough to inform all of them.
         first = min(engine.leaving_passed_on.values())
-        late = [at for at in engine.arrived if at > first + ALL_TOLD]
+        late = [at for at in engine.arrived if at > first + PROPAGATION]
         assertions.assert_that(late, matchers.Equals([]))
         assertions.assert_that(
             traffic.share_served(), matchers.GreaterThan(0.99)
@@ -80,28 +82,28 @@
 
 
 @pytest.mark.parametrize(
-    "trouble",
+    "inject_fault",
     [swarm_troubles.third_cut_off, swarm_troubles.hosts_with_old_lists],
 )
 @pytest.mark.parametrize("hosts", [7, 84])
-def test_nor_where_hosts_know_little(
+def test_no_host_uses_a_leaving_server_with_incomplete_peer_lists(
     monkeypatch: pytest.MonkeyPatch,
     hosts: int,
-    trouble: Callable[[relay_swarm.Swarm], None],
+    inject_fault: Callable[[relay_swarm.Swarm], None],
 ) -> None:
     async def scenario() -> None:
         swarm, traffic = await engine_traffic.begin(hosts)
-        trouble(swarm)
+        inject_fault(swarm)
         (engine,) = traffic.most_wanted(1)
         engine.is_leaving = True
-        await asyncio.sleep(AWAY)
+        await asyncio.sleep(OUTAGE)
         assertions.assert_that(engine.after_leaving, matchers.Equals([]))
 
     relay_swarm.play(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize("hosts", [7, 84])
-def test_a_server_may_leave_while_it_rests_and_names_a_limit(
+def test_departure_during_back_off_and_rate_limit(
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
@@ -128,7 +130,9 @@
     relay_swarm.play(monkeypatch, scenario())
 
 
-def test_all_restarted_learn_it_anew(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_restarted_hosts_relearn_the_departure(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def scenario() -> None:
         swarm, traffic = await engine_traffic.begin(84)
         (engine,) = traffic.most_wanted(1)
@@ -136,20 +140,20 @@
         await asyncio.sleep(4.0)
         swarm_troubles.all_restarted(swarm)
         engine.leaving_passed_on.clear()
-        await asyncio.sleep(AWAY)
+        await asyncio.sleep(OUTAGE)
         assertions.assert_that(engine.after_leaving, matchers.Equals([]))
         first = min(engine.leaving_passed_on.values())
-        late = [at for at in engine.arrived if at > first + ALL_TOLD]
+        late = [at for at in engine.arrived if at > first + PROPAGATION]
         assertions.assert_that(late, matchers.Equals([]))
 
     relay_swarm.play(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize("hosts", engine_traffic.SIZES)
-def test_all_of_a_service_leave_one_after_the_other(
+def test_servers_of_a_service_leave_one_after_the_other(
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
-    """A roll-out: each is replaced by another start, two seconds later."""
+    """A roll-out restarts each server two seconds after its announcement."""
 
     async def scenario() -> None:
         _, traffic = await engine_traffic.begin(hosts, engines=4)
@@ -161,7 +165,7 @@
             await traffic.list_engine(engine, born=2000 + number)
             begin = asyncio.get_running_loop().time()
             await asyncio.sleep(3.0)
-            # What was said of the start before binds nobody.
+            # The previous incarnation's announcement no longer applies.
             assertions.assert_that(
                 engine.rate_since(begin), matchers.GreaterThan(0.0)
             )
@@ -179,14 +183,14 @@
         _, traffic = await engine_traffic.begin(7, engines=4)
         for engine in traffic.engines:
             engine.is_leaving = True
-        await asyncio.sleep(AWAY)
+        await asyncio.sleep(OUTAGE)
         for engine in traffic.engines:
             assertions.assert_that(engine.after_leaving, matchers.Equals([]))
-        at_once = [each for each in traffic.refused if not each.sent]
+        immediate = [each for each in traffic.refused if not each.sent]
         assertions.assert_that(
             {
                 (each.refusal.reason, each.refusal.outcome, each.took)
-                for each in at_once
+                for each in immediate
             },
             matchers.Equals(
                 {
@@ -198,8 +202,8 @@
                 }
             ),
         )
-        # The longer it has lasted, the later callers are told to come back.
-        waits = [each.refusal.retry_after for each in at_once]
+        # The Retry-After delay grows with the duration of the outage.
+        waits = [each.refusal.retry_after for each in immediate]
         assertions.assert_that(waits[0], matchers.LessThan(1.0))
         assertions.assert_that(waits[-1], matchers.GreaterThan(2.0))
 
--- a/tests/relay/test_relay_limited_servers.py
+++ b/tests/relay/test_relay_limited_servers.py
@@ -1,7 +1,8 @@
-"""Servers that name limits, at several real relays over loopback.
+"""Servers that announce rate limits, with several real relays on loopback.
 
-A server that had named 2.4 requests a second got 55 in four seconds, from all
-hosts alike: nobody read what it named.
+Guards against ignoring the announced limit: a server with a limit of 2.4
+requests per second received 55 requests in four seconds, from all hosts
+equally, because the header was not evaluated.
 """
 
 from __future__ import annotations
@@ -20,8 +21,10 @@
 RELAYS = 3
 ENGINES = 4
 CALLS = 60
-SLOW = 0.05  # Requests a second: in a test's time hardly more than one.
-# What a server that names it may get, by the time that the calls took.
+# Requests per second; allows hardly more than one during a test.
+LOW_LIMIT = 0.05
+# A limited server may receive this multiple of its limit over the duration of
+# the calls, and some requests in addition.
 FACTOR = 1.5
 SPARE = 5.0
 
@@ -30,7 +33,7 @@
 async def cluster(
     monkeypatch: pytest.MonkeyPatch,
 ) -> AsyncIterator[relay_cluster.Cluster]:
-    """Three relays before four engines that answer at once."""
+    """Three relays with four engines that respond immediately."""
     async with relay_cluster.open_cluster(
         monkeypatch, RELAYS, ENGINES
     ) as opened:
@@ -40,12 +43,12 @@
 
 
 def limit_line(rate: float) -> bytes:
-    """Returns the line of an answer's head that names a limit."""
+    """Returns the response header line that announces a limit."""
     return b"X-Server-Limit: %b\r\n" % str(rate).encode()
 
 
 def limits_of(cluster: relay_cluster.Cluster) -> list[float | None]:
-    """Returns what each relay takes each server's limit for."""
+    """Returns the limit of each server as known to each relay."""
     return [
         server.limit.rate
         for relay in cluster.relays
@@ -56,31 +59,33 @@
 async def call_all(
     cluster: relay_cluster.Cluster, name: str
 ) -> list[relay_cluster.Answer]:
-    """Sends some requests, to all relays in turn."""
+    """Sends requests to all relays in turn."""
     return [
         await cluster.call(number % RELAYS, b"%d" % number, f"{name}{number}")
         for number in range(CALLS)
     ]
 
 
-async def test_all_hosts_keep_to_what_one_was_told(
+async def test_all_hosts_respect_a_limit_known_to_one(
     cluster: relay_cluster.Cluster,
 ) -> None:
     await cluster.call(0, b"first", "first")
     (limited,) = [each for each in cluster.engines if each.arrived]
-    limited.words = limit_line(SLOW)
-    # The same prompt goes to the same server, which has it cached.
+    limited.words = limit_line(LOW_LIMIT)
+    # The same prompt is routed to the same server, which has it cached.
     await cluster.call(0, b"told", "told")
-    await relay_cluster.until(lambda: limits_of(cluster).count(SLOW) == RELAYS)
+    await relay_cluster.until(
+        lambda: limits_of(cluster).count(LOW_LIMIT) == RELAYS
+    )
     before = len(limited.arrived)
     clock = asyncio.get_running_loop().time
-    began = clock()
+    start = clock()
     answers = await call_all(cluster, "r")
-    allowed = FACTOR * SLOW * (clock() - began) + SPARE
-    got = len(limited.arrived) - before
-    assertions.assert_that(got, matchers.LessThan(allowed))
-    whole = [answer.is_whole_stream for answer in answers]
-    assertions.assert_that(whole.count(False), matchers.Equals(0))
+    allowed = FACTOR * LOW_LIMIT * (clock() - start) + SPARE
+    received = len(limited.arrived) - before
+    assertions.assert_that(received, matchers.LessThan(allowed))
+    complete = [answer.is_whole_stream for answer in answers]
+    assertions.assert_that(complete.count(False), matchers.Equals(0))
 
 
 async def test_a_limit_is_over_everywhere_once_one_host_sees_it(
@@ -97,11 +102,11 @@
             await call_all(cluster, "r")
 
 
-async def test_where_all_are_limited_callers_are_refused_as_not_run(
+async def test_requests_are_refused_as_not_run_when_all_servers_are_limited(
     cluster: relay_cluster.Cluster,
 ) -> None:
     for engine in cluster.engines:
-        engine.words = limit_line(SLOW)
+        engine.words = limit_line(LOW_LIMIT)
     answers = await call_all(cluster, "r")
     refused = [answer for answer in answers if answer.status == 503]
     assertions.assert_that(len(refused), matchers.GreaterThan(CALLS // 2))
--- a/tests/relay/test_relay_resting_server.py
+++ b/tests/relay/test_relay_resting_server.py
@@ -1,11 +1,12 @@
-"""A server that turns requests away and asks for rest.
+"""A server that declines requests and asks for a back-off.
 
-Two of six engines turned everything away for nine seconds, with three seconds
-of rest asked for in each answer. Each host left them alone for a quarter of a
-second and sent again: nobody read how long they wanted rest. One got 4 to 20
-requests a second of seven hosts, more than before, five of one host in three
-seconds. 31 requests were refused though the four other engines had room, as
-one or two such engines had used up what may be sent once more:
+Guards against ignoring Retry-After. In an observed failure, two of six engines
+declined all requests for nine seconds, each time with a back-off of three
+seconds. The header was not evaluated, so each host paused for only a quarter of
+a second. One engine received 4 to 20 requests per second from seven hosts, more
+than before, and five from one host within three seconds. 31 requests were
+refused although the other four engines had capacity, because the attempts at
+one or two declining engines had used up the retries:
 
     6.397 141d30 turns straumsvik-2 away and asks for rest
     8.413 a request reaches 141d30 from straumsvik-2; it answers 503
@@ -35,10 +36,10 @@
     from hoistmoor.core.relay.servers import server as server_lib
     from hoistmoor.relay import application
 
-RESTS = b"Retry-After: 600\r\n"
-CALLS = 30  # Of callers at each host, once the rest is known.
-REST = 3.0  # Seconds that an engine asks for in virtual time.
-AWAY = 9.0  # Seconds for which it turns all away.
+BACK_OFF_HEADER = b"Retry-After: 600\r\n"
+CALLS = 30  # Calls per host once the back-off is known.
+BACK_OFF = 3.0  # Seconds of back-off that an engine requests, in virtual time.
+DECLINING = 9.0  # Seconds for which an engine declines all requests.
 
 
 @pytest.mark.parametrize("relays", [3, 7])
@@ -48,34 +49,36 @@
     def server_at(relay: application.Relay) -> server_lib.ServerState:
         return relay.state.router.fleet.servers[resting.server_id]
 
-    def rests_at(relay: application.Relay) -> bool:
+    def is_backed_off(relay: application.Relay) -> bool:
         return server_at(relay).rest.left(relay.state.clock()) > 0.0
 
-    def has_room(relay: application.Relay) -> bool:
-        """Whether what merely was full is tried again."""
+    def may_be_retried(relay: application.Relay) -> bool:
+        """Whether the pause for full servers is over."""
         return relay.state.clock() > server_at(relay).health.full_until
 
     async with relay_cluster.open_cluster(monkeypatch, relays, 3) as cluster:
         resting = await cluster.find_wanted()
-        resting.words, resting.turns_away = RESTS, True
-        await cluster.call_until(rests_at)
-        await relay_cluster.until(lambda: all(map(has_room, cluster.relays)))
+        resting.words, resting.turns_away = BACK_OFF_HEADER, True
+        await cluster.call_until(is_backed_off)
+        await relay_cluster.until(
+            lambda: all(map(may_be_retried, cluster.relays))
+        )
         await cluster.assert_all_served_without(resting, CALLS)
 
 
 @pytest.mark.parametrize("hosts", engine_traffic.SIZES)
-def test_no_host_sends_to_an_engine_that_rests(
+def test_no_host_sends_during_a_back_off(
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
         _, traffic = await engine_traffic.begin(hosts)
         resting = traffic.most_wanted(2)
         for engine in resting:
-            engine.rest = REST
-        await asyncio.sleep(AWAY)
+            engine.rest = BACK_OFF
+        await asyncio.sleep(DECLINING)
         for engine in resting:
             engine.rest = None
-        await asyncio.sleep(REST)
+        await asyncio.sleep(BACK_OFF)
         for engine in resting:
             assertions.assert_that(engine.during_rest, matchers.Equals([]))
         assertions.assert_that(
@@ -90,11 +93,11 @@
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
-        # A host is told of an engine's rest by that engine alone.
+        # Back-offs are not shared between hosts: each engine tells each host.
         _, traffic = await engine_traffic.begin(hosts, engines=4)
         for engine in traffic.engines:
-            engine.rest = REST
-        await asyncio.sleep(AWAY)
+            engine.rest = BACK_OFF
+        await asyncio.sleep(DECLINING)
         for engine in traffic.engines:
             engine.rest = None
             assertions.assert_that(engine.during_rest, matchers.Equals([]))
@@ -103,15 +106,15 @@
             {each.refusal.outcome for each in refused},
             matchers.Equals({outcomes.Outcome.NOT_RUN}),
         )
-        at_once = [each for each in refused if not each.sent]
+        immediate = [each for each in refused if not each.sent]
         assertions.assert_that(
-            {each.refusal.reason for each in at_once},
+            {each.refusal.reason for each in immediate},
             matchers.Equals({refusals.Reason.SERVERS_RESTING}),
         )
         assertions.assert_that(
-            max(each.took for each in at_once), matchers.Equals(0.0)
+            max(each.took for each in immediate), matchers.Equals(0.0)
         )
-        for each in at_once:
+        for each in immediate:
             wait = each.refusal.retry_after
             assertions.assert_that(
                 wait, matchers.GreaterThan(each.rest_left - 1e-9)
@@ -119,8 +122,8 @@
             assertions.assert_that(
                 wait, matchers.LessThan(1.5 * each.rest_left + 1e-9)
             )
-        # Whoever comes back when told to is served.
-        await asyncio.sleep(REST * 1.5)
+        # Callers that respect Retry-After are served.
+        await asyncio.sleep(BACK_OFF * 1.5)
         count = len(traffic.refused)
         await asyncio.sleep(2.0)
         assertions.assert_that(len(traffic.refused), matchers.Equals(count))
@@ -129,21 +132,21 @@
 
 
 @pytest.mark.parametrize(
-    "trouble", [swarm_troubles.store_away, swarm_troubles.third_cut_off]
+    "inject_fault", [swarm_troubles.store_away, swarm_troubles.third_cut_off]
 )
 @pytest.mark.parametrize("hosts", [7, 84])
-def test_a_rest_is_kept_to_where_hosts_hear_little(
+def test_back_off_is_respected_during_a_partition(
     monkeypatch: pytest.MonkeyPatch,
     hosts: int,
-    trouble: Callable[[relay_swarm.Swarm], None],
+    inject_fault: Callable[[relay_swarm.Swarm], None],
 ) -> None:
     async def scenario() -> None:
         swarm, traffic = await engine_traffic.begin(hosts)
-        trouble(swarm)
+        inject_fault(swarm)
         resting = traffic.most_wanted(2)
         for engine in resting:
-            engine.rest = REST
-        await asyncio.sleep(AWAY)
+            engine.rest = BACK_OFF
+        await asyncio.sleep(DECLINING)
         for engine in resting:
             assertions.assert_that(engine.during_rest, matchers.Equals([]))
 
--- a/tests/relay/test_relay_server_limit.py
+++ b/tests/relay/test_relay_server_limit.py
@@ -1,12 +1,13 @@
-"""A server that names a limit for all hosts together, at many hosts.
+"""A server that announces one rate limit for all hosts, with many hosts.
 
-Two of six engines named a limit of requests a second, and each host went on as
-before. One that had named 2.4 a second got 55 requests in four seconds, where
-19 are allowed, and more each second than before it had named it (5, 7, 17): it
-also failed some runs soon after they began, so it looked the least busy to all
-hosts. The other one, which had named 1.8, got 20 where 16 are allowed. No line
-of any host told of a limit. Attempts of one host at the first, one after the
-other:
+Guards against hosts that ignore or do not share the limit. In an observed
+failure, two of six engines announced a limit and all hosts continued as before.
+The engine with a limit of 2.4 requests per second received 55 requests in four
+seconds, where 19 are allowed, and more per second than before its announcement
+(5, 7, 17): it also failed some requests soon after they started, so it seemed
+the least loaded. The engine with a limit of 1.8 received 20 requests where 16
+are allowed. No host logged a limit. Successive attempts of one host at the
+first engine:
 
     i-36efe59dba v1 answering 200 0.085s confidence 0.0
     i-36efe59dba v1 answering 200 0.085s confidence 15.0
@@ -32,11 +33,11 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-LIMITED_FOR = 20.0  # Seconds.
+LIMITED_FOR = 20.0  # Seconds for which the limit is announced.
 
 
-def assert_kept(engine: engine_traffic.Engine, limit: float) -> None:
-    """Asserts that an engine got no more than its limit allows."""
+def assert_limit_respected(engine: engine_traffic.Engine, limit: float) -> None:
+    """Asserts that an engine received no more than its limit allows."""
     assertions.assert_that(
         engine.most_in_a_window(),
         matchers.LessThan(engine_traffic.allowed(limit) + 1e-9),
@@ -54,7 +55,7 @@
             engine.begin_limit(1.7)
         await asyncio.sleep(LIMITED_FOR)
         for engine in limited:
-            assert_kept(engine, 1.7)
+            assert_limit_respected(engine, 1.7)
 
     relay_swarm.play(monkeypatch, scenario())
 
@@ -62,7 +63,7 @@
 def limited_hosts(
     swarm: relay_swarm.Swarm, engine: engine_traffic.Engine
 ) -> list[str]:
-    """Returns the hosts that take an engine for limited."""
+    """Returns the hosts that know of an engine's limit."""
     found = []
     for member in swarm.members:
         assert member.relay is not None
@@ -85,23 +86,24 @@
         (engine,) = traffic.most_wanted(1)
         engine.begin_limit(limit)
         await asyncio.sleep(2.0)
-        begin = clock()
+        start = clock()
         await asyncio.sleep(LIMITED_FOR)
-        assert_kept(engine, limit)
-        used = engine.rate_since(begin) / limit
+        assert_limit_respected(engine, limit)
+        used = engine.rate_since(start) / limit
         assertions.assert_that(used, matchers.GreaterThan(0.5))
         assertions.assert_that(
             len(limited_hosts(swarm, engine)), matchers.Equals(hosts)
         )
         engine.end_limit()
         took = await swarm.until(lambda _: not limited_hosts(swarm, engine))
-        # Two hosts share 0.3 a second: each sends one in seven seconds.
+        # Two hosts share 0.3 requests per second, so that each of them sends
+        # one in seven seconds.
         assertions.assert_that(took, matchers.LessThan(10.0))
 
     relay_swarm.play(monkeypatch, scenario())
 
 
-TROUBLES = [
+FAULTS = [
     swarm_troubles.hosts_with_old_lists,
     swarm_troubles.third_cut_off,
     swarm_troubles.third_down,
@@ -109,16 +111,16 @@
 ]
 
 
-@pytest.mark.parametrize("trouble", TROUBLES)
+@pytest.mark.parametrize("inject_fault", FAULTS)
 @pytest.mark.parametrize(
     ("hosts", "limit"),
     [(7, 0.3), (7, 1.7), (7, 30.0), (84, 0.3), (84, 30.0), (360, 0.3)],
 )
-def test_it_is_kept_where_hosts_know_little(
+def test_limit_is_respected_with_incomplete_information(
     monkeypatch: pytest.MonkeyPatch,
     hosts: int,
     limit: float,
-    trouble: Callable[[relay_swarm.Swarm], None],
+    inject_fault: Callable[[relay_swarm.Swarm], None],
 ) -> None:
     async def scenario() -> None:
         swarm, traffic = await engine_traffic.begin(hosts)
@@ -126,18 +128,18 @@
         for engine in limited:
             engine.begin_limit(limit)
         await asyncio.sleep(4.0)
-        trouble(swarm)
-        if trouble is swarm_troubles.all_restarted:
+        inject_fault(swarm)
+        if inject_fault is swarm_troubles.all_restarted:
             for engine in limited:
                 engine.told.clear()
         await asyncio.sleep(10.0)
         for engine in limited:
-            assert_kept(engine, limit)
+            assert_limit_respected(engine, limit)
 
     relay_swarm.play(monkeypatch, scenario())
 
 
-def test_where_all_are_limited_the_rest_is_refused_at_once(
+def test_excess_requests_are_refused_when_all_servers_are_limited(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
@@ -146,7 +148,7 @@
             engine.begin_limit(1.7)
         await asyncio.sleep(LIMITED_FOR)
         for engine in traffic.engines:
-            assert_kept(engine, 1.7)
+            assert_limit_respected(engine, 1.7)
         reasons = {each.refusal.reason for each in traffic.refused}
         assertions.assert_that(
             reasons, matchers.Equals({refusals.Reason.SERVERS_LIMITED})
--- a/tests/relay/test_relay_settings.py
+++ b/tests/relay/test_relay_settings.py
@@ -1,4 +1,4 @@
-"""Settings that change while a relay runs."""
+"""Reloading of settings while a relay is running."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 
 
 @pytest.fixture
-def found(harness: Harness) -> list[settings_lib.RelaySettings]:
-    """What the next look at the settings finds; empty for an error."""
+def stored_settings(harness: Harness) -> list[settings_lib.RelaySettings]:
+    """Settings that the next reload reads; empty to make it fail."""
     return [harness.relay.settings]
 
 
 @pytest.fixture
 def task(
-    harness: Harness, found: list[settings_lib.RelaySettings]
+    harness: Harness, stored_settings: list[settings_lib.RelaySettings]
 ) -> settings_task.SettingsTask:
-    """A task that looks at ``found``."""
+    """A task that reloads from ``stored_settings``."""
 
     def read() -> settings_lib.RelaySettings:
-        if not found:
-            raise errors.ConfigurationError("broken", "Mend it.")
-        return found[0]
+        if not stored_settings:
+            raise errors.ConfigurationError("broken", "Fix the settings.")
+        return stored_settings[0]
 
     relay = harness.relay
     return settings_task.SettingsTask(
@@ -45,12 +45,14 @@
     )
 
 
-async def test_changed_bounds_are_in_force_at_once(
+async def test_changed_settings_apply_immediately(
     harness: Harness,
-    found: list[settings_lib.RelaySettings],
+    stored_settings: list[settings_lib.RelaySettings],
     task: settings_task.SettingsTask,
 ) -> None:
-    found[0] = attrs.evolve(found[0], revocation=2.0, session_life=9.0)
+    stored_settings[0] = attrs.evolve(
+        stored_settings[0], revocation=2.0, session_life=9.0
+    )
     task.look(signalled=False)
     state = harness.state
     assertions.assert_that(state.lease.bound, matchers.Equals(2.0))
@@ -59,13 +61,13 @@
     )
 
 
-async def test_bad_settings_change_nothing(
+async def test_invalid_settings_are_ignored(
     harness: Harness,
-    found: list[settings_lib.RelaySettings],
+    stored_settings: list[settings_lib.RelaySettings],
     task: settings_task.SettingsTask,
 ) -> None:
     before = harness.relay.settings
-    found.clear()
+    stored_settings.clear()
     task.look(signalled=True)
     assertions.assert_that(harness.relay.settings, matchers.Is(before))
 
--- a/tests/relay/test_relay_suspension.py
+++ b/tests/relay/test_relay_suspension.py
@@ -1,9 +1,9 @@
 """A machine that is suspended for some seconds.
 
-The clock of timers stands still meanwhile. Leases were read from it too, so
-that a host which woke after 30 seconds went on to serve keys by a configuration
-that it took for current, though keys may be served for 5 seconds after they
-were taken away; and a request whose time had run out was held on.
+Timers do not advance during a suspension. Leases once used the same clock, so a
+host that woke after 30 seconds continued to accept keys from an outdated
+configuration, although a revoked key may be accepted for at most 5 seconds; and
+requests past their deadline were kept open.
 """
 
 from __future__ import annotations
@@ -26,31 +26,31 @@
     from conftest import Backend
     from conftest import Harness
 
-SUSPENDED = 3000.0  # Seconds; longer than any bound of the tests.
+SUSPENDED = 3000.0  # Seconds; longer than any timeout in these tests.
 
 
 @attrs.define
 class Machine:
-    """The machine's clock that counts suspensions.
+    """Clocks of a simulated machine that can be suspended.
 
     Attributes:
-        suspended: Seconds for which it was suspended until now.
+        suspended: Total seconds for which it has been suspended.
     """
 
     suspended: float = 0.0
 
     def read(self, clock: int) -> float:
-        """Returns the time of a clock."""
+        """Returns the time of a clock, as ``time.clock_gettime`` does."""
         now = time.monotonic()
         return now if clock == time.CLOCK_MONOTONIC else now + self.suspended
 
 
 @pytest.fixture
 def machine(monkeypatch: pytest.MonkeyPatch) -> Machine:
-    """A machine that can be suspended; comes before the relay starts."""
-    made = Machine()
-    monkeypatch.setattr(time, "clock_gettime", made.read)
-    return made
+    """A simulated machine; must be requested before the relay's fixture."""
+    simulated = Machine()
+    monkeypatch.setattr(time, "clock_gettime", simulated.read)
+    return simulated
 
 
 async def answer_done(
@@ -65,10 +65,10 @@
 async def stay_silent(
     _: Backend, request: bytes, writer: asyncio.StreamWriter
 ) -> None:
-    """Takes a request and never answers."""
+    """Accepts a request and never responds."""
 
 
-def test_the_steady_clock_counts_suspensions(machine: Machine) -> None:
+def test_steady_clock_includes_suspensions(machine: Machine) -> None:
     before = clocks.steady()
     machine.suspended = SUSPENDED
     assertions.assert_that(
@@ -86,20 +86,20 @@
     machine.suspended = SUSPENDED
     async with harness.call("/look/") as reply:
         assertions.assert_that(reply.status, matchers.Equals(503))
-        told = await reply.json()
-    assertions.assert_that(told["reason"], matchers.Equals("table_stale"))
-    assertions.assert_that(told["outcome"], matchers.Equals("not_run"))
+        refusal = await reply.json()
+    assertions.assert_that(refusal["reason"], matchers.Equals("table_stale"))
+    assertions.assert_that(refusal["outcome"], matchers.Equals("not_run"))
     harness.platform.operator.is_away = False
     await harness.until(harness.state.is_ready)
     async with harness.call("/look/") as reply:
         assertions.assert_that(reply.status, matchers.Equals(200))
 
 
-async def test_a_request_ends_whose_time_ran_out_meanwhile(
+async def test_request_past_its_deadline_ends_after_a_suspension(
     machine: Machine, harness: Harness
 ) -> None:
-    patient = attrs.evolve(relay_parts.CONFIRM, timeout=SUSPENDED / 2.0)
-    newer = relay_parts.in_force(2, (patient,))
+    slow_route = attrs.evolve(relay_parts.CONFIRM, timeout=SUSPENDED / 2.0)
+    newer = relay_parts.in_force(2, (slow_route,))
     await harness.platform.publish(harness.platform.operator, "config", newer)
     await harness.until(lambda: harness.state.configuration is newer)
     backend = await harness.add_backend("s1", stay_silent)
@@ -110,33 +110,33 @@
     )
     await harness.until(lambda: bool(backend.requests))
     machine.suspended = SUSPENDED
-    # Else only the caller's own patience would end it.
+    # Without the adjustment, only the caller's timeout would end the request.
     await harness.until(call.done)
     async with call.result() as reply:
         assertions.assert_that(reply.status, matchers.Equals(504))
-        told = await reply.json()
-    assertions.assert_that(told["outcome"], matchers.Equals("unknown"))
+        refusal = await reply.json()
+    assertions.assert_that(refusal["outcome"], matchers.Equals("unknown"))
 
 
-async def test_time_that_is_left_counts_what_was_suspended(
+async def test_remaining_time_excludes_a_suspension(
     machine: Machine, harness: Harness
 ) -> None:
-    """A request that is read before and sent after has less time left."""
+    """A suspension between reading and forwarding reduces the deadline."""
     backend = await harness.add_backend("s1", answer_done)
-    admitted = asyncio.Event()
+    body_sent = asyncio.Event()
 
     async def body() -> AsyncIterator[bytes]:
         yield b"x"
         await harness.until(lambda: bool(harness.relay.front.running))
         machine.suspended = 1.0
-        admitted.set()
+        body_sent.set()
         yield b"y"
 
     async with harness.call("/look/", data=body()) as reply:
         assertions.assert_that(reply.status, matchers.Equals(200))
-    assertions.assert_that(admitted.is_set(), matchers.Is(True))
+    assertions.assert_that(body_sent.is_set(), matchers.Is(True))
     head = backend.requests[-1].partition(b"\r\n\r\n")[0].decode()
     lines = head.split("\r\n")
     deadline = next(line for line in lines if line.startswith("X-Deadline-Ms"))
-    # The route allows two seconds.
+    # The route has a timeout of two seconds.
     assertions.assert_that(int(deadline.split(":")[1]), matchers.LessThan(1001))
--- a/tests/relay_parts.py
+++ b/tests/relay_parts.py
@@ -1,4 +1,4 @@
-"""Small makers of the relay's types, for its tests."""
+"""Factories for the relay's types, for use in tests."""
 
 from __future__ import annotations
 
@@ -67,12 +67,12 @@
 
 
 def at(offset: int, era: int = 0) -> topics.Place:
-    """Returns a place in a topic."""
+    """Returns a position in a topic."""
     return topics.Place(era, offset)
 
 
 def entry(server_id: str = "s0", **fields: Any) -> server_lib.ServerEntry:
-    """Returns a server's entry."""
+    """Returns the registry entry of a server."""
     defaults = {
         "service": "desk",
         "address": "127.0.0.1:1",
@@ -85,7 +85,7 @@
 def request(
     route: configuration.Route = ROUTE, **fields: Any
 ) -> requests.RelayRequest:
-    """Returns a request that arrived at 100 s and has the route's time."""
+    """Returns a request that arrived at 100 s with the route's timeout."""
     defaults: dict[str, Any] = {
         "request_id": "r1",
         "route": route,
@@ -108,7 +108,7 @@
     now: float,
     draw: float = 0.0,
 ) -> list[server_lib.ServerState]:
-    """Returns the servers of a service that may get new work."""
+    """Returns the servers of a service that may receive new requests."""
     usable = fleet.usable(service, now)
     return fleet.ready(usable, versions, excluded, now, draw)
 
--- a/tests/relay_platform.py
+++ b/tests/relay_platform.py
@@ -1,6 +1,7 @@
-"""A platform in memory: keyed topics that can be away, forget or lose answers.
+"""In-memory platform with fault injection.
 
-Values are the product's own objects, which the codec looks up by name.
+Its keyed topics can be unavailable, discard old records or lose responses. The
+values of records are names by which the codec looks up the product's objects.
 """
 
 from __future__ import annotations
@@ -24,19 +25,19 @@
 
 _T = TypeVar("_T")
 
-POLL = 0.005  # Seconds between two looks of a held read.
+POLL = 0.005  # Seconds between checks of a long poll.
 
 
 @attrs.define
 class MemoryTopic:
-    """A keyed topic.
+    """An in-memory keyed topic.
 
     Attributes:
-        records: All that were added, in order.
-        first_kept: Offset before which changes cannot be read.
-        is_away: Whether calls fail and do nothing.
-        loses_answers: Whether writes take effect and then fail.
-        era: Number of its history.
+        records: All appended records in order.
+        first_kept: First offset from which changes can be read.
+        is_away: Whether calls fail without any effect.
+        loses_answers: Whether writes take effect but report a failure.
+        era: Number of the topic's history.
     """
 
     records: list[topics.Record] = attrs.field(factory=list)
@@ -94,12 +95,12 @@
         return topics.Place(self.era, len(self.records))
 
     async def put_all(self, records: dict[str, bytes]) -> None:
-        """Adds a record for each key."""
+        """Appends a record for each key."""
         for key, value in records.items():
             await self.put(key, value)
 
     def rewind(self, length: int) -> None:
-        """Comes back from a copy that had so many records."""
+        """Restores the topic from a backup of the given length."""
         del self.records[length:]
         self.first_kept = min(self.first_kept, length)
         self.era += 1
@@ -111,11 +112,11 @@
 
 @attrs.define
 class HostTopic:
-    """One host's way to a topic, whose answers tell it the era.
+    """One host's client for a topic, which learns the era from responses.
 
     Attributes:
         topic: The topic.
-        history: What the host knows of the store's history.
+        history: History of the store, as known to the host.
     """
 
     topic: MemoryTopic
@@ -138,11 +139,11 @@
         """Adds a record, or drops the key if there is no value."""
         end = await self._call(self.topic.put(key, value, expected))
         if end and expected and end.era != expected.era:
-            return None  # The condition held in another history.
+            return None  # The offsets matched in another history.
         return end
 
     async def put_all(self, records: dict[str, bytes]) -> None:
-        """Adds a record for each key."""
+        """Appends a record for each key."""
         await self._call(self.topic.put_all(records))
 
     async def _call(self, call: Awaitable[_T]) -> _T:
@@ -157,17 +158,17 @@
 def note_era(
     history: history_lib.StoreHistory, topic: MemoryTopic, known: int
 ) -> None:
-    """Tells a host the era of an answer."""
+    """Updates a host's history with the era of a response."""
     word = history_lib.EraWord(str(topic.era), topic.era)
     history.take_answer(word, known)
 
 
 @attrs.define
 class NamedCodec:
-    """Looks up what a record's value names.
+    """Codec that looks up objects by the name in a record's value.
 
     Attributes:
-        known: Objects by their name.
+        known: Objects by name.
     """
 
     known: dict[bytes, object] = attrs.field(factory=dict)
@@ -175,40 +176,40 @@
     def configuration(
         self, record: topics.Record
     ) -> configuration.Configuration | None:
-        """Returns the configuration that the record names, if it does."""
+        """Returns the named configuration, or None for another object."""
         found = self.known.get(record.value or b"")
-        is_it = isinstance(found, configuration.Configuration)
-        return found if is_it else None
+        is_configuration = isinstance(found, configuration.Configuration)
+        return found if is_configuration else None
 
     def order(self, record: topics.Record) -> phases_lib.Order | None:
-        """Returns the order that the record names, if it does."""
+        """Returns the named roll-out order, or None for another object."""
         found = self.known.get(record.value or b"")
         if not isinstance(found, phases_lib.Order):
             return None
         if record.place.era == history_lib.UNNAMED:
-            return found  # As the test has numbered it.
+            return found  # Keeps the number that the test has assigned.
         return attrs.evolve(found, number=record.place.serial)
 
     def evacuated_zone(self, record: topics.Record) -> str | None:
-        """Returns the failure domain after ``empty-`` in the key."""
+        """Returns the failure domain of a key with the prefix ``empty-``."""
         zone = record.key.removeprefix("empty-")
         return None if zone == record.key else zone
 
     def server(self, record: topics.Record) -> server_lib.ServerEntry:
-        """Returns the entry that the record names."""
+        """Returns the named server entry."""
         found = self.known.get(record.value or b"")
         if not isinstance(found, server_lib.ServerEntry):
-            raise errors.CodecError("unreadable", "Look at it.")
+            raise errors.CodecError("unreadable", "Check the record.")
         return found
 
     def status(self, record: phases_lib.PhaseRecord) -> tuple[str, bytes]:
-        """Returns a status that tells target and phase."""
+        """Returns a status record with the target and the phase."""
         return record.service, f"{record.target} {record.phase}".encode()
 
 
 @attrs.define
 class MemoryPlatform:
-    """All topics, and how to fill them."""
+    """All topics of the platform, and methods to publish to them."""
 
     operator: MemoryTopic = attrs.field(factory=MemoryTopic)
     servers: MemoryTopic = attrs.field(factory=MemoryTopic)
@@ -220,7 +221,7 @@
     codec: NamedCodec = attrs.field(factory=NamedCodec)
 
     def as_port(self) -> ports.Platform:
-        """Returns the platform as one relay sees it."""
+        """Returns the platform adapter of one relay."""
         history = history_lib.StoreHistory()
         topics = ports.Topics(
             *(HostTopic(each, history) for each in self.topics.values())
@@ -235,23 +236,23 @@
 
     @property
     def topics(self) -> dict[str, MemoryTopic]:
-        """All topics by name, in the order of ``ports.Topics``."""
+        """Topics by name, in the order of ``ports.Topics``."""
         names = [each.name for each in attrs.fields(ports.Topics)]
         return {name: getattr(self, name) for name in names}
 
     def copy(self) -> dict[str, int]:
-        """Returns the lengths of all topics, to come back to."""
+        """Returns a backup for ``rewind``: the lengths of all topics."""
         return {name: len(each.records) for name, each in self.topics.items()}
 
     def rewind(self, copy: dict[str, int]) -> None:
-        """Comes back from an older copy of all topics."""
+        """Restores all topics from an older backup."""
         for name, topic in self.topics.items():
             topic.rewind(copy[name])
 
     async def publish(
         self, topic: MemoryTopic, key: str, value: object
     ) -> None:
-        """Adds an object under a key; None drops the key."""
+        """Publishes an object under a key; None deletes the key."""
         if value is None:
             await topic.put(key, None)
             return
