--- a/src/hoistmoor/platform/codec.py
+++ b/src/hoistmoor/platform/codec.py
@@ -120,7 +120,7 @@
 
 def _codec_error(record: topics.Record, error: Exception) -> errors.CodecError:
     return errors.CodecError(
-        f"cannot decode record {record.place.text} of {record.key}: {error}",
+        f"record {record.place.text} of {record.key} cannot be decoded: {error}",
         "Inspect the record in the store.",
     )
 
