--- a/src/hoistmoor/platform/codec.py
+++ b/src/hoistmoor/platform/codec.py
@@ -37,7 +37,7 @@
 
 
 class PlatformCodec:
-    """Decodes operator and server records, and encodes roll-out statuses."""
+    """Decodes operator and server records, and encodes rollout statuses."""
 
     def configuration(
         self, record: topics.Record
@@ -52,7 +52,7 @@
             raise _codec_error(record, error) from error
 
     def order(self, record: topics.Record) -> phases.Order | None:
-        """Returns the roll-out order, or None for any other record."""
+        """Returns the rollout order, or None for any other record."""
         if not record.key.startswith(_ROLLOUT_PREFIX):
             return None
         fields = _load(record, fields_lib.ORDER)
@@ -86,7 +86,7 @@
         )
 
     def status(self, record: phases.PhaseRecord) -> tuple[str, bytes]:
-        """Returns the key and value of a roll-out status record."""
+        """Returns the key and value of a rollout status record."""
         fields = {
             "service": record.service,
             "state": _STATES[record.phase],
@@ -120,7 +120,7 @@
 
 def _codec_error(record: topics.Record, error: Exception) -> errors.CodecError:
     return errors.CodecError(
-        f"record {record.place.text} of {record.key} cannot be decoded: {error}",
+        f"record {record.place.text} of {record.key} is invalid: {error}",
         "Inspect the record in the store.",
     )
 
--- a/src/hoistmoor/platform/store.py
+++ b/src/hoistmoor/platform/store.py
@@ -26,7 +26,7 @@
 CALL_TIMEOUT = 1.0
 # Records per append request; a host's entry has about 100 bytes.
 APPEND_BATCH_SIZE = 400
-# Attempts to read a snapshot when the store's history changes between pages.
+# Attempts to read a snapshot when the store's era changes between pages.
 SNAPSHOT_ATTEMPTS = 3
 _LENGTH = struct.Struct(">I")
 _OFFSETS = struct.Struct(">QQ")  # End offset, and first retained offset.
@@ -70,7 +70,7 @@
             except errors.LogHistoryChangedError:
                 continue
         raise errors.LogUnavailableError(
-            f"the store's history changed while reading {self.topic}",
+            f"the store's era changed while reading {self.topic}",
             "Retry later.",
         )
 
@@ -122,7 +122,7 @@
         if status != 200:
             raise self._unexpected_status("log-append", status)
         if expected is not None and expected.era != era:
-            # The offsets matched by coincidence, in another history.
+            # The offsets matched by coincidence, in another era.
             return None
         return topics.Place(era, orjson.loads(body)["end_offset"])
 
--- a/src/hoistmoor/relay/application.py
+++ b/src/hoistmoor/relay/application.py
@@ -81,7 +81,7 @@
 
         Args:
             settings: Initial settings.
-            platform: Source of configuration, servers and roll-outs.
+            platform: Source of configuration, servers and rollouts.
             backends: HTTP sessions for backend servers.
             peer_session: HTTP session for other relays.
             read_settings: Reads the current settings.
--- a/src/hoistmoor/relay/counters.py
+++ b/src/hoistmoor/relay/counters.py
@@ -19,7 +19,7 @@
         beliefs: State changes on this host, by kind.
         durations: Seconds from a request to its final response.
         configuration_age: Seconds since the configuration was known current.
-        store_era: Number of the store's history, as known to this host.
+        store_era: Era of the store, as known to this host.
         unusable_eras: Store responses without a usable era, by kind.
         dropped_copies: Copies of topics from other hosts that were discarded
             as older than the local copy, by topic.
@@ -68,7 +68,7 @@
 
         self.store_era = prometheus_client.Gauge(
             "hoistmoor_relay_store_era",
-            "Number of the store's history; increases when writes are lost.",
+            "Era of the store; increases when the store has lost writes.",
             registry=self.registry,
         )
         self.unusable_eras = prometheus_client.Counter(
--- a/src/hoistmoor/relay/front/request_line.py
+++ b/src/hoistmoor/relay/front/request_line.py
@@ -20,7 +20,7 @@
 ) -> None:
     """Logs the version to which a session's attempt is sent.
 
-    A line is written during a roll-out and whenever the version changes, so
+    A line is written during a rollout and whenever the version changes, so
     that the logs of all hosts together show the history of the session.
 
     Args:
--- a/src/hoistmoor/relay/state.py
+++ b/src/hoistmoor/relay/state.py
@@ -29,12 +29,12 @@
         clock: Monotonic time in seconds, including time in suspend.
         log: Event log of decisions.
         counters: Metrics.
-        router: Backend servers, roll-outs and budgets.
+        router: Backend servers, rollouts and budgets.
         lease: Whether the configuration may still be used.
         outstanding: Work of other hosts at the backend servers.
         run_name: Unique name of this run of the host's process.
-        history: History of the store, as known to this host.
-        evidence: Roll-out counts of the hosts that read through this one.
+        history: Era of the store, as known to this host.
+        evidence: Rollout counts of the hosts that read through this one.
         configuration: Configuration in force; None before the first.
         configuration_record: Record that holds the configuration; the store
             may have lost it.
@@ -143,7 +143,7 @@
     def known_evidence(self) -> tuple[evidence_lib.Evidence, ...]:
         """Returns the counts of this host and of those that read through it.
 
-        Covers only roll-outs in progress.
+        Covers only rollouts in progress.
         """
         rollouts = self.router.rollouts
         for evidence in rollouts.counted(self.run_name):
@@ -158,7 +158,7 @@
         )
 
     def look_for_doubts(self, told: tuple[int, ...] = ()) -> tuple[int, ...]:
-        """Marks failing roll-outs as doubted.
+        """Marks failing rollouts as doubted.
 
         Args:
             told: Order numbers that another host reported as doubted.
--- a/tests/platform/test_platform_codec.py
+++ b/tests/platform/test_platform_codec.py
@@ -258,7 +258,7 @@
         (phases.Phase.REVERTED, "reverted"),
     ],
 )
-def test_encodes_a_roll_out_status(phase: phases.Phase, state: str) -> None:
+def test_encodes_a_rollout_status(phase: phases.Phase, state: str) -> None:
     key, value = CODEC.status(phases.PhaseRecord("a", "v2", 9, phase))
     assertions.assert_that(key, matchers.Equals("rollout/a"))
     fields = orjson.loads(value)
--- a/tests/platform/test_platform_store.py
+++ b/tests/platform/test_platform_store.py
@@ -39,7 +39,7 @@
 async def test_changes_include_offsets_and_deleted_keys(
     standin: StoreFixture,
 ) -> None:
-    made, stored, topic = standin
+    server, stored, topic = standin
     stored.records = [("a", b"1"), ("b", b"\x00\xff"), ("a", b"")]
     batch = await topic.changes(relay_parts.at(1), 0.5)
     found = [
@@ -49,7 +49,7 @@
         found, matchers.Equals([("b", b"\x00\xff", 1), ("a", None, 2)])
     )
     assertions.assert_that(batch.end, matchers.Equals(relay_parts.at(3)))
-    call, query = made.calls[-1]
+    call, query = server.calls[-1]
     assertions.assert_that(call, matchers.Equals("log-read"))
     assertions.assert_that(query["wait_ms"], matchers.Equals("500"))
 
@@ -57,10 +57,10 @@
 async def test_expired_and_future_offsets_raise_offset_expired(
     standin: StoreFixture,
 ) -> None:
-    made, stored, topic = standin
+    server, stored, topic = standin
     stored.records = [("a", b"1")] * 5
     stored.first_kept = 3
-    made.era = None
+    server.era = None
     with pytest.raises(errors.LogOffsetExpiredError):
         await topic.changes(relay_parts.at(1), 0.0)
     with pytest.raises(errors.LogOffsetExpiredError):
@@ -70,7 +70,7 @@
 async def test_only_one_conditional_write_succeeds(
     standin: StoreFixture,
 ) -> None:
-    _made, stored, topic = standin
+    _server, stored, topic = standin
     assertions.assert_that(
         await topic.put("k", b"first", relay_parts.at(0)),
         matchers.Equals(relay_parts.at(1)),
@@ -85,8 +85,8 @@
 async def test_error_responses_raise_log_unavailable(
     standin: StoreFixture, status: int
 ) -> None:
-    made, _stored, topic = standin
-    made.status = status
+    server, _stored, topic = standin
+    server.status = status
     with pytest.raises(errors.LogUnavailableError):
         await topic.newest()
     with pytest.raises(errors.LogUnavailableError):
@@ -96,13 +96,13 @@
 async def test_a_place_of_an_older_history_is_not_read_from(
     standin: StoreFixture,
 ) -> None:
-    # The new history may be longer than the offset that was read up to.
-    made, stored, topic = standin
+    # The new era may have more records than the offset that was read up to.
+    server, stored, topic = standin
     stored.records = [("a", b"1")] * 5
-    made.era = "1"
+    server.era = "1"
     known = await topic.newest()
     assertions.assert_that(known.end, matchers.Equals(relay_parts.at(5, 1)))
-    made.era = "3"
+    server.era = "3"
     stored.records = [("a", b"2")] * 9
     with pytest.raises(errors.LogHistoryChangedError):
         await topic.changes(known.end, 0.0)
@@ -113,21 +113,21 @@
 async def test_pages_of_two_histories_are_no_snapshot(
     standin: StoreFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    made, stored, topic = standin
+    server, stored, topic = standin
     stored.records = [(key, b"old") for key in "abcdef"]
-    made.era = "1"
-    read_page = type(made)._newest
+    server.era = "1"
+    read_page = type(server)._newest
 
-    def change_history_after_first_page(
+    def change_era_after_first_page(
         _: store_standin.StoreStandin, topic: store_standin.Topic, after: str
     ) -> Any:
-        answer = read_page(made, topic, after)
-        if after and made.era == "1":
-            made.era = "2"
+        answer = read_page(server, topic, after)
+        if after and server.era == "1":
+            server.era = "2"
             stored.records = [(key, b"new") for key in "ab"]
         return answer
 
-    monkeypatch.setattr(type(made), "_newest", change_history_after_first_page)
+    monkeypatch.setattr(type(server), "_newest", change_era_after_first_page)
     batch = await topic.newest()
     found = {each.key: each.value for each in batch.records}
     assertions.assert_that(found, matchers.Equals({"a": b"new", "b": b"new"}))
@@ -137,15 +137,15 @@
 async def test_a_condition_does_not_hold_in_another_history(
     standin: StoreFixture,
 ) -> None:
-    made, stored, topic = standin
-    made.era = "1"
+    server, stored, topic = standin
+    server.era = "1"
     end = await topic.put("k", b"first")
     assertions.assert_that(end, matchers.Equals(relay_parts.at(1, 1)))
-    made.era = "2"
+    server.era = "2"
     assertions.assert_that(
         await topic.put("k", b"second", end), matchers.Is(None)
     )
-    # Once the new history is known, the write is rejected without a request.
+    # Once the new era is known, the write is rejected without a request.
     assertions.assert_that(
         await topic.put("k", b"third", end), matchers.Is(None)
     )
@@ -166,13 +166,13 @@
 async def test_an_era_that_says_nothing_changes_nothing(
     standin: StoreFixture, text: str | None, kind: history.Unusable
 ) -> None:
-    made, stored, topic = standin
-    made.era = "2"
+    server, stored, topic = standin
+    server.era = "2"
     stored.records = [("a", b"1")]
     known = await topic.newest()
     reported: list[history.Unusable] = []
     topic.history.on_unusable = lambda why, _: reported.append(why)
-    made.era = text
+    server.era = text
     stored.records.append(("a", b"2"))
     batch = await topic.changes(known.end, 0.0)
     assertions.assert_that(batch.end, matchers.Equals(relay_parts.at(2, 2)))
--- a/tests/relay/front/test_relay_request_line.py
+++ b/tests/relay/front/test_relay_request_line.py
@@ -68,7 +68,7 @@
     )
 
 
-def test_each_session_request_is_logged_during_a_roll_out(
+def test_each_session_request_is_logged_during_a_rollout(
     logged_state: tuple[state_lib.RelayState, int],
 ) -> None:
     state, descriptor = logged_state
--- a/tests/relay/test_relay_leaving_server.py
+++ b/tests/relay/test_relay_leaving_server.py
@@ -153,7 +153,7 @@
 def test_servers_of_a_service_leave_one_after_the_other(
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
-    """A roll-out restarts each server two seconds after its announcement."""
+    """A rollout restarts each server two seconds after its announcement."""
 
     async def scenario() -> None:
         _, traffic = await engine_traffic.begin(hosts, engines=4)
--- a/tests/relay_platform.py
+++ b/tests/relay_platform.py
@@ -37,7 +37,7 @@
         first_kept: First offset from which changes can be read.
         is_away: Whether calls fail without any effect.
         loses_answers: Whether writes take effect but report a failure.
-        era: Number of the topic's history.
+        era: Era of the topic; increases with each restore.
     """
 
     records: list[topics.Record] = attrs.field(factory=list)
@@ -116,7 +116,7 @@
 
     Attributes:
         topic: The topic.
-        history: History of the store, as known to the host.
+        history: Era of the store, as known to the host.
     """
 
     topic: MemoryTopic
@@ -139,7 +139,7 @@
         """Adds a record, or drops the key if there is no value."""
         end = await self._call(self.topic.put(key, value, expected))
         if end and expected and end.era != expected.era:
-            return None  # The offsets matched in another history.
+            return None  # The offsets matched in another era.
         return end
 
     async def put_all(self, records: dict[str, bytes]) -> None:
@@ -158,7 +158,7 @@
 def note_era(
     history: history_lib.StoreHistory, topic: MemoryTopic, known: int
 ) -> None:
-    """Updates a host's history with the era of a response."""
+    """Updates a host's knowledge of the era from a response."""
     word = history_lib.EraWord(str(topic.era), topic.era)
     history.take_answer(word, known)
 
@@ -182,7 +182,7 @@
         return found if is_configuration else None
 
     def order(self, record: topics.Record) -> phases_lib.Order | None:
-        """Returns the named roll-out order, or None for another object."""
+        """Returns the named rollout order, or None for another object."""
         found = self.known.get(record.value or b"")
         if not isinstance(found, phases_lib.Order):
             return None
