--- a/src/hoistmoor/relay/counters.py
+++ b/src/hoistmoor/relay/counters.py
@@ -29,32 +29,32 @@
         self.registry = prometheus_client.CollectorRegistry()
         self.answers = prometheus_client.Counter(
             "hoistmoor_relay_answers",
-            "Requests by reason and outcome.",
+            "Requests by how they ended.",
             ["reason", "outcome"],
             registry=self.registry,
         )
         self.attempts = prometheus_client.Counter(
             "hoistmoor_relay_attempts",
-            "Attempts by the final state of their exchange.",
+            "Attempts by the state in which they ended.",
             ["state"],
             registry=self.registry,
         )
         self.sends_despite = prometheus_client.Counter(
             "hoistmoor_relay_sends_despite",
-            "Attempts sent to servers that had announced a rate limit, their"
-            " departure or a back-off.",
+            "Attempts sent to servers that had named a limit, said that they"
+            " leave, or asked for rest.",
             ["word"],
             registry=self.registry,
         )
         self.beliefs = prometheus_client.Counter(
             "hoistmoor_relay_belief_changes",
-            "State changes on this host.",
+            "Changes of what this host believes.",
             ["kind"],
             registry=self.registry,
         )
         self.durations = prometheus_client.Histogram(
             "hoistmoor_relay_seconds",
-            "Seconds from a request to its final response.",
+            "Seconds from a request to its final answer.",
             ["route"],
             buckets=_BUCKETS,
             registry=self.registry,
@@ -68,19 +68,18 @@
 
         self.store_era = prometheus_client.Gauge(
             "hoistmoor_relay_store_era",
-            "Era of the store; increases when the store has lost writes.",
+            "Number of the store's history; rises when it lost writes.",
             registry=self.registry,
         )
         self.unusable_eras = prometheus_client.Counter(
             "hoistmoor_relay_unusable_eras",
-            "Store responses without a usable era.",
+            "Answers of the store whose era says nothing.",
             ["kind"],
             registry=self.registry,
         )
         self.dropped_copies = prometheus_client.Counter(
             "hoistmoor_relay_dropped_copies",
-            "Copies of topics from other hosts that were older than the local"
-            " copy.",
+            "Copies of other hosts that were older than what is known here.",
             ["topic"],
             registry=self.registry,
         )
--- a/src/hoistmoor/relay/front/admission.py
+++ b/src/hoistmoor/relay/front/admission.py
@@ -62,19 +62,15 @@
     def admit(self, head: Head) -> requests.RelayRequest | refusals.Refusal:
         """Returns the admitted request, or the reason for its refusal."""
         if self._state.stopping:
-            return _refuse(
-                refusals.Reason.STOPPING, "this host is shutting down"
-            )
+            return _refuse(refusals.Reason.STOPPING, "this host stops")
         config = self._state.configuration
         if config is None:
-            return _refuse(
-                refusals.Reason.NO_TABLE, "no configuration has been loaded"
-            )
+            return _refuse(refusals.Reason.NO_TABLE, "no configuration yet")
         request_id = head.headers.get(self._names.request_id, "")
         if not request_id:
             return _refuse(
                 refusals.Reason.BAD_HEADER,
-                f"the {self._names.request_id} header is missing",
+                f"{self._names.request_id} is missing",
             )
         return self._admit_with(config, head, request_id)
 
@@ -92,8 +88,7 @@
             if not lease.is_current(now):
                 return self._refuse_as_stale()
             return _refuse(
-                refusals.Reason.UNKNOWN_CALL,
-                "no route matches the host and path",
+                refusals.Reason.UNKNOWN_CALL, "no route has this host and path"
             )
         account = None
         if config.accounts and not route.anonymous:
@@ -105,8 +100,7 @@
                 if not lease.is_current(now):
                     return self._refuse_as_stale()
                 return _refuse(
-                    refusals.Reason.WRONG_KEY,
-                    "the key does not belong to any client account",
+                    refusals.Reason.WRONG_KEY, "the key belongs to no account"
                 )
         return self._build_request(config, head, request_id, route, account)
 
@@ -114,7 +108,7 @@
         age = self._state.lease.age(self._state.clock())
         return _refuse(
             refusals.Reason.TABLE_STALE,
-            f"the configuration was last confirmed {age:.1f} s ago",
+            f"the configuration was last known current {age:.1f} s ago",
         )
 
     def _key_of(self, head: Head) -> str:
@@ -133,9 +127,7 @@
         limit_ms = header_values.parse_number(headers.get(names.deadline_ms))
         time_limit = DEFAULT_DEADLINE if limit_ms is None else limit_ms / _MS
         if time_limit <= 0:
-            return _refuse(
-                refusals.Reason.DEADLINE_PAST, "the deadline has passed"
-            )
+            return _refuse(refusals.Reason.DEADLINE_PAST, "no time is left")
         prompt = header_values.parse_prompt(
             headers.get(names.model),
             headers.get(names.tokens),
--- a/src/hoistmoor/relay/front/front.py
+++ b/src/hoistmoor/relay/front/front.py
@@ -108,9 +108,7 @@
         async for data in request.content.iter_any():
             size += len(data)
             if size > limit:
-                raise BodyTooLargeError(
-                    f"the request body exceeds {limit} bytes"
-                )
+                raise BodyTooLargeError(f"a body may have {limit} bytes")
             parts.append(data)
         return b"".join(parts)
 
--- a/src/hoistmoor/relay/front/relay_task.py
+++ b/src/hoistmoor/relay/front/relay_task.py
@@ -202,7 +202,7 @@
             await self._handle_data(attempt, part.data)
         elif self._is_passed_through(attempt) and self._sequence.has_partial:
             raise streams.StreamOrderError(
-                "the stream ended in the middle of an event",
+                "a stream ended within an event",
                 "Request the remaining events from another backend server.",
             )
 
@@ -260,7 +260,7 @@
             return
         raise exchange_errors.BackendProtocolError(
             attempt.exchange.state,
-            "the response is unsigned or was modified on the way",
+            "the answer is not what the server made",
             "Retry on another backend server.",
         )
 
