--- a/tests/relay/conftest.py
+++ b/tests/relay/conftest.py
@@ -26,7 +26,7 @@
 
 PATIENCE = 20.0  # Seconds; only reached if a test hangs on a busy machine.
 
-Answer = Callable[["Backend", bytes, asyncio.StreamWriter], Awaitable[None]]
+Responder = Callable[["Backend", bytes, asyncio.StreamWriter], Awaitable[None]]
 
 
 @attrs.define
@@ -40,7 +40,7 @@
         left: Set when the peer closes a connection.
     """
 
-    answer: Answer
+    answer: Responder
     address: str = ""
     requests: list[bytes] = attrs.field(factory=list)
     left: asyncio.Event = attrs.field(factory=asyncio.Event)
@@ -91,7 +91,7 @@
         return self.relay.state
 
     async def add_backend(
-        self, server_id: str, answer: Answer, **fields: Any
+        self, server_id: str, answer: Responder, **fields: Any
     ) -> Backend:
         """Starts and registers a backend server."""
         backend = Backend(answer)
