--- a/tests/relay_platform.py
+++ b/tests/relay_platform.py
@@ -82,7 +82,7 @@
         value: bytes | None,
         expected: topics.Place | None = None,
     ) -> topics.Place | None:
-        """Adds a record, or drops the key if there is no value."""
+        """Appends a record; without a value, it deletes the key."""
         self._check()
         if expected is not None and expected.offset != len(self.records):
             return None
@@ -136,7 +136,7 @@
         value: bytes | None,
         expected: topics.Place | None = None,
     ) -> topics.Place | None:
-        """Adds a record, or drops the key if there is no value."""
+        """Appends a record; without a value, it deletes the key."""
         end = await self._call(self.topic.put(key, value, expected))
         if end and expected and end.era != expected.era:
             return None  # The offsets matched in another era.
