--- a/src/hoistmoor/relay/counters.py
+++ b/src/hoistmoor/relay/counters.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of the relay, served as text."""
+"""Prometheus metrics of the relay."""
 
 from __future__ import annotations
 
@@ -8,20 +8,21 @@
 
 
 class Counters:
-    """What the relay counts.
+    """Metrics of one relay.
 
     Attributes:
-        registry: All of them.
-        answers: Requests by how they ended.
-        attempts: Attempts by how their exchange ended.
-        sends_despite: Attempts sent to servers that had named a limit, said
-            that they leave, or asked for rest, by word.
-        beliefs: Changes of what this host believes, by kind.
-        durations: Seconds from a request to its final answer.
+        registry: Registry that holds all metrics.
+        answers: Requests by reason and outcome.
+        attempts: Attempts by the final state of their exchange.
+        sends_despite: Attempts sent to servers that had announced a rate
+            limit, their departure or a back-off, by kind of notice.
+        beliefs: State changes on this host, by kind.
+        durations: Seconds from a request to its final response.
         configuration_age: Seconds since the configuration was known current.
-        store_era: Number of the store's history that is known here.
-        unusable_eras: Answers of the store whose era says nothing, by why.
-        dropped_copies: Copies of topics that were older than what is known.
+        store_era: Era of the store, as known to this host.
+        unusable_eras: Store responses without a usable era, by kind.
+        dropped_copies: Copies of topics from other hosts that were discarded
+            as older than the local copy, by topic.
     """
 
     def __init__(self) -> None:
@@ -84,5 +85,5 @@
         )
 
     def text(self) -> bytes:
-        """Returns all of them in the text format."""
+        """Returns all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
