--- a/benchmarks/limited_servers.py
+++ b/benchmarks/limited_servers.py
@@ -83,15 +83,15 @@
 
 def by_number(host: Host, rate: float, now: float, turn: int) -> bool:
     """Each host gets the rate divided by the number of hosts."""
-    gap = host.known / (limits.USED * rate)
+    gap = host.known / (limits.USED_FRACTION * rate)
     return now >= host.begin * gap and not host.sends.wait(1, gap, now)
 
 
 def _by_hosts(host: Host, rate: float, now: float, turn: int) -> bool:
-    part = host.parts.part_of(f"s {turn}", limits.requests_at_once(rate))
+    part = host.parts.quota_for(f"s {turn}", limits.max_burst(rate))
     if not part.own:
         return False
-    return not host.sends.wait(part.own, limits.window_of(rate, part), now)
+    return not host.sends.wait(part.own, limits.quota_window(rate, part), now)
 
 
 def chosen_once(host: Host, rate: float, now: float, turn: int) -> bool:
@@ -106,8 +106,8 @@
 
 def one_host(host: Host, rate: float, now: float, turn: int) -> bool:
     """One host sends all of it."""
-    part = host.parts.part_of(f"s {turn}", 1)
-    gap = 1.0 / (limits.USED * rate)
+    part = host.parts.quota_for(f"s {turn}", 1)
+    gap = 1.0 / (limits.USED_FRACTION * rate)
     return bool(part.own) and not host.sends.wait(1, gap, now)
 
 
@@ -125,19 +125,19 @@
             if other == name or draws.random() >= trouble.unlisted
         ]
         parts = shares.HostShares(name)
-        parts.take_hosts(listed)
+        parts.set_hosts(listed)
         hosts.append(Host(name, parts, len(listed), draws.random()))
     up = [host for host in hosts if draws.random() >= trouble.down]
-    belief = limits.LimitBelief()
-    belief.note_named(rate, 0.0)
+    belief = limits.LimitState()
+    belief.record_limit(rate, 0.0)
     arrivals = []
     now = trouble.lull
     while now < trouble.lull + PLAYED:
         now += draws.expovariate(DEMAND * len(up))
         host = draws.choice(up)
-        if may(host, rate, now, belief.turn_at(now)):
+        if may(host, rate, now, belief.generation_at(now)):
             host.sends.note(now)
-            belief.note_named(rate, now)
+            belief.record_limit(rate, now)
             arrivals.append(now)
     return arrivals
 
--- a/benchmarks/warmup.py
+++ b/benchmarks/warmup.py
@@ -75,15 +75,15 @@
     host: int, known: list[str], now: float, clock: float, sent: list[float]
 ) -> bool:
     """A few hosts share it, chosen by rendezvous; see ``core``."""
-    warmups = warmup.Warmups()
-    warmups.take_services({"llm": LLM})
-    warmups.excess = warmup.Excess(1.5, 5.0)
-    found = warmups.of("llm")
+    warmups = warmup.WarmupPolicies()
+    warmups.set_services({"llm": LLM})
+    warmups.tolerance = warmup.RateTolerance(1.5, 5.0)
+    found = warmups.policy_for("llm")
     assert found is not None
     mine = shares.HostShares(f"h{host}")
-    mine.take_hosts(known)
-    lately = sum(now - at < warmup.WINDOW for at in sent)
-    return lately < mine.part_of("server@1", found.shared).own
+    mine.set_hosts(known)
+    lately = sum(now - at < warmup.WINDOW_SECONDS for at in sent)
+    return lately < mine.quota_for("server@1", found.shared_requests).own
 
 
 def by_time(
--- a/src/hoistmoor/core/relay/course/machine.py
+++ b/src/hoistmoor/core/relay/course/machine.py
@@ -19,7 +19,7 @@
 from hoistmoor.core.relay.beliefs import configuration
 from hoistmoor.core.relay.course import attempt_counts
 from hoistmoor.core.relay.course import messages
-from hoistmoor.core.relay.servers import access
+from hoistmoor.core.relay.servers import eligibility
 from hoistmoor.core.relay.servers import runs
 
 if TYPE_CHECKING:
@@ -49,10 +49,10 @@
 
 # Conditions that exclude all servers and are reported to the client.
 _REASON_BY_BAR = {
-    access.Bar.COLD: refusals.Reason.NO_CAPACITY,
-    access.Bar.LEAVING: refusals.Reason.SERVERS_LEAVING,
-    access.Bar.LIMITED: refusals.Reason.SERVERS_LIMITED,
-    access.Bar.RESTING: refusals.Reason.SERVERS_RESTING,
+    eligibility.IneligibilityReason.COLD: refusals.Reason.NO_CAPACITY,
+    eligibility.IneligibilityReason.LEAVING: refusals.Reason.SERVERS_LEAVING,
+    eligibility.IneligibilityReason.LIMITED: refusals.Reason.SERVERS_LIMITED,
+    eligibility.IneligibilityReason.RESTING: refusals.Reason.SERVERS_RESTING,
 }
 
 
@@ -130,12 +130,12 @@
             request.route.sizes,
             self.model,
             confidence,
-            self._router.expected_first(request, largest, now),
+            self._router.expected_first_byte_delay(request, largest, now),
             request.arrived + request.route.target - now,
         )
-        if larger is None or not self._router.may_repeat(request, now):
+        if larger is None or not self._router.may_retry(request, now):
             return None
-        if self._router.outlook(request, now) is not None:
+        if self._router.next_eligibility(request, now) is not None:
             return None  # No server could run the larger model.
         return larger
 
@@ -215,7 +215,7 @@
             return False
         if not self._counts.has_arrived:
             return True
-        return self._router.may_repeat(request, now)
+        return self._router.may_retry(request, now)
 
     @_on.register
     def _(self, event: messages.DeadlineReached, now: float) -> messages.Effect:
@@ -253,7 +253,7 @@
             self._counts.has_arrived,
             runs.Run(self.request.fingerprint),
         )
-        self._router.note_sent(self.request, send, now)
+        self._router.record_sent(self.request, send, now)
         self.sent += 1
         self.server = server
         return send
@@ -266,23 +266,25 @@
         It is refused immediately even if a server becomes available soon, as
         queued requests would delay those behind them.
         """
-        outlook = self._router.outlook(self.request, now)
-        known = _REASON_BY_BAR.get(outlook.bar) if outlook else None
+        outlook = self._router.next_eligibility(self.request, now)
+        known = _REASON_BY_BAR.get(outlook.reason) if outlook else None
         if outlook is None or known is None:
             self._detail = self._detail or "no backend server is ready"
             return self._fail(reason)
         if reason is refusals.Reason.NO_CAPACITY:
             reason = known
         self._detail = self._detail or (
-            f"of the backend servers the first to be ready is {outlook.bar}"
+            f"of the backend servers the first to be ready is {outlook.reason}"
         )
         return self._fail(
-            reason, self._router.wait_until(outlook, self.request, now)
+            reason, self._router.retry_delay(outlook, self.request, now)
         )
 
     def _refuse_quarantined(self, now: float) -> messages.Effect:
         self._detail = "servers that ran this request have crashed"
-        left = self._router.suspects.left_for(self.request.fingerprint, now)
+        left = self._router.suspects.remaining_quarantine(
+            self.request.fingerprint, now
+        )
         return self._fail(refusals.Reason.CRASHES_SERVERS, math.ceil(left))
 
     def _read_timeout(self, now: float) -> float | None:
--- a/src/hoistmoor/core/relay/placement/bounds.py
+++ b/src/hoistmoor/core/relay/placement/bounds.py
@@ -30,5 +30,7 @@
     repeat_spare: float = 3.0
     repeat_slack: float | None = None
     session_life: float = 5.0
-    warmup_excess: warmup.Excess = attrs.field(factory=warmup.Excess)
-    longest_rest: float = rests.LONGEST
+    rate_tolerance: warmup.RateTolerance = attrs.field(
+        factory=warmup.RateTolerance
+    )
+    longest_rest: float = rests.MAX_REST_SECONDS
--- a/src/hoistmoor/core/relay/placement/partition.py
+++ b/src/hoistmoor/core/relay/placement/partition.py
@@ -39,7 +39,7 @@
     is_long: bool
 
     @property
-    def place(self) -> float:
+    def position(self) -> float:
         """Position on the line, 0 to 1."""
         relative_size = self.size_index / max(1, self.size_count - 1)
         return (2.0 * relative_size + self.is_long) / 3.0
@@ -55,7 +55,7 @@
 
     mean_tokens: float = 0.0
 
-    def note_prompt(self, tokens: int) -> None:
+    def record_prompt(self, tokens: int) -> None:
         """Adds a prompt's length to the moving average."""
         mean = self.mean_tokens or tokens
         self.mean_tokens = mean + LENGTH_SMOOTHING * (tokens - mean)
@@ -81,7 +81,7 @@
     """Returns the distance of each server to a class, 0 to 1, by identity."""
     ordered = sorted(ready, key=_order_key)
     last = max(1, len(ordered) - 1)
-    position = work_class.place
+    position = work_class.position
     return {
         server.entry.identity: abs(index / last - position)
         for index, server in enumerate(ordered)
--- a/src/hoistmoor/core/relay/placement/placement.py
+++ b/src/hoistmoor/core/relay/placement/placement.py
@@ -108,7 +108,7 @@
     cached_work = prompt.shared_tokens * request.weight(model)
 
     def work_until_done(server: server_lib.ServerState) -> float:
-        outstanding = server.waiting_work(mean_work, now)
+        outstanding = server.total_work(mean_work, now)
         own = request.work(model)
         if server is cache_holder:
             own -= cached_work
@@ -117,7 +117,7 @@
         )
         domain_factor = REMOTE_FACTOR if server.entry.zone != zone else 1.0
         slowdown = class_factor * domain_factor * max(1.0, server.health.pace)
-        queueing = 1.0 + math.pow(server.crowding(now), OCCUPANCY_EXPONENT)
+        queueing = 1.0 + math.pow(server.occupancy(now), OCCUPANCY_EXPONENT)
         return (outstanding + own) * slowdown * queueing
 
     return min(candidates, key=work_until_done)
@@ -160,4 +160,4 @@
     bias = REMOTE_BIAS if server.entry.zone != zone else 0.0
     noise = TIE_NOISE * draws.below(_DRAW_RANGE) / _DRAW_RANGE
     pace = max(1.0, server.health.pace)
-    return server.fullness(now) * pace + bias + noise
+    return server.reported_occupancy(now) * pace + bias + noise
--- a/src/hoistmoor/core/relay/placement/router.py
+++ b/src/hoistmoor/core/relay/placement/router.py
@@ -15,7 +15,7 @@
 from hoistmoor.core.relay.placement import partition as partition_lib
 from hoistmoor.core.relay.placement import placement
 from hoistmoor.core.relay.placement import service_state
-from hoistmoor.core.relay.servers import access
+from hoistmoor.core.relay.servers import eligibility
 from hoistmoor.core.relay.servers import fleet as fleet_lib
 from hoistmoor.core.relay.servers import serials as serials_lib
 from hoistmoor.core.relay.servers import server as server_lib
@@ -66,7 +66,7 @@
         serials = serials_lib.Serials()
         self.fleet = fleet_lib.Fleet(host_name, serials)
         self.rollouts = rollouts.RolloutBook(bounds.session_life)
-        self.paces = pace_lib.Paces()
+        self.response_times = pace_lib.Paces()
         self.suspects = suspects_lib.SuspectTable(serials)
         self.serials = serials
         self.zone = zone
@@ -84,26 +84,28 @@
             pace_lib.AttemptOutcome.REPLACED: self._note_replaced,
             pace_lib.AttemptOutcome.UNREACHABLE: self._note_unreachable,
         }
-        self.take_bounds(bounds)
+        self.set_bounds(bounds)
 
-    def take_bounds(self, bounds: bounds_lib.Bounds) -> None:
+    def set_bounds(self, bounds: bounds_lib.Bounds) -> None:
         """Applies new bounds and keeps all counters."""
         self._bounds = bounds
         self.rollouts.sessions.life = bounds.session_life
-        self.fleet.warmups.excess = bounds.warmup_excess
+        self.fleet.warmups.tolerance = bounds.rate_tolerance
         self.fleet.longest_rest = bounds.longest_rest
         for service in self._services.values():
             service.budget.ratio = bounds.repeat_ratio
             service.budget.window = bounds.repeat_window
 
-    def note_request(self, request: requests.RelayRequest, now: float) -> None:
+    def record_request(
+        self, request: requests.RelayRequest, now: float
+    ) -> None:
         """Counts a caller's request, which adds to the repeat budget."""
         service = self._service(request.service)
         service.budget.note_request(now)
         if request.prompt is not None:
-            service.partition.note_prompt(request.prompt.tokens)
+            service.partition.record_prompt(request.prompt.tokens)
 
-    def may_repeat(self, request: requests.RelayRequest, now: float) -> bool:
+    def may_retry(self, request: requests.RelayRequest, now: float) -> bool:
         """Returns whether the budget permits another attempt at a request."""
         service = self._service(request.service)
         service.budget.spare = self._spare_repeats()
@@ -115,7 +117,7 @@
         if bounds.repeat_slack is None:
             return bounds.repeat_spare
         shared = budget.SPARE_SHARE * bounds.repeat_slack
-        return min(bounds.repeat_spare, self.fleet.shares.equal_part(shared))
+        return min(bounds.repeat_spare, self.fleet.shares.equal_share(shared))
 
     def pick(
         self,
@@ -137,12 +139,14 @@
             now: Monotonic time.
         """
         service = request.service
-        usable = self.fleet.usable(service, now)
+        usable = self.fleet.eligible(service, now)
         versions = {server.entry.version for server in usable}
         if request.session:
             # Reasons that make all servers of a version ineligible for a short
             # time must not switch the session between versions.
-            versions = self.fleet.versions(service, now, access.SHORT)
+            versions = self.fleet.versions(
+                service, now, eligibility.TRANSIENT_REASONS
+            )
         allowed = self.rollouts.choose(
             service,
             versions,
@@ -153,7 +157,7 @@
         ready = self.fleet.ready(
             usable, allowed, excluded, now, self._draws.unit()
         )
-        self._service(service).note_ready(bool(ready), now)
+        self._service(service).record_readiness(bool(ready), now)
         if request.prompt is None:
             return placement.pick(ready, self.zone, now, self._draws)
         return placement.pick_engine(
@@ -167,15 +171,15 @@
             now,
         )
 
-    def outlook(
+    def next_eligibility(
         self, request: requests.RelayRequest, now: float
-    ) -> access.Outlook | None:
+    ) -> eligibility.NextEligibility | None:
         """Returns when a server becomes eligible; None if one is now."""
-        return self.fleet.outlook(request.service, now)
+        return self.fleet.next_eligibility(request.service, now)
 
-    def wait_until(
+    def retry_delay(
         self,
-        outlook: access.Outlook,
+        outlook: eligibility.NextEligibility,
         request: requests.RelayRequest,
         now: float,
     ) -> float:
@@ -186,11 +190,11 @@
             request: The request.
             now: Monotonic time.
         """
-        if outlook.bar is access.Bar.RESTING:
+        if outlook.reason is eligibility.IneligibilityReason.RESTING:
             return retry_after.for_rest(outlook.wait, self._draws.unit())
-        if outlook.wait < access.FOR_GOOD:
+        if outlook.wait < eligibility.INDEFINITE:
             return max(outlook.wait, retry_after.FOR_ROOM)
-        since = self._service(request.service).lacking_since
+        since = self._service(request.service).unavailable_since
         outage = 0.0 if since is None else now - since
         return retry_after.for_lack(outage, self._draws.unit())
 
@@ -204,14 +208,14 @@
             request.route.sizes,
         )
 
-    def expected_first(
+    def expected_first_byte_delay(
         self, request: requests.RelayRequest, model: str, now: float
     ) -> float:
         """Returns the expected seconds until a model's first response part."""
         work_class = self.class_of(request, model)
         return self._service(request.service).delays.expected(work_class, now)
 
-    def note_first(
+    def record_first_byte(
         self, request: requests.RelayRequest, send: messages.Send, now: float
     ) -> None:
         """Records that the response to an attempt has begun."""
@@ -228,7 +232,7 @@
         """Records that an attempt starts waiting; returns its serial."""
         return self._service(request.service).delays.begin(work_class, now)
 
-    def note_sent(
+    def record_sent(
         self,
         request: requests.RelayRequest,
         send: messages.Send,
@@ -237,20 +241,20 @@
         """Records an attempt that is about to be sent."""
         server = send.server
         server.in_flight += 1
-        server.sends.note(now)
+        server.sends.record(now)
         server.runs.add(send.run)
         if request.prompt is not None:
             work = request.work(send.model)
             server.work += work
-            server.note_work(work)
-            self._service(request.service).note_work(work)
+            server.record_work(work)
+            self._service(request.service).record_work(work)
         self.rollouts.note_sent(
             request.service, server.entry.version, request.session, now
         )
         if send.is_repeat:
             self._service(request.service).budget.note_repeat(now)
 
-    def note_ended(
+    def record_outcome(
         self,
         request: requests.RelayRequest,
         send: messages.Send,
@@ -303,26 +307,28 @@
     def _note_full(
         self, request: requests.RelayRequest, send: messages.Send, now: float
     ) -> None:
-        send.server.health.full_until = now + fleet_lib.FULL_REST
+        send.server.health.full_until = now + fleet_lib.FULL_REST_SECONDS
 
     def _note_replaced(
         self, request: requests.RelayRequest, send: messages.Send, now: float
     ) -> None:
-        send.server.absent_until = now + fleet_lib.ABSENT
+        send.server.presumed_ended_until = (
+            now + fleet_lib.PRESUMED_ENDED_SECONDS
+        )
 
     def _note_unreachable(
         self, request: requests.RelayRequest, send: messages.Send, now: float
     ) -> None:
         if send.is_repeat:
             self._service(request.service).budget.take_back(now)
-        self.fleet.doubt(send.server, now, self._draws.unit())
+        self.fleet.record_unreachable(send.server, now, self._draws.unit())
         send.server.health.rest_unreachable(
             now,
-            fleet_lib.UNREACHABLE_REST,
-            fleet_lib.LONGEST_UNREACHABLE_REST,
+            fleet_lib.UNREACHABLE_REST_SECONDS,
+            fleet_lib.MAX_UNREACHABLE_REST_SECONDS,
         )
 
-    def note_server_end(
+    def record_server_end(
         self, server: server_lib.ServerState, now: float
     ) -> None:
         """Records that this host found an incarnation of a server ended.
@@ -334,12 +340,12 @@
         server.has_ended = True
         # Without any work it looks like the least loaded server and would get
         # the next requests.
-        server.absent_until = now + fleet_lib.ABSENT
-        self.suspects.note_end(
-            server.entry.identity, server.runs.present(now), now
+        server.presumed_ended_until = now + fleet_lib.PRESUMED_ENDED_SECONDS
+        self.suspects.record_end(
+            server.entry.identity, server.runs.possibly_active(now), now
         )
 
-    def take_suspects(
+    def merge_suspects(
         self, suspects: Iterable[suspect_state.Suspect], now: float
     ) -> list[server_lib.ServerState]:
         """Merges the evidence against requests sent by another host.
@@ -351,15 +357,15 @@
         Returns:
             Servers that this host did not know to have ended.
         """
-        found = map(self.fleet.find, self.suspects.take(suspects, now))
+        found = map(self.fleet.find, self.suspects.merge(suspects, now))
         newly_ended = [each for each in found if each and not each.has_ended]
         for server in newly_ended:
             # This host may have abandoned a run there before the server ended,
             # and thus not have noticed the end.
-            self.note_server_end(server, now)
+            self.record_server_end(server, now)
         return newly_ended
 
-    def note_answer(
+    def record_response(
         self,
         request: requests.RelayRequest,
         server: server_lib.ServerState,
@@ -367,7 +373,7 @@
     ) -> None:
         """Evaluates the response to an attempt for rollouts."""
         key = (request.route.name, measured.model)
-        is_slow = self.paces.is_slow(key, measured, rollouts.SLOW_PACE)
+        is_slow = self.response_times.is_slow(key, measured, rollouts.SLOW_PACE)
         progress = self.rollouts.progress.get(request.service)
         is_target = (
             progress is not None
@@ -375,7 +381,7 @@
         )
         is_usual = not measured.failed and not measured.is_silent
         if is_usual and not is_target:
-            self.paces.note(key, measured)
+            self.response_times.note(key, measured)
         if progress is not None:
             progress.note_answer(
                 request.route.name,
--- a/src/hoistmoor/core/relay/placement/service_state.py
+++ b/src/hoistmoor/core/relay/placement/service_state.py
@@ -32,16 +32,16 @@
     )
     delays: delays_lib.FirstDelays = attrs.field(factory=delays_lib.FirstDelays)
     mean_work: float = 0.0
-    lacking_since: float | None = None
+    unavailable_since: float | None = None
 
-    def note_ready(self, is_ready: bool, now: float) -> None:
+    def record_readiness(self, is_ready: bool, now: float) -> None:
         """Records whether any server was ready for a request."""
         if is_ready:
-            self.lacking_since = None
-        elif self.lacking_since is None:
-            self.lacking_since = now
+            self.unavailable_since = None
+        elif self.unavailable_since is None:
+            self.unavailable_since = now
 
-    def note_work(self, work: float) -> None:
+    def record_work(self, work: float) -> None:
         """Adds a request's work to the moving average."""
         mean = self.mean_work or work
         self.mean_work = mean + WORK_SMOOTHING * (work - mean)
--- a/src/hoistmoor/core/relay/servers/departure_words.py
+++ b/src/hoistmoor/core/relay/servers/departure_gossip.py
@@ -24,10 +24,10 @@
 MAX_DEPARTURES = 2048
 # Seconds for which a departure is sent to other hosts. A leaving server exits
 # within seconds or minutes and is not selected after that anyway.
-LIFE = 600.0
+DEPARTURE_TTL = 600.0
 
 # Seconds since the first report of each departure, by server identity.
-Ages = dict[str, float]
+DepartureAges = dict[str, float]
 
 
 @attrs.define
@@ -37,7 +37,7 @@
     serial: int
 
 
-class DepartureWords:
+class DepartureGossip:
     """Departures known to this host, from any source."""
 
     def __init__(self, serials: serials_lib.Serials) -> None:
@@ -45,7 +45,7 @@
         # Insertion order is change order, oldest first.
         self._departures: dict[str, _Departure] = {}
 
-    def note(self, identity: str, at: float) -> bool:
+    def record(self, identity: str, at: float) -> bool:
         """Records that a server is leaving; returns whether that was unknown.
 
         Args:
@@ -55,13 +55,13 @@
         if identity in self._departures:
             return False
         self._departures[identity] = _Departure(
-            identity, at, self._serials.take()
+            identity, at, self._serials.allocate()
         )
         if len(self._departures) > MAX_DEPARTURES:
             del self._departures[next(iter(self._departures))]
         return True
 
-    def said_at(self, identity: str) -> float | None:
+    def announced_at(self, identity: str) -> float | None:
         """Returns when an incarnation announced its departure, if it did."""
         departure = self._departures.get(identity)
         return None if departure is None else departure.at
@@ -70,7 +70,9 @@
         """Drops a departure once a new incarnation has taken the server id."""
         self._departures.pop(identity, None)
 
-    def news(self, after: int, now: float) -> tuple[Ages, int]:
+    def changes_since(
+        self, after: int, now: float
+    ) -> tuple[DepartureAges, int]:
         """Returns unsent departures, oldest first, and the last serial covered.
 
         Args:
@@ -80,7 +82,7 @@
         live = (
             departure
             for departure in self._departures.values()
-            if now - departure.at <= LIFE
+            if now - departure.at <= DEPARTURE_TTL
         )
         new, until = self._serials.batch(live, after, MAX_PER_MESSAGE)
         return {
--- a/src/hoistmoor/core/relay/servers/departures.py
+++ b/src/hoistmoor/core/relay/servers/departures.py
@@ -13,11 +13,11 @@
 # Seconds after the latest announcement for which an incarnation without a known
 # start time counts as leaving. After that, the same identity may belong to a
 # new incarnation.
-UNDATED_LIFE = 600.0
+UNDATED_TTL = 600.0
 
 
 @attrs.define
-class DepartureBelief:
+class DepartureState:
     """Departure of one incarnation of a server, as known to this host.
 
     Attributes:
@@ -26,28 +26,28 @@
         last_announced_at: Monotonic time of the latest such response.
     """
 
-    said_at: float | None = None
+    announced_at: float | None = None
     last_announced_at: float = float("-inf")
 
-    def note(self, at: float) -> bool:
+    def record(self, at: float) -> bool:
         """Records an announcement; returns whether it is the first one.
 
         Args:
             at: Monotonic time of the response.
         """
-        is_news = self.said_at is None
-        if self.said_at is None or at < self.said_at:
-            self.said_at = at
+        is_news = self.announced_at is None
+        if self.announced_at is None or at < self.announced_at:
+            self.announced_at = at
         self.last_announced_at = max(self.last_announced_at, at)
         return is_news
 
-    def holds(self, born: int | None, now: float) -> bool:
+    def is_active(self, born: int | None, now: float) -> bool:
         """Returns whether the server counts as leaving.
 
         Args:
             born: Start time of the incarnation; None if it reports none.
             now: Monotonic time.
         """
-        if self.said_at is None:
+        if self.announced_at is None:
             return False
-        return born is not None or now - self.last_announced_at < UNDATED_LIFE
+        return born is not None or now - self.last_announced_at < UNDATED_TTL
--- a/src/hoistmoor/core/relay/servers/access.py
+++ b/src/hoistmoor/core/relay/servers/eligibility.py
@@ -17,16 +17,16 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Container, Iterable
 
-    from hoistmoor.core.relay.servers import room as headroom_lib
+    from hoistmoor.core.relay.servers import headroom as headroom_lib
     from hoistmoor.core.relay.servers import server as server_lib
 
     _WaitFunction = Callable[["server_lib.ServerState", float], float]
 
 # Wait of a condition that has no known end; only new information clears it.
-FOR_GOOD = math.inf
+INDEFINITE = math.inf
 
 
-class Bar(enum.StrEnum):
+class IneligibilityReason(enum.StrEnum):
     """Reason why a server is not eligible for requests."""
 
     GONE = "gone"
@@ -39,11 +39,13 @@
 
 # Reasons that end soon and do not concern the server's version. A session waits
 # for them to pass; otherwise it would switch versions back and forth.
-SHORT = frozenset({Bar.RESTING, Bar.LIMITED})
+TRANSIENT_REASONS = frozenset(
+    {IneligibilityReason.RESTING, IneligibilityReason.LIMITED}
+)
 
 
 @attrs.frozen
-class Outlook:
+class NextEligibility:
     """Earliest time at which a service without eligible servers has one again.
 
     Attributes:
@@ -51,11 +53,11 @@
         wait: Seconds until then; ``FOR_GOOD`` if no end is known.
     """
 
-    bar: Bar
+    reason: IneligibilityReason
     wait: float
 
 
-class Access:
+class Eligibility:
     """Eligibility checks of one host.
 
     They run for every server on every request, so each check has to be cheap.
@@ -64,23 +66,23 @@
         evacuated: Failure domains whose servers get no new work.
     """
 
-    def __init__(self, headroom: headroom_lib.Room) -> None:
+    def __init__(self, headroom: headroom_lib.Headroom) -> None:
         self.evacuated: frozenset[str] = frozenset()
         # Ordered so that the cheapest and most frequent reasons come first.
-        self._checks: tuple[tuple[Bar, _WaitFunction], ...] = (
-            (Bar.GONE, _wait_while_gone),
-            (Bar.LEAVING, _wait_while_leaving),
-            (Bar.EVACUATED, self._wait_for_evacuation),
-            (Bar.RESTING, _wait_for_rest),
-            (Bar.COLD, headroom.wait_for_cold),
-            (Bar.LIMITED, headroom.wait_for_limit),
+        self._checks: tuple[tuple[IneligibilityReason, _WaitFunction], ...] = (
+            (IneligibilityReason.GONE, _wait_while_gone),
+            (IneligibilityReason.LEAVING, _wait_while_leaving),
+            (IneligibilityReason.EVACUATED, self._wait_for_evacuation),
+            (IneligibilityReason.RESTING, _wait_for_rest),
+            (IneligibilityReason.COLD, headroom.wait_while_cold),
+            (IneligibilityReason.LIMITED, headroom.wait_for_rate_limit),
         )
 
-    def may_get(
+    def is_eligible(
         self,
         state: server_lib.ServerState,
         now: float,
-        ignored: Container[Bar] = (),
+        ignored: Container[IneligibilityReason] = (),
     ) -> bool:
         """Returns whether a server may receive a request now.
 
@@ -94,16 +96,16 @@
                 return False
         return True
 
-    def outlook(
+    def next_eligibility(
         self, servers: Iterable[server_lib.ServerState], now: float
-    ) -> Outlook | None:
+    ) -> NextEligibility | None:
         """Returns when the first of the servers becomes eligible.
 
         Returns None if one is eligible now, or if there are no servers.
         """
         earliest = None
         for server in servers:
-            if self.may_get(server, now):
+            if self.is_eligible(server, now):
                 return None
             longest = self._longest_wait(server, now)
             if earliest is None or longest.wait < earliest.wait:
@@ -112,8 +114,10 @@
 
     def _longest_wait(
         self, state: server_lib.ServerState, now: float
-    ) -> Outlook:
-        waits = [Outlook(bar, wait(state, now)) for bar, wait in self._checks]
+    ) -> NextEligibility:
+        waits = [
+            NextEligibility(bar, wait(state, now)) for bar, wait in self._checks
+        ]
         return max(waits, key=lambda outlook: outlook.wait)
 
     def _wait_for_evacuation(
@@ -121,15 +125,15 @@
     ) -> float:
         if not self.evacuated:
             return 0.0
-        return FOR_GOOD if state.entry.zone in self.evacuated else 0.0
+        return INDEFINITE if state.entry.zone in self.evacuated else 0.0
 
 
 def _wait_while_gone(state: server_lib.ServerState, now: float) -> float:
-    return FOR_GOOD if state.is_gone(now) else 0.0
+    return INDEFINITE if state.is_gone(now) else 0.0
 
 
 def _wait_while_leaving(state: server_lib.ServerState, now: float) -> float:
-    return FOR_GOOD if state.leaves(now) else 0.0
+    return INDEFINITE if state.is_leaving(now) else 0.0
 
 
 def _wait_for_rest(state: server_lib.ServerState, now: float) -> float:
--- a/src/hoistmoor/core/relay/servers/fleet.py
+++ b/src/hoistmoor/core/relay/servers/fleet.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING
 
-from hoistmoor.core.relay.servers import access as eligibility_lib
-from hoistmoor.core.relay.servers import departure_words
+from hoistmoor.core.relay.servers import departure_gossip
+from hoistmoor.core.relay.servers import eligibility as eligibility_lib
+from hoistmoor.core.relay.servers import headroom as headroom_lib
 from hoistmoor.core.relay.servers import outstanding
 from hoistmoor.core.relay.servers import rests
-from hoistmoor.core.relay.servers import room as headroom_lib
 from hoistmoor.core.relay.servers import serials as serials_lib
 from hoistmoor.core.relay.servers import server as server_lib
 from hoistmoor.core.relay.servers import shares as shares_lib
@@ -18,27 +18,27 @@
     from collections.abc import Container, Iterable, Iterator
 
 # Seconds after which the work reported by other hosts is ignored.
-WORK_LIFE = 2.0
+PEER_WORK_TTL = 2.0
 # Seconds for which a server is kept if its entry disappeared during a store
 # outage. The store lists live servers again within about two seconds.
-LAPSE_GRACE = 2.0
+EXPIRY_GRACE_PERIOD = 2.0
 # Seconds without new work for a server that rejected a request as full.
-FULL_REST = 0.25
+FULL_REST_SECONDS = 0.25
 # Seconds without new work for a server that accepts no connection, doubled on
 # each further failure up to the maximum. A crashed server has no work and
 # therefore looks like the least loaded one to every host.
-UNREACHABLE_REST = 1.0
-LONGEST_UNREACHABLE_REST = 8.0
+UNREACHABLE_REST_SECONDS = 1.0
+MAX_UNREACHABLE_REST_SECONDS = 8.0
 # Removed servers whose last entries are kept, so that a delayed heartbeat does
 # not list them again. Entries are read a few seconds late at most, and no more
 # servers than this are removed within that time.
-MOST_REMOVED = 2000
+MAX_REMOVED = 2000
 # Seconds without new work for a server whose address now belongs to another
 # one. It has exited, and its entry is removed after three missed heartbeats of
 # 1.2 s.
-ABSENT = 4.0
+PRESUMED_ENDED_SECONDS = 4.0
 # Largest fraction of a service's servers that may be ejected as outliers.
-MAX_RESTING = 0.5
+MAX_RESTING_FRACTION = 0.5
 
 
 def _is_same_incarnation(
@@ -72,8 +72,8 @@
     if previous is None:
         return server_lib.ServerState(entry)
     if _is_same_incarnation(previous.entry, entry):
-        return previous.listed_again(entry)
-    return server_lib.ServerState(entry, followed_at=now)
+        return previous.relisted(entry)
+    return server_lib.ServerState(entry, replaced_predecessor_at=now)
 
 
 class Fleet:
@@ -99,14 +99,14 @@
             serials: Source of change serials; None to use a private one.
         """
         self.servers: dict[str, server_lib.ServerState] = {}
-        self.warmups = warmup_lib.Warmups()
+        self.warmups = warmup_lib.WarmupPolicies()
         self.shares = shares_lib.HostShares(host_name)
-        self.longest_rest = rests.LONGEST
-        self.departures = departure_words.DepartureWords(
+        self.longest_rest = rests.MAX_REST_SECONDS
+        self.departures = departure_gossip.DepartureGossip(
             serials or serials_lib.Serials()
         )
-        self._headroom = headroom_lib.Room(self.warmups, self.shares)
-        self.eligibility = eligibility_lib.Access(self._headroom)
+        self._headroom = headroom_lib.Headroom(self.warmups, self.shares)
+        self.eligibility = eligibility_lib.Eligibility(self._headroom)
         self._by_service: dict[str, dict[str, server_lib.ServerState]] = {}
         # Last known state of removed servers, oldest first.
         self._removed: dict[str, server_lib.ServerState] = {}
@@ -120,7 +120,7 @@
         """Yields all servers."""
         return iter(tuple(self.servers.values()))
 
-    def is_returned(self, entry: server_lib.ServerEntry) -> bool:
+    def is_outdated(self, entry: server_lib.ServerEntry) -> bool:
         """Returns whether an entry was resurrected by an outdated store copy.
 
         Within one incarnation, an entry whose sequence number does not exceed
@@ -154,15 +154,15 @@
             return False
         if known is None or not _is_same_incarnation(known.entry, entry):
             self._replace(known, entry, now)
-            self._note_cold(entry, now)
+            self._record_cold(entry, now)
             return True
-        changed = known.entry != entry or known.lapsed_until is not None
+        changed = known.entry != entry or known.expires_at is not None
         known.entry = entry
-        known.lapsed_until = None
-        self._note_cold(entry, now)
+        known.expires_at = None
+        self._record_cold(entry, now)
         return changed
 
-    def _note_cold(self, entry: server_lib.ServerEntry, now: float) -> None:
+    def _record_cold(self, entry: server_lib.ServerEntry, now: float) -> None:
         if entry.warm_in > 0.0:
             state = self.servers[entry.server_id]
             state.cold_until = max(state.cold_until, now + entry.warm_in)
@@ -173,7 +173,7 @@
         is_it = found is not None and found.entry.identity == identity
         return found if is_it else None
 
-    def note_departure(self, identity: str, at: float) -> bool:
+    def record_departure(self, identity: str, at: float) -> bool:
         """Records that a server is leaving; returns whether that was unknown.
 
         The announcement may arrive before the server's entry is read.
@@ -185,13 +185,13 @@
         """
         server_id = server_lib.id_of(identity)
         newest = self.servers.get(server_id) or self._removed.get(server_id)
-        if newest is not None and newest.entry.is_after(identity):
+        if newest is not None and newest.entry.started_after(identity):
             return False
         server = self.find(identity)
-        if server is not None and at < server.followed_at:
+        if server is not None and at < server.replaced_predecessor_at:
             return False
-        is_news = self.departures.note(identity, at)
-        return (server.departure.note(at) if server else False) or is_news
+        is_news = self.departures.record(identity, at)
+        return (server.departure.record(at) if server else False) or is_news
 
     def evacuate(self, zones: frozenset[str], now: float) -> None:
         """Sets the failure domains that get no new work from now on.
@@ -203,13 +203,13 @@
         reopened = self.eligibility.evacuated - zones
         self.eligibility.evacuated = zones
         for server in self:
-            warmup = self.warmups.of(server.entry.service)
+            warmup = self.warmups.policy_for(server.entry.service)
             if warmup is not None and server.entry.zone in reopened:
                 server.cold_until = max(
                     server.cold_until, now + warmup.duration
                 )
 
-    def doubt(
+    def record_unreachable(
         self, state: server_lib.ServerState, now: float, draw: float
     ) -> None:
         """Records that a server accepted no connection.
@@ -222,19 +222,19 @@
             now: Monotonic time.
             draw: Random number, 0 to 1.
         """
-        warmup = self.warmups.of(state.entry.service)
+        warmup = self.warmups.policy_for(state.entry.service)
         if warmup is not None:
-            state.doubted_until = now + warmup.duration * (1.0 + draw)
+            state.possibly_cold_until = now + warmup.duration * (1.0 + draw)
 
-    def outlook(
+    def next_eligibility(
         self, service: str, now: float
-    ) -> eligibility_lib.Outlook | None:
+    ) -> eligibility_lib.NextEligibility | None:
         """Returns when the first server of a service becomes eligible.
 
         Returns None if one is eligible now; if no server was selected
         nevertheless, the cause lies elsewhere.
         """
-        return self.eligibility.outlook(self._servers_of(service), now)
+        return self.eligibility.next_eligibility(self._servers_of(service), now)
 
     def _replace(
         self,
@@ -248,9 +248,9 @@
         state = _state_after(previous, entry, now)
         if previous is not None and state.departure is not previous.departure:
             self.departures.forget(previous.entry.identity)
-        said_at = self.departures.said_at(entry.identity)
+        said_at = self.departures.announced_at(entry.identity)
         if said_at is not None:
-            state.departure.note(said_at)
+            state.departure.record(said_at)
         self.servers[entry.server_id] = state
         pool = self._by_service.setdefault(entry.service, {})
         pool[entry.server_id] = state
@@ -268,11 +268,11 @@
         self._unlist(state)
         self._removed.pop(server_id, None)
         self._removed[server_id] = state
-        if len(self._removed) > MOST_REMOVED:
+        if len(self._removed) > MAX_REMOVED:
             del self._removed[next(iter(self._removed))]
         return True
 
-    def lapse(self, server_id: str, until: float) -> None:
+    def schedule_expiry(self, server_id: str, until: float) -> None:
         """Records that an entry is missing, possibly due to a store outage.
 
         Args:
@@ -280,8 +280,8 @@
             until: Monotonic time from which the server counts as gone.
         """
         state = self.servers.get(server_id)
-        if state is not None and state.lapsed_until is None:
-            state.lapsed_until = until
+        if state is not None and state.expires_at is None:
+            state.expires_at = until
 
     def own_work(self) -> outstanding.WorkByServer:
         """Returns this host's outstanding work at engines, by identity."""
@@ -293,30 +293,30 @@
             if server.work > 0.0
         }
 
-    def take_others_work(
-        self, work: outstanding.WorkByServer, now: float
-    ) -> None:
+    def set_peer_work(self, work: outstanding.WorkByServer, now: float) -> None:
         """Sets the outstanding work of all other hosts, by identity."""
         for server in self.servers.values():
-            server.told = work.get(server.entry.identity, outstanding.NOTHING)
-            server.told_until = now + WORK_LIFE
+            server.peer_work = work.get(
+                server.entry.identity, outstanding.NO_WORK
+            )
+            server.peer_work_until = now + PEER_WORK_TTL
 
-    def drop_lapsed(self, now: float) -> list[str]:
+    def remove_expired(self, now: float) -> list[str]:
         """Removes servers whose grace period has ended; returns their ids."""
         expired = [
             server.entry.server_id
             for server in self
-            if server.lapsed_until is not None and now >= server.lapsed_until
+            if server.expires_at is not None and now >= server.expires_at
         ]
         for server_id in expired:
             self.remove(server_id)
         return expired
 
-    def usable(
+    def eligible(
         self,
         service: str,
         now: float,
-        ignored: Container[eligibility_lib.Bar] = (),
+        ignored: Container[eligibility_lib.IneligibilityReason] = (),
     ) -> list[server_lib.ServerState]:
         """Returns the servers of a service that are eligible for work.
 
@@ -325,7 +325,7 @@
             now: Monotonic time.
             ignored: Reasons for ineligibility that are not taken into account.
         """
-        may_get = self.eligibility.may_get
+        may_get = self.eligibility.is_eligible
         return [
             server
             for server in self._servers_of(service)
@@ -365,25 +365,29 @@
             server
             for server in pool
             if (
-                now >= server.doubted_until
-                or self._headroom.has_for_cold(server, now)
+                now >= server.possibly_cold_until
+                or self._headroom.allows_cold_send(server, now)
             )
-            and draw <= server.rest.part_back(now)
+            and draw <= server.rest.ramp_up_fraction(now)
         ]
         pool = preferred or pool
         for server in pool:
             server.health.wake(now)
         healthy = [server for server in pool if not server.health.is_resting]
-        return healthy if len(healthy) >= len(pool) * MAX_RESTING else pool
+        return (
+            healthy
+            if len(healthy) >= len(pool) * MAX_RESTING_FRACTION
+            else pool
+        )
 
     def versions(
         self,
         service: str,
         now: float,
-        ignored: Container[eligibility_lib.Bar] = (),
+        ignored: Container[eligibility_lib.IneligibilityReason] = (),
     ) -> set[str]:
         """Returns the versions of the eligible servers; see ``usable``."""
-        usable = self.usable(service, now, ignored)
+        usable = self.eligible(service, now, ignored)
         return {server.entry.version for server in usable}
 
     def _servers_of(self, service: str) -> Iterable[server_lib.ServerState]:
--- a/src/hoistmoor/core/relay/servers/room.py
+++ b/src/hoistmoor/core/relay/servers/headroom.py
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class Room:
+class Headroom:
     """This host's remaining quota at servers of limited capacity.
 
     Attributes:
@@ -30,10 +30,12 @@
             send to one server.
     """
 
-    warmups: warmup_lib.Warmups
+    warmups: warmup_lib.WarmupPolicies
     shares: shares_lib.HostShares
 
-    def wait_for_cold(self, state: server_lib.ServerState, now: float) -> float:
+    def wait_while_cold(
+        self, state: server_lib.ServerState, now: float
+    ) -> float:
         """Returns the seconds until a cold server can take another request.
 
         If this host has no quota, this is the estimated time until one of the
@@ -43,23 +45,25 @@
             return 0.0
         return min(self._quota_wait(state, now), state.cold_until - now)
 
-    def has_for_cold(self, state: server_lib.ServerState, now: float) -> bool:
+    def allows_cold_send(
+        self, state: server_lib.ServerState, now: float
+    ) -> bool:
         """Returns whether this host may send a request to a cold server."""
         return not self._quota_wait(state, now)
 
     def _quota_wait(self, state: server_lib.ServerState, now: float) -> float:
         entry = state.entry
-        warmup = self.warmups.of(entry.service)
+        warmup = self.warmups.policy_for(entry.service)
         if warmup is None:
             return 0.0  # The server may be slow at first but needs no limit.
-        part = self.shares.part_of(entry.identity, warmup.shared)
+        part = self.shares.quota_for(entry.identity, warmup.shared_requests)
         if part.own:
-            return state.sends.wait(part.own, warmup_lib.WINDOW, now)
+            return state.sends.wait(part.own, warmup_lib.WINDOW_SECONDS, now)
         return (
-            warmup_lib.WINDOW / part.all_hosts if part.all_hosts else math.inf
+            warmup_lib.WINDOW_SECONDS / part.total if part.total else math.inf
         )
 
-    def wait_for_limit(
+    def wait_for_rate_limit(
         self, state: server_lib.ServerState, now: float
     ) -> float:
         """Returns the seconds until a rate limit permits another request.
@@ -70,11 +74,11 @@
         rate = state.limit.rate
         if rate is None:
             return 0.0
-        part = self.shares.part_of(
-            f"{state.entry.identity} {state.limit.turn_at(now)}",
-            limits.requests_at_once(rate),
+        part = self.shares.quota_for(
+            f"{state.entry.identity} {state.limit.generation_at(now)}",
+            limits.max_burst(rate),
         )
         if not part.own:
-            return limits.pause_of(rate)
-        window = limits.window_of(rate, part)
+            return limits.mean_interval(rate)
+        window = limits.quota_window(rate, part)
         return state.sends.wait(part.own, window, now)
--- a/src/hoistmoor/core/relay/servers/limit_words.py
+++ b/src/hoistmoor/core/relay/servers/limit_gossip.py
@@ -24,11 +24,11 @@
 # response.
 MAX_PER_MESSAGE = 32
 
-LimitWords = dict[str, "limits.LimitWord"]
+GossipedLimits = dict[str, "limits.GossipedLimit"]
 
 
 @attrs.frozen
-class LimitNews:
+class LimitChange:
     """A change of a server's rate limit.
 
     Attributes:
@@ -40,12 +40,12 @@
     before: float | None
 
 
-def told_by(fleet: fleet_lib.Fleet, now: float) -> LimitWords:
+def limits_to_gossip(fleet: fleet_lib.Fleet, now: float) -> GossipedLimits:
     """Returns the limits that this host sends, by server identity."""
     messages = {
         server.entry.identity: message
         for server in fleet
-        if (message := server.limit.word(now)) is not None
+        if (message := server.limit.to_gossip(now)) is not None
     }
     if len(messages) <= MAX_PER_MESSAGE:
         return messages
@@ -55,11 +55,11 @@
     return dict(newest)
 
 
-def take(
+def merge(
     fleet: fleet_lib.Fleet,
-    messages: Mapping[str, limits.LimitWord],
+    messages: Mapping[str, limits.GossipedLimit],
     now: float,
-) -> list[LimitNews]:
+) -> list[LimitChange]:
     """Merges the limits sent by another host; returns the changes.
 
     Args:
@@ -73,6 +73,6 @@
         if server is None:
             continue
         before = server.limit.rate
-        if server.limit.take(message, now):
-            changes.append(LimitNews(server, before))
+        if server.limit.merge(message, now):
+            changes.append(LimitChange(server, before))
     return changes
--- a/src/hoistmoor/core/relay/servers/limits.py
+++ b/src/hoistmoor/core/relay/servers/limits.py
@@ -28,7 +28,7 @@
 # lack a fifth of the others send a quarter more. Of a limit of 1.7 requests a
 # second 0.83 are used, and 0.6 with a third of the hosts down (mean of ten
 # simulated runs of 40 s).
-USED = 0.95
+USED_FRACTION = 0.95
 # Number of hosts that share a limit: this many per request a second, plus
 # EXTRA_HOSTS. All of them may send at the same moment after a lull: with host
 # lists that lack a fifth, 12 and 137 requests arrived within four seconds at
@@ -46,15 +46,15 @@
 SILENCE_SECONDS = 3.0
 # Seconds for which the end of a limit is gossiped. Other hosts learn of it
 # within two seconds; the limit they still gossip meanwhile is older.
-END_TOLD = 10.0
+END_GOSSIP_SECONDS = 10.0
 # Seconds by which a message with an unchanged limit must be newer to be
 # accepted. A message that is echoed by its receiver appears newer by the
 # network delay.
-ECHO_MARGIN = 0.25
+ECHO_MARGIN_SECONDS = 0.25
 
 
 @attrs.frozen
-class LimitWord:
+class GossipedLimit:
     """A server's rate limit as hosts send it to one another.
 
     Attributes:
@@ -64,12 +64,12 @@
     """
 
     rate: float | None
-    generation: int
+    turn: int
     age: float
 
 
 @attrs.define
-class LimitBelief:
+class LimitState:
     """Rate limit of one server, as known to this host.
 
     Attributes:
@@ -85,15 +85,15 @@
     generation: int = 0
     gossip_end_until: float = float("-inf")
 
-    def note_named(self, rate: float, now: float) -> bool:
+    def record_limit(self, rate: float, now: float) -> bool:
         """Records a limit named in a response; returns whether it changed."""
         is_news = rate != self.rate
-        self.generation = self.turn_at(now)
+        self.generation = self.generation_at(now)
         self.rate = rate
         self.at = now
         return is_news
 
-    def note_unnamed(self, sent_at: float, now: float) -> bool:
+    def record_no_limit(self, sent_at: float, now: float) -> bool:
         """Records a response without a limit; returns whether a limit ended.
 
         Args:
@@ -105,7 +105,7 @@
         was_limited = self.rate is not None
         self._clear(sent_at)
         if was_limited:
-            self.gossip_end_until = now + END_TOLD
+            self.gossip_end_until = now + END_GOSSIP_SECONDS
         return was_limited
 
     def _clear(self, at: float) -> None:
@@ -113,7 +113,7 @@
         self.generation = 0
         self.at = at
 
-    def take(self, message: LimitWord, now: float) -> bool:
+    def merge(self, message: GossipedLimit, now: float) -> bool:
         """Merges a limit sent by another host; returns whether it changed.
 
         Args:
@@ -121,29 +121,29 @@
             now: Monotonic time to which its age refers.
         """
         at = now - message.age
-        margin = ECHO_MARGIN if message.rate == self.rate else 0.0
+        margin = ECHO_MARGIN_SECONDS if message.rate == self.rate else 0.0
         if at <= self.at + margin:
             if self.rate is None and message.rate is not None:
-                self.gossip_end_until = now + END_TOLD
+                self.gossip_end_until = now + END_GOSSIP_SECONDS
             return False
         is_news = message.rate != self.rate
         if message.rate is None:
             self._clear(at)
         else:
             self.rate = message.rate
-            self.generation = message.generation
+            self.generation = message.turn
             self.at = at
         if is_news and message.rate is None:
-            self.gossip_end_until = now + END_TOLD
+            self.gossip_end_until = now + END_GOSSIP_SECONDS
         return is_news
 
-    def word(self, now: float) -> LimitWord | None:
+    def to_gossip(self, now: float) -> GossipedLimit | None:
         """Returns the limit to send to other hosts; None if there is none."""
         if self.rate is None and now >= self.gossip_end_until:
             return None
-        return LimitWord(self.rate, self.generation, now - self.at)
+        return GossipedLimit(self.rate, self.generation, now - self.at)
 
-    def turn_at(self, now: float) -> int:
+    def generation_at(self, now: float) -> int:
         """Returns how often the set of sending hosts has changed by now."""
         if self.rate is None:
             return 0
@@ -151,20 +151,20 @@
         return self.generation + int((now - self.at) / silence)
 
 
-def requests_at_once(rate: float) -> int:
+def max_burst(rate: float) -> int:
     """Returns how many requests all hosts together may send at one moment."""
     return int(HOSTS_PER_RATE * rate + EXTRA_HOSTS)
 
 
-def window_of(rate: float, quota: shares.Part) -> float:
+def quota_window(rate: float, quota: shares.Quota) -> float:
     """Returns the length in seconds of the window that quotas apply to."""
-    return quota.all_hosts / _used_rate(rate)
+    return quota.total / _used_rate(rate)
 
 
-def pause_of(rate: float) -> float:
+def mean_interval(rate: float) -> float:
     """Returns the mean seconds between two requests of all hosts."""
     return 1.0 / _used_rate(rate)
 
 
 def _used_rate(rate: float) -> float:
-    return USED * max(rate, MIN_RATE)
+    return USED_FRACTION * max(rate, MIN_RATE)
--- a/src/hoistmoor/core/relay/servers/loads.py
+++ b/src/hoistmoor/core/relay/servers/loads.py
@@ -17,7 +17,7 @@
 
 
 @attrs.define
-class LoadBelief:
+class PeerLoad:
     """Requests of other hosts at one server.
 
     Attributes:
@@ -28,7 +28,7 @@
     others: int = 0
     at: float = float("-inf")
 
-    def note(
+    def record(
         self, report: reports.LoadReport, in_flight: int, now: float
     ) -> None:
         """Records a load report received with a response.
@@ -41,6 +41,6 @@
         self.others = max(0, report.running + report.waiting - in_flight)
         self.at = now
 
-    def others_now(self, now: float) -> int:
+    def current(self, now: float) -> int:
         """Returns the estimated number of requests of other hosts."""
         return self.others if now - self.at < LOAD_TTL else 0
--- a/src/hoistmoor/core/relay/servers/outstanding.py
+++ b/src/hoistmoor/core/relay/servers/outstanding.py
@@ -13,7 +13,7 @@
 
 # Seconds after which a host's report expires. A host reports several times
 # within that period, so one that stays silent is down or uses another source.
-REPORT_LIFE = 1.5
+REPORT_TTL = 1.5
 
 
 @attrs.frozen
@@ -35,7 +35,7 @@
         )
 
 
-NOTHING = ServerWork(0.0, 0)
+NO_WORK = ServerWork(0.0, 0)
 
 WorkByServer = dict[str, ServerWork]
 
@@ -46,7 +46,7 @@
     at: float
 
     def is_fresh(self, now: float) -> bool:
-        return now - self.at <= REPORT_LIFE
+        return now - self.at <= REPORT_TTL
 
 
 class OutstandingWork:
@@ -56,7 +56,9 @@
         self._reports: dict[str, _Report] = {}
         self._source_report = _Report({}, float("-inf"))
 
-    def take(self, host: str, work: WorkByServer, now: float) -> None:
+    def set_subtree_work(
+        self, host: str, work: WorkByServer, now: float
+    ) -> None:
         """Replaces the report of a host that fetches from this one.
 
         Args:
@@ -66,15 +68,17 @@
         """
         self._reports[host] = _Report(work, now)
 
-    def take_rest(self, work: WorkByServer, now: float) -> None:
+    def set_source_work(self, work: WorkByServer, now: float) -> None:
         """Replaces the source's total of all hosts outside this subtree."""
         self._source_report = _Report(work, now)
 
-    def told_to_source(self, own: WorkByServer, now: float) -> WorkByServer:
+    def total_for_source(self, own: WorkByServer, now: float) -> WorkByServer:
         """Returns the total work of this host and its subtree."""
         return _sum([own, *self._fresh_reports(now)])
 
-    def told_to(self, host: str, own: WorkByServer, now: float) -> WorkByServer:
+    def total_for(
+        self, host: str, own: WorkByServer, now: float
+    ) -> WorkByServer:
         """Returns the total for a fetching host, without its own subtree."""
         return _sum(
             [
@@ -84,7 +88,7 @@
             ]
         )
 
-    def of_others(self, now: float) -> WorkByServer | None:
+    def total_of_others(self, now: float) -> WorkByServer | None:
         """Returns the work of all other hosts; None without any report."""
         known = [*self._fresh_source_report(now), *self._fresh_reports(now)]
         return _sum(known) if known else None
@@ -110,5 +114,5 @@
     total: WorkByServer = {}
     for report in reports:
         for server, work in report.items():
-            total[server] = total.get(server, NOTHING) + work
+            total[server] = total.get(server, NO_WORK) + work
     return total
--- a/src/hoistmoor/core/relay/servers/reports.py
+++ b/src/hoistmoor/core/relay/servers/reports.py
@@ -13,7 +13,7 @@
 import attrs
 
 
-class Word(enum.StrEnum):
+class ReportField(enum.StrEnum):
     """A reported field whose value may be malformed."""
 
     LIMIT = "limit"
@@ -55,5 +55,5 @@
     limit: float | None = None
     is_leaving: bool = False
     rest: float | None = None
-    unreadable: dict[Word, str] = attrs.field(factory=dict)
-    unread: tuple[str, ...] = ()
+    unreadable: dict[ReportField, str] = attrs.field(factory=dict)
+    unsupported: tuple[str, ...] = ()
--- a/src/hoistmoor/core/relay/servers/rests.py
+++ b/src/hoistmoor/core/relay/servers/rests.py
@@ -12,7 +12,7 @@
 # Maximum rest in seconds that is honoured if operators configure none. A server
 # that needs more time asks again, and a server that sent a wrong number is not
 # unused for days.
-LONGEST = 300.0
+MAX_REST_SECONDS = 300.0
 # Seconds over which traffic ramps up again after a rest. All hosts may have
 # been given the same end, and the server is idle by then, so without a ramp all
 # of them would select it at once.
@@ -20,7 +20,7 @@
 
 
 @attrs.define
-class RestBelief:
+class RestState:
     """Rest of one server, as known to this host.
 
     Attributes:
@@ -31,7 +31,7 @@
     until: float = float("-inf")
     is_end_pending: bool = False
 
-    def note(self, seconds: float, now: float) -> bool:
+    def record(self, seconds: float, now: float) -> bool:
         """Records a requested rest; returns whether a new one begins.
 
         Args:
@@ -43,7 +43,7 @@
         self.until = max(self.until, now + seconds)
         return begins
 
-    def note_send(self, now: float) -> bool:
+    def record_send(self, now: float) -> bool:
         """Records a request to the server; returns whether it ends a rest.
 
         This is true once per rest, for the first request after it.
@@ -53,10 +53,10 @@
             self.is_end_pending = False
         return is_over
 
-    def part_back(self, now: float) -> float:
+    def ramp_up_fraction(self, now: float) -> float:
         """Returns the fraction of requests that may select the server."""
         return min(1.0, max(0.0, (now - self.until) / RAMP_UP_SECONDS))
 
-    def left(self, now: float) -> float:
+    def remaining(self, now: float) -> float:
         """Returns the seconds until the rest ends; 0 if none is active."""
         return max(0.0, self.until - now)
--- a/src/hoistmoor/core/relay/servers/runs.py
+++ b/src/hoistmoor/core/relay/servers/runs.py
@@ -15,8 +15,8 @@
 # Seconds for which an abandoned or cut run still counts as being at the server.
 # Telling a cut connection from a crashed server takes up to the connection
 # timeout.
-RECENT = 1.0
-KEPT = 64  # Abandoned or cut runs that are stored for each server.
+RECENT_SECONDS = 1.0
+MAX_RECENT = 64  # Abandoned or cut runs that are stored for each server.
 
 
 class Stage(enum.StrEnum):
@@ -44,29 +44,29 @@
     fingerprint: str = ""
     stage: Stage = Stage.WAITING
     response_started_at: float | None = None
-    is_over: bool = False
+    is_finished: bool = False
     is_cut: bool = False
-    left_at: float | None = None
+    ended_at: float | None = None
 
-    def note_head(self, now: float) -> None:
+    def record_response_started(self, now: float) -> None:
         """Records that the response has begun."""
         self.stage = Stage.BEGUN
         self.response_started_at = now
 
-    def note_part(self) -> None:
+    def record_part(self) -> None:
         """Records that a part of the response has arrived."""
         self.stage = Stage.GIVING
 
     @property
-    def was_given_up(self) -> bool:
+    def was_abandoned(self) -> bool:
         """Whether this host abandoned it before the server closed it."""
-        return self.left_at is not None and not self.is_cut
+        return self.ended_at is not None and not self.is_cut
 
-    def lasted(self, now: float) -> float:
+    def response_duration(self, now: float) -> float:
         """Returns the seconds from the start of the response to its end."""
         if self.response_started_at is None:
             return 0.0
-        end = now if self.left_at is None else self.left_at
+        end = now if self.ended_at is None else self.ended_at
         return end - self.response_started_at
 
 
@@ -76,7 +76,7 @@
 
     _active: set[Run] = attrs.field(factory=set)
     _recent: collections.deque[Run] = attrs.field(
-        factory=lambda: collections.deque(maxlen=KEPT)
+        factory=lambda: collections.deque(maxlen=MAX_RECENT)
     )
 
     def add(self, run: Run) -> None:
@@ -86,16 +86,19 @@
     def end(self, run: Run, now: float) -> None:
         """Records that a run has ended for this host."""
         self._active.discard(run)
-        run.left_at = now
+        run.ended_at = now
         self._drop_expired(now)
-        if not run.is_over:
+        if not run.is_finished:
             self._recent.append(run)
 
-    def present(self, now: float) -> list[Run]:
+    def possibly_active(self, now: float) -> list[Run]:
         """Returns the runs that may still be at the server."""
         self._drop_expired(now)
         return [*self._active, *self._recent]
 
     def _drop_expired(self, now: float) -> None:
-        while self._recent and now - (self._recent[0].left_at or 0.0) > RECENT:
+        while (
+            self._recent
+            and now - (self._recent[0].ended_at or 0.0) > RECENT_SECONDS
+        ):
             self._recent.popleft()
--- a/src/hoistmoor/core/relay/servers/serials.py
+++ b/src/hoistmoor/core/relay/servers/serials.py
@@ -29,7 +29,7 @@
 
     newest: int = 0
 
-    def take(self) -> int:
+    def allocate(self) -> int:
         """Allocates the serial of the next change."""
         self.newest += 1
         return self.newest
--- a/src/hoistmoor/core/relay/servers/server.py
+++ b/src/hoistmoor/core/relay/servers/server.py
@@ -68,7 +68,7 @@
             return self.server_id
         return f"{self.server_id}{_START_TIME_SEPARATOR}{self.born}"
 
-    def is_after(self, identity: str) -> bool:
+    def started_after(self, identity: str) -> bool:
         """Returns whether this incarnation started after another one."""
         born = identity.partition(_START_TIME_SEPARATOR)[2]
         if self.born is None or not born.isdigit():
@@ -124,25 +124,25 @@
     in_flight: int = 0
     work: float = 0.0
     mean_work: float = 0.0
-    load: loads.LoadBelief = attrs.field(factory=loads.LoadBelief)
-    told: outstanding.ServerWork = outstanding.NOTHING
-    told_until: float = float("-inf")
-    lapsed_until: float | None = None
+    load: loads.PeerLoad = attrs.field(factory=loads.PeerLoad)
+    peer_work: outstanding.ServerWork = outstanding.NO_WORK
+    peer_work_until: float = float("-inf")
+    expires_at: float | None = None
     cold_until: float = float("-inf")
-    doubted_until: float = float("-inf")
-    absent_until: float = float("-inf")
+    possibly_cold_until: float = float("-inf")
+    presumed_ended_until: float = float("-inf")
     sends: shares_lib.RecentSends = attrs.field(factory=shares_lib.RecentSends)
     runs: runs_lib.RunList = attrs.field(factory=runs_lib.RunList)
-    followed_at: float = float("-inf")
+    replaced_predecessor_at: float = float("-inf")
     has_ended: bool = False
-    limit: limits_lib.LimitBelief = attrs.field(factory=limits_lib.LimitBelief)
-    departure: departures.DepartureBelief = attrs.field(
-        factory=departures.DepartureBelief
+    limit: limits_lib.LimitState = attrs.field(factory=limits_lib.LimitState)
+    departure: departures.DepartureState = attrs.field(
+        factory=departures.DepartureState
     )
-    rest: rests.RestBelief = attrs.field(factory=rests.RestBelief)
+    rest: rests.RestState = attrs.field(factory=rests.RestState)
     unreadable: dict[str, str] = attrs.field(factory=dict)
 
-    def listed_again(self, entry: ServerEntry) -> ServerState:
+    def relisted(self, entry: ServerEntry) -> ServerState:
         """Returns the state after a removed entry has been listed again.
 
         Only what the server has announced itself is kept, besides the recent
@@ -153,41 +153,43 @@
             entry,
             sends=self.sends,
             limit=self.limit,
-            followed_at=self.followed_at,
+            replaced_predecessor_at=self.replaced_predecessor_at,
             departure=self.departure,
             rest=self.rest,
         )
 
     def is_gone(self, now: float) -> bool:
         """Returns whether it counts as ended."""
-        if now < self.absent_until:
+        if now < self.presumed_ended_until:
             return True
-        return self.lapsed_until is not None and now >= self.lapsed_until
+        return self.expires_at is not None and now >= self.expires_at
 
-    def leaves(self, now: float) -> bool:
+    def is_leaving(self, now: float) -> bool:
         """Returns whether it is leaving, by its entry or an announcement."""
         entry = self.entry
-        return entry.is_leaving or self.departure.holds(entry.born, now)
+        return entry.is_leaving or self.departure.is_active(entry.born, now)
 
-    def fullness(self, now: float) -> float:
+    def reported_occupancy(self, now: float) -> float:
         """Returns its requests, with one more, relative to its slots.
 
         Requests of other hosts are taken from the server's own report.
         """
-        requests = self.in_flight + self.load.others_now(now)
+        requests = self.in_flight + self.load.current(now)
         return (requests + 1) / max(1, self.entry.slots)
 
-    def crowding(self, now: float) -> float:
+    def occupancy(self, now: float) -> float:
         """Returns its requests, with one more, relative to its slots.
 
         Requests of other hosts are taken from these hosts' reports where they
         are current, else from the server's own report.
         """
-        is_current = now < self.told_until
-        others = self.told.requests if is_current else self.load.others_now(now)
+        is_current = now < self.peer_work_until
+        others = (
+            self.peer_work.requests if is_current else self.load.current(now)
+        )
         return (self.in_flight + others + 1) / self.entry.slots
 
-    def waiting_work(self, default_mean: float, now: float) -> float:
+    def total_work(self, default_mean: float, now: float) -> float:
         """Returns the estimated outstanding work of all hosts.
 
         Args:
@@ -195,13 +197,13 @@
                 has not used yet.
             now: Monotonic time.
         """
-        if now < self.told_until:
-            return self.work + self.told.work
-        return self.work + (
-            self.mean_work or default_mean
-        ) * self.load.others_now(now)
+        if now < self.peer_work_until:
+            return self.work + self.peer_work.work
+        return self.work + (self.mean_work or default_mean) * self.load.current(
+            now
+        )
 
-    def note_work(self, work: float) -> None:
+    def record_work(self, work: float) -> None:
         """Adds a request's work to the moving average."""
         mean = self.mean_work or work
         self.mean_work = mean + WORK_SMOOTHING * (work - mean)
--- a/src/hoistmoor/core/relay/servers/shares.py
+++ b/src/hoistmoor/core/relay/servers/shares.py
@@ -31,11 +31,11 @@
 _MAX_CACHED_PARTS = 4096
 # Recent sends to a server that are stored. A larger quota is enforced over a
 # proportionally shorter window.
-MOST_SENDS = 256
+MAX_SENDS = 256
 
 
 @attrs.frozen
-class Part:
+class Quota:
     """Quota of requests to a server in one window.
 
     Attributes:
@@ -44,10 +44,10 @@
     """
 
     own: int
-    all_hosts: int
+    total: int
 
 
-NO_QUOTA = Part(0, 0)
+NO_QUOTA = Quota(0, 0)
 
 
 class HostShares:
@@ -60,16 +60,16 @@
     def __init__(self, host_name: str) -> None:
         self.host_name = host_name
         self._hosts: frozenset[str] = frozenset()
-        self._parts: dict[tuple[str, int], Part] = {}
+        self._parts: dict[tuple[str, int], Quota] = {}
 
-    def take_hosts(self, names: Iterable[str]) -> None:
+    def set_hosts(self, names: Iterable[str]) -> None:
         """Sets the names of all listed hosts."""
         hosts = frozenset(names)
         if hosts != self._hosts:
             self._hosts = hosts
             self._parts.clear()
 
-    def part_of(self, key: str, requests: int) -> Part:
+    def quota_for(self, key: str, requests: int) -> Quota:
         """Returns the quota of this host.
 
         Args:
@@ -85,13 +85,13 @@
             self._parts[key, requests] = known
         return known
 
-    def equal_part(self, amount: float) -> float:
+    def equal_share(self, amount: float) -> float:
         """Returns this host's part of an amount split evenly among hosts."""
         if self.host_name not in self._hosts:
             return 0.0
         return amount / len(self._hosts)
 
-    def _compute_part(self, key: str, requests: int) -> Part:
+    def _compute_part(self, key: str, requests: int) -> Quota:
         if self.host_name not in self._hosts or requests < 1:
             return NO_QUOTA
         count = min(len(self._hosts), requests)
@@ -102,7 +102,7 @@
             key=lambda host: hashing.unit(f"{key} {host}", _HASH_SEED),
         )
         own = per_host if self.host_name in selected else 0
-        return Part(own, per_host * count)
+        return Quota(own, per_host * count)
 
 
 @attrs.define
@@ -110,10 +110,10 @@
     """Times of this host's recent requests to one server."""
 
     _times: collections.deque[float] = attrs.field(
-        factory=lambda: collections.deque(maxlen=MOST_SENDS)
+        factory=lambda: collections.deque(maxlen=MAX_SENDS)
     )
 
-    def note(self, now: float) -> None:
+    def record(self, now: float) -> None:
         """Records a request that is sent."""
         self._times.append(now)
 
@@ -125,9 +125,9 @@
             window: Length of the window in seconds.
             now: Monotonic time.
         """
-        if requests > MOST_SENDS:
-            window *= MOST_SENDS / requests
-            requests = MOST_SENDS
+        if requests > MAX_SENDS:
+            window *= MAX_SENDS / requests
+            requests = MAX_SENDS
         if len(self._times) < requests:
             return 0.0
         return max(0.0, self._times[-requests] + window - now)
--- a/src/hoistmoor/core/relay/servers/suspect_state.py
+++ b/src/hoistmoor/core/relay/servers/suspect_state.py
@@ -17,7 +17,7 @@
 STARTS_TO_QUARANTINE = 2
 # Seconds from the start of a run within which it may be the cause of a server's
 # end. A request that crashes a server does so as it begins to run.
-AT_BEGIN = 1.0
+MAX_START_SECONDS = 1.0
 MAX_ENDS = 8  # Latest ends that are stored for a request.
 
 # Likelihood that a request caused a server's end, compared in this order:
@@ -64,31 +64,31 @@
     """
 
     fingerprint: str
-    newest: float
+    latest_end_at: float
     ends: dict[str, runs_lib.Stage] = attrs.field(factory=dict)
-    learnt: dict[str, float] = attrs.field(factory=dict)
+    learned_at: dict[str, float] = attrs.field(factory=dict)
     cleared: set[str] = attrs.field(factory=set)
     is_quarantined: bool = False
     serial: int = 0
 
     @property
-    def counted(self) -> list[str]:
+    def counted_ends(self) -> list[str]:
         """Servers whose ends count against the request."""
         return [server for server in self.ends if server not in self.cleared]
 
     @property
-    def starts(self) -> list[str]:
+    def ends_at_start(self) -> list[str]:
         """Servers among ``counted`` that ended just as its run had begun."""
         return [
             server
-            for server in self.counted
+            for server in self.counted_ends
             if self.ends[server] is runs_lib.Stage.BEGUN
         ]
 
     def clear(self, servers: set[str]) -> None:
         """Discards some ends; lifts the quarantine if none are left."""
         self.cleared |= servers
-        if not self.counted:
+        if not self.counted_ends:
             self.is_quarantined = False
 
     def confirms(self, told: Suspect) -> bool:
@@ -104,26 +104,26 @@
         if known is not None and stage is not runs_lib.Stage.BEGUN:
             return False
         self.ends[server] = stage
-        self.learnt.setdefault(server, now)
+        self.learned_at.setdefault(server, now)
         if len(self.ends) > MAX_ENDS:
             oldest = next(iter(self.ends))
-            del self.ends[oldest], self.learnt[oldest]
+            del self.ends[oldest], self.learned_at[oldest]
             self.cleared.discard(oldest)
         return True
 
     def weight(self, server: str) -> Weight:
         """Returns the likelihood that it caused a server's end."""
         had_just_begun = self.ends[server] is runs_lib.Stage.BEGUN
-        return self.is_quarantined, had_just_begun, len(self.counted)
+        return self.is_quarantined, had_just_begun, len(self.counted_ends)
 
-    def told(self, now: float) -> Suspect:
+    def to_suspect(self, now: float) -> Suspect:
         """Returns the evidence to send to other hosts."""
         return Suspect(
             self.fingerprint,
             dict(self.ends),
             tuple(sorted(self.cleared)),
             self.is_quarantined,
-            now - self.newest,
+            now - self.latest_end_at,
         )
 
 
@@ -134,11 +134,11 @@
     For example, a small model's response that is dropped in favour of a larger
     model's has begun as well.
     """
-    is_at_begin = run.lasted(now) <= AT_BEGIN
+    is_at_begin = run.response_duration(now) <= MAX_START_SECONDS
     if run.stage is runs_lib.Stage.GIVING and not is_at_begin:
         return None
     if run.stage is not runs_lib.Stage.BEGUN:
         return run.stage
-    if run.was_given_up or not is_at_begin:
+    if run.was_abandoned or not is_at_begin:
         return runs_lib.Stage.WAITING
     return run.stage
--- a/src/hoistmoor/core/relay/servers/suspects.py
+++ b/src/hoistmoor/core/relay/servers/suspects.py
@@ -42,21 +42,21 @@
 ENDS_TO_QUARANTINE = 4
 # Seconds after which other hosts' runs at a server that ended are known, if
 # their reports pass through two intermediate hosts.
-SETTLED = 1.0
+SETTLE_SECONDS = 1.0
 # Seconds after a complete response for which no ends are recorded against the
 # request. Otherwise a request that all callers send alike would be refused once
 # two servers ended for unrelated reasons, and no response could clear it.
-ANSWERED_LIFE = 60.0
-MOST_ANSWERED = 4096  # Answered requests that are remembered: 0.6 MB.
-MOST_SUSPECTS = 256  # Unquarantined ones; a server has 64 requests at once.
+COMPLETED_TTL = 60.0
+MAX_COMPLETED = 4096  # Answered requests that are remembered: 0.6 MB.
+MAX_SUSPECTS = 256  # Unquarantined ones; a server has 64 requests at once.
 MAX_QUARANTINED = 256  # Quarantined requests that are stored.
 # When there are too many of either kind, this fraction of the maximum is
 # dropped: one in eight.
 EVICTION_DIVISOR = 8
-MOST_TOLD = 32  # Suspects in one message: 4 KB.
+MAX_PER_MESSAGE = 32  # Suspects in one message: 4 KB.
 # Seconds after the latest end for which a request is refused. The servers'
 # software may have been fixed by then.
-QUARANTINE = 3600.0
+QUARANTINE_SECONDS = 3600.0
 
 
 class SuspectTable:
@@ -80,7 +80,7 @@
         # this host, oldest first.
         self._answered: dict[str, float] = {}
 
-    def note_end(
+    def record_end(
         self, server: str, runs: Iterable[runs_lib.Run], now: float
     ) -> None:
         """Records the end of a server against the requests it was running.
@@ -99,23 +99,23 @@
                 continue
             state = self._state_of(run.fingerprint, now)
             if state.add(server, stage, now):
-                state.newest = now
+                state.latest_end_at = now
                 changed.append(state)
         self._evaluate(changed, now)
 
-    def note_answered(self, fingerprint: str, now: float) -> None:
+    def record_completed(self, fingerprint: str, now: float) -> None:
         """Records that a server completed a request without ending."""
         self._answered.pop(fingerprint, None)
         self._answered[fingerprint] = now
-        if len(self._answered) > MOST_ANSWERED:
+        if len(self._answered) > MAX_COMPLETED:
             del self._answered[next(iter(self._answered))]
         state = self._states.get(fingerprint)
-        if state is None or not state.counted:
+        if state is None or not state.counted_ends:
             return
         state.clear(set(state.ends))
         self._mark_changed(state)
 
-    def take(
+    def merge(
         self, suspects: Iterable[suspect_state.Suspect], now: float
     ) -> list[str]:
         """Merges the evidence sent by another host.
@@ -126,7 +126,7 @@
         changed = []
         ended: dict[str, None] = {}
         for suspect in suspects:
-            if suspect.age > QUARANTINE:
+            if suspect.age > QUARANTINE_SECONDS:
                 continue
             state = self._state_of(suspect.fingerprint, now - suspect.age)
             known = set(state.ends)
@@ -158,7 +158,7 @@
             self._quarantine(state)
         if not (new or cleared or is_quarantined):
             return False
-        state.newest = max(state.newest, now - suspect.age)
+        state.latest_end_at = max(state.latest_end_at, now - suspect.age)
         return True
 
     def is_quarantined(self, fingerprint: str, now: float) -> bool:
@@ -166,7 +166,7 @@
         state = self._states.get(fingerprint)
         if state is None:
             return False
-        if now - state.newest > QUARANTINE:
+        if now - state.latest_end_at > QUARANTINE_SECONDS:
             del self._states[fingerprint]
             return False
         if not state.is_quarantined and self._is_cause(state, now):
@@ -174,10 +174,14 @@
             self._mark_changed(state)
         return state.is_quarantined
 
-    def left_for(self, fingerprint: str, now: float) -> float:
+    def remaining_quarantine(self, fingerprint: str, now: float) -> float:
         """Returns the seconds until a refused request may be retried."""
         state = self._states.get(fingerprint)
-        return 0.0 if state is None else state.newest + QUARANTINE - now
+        return (
+            0.0
+            if state is None
+            else state.latest_end_at + QUARANTINE_SECONDS - now
+        )
 
     def is_likely_cause(self, fingerprint: str) -> bool:
         """Returns whether a request probably caused the ends of its servers.
@@ -186,19 +190,19 @@
         """
         state = self._states.get(fingerprint)
         threshold = suspect_state.STARTS_TO_QUARANTINE
-        if state is None or len(state.counted) < threshold:
+        if state is None or len(state.counted_ends) < threshold:
             return False
         return len(self._likely_caused(state)) >= threshold
 
     def quarantined(self, now: float) -> dict[str, suspect_state.Suspect]:
         """Returns the requests that are refused, by fingerprint."""
         return {
-            fingerprint: self._states[fingerprint].told(now)
+            fingerprint: self._states[fingerprint].to_suspect(now)
             for fingerprint in tuple(self._states)
             if self.is_quarantined(fingerprint, now)
         }
 
-    def reasons(self, fingerprint: str) -> dict[str, object]:
+    def quarantine_details(self, fingerprint: str) -> dict[str, object]:
         """Returns the reasons for a request's quarantine, as log fields."""
         state = self._states.get(fingerprint)
         if state is None:
@@ -206,7 +210,8 @@
         return {
             "fingerprint": fingerprint,
             "ended": [
-                f"{server} {state.ends[server]}" for server in state.counted
+                f"{server} {state.ends[server]}"
+                for server in state.counted_ends
             ],
             "likely": self._likely_caused(state),
         }
@@ -215,7 +220,7 @@
         """Drops all evidence against a request."""
         self._states.pop(fingerprint, None)
 
-    def news(
+    def changes_since(
         self, after: int, now: float
     ) -> tuple[tuple[suspect_state.Suspect, ...], int]:
         """Returns unsent changes, oldest first, and the last serial covered.
@@ -224,13 +229,15 @@
             after: Serial up to which the receiver is up to date.
             now: Monotonic time.
         """
-        new, until = self.serials.batch(self._states.values(), after, MOST_TOLD)
-        return tuple(state.told(now) for state in new), until
+        new, until = self.serials.batch(
+            self._states.values(), after, MAX_PER_MESSAGE
+        )
+        return tuple(state.to_suspect(now) for state in new), until
 
     def _was_answered(self, fingerprint: str, now: float) -> bool:
         """Returns whether this host recently saw the request answered."""
         answered_at = self._answered.get(fingerprint)
-        return answered_at is not None and now - answered_at <= ANSWERED_LIFE
+        return answered_at is not None and now - answered_at <= COMPLETED_TTL
 
     def _state_of(
         self, fingerprint: str, newest: float
@@ -250,7 +257,7 @@
         produce thousands of suspects.
         """
         for is_quarantined, maximum in (
-            (False, MOST_SUSPECTS),
+            (False, MAX_SUSPECTS),
             (True, MAX_QUARANTINED),
         ):
             states = [
@@ -263,13 +270,16 @@
             # The last one was just added and has no ends yet; it must stay.
             weakest = sorted(
                 states[:-1],
-                key=lambda suspect: (len(suspect.counted), suspect.newest),
+                key=lambda suspect: (
+                    len(suspect.counted_ends),
+                    suspect.latest_end_at,
+                ),
             )
             for state in weakest[: maximum // EVICTION_DIVISOR]:
                 del self._states[state.fingerprint]
 
     def _mark_changed(self, state: suspect_state.SuspectState) -> None:
-        state.serial = self.serials.take()
+        state.serial = self.serials.allocate()
 
     def _evaluate(
         self, states: list[suspect_state.SuspectState], now: float
@@ -287,20 +297,20 @@
         # Many servers that end together produce thousands of suspects, most of
         # them with one end. The threshold is checked first, so that the search
         # for other suspects at each end runs for few of them.
-        if len(state.starts) >= suspect_state.STARTS_TO_QUARANTINE:
+        if len(state.ends_at_start) >= suspect_state.STARTS_TO_QUARANTINE:
             unique = [
                 start
-                for start in state.starts
+                for start in state.ends_at_start
                 if self._is_only_start(state, start)
             ]
             if len(unique) >= suspect_state.STARTS_TO_QUARANTINE:
                 return True
-        if len(state.counted) < ENDS_TO_QUARANTINE:
+        if len(state.counted_ends) < ENDS_TO_QUARANTINE:
             return False
         settled = [
             server
             for server in self._clearly_caused(state)
-            if now - state.learnt[server] >= SETTLED
+            if now - state.learned_at[server] >= SETTLE_SECONDS
         ]
         return len(settled) >= ENDS_TO_QUARANTINE
 
@@ -308,7 +318,7 @@
         """Returns the ends for which no other request is a likelier cause."""
         return [
             server
-            for server in state.counted
+            for server in state.counted_ends
             if state.weight(server) >= self._heaviest_other(state, server)
         ]
 
@@ -320,7 +330,7 @@
         """
         return [
             server
-            for server in state.counted
+            for server in state.counted_ends
             if state.weight(server) > self._heaviest_other(state, server)
         ]
 
@@ -337,7 +347,8 @@
     ) -> bool:
         """Returns whether no other run had just begun at the server."""
         return not any(
-            server in other.starts for other in self._others_at(state, server)
+            server in other.ends_at_start
+            for other in self._others_at(state, server)
         )
 
     def _others_at(
--- a/src/hoistmoor/core/relay/servers/warmup.py
+++ b/src/hoistmoor/core/relay/servers/warmup.py
@@ -23,7 +23,7 @@
 
 # Seconds over which a host counts its requests to a cold server. The bound
 # applies to any second, and request latency may vary by a quarter of a second.
-WINDOW = 1.25
+WINDOW_SECONDS = 1.25
 # Fraction of the bound that the hosts' quotas add up to. Hosts with different
 # host lists compute different quotas, and if a host's requests are delayed, two
 # of its windows may arrive within one second.
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class Excess:
+class RateTolerance:
     """Tolerance that operators grant above a service's warm-up rate.
 
     Attributes:
@@ -57,12 +57,12 @@
     allowed: float
 
     @property
-    def shared(self) -> int:
+    def shared_requests(self) -> int:
         """Requests in a window that the hosts' quotas add up to."""
         return int(SHARED_FRACTION * self.allowed)
 
 
-class Warmups:
+class WarmupPolicies:
     """Warm-up policies of all services.
 
     Attributes:
@@ -70,19 +70,21 @@
     """
 
     def __init__(self) -> None:
-        self.excess = Excess()
+        self.tolerance = RateTolerance()
         self._services: Mapping[str, configuration.Service] = {}
 
-    def take_services(
+    def set_services(
         self, services: Mapping[str, configuration.Service]
     ) -> None:
         """Sets the configuration of the services."""
         self._services = services
 
-    def of(self, service: str) -> WarmupPolicy | None:
+    def policy_for(self, service: str) -> WarmupPolicy | None:
         """Returns a service's policy; None if its servers need no warm-up."""
         found = self._services.get(service)
         if found is None or not found.warmup_duration:
             return None
-        rate = found.warmup_rate * self.excess.factor
-        return WarmupPolicy(found.warmup_duration, rate + self.excess.requests)
+        rate = found.warmup_rate * self.tolerance.factor
+        return WarmupPolicy(
+            found.warmup_duration, rate + self.tolerance.requests
+        )
--- a/src/hoistmoor/platform/settings.py
+++ b/src/hoistmoor/platform/settings.py
@@ -61,7 +61,9 @@
         session_life=bounds["session_s"],
         warmup_factor=bounds.get("warmup_overshoot", 1.0),
         warmup_spare=bounds.get("warmup_tolerance", 0.0),
-        longest_rest=float(fields.get("longest_rest_s", rests.LONGEST)),
+        longest_rest=float(
+            fields.get("longest_rest_s", rests.MAX_REST_SECONDS)
+        ),
         link=fields.get("limits", {}).get("link_mbps") or 0.0,
         is_first_start=fields.get("bootstrap", False),
     )
--- a/src/hoistmoor/relay/application.py
+++ b/src/hoistmoor/relay/application.py
@@ -165,7 +165,7 @@
         self.settings = settings
         self.state.lease.bound = settings.revocation
         self.state.lease.is_strict = settings.is_revocation_strict
-        self.state.router.take_bounds(_bounds(settings))
+        self.state.router.set_bounds(_bounds(settings))
 
     def _make_tasks(
         self,
@@ -192,7 +192,7 @@
             self._gate,
         ).run
         if not settings.peer_listen:
-            self.state.router.fleet.shares.take_hosts([settings.host])
+            self.state.router.fleet.shares.set_hosts([settings.host])
             return
         own_host = mirror.Host(
             settings.host, settings.zone, settings.peer_listen, settings.link
@@ -229,7 +229,7 @@
         repeat_spare=settings.repeat_spare,
         repeat_slack=settings.repeat_slack,
         session_life=settings.session_life,
-        warmup_excess=warmup.Excess(
+        rate_tolerance=warmup.RateTolerance(
             settings.warmup_factor, settings.warmup_spare
         ),
         longest_rest=settings.longest_rest,
--- a/src/hoistmoor/relay/front/attempt.py
+++ b/src/hoistmoor/relay/front/attempt.py
@@ -30,12 +30,12 @@
     notices = {}
     if server.limit.rate is not None:
         notices["limit"] = str(server.limit.rate)
-    if server.departure.said_at is not None:
+    if server.departure.announced_at is not None:
         notices["leaving"] = (
-            f"said {now - server.departure.said_at:.3f}s before"
+            f"said {now - server.departure.announced_at:.3f}s before"
         )
-    if server.rest.left(now):
-        notices["rest"] = f"{server.rest.left(now):.3f}s left"
+    if server.rest.remaining(now):
+        notices["rest"] = f"{server.rest.remaining(now):.3f}s left"
     return notices
 
 
--- a/src/hoistmoor/relay/front/front.py
+++ b/src/hoistmoor/relay/front/front.py
@@ -88,7 +88,7 @@
                 head.method, head.host, head.target, admitted.account, body
             ),
         )
-        self._state.router.note_request(identified, self._state.clock())
+        self._state.router.record_request(identified, self._state.clock())
         task = relay_task.RelayTask(
             self._state, self._links, head, identified, body, answer
         )
--- a/src/hoistmoor/relay/front/relay_task.py
+++ b/src/hoistmoor/relay/front/relay_task.py
@@ -99,15 +99,15 @@
             outcome = attempt.outcome(
                 state, self._links.dialect.not_run_statuses
             )
-            send.run.is_over = state in _FINISHED
+            send.run.is_finished = state in _FINISHED
             send.run.is_cut = attempt.is_cut
         finally:
             attempt.exchange.cancel()
-            self._state.router.note_ended(
+            self._state.router.record_outcome(
                 self._request, send, outcome, self._now()
             )
         if state is _State.ANSWERED and 200 <= attempt.status < 300:
-            self._state.router.suspects.note_answered(
+            self._state.router.suspects.record_completed(
                 self._request.fingerprint, self._now()
             )
         if attempt.is_cut:
@@ -217,8 +217,10 @@
             return
         self._check_authentic(attempt, head)
         attempt.head = head
-        attempt.send.run.note_head(self._now())
-        self._state.router.note_first(self._request, attempt.send, self._now())
+        attempt.send.run.record_response_started(self._now())
+        self._state.router.record_first_byte(
+            self._request, attempt.send, self._now()
+        )
         confidence = header_values.parse_confidence(
             head.headers.get(names.confidence)
         )
@@ -273,13 +275,13 @@
         self, attempt: attempt_lib.Attempt, data: bytes
     ) -> None:
         if not self._is_passed_through(attempt):
-            attempt.send.run.note_part()
+            attempt.send.run.record_part()
             attempt.body.append(data)
             return
         events = self._sequence.feed(data)
         if not events:
             return
-        attempt.send.run.note_part()
+        attempt.send.run.record_part()
         attempt.note_events(self._now())
         if self._answer.response is None:
             assert attempt.head is not None
@@ -300,6 +302,6 @@
         )
         if measured is None:
             return
-        self._state.router.note_answer(
+        self._state.router.record_response(
             self._request, attempt.send.server, measured
         )
--- a/src/hoistmoor/relay/front/server_reports.py
+++ b/src/hoistmoor/relay/front/server_reports.py
@@ -35,22 +35,22 @@
         headers: Headers of the response.
         names: Header names of the platform.
     """
-    unreadable: dict[reports.Word, str] = {}
+    unreadable: dict[reports.ReportField, str] = {}
     limit = _value_of(headers, names.limit)
     leaving = _value_of(headers, names.leaving)
     rest = _value_of(headers, RETRY_AFTER) if status == BACKOFF_STATUS else None
     for word, text, form in (
-        (reports.Word.LIMIT, limit, _DECIMAL),
-        (reports.Word.LEAVING, leaving, _YES),
-        (reports.Word.REST, rest, _DECIMAL),
+        (reports.ReportField.LIMIT, limit, _DECIMAL),
+        (reports.ReportField.LEAVING, leaving, _YES),
+        (reports.ReportField.REST, rest, _DECIMAL),
     ):
         if text is not None and form.fullmatch(text) is None:
             unreadable[word] = text[:LONGEST_SHOWN] or "nothing"
     return reports.ServerReport(
         parse_load(headers.get(names.load)),
-        _to_number(limit, reports.Word.LIMIT in unreadable),
-        leaving is not None and reports.Word.LEAVING not in unreadable,
-        _to_number(rest, reports.Word.REST in unreadable),
+        _to_number(limit, reports.ReportField.LIMIT in unreadable),
+        leaving is not None and reports.ReportField.LEAVING not in unreadable,
+        _to_number(rest, reports.ReportField.REST in unreadable),
         unreadable,
         tuple(name for name in headers if names.is_unread(name)),
     )
--- a/src/hoistmoor/relay/peers/answers.py
+++ b/src/hoistmoor/relay/peers/answers.py
@@ -6,7 +6,7 @@
 
 from aiohttp import web
 
-from hoistmoor.core.relay.servers import limit_words
+from hoistmoor.core.relay.servers import limit_gossip
 from hoistmoor.relay.peers import news_exchange
 from hoistmoor.relay.peers import peer_codec
 
@@ -56,18 +56,18 @@
         rollouts = self._state.router.rollouts
         rollouts.take_ages(request.order_ages, now)
         outstanding = self._state.outstanding
-        outstanding.take(request.host, request.work, now)
+        outstanding.set_subtree_work(request.host, request.work, now)
         fleet = self._state.router.fleet
         own_work = fleet.own_work()
         self._state.server_beliefs.take_limits(request.limits, now)
         return peer_codec.CopyAnswer(
             self._state.depth,
             copies,
-            outstanding.told_to(request.host, own_work, now),
+            outstanding.total_for(request.host, own_work, now),
             self._state.look_for_doubts(request.doubts),
             rollouts.ages(now),
             self._exchange_news(request.news),
-            limit_words.told_by(fleet, now),
+            limit_gossip.limits_to_gossip(fleet, now),
             self._state.history.era,
             self._state.revision,
             self._configuration_for(request, copies),
--- a/src/hoistmoor/relay/peers/listing.py
+++ b/src/hoistmoor/relay/peers/listing.py
@@ -60,7 +60,7 @@
         if update.batch.is_snapshot and self.lost():
             self.missing.set()
         if update.batch.records:  # Most updates are empty.
-            self._state.router.fleet.shares.take_hosts(self._sources.hosts)
+            self._state.router.fleet.shares.set_hosts(self._sources.hosts)
         return update.batch.records
 
     def lost(self) -> dict[str, mirror.Host]:
--- a/src/hoistmoor/relay/peers/news_exchange.py
+++ b/src/hoistmoor/relay/peers/news_exchange.py
@@ -81,8 +81,10 @@
     """
     now = state.clock()
     router = state.router
-    suspects, suspects_until = router.suspects.news(after, now)
-    departures, departures_until = router.fleet.departures.news(after, now)
+    suspects, suspects_until = router.suspects.changes_since(after, now)
+    departures, departures_until = router.fleet.departures.changes_since(
+        after, now
+    )
     return peer_codec.News(
         state.run_name,
         suspects,
--- a/src/hoistmoor/relay/peers/peer_codec.py
+++ b/src/hoistmoor/relay/peers/peer_codec.py
@@ -84,7 +84,7 @@
     doubts: tuple[int, ...] = ()
     order_ages: dict[int, float] = attrs.field(factory=dict)
     news: News = attrs.field(factory=News)
-    limits: dict[str, limits_lib.LimitWord] = attrs.field(factory=dict)
+    limits: dict[str, limits_lib.GossipedLimit] = attrs.field(factory=dict)
     era: int = 0
     revision: int = -1
     configuration: topics_lib.Record | None = None
@@ -115,7 +115,7 @@
     doubts: tuple[int, ...] = ()
     order_ages: dict[int, float] = attrs.field(factory=dict)
     news: News = attrs.field(factory=News)
-    limits: dict[str, limits_lib.LimitWord] = attrs.field(factory=dict)
+    limits: dict[str, limits_lib.GossipedLimit] = attrs.field(factory=dict)
     era: int = 0
     revision: int = -1
     configuration: topics_lib.Record | None = None
--- a/src/hoistmoor/relay/peers/reader.py
+++ b/src/hoistmoor/relay/peers/reader.py
@@ -17,7 +17,7 @@
 from typing import TYPE_CHECKING
 
 from hoistmoor.core.relay.beliefs import reading
-from hoistmoor.core.relay.servers import limit_words
+from hoistmoor.core.relay.servers import limit_gossip
 from hoistmoor.relay.peers import news_exchange
 from hoistmoor.relay.peers import peer_codec
 from hoistmoor.relay.store import follower as follower_lib
@@ -179,9 +179,9 @@
 
     def _update_others_work(self) -> None:
         now = self._state.clock()
-        work = self._state.outstanding.of_others(now)
+        work = self._state.outstanding.total_of_others(now)
         if work is not None:
-            self._state.router.fleet.take_others_work(work, now)
+            self._state.router.fleet.set_peer_work(work, now)
 
     async def _poll(self) -> str:
         """Returns the name of a host with a current copy, or empty if none."""
@@ -235,7 +235,7 @@
         """
         work: outstanding.WorkByServer = {}
         if is_before:
-            work = self._state.outstanding.told_to_source(
+            work = self._state.outstanding.total_for_source(
                 self._state.router.fleet.own_work(), self._state.clock()
             )
         request = peer_codec.CopyRequest(
@@ -246,7 +246,9 @@
             self._state.look_for_doubts(),
             self._state.router.rollouts.ages(self._state.clock()),
             self._news.question(host.name),
-            limit_words.told_by(self._state.router.fleet, self._state.clock()),
+            limit_gossip.limits_to_gossip(
+                self._state.router.fleet, self._state.clock()
+            ),
             self._state.history.era,
             self._state.revision,
             self._configuration_for(host),
@@ -278,7 +280,7 @@
         self._state.depth = answer.depth + 1
         self._stale.discard(host.name)
         if is_before:
-            self._state.outstanding.take_rest(answer.work, sent_at)
+            self._state.outstanding.set_source_work(answer.work, sent_at)
         self._take(answer, sent_at)
         return True
 
--- a/src/hoistmoor/relay/records.py
+++ b/src/hoistmoor/relay/records.py
@@ -40,10 +40,10 @@
 
 def _structure_limit(
     fields: tuple[float | None, int, float], _: object
-) -> limits.LimitWord:
+) -> limits.GossipedLimit:
     rate, turn, age = fields
     known = None if rate is None else float(rate)
-    return limits.LimitWord(known, int(turn), float(age))
+    return limits.GossipedLimit(known, int(turn), float(age))
 
 
 def _structure_place(numbers: tuple[int, int], _: object) -> topics.Place:
@@ -57,8 +57,8 @@
     # entries three times a second.
     converter.register_unstructure_hook(outstanding.ServerWork, attrs.astuple)
     converter.register_structure_hook(outstanding.ServerWork, _structure_work)
-    converter.register_unstructure_hook(limits.LimitWord, attrs.astuple)
-    converter.register_structure_hook(limits.LimitWord, _structure_limit)
+    converter.register_unstructure_hook(limits.GossipedLimit, attrs.astuple)
+    converter.register_structure_hook(limits.GossipedLimit, _structure_limit)
     converter.register_unstructure_hook(topics.Place, tuple)
     converter.register_structure_hook(topics.Place, _structure_place)
     converter.register_unstructure_hook(bytes, _compress)
--- a/src/hoistmoor/relay/server_beliefs.py
+++ b/src/hoistmoor/relay/server_beliefs.py
@@ -8,8 +8,8 @@
 
 from typing import TYPE_CHECKING
 
-from hoistmoor.core.relay.servers import departure_words
-from hoistmoor.core.relay.servers import limit_words
+from hoistmoor.core.relay.servers import departure_gossip
+from hoistmoor.core.relay.servers import limit_gossip
 from hoistmoor.core.relay.servers import reports
 
 if TYPE_CHECKING:
@@ -66,10 +66,10 @@
                 force.
         """
         if report.load is not None:
-            server.load.note(report.load, server.in_flight, self._clock())
+            server.load.record(report.load, server.in_flight, self._clock())
         for word, text in report.unreadable.items():
             self._log_unreadable(server, word, text)
-        for name in report.unread:
+        for name in report.unsupported:
             self._log_unknown_header(server, name)
         self._apply_limit(server, report, sent_at, is_success=is_success)
         if report.is_leaving:
@@ -80,7 +80,7 @@
     def note_send(self, server: server_lib.ServerState) -> None:
         """Records that this host is sending a request to a server."""
         now = self._clock()
-        if server.rest.note_send(now):
+        if server.rest.record_send(now):
             self._log_change(
                 "server_rest_over",
                 server,
@@ -89,25 +89,29 @@
 
     def note_replaced(self, server: server_lib.ServerState) -> None:
         """Records that a new incarnation has replaced a server."""
-        if server.departure.said_at is not None:
+        if server.departure.announced_at is not None:
             self._log_change(
                 "server_leaving_over",
                 server,
                 born=server.entry.born,
-                since=round(self._clock() - server.departure.said_at, 3),
+                since=round(self._clock() - server.departure.announced_at, 3),
             )
 
-    def take_limits(self, words: limit_words.LimitWords, now: float) -> None:
+    def take_limits(
+        self, words: limit_gossip.GossipedLimits, now: float
+    ) -> None:
         """Applies the server limits received from another host.
 
         Args:
             words: Limits by server identity.
             now: Monotonic time to which their ages refer.
         """
-        for news in limit_words.take(self._fleet, words, now):
+        for news in limit_gossip.merge(self._fleet, words, now):
             self._log_limit(news, told=True)
 
-    def take_departures(self, ages: departure_words.Ages, now: float) -> None:
+    def take_departures(
+        self, ages: departure_gossip.DepartureAges, now: float
+    ) -> None:
         """Applies the departures of servers received from another host.
 
         Args:
@@ -116,20 +120,20 @@
             now: Monotonic time to which the ages refer.
         """
         for identity, age in ages.items():
-            if age > departure_words.LIFE:
+            if age > departure_gossip.DEPARTURE_TTL:
                 continue
-            if self._fleet.note_departure(identity, now - age):
+            if self._fleet.record_departure(identity, now - age):
                 self._log_departure(identity, age, told=True)
 
     def _apply_departure(self, server: server_lib.ServerState) -> None:
         identity = server.entry.identity
-        server.departure.note(self._clock())
+        server.departure.record(self._clock())
         listed = self._fleet.find(identity)
         if listed and listed.departure is not server.departure:
             # A late response of a previous incarnation must not mark the
             # current one as leaving.
             return
-        if self._fleet.note_departure(identity, self._clock()):
+        if self._fleet.record_departure(identity, self._clock()):
             self._log_departure(identity, 0.0, told=False)
 
     def _log_departure(self, identity: str, age: float, *, told: bool) -> None:
@@ -149,7 +153,7 @@
         self, server: server_lib.ServerState, seconds: float
     ) -> None:
         kept = min(seconds, self._fleet.longest_rest)
-        if server.rest.note(kept, self._clock()):
+        if server.rest.record(kept, self._clock()):
             self._log_change(
                 "server_rests",
                 server,
@@ -167,18 +171,20 @@
         *,
         is_success: bool,
     ) -> None:
-        if reports.Word.LIMIT in report.unreadable:
+        if reports.ReportField.LIMIT in report.unreadable:
             return
         before = server.limit.rate
         now = self._clock()
         if report.limit is not None:
-            is_news = server.limit.note_named(report.limit, now)
+            is_news = server.limit.record_limit(report.limit, now)
         else:
-            is_news = is_success and server.limit.note_unnamed(sent_at, now)
+            is_news = is_success and server.limit.record_no_limit(sent_at, now)
         if is_news:
-            self._log_limit(limit_words.LimitNews(server, before), told=False)
+            self._log_limit(
+                limit_gossip.LimitChange(server, before), told=False
+            )
 
-    def _log_limit(self, news: limit_words.LimitNews, *, told: bool) -> None:
+    def _log_limit(self, news: limit_gossip.LimitChange, *, told: bool) -> None:
         """Logs a change of a limit.
 
         Peers are informed immediately when a limit begins or ends.
--- a/src/hoistmoor/relay/settings.py
+++ b/src/hoistmoor/relay/settings.py
@@ -56,6 +56,6 @@
     session_life: float = 5.0
     warmup_factor: float = 1.0
     warmup_spare: float = 0.0
-    longest_rest: float = rests.LONGEST
+    longest_rest: float = rests.MAX_REST_SECONDS
     link: float = 0.0
     is_first_start: bool = False
--- a/src/hoistmoor/relay/state.py
+++ b/src/hoistmoor/relay/state.py
@@ -107,7 +107,7 @@
         if server.has_ended:
             return
         self._log_server_end(server, told=False)
-        self.router.note_server_end(server, self.clock())
+        self.router.record_server_end(server, self.clock())
         self.note_suspects()
 
     def _log_server_end(
@@ -120,14 +120,14 @@
             service=server.entry.service,
             told=told,
             runs=[
-                f"{run.fingerprint} {run.stage} {run.lasted(now):.3f}s"
-                for run in server.runs.present(now)
+                f"{run.fingerprint} {run.stage} {run.response_duration(now):.3f}s"
+                for run in server.runs.possibly_active(now)
             ],
         )
 
     def take_suspects(self, told: Iterable[suspect_state.Suspect]) -> None:
         """Merges the suspected requests received from another host."""
-        for server in self.router.take_suspects(told, self.clock()):
+        for server in self.router.merge_suspects(told, self.clock()):
             self._log_server_end(server, told=True)
         self.note_suspects()
 
@@ -137,7 +137,10 @@
         if suspects.newly_quarantined:
             self.has_urgent_news.set()
         for fingerprint in suspects.newly_quarantined:
-            self.believe("request_quarantined", **suspects.reasons(fingerprint))
+            self.believe(
+                "request_quarantined",
+                **suspects.quarantine_details(fingerprint),
+            )
         suspects.newly_quarantined.clear()
 
     def known_evidence(self) -> tuple[evidence_lib.Evidence, ...]:
--- a/src/hoistmoor/relay/store/operator_listener.py
+++ b/src/hoistmoor/relay/store/operator_listener.py
@@ -122,7 +122,7 @@
         if known is not None and candidate.revision == known.revision:
             return True
         self._state.configuration = candidate
-        self._state.router.fleet.warmups.take_services(candidate.services)
+        self._state.router.fleet.warmups.set_services(candidate.services)
         self._state.believe(
             "configuration",
             revision=candidate.revision,
--- a/src/hoistmoor/relay/store/server_listener.py
+++ b/src/hoistmoor/relay/store/server_listener.py
@@ -37,7 +37,7 @@
         # A running server is listed again by this time. The grace period
         # starts when the store becomes available again: a later removal is
         # final.
-        grace_ends = now - update.after_outage + fleet_lib.LAPSE_GRACE
+        grace_ends = now - update.after_outage + fleet_lib.EXPIRY_GRACE_PERIOD
         records = batch.records
         if update.is_return:
             records = self._without_reverted(batch)
@@ -51,7 +51,7 @@
                 for record in batch.records
                 if record.key not in self._unusable
             ]
-        for server_id in self._fleet.drop_lapsed(now):
+        for server_id in self._fleet.remove_expired(now):
             self._state.believe("server_gone", server=server_id, why="lapsed")
         return tuple(relevant)
 
@@ -80,7 +80,7 @@
         if record.value is None:
             return False
         try:
-            return self._fleet.is_returned(self._decode(record))
+            return self._fleet.is_outdated(self._decode(record))
         except errors.CodecError:
             return False  # ``_put`` logs the error.
 
@@ -150,7 +150,7 @@
 
     def _remove(self, server_id: str, grace_ends: float) -> None:
         if self._state.clock() < grace_ends:
-            self._fleet.lapse(server_id, grace_ends)
+            self._fleet.schedule_expiry(server_id, grace_ends)
             return
         if self._fleet.remove(server_id):
             self._state.believe("server_gone", server=server_id, why="removed")
--- a/tests/core/relay/course/test_relay_budget.py
+++ b/tests/core/relay/course/test_relay_budget.py
@@ -27,7 +27,7 @@
         hashing.Draws.seeded(1),
         own,
     )
-    made.fleet.shares.take_hosts(hosts)
+    made.fleet.shares.set_hosts(hosts)
     return made
 
 
@@ -35,7 +35,7 @@
     """Returns how many retries the budget of a host allows."""
     request = relay_parts.request()
     count = 0
-    while router.may_repeat(request, NOW) and count < 99:
+    while router.may_retry(request, NOW) and count < 99:
         router._service(request.service).budget.note_repeat(NOW)
         count += 1
     return count
@@ -59,5 +59,5 @@
     router = make_router("h1", [], SLACK)
     assertions.assert_that(count_retries(router), matchers.Equals(0))
     for _ in range(50):
-        router.note_request(relay_parts.request(), NOW)
+        router.record_request(relay_parts.request(), NOW)
     assertions.assert_that(count_retries(router), matchers.Equals(8))
--- a/tests/core/relay/course/test_relay_machine.py
+++ b/tests/core/relay/course/test_relay_machine.py
@@ -34,7 +34,7 @@
 ) -> tuple[machine_lib.RelayMachine, messages.Effect]:
     request = relay_parts.request(route)
     for _ in range(20):
-        router.note_request(request, NOW)
+        router.record_request(request, NOW)
     machine = machine_lib.RelayMachine(request, router)
     return machine, machine.handle(messages.Started(), NOW)
 
@@ -127,7 +127,7 @@
     router: router_lib.Router, request: requests_lib.RelayRequest
 ) -> None:
     """Retries requests until the budget is exhausted."""
-    while router.may_repeat(request, NOW):
+    while router.may_retry(request, NOW):
         machine = machine_lib.RelayMachine(request, router)
         machine.handle(messages.Started(), NOW)
         machine.handle(messages.AttemptEnded(State.SENT), NOW)
@@ -142,7 +142,7 @@
 ) -> messages.Effect:
     """Ends an attempt as the request task does; returns the next effect."""
     assert isinstance(send, messages.Send)
-    router.note_ended(machine.request, send, outcome, NOW)
+    router.record_outcome(machine.request, send, outcome, NOW)
     return machine.handle(messages.AttemptEnded(state), NOW)
 
 
@@ -180,14 +180,16 @@
     request = relay_parts.request()
     for _ in range(200):
         assertions.assert_that(
-            router.may_repeat(request, NOW), matchers.Is(True)
+            router.may_retry(request, NOW), matchers.Is(True)
         )
         machine = machine_lib.RelayMachine(request, router)
         machine.handle(messages.Started(), NOW)
         second = machine.handle(messages.AttemptEnded(State.DECLINED), NOW)
         assert isinstance(second, messages.Send)
         assertions.assert_that(second.is_repeat, matchers.Is(True))
-        router.note_ended(request, second, pace.AttemptOutcome.UNREACHABLE, NOW)
+        router.record_outcome(
+            request, second, pace.AttemptOutcome.UNREACHABLE, NOW
+        )
 
 
 def test_replaced_server_gets_no_requests_for_a_while(
@@ -210,7 +212,7 @@
     machine, first = start(router, relay_parts.CHAT)
     assert isinstance(first, messages.Send)
     assertions.assert_that(first.model, matchers.Equals("small"))
-    router.note_first(machine.request, first, NOW)
+    router.record_first_byte(machine.request, first, NOW)
     effect = machine.handle(messages.HeadArrived(200, 5.0), NOW)
     assertions.assert_that(effect, matchers.IsInstance(messages.Drop))
     second = machine.handle(messages.AttemptEnded(State.ANSWERING, 200), NOW)
@@ -331,7 +333,7 @@
 ) -> None:
     """Reports that servers terminated while they ran a request."""
     ends = {f"gone{number}": stage for number in range(count)}
-    router.take_suspects([suspect_state.Suspect(fingerprint, ends)], NOW - 2.0)
+    router.merge_suspects([suspect_state.Suspect(fingerprint, ends)], NOW - 2.0)
 
 
 def test_quarantined_request_is_refused_as_not_run(
@@ -349,7 +351,8 @@
     )
     # An earlier retry would only be refused again.
     assertions.assert_that(
-        refusal.retry_after, matchers.Equals(int(suspects.QUARANTINE) - 2)
+        refusal.retry_after,
+        matchers.Equals(int(suspects.QUARANTINE_SECONDS) - 2),
     )
 
 
@@ -386,7 +389,7 @@
     terminate_servers(router, "r", ends_before, runs.Stage.WAITING)
     request = relay_parts.request(fingerprint="r")
     for _ in range(20):
-        router.note_request(request, NOW)
+        router.record_request(request, NOW)
     machine = machine_lib.RelayMachine(request, router)
     effect = machine.handle(messages.Started(), NOW)
     count = 0
@@ -402,9 +405,9 @@
 
 def limit_all_servers(router: router_lib.Router) -> None:
     """Sets a rate limit on each server of which this host has no share."""
-    router.fleet.shares.take_hosts(["another"])
+    router.fleet.shares.set_hosts(["another"])
     for server in router.fleet:
-        server.limit.note_named(1.0, NOW)
+        server.limit.record_limit(1.0, NOW)
 
 
 def test_request_is_refused_at_once_if_all_servers_are_limited(
@@ -477,7 +480,7 @@
     router: router_lib.Router,
 ) -> None:
     for server in router.fleet:
-        server.departure.note(NOW)
+        server.departure.record(NOW)
     waits = []
     for delay in (0.0, 1.0, 2.0, 9.0):
         request = relay_parts.request(relay_parts.CONFIRM)
@@ -501,11 +504,11 @@
     router: router_lib.Router,
 ) -> None:
     for server in router.fleet:
-        server.departure.note(NOW)
+        server.departure.record(NOW)
     service = configuration.Service(
         "desk", 10, warmup_duration=9.0, warmup_rate=1.0
     )
-    router.fleet.warmups.take_services({"desk": service})
+    router.fleet.warmups.set_services({"desk": service})
     router.fleet.put(relay_parts.entry("new", warm_in=4.0), NOW)
     # No host may send a request: the rate allows less than one per window.
     _, effect = start(router, relay_parts.CONFIRM)
--- a/tests/core/relay/placement/test_relay_placement.py
+++ b/tests/core/relay/placement/test_relay_placement.py
@@ -120,8 +120,8 @@
     for each in ready:
         is_near = distances[each.entry.identity] < 0.15
         requests, work = (48, 15_000) if is_near else (8, 40_000)
-        each.told = outstanding.ServerWork(work, requests)
-        each.told_until = NOW + 1.0
+        each.peer_work = outstanding.ServerWork(work, requests)
+        each.peer_work_until = NOW + 1.0
     # Without a shared prefix, no engine has any of the prompt cached.
     prompt = requests_lib.Prompt(
         "*", 800, 50, (requests_lib.PromptPart("own", 800),)
@@ -133,7 +133,7 @@
             ready, request, "small", "", distances, 1000.0, DRAWS, NOW
         )
         assert found is not None
-        waiting += found.crowding(NOW) > 1.0
+        waiting += found.occupancy(NOW) > 1.0
     assertions.assert_that(waiting, matchers.LessThan(20))
 
 
@@ -154,12 +154,12 @@
 def test_prompt_far_above_the_mean_is_long() -> None:
     classes = partition.Partition()
     for _ in range(200):
-        classes.note_prompt(1000)
+        classes.record_prompt(1000)
     short = classes.class_of(1500, "large", relay_parts.SIZES)
     long = classes.class_of(9000, "large", relay_parts.SIZES)
     assertions.assert_that(short.is_long, matchers.Is(False))
     assertions.assert_that(long.is_long, matchers.Is(True))
-    assertions.assert_that(long.place, matchers.GreaterThan(short.place))
+    assertions.assert_that(long.position, matchers.GreaterThan(short.position))
 
 
 @pytest.mark.parametrize(
@@ -218,8 +218,10 @@
     def fail(now: float) -> None:
         serial = router.begin_attempt(request, work_class, now)
         send = messages.Send(dead, "", work_class, serial, now + 1.0)
-        router.note_sent(request, send, now)
-        router.note_ended(request, send, pace.AttemptOutcome.UNREACHABLE, now)
+        router.record_sent(request, send, now)
+        router.record_outcome(
+            request, send, pace.AttemptOutcome.UNREACHABLE, now
+        )
 
     assertions.assert_that(pick(100.0), matchers.Equals("s0"))
     for _ in range(3):  # Concurrent failures count as one.
@@ -248,16 +250,16 @@
     assertions.assert_that(
         relay_parts.ready(fleet, "desk", {"v1"}, (), NOW), matchers.HasLength(1)
     )
-    fleet.lapse("a", NOW + 2.0)
-    assertions.assert_that(fleet.drop_lapsed(NOW + 1.0), matchers.Equals([]))
+    fleet.schedule_expiry("a", NOW + 2.0)
+    assertions.assert_that(fleet.remove_expired(NOW + 1.0), matchers.Equals([]))
     fleet.put(relay_parts.entry("a"))  # The entry is listed again.
-    assertions.assert_that(fleet.drop_lapsed(NOW + 9.0), matchers.Equals([]))
-    fleet.lapse("a", NOW + 12.0)
+    assertions.assert_that(fleet.remove_expired(NOW + 9.0), matchers.Equals([]))
+    fleet.schedule_expiry("a", NOW + 12.0)
     # It gets no requests after the grace period, even before it is removed.
     for now, count in ((NOW + 11.9, 1), (NOW + 12.0, 0)):
         ready = relay_parts.ready(fleet, "desk", {"v1"}, (), now)
         assertions.assert_that(ready, matchers.HasLength(count))
-    gone = fleet.drop_lapsed(NOW + 13.0)
+    gone = fleet.remove_expired(NOW + 13.0)
     assertions.assert_that(gone, matchers.Equals(["a"]))
 
 
@@ -281,8 +283,8 @@
     # reading the code.
     new = relay_parts.entry("n1", version="v2")
     router.fleet.put(new)
-    router.fleet.shares.take_hosts(["another"])
-    router.fleet.servers["n1"].limit.note_named(1.0, NOW)
+    router.fleet.shares.set_hosts(["another"])
+    router.fleet.servers["n1"].limit.record_limit(1.0, NOW)
     order = phases.Order("desk", "v2", 10.0, 1)
     router.rollouts.take_order(order, NOW)
     router.rollouts.take_phase(
--- a/tests/core/relay/servers/test_relay_fleet.py
+++ b/tests/core/relay/servers/test_relay_fleet.py
@@ -26,8 +26,8 @@
     state = fleet.servers["a"]
     state.in_flight, state.work, state.mean_work = 3, 500.0, 100.0
     state.load.others, state.load.at = 4, NOW
-    state.told = outstanding.ServerWork(70.0, 2)
-    state.told_until = NOW + 5.0
+    state.peer_work = outstanding.ServerWork(70.0, 2)
+    state.peer_work_until = NOW + 5.0
     state.health.eject(NOW)
     return fleet
 
@@ -46,7 +46,7 @@
     found = fleet.servers["a"]
     # Only the time of the replacement is recorded.
     fresh = server_lib.ServerState(
-        entry(born=2000, sequence=1), followed_at=NOW
+        entry(born=2000, sequence=1), replaced_predecessor_at=NOW
     )
     assertions.assert_that(
         attrs.asdict(found), matchers.Equals(attrs.asdict(fresh))
@@ -75,9 +75,9 @@
 ) -> None:
     reported = fleet.own_work()
     fleet.put(entry(born=2000))
-    fleet.take_others_work(reported, NOW)
+    fleet.set_peer_work(reported, NOW)
     assertions.assert_that(
-        fleet.servers["a"].waiting_work(100.0, NOW), matchers.Equals(0.0)
+        fleet.servers["a"].total_work(100.0, NOW), matchers.Equals(0.0)
     )
 
 
@@ -121,11 +121,11 @@
 
 def test_memory_of_removed_servers_is_bounded() -> None:
     fleet = fleet_lib.Fleet()
-    for number in range(fleet_lib.MOST_REMOVED + 50):
+    for number in range(fleet_lib.MAX_REMOVED + 50):
         fleet.put(relay_parts.entry(f"s{number}", born=1))
         fleet.remove(f"s{number}")
     assertions.assert_that(
-        fleet._removed, matchers.HasLength(fleet_lib.MOST_REMOVED)
+        fleet._removed, matchers.HasLength(fleet_lib.MAX_REMOVED)
     )
 
 
@@ -164,7 +164,7 @@
     fleet = fleet_lib.Fleet()
     fleet.put(relay_parts.entry("a", **fields), NOW)
     fleet.put(relay_parts.entry("b"), NOW)
-    fleet.servers["a"].departure.note(NOW)
+    fleet.servers["a"].departure.record(NOW)
     return fleet
 
 
@@ -188,8 +188,8 @@
     assertions.assert_that(
         ready_names(fleet, NOW + 2.0), matchers.Equals(["b"])
     )
-    fleet.lapse("a", NOW + 3.0)
-    fleet.drop_lapsed(NOW + 4.0)
+    fleet.schedule_expiry("a", NOW + 3.0)
+    fleet.remove_expired(NOW + 4.0)
     fleet.put(relay_parts.entry("a", born=born, sequence=9), NOW + 5.0)
     assertions.assert_that(
         ready_names(fleet, NOW + 5.0), matchers.Equals(["b"])
@@ -211,7 +211,7 @@
 
 def test_departure_without_a_start_time_expires() -> None:
     fleet = leaving_fleet()
-    late = NOW + departures.UNDATED_LIFE
+    late = NOW + departures.UNDATED_TTL
     assertions.assert_that(
         ready_names(fleet, late - 1.0), matchers.Equals(["b"])
     )
@@ -223,7 +223,7 @@
 def test_departure_may_arrive_before_the_entry() -> None:
     fleet = fleet_lib.Fleet()
     assertions.assert_that(
-        fleet.note_departure("a@1000", NOW - 1.0), matchers.Is(True)
+        fleet.record_departure("a@1000", NOW - 1.0), matchers.Is(True)
     )
     fleet.put(relay_parts.entry("a", born=1000), NOW)
     assertions.assert_that(ready_names(fleet, NOW), matchers.Equals([]))
@@ -231,29 +231,29 @@
 
 def test_departure_ends_with_its_incarnation() -> None:
     fleet = leaving_fleet(born=1000)
-    fleet.note_departure("a@1000", NOW)
+    fleet.record_departure("a@1000", NOW)
     fleet.put(relay_parts.entry("a", born=2000), NOW)
     assertions.assert_that(
-        fleet.note_departure("a@1000", NOW), matchers.Is(False)
+        fleet.record_departure("a@1000", NOW), matchers.Is(False)
     )
-    ages, _ = fleet.departures.news(0, NOW)
+    ages, _ = fleet.departures.changes_since(0, NOW)
     assertions.assert_that(ages, matchers.Equals({}))
     assertions.assert_that(ready_names(fleet, NOW), matchers.Equals(["a", "b"]))
 
 
 def test_departure_does_not_apply_to_a_successor_of_equal_identity() -> None:
     fleet = leaving_fleet()
-    fleet.note_departure("a", NOW)
+    fleet.record_departure("a", NOW)
     fleet.put(relay_parts.entry("a", address="127.0.0.1:2"), NOW + 1.0)
     # Another host that has not read the new entry repeats the announcement.
     assertions.assert_that(
-        fleet.note_departure("a", NOW + 0.5), matchers.Is(False)
+        fleet.record_departure("a", NOW + 0.5), matchers.Is(False)
     )
     assertions.assert_that(
         ready_names(fleet, NOW + 1.0), matchers.Equals(["a", "b"])
     )
     assertions.assert_that(
-        fleet.note_departure("a", NOW + 2.0), matchers.Is(True)
+        fleet.record_departure("a", NOW + 2.0), matchers.Is(True)
     )
     assertions.assert_that(
         ready_names(fleet, NOW + 2.0), matchers.Equals(["b"])
--- a/tests/core/relay/servers/test_relay_outstanding.py
+++ b/tests/core/relay/servers/test_relay_outstanding.py
@@ -33,19 +33,19 @@
 def outstanding() -> outstanding_lib.OutstandingWork:
     """Reports of two hosts that fetch from this one, and of its source."""
     work = outstanding_lib.OutstandingWork()
-    work.take("n2", works(a=2.0, b=4.0), NOW)
-    work.take("n3", works(b=8.0), NOW)
-    work.take_rest(works(c=16.0), NOW)
+    work.set_subtree_work("n2", works(a=2.0, b=4.0), NOW)
+    work.set_subtree_work("n3", works(b=8.0), NOW)
+    work.set_source_work(works(c=16.0), NOW)
     return work
 
 
 def test_fetching_host_gets_the_work_of_all_others(
     outstanding: outstanding_lib.OutstandingWork,
 ) -> None:
-    sent = outstanding.told_to("n2", OWN, NOW)
+    sent = outstanding.total_for("n2", OWN, NOW)
     assertions.assert_that(sent, matchers.Equals(works(a=1.0, b=8.0, c=16.0)))
     assertions.assert_that(
-        outstanding.of_others(NOW),
+        outstanding.total_of_others(NOW),
         matchers.Equals(works(a=2.0, b=12.0, c=16.0)),
     )
 
@@ -54,7 +54,7 @@
     outstanding: outstanding_lib.OutstandingWork,
 ) -> None:
     assertions.assert_that(
-        outstanding.told_to_source(OWN, NOW),
+        outstanding.total_for_source(OWN, NOW),
         matchers.Equals(works(a=3.0, b=12.0)),
     )
 
@@ -62,11 +62,13 @@
 def test_report_of_a_silent_host_expires(
     outstanding: outstanding_lib.OutstandingWork,
 ) -> None:
-    later = NOW + outstanding_lib.REPORT_LIFE + 0.1
-    assertions.assert_that(outstanding.of_others(later), matchers.Is(None))
-    outstanding.take("n3", works(b=1.0), later)
+    later = NOW + outstanding_lib.REPORT_TTL + 0.1
     assertions.assert_that(
-        outstanding.of_others(later), matchers.Equals(works(b=1.0))
+        outstanding.total_of_others(later), matchers.Is(None)
+    )
+    outstanding.set_subtree_work("n3", works(b=1.0), later)
+    assertions.assert_that(
+        outstanding.total_of_others(later), matchers.Equals(works(b=1.0))
     )
 
 
@@ -104,13 +106,13 @@
     fleet.put(relay_parts.entry("a"))
     state = fleet.servers["a"]
     state.load.others, state.load.at = 3, NOW
-    fleet.take_others_work(works(a=500.0), NOW)
+    fleet.set_peer_work(works(a=500.0), NOW)
     state.work = 20.0
     assertions.assert_that(
-        state.waiting_work(100.0, NOW + 0.1), matchers.Equals(520.0)
+        state.total_work(100.0, NOW + 0.1), matchers.Equals(520.0)
     )
     # After that, the server's own load report is used instead.
     assertions.assert_that(
-        state.waiting_work(100.0, NOW + fleet_lib.WORK_LIFE),
+        state.total_work(100.0, NOW + fleet_lib.PEER_WORK_TTL),
         matchers.Equals(320.0),
     )
--- a/tests/core/relay/servers/test_relay_rests.py
+++ b/tests/core/relay/servers/test_relay_rests.py
@@ -6,7 +6,7 @@
 from testtools import assertions
 from testtools import matchers
 
-from hoistmoor.core.relay.servers import access
+from hoistmoor.core.relay.servers import eligibility
 from hoistmoor.core.relay.servers import fleet as fleet_lib
 from hoistmoor.core.relay.servers import rests
 
@@ -14,14 +14,14 @@
 
 
 def test_overlapping_rests_end_with_the_last_one() -> None:
-    state = rests.RestBelief()
-    assertions.assert_that(state.note(3.0, NOW), matchers.Is(True))
-    assertions.assert_that(state.note(0.5, NOW + 1.0), matchers.Is(False))
-    assertions.assert_that(state.left(NOW + 1.0), matchers.Equals(2.0))
-    assertions.assert_that(state.note(3.0, NOW + 1.0), matchers.Is(False))
-    assertions.assert_that(state.left(NOW + 1.0), matchers.Equals(3.0))
-    assertions.assert_that(state.left(NOW + 4.0), matchers.Equals(0.0))
-    assertions.assert_that(state.note(1.0, NOW + 4.0), matchers.Is(True))
+    state = rests.RestState()
+    assertions.assert_that(state.record(3.0, NOW), matchers.Is(True))
+    assertions.assert_that(state.record(0.5, NOW + 1.0), matchers.Is(False))
+    assertions.assert_that(state.remaining(NOW + 1.0), matchers.Equals(2.0))
+    assertions.assert_that(state.record(3.0, NOW + 1.0), matchers.Is(False))
+    assertions.assert_that(state.remaining(NOW + 1.0), matchers.Equals(3.0))
+    assertions.assert_that(state.remaining(NOW + 4.0), matchers.Equals(0.0))
+    assertions.assert_that(state.record(1.0, NOW + 4.0), matchers.Is(True))
 
 
 def test_resting_server_is_not_used_as_a_last_resort() -> None:
@@ -29,50 +29,59 @@
     fleet.put(relay_parts.entry("a"))
     fleet.put(relay_parts.entry("b"))
     for server in fleet:
-        server.rest.note(3.0, NOW)
+        server.rest.record(3.0, NOW)
     ready = relay_parts.ready(fleet, "desk", {"v1"}, (), NOW + 2.9)
     assertions.assert_that(ready, matchers.Equals([]))
-    fleet.servers["b"].rest.note(9.0, NOW)
+    fleet.servers["b"].rest.record(9.0, NOW)
     assertions.assert_that(
-        fleet.outlook("desk", NOW + 1.0),
-        matchers.Equals(access.Outlook(access.Bar.RESTING, 2.0)),
+        fleet.next_eligibility("desk", NOW + 1.0),
+        matchers.Equals(
+            eligibility.NextEligibility(
+                eligibility.IneligibilityReason.RESTING, 2.0
+            )
+        ),
+    )
+    assertions.assert_that(
+        fleet.next_eligibility("desk", NOW + 3.0), matchers.Is(None)
     )
-    assertions.assert_that(fleet.outlook("desk", NOW + 3.0), matchers.Is(None))
 
 
 def test_session_keeps_its_version_while_its_servers_rest() -> None:
     fleet = fleet_lib.Fleet()
     fleet.put(relay_parts.entry("a"))
     fleet.put(relay_parts.entry("b", version="v2"))
-    fleet.servers["a"].rest.note(3.0, NOW)
+    fleet.servers["a"].rest.record(3.0, NOW)
     assertions.assert_that(fleet.versions("desk", NOW), matchers.Equals({"v2"}))
     assertions.assert_that(
-        fleet.versions("desk", NOW, access.SHORT), matchers.Equals({"v1", "v2"})
+        fleet.versions("desk", NOW, eligibility.TRANSIENT_REASONS),
+        matchers.Equals({"v1", "v2"}),
     )
 
 
 def test_next_incarnation_does_not_inherit_a_rest() -> None:
     fleet = fleet_lib.Fleet()
     fleet.put(relay_parts.entry("a", born=1000))
-    fleet.servers["a"].rest.note(9.0, NOW)
+    fleet.servers["a"].rest.record(9.0, NOW)
     fleet.put(relay_parts.entry("a", born=2000))
-    assertions.assert_that(fleet.outlook("desk", NOW), matchers.Is(None))
+    assertions.assert_that(
+        fleet.next_eligibility("desk", NOW), matchers.Is(None)
+    )
 
 
 def test_first_request_after_a_rest_reports_its_end() -> None:
-    state = rests.RestBelief()
-    assertions.assert_that(state.note_send(NOW), matchers.Is(False))
-    state.note(3.0, NOW)
-    assertions.assert_that(state.note_send(NOW + 2.9), matchers.Is(False))
-    assertions.assert_that(state.note_send(NOW + 3.0), matchers.Is(True))
-    assertions.assert_that(state.note_send(NOW + 3.1), matchers.Is(False))
+    state = rests.RestState()
+    assertions.assert_that(state.record_send(NOW), matchers.Is(False))
+    state.record(3.0, NOW)
+    assertions.assert_that(state.record_send(NOW + 2.9), matchers.Is(False))
+    assertions.assert_that(state.record_send(NOW + 3.0), matchers.Is(True))
+    assertions.assert_that(state.record_send(NOW + 3.1), matchers.Is(False))
 
 
 def test_traffic_ramps_up_after_a_rest() -> None:
     fleet = fleet_lib.Fleet()
     fleet.put(relay_parts.entry("a"))
     fleet.put(relay_parts.entry("b"))
-    fleet.servers["a"].rest.note(3.0, NOW)
+    fleet.servers["a"].rest.record(3.0, NOW)
     for elapsed, fraction in ((3.0, 0.0), (3.5, 0.25), (4.0, 0.5), (5.0, 1.0)):
         now = NOW + elapsed
         is_ready = [
@@ -90,7 +99,7 @@
 def test_rest_survives_removal_and_relisting_of_the_entry() -> None:
     fleet = fleet_lib.Fleet()
     fleet.put(relay_parts.entry("a"))
-    fleet.servers["a"].rest.note(9.0, NOW)
+    fleet.servers["a"].rest.record(9.0, NOW)
     fleet.remove("a")
     fleet.put(relay_parts.entry("a"), NOW + 1.0)
     ready = relay_parts.ready(fleet, "desk", {"v1"}, (), NOW + 1.0)
--- a/tests/core/relay/servers/test_relay_shares.py
+++ b/tests/core/relay/servers/test_relay_shares.py
@@ -21,7 +21,7 @@
 
 def make_shares(own: str, hosts: list[str]) -> shares.HostShares:
     host_shares = shares.HostShares(own)
-    host_shares.take_hosts(hosts)
+    host_shares.set_hosts(hosts)
     return host_shares
 
 
@@ -33,12 +33,12 @@
     listed = names(hosts)
     all_shares = [make_shares(name, listed) for name in listed]
     for server in SERVERS[:5]:
-        parts = [each.part_of(server, requests) for each in all_shares]
+        parts = [each.quota_for(server, requests) for each in all_shares]
         total = sum(part.own for part in parts)
         assertions.assert_that(total, matchers.LessThan(requests + 1))
         # Equal integer quotas leave less than half of the bound unused.
         assertions.assert_that(total, matchers.GreaterThan(requests / 2))
-        totals = {part.all_hosts for part in parts}
+        totals = {part.total for part in parts}
         assertions.assert_that(totals, matchers.Equals({total}))
 
 
@@ -57,7 +57,7 @@
             others = [n for n in names(hosts) if draws.random() > 0.2]
             all_shares.append(make_shares(name, [name, *others]))
         totals += [
-            sum(each.part_of(server, 3).own for each in all_shares)
+            sum(each.quota_for(server, 3).own for each in all_shares)
             for server in SERVERS
         ]
     mean = sum(totals) / len(totals)
@@ -67,11 +67,11 @@
 
 def test_unlisted_host_has_no_quota() -> None:
     for listed in ([], ["h2", "h3"]):
-        part = make_shares("h1", listed).part_of("s1", 9)
+        part = make_shares("h1", listed).quota_for("s1", 9)
         assertions.assert_that(part.own, matchers.Equals(0))
 
 
-@pytest.mark.parametrize("requests", [1, 3, shares.MOST_SENDS])
+@pytest.mark.parametrize("requests", [1, 3, shares.MAX_SENDS])
 def test_no_window_has_more_sends_than_the_quota(requests: int) -> None:
     sends = shares.RecentSends()
     window = 2.0
@@ -79,7 +79,7 @@
     times = []
     for _ in range(4 * requests):
         now += sends.wait(requests, window, now)
-        sends.note(now)
+        sends.record(now)
         times.append(now)
     spans = [
         times[number + requests] - times[number]
@@ -90,15 +90,15 @@
 
 def test_quota_above_the_stored_sends_keeps_its_rate() -> None:
     sends = shares.RecentSends()
-    part = 4 * shares.MOST_SENDS
+    part = 4 * shares.MAX_SENDS
     now = NOW
     sent = 0
     while now < NOW + 10.0:
         wait = sends.wait(part, 2.0, now)
         now += wait
         if not wait:
-            sends.note(now)
+            sends.record(now)
             sent += 1
     assertions.assert_that(
-        sent, matchers.LessThan(part / 2.0 * 10.0 + shares.MOST_SENDS + 1)
+        sent, matchers.LessThan(part / 2.0 * 10.0 + shares.MAX_SENDS + 1)
     )
--- a/tests/core/relay/servers/test_relay_warmup.py
+++ b/tests/core/relay/servers/test_relay_warmup.py
@@ -27,7 +27,7 @@
 LLM = configuration.Service(
     "llm", 10, has_engine=True, warmup_duration=3.0, warmup_rate=8.8
 )
-EXCESS = warmup.Excess(factor=1.5, requests=5.0)
+EXCESS = warmup.RateTolerance(factor=1.5, requests=5.0)
 HOSTS = (1, 9, 84, 360)
 
 
@@ -38,9 +38,9 @@
 def fleet_of(own: str, hosts: list[str]) -> fleet_lib.Fleet:
     """Returns the fleet of a host with two engines, one of them cold."""
     fleet = fleet_lib.Fleet(own)
-    fleet.warmups.take_services({"llm": LLM})
-    fleet.warmups.excess = EXCESS
-    fleet.shares.take_hosts(hosts)
+    fleet.warmups.set_services({"llm": LLM})
+    fleet.warmups.tolerance = EXCESS
+    fleet.shares.set_hosts(hosts)
     fleet.put(entry("warm"), NOW)
     fleet.put(entry("cold", warm_in=3.0), NOW)
     return fleet
@@ -77,7 +77,7 @@
             now = NOW + step / 100.0
             for fleet in self.fleets:
                 while "cold" in ready(fleet, now):
-                    fleet.servers["cold"].sends.note(now)
+                    fleet.servers["cold"].sends.record(now)
                     arrivals.append(now + self.rng.uniform(0.0, self.latency))
         return max_per_second(arrivals)
 
@@ -147,13 +147,13 @@
 
 def test_service_without_warmup_has_no_bound() -> None:
     fleet = fleet_of("h1", [])
-    fleet.warmups.take_services({"llm": configuration.Service("llm", 10)})
+    fleet.warmups.set_services({"llm": configuration.Service("llm", 10)})
     assertions.assert_that(ready(fleet, NOW), matchers.Equals({"cold", "warm"}))
 
 
 def test_servers_are_cold_after_their_evacuation() -> None:
     fleet = fleet_lib.Fleet("h1")
-    fleet.warmups.take_services({"llm": LLM})
+    fleet.warmups.set_services({"llm": LLM})
     fleet.put(entry("n", zone="north"), NOW)
     fleet.put(entry("s", zone="south"), NOW)
     fleet.evacuate(frozenset({"north"}), NOW)
@@ -172,11 +172,11 @@
     """A router with two warm engines."""
     router = router_lib.Router(
         "north",
-        bounds_lib.Bounds(warmup_excess=EXCESS),
+        bounds_lib.Bounds(rate_tolerance=EXCESS),
         hashing.Draws.seeded(1),
         "h1",
     )
-    router.fleet.warmups.take_services({"llm": LLM})
+    router.fleet.warmups.set_services({"llm": LLM})
     for name in ("a", "b"):
         router.fleet.put(entry(name), NOW)
     return router
@@ -188,8 +188,8 @@
     serial = router.begin_attempt(request, work_class, now)
     server = router.fleet.servers[name]
     send = messages.Send(server, "small", work_class, serial, now + 1.0)
-    router.note_sent(request, send, now)
-    router.note_ended(request, send, pace.AttemptOutcome.UNREACHABLE, now)
+    router.record_sent(request, send, now)
+    router.record_outcome(request, send, pace.AttemptOutcome.UNREACHABLE, now)
 
 
 def test_unreachable_server_may_return_cold(
@@ -208,7 +208,7 @@
 def test_hosts_with_a_quota_for_cold_servers_retry_soon(
     router: router_lib.Router,
 ) -> None:
-    router.fleet.shares.take_hosts(["h1"])
+    router.fleet.shares.set_hosts(["h1"])
     fail_to_connect(router, "a", NOW)
     assertions.assert_that(
         ready(router.fleet, NOW + 2.0), matchers.Equals({"a", "b"})
--- a/tests/relay/engine_traffic.py
+++ b/tests/relay/engine_traffic.py
@@ -261,7 +261,7 @@
             deadline=now + 20.0,
             prompt=self._draw_prompt(),
         )
-        state.router.note_request(request, now)
+        state.router.record_request(request, now)
         machine = machine_lib.RelayMachine(request, state.router)
         effect = machine.handle(messages.Started(), now)
         while isinstance(effect, messages.Send):
@@ -312,7 +312,9 @@
         if not is_declined:
             await asyncio.sleep(COMPLETION - FIRST_PART)
         status, exchange_state, outcome = _RESULTS[is_declined]
-        state.router.note_ended(machine.request, send, outcome, state.clock())
+        state.router.record_outcome(
+            machine.request, send, outcome, state.clock()
+        )
         return machine.handle(
             messages.AttemptEnded(exchange_state, status), state.clock()
         )
--- a/tests/relay/front/test_relay_reports.py
+++ b/tests/relay/front/test_relay_reports.py
@@ -63,7 +63,7 @@
 def test_malformed_limits_are_recorded_as_unreadable(text: str) -> None:
     report = parse(("X-Server-Limit", text), ("X-Load", "3,0,8"))
     assertions.assert_that(report.limit, matchers.Is(None))
-    shown = report.unreadable[reports.Word.LIMIT]
+    shown = report.unreadable[reports.ReportField.LIMIT]
     assertions.assert_that(shown, matchers.Not(matchers.Equals("")))
     assertions.assert_that(
         len(shown), matchers.LessThan(server_reports.LONGEST_SHOWN + 1)
@@ -91,7 +91,7 @@
     report = parse(*(("X-Server-Leaving", text) for text in texts))
     assertions.assert_that(report.is_leaving, matchers.Is(False))
     assertions.assert_that(
-        report.unreadable.keys(), matchers.Equals({reports.Word.LEAVING})
+        report.unreadable.keys(), matchers.Equals({reports.ReportField.LEAVING})
     )
 
 
@@ -127,7 +127,7 @@
     report = parse(*(("Retry-After", text) for text in texts), status=503)
     assertions.assert_that(report.rest, matchers.Is(None))
     assertions.assert_that(
-        report.unreadable.keys(), matchers.Equals({reports.Word.REST})
+        report.unreadable.keys(), matchers.Equals({reports.ReportField.REST})
     )
 
 
@@ -219,10 +219,10 @@
         b"X-Not-Run: 1\r\nRetry-After: 30\r\nX-Server-Leaving: 1\r\n",
     )
     await send_request(harness)
-    left = server.rest.left(harness.state.clock())
+    left = server.rest.remaining(harness.state.clock())
     assertions.assert_that(left, matchers.GreaterThan(0.0))
     assertions.assert_that(
-        server.departure.said_at, matchers.Not(matchers.Is(None))
+        server.departure.announced_at, matchers.Not(matchers.Is(None))
     )
 
 
@@ -231,7 +231,9 @@
     # The response lacks the header that says the request was not run.
     backend.status, backend.headers = b"503 Resting", b"Retry-After: 0.01\r\n"
     for _ in range(5):
-        await harness.until(lambda: not server.rest.left(harness.state.clock()))
+        await harness.until(
+            lambda: not server.rest.remaining(harness.state.clock())
+        )
         await send_request(harness)
     assertions.assert_that(server.health.failures, matchers.Equals(0))
     assertions.assert_that(server.health.is_ejected, matchers.Is(False))
@@ -245,8 +247,8 @@
     )
     await send_request(harness)
     assertions.assert_that(
-        server.rest.left(harness.state.clock()),
-        matchers.LessThan(rests.LONGEST + 1e-9),
+        server.rest.remaining(harness.state.clock()),
+        matchers.LessThan(rests.MAX_REST_SECONDS + 1e-9),
     )
 
 
@@ -254,7 +256,9 @@
     report = parse(
         ("X-Server-Mood", "low"), ("X-Server-Limit", "3"), ("Server", "any")
     )
-    assertions.assert_that(report.unread, matchers.Equals(("X-Server-Mood",)))
+    assertions.assert_that(
+        report.unsupported, matchers.Equals(("X-Server-Mood",))
+    )
     headers = multidict.CIMultiDict(
         [
             ("Hoistmoor-Response-Signature", "s"),
@@ -265,10 +269,12 @@
         ]
     )
     parsed = server_reports.parse_report(200, headers, platform_names.HEADERS)
-    assertions.assert_that(parsed.unread, matchers.Equals(()))
+    assertions.assert_that(parsed.unsupported, matchers.Equals(()))
     headers["Server-Wish"] = "tea"
     parsed = server_reports.parse_report(200, headers, platform_names.HEADERS)
-    assertions.assert_that(parsed.unread, matchers.Equals(("Server-Wish",)))
+    assertions.assert_that(
+        parsed.unsupported, matchers.Equals(("Server-Wish",))
+    )
 
 
 async def test_a_late_response_of_a_previous_incarnation_is_ignored(
--- a/tests/relay/peers/test_relay_peer_codec.py
+++ b/tests/relay/peers/test_relay_peer_codec.py
@@ -12,7 +12,7 @@
 from testtools import matchers
 
 from hoistmoor.core.relay.beliefs import topics
-from hoistmoor.core.relay.servers import departure_words
+from hoistmoor.core.relay.servers import departure_gossip
 from hoistmoor.core.relay.servers import limits
 from hoistmoor.core.relay.servers import outstanding
 from hoistmoor.core.relay.servers import serials
@@ -39,8 +39,8 @@
 
 def test_limits_round_trip() -> None:
     reported = {
-        "s1": limits.LimitWord(1.7, 2, 0.4),
-        "s2": limits.LimitWord(None, 0, 3.0),
+        "s1": limits.GossipedLimit(1.7, 2, 0.4),
+        "s2": limits.GossipedLimit(None, 0, 3.0),
     }
     response = attrs.evolve(answer(None), limits=reported)
     decoded = peer_codec.decode_answer(peer_codec.encode(response))
@@ -51,13 +51,13 @@
 
 
 def test_departures_are_sent_once_in_small_messages() -> None:
-    departures = departure_words.DepartureWords(serials.Serials())
+    departures = departure_gossip.DepartureGossip(serials.Serials())
     for number in range(100):
-        departures.note(f"i-{number:010}@1796281099000", 50.0 + number)
+        departures.record(f"i-{number:010}@1796281099000", 50.0 + number)
     received: dict[str, float] = {}
     until = 0
     for size in (64, 36, 0):
-        ages, until = departures.news(until, 160.0)
+        ages, until = departures.changes_since(until, 160.0)
         assertions.assert_that(len(ages), matchers.Equals(size))
         news = peer_codec.News("h1-1", departures=ages, until=until)
         data = peer_codec.encode(peer_codec.CopyRequest({}, "h2", news=news))
--- a/tests/relay/peers/test_relay_peers.py
+++ b/tests/relay/peers/test_relay_peers.py
@@ -248,8 +248,8 @@
     servers = [each.relay.state.router.fleet.servers for each in pair]
     await until(lambda: all("a" in each for each in servers))
     servers[0]["a"].work, servers[1]["a"].work = 300.0, 20.0
-    await until(lambda: servers[1]["a"].told.work == 300.0)
-    await until(lambda: servers[0]["a"].told.work == 20.0)
+    await until(lambda: servers[1]["a"].peer_work.work == 300.0)
+    await until(lambda: servers[0]["a"].peer_work.work == 20.0)
 
 
 async def test_one_host_writes_counts_of_both(
--- a/tests/relay/peers/test_relay_swarm.py
+++ b/tests/relay/peers/test_relay_swarm.py
@@ -220,7 +220,9 @@
                 fleet = member.relay.state.router.fleet
                 for each in fleet:
                     each.work, each.in_flight = 100.0, 1
-                    most = max(most, each.told.work, each.told.requests)
+                    most = max(
+                        most, each.peer_work.work, each.peer_work.requests
+                    )
         assertions.assert_that(most, matchers.GreaterThan(0.0))
         # Work of a host that changes its source is briefly counted at both.
         assertions.assert_that(most, matchers.LessThan(3 * 100.0 * hosts))
--- a/tests/relay/store/test_relay_follower.py
+++ b/tests/relay/store/test_relay_follower.py
@@ -87,7 +87,7 @@
     await servers.read_once()
     assertions.assert_that(known_servers(rig), matchers.Equals(["a", "b"]))
     await platform.publish(platform.servers, "a", relay_parts.entry("a"))
-    rig.clock.now += fleet_lib.LAPSE_GRACE + 0.1
+    rig.clock.now += fleet_lib.EXPIRY_GRACE_PERIOD + 0.1
     await servers.read_once()
     assertions.assert_that(known_servers(rig), matchers.Equals(["a"]))
 
@@ -99,10 +99,10 @@
 ) -> None:
     await fail_and_return(rig, platform, servers, "a")
     await servers.read_once()
-    rig.clock.now += 0.75 * fleet_lib.LAPSE_GRACE
+    rig.clock.now += 0.75 * fleet_lib.EXPIRY_GRACE_PERIOD
     await platform.publish(platform.servers, "a", None)
     await servers.read_once()
-    rig.clock.now += 0.26 * fleet_lib.LAPSE_GRACE
+    rig.clock.now += 0.26 * fleet_lib.EXPIRY_GRACE_PERIOD
     ready = relay_parts.ready(
         rig.state.router.fleet, "desk", {"v1"}, (), rig.clock.now
     )
--- a/tests/relay/store/test_relay_returned_servers.py
+++ b/tests/relay/store/test_relay_returned_servers.py
@@ -110,7 +110,7 @@
     await restore(platform, servers, copy)
     assertions.assert_that(usable(rig), matchers.Equals({"lives", "ended"}))
     await publish_entry(platform, "lives")
-    rig.clock.now += fleet_lib.LAPSE_GRACE + 0.1
+    rig.clock.now += fleet_lib.EXPIRY_GRACE_PERIOD + 0.1
     await servers.read_once()
     assertions.assert_that(usable(rig), matchers.Equals({"lives"}))
 
--- a/tests/relay/swarm_troubles.py
+++ b/tests/relay/swarm_troubles.py
@@ -29,7 +29,7 @@
             for name in listed + departed
             if name == member.name or draws.random() > 0.2
         ]
-        member.relay.state.router.fleet.shares.take_hosts(known)
+        member.relay.state.router.fleet.shares.set_hosts(known)
 
 
 def sample_third(swarm: relay_swarm.Swarm) -> list[relay_swarm.Member]:
--- a/tests/relay/test_relay_leaving_server.py
+++ b/tests/relay/test_relay_leaving_server.py
@@ -50,7 +50,7 @@
             lambda relay: (
                 relay.state.router.fleet.servers[
                     leaving.server_id
-                ].departure.said_at
+                ].departure.announced_at
                 is not None
             )
         )
--- a/tests/relay/test_relay_resting_server.py
+++ b/tests/relay/test_relay_resting_server.py
@@ -50,7 +50,7 @@
         return relay.state.router.fleet.servers[resting.server_id]
 
     def is_backed_off(relay: application.Relay) -> bool:
-        return server_at(relay).rest.left(relay.state.clock()) > 0.0
+        return server_at(relay).rest.remaining(relay.state.clock()) > 0.0
 
     def may_be_retried(relay: application.Relay) -> bool:
         """Whether the pause for full servers is over."""
--- a/tests/relay_parts.py
+++ b/tests/relay_parts.py
@@ -109,7 +109,7 @@
     draw: float = 0.0,
 ) -> list[server_lib.ServerState]:
     """Returns the servers of a service that may receive new requests."""
-    usable = fleet.usable(service, now)
+    usable = fleet.eligible(service, now)
     return fleet.ready(usable, versions, excluded, now, draw)
 
 
