--- a/benchmarks/capacity/tree.py
+++ b/benchmarks/capacity/tree.py
@@ -14,8 +14,8 @@
 import time
 
 from benchmarks.capacity import parts
-from hoistmoor.core.relay.beliefs import freshness
-from hoistmoor.core.relay.beliefs import mirror
+from hoistmoor.core.relay.beliefs import configuration_lease
+from hoistmoor.core.relay.beliefs import replication
 from hoistmoor.core.relay.beliefs import topics
 from hoistmoor.core.relay.placement import bounds as bounds_lib
 from hoistmoor.core.relay.placement import router as router_lib
@@ -64,7 +64,7 @@
         router=router_lib.Router(
             "z", bounds_lib.Bounds(), hashing.Draws.seeded(1)
         ),
-        lease=freshness.ConfigurationLease(5.0),
+        lease=configuration_lease.ConfigurationLease(5.0),
         outstanding=outstanding.OutstandingWork(),
         run_name="h-1",
     )
@@ -109,8 +109,8 @@
         for name in TOPICS
     }
     for each in followers.values():
-        each.mirror = mirror.TopicMirror()
-        each.mirror.take(topics.Batch((), 100, is_snapshot=True))
+        each.mirror = replication.TopicReplica()
+        each.mirror.apply(topics.Batch((), 100, is_snapshot=True))
     return answers_lib.PeerAnswers(state, followers)
 
 
--- a/src/hoistmoor/clients/stream_reader.py
+++ b/src/hoistmoor/clients/stream_reader.py
@@ -22,7 +22,7 @@
     from collections.abc import Awaitable, Callable
 
     from hoistmoor.clients import log as log_client
-    from hoistmoor.core import pacing
+    from hoistmoor.core import polling
 
     Wait = Callable[[float, asyncio.Event], Awaitable[None]]
 
@@ -98,7 +98,7 @@
         log: Readable,
         stream: str,
         consumer: Consumer,
-        pace: pacing.Pace,
+        pace: polling.PollPolicy,
         decode: Callable[[bytes], Any] = codec.decode,
         clock: Callable[[], float] = time.monotonic,
         wait: Wait | None = None,
@@ -153,7 +153,7 @@
         while True:
             self._hurried.clear()  # This poll serves who set it.
             try:
-                has_more = await self.step(self._pace.hold)
+                has_more = await self.step(self._pace.long_poll_timeout)
             except errors.HoistmoorError as error:
                 await self._back_off(error)
                 continue
@@ -240,7 +240,7 @@
         self._consumer.on_failure(error)
         if _is_power_of_two(self.failures):
             _LOG.warning("stream %s is not read. %s", self._stream, error)
-        pause = self._pace.retry_pause(self.failures, random.random())
+        pause = self._pace.retry_delay(self.failures, random.random())
         # A need does not shorten this: it would hammer a log that is down.
         await self._wait(pause, asyncio.Event())
 
--- a/src/hoistmoor/core/errors.py
+++ b/src/hoistmoor/core/errors.py
@@ -55,7 +55,7 @@
         )
 
 
-class LogHistoryChangedError(PlatformError):
+class LogEraChangedError(PlatformError):
     """The log was restored from an older copy, so older offsets are invalid."""
 
     def __init__(self, stream: str, known: int, now: int) -> None:
--- a/src/hoistmoor/core/pacing.py
+++ b/src/hoistmoor/core/polling.py
@@ -11,7 +11,7 @@
 
 
 @attrs.frozen
-class Pace:
+class PollPolicy:
     """Polling parameters of one stream.
 
     Attributes:
@@ -27,10 +27,10 @@
     """
 
     period: float
-    hold: float
+    long_poll_timeout: float
     page: int = 500
     retry: float = 0.5
-    most_retry: float = 1.0
+    max_retry: float = 1.0
     burst: int = 20
 
     def pause(self, since_poll: float, is_needed: bool) -> float:
@@ -44,7 +44,7 @@
             return 0.0
         return max(self.period - since_poll, 0.0)
 
-    def retry_pause(self, failures: int, draw: float) -> float:
+    def retry_delay(self, failures: int, draw: float) -> float:
         """Returns the seconds to wait before a retry: exponential with jitter.
 
         Args:
@@ -53,18 +53,23 @@
                 retrying simultaneously after an outage.
         """
         delay = self.retry * 2.0 ** min(failures - 1, 10)
-        return min(delay, self.most_retry) * (1 - draw / 4)
+        return min(delay, self.max_retry) * (1 - draw / 4)
 
 
 # A pending claim of this host triggers a poll at once; claims of other hosts
 # may be read later.
-CLAIMS = Pace(period=0.25, hold=10.0)
-EVIDENCE = Pace(period=0.5, hold=2.0)
-LIMITS = Pace(period=0.25, hold=10.0)
-STEWARD = Pace(period=0.25, hold=5.0, retry=0.25)
+CLAIMS = PollPolicy(period=0.25, long_poll_timeout=10.0)
+EVIDENCE = PollPolicy(period=0.5, long_poll_timeout=2.0)
+LIMITS = PollPolicy(period=0.25, long_poll_timeout=10.0)
+STEWARD = PollPolicy(period=0.25, long_poll_timeout=5.0, retry=0.25)
 # Edits are rare and should take effect immediately, so there is no minimum
 # interval. Each reply confirms that the table is current, at least once per
 # ``hold``. Applying an edit may be slow, so the reader yields after each one.
-TABLE = Pace(
-    period=0.0, hold=1.0, page=200, retry=0.25, most_retry=0.5, burst=1
+TABLE = PollPolicy(
+    period=0.0,
+    long_poll_timeout=1.0,
+    page=200,
+    retry=0.25,
+    max_retry=0.5,
+    burst=1,
 )
--- a/src/hoistmoor/core/relay/answers/cascade.py
+++ b/src/hoistmoor/core/relay/answers/cascade.py
@@ -62,7 +62,7 @@
     return float(1.0 / (1.0 + (left / expected) ** LATE_EXPONENT))
 
 
-def next_size(
+def escalation_target(
     sizes: tuple[str, ...],
     model: str,
     confidence: float | None,
--- a/src/hoistmoor/core/relay/answers/delays.py
+++ b/src/hoistmoor/core/relay/answers/first_byte_delays.py
@@ -20,7 +20,7 @@
 
 
 @attrs.define
-class FirstDelays:
+class FirstByteDelays:
     """Times to first byte of one service.
 
     Pending requests count with the time that they have waited so far, so that
--- a/src/hoistmoor/core/relay/answers/pace.py
+++ b/src/hoistmoor/core/relay/answers/response_times.py
@@ -7,7 +7,7 @@
 import attrs
 
 SMOOTHING_FACTOR = 0.05  # Weight of the newest response in the averages.
-MIN_ANSWERS = 5  # Responses needed before the averages are used.
+MIN_RESPONSES = 5  # Responses needed before the averages are used.
 
 
 class AttemptOutcome(enum.Enum):
@@ -22,7 +22,7 @@
 
 
 @attrs.frozen
-class Measured:
+class ResponseTiming:
     """Timing of one response.
 
     Attributes:
@@ -53,13 +53,13 @@
     event_interval: float = 0.0
 
 
-class Paces:
+class ResponseTimes:
     """Moving averages of response times."""
 
     def __init__(self) -> None:
         self._averages: dict[tuple[str, str], _Averages] = {}
 
-    def note(self, key: tuple[str, str], measured: Measured) -> None:
+    def record(self, key: tuple[str, str], measured: ResponseTiming) -> None:
         """Adds a response to the averages of its route and model."""
         averages = self._averages.setdefault(key, _Averages())
         averages.answers += 1
@@ -71,13 +71,13 @@
         averages.event_interval += step * (interval - averages.event_interval)
 
     def is_slow(
-        self, key: tuple[str, str], measured: Measured, factor: float
+        self, key: tuple[str, str], measured: ResponseTiming, factor: float
     ) -> bool:
         """Returns whether a response exceeded ``factor`` times the average."""
         if measured.is_silent:
             return True
         averages = self._averages.get(key)
-        if averages is None or averages.answers < MIN_ANSWERS:
+        if averages is None or averages.answers < MIN_RESPONSES:
             return False
         expected = averages.first + averages.event_interval * measured.events
         return measured.total > factor * expected
--- a/src/hoistmoor/core/relay/answers/streams.py
+++ b/src/hoistmoor/core/relay/answers/streams.py
@@ -40,7 +40,7 @@
         """Whether an incomplete event is buffered."""
         return bool(self._buffer)
 
-    def begin_run(self) -> None:
+    def reset_buffer(self) -> None:
         """Discards an incomplete event of the previous backend server."""
         self._buffer = b""
 
--- a/src/hoistmoor/core/relay/beliefs/freshness.py
+++ b/src/hoistmoor/core/relay/beliefs/configuration_lease.py
@@ -39,7 +39,7 @@
     is_strict: bool = True
     proved_at: float | None = None
 
-    def prove(self, current_at: float) -> None:
+    def renew(self, current_at: float) -> None:
         """Extends the lease: the configuration was current at that time."""
         if self.proved_at is None or current_at > self.proved_at:
             self.proved_at = current_at
@@ -53,13 +53,13 @@
 
         While it is, anything missing from it does not exist.
         """
-        return self.over_for(now) < 0.0
+        return self.expired_for(now) < 0.0
 
-    def over_for(self, now: float) -> float:
+    def expired_for(self, now: float) -> float:
         """Returns the seconds since the lease expired; negative before that."""
         return self.age(now) - self.bound * (1.0 - LEASE_MARGIN)
 
-    def holds(self, now: float) -> bool:
+    def is_valid(self, now: float) -> bool:
         """Returns whether requests with a known key may be forwarded."""
         if self.is_strict:
             return self.is_current(now)
--- a/src/hoistmoor/core/relay/beliefs/evacuations.py
+++ b/src/hoistmoor/core/relay/beliefs/evacuations.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from hoistmoor.core.relay.beliefs import history as history_lib
+from hoistmoor.core.relay.beliefs import store_era as history_lib
 from hoistmoor.core.relay.beliefs import topics
 
 if TYPE_CHECKING:
@@ -22,7 +22,7 @@
 
 
 @attrs.frozen
-class ZoneWord:
+class EvacuationRecord:
     """Content of one evacuation record.
 
     Attributes:
@@ -52,9 +52,9 @@
         # Offset of the latest record that evacuated each failure domain.
         self._offsets: dict[str, int] = {}
 
-    def take(
+    def apply(
         self,
-        records: Iterable[ZoneWord],
+        records: Iterable[EvacuationRecord],
         now: float,
         *,
         is_snapshot: bool,
@@ -87,7 +87,7 @@
         self.zones = zones
         return has_changed
 
-    def _apply_record(self, record: ZoneWord) -> None:
+    def _apply_record(self, record: EvacuationRecord) -> None:
         self._kept.pop(record.zone, None)
         if record.is_evacuated:
             self._listed.add(record.zone)
@@ -95,7 +95,9 @@
         else:
             self._listed.discard(record.zone)
 
-    def _keep_previous(self, records: tuple[ZoneWord, ...], now: float) -> None:
+    def _keep_previous(
+        self, records: tuple[EvacuationRecord, ...], now: float
+    ) -> None:
         """Keeps the state of the previous era for a grace period."""
         missing = self.zones - {record.zone for record in records}
         reappeared = {
@@ -106,9 +108,9 @@
         }
         self._kept = dict.fromkeys(missing, True)
         self._kept |= dict.fromkeys(reappeared, False)
-        self._kept_until = now + history_lib.HELD_FOR
+        self._kept_until = now + history_lib.RESTORE_GRACE_PERIOD
 
-    def _apply_snapshot(self, records: tuple[ZoneWord, ...]) -> None:
+    def _apply_snapshot(self, records: tuple[EvacuationRecord, ...]) -> None:
         self._listed = {record.zone for record in records}
         for record in records:
             if self._kept.get(record.zone) is not False:
--- a/src/hoistmoor/core/relay/beliefs/reading.py
+++ b/src/hoistmoor/core/relay/beliefs/read_policy.py
@@ -14,10 +14,10 @@
 import attrs
 
 # Seconds between two requests to other hosts.
-PERIOD = 0.3
+REQUEST_INTERVAL = 0.3
 # Topics on which routing depends: an outdated copy lists stopped servers or
 # revoked keys.
-DATED = frozenset({"operator", "servers"})
+TIME_CRITICAL_TOPICS = frozenset({"operator", "servers"})
 # Maximum age in seconds of a copy of these topics, from a host that reads the
 # store itself; there the age stays below 0.8 s. Every intermediate host adds
 # the interval between two requests.
@@ -25,14 +25,14 @@
 # Number of intermediate hosts for which a higher age is accepted. Without this
 # limit, hosts that ask one another in a cycle would never detect that all of
 # them are stale.
-MOST_DEPTH = 2
+MAX_DEPTH = 2
 # Age in seconds above which a host reads the store itself, regardless of other
 # hosts: operators allow two seconds until a change takes effect or a server
 # gets no more requests.
-OLDEST_OWN = 1.4
+MAX_OWN_AGE = 1.4
 # Seconds for which a starting host waits for another one that is about to be
 # current.
-START_PATIENCE = 0.6
+MAX_START_WAIT = 0.6
 # Number of times that a starting host without sources asks a few other hosts: a
 # third of all hosts may be starting at the same time.
 START_ROUNDS = 4
@@ -95,10 +95,10 @@
         age: Seconds since the oldest of its time-critical topics was current.
         depth: Number of hosts between its source and the store.
     """
-    return age <= MAX_COPY_AGE + min(depth, MOST_DEPTH) * PERIOD
+    return age <= MAX_COPY_AGE + min(depth, MAX_DEPTH) * REQUEST_INTERVAL
 
 
-def is_worth_a_wait(
+def is_worth_waiting_for(
     link: float, other_link: float, *, is_first_start: bool
 ) -> bool:
     """Returns whether to wait for another host that is starting as well.
@@ -131,14 +131,14 @@
     age: float
     reads_early: bool
 
-    def waits(self) -> bool:
+    def should_wait(self) -> bool:
         """Returns whether another host is likely to be current soon."""
         if not self.has_all:
-            return self.is_promising and self.waited < START_PATIENCE
-        return self.age <= OLDEST_OWN and not self.reads_early
+            return self.is_promising and self.waited < MAX_START_WAIT
+        return self.age <= MAX_OWN_AGE and not self.reads_early
 
 
-def is_read(
+def reads_from_store(
     name: str, *, knows_hosts: bool, was_read: bool, alone_for: float
 ) -> bool:
     """Returns whether a host without a source reads a topic from the store.
--- a/src/hoistmoor/core/relay/beliefs/mirror.py
+++ b/src/hoistmoor/core/relay/beliefs/replication.py
@@ -24,7 +24,9 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-KEPT = 512  # Changes per topic that are kept for incremental copies.
+MAX_RECENT_CHANGES = (
+    512  # Changes per topic that are kept for incremental copies.
+)
 # Sources in the own failure domain that are asked before the store. At times
 # the store refuses a third of the hosts; the probability that all four are
 # among them is then 1%.
@@ -58,7 +60,7 @@
     link: float = 0.0
 
 
-class TopicMirror:
+class TopicReplica:
     """Local copy of one topic.
 
     Attributes:
@@ -69,11 +71,11 @@
         self.end: topics.Place | None = None
         self._newest: dict[str, topics.Record] = {}
         self._recent: collections.deque[topics.Record] = collections.deque(
-            maxlen=KEPT
+            maxlen=MAX_RECENT_CHANGES
         )
         self._recent_start = topics.START
 
-    def take(self, batch: topics.Batch) -> None:
+    def apply(self, batch: topics.Batch) -> None:
         """Applies a batch that was read."""
         if batch.is_snapshot:
             self._newest = {}
@@ -88,16 +90,16 @@
         self.end = batch.end
 
     def _add_recent(self, record: topics.Record) -> None:
-        if len(self._recent) == KEPT:
+        if len(self._recent) == MAX_RECENT_CHANGES:
             self._recent_start = self._recent[0].place.after(1)
         self._recent.append(record)
 
-    def hold(self, records: Iterable[topics.Record]) -> None:
+    def retain(self, records: Iterable[topics.Record]) -> None:
         """Keeps records in snapshots although the store may have lost them."""
         for record in records:
             self._newest[record.key] = record
 
-    def copy_from(self, place: topics.Place | None) -> topics.Batch | None:
+    def changes_since(self, place: topics.Place | None) -> topics.Batch | None:
         """Returns the changes since ``place``; None before the first read.
 
         Args:
@@ -123,7 +125,7 @@
         return topics.Batch(tuple(changes), self.end)
 
 
-class Sources:
+class SourceSelector:
     """Selects the hosts that this host asks before it reads the store.
 
     Attributes:
@@ -145,7 +147,7 @@
             self._backoffs.pop(host.name, None)
         self.hosts[host.name] = host
 
-    def any_others(self, now: float) -> list[Host]:
+    def fallback_sources(self, now: float) -> list[Host]:
         """Returns a few hosts of any rank, in rotation.
 
         Used if the store refuses both this host and its sources, as hosts
@@ -240,13 +242,13 @@
     def _is_in_backoff(self, host: Host, now: float) -> bool:
         return self._backoffs.get(host.name, (0.0, 0.0))[0] > now
 
-    def note_failed(self, name: str, now: float) -> None:
+    def record_failure(self, name: str, now: float) -> None:
         """Records a failed request to a host and backs off exponentially."""
         _, delay = self._backoffs.get(name, (0.0, INITIAL_BACKOFF / 2))
         delay = min(MAX_BACKOFF, 2 * delay)
         self._backoffs[name] = (now + delay, delay)
 
-    def note_answered(self, name: str) -> None:
+    def record_success(self, name: str) -> None:
         """Records a reply of a host and resets its backoff."""
         self._backoffs.pop(name, None)
 
--- a/src/hoistmoor/core/relay/beliefs/history.py
+++ b/src/hoistmoor/core/relay/beliefs/store_era.py
@@ -15,17 +15,17 @@
 
 import attrs
 
-UNNAMED = 0  # Era of a store that reports none.
+UNKNOWN_ERA = 0  # Era of a store that reports none.
 STORE = "store"  # Source of an era that a response of the store reported.
 # Grace period in seconds for state that a new era lacks. Operators and servers
 # write lost records again within it; records still missing afterwards count as
 # deleted.
-HELD_FOR = 10.0
+RESTORE_GRACE_PERIOD = 10.0
 # Number of eras that fit into a serial number; see ``topics.Place.serial``.
-MOST_ERAS = 1 << 22
+MAX_ERAS = 1 << 22
 
 
-class Unusable(enum.StrEnum):
+class EraProblem(enum.StrEnum):
     """Why the era in a response cannot be used."""
 
     ABSENT = "absent"  # The header is missing.
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen
-class EraWord:
+class EraHeader:
     """Era header of a response of the store.
 
     Attributes:
@@ -47,15 +47,15 @@
 
 
 Observer = Callable[[int, int, str], None]
-UnusableObserver = Callable[[Unusable, EraWord], None]
+UnusableObserver = Callable[[EraProblem, EraHeader], None]
 
 
-def _ignore(kind: Unusable, word: EraWord) -> None:
+def _ignore(kind: EraProblem, word: EraHeader) -> None:
     """Default observer of unusable eras; does nothing."""
 
 
 @attrs.define(eq=False)
-class StoreHistory:
+class StoreEra:
     """Newest era of the store known to this host.
 
     Attributes:
@@ -65,11 +65,11 @@
         on_unusable: Called for each response without a usable era.
     """
 
-    era: int = UNNAMED
+    era: int = UNKNOWN_ERA
     observers: list[Observer] = attrs.field(factory=list)
     on_unusable: UnusableObserver = _ignore
 
-    def take_answer(self, word: EraWord, known: int) -> int:
+    def record_response(self, word: EraHeader, known: int) -> int:
         """Processes the era header of a response; returns its effective era.
 
         A response without an era, or with a lower era than was known when the
@@ -84,10 +84,10 @@
             self.on_unusable(kind, word)
         if word.era is None or word.era < known:
             return known
-        self.learn(word.era, STORE)
+        self.record_era(word.era, STORE)
         return word.era
 
-    def learn(self, era: int, told_by: str) -> None:
+    def record_era(self, era: int, told_by: str) -> None:
         """Records an era and notifies the observers if it is newer."""
         if era <= self.era:
             return
@@ -96,9 +96,9 @@
             observer(previous, era, told_by)
 
 
-def _classify(word: EraWord, known: int) -> Unusable | None:
+def _classify(word: EraHeader, known: int) -> EraProblem | None:
     if word.era is not None:
-        return Unusable.FALLING if word.era < known else None
+        return EraProblem.FALLING if word.era < known else None
     if word.text is not None:
-        return Unusable.JUNK
-    return Unusable.ABSENT if known != UNNAMED else None
+        return EraProblem.JUNK
+    return EraProblem.ABSENT if known != UNKNOWN_ERA else None
--- a/src/hoistmoor/core/relay/beliefs/topics.py
+++ b/src/hoistmoor/core/relay/beliefs/topics.py
@@ -41,7 +41,7 @@
         return Place(self.era, self.offset + count)
 
 
-def place_of(serial: int) -> Place:
+def place_from_serial(serial: int) -> Place:
     """Returns the position encoded by a serial number."""
     return Place(serial >> OFFSET_BITS, serial & ((1 << OFFSET_BITS) - 1))
 
--- a/src/hoistmoor/core/relay/course/attempt_counts.py
+++ b/src/hoistmoor/core/relay/course/attempt_counts.py
@@ -50,7 +50,9 @@
         """
         return self.runs + self.uncounted + self.declined > 0
 
-    def note(self, state: outcomes.ExchangeState, *, is_beside: bool) -> None:
+    def record(
+        self, state: outcomes.ExchangeState, *, is_bystander: bool
+    ) -> None:
         """Counts a finished attempt.
 
         Args:
@@ -62,12 +64,12 @@
             self.unreachable += 1
         elif outcomes.OUTCOME_BY_STATE[state] is outcomes.Outcome.NOT_RUN:
             self.declined += 1
-        elif is_beside and self.uncounted < MAX_UNCOUNTED:
+        elif is_bystander and self.uncounted < MAX_UNCOUNTED:
             self.uncounted += 1
         else:
             self.runs += 1
 
-    def allow_another(self, max_attempts: int) -> bool:
+    def allows_another(self, max_attempts: int) -> bool:
         """Returns whether the request may be sent again.
 
         Args:
--- a/src/hoistmoor/core/relay/course/budget.py
+++ b/src/hoistmoor/core/relay/course/budget.py
@@ -15,14 +15,14 @@
 
 # Fraction of the configured ratio that hosts use. Their windows do not start at
 # the same time, so a request and its retry may fall into different windows.
-USED_SHARE = 0.8
+USED_FRACTION = 0.8
 # Fraction of the retries allowed without any request that is divided among the
 # hosts: the host list of some hosts may be incomplete.
-SPARE_SHARE = 0.8
+SPARE_FRACTION = 0.8
 
 
 @attrs.define
-class RepeatBudget:
+class RetryBudget:
     """Counts requests and retries for one service in a sliding window.
 
     Attributes:
@@ -41,23 +41,23 @@
         factory=collections.deque
     )
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Counts a client request."""
         _add(self._requests, now)
 
-    def note_repeat(self, now: float) -> None:
+    def record_retry(self, now: float) -> None:
         """Counts a retry."""
         _add(self._retries, now)
 
-    def take_back(self, now: float) -> None:
+    def cancel_retry(self, now: float) -> None:
         """Removes a retry that reached no server from the count."""
         if self._retries:
             second, count = self._retries[-1]
             self._retries[-1] = (second, max(0, count - 1))
 
-    def allows(self, now: float) -> bool:
+    def allows_retry(self, now: float) -> bool:
         """Returns whether another retry is within the budget."""
-        allowed = USED_SHARE * self.ratio * self._sum(self._requests, now)
+        allowed = USED_FRACTION * self.ratio * self._sum(self._requests, now)
         return self._sum(self._retries, now) + 1 <= allowed + self.spare
 
     def _sum(
--- a/src/hoistmoor/core/relay/course/machine.py
+++ b/src/hoistmoor/core/relay/course/machine.py
@@ -34,9 +34,9 @@
 READ_TIMEOUT_FACTOR = 3.0
 # Maximum read timeout of a stream as a fraction of the time left; the remainder
 # is reserved for another server.
-READ_TIMEOUT_SHARE = 0.5
+READ_TIMEOUT_FRACTION = 0.5
 MIN_READ_TIMEOUT = 0.3  # Seconds, for routes with a very short target latency.
-MIN_ATTEMPT_TIME = 0.02  # Seconds left that an attempt needs to be useful.
+MIN_ATTEMPT_SECONDS = 0.02  # Seconds left that an attempt needs to be useful.
 
 _REASON_BY_STATE = {
     _State.UNSENT: refusals.Reason.BACKEND_UNREACHABLE,
@@ -104,13 +104,13 @@
     @_on.register
     def _(self, event: messages.HeadArrived, now: float) -> messages.Effect:
         if self._has_begun or not 200 <= event.status < 300:
-            return messages.Pass()
+            return messages.Forward()
         larger = self._larger_model(event.confidence, now)
         if larger is None:
-            return messages.Pass()
+            return messages.Forward()
         self.model = larger
         self._escalating = True
-        return messages.Drop()
+        return messages.Discard()
 
     def _larger_model(self, confidence: float | None, now: float) -> str | None:
         request = self.request
@@ -126,7 +126,7 @@
         if self._counts.runs + 1 >= request.route.max_attempts:
             return None
         largest = request.route.sizes[-1] if request.route.sizes else ""
-        larger = cascade.next_size(
+        larger = cascade.escalation_target(
             request.route.sizes,
             self.model,
             confidence,
@@ -196,7 +196,7 @@
         is_bystander = event.server_ended and not suspects.is_likely_cause(
             self.request.fingerprint
         )
-        self._counts.note(event.state, is_beside=is_bystander)
+        self._counts.record(event.state, is_bystander=is_bystander)
 
     def _is_quarantined(self, now: float) -> bool:
         return self._router.suspects.is_quarantined(
@@ -205,9 +205,9 @@
 
     def _may_retry(self, state: outcomes.ExchangeState, now: float) -> bool:
         request = self.request
-        if request.deadline - now < MIN_ATTEMPT_TIME:
+        if request.deadline - now < MIN_ATTEMPT_SECONDS:
             return False
-        if not self._counts.allow_another(request.route.max_attempts):
+        if not self._counts.allows_another(request.route.max_attempts):
             return False
         # For retries, a complete error response counts as a partial response.
         reached = _State.ANSWERING if state is _State.ANSWERED else state
@@ -225,7 +225,7 @@
         self._detail = "the time allowed is over"
         return self._fail(refusals.Reason.DEADLINE_EXCEEDED)
 
-    def note_begun(self) -> None:
+    def record_response_started(self) -> None:
         """Records that the client received part of the response."""
         self._has_begun = True
 
@@ -298,7 +298,7 @@
             )
             left = self.request.deadline - now
             return min(
-                timeout, max(MIN_READ_TIMEOUT, left * READ_TIMEOUT_SHARE)
+                timeout, max(MIN_READ_TIMEOUT, left * READ_TIMEOUT_FRACTION)
             )
         return max(MIN_READ_TIMEOUT, route.target * READ_TIMEOUT_FACTOR)
 
@@ -306,7 +306,7 @@
         self, reason: refusals.Reason, wait: float | None = None
     ) -> messages.Effect:
         if self._has_begun:
-            return messages.Break(self._detail)
+            return messages.Abort(self._detail)
         outcome = outcomes.Outcome.NOT_RUN
         if self.may_have_run:
             outcome = outcomes.Outcome.UNKNOWN
--- a/src/hoistmoor/core/relay/course/messages.py
+++ b/src/hoistmoor/core/relay/course/messages.py
@@ -84,18 +84,18 @@
     work_class: partition.WorkClass
     serial: int
     deadline: float
-    patience: float | None = None
-    is_repeat: bool = False
+    read_timeout: float | None = None
+    is_retry: bool = False
     run: runs.Run = attrs.field(factory=runs.Run)
 
 
 @attrs.frozen
-class Pass:
+class Forward:
     """Stream the response to the client."""
 
 
 @attrs.frozen
-class Drop:
+class Discard:
     """Discard the response; the request will be sent again."""
 
 
@@ -112,10 +112,10 @@
 
 
 @attrs.frozen
-class Break:
+class Abort:
     """Close the connection, as a partly sent response cannot be completed."""
 
     detail: str
 
 
-Effect = Send | Pass | Drop | Deliver | Refuse | Break
+Effect = Send | Forward | Discard | Deliver | Refuse | Abort
--- a/src/hoistmoor/core/relay/course/retry_after.py
+++ b/src/hoistmoor/core/relay/course/retry_after.py
@@ -14,7 +14,7 @@
 
 # Seconds before a retry at another host, if only this one cannot serve.
 OTHER_HOST_DELAY = 0.05
-FOR_ROOM = 0.5  # Seconds until a server may have capacity again.
+CAPACITY_DELAY = 0.5  # Seconds until a server may have capacity again.
 # Maximum delay in seconds: clients should be served soon after an outage ends.
 MAX_DELAY = 3.0
 # Jitter as a fraction of the delay, so that clients refused at the same time do
@@ -35,7 +35,9 @@
 )
 
 
-def wait_for(reason: refusals.Reason, unable_for: float, draw: float) -> float:
+def delay_for_reason(
+    reason: refusals.Reason, unavailable_duration: float, draw: float
+) -> float:
     """Returns the seconds after which a refused client should retry.
 
     Args:
@@ -46,11 +48,13 @@
     if reason in _ANY_HOST:
         return OTHER_HOST_DELAY
     if reason not in _THIS_HOST:
-        return FOR_ROOM
-    return _add_jitter(min(MAX_DELAY, max(OTHER_HOST_DELAY, unable_for)), draw)
+        return CAPACITY_DELAY
+    return _add_jitter(
+        min(MAX_DELAY, max(OTHER_HOST_DELAY, unavailable_duration)), draw
+    )
 
 
-def for_rest(left: float, draw: float) -> float:
+def delay_during_rest(left: float, draw: float) -> float:
     """Returns the retry delay if all servers have asked for a rest.
 
     The delay is never shorter than the remaining rest.
@@ -62,14 +66,14 @@
     return left * (1.0 + JITTER * draw)
 
 
-def for_lack(lasted: float, draw: float) -> float:
+def delay_without_servers(lasted: float, draw: float) -> float:
     """Returns the retry delay if no server is expected to accept requests.
 
     Args:
         lasted: Seconds for which there has been no such server.
         draw: Random number from 0 to 1.
     """
-    return _add_jitter(min(MAX_DELAY, max(FOR_ROOM, lasted)), draw)
+    return _add_jitter(min(MAX_DELAY, max(CAPACITY_DELAY, lasted)), draw)
 
 
 def _add_jitter(wait: float, draw: float) -> float:
--- a/src/hoistmoor/core/relay/placement/router.py
+++ b/src/hoistmoor/core/relay/placement/router.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from hoistmoor.core.relay.answers import pace as pace_lib
+from hoistmoor.core.relay.answers import response_times as pace_lib
 from hoistmoor.core.relay.course import budget
 from hoistmoor.core.relay.course import retry_after
 from hoistmoor.core.relay.placement import bounds as bounds_lib
@@ -65,8 +65,8 @@
         """
         serials = serials_lib.Serials()
         self.fleet = fleet_lib.Fleet(host_name, serials)
-        self.rollouts = rollouts.RolloutBook(bounds.session_life)
-        self.response_times = pace_lib.Paces()
+        self.rollouts = rollouts.RolloutRegistry(bounds.session_life)
+        self.response_times = pace_lib.ResponseTimes()
         self.suspects = suspects_lib.SuspectTable(serials)
         self.serials = serials
         self.zone = zone
@@ -101,7 +101,7 @@
     ) -> None:
         """Counts a caller's request, which adds to the repeat budget."""
         service = self._service(request.service)
-        service.budget.note_request(now)
+        service.budget.record_request(now)
         if request.prompt is not None:
             service.partition.record_prompt(request.prompt.tokens)
 
@@ -109,14 +109,14 @@
         """Returns whether the budget permits another attempt at a request."""
         service = self._service(request.service)
         service.budget.spare = self._spare_repeats()
-        return service.budget.allows(now)
+        return service.budget.allows_retry(now)
 
     def _spare_repeats(self) -> float:
         """Returns the repeats permitted regardless of the request count."""
         bounds = self._bounds
         if bounds.repeat_slack is None:
             return bounds.repeat_spare
-        shared = budget.SPARE_SHARE * bounds.repeat_slack
+        shared = budget.SPARE_FRACTION * bounds.repeat_slack
         return min(bounds.repeat_spare, self.fleet.shares.equal_share(shared))
 
     def pick(
@@ -147,7 +147,7 @@
             versions = self.fleet.versions(
                 service, now, eligibility.TRANSIENT_REASONS
             )
-        allowed = self.rollouts.choose(
+        allowed = self.rollouts.allowed_versions(
             service,
             versions,
             request.session,
@@ -191,12 +191,14 @@
             now: Monotonic time.
         """
         if outlook.reason is eligibility.IneligibilityReason.RESTING:
-            return retry_after.for_rest(outlook.wait, self._draws.unit())
+            return retry_after.delay_during_rest(
+                outlook.wait, self._draws.unit()
+            )
         if outlook.wait < eligibility.INDEFINITE:
-            return max(outlook.wait, retry_after.FOR_ROOM)
+            return max(outlook.wait, retry_after.CAPACITY_DELAY)
         since = self._service(request.service).unavailable_since
         outage = 0.0 if since is None else now - since
-        return retry_after.for_lack(outage, self._draws.unit())
+        return retry_after.delay_without_servers(outage, self._draws.unit())
 
     def class_of(
         self, request: requests.RelayRequest, model: str
@@ -248,11 +250,11 @@
             server.work += work
             server.record_work(work)
             self._service(request.service).record_work(work)
-        self.rollouts.note_sent(
+        self.rollouts.record_sent(
             request.service, server.entry.version, request.session, now
         )
-        if send.is_repeat:
-            self._service(request.service).budget.note_repeat(now)
+        if send.is_retry:
+            self._service(request.service).budget.record_retry(now)
 
     def record_outcome(
         self,
@@ -271,7 +273,7 @@
         """
         server = send.server
         if request.session:
-            self.rollouts.sessions.note(
+            self.rollouts.sessions.record(
                 request.session, server.entry.version, now
             )
         server.in_flight -= 1
@@ -319,8 +321,8 @@
     def _note_unreachable(
         self, request: requests.RelayRequest, send: messages.Send, now: float
     ) -> None:
-        if send.is_repeat:
-            self._service(request.service).budget.take_back(now)
+        if send.is_retry:
+            self._service(request.service).budget.cancel_retry(now)
         self.fleet.record_unreachable(send.server, now, self._draws.unit())
         send.server.health.rest_unreachable(
             now,
@@ -369,11 +371,13 @@
         self,
         request: requests.RelayRequest,
         server: server_lib.ServerState,
-        measured: pace_lib.Measured,
+        measured: pace_lib.ResponseTiming,
     ) -> None:
         """Evaluates the response to an attempt for rollouts."""
         key = (request.route.name, measured.model)
-        is_slow = self.response_times.is_slow(key, measured, rollouts.SLOW_PACE)
+        is_slow = self.response_times.is_slow(
+            key, measured, rollouts.SLOW_FACTOR
+        )
         progress = self.rollouts.progress.get(request.service)
         is_target = (
             progress is not None
@@ -381,9 +385,9 @@
         )
         is_usual = not measured.failed and not measured.is_silent
         if is_usual and not is_target:
-            self.response_times.note(key, measured)
+            self.response_times.record(key, measured)
         if progress is not None:
-            progress.note_answer(
+            progress.record_response(
                 request.route.name,
                 server.entry.version,
                 measured.failed,
@@ -395,7 +399,7 @@
         if known is None:
             bounds = self._bounds
             known = service_state.ServiceState(
-                budget.RepeatBudget(
+                budget.RetryBudget(
                     bounds.repeat_ratio,
                     bounds.repeat_window,
                     self._spare_repeats(),
--- a/src/hoistmoor/core/relay/placement/service_state.py
+++ b/src/hoistmoor/core/relay/placement/service_state.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from hoistmoor.core.relay.answers import delays as delays_lib
+from hoistmoor.core.relay.answers import first_byte_delays as delays_lib
 from hoistmoor.core.relay.course import budget
 from hoistmoor.core.relay.placement import partition as partition_lib
 
@@ -26,11 +26,13 @@
             any request; None if one was ready for the latest request.
     """
 
-    budget: budget.RepeatBudget
+    budget: budget.RetryBudget
     partition: partition_lib.Partition = attrs.field(
         factory=partition_lib.Partition
     )
-    delays: delays_lib.FirstDelays = attrs.field(factory=delays_lib.FirstDelays)
+    delays: delays_lib.FirstByteDelays = attrs.field(
+        factory=delays_lib.FirstByteDelays
+    )
     mean_work: float = 0.0
     unavailable_since: float | None = None
 
--- a/src/hoistmoor/core/relay/versions/evidence.py
+++ b/src/hoistmoor/core/relay/versions/evidence.py
@@ -12,7 +12,7 @@
 
 # Responses of the target version required for the test: fewer may all come from
 # a single failing server.
-MIN_ANSWERS = 8
+MIN_RESPONSES = 8
 # Log-likelihood ratio from which a version counts as bad. A good version
 # reaches it in about 1 of 400 evaluations, and four failures in eight responses
 # do if one in thirty responses of the other versions fails.
@@ -27,7 +27,7 @@
 # Baseline rate that is assumed before other versions were seen, and its weight
 # as a number of responses.
 PRIOR_RATE = 0.05
-PRIOR_ANSWERS = 6
+PRIOR_RESPONSES = 6
 # Limits of the estimated baseline rate.
 MIN_BASELINE_RATE = 0.03
 MAX_BASELINE_RATE = 0.99
@@ -81,12 +81,12 @@
     routes: dict[str, RouteEvidence] = attrs.field(factory=dict)
 
     @property
-    def target_answers(self) -> int:
+    def target_responses(self) -> int:
         """Number of responses of the target version."""
         return sum(route.target.answers for route in self.routes.values())
 
 
-class EvidenceBook:
+class EvidenceRegistry:
     """Newest counts of each process of each host.
 
     Counts only increase, so of two copies the one with more responses is newer,
@@ -96,14 +96,14 @@
     def __init__(self) -> None:
         self._newest: dict[tuple[str, str], Evidence] = {}
 
-    def take(self, evidence: Evidence) -> None:
+    def merge(self, evidence: Evidence) -> None:
         """Stores counts unless newer ones are known."""
         key = (evidence.service, evidence.host)
         known = self._newest.get(key)
         if known is None or _recency(known) <= _recency(evidence):
             self._newest[key] = evidence
 
-    def of(self, service: str, number: int) -> list[Evidence]:
+    def for_order(self, service: str, number: int) -> list[Evidence]:
         """Returns the counts of all hosts for one rollout.
 
         Args:
@@ -125,7 +125,7 @@
     return evidence.number, answers
 
 
-def pool(all_evidence: list[Evidence]) -> dict[str, RouteEvidence]:
+def pool_evidence(all_evidence: list[Evidence]) -> dict[str, RouteEvidence]:
     """Returns the sums of the counts of several hosts, by route."""
     pooled: dict[str, RouteEvidence] = {}
     for evidence in all_evidence:
@@ -136,7 +136,7 @@
     return pooled
 
 
-def by_order(
+def group_by_order(
     all_evidence: tuple[Evidence, ...],
 ) -> dict[int, list[Evidence]]:
     """Groups the counts of several hosts by order number."""
@@ -146,7 +146,7 @@
     return grouped
 
 
-def text_of(pooled: Mapping[str, RouteEvidence]) -> str:
+def format_counts(pooled: Mapping[str, RouteEvidence]) -> str:
     """Formats counts for a log line: answers/failures/slow, target first."""
     texts = []
     for name, route in sorted(pooled.items()):
@@ -214,11 +214,11 @@
     The rate must be well above the baseline, and the log-likelihood ratio of
     the two rates must reach ``threshold``.
     """
-    baseline = (baseline_bad + PRIOR_RATE * PRIOR_ANSWERS) / (
-        baseline_answers + PRIOR_ANSWERS
+    baseline = (baseline_bad + PRIOR_RATE * PRIOR_RESPONSES) / (
+        baseline_answers + PRIOR_RESPONSES
     )
     baseline = min(max(baseline, MIN_BASELINE_RATE), MAX_BASELINE_RATE)
-    if answers < MIN_ANSWERS:
+    if answers < MIN_RESPONSES:
         return False
     rate = bad / answers
     if rate <= RATE_FACTOR * baseline + RATE_SLACK:
--- a/src/hoistmoor/core/relay/versions/phases.py
+++ b/src/hoistmoor/core/relay/versions/phases.py
@@ -18,10 +18,12 @@
 
 SPREAD_AT = 0.6  # Fraction of the duration after which all requests move.
 COMPLETE_AT = 0.85  # Fraction after which the old version is retired.
-MIN_PROOF = 12  # Target responses, over all hosts, before all requests move.
+MIN_TARGET_RESPONSES = (
+    12  # Target responses, over all hosts, before all requests move.
+)
 # Seconds after its last counts record for which a host takes part in the turns.
-ACTOR_LIFE = 8.0
-TURN = 0.6  # Seconds that a host waits for each host ahead of it.
+ACTIVE_SECONDS = 8.0
+TURN_SECONDS = 0.6  # Seconds that a host waits for each host ahead of it.
 
 
 class Phase(enum.StrEnum):
@@ -63,9 +65,9 @@
     @property
     def place(self) -> topics.Place:
         """Position of the order record."""
-        return topics.place_of(self.number)
+        return topics.place_from_serial(self.number)
 
-    def says_as(self, other: Order) -> bool:
+    def has_same_content(self, other: Order) -> bool:
         """Returns whether both orders differ at most in their number."""
         return self == attrs.evolve(other, number=self.number)
 
@@ -86,7 +88,7 @@
     number: int
     phase: Phase
 
-    def is_of(self, order: Order) -> bool:
+    def belongs_to(self, order: Order) -> bool:
         """Returns whether the record belongs to the rollout of an order.
 
         Eras are ignored: after the store was restored from a copy, orders keep
@@ -105,7 +107,10 @@
 
 
 def _is_same_order(number: int, other: int) -> bool:
-    return topics.place_of(number).offset == topics.place_of(other).offset
+    return (
+        topics.place_from_serial(number).offset
+        == topics.place_from_serial(other).offset
+    )
 
 
 def next_phase(
@@ -131,19 +136,23 @@
     if evidence_lib.is_doubtful(pooled):
         return None
     answers = sum(route.target.answers for route in pooled.values())
-    if phase is Phase.TRIAL and elapsed >= SPREAD_AT and answers >= MIN_PROOF:
+    if (
+        phase is Phase.TRIAL
+        and elapsed >= SPREAD_AT
+        and answers >= MIN_TARGET_RESPONSES
+    ):
         return Phase.SPREAD
     if phase is Phase.SPREAD and elapsed >= COMPLETE_AT:
         return Phase.COMPLETE
     return None
 
 
-def turn_of(host: str, hosts: list[str], number: int) -> float:
+def turn_delay(host: str, hosts: list[str], number: int) -> float:
     """Returns the delay in seconds before ``host`` writes a phase."""
-    return rank_of(host, hosts, number) * TURN
+    return turn_rank(host, hosts, number) * TURN_SECONDS
 
 
-def rank_of(host: str, hosts: list[str], number: int) -> int:
+def turn_rank(host: str, hosts: list[str], number: int) -> int:
     """Returns the rank of ``host`` in the order of turns, from 0."""
 
     def digest(name: str) -> int:
--- a/src/hoistmoor/core/relay/versions/progress.py
+++ b/src/hoistmoor/core/relay/versions/progress.py
@@ -32,7 +32,7 @@
     sent_target: int = 0
     is_doubted: bool = False
 
-    def take_age(self, age: float, now: float) -> None:
+    def merge_age(self, age: float, now: float) -> None:
         """Adopts the age of the order reported by another host if it is higher.
 
         Otherwise a host that starts during a rollout would measure the elapsed
@@ -44,7 +44,7 @@
         """Returns the fraction of the duration that has passed."""
         return (now - self.seen_at) / max(self.order.duration, 1e-3)
 
-    def note_answer(
+    def record_response(
         self, route: str, version: str, failed: bool, slow: bool
     ) -> None:
         """Counts the result of an attempt."""
--- a/src/hoistmoor/core/relay/versions/rollouts.py
+++ b/src/hoistmoor/core/relay/versions/rollouts.py
@@ -4,14 +4,16 @@
 
 import attrs
 
-from hoistmoor.core.relay.beliefs import history
+from hoistmoor.core.relay.beliefs import store_era
 from hoistmoor.core.relay.versions import evidence as evidence_lib
 from hoistmoor.core.relay.versions import phases
 from hoistmoor.core.relay.versions import progress as progress_lib
 from hoistmoor.core.relay.versions import sessions as sessions_lib
 
-TRIAL_SHARE = 0.1  # Maximum fraction of the requests of a service in a trial.
-SLOW_PACE = 3.5  # Multiple of the average duration that counts as slow.
+TRIAL_FRACTION = (
+    0.1  # Maximum fraction of the requests of a service in a trial.
+)
+SLOW_FACTOR = 3.5  # Multiple of the average duration that counts as slow.
 
 _OrderKey = tuple[str, float, int]
 
@@ -21,7 +23,7 @@
     return order.target, order.duration, order.place.offset
 
 
-class RolloutBook:
+class RolloutRegistry:
     """All rollouts known to this host.
 
     Attributes:
@@ -47,7 +49,7 @@
         self._applied: dict[str, set[_OrderKey]] = {}
         self._restored_at = float("-inf")
 
-    def note_return(self, now: float) -> None:
+    def record_restore(self, now: float) -> None:
         """Records that the store was restored from an older copy.
 
         Operators write their orders again after a restore, even those that the
@@ -55,7 +57,7 @@
         """
         self._restored_at = now
 
-    def take_order(self, order: phases.Order, now: float) -> bool:
+    def apply_order(self, order: phases.Order, now: float) -> bool:
         """Applies an order; returns whether it starts a new rollout.
 
         If the current or an earlier order reappears in a newer era of the
@@ -65,8 +67,10 @@
         if known is not None:
             if known.order.number >= order.number:
                 return False
-            is_in_grace_period = now - self._restored_at < history.HELD_FOR
-            if is_in_grace_period and order.says_as(known.order):
+            is_in_grace_period = (
+                now - self._restored_at < store_era.RESTORE_GRACE_PERIOD
+            )
+            if is_in_grace_period and order.has_same_content(known.order):
                 self._renumber(known, order)
                 return False
             if self._was_applied(known, order):
@@ -76,7 +80,7 @@
         self.progress[order.service] = progress_lib.Progress(order, now)
         record = self._phases.get((order.service, order.target))
         if record is not None:
-            self.take_phase(record)
+            self.apply_phase(record)
         return True
 
     def _renumber(
@@ -85,7 +89,7 @@
         """Continues a rollout under the new number of its order."""
         key = (order.service, order.target)
         record = self._phases.get(key)
-        if record is not None and record.is_of(known.order):
+        if record is not None and record.belongs_to(known.order):
             self._phases[key] = attrs.evolve(record, number=order.number)
         known.order = order
 
@@ -97,7 +101,7 @@
         applied = self._applied.get(order.service, set())
         return is_from_newer_era and _key_of(order) in applied
 
-    def take_phase(self, record: phases.PhaseRecord) -> bool:
+    def apply_phase(self, record: phases.PhaseRecord) -> bool:
         """Applies a phase record; returns whether it changed anything."""
         key = (record.service, record.target)
         known = self._phases.get(key)
@@ -107,7 +111,7 @@
         self._update_withdrawn(record)
         self._update_complete(record)
         progress = self.progress.get(record.service)
-        if progress is not None and record.is_of(progress.order):
+        if progress is not None and record.belongs_to(progress.order):
             progress.phase = record.phase
         return known != record
 
@@ -132,11 +136,11 @@
             for each in self.progress.values()
         }
 
-    def take_ages(self, ages: dict[int, float], now: float) -> None:
+    def merge_ages(self, ages: dict[int, float], now: float) -> None:
         """Adopts the order ages reported by another host."""
         for each in self.progress.values():
             if each.order.number in ages:
-                each.take_age(ages[each.order.number], now)
+                each.merge_age(ages[each.order.number], now)
 
     def doubts(self) -> tuple[int, ...]:
         """Returns the numbers of the orders whose targets were found bad."""
@@ -146,7 +150,7 @@
             if each.is_doubted
         )
 
-    def doubt(self, number: int) -> progress_lib.Progress | None:
+    def mark_doubted(self, number: int) -> progress_lib.Progress | None:
         """Marks the target of an order as bad; returns the rollout if new."""
         for each in self.progress.values():
             if each.order.number == number and not each.is_doubted:
@@ -178,7 +182,7 @@
             return versions
         return versions & {complete.target} or versions
 
-    def choose(
+    def allowed_versions(
         self,
         service: str,
         versions: set[str],
@@ -233,17 +237,17 @@
             # request of the session may arrive at another host.
             return progress.elapsed(
                 now
-            ) >= sessions_lib.SESSIONS_AT and sessions_lib.is_drawn(
+            ) >= sessions_lib.SESSIONS_JOIN_AT and sessions_lib.is_selected(
                 session, progress.order.service, target
             )
-        return progress.sent_target < TRIAL_SHARE * progress.sent
+        return progress.sent_target < TRIAL_FRACTION * progress.sent
 
-    def note_sent(
+    def record_sent(
         self, service: str, version: str, session: str, now: float
     ) -> None:
         """Counts a request sent to a server with ``version``."""
         if session:
-            self.sessions.note(session, version, now)
+            self.sessions.record(session, version, now)
         progress = self.progress.get(service)
         if progress is None:
             return
--- a/src/hoistmoor/core/relay/versions/sessions.py
+++ b/src/hoistmoor/core/relay/versions/sessions.py
@@ -8,23 +8,23 @@
 # first half, no session may leave the old version, and this host does not know
 # the previous version of a session: with 195 hosts, consecutive requests of a
 # session rarely arrive at the same one.
-SESSIONS_AT = 0.52
+SESSIONS_JOIN_AT = 0.52
 # Fraction of the sessions that may join, selected by a hash that all hosts
 # share. If most requests belong to sessions, the remaining ones yield few
 # responses: a deployment with 15 model requests per second reached 20 target
 # responses at 0.96 of the duration with a fifth of the sessions, and reaches 12
 # at 0.65 with this value.
-SESSION_SHARE = 0.35
+SESSION_FRACTION = 0.35
 
 
-def is_drawn(session: str, service: str, target: str) -> bool:
+def is_selected(session: str, service: str, target: str) -> bool:
     """Returns whether a session may join the trial of a version.
 
     The hash does not include the order number, which changes if the order is
     written again.
     """
     digest = xxhash.xxh64_intdigest(f"{service} {target} {session}".encode())
-    return digest < SESSION_SHARE * (1 << 64)
+    return digest < SESSION_FRACTION * (1 << 64)
 
 
 class SessionVersions:
@@ -38,7 +38,7 @@
         self.life = life
         self._known: dict[str, tuple[str, float]] = {}
 
-    def note(self, session: str, version: str, now: float) -> None:
+    def record(self, session: str, version: str, now: float) -> None:
         """Records the version used by a session, and renews its lifetime."""
         self._known.pop(session, None)
         self._known[session] = (version, now)
--- a/src/hoistmoor/entry/claim_reader.py
+++ b/src/hoistmoor/entry/claim_reader.py
@@ -11,7 +11,7 @@
 from hoistmoor.clients import stream_reader
 from hoistmoor.core import codec
 from hoistmoor.core import errors
-from hoistmoor.core import pacing
+from hoistmoor.core import polling
 from hoistmoor.core.once import records
 from hoistmoor.core.once import replies
 from hoistmoor.utils import logs
@@ -59,7 +59,7 @@
         self._heard_at = clock()
         self._looks_back = False
         self._reader = stream_reader.StreamReader(
-            log, stream, self, attrs.evolve(pacing.CLAIMS, page=_PAGE)
+            log, stream, self, attrs.evolve(polling.CLAIMS, page=_PAGE)
         )
         # Hosts differ, so that one appends and the others hear it.
         name = str(claimant.incarnation).encode()
--- a/src/hoistmoor/entry/evidence_task.py
+++ b/src/hoistmoor/entry/evidence_task.py
@@ -8,7 +8,7 @@
 from hoistmoor.clients import stream_reader
 from hoistmoor.core import codec
 from hoistmoor.core import errors
-from hoistmoor.core import pacing
+from hoistmoor.core import polling
 from hoistmoor.core import streams
 from hoistmoor.utils import logs
 
@@ -43,7 +43,7 @@
         self._next = 0
         self._unsent: list[object] = []
         self._reader = stream_reader.StreamReader(
-            log, streams.EVIDENCE, self, pacing.EVIDENCE
+            log, streams.EVIDENCE, self, polling.EVIDENCE
         )
 
     @property
--- a/src/hoistmoor/entry/table_follower.py
+++ b/src/hoistmoor/entry/table_follower.py
@@ -16,7 +16,7 @@
 from hoistmoor.clients import stream_reader
 from hoistmoor.core import codec
 from hoistmoor.core import errors
-from hoistmoor.core import pacing
+from hoistmoor.core import polling
 from hoistmoor.core import streams
 from hoistmoor.core.table import edits
 from hoistmoor.core.table import fold
@@ -50,7 +50,7 @@
         on_table: OnTable | None = None,
         on_verdict: OnVerdict | None = None,
         clock: Callable[[], float] = time.time,
-        poll_seconds: float = pacing.TABLE.hold,
+        poll_seconds: float = polling.TABLE.long_poll_timeout,
     ) -> None:
         """Makes a follower; ``run`` starts it.
 
@@ -68,7 +68,7 @@
         self._on_table = on_table
         self._on_verdict = on_verdict
         self._clock = clock
-        self._pace = attrs.evolve(pacing.TABLE, hold=poll_seconds)
+        self._pace = attrs.evolve(polling.TABLE, hold=poll_seconds)
         self._reader = stream_reader.StreamReader(
             client, streams.TABLE, self, self._pace, decode=bytes
         )
@@ -101,7 +101,7 @@
             PlatformError: The log could not be read.
             TableGapError: The log left a record out.
         """
-        await self._reader.step(self._pace.hold)
+        await self._reader.step(self._pace.long_poll_timeout)
 
     async def wait_for(self, revision: int) -> model.TableInForce:
         """Returns the table in force once it is ``revision`` or newer."""
--- a/src/hoistmoor/platform/store.py
+++ b/src/hoistmoor/platform/store.py
@@ -12,7 +12,7 @@
 
 from hoistmoor.clients import replies
 from hoistmoor.core import errors
-from hoistmoor.core.relay.beliefs import history as history_lib
+from hoistmoor.core.relay.beliefs import store_era as history_lib
 from hoistmoor.core.relay.beliefs import topics
 from hoistmoor.relay.store import ports
 
@@ -47,7 +47,7 @@
         session: aiohttp.ClientSession,
         address: str,
         topic: str,
-        history: history_lib.StoreHistory,
+        history: history_lib.StoreEra,
     ) -> None:
         """Initializes the client without connecting.
 
@@ -67,7 +67,7 @@
         for _ in range(SNAPSHOT_ATTEMPTS):
             try:
                 return await self._read_pages()
-            except errors.LogHistoryChangedError:
+            except errors.LogEraChangedError:
                 continue
         raise errors.LogUnavailableError(
             f"the store's era changed while reading {self.topic}",
@@ -150,7 +150,7 @@
 
     def _check_era(self, expected: int, era: int) -> None:
         if era != expected:
-            raise errors.LogHistoryChangedError(self.topic, expected, era)
+            raise errors.LogEraChangedError(self.topic, expected, era)
 
     async def _call(
         self,
@@ -170,7 +170,9 @@
                 data=body or None,
                 timeout=replies.timeout_of(CALL_TIMEOUT + wait),
             ) as reply:
-                era = self.history.take_answer(_parse_era(reply.headers), known)
+                era = self.history.record_response(
+                    _parse_era(reply.headers), known
+                )
                 return reply.status, await reply.read(), era
         except replies.TRANSPORT_ERRORS as error:
             raise errors.LogOutcomeUnknownError(
@@ -194,15 +196,15 @@
     return _LENGTH.pack(len(content)) + content
 
 
-def _parse_era(headers: Mapping[str, str]) -> history_lib.EraWord:
+def _parse_era(headers: Mapping[str, str]) -> history_lib.EraHeader:
     text = headers.get(_ERA_HEADER)
     if text is None:
-        return history_lib.EraWord()
+        return history_lib.EraHeader()
     is_number = text.isascii() and text.isdigit() and len(text) < 10
     era = int(text) if is_number else None
-    if era is not None and era >= history_lib.MOST_ERAS:
+    if era is not None and era >= history_lib.MAX_ERAS:
         era = None
-    return history_lib.EraWord(text, era)
+    return history_lib.EraHeader(text, era)
 
 
 def _parse_entry(fields: dict[str, Any], era: int) -> topics.Record:
@@ -240,7 +242,7 @@
 def open_topics(
     session: aiohttp.ClientSession,
     address: str,
-    history: history_lib.StoreHistory,
+    history: history_lib.StoreEra,
 ) -> ports.Topics:
     """Returns clients for the relay's topics in the store at ``address``."""
     topic = functools.partial(StoreTopic, session, address, history=history)
--- a/src/hoistmoor/relay/application.py
+++ b/src/hoistmoor/relay/application.py
@@ -9,8 +9,8 @@
 
 from hoistmoor.clients import dialect as dialect_lib
 from hoistmoor.clients import sessions
-from hoistmoor.core.relay.beliefs import freshness
-from hoistmoor.core.relay.beliefs import mirror
+from hoistmoor.core.relay.beliefs import configuration_lease
+from hoistmoor.core.relay.beliefs import replication
 from hoistmoor.core.relay.placement import bounds as bounds_lib
 from hoistmoor.core.relay.placement import router as router_lib
 from hoistmoor.core.relay.servers import outstanding
@@ -97,7 +97,7 @@
             router=router_lib.Router(
                 settings.zone, _bounds(settings), draws, settings.host
             ),
-            lease=freshness.ConfigurationLease(
+            lease=configuration_lease.ConfigurationLease(
                 settings.revocation, settings.is_revocation_strict
             ),
             outstanding=outstanding.OutstandingWork(),
@@ -127,7 +127,7 @@
         self.settings_task = settings_task.SettingsTask(
             self.state, settings, read_settings, self.apply
         )
-        self._sources = mirror.Sources(settings.host, settings.zone)
+        self._sources = replication.SourceSelector(settings.host, settings.zone)
         self._gate = store_gate.StoreGate()
         self._heard = followers_lib.OwnListeners(
             rollout_listeners.PhaseListener(self.state),
@@ -194,7 +194,7 @@
         if not settings.peer_listen:
             self.state.router.fleet.shares.set_hosts([settings.host])
             return
-        own_host = mirror.Host(
+        own_host = replication.Host(
             settings.host, settings.zone, settings.peer_listen, settings.link
         )
         listing = listing_lib.SelfListing(
--- a/src/hoistmoor/relay/front/admission.py
+++ b/src/hoistmoor/relay/front/admission.py
@@ -92,7 +92,7 @@
             )
         account = None
         if config.accounts and not route.anonymous:
-            if not lease.holds(now):
+            if not lease.is_valid(now):
                 return self._refuse_as_stale()
             account = config.find_account(self._key_of(head))
             if account is None:
--- a/src/hoistmoor/relay/front/attempt.py
+++ b/src/hoistmoor/relay/front/attempt.py
@@ -8,7 +8,7 @@
 
 from hoistmoor.clients import exchange as exchange_lib
 from hoistmoor.core import outcomes
-from hoistmoor.core.relay.answers import pace
+from hoistmoor.core.relay.answers import response_times
 from hoistmoor.core.relay.course import messages
 
 if TYPE_CHECKING:
@@ -19,8 +19,8 @@
 _State = outcomes.ExchangeState
 
 _OUTCOMES = {
-    _State.DECLINED: pace.AttemptOutcome.FULL,
-    _State.UNSENT: pace.AttemptOutcome.UNREACHABLE,
+    _State.DECLINED: response_times.AttemptOutcome.FULL,
+    _State.UNSENT: response_times.AttemptOutcome.UNREACHABLE,
 }
 _MIN_FAILURE_STATUS = 500  # Lowest status code that counts as server failure.
 
@@ -98,7 +98,7 @@
 
     def outcome(
         self, state: outcomes.ExchangeState, replaced: Container[int]
-    ) -> pace.AttemptOutcome:
+    ) -> response_times.AttemptOutcome:
         """Returns the outcome as it affects the health of the server.
 
         Args:
@@ -107,15 +107,15 @@
                 address.
         """
         if self.is_dropped:
-            return pace.AttemptOutcome.WELL
+            return response_times.AttemptOutcome.WELL
         if state is _State.DECLINED and self.status in replaced:
-            return pace.AttemptOutcome.REPLACED
+            return response_times.AttemptOutcome.REPLACED
         if self.asks_rest:
-            return pace.AttemptOutcome.FULL
+            return response_times.AttemptOutcome.FULL
         is_complete = state is _State.ANSWERED
         if is_complete and self.status < _MIN_FAILURE_STATUS:
-            return pace.AttemptOutcome.WELL
-        return _OUTCOMES.get(state, pace.AttemptOutcome.FAILED)
+            return response_times.AttemptOutcome.WELL
+        return _OUTCOMES.get(state, response_times.AttemptOutcome.FAILED)
 
     def measured(
         self,
@@ -123,7 +123,7 @@
         now: float,
         target: float,
         events: int,
-    ) -> pace.Measured | None:
+    ) -> response_times.ResponseTiming | None:
         """Returns a measurement of the server's version, or None.
 
         A response that was cut off is not counted, since the server may have
@@ -142,7 +142,7 @@
         if not (is_complete or is_silent or self.is_dropped) or self.asks_rest:
             return None
         first = self.first or now
-        return pace.Measured(
+        return response_times.ResponseTiming(
             self.send.model,
             first - self.started,
             duration,
--- a/src/hoistmoor/relay/front/front.py
+++ b/src/hoistmoor/relay/front/front.py
@@ -113,7 +113,7 @@
         return b"".join(parts)
 
     def _wait_for(self, reason: refusals.Reason) -> float:
-        return retry_after.wait_for(
+        return retry_after.delay_for_reason(
             reason, self._state.unable_for(), self._draws.unit()
         )
 
--- a/src/hoistmoor/relay/front/links.py
+++ b/src/hoistmoor/relay/front/links.py
@@ -96,7 +96,7 @@
             exchange_lib.Timeouts(
                 total=max(0.0, send.deadline - now),
                 connect=CONNECT_TIMEOUT,
-                silence=send.patience,
+                silence=send.read_timeout,
             ),
             self.dialect,
         )
--- a/src/hoistmoor/relay/front/relay_task.py
+++ b/src/hoistmoor/relay/front/relay_task.py
@@ -8,7 +8,7 @@
 from hoistmoor.clients import exchange as exchange_lib
 from hoistmoor.clients import exchange_errors
 from hoistmoor.core import outcomes
-from hoistmoor.core.relay.answers import pace
+from hoistmoor.core.relay.answers import response_times
 from hoistmoor.core.relay.answers import streams
 from hoistmoor.core.relay.beliefs import configuration
 from hoistmoor.core.relay.course import machine as machine_lib
@@ -93,7 +93,7 @@
     async def _attempt(self, send: messages.Send) -> messages.Effect:
         """Makes one attempt and returns the next effect."""
         attempt = self._open_attempt(send)
-        outcome = pace.AttemptOutcome.LEFT
+        outcome = response_times.AttemptOutcome.LEFT
         try:
             state = await self._exchange_until_deadline(attempt)
             outcome = attempt.outcome(
@@ -140,7 +140,7 @@
             self._sequence.last_id if self._is_stream else None,
             now,
         )
-        self._sequence.begin_run()
+        self._sequence.reset_buffer()
         self._state.server_beliefs.note_send(send.server)
         notices = attempt_lib.words_against(send.server, now)
         for kind in notices:
@@ -227,7 +227,7 @@
         effect = self._machine.handle(
             messages.HeadArrived(head.status, confidence), self._now()
         )
-        if isinstance(effect, messages.Drop):
+        if isinstance(effect, messages.Discard):
             attempt.is_dropped = True
             attempt.detail = f"confidence {confidence}"
 
@@ -286,7 +286,7 @@
         if self._answer.response is None:
             assert attempt.head is not None
             await self._answer.begin(attempt.head)
-            self._machine.note_begun()
+            self._machine.record_response_started()
         await self._answer.write(events)
 
     def _record_attempt(
--- a/src/hoistmoor/relay/front/request_line.py
+++ b/src/hoistmoor/relay/front/request_line.py
@@ -93,6 +93,6 @@
     """Returns the reason and outcome for logs and metrics."""
     if isinstance(effect, messages.Refuse):
         return effect.refusal.reason.value, effect.refusal.outcome.value
-    if isinstance(effect, messages.Break):
+    if isinstance(effect, messages.Abort):
         return "broken_off", outcomes.Outcome.UNKNOWN.value
     return "delivered", outcomes.Outcome.DONE.value
--- a/src/hoistmoor/relay/peers/answers.py
+++ b/src/hoistmoor/relay/peers/answers.py
@@ -39,22 +39,22 @@
 
     def answer(self, request: peer_codec.CopyRequest) -> peer_codec.CopyAnswer:
         """Applies the state in a request; returns what the sender lacks."""
-        self._state.history.learn(request.era, request.host)
+        self._state.history.record_era(request.era, request.host)
         if request.configuration is not None:
             self._followers["operator"].hold(request.configuration)
         copies = {}
         for name, place in request.places.items():
             follower = self._followers.get(name)
-            batch = follower.mirror.copy_from(place) if follower else None
+            batch = follower.mirror.changes_since(place) if follower else None
             if follower is not None and batch is not None:
                 after_outage = min(follower.after_outage, _FOREVER)
                 age = min(follower.age(), _FOREVER)
                 copies[name] = peer_codec.TopicCopy(batch, after_outage, age)
         for evidence in request.evidence:
-            self._state.evidence.take(evidence)
+            self._state.evidence.merge(evidence)
         now = self._state.clock()
         rollouts = self._state.router.rollouts
-        rollouts.take_ages(request.order_ages, now)
+        rollouts.merge_ages(request.order_ages, now)
         outstanding = self._state.outstanding
         outstanding.set_subtree_work(request.host, request.work, now)
         fleet = self._state.router.fleet
--- a/src/hoistmoor/relay/peers/listing.py
+++ b/src/hoistmoor/relay/peers/listing.py
@@ -12,7 +12,7 @@
 from hoistmoor.relay.peers import peer_codec
 
 if TYPE_CHECKING:
-    from hoistmoor.core.relay.beliefs import mirror
+    from hoistmoor.core.relay.beliefs import replication
     from hoistmoor.core.relay.beliefs import topics
     from hoistmoor.relay import state as state_lib
     from hoistmoor.relay.store import follower as follower_lib
@@ -34,9 +34,9 @@
     """
 
     def __init__(
-        self, state: state_lib.RelayState, sources: mirror.Sources
+        self, state: state_lib.RelayState, sources: replication.SourceSelector
     ) -> None:
-        self.listed: dict[str, mirror.Host] = {}
+        self.listed: dict[str, replication.Host] = {}
         self.missing = asyncio.Event()
         self._state = state
         self._sources = sources
@@ -63,7 +63,7 @@
             self._state.router.fleet.shares.set_hosts(self._sources.hosts)
         return update.batch.records
 
-    def lost(self) -> dict[str, mirror.Host]:
+    def lost(self) -> dict[str, replication.Host]:
         """Returns the known hosts that the store's newest era lacks."""
         known = self._sources.hosts
         return {name: known[name] for name in known.keys() - self.listed.keys()}
@@ -85,8 +85,8 @@
         self,
         state: state_lib.RelayState,
         topic: ports.KeyedTopic,
-        host: mirror.Host,
-        sources: mirror.Sources,
+        host: replication.Host,
+        sources: replication.SourceSelector,
         listener: HostListener,
         *,
         is_first_start: bool,
@@ -143,7 +143,7 @@
             await self._write_with_retries(list(lost.values()))
             self._state.believe("hosts_listed_again", hosts=len(lost))
 
-    async def _write_with_retries(self, hosts: list[mirror.Host]) -> None:
+    async def _write_with_retries(self, hosts: list[replication.Host]) -> None:
         entries = {host.name: peer_codec.encode(host) for host in hosts}
         while True:
             try:
--- a/src/hoistmoor/relay/peers/peer_client.py
+++ b/src/hoistmoor/relay/peers/peer_client.py
@@ -10,7 +10,7 @@
 from hoistmoor.relay.peers import peer_codec
 
 if TYPE_CHECKING:
-    from hoistmoor.core.relay.beliefs import mirror
+    from hoistmoor.core.relay.beliefs import replication
     from hoistmoor.relay import state as state_lib
 
 # Seconds to connect, and to receive each part of a response. Hosts of the same
@@ -31,7 +31,7 @@
         self._session = session
 
     async def ask(
-        self, host: mirror.Host, question: peer_codec.CopyRequest
+        self, host: replication.Host, question: peer_codec.CopyRequest
     ) -> peer_codec.CopyAnswer | None:
         """Returns a host's response, or None if the request failed."""
         try:
@@ -43,7 +43,7 @@
             return None
 
     async def _exchange(
-        self, host: mirror.Host, body: bytes
+        self, host: replication.Host, body: bytes
     ) -> peer_codec.CopyAnswer:
         async with self._session.post(
             f"http://{host.address}/topics",
--- a/src/hoistmoor/relay/peers/peer_codec.py
+++ b/src/hoistmoor/relay/peers/peer_codec.py
@@ -7,7 +7,7 @@
 import attrs
 
 from hoistmoor.core import errors
-from hoistmoor.core.relay.beliefs import mirror
+from hoistmoor.core.relay.beliefs import replication
 from hoistmoor.core.relay.beliefs import topics as topics_lib
 from hoistmoor.core.relay.servers import limits as limits_lib
 from hoistmoor.core.relay.servers import outstanding
@@ -125,7 +125,7 @@
         return self.topics[name].age if name in self.topics else math.inf
 
 
-def encode(message: CopyRequest | CopyAnswer | mirror.Host) -> bytes:
+def encode(message: CopyRequest | CopyAnswer | replication.Host) -> bytes:
     """Encodes a message."""
     return records.encode(message)
 
@@ -140,9 +140,9 @@
     return records.decode(data, CopyAnswer)
 
 
-def decode_host(data: bytes) -> mirror.Host:
+def decode_host(data: bytes) -> replication.Host:
     """Decodes a host's entry; raises ``ValueError`` if it is malformed."""
-    host = records.decode(data, mirror.Host)
+    host = records.decode(data, replication.Host)
     try:
         addresses.parse(host.address)
     except errors.ConfigurationError as error:
--- a/src/hoistmoor/relay/peers/reader.py
+++ b/src/hoistmoor/relay/peers/reader.py
@@ -16,7 +16,7 @@
 import contextlib
 from typing import TYPE_CHECKING
 
-from hoistmoor.core.relay.beliefs import reading
+from hoistmoor.core.relay.beliefs import read_policy
 from hoistmoor.core.relay.servers import limit_gossip
 from hoistmoor.relay.peers import news_exchange
 from hoistmoor.relay.peers import peer_codec
@@ -24,7 +24,7 @@
 from hoistmoor.relay.store import store_gate
 
 if TYPE_CHECKING:
-    from hoistmoor.core.relay.beliefs import mirror
+    from hoistmoor.core.relay.beliefs import replication
     from hoistmoor.core.relay.beliefs import topics
     from hoistmoor.core.relay.servers import outstanding
     from hoistmoor.relay import state as state_lib
@@ -48,7 +48,7 @@
     def __init__(
         self,
         state: state_lib.RelayState,
-        sources: mirror.Sources,
+        sources: replication.SourceSelector,
         followers: dict[str, follower_lib.TopicFollower],
         client: peer_client.PeerClient,
         gate: store_gate.StoreGate,
@@ -89,12 +89,12 @@
             source = await self._poll()
             self._set_source(source)
             self._update_others_work()
-            self._gate.backoff = reading.backoff_of(
+            self._gate.backoff = read_policy.backoff_of(
                 knows_hosts=self._hosts.known.is_set(),
                 is_answered=self._any_responded,
                 is_first=self._sources.is_first(),
             )
-            is_waiting = not source and self._situation().waits()
+            is_waiting = not source and self._situation().should_wait()
             if not is_waiting:
                 self._switch_followers()
             await self._pause(is_waiting)
@@ -112,8 +112,8 @@
         if self._listing.is_needed():
             self._listing.due.set()
 
-    def _situation(self) -> reading.Situation:
-        return reading.Situation(
+    def _situation(self) -> read_policy.Situation:
+        return read_policy.Situation(
             has_all=self._has_all_topics(),
             is_promising=self._is_promising,
             waited=self._state.clock() - self._started_at,
@@ -129,13 +129,13 @@
 
     async def _pause(self, is_waiting: bool) -> None:
         if not self._hosts.known.is_set():
-            await self._wait_for_hosts(reading.PERIOD)
+            await self._wait_for_hosts(read_policy.REQUEST_INTERVAL)
             return
         if is_waiting and not self._has_all_topics():
             await asyncio.sleep(START_PERIOD)
             return
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(reading.PERIOD):
+            async with asyncio.timeout(read_policy.REQUEST_INTERVAL):
                 await self._state.has_urgent_news.wait()
                 # Other changes of the same moment are sent along.
                 await asyncio.sleep(START_PERIOD)
@@ -146,7 +146,10 @@
 
     def _age(self) -> float:
         """Returns the age of the oldest topic that affects routing."""
-        return max(self._followers[name].age() for name in reading.DATED)
+        return max(
+            self._followers[name].age()
+            for name in read_policy.TIME_CRITICAL_TOPICS
+        )
 
     def _set_source(self, source: str) -> None:
         if source == self._state.source:
@@ -170,7 +173,7 @@
 
     def _reads_store(self, name: str) -> bool:
         """Returns whether this host reads a topic from the store."""
-        return not self._state.source and reading.is_read(
+        return not self._state.source and read_policy.reads_from_store(
             name,
             knows_hosts=self._hosts.known.is_set(),
             was_read=name in self._state.topics_read,
@@ -189,14 +192,14 @@
         for host in self._sources.candidates(self._state.clock()):
             if await self._copy_from(host):
                 return host.name
-            if self._has_all_topics() and self._age() > reading.OLDEST_OWN:
+            if self._has_all_topics() and self._age() > read_policy.MAX_OWN_AGE:
                 break  # Another unresponsive host would take too long.
         if self._gate.is_heard and not self._has_all_topics():
             await self._copy_at_start()
             return ""
-        if self._gate.is_heard or self._age() <= reading.OLDEST_OWN:
+        if self._gate.is_heard or self._age() <= read_policy.MAX_OWN_AGE:
             return ""
-        for host in self._sources.any_others(self._state.clock()):
+        for host in self._sources.fallback_sources(self._state.clock()):
             if await self._copy_from(host, is_before=False):
                 return host.name
         return ""
@@ -210,16 +213,18 @@
         if self._listing.is_first_start:
             return
         began = self._state.clock()
-        for _ in range(reading.START_ROUNDS):
-            for host in self._sources.any_others(self._state.clock()):
+        for _ in range(read_policy.START_ROUNDS):
+            for host in self._sources.fallback_sources(self._state.clock()):
                 await self._copy_from(host, is_before=False, accepts_stale=True)
-                is_late = self._state.clock() - began >= reading.START_PATIENCE
+                is_late = (
+                    self._state.clock() - began >= read_policy.MAX_START_WAIT
+                )
                 if self._has_all_topics() or is_late:
                     return
 
     async def _copy_from(
         self,
-        host: mirror.Host,
+        host: replication.Host,
         *,
         is_before: bool = True,
         accepts_stale: bool = False,
@@ -256,23 +261,24 @@
         sent_at = self._state.clock()
         answer = await self._client.ask(host, request)
         if answer is None:
-            self._sources.note_failed(host.name, self._state.clock())
+            self._sources.record_failure(host.name, self._state.clock())
             return False
-        self._sources.note_answered(host.name)
-        self._state.history.learn(answer.era, host.name)
+        self._sources.record_success(host.name)
+        self._state.history.record_era(answer.era, host.name)
         self._revisions[host.name] = answer.revision
         self._news.take(host.name, request.news, answer.news, sent_at)
         self._state.server_beliefs.take_limits(answer.limits, sent_at)
         self._any_responded = True
-        self._is_promising |= reading.is_worth_a_wait(
+        self._is_promising |= read_policy.is_worth_waiting_for(
             self._listing.host.link,
             host.link,
             is_first_start=self._listing.is_first_start,
         )
         age = max(
-            self._age_after(answer, name, sent_at) for name in reading.DATED
+            self._age_after(answer, name, sent_at)
+            for name in read_policy.TIME_CRITICAL_TOPICS
         )
-        if not reading.is_current(age, answer.depth):
+        if not read_policy.is_current(age, answer.depth):
             self._log_stale(host, age)
             if accepts_stale:
                 self._take(answer, sent_at)
@@ -284,7 +290,9 @@
         self._take(answer, sent_at)
         return True
 
-    def _configuration_for(self, host: mirror.Host) -> topics.Record | None:
+    def _configuration_for(
+        self, host: replication.Host
+    ) -> topics.Record | None:
         """Returns this host's configuration if another host lacks it."""
         last_revision = self._revisions.get(host.name, -1)
         if last_revision < 0 or last_revision >= self._state.revision:
@@ -304,7 +312,7 @@
             return self._followers[name].age()
         return answer.age_of(name) + self._state.clock() - sent_at
 
-    def _log_stale(self, host: mirror.Host, age: float) -> None:
+    def _log_stale(self, host: replication.Host, age: float) -> None:
         """Logs a stale host, once until it is current again."""
         if host.name in self._stale:
             return
@@ -331,6 +339,6 @@
         if answer.configuration is not None:
             self._followers["operator"].hold(answer.configuration)
         # After the topics, which may contain the orders themselves.
-        self._state.router.rollouts.take_ages(
+        self._state.router.rollouts.merge_ages(
             answer.order_ages, self._state.clock()
         )
--- a/src/hoistmoor/relay/state.py
+++ b/src/hoistmoor/relay/state.py
@@ -8,8 +8,8 @@
 import attrs
 
 from hoistmoor.core.relay.beliefs import configuration as configuration_lib
-from hoistmoor.core.relay.beliefs import freshness
-from hoistmoor.core.relay.beliefs import history as history_lib
+from hoistmoor.core.relay.beliefs import configuration_lease
+from hoistmoor.core.relay.beliefs import store_era as history_lib
 from hoistmoor.core.relay.beliefs import topics
 from hoistmoor.core.relay.placement import router as router_lib
 from hoistmoor.core.relay.servers import outstanding as outstanding_lib
@@ -54,14 +54,12 @@
     log: event_log.EventLog
     counters: counters_lib.Counters
     router: router_lib.Router
-    lease: freshness.ConfigurationLease
+    lease: configuration_lease.ConfigurationLease
     outstanding: outstanding_lib.OutstandingWork
     run_name: str
-    history: history_lib.StoreHistory = attrs.field(
-        factory=history_lib.StoreHistory
-    )
-    evidence: evidence_lib.EvidenceBook = attrs.field(
-        factory=evidence_lib.EvidenceBook
+    history: history_lib.StoreEra = attrs.field(factory=history_lib.StoreEra)
+    evidence: evidence_lib.EvidenceRegistry = attrs.field(
+        factory=evidence_lib.EvidenceRegistry
     )
     configuration: configuration_lib.Configuration | None = None
     configuration_record: topics.Record | None = None
@@ -150,12 +148,12 @@
         """
         rollouts = self.router.rollouts
         for evidence in rollouts.counted(self.run_name):
-            self.evidence.take(evidence)
+            self.evidence.merge(evidence)
         return tuple(
             evidence
             for progress in rollouts.progress.values()
             if not progress.phase.is_final
-            for evidence in self.evidence.of(
+            for evidence in self.evidence.for_order(
                 progress.order.service, progress.order.number
             )
         )
@@ -171,8 +169,8 @@
         """
         rollouts = self.router.rollouts
         pooled = {
-            number: evidence_lib.pool(each)
-            for number, each in evidence_lib.by_order(
+            number: evidence_lib.pool_evidence(each)
+            for number, each in evidence_lib.group_by_order(
                 self.known_evidence()
             ).items()
         }
@@ -182,7 +180,7 @@
             if evidence_lib.is_bad(counts)
         ]
         for number in (*told, *found):
-            doubted = rollouts.doubt(number)
+            doubted = rollouts.mark_doubted(number)
             if doubted is not None:
                 self.believe(
                     "rollout_doubted",
@@ -190,7 +188,7 @@
                     target=doubted.order.target,
                     number=number,
                     told=number in told,
-                    counts=evidence_lib.text_of(pooled.get(number, {})),
+                    counts=evidence_lib.format_counts(pooled.get(number, {})),
                 )
         return rollouts.doubts()
 
@@ -200,9 +198,9 @@
         0 while they are served.
         """
         now = self.clock()
-        if self.lease.holds(now):
+        if self.lease.is_valid(now):
             return 0.0
-        return min(now - self.started_at, self.lease.over_for(now))
+        return min(now - self.started_at, self.lease.expired_for(now))
 
     def is_ready(self) -> bool:
         """Returns whether the load balancer should send callers here."""
@@ -210,5 +208,5 @@
             not self.draining
             and self.configuration is not None
             and {"servers", "phases"} <= self.topics_read
-            and self.lease.holds(self.clock())
+            and self.lease.is_valid(self.clock())
         )
--- a/src/hoistmoor/relay/store/era_watch.py
+++ b/src/hoistmoor/relay/store/era_watch.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from hoistmoor.core.relay.beliefs import history as history_lib
+from hoistmoor.core.relay.beliefs import store_era as history_lib
 
 if TYPE_CHECKING:
     from hoistmoor.relay import state as state_lib
@@ -25,7 +25,7 @@
     ) -> None:
         self._state = state
         self._followers = followers
-        self._logged_kinds: set[history_lib.Unusable] = set()
+        self._logged_kinds: set[history_lib.EraProblem] = set()
 
     def attach(self) -> None:
         """Subscribes to the store's history."""
@@ -49,7 +49,7 @@
         )
 
     def on_unusable_era(
-        self, kind: history_lib.Unusable, word: history_lib.EraWord
+        self, kind: history_lib.EraProblem, word: history_lib.EraHeader
     ) -> None:
         """Counts a response without a usable era; logs the first of a kind."""
         self._state.counters.unusable_eras.labels(kind.value).inc()
--- a/src/hoistmoor/relay/store/follower.py
+++ b/src/hoistmoor/relay/store/follower.py
@@ -8,7 +8,7 @@
 import attrs
 
 from hoistmoor.core import errors
-from hoistmoor.core.relay.beliefs import mirror as mirror_lib
+from hoistmoor.core.relay.beliefs import replication as mirror_lib
 from hoistmoor.core.relay.beliefs import topics
 from hoistmoor.relay.store import store_gate
 
@@ -97,7 +97,7 @@
         self.name = name
         self.place: topics.Place | None = None
         self.current_at = float("-inf")
-        self.mirror = mirror_lib.TopicMirror()
+        self.mirror = mirror_lib.TopicReplica()
         self.direct = asyncio.Event()
         self.known = asyncio.Event()
         if not yields:
@@ -130,7 +130,7 @@
             self._waits_for_store = not self._is_probe
             try:
                 await self.read_once()
-            except errors.LogHistoryChangedError:
+            except errors.LogEraChangedError:
                 continue  # The position is of an older era: read a snapshot.
             except errors.LogOffsetExpiredError as error:
                 self._state.believe(
@@ -198,7 +198,7 @@
         finally:
             self._pending_read.cancel()
             self._pending_read = None
-        raise errors.LogHistoryChangedError(
+        raise errors.LogEraChangedError(
             self.name, place.era, self._state.history.era
         )
 
@@ -274,7 +274,7 @@
         if known is not None and batch.end.era > known.era:
             update = attrs.evolve(update, is_return=True)
         relevant = self._listener(update)
-        self.mirror.take(attrs.evolve(batch, records=relevant))
+        self.mirror.apply(attrs.evolve(batch, records=relevant))
         self._state.topics_read.add(self.name)
         self.known.set()
 
@@ -287,7 +287,7 @@
             return
         batch = topics.Batch((record,), self.place)
         update = Update(batch, float("-inf"), float("inf"))
-        self.mirror.hold(self._listener(update))
+        self.mirror.retain(self._listener(update))
 
     def _end_outage(self, current_at: float) -> None:
         """Ends the outage if a copy is newer than its start.
--- a/src/hoistmoor/relay/store/lease_watch.py
+++ b/src/hoistmoor/relay/store/lease_watch.py
@@ -35,7 +35,7 @@
         """Logs a change since the last check."""
         now = self._state.clock()
         lease = self._state.lease
-        holds, is_current = lease.holds(now), lease.is_current(now)
+        holds, is_current = lease.is_valid(now), lease.is_current(now)
         self._state.counters.configuration_age.set(lease.age(now))
         if (holds, is_current) == self._last_status:
             return
--- a/src/hoistmoor/relay/store/operator_listener.py
+++ b/src/hoistmoor/relay/store/operator_listener.py
@@ -30,7 +30,7 @@
         has only an older one, the record in use here is passed on instead.
         """
         if update.is_return:
-            self._state.router.rollouts.note_return(self._state.clock())
+            self._state.router.rollouts.record_restore(self._state.clock())
         relevant = [
             each for each in update.batch.records if self._try_apply(each)
         ]
@@ -47,7 +47,7 @@
             relevant.append(held)
         is_proof = update.current_at > float("-inf")
         if is_proof and self._state.configuration is not None:
-            self._state.lease.prove(update.current_at)
+            self._state.lease.renew(update.current_at)
         return tuple(relevant)
 
     def _try_apply(self, record: topics.Record) -> bool:
@@ -67,11 +67,13 @@
         batch = update.batch
         now = self._state.clock()
         changes = [
-            evacuations.ZoneWord(zone, record.value is not None, record.place)
+            evacuations.EvacuationRecord(
+                zone, record.value is not None, record.place
+            )
             for record in batch.records
             if (zone := self._codec.evacuated_zone(record)) is not None
         ]
-        if not self._evacuations.take(
+        if not self._evacuations.apply(
             changes,
             now,
             is_snapshot=batch.is_snapshot,
@@ -94,7 +96,7 @@
         order = self._codec.order(record)
         if order is None:
             return True
-        if self._state.router.rollouts.take_order(order, self._state.clock()):
+        if self._state.router.rollouts.apply_order(order, self._state.clock()):
             self._state.believe(
                 "rollout_ordered",
                 service=order.service,
--- a/src/hoistmoor/relay/store/store_gate.py
+++ b/src/hoistmoor/relay/store/store_gate.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from hoistmoor.core.relay.beliefs import reading
+from hoistmoor.core.relay.beliefs import read_policy
 
 # Seconds that a failed topic pauses before it waits for the probe to succeed.
 PAUSE = 0.1
@@ -23,7 +23,7 @@
     """
 
     def __init__(self) -> None:
-        self.backoff = reading.EAGER
+        self.backoff = read_policy.EAGER
         self._available = asyncio.Event()
         self._next_pause = 0.0
 
--- a/src/hoistmoor/relay/versions/rollout_listeners.py
+++ b/src/hoistmoor/relay/versions/rollout_listeners.py
@@ -38,7 +38,7 @@
                 self._state.note_unreadable("phase", record, error)
                 continue
             self.stored[phase.service, phase.target] = phase
-            if self._state.router.rollouts.take_phase(phase):
+            if self._state.router.rollouts.apply_phase(phase):
                 self._state.believe(
                     "rollout_phase",
                     service=phase.service,
@@ -58,7 +58,7 @@
     """
 
     def __init__(self, state: state_lib.RelayState) -> None:
-        self.book = evidence_lib.EvidenceBook()
+        self.book = evidence_lib.EvidenceRegistry()
         self._state = state
         self._last_report: dict[str, float] = {}
 
@@ -74,7 +74,7 @@
                 continue
             self._last_report[report.run_name] = self._state.clock()
             for evidence in report.evidence:
-                self.book.take(evidence)
+                self.book.merge(evidence)
         return ()
 
     def live_writers(self) -> list[str]:
@@ -83,5 +83,5 @@
         return [
             run_name
             for run_name, written_at in self._last_report.items()
-            if now - written_at < phases.ACTOR_LIFE
+            if now - written_at < phases.ACTIVE_SECONDS
         ]
--- a/src/hoistmoor/relay/versions/rollout_task.py
+++ b/src/hoistmoor/relay/versions/rollout_task.py
@@ -125,11 +125,11 @@
             for evidence in state.known_evidence()
             if evidence.service == order.service
         ]
-        answers = sum(each.target_answers for each in known)
+        answers = sum(each.target_responses for each in known)
         if self._reported.get(order, 0) == answers:
             return
         for evidence in known:
-            self._evidence_listener.book.take(evidence)
+            self._evidence_listener.book.merge(evidence)
         report = rollout_codec.EvidenceReport(state.run_name, tuple(known))
         await self._topics.evidence.put(
             f"{order.service}/{state.run_name}", rollout_codec.encode(report)
@@ -149,7 +149,7 @@
             return True
         order = progress.order
         stored = self._listener.stored.get((order.service, order.target))
-        if stored is None or not stored.is_of(order):
+        if stored is None or not stored.belongs_to(order):
             return False
         return not stored.is_behind(self._record(progress, progress.phase))
 
@@ -184,8 +184,8 @@
 
     async def _advance(self, progress: progress_lib.Progress) -> None:
         order = progress.order
-        pooled = evidence_lib.pool(
-            self._evidence_listener.book.of(order.service, order.number)
+        pooled = evidence_lib.pool_evidence(
+            self._evidence_listener.book.for_order(order.service, order.number)
         )
         elapsed = progress.elapsed(self._state.clock())
         phase = phases_lib.next_phase(
@@ -202,11 +202,11 @@
             number=order.number,
             phase=phase.value,
             elapsed=round(elapsed, 3),
-            counts=evidence_lib.text_of(pooled),
+            counts=evidence_lib.format_counts(pooled),
             written=is_written,
         )
         if is_written:
-            self._state.router.rollouts.take_phase(record)
+            self._state.router.rollouts.apply_phase(record)
 
     def _is_my_turn(
         self, progress: progress_lib.Progress, phase: phases_lib.Phase
@@ -215,7 +215,7 @@
         now = self._state.clock()
         record = self._record(progress, phase)
         since = self._due_since.setdefault(record, now)
-        turn = phases_lib.turn_of(
+        turn = phases_lib.turn_delay(
             self._state.run_name,
             self._evidence_listener.live_writers(),
             order.number,
--- a/src/hoistmoor/steward/stream.py
+++ b/src/hoistmoor/steward/stream.py
@@ -7,7 +7,7 @@
 from typing import Any, TYPE_CHECKING
 
 from hoistmoor.clients import stream_reader
-from hoistmoor.core import pacing
+from hoistmoor.core import polling
 from hoistmoor.core import streams
 from hoistmoor.core.steward import fold as fold_lib
 from hoistmoor.core.steward import rollouts
@@ -56,7 +56,7 @@
         self._before = (self.fold.state, self.fold.complete)
         self._tail_end = -1  # Where a start near the end is judged; -1: not.
         self._reader = stream_reader.StreamReader(
-            client, streams.STEWARD, self, pacing.STEWARD
+            client, streams.STEWARD, self, polling.STEWARD
         )
 
     @property
--- a/tests/clients/test_clients_stream_reader.py
+++ b/tests/clients/test_clients_stream_reader.py
@@ -15,12 +15,14 @@
 from hoistmoor.clients import log as log_client
 from hoistmoor.clients import stream_reader
 from hoistmoor.core import errors
-from hoistmoor.core import pacing
+from hoistmoor.core import polling
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-PACE = pacing.Pace(period=1.0, hold=10.0, page=100, retry=1.0, most_retry=4.0)
+PACE = polling.PollPolicy(
+    period=1.0, long_poll_timeout=10.0, page=100, retry=1.0, max_retry=4.0
+)
 
 
 class _OverError(Exception):
@@ -241,7 +243,7 @@
     consumer, reader = await play(world)
     assertions.assert_that(consumer.noted["failures"], matchers.Equals(8))
     for number, pause in enumerate(world.pauses[:8]):
-        longest = min(2.0**number, PACE.most_retry)
+        longest = min(2.0**number, PACE.max_retry)
         assert 0.75 * longest <= pause <= longest
     assertions.assert_that(reader.failures, matchers.Equals(0))
 
--- a/tests/core/relay/answers/test_relay_streams.py
+++ b/tests/core/relay/answers/test_relay_streams.py
@@ -53,7 +53,7 @@
     sequence = streams.EventSequence()
     sequence.feed(event(1) + event(2)[:-3])
     assertions.assert_that(sequence.last_id, matchers.Equals(1))
-    sequence.begin_run()
+    sequence.reset_buffer()
     assertions.assert_that(
         sequence.feed(event(2) + event(3)),
         matchers.Equals(event(2) + event(3)),
--- a/tests/core/relay/beliefs/test_relay_evacuations.py
+++ b/tests/core/relay/beliefs/test_relay_evacuations.py
@@ -8,46 +8,46 @@
 from testtools import matchers
 
 from hoistmoor.core.relay.beliefs import evacuations
-from hoistmoor.core.relay.beliefs import history
+from hoistmoor.core.relay.beliefs import store_era
 
 NOW = 100.0
 
 
 def record(
     zone: str, offset: int, era: int = 1, *, is_evacuated: bool = True
-) -> evacuations.ZoneWord:
+) -> evacuations.EvacuationRecord:
     place = relay_parts.at(offset, era)
-    return evacuations.ZoneWord(zone, is_evacuated, place)
+    return evacuations.EvacuationRecord(zone, is_evacuated, place)
 
 
 @pytest.fixture
 def known() -> evacuations.Evacuations:
     """One failure domain is evacuated; the evacuation of another has ended."""
     made = evacuations.Evacuations()
-    made.take((), NOW, is_snapshot=True)
+    made.apply((), NOW, is_snapshot=True)
     records = [
         record("ended", 3),
         record("held", 4),
         record("ended", 5, is_evacuated=False),
     ]
-    made.take(records, NOW, is_snapshot=False)
+    made.apply(records, NOW, is_snapshot=False)
     return made
 
 
 def after_restore(
-    known: evacuations.Evacuations, *records: evacuations.ZoneWord
+    known: evacuations.Evacuations, *records: evacuations.EvacuationRecord
 ) -> set[str]:
     """Returns the evacuated set after the first snapshot of a newer era."""
-    known.take(records, NOW, is_snapshot=True, is_return=True)
+    known.apply(records, NOW, is_snapshot=True, is_return=True)
     return set(known.zones)
 
 
 def after(
     known: evacuations.Evacuations,
     seconds: float,
-    *records: evacuations.ZoneWord,
+    *records: evacuations.EvacuationRecord,
 ) -> set[str]:
-    known.take(records, NOW + seconds, is_snapshot=False)
+    known.apply(records, NOW + seconds, is_snapshot=False)
     return set(known.zones)
 
 
@@ -58,7 +58,7 @@
     assertions.assert_that(found, matchers.Equals({"held"}))
     found = after(known, 1.0, record("held", 4, 2))
     assertions.assert_that(found, matchers.Equals({"held"}))
-    found = after(known, history.HELD_FOR + 1.0)
+    found = after(known, store_era.RESTORE_GRACE_PERIOD + 1.0)
     assertions.assert_that(found, matchers.Equals({"held"}))
 
 
@@ -66,9 +66,9 @@
     known: evacuations.Evacuations,
 ) -> None:
     after_restore(known)
-    found = after(known, history.HELD_FOR - 0.1)
+    found = after(known, store_era.RESTORE_GRACE_PERIOD - 0.1)
     assertions.assert_that(found, matchers.Equals({"held"}))
-    found = after(known, history.HELD_FOR)
+    found = after(known, store_era.RESTORE_GRACE_PERIOD)
     assertions.assert_that(found, matchers.Equals(set()))
 
 
@@ -80,7 +80,7 @@
     end = record("ended", 4, 2, is_evacuated=False)
     found = after(known, 1.0, end, record("held", 5, 2))
     assertions.assert_that(found, matchers.Equals({"held"}))
-    found = after(known, history.HELD_FOR)
+    found = after(known, store_era.RESTORE_GRACE_PERIOD)
     assertions.assert_that(found, matchers.Equals({"held"}))
 
 
@@ -97,5 +97,5 @@
 def test_evacuation_missing_from_a_snapshot_of_the_same_era_ends(
     known: evacuations.Evacuations,
 ) -> None:
-    known.take((), NOW, is_snapshot=True)
+    known.apply((), NOW, is_snapshot=True)
     assertions.assert_that(known.zones, matchers.Equals(frozenset()))
--- a/tests/core/relay/beliefs/test_relay_mirror.py
+++ b/tests/core/relay/beliefs/test_relay_mirror.py
@@ -9,7 +9,7 @@
 from testtools import assertions
 from testtools import matchers
 
-from hoistmoor.core.relay.beliefs import mirror
+from hoistmoor.core.relay.beliefs import replication
 from hoistmoor.core.relay.beliefs import topics
 
 NAMES = [f"h{number}" for number in range(6)]
@@ -33,14 +33,14 @@
         change(key, at, b"%d" % at if kept else None)
         for at, (key, kept) in enumerate(keys)
     ]
-    source = mirror.TopicMirror()
+    source = replication.TopicReplica()
     first = tuple(changes[:split])
-    source.take(topics.Batch(first, relay_parts.at(len(first))))
+    source.apply(topics.Batch(first, relay_parts.at(len(first))))
     end = relay_parts.at(len(changes))
-    source.take(topics.Batch(tuple(changes[split:]), end))
+    source.apply(topics.Batch(tuple(changes[split:]), end))
     asked = min(asked, len(changes))
     state = {each.key: each.value for each in changes[:asked]}
-    copy = source.copy_from(relay_parts.at(asked))
+    copy = source.changes_since(relay_parts.at(asked))
     assert copy is not None
     if copy.is_snapshot:
         state = {}
@@ -53,51 +53,52 @@
 
 
 def test_host_far_behind_gets_a_snapshot() -> None:
-    source = mirror.TopicMirror()
-    assertions.assert_that(source.copy_from(None), matchers.Is(None))
-    source.take(
+    source = replication.TopicReplica()
+    assertions.assert_that(source.changes_since(None), matchers.Is(None))
+    source.apply(
         topics.Batch((change("a", 3),), relay_parts.at(10), is_snapshot=True)
     )
-    end = 10 + 2 * mirror.KEPT
+    end = 10 + 2 * replication.MAX_RECENT_CHANGES
     many = tuple(change(f"k{at}", at) for at in range(10, end))
-    source.take(topics.Batch(many, relay_parts.at(end)))
+    source.apply(topics.Batch(many, relay_parts.at(end)))
     for asked in (None, 0, 9, 20):
         place = None if asked is None else relay_parts.at(asked)
-        copy = source.copy_from(place)
+        copy = source.changes_since(place)
         assert copy is not None
         assertions.assert_that(copy.is_snapshot, matchers.Is(True))
         assertions.assert_that(
-            copy.records, matchers.HasLength(2 * mirror.KEPT + 1)
+            copy.records,
+            matchers.HasLength(2 * replication.MAX_RECENT_CHANGES + 1),
         )
-    copy = source.copy_from(relay_parts.at(end - 5))
+    copy = source.changes_since(relay_parts.at(end - 5))
     assert copy is not None
     assertions.assert_that(copy.is_snapshot, matchers.Is(False))
     assertions.assert_that(copy.records, matchers.HasLength(5))
 
 
 def test_only_newest_change_of_a_key_is_copied() -> None:
-    source = mirror.TopicMirror()
+    source = replication.TopicReplica()
     changes = tuple(change("config", at, b"%d" % at) for at in range(5))
-    source.take(topics.Batch(changes, relay_parts.at(5)))
-    copy = source.copy_from(relay_parts.at(1))
+    source.apply(topics.Batch(changes, relay_parts.at(5)))
+    copy = source.changes_since(relay_parts.at(1))
     assert copy is not None
     assertions.assert_that(copy.records, matchers.Equals((changes[4],)))
     assertions.assert_that(copy.end, matchers.Equals(relay_parts.at(5)))
 
 
 @pytest.fixture
-def all_sources() -> dict[str, mirror.Sources]:
+def all_sources() -> dict[str, replication.SourceSelector]:
     """The sources of six hosts of one failure domain."""
-    made = {name: mirror.Sources(name, "z") for name in NAMES}
+    made = {name: replication.SourceSelector(name, "z") for name in NAMES}
     for sources in made.values():
         for name in NAMES:
-            sources.put(mirror.Host(name, "z", f"127.0.0.1:{name[1:]}"))
-        sources.put(mirror.Host("far", "other", "127.0.0.1:99"))
+            sources.put(replication.Host(name, "z", f"127.0.0.1:{name[1:]}"))
+        sources.put(replication.Host("far", "other", "127.0.0.1:99"))
     return made
 
 
 def test_one_host_reads_the_store_and_there_are_no_cycles(
-    all_sources: dict[str, mirror.Sources],
+    all_sources: dict[str, replication.SourceSelector],
 ) -> None:
     asked = {
         name: [host.name for host in sources.candidates(0.0)]
@@ -115,13 +116,13 @@
 
 def test_first_host_of_a_failure_domain_asks_first_host_of_another() -> None:
     hosts = [
-        mirror.Host(f"{zone}{number}", zone, f"127.0.0.1:{number}")
+        replication.Host(f"{zone}{number}", zone, f"127.0.0.1:{number}")
         for zone in "abcd"
         for number in range(3)
     ]
-    asked: dict[str, list[mirror.Host]] = {}
+    asked: dict[str, list[replication.Host]] = {}
     for host in hosts:
-        sources = mirror.Sources(host.name, host.zone)
+        sources = replication.SourceSelector(host.name, host.zone)
         for each in hosts:
             sources.put(each)
         asked[host.name] = sources.candidates(0.0)
@@ -144,22 +145,22 @@
 
 
 def test_backoff_of_a_failing_host_grows(
-    all_sources: dict[str, mirror.Sources],
+    all_sources: dict[str, replication.SourceSelector],
 ) -> None:
     sources = next(
         each for each in all_sources.values() if len(each.candidates(0.0)) > 1
     )
     first, second = sources.candidates(0.0)[:2]
-    sources.note_failed(first.name, 0.0)
+    sources.record_failure(first.name, 0.0)
     left = [host.name for host in sources.candidates(1.0)]
     assertions.assert_that(left[0], matchers.Equals(second.name))
     back = [host.name for host in sources.candidates(2.1)]
     assertions.assert_that(back[0], matchers.Equals(first.name))
-    sources.note_failed(first.name, 2.1)
+    sources.record_failure(first.name, 2.1)
     left = [host.name for host in sources.candidates(5.0)]
     assertions.assert_that(first.name in left, matchers.Is(False))
     # A changed entry, as after a restart, resets the backoff.
-    sources.put(mirror.Host(first.name, "z", "127.0.0.1:777"))
+    sources.put(replication.Host(first.name, "z", "127.0.0.1:777"))
     back = [host.name for host in sources.candidates(5.0)]
     assertions.assert_that(back[0], matchers.Equals(first.name))
 
@@ -169,7 +170,7 @@
     # another had read an empty host list. As it read the store itself, no other
     # host sent it a newer list, but it waited for one. No host ever knew all
     # three.
-    sources = mirror.Sources("h1", "north")
+    sources = replication.SourceSelector("h1", "north")
     assertions.assert_that(sources.reads_early(), matchers.Is(True))
-    sources.put(mirror.Host("h2", "north", "10.0.0.2:1"))
+    sources.put(replication.Host("h2", "north", "10.0.0.2:1"))
     assertions.assert_that(sources.reads_early(), matchers.Is(True))
--- a/tests/core/relay/beliefs/test_relay_reading.py
+++ b/tests/core/relay/beliefs/test_relay_reading.py
@@ -8,7 +8,7 @@
 from testtools import assertions
 from testtools import matchers
 
-from hoistmoor.core.relay.beliefs import reading
+from hoistmoor.core.relay.beliefs import read_policy
 
 
 @pytest.mark.parametrize(
@@ -25,14 +25,14 @@
     age: float, depth: int, expected: bool
 ) -> None:
     assertions.assert_that(
-        reading.is_current(age, depth), matchers.Is(expected)
+        read_policy.is_current(age, depth), matchers.Is(expected)
     )
 
 
 def test_hosts_in_a_cycle_detect_that_they_are_stale() -> None:
-    for depth in range(reading.MOST_DEPTH, 100):
+    for depth in range(read_policy.MAX_DEPTH, 100):
         assertions.assert_that(
-            reading.is_current(1.6, depth), matchers.Is(False)
+            read_policy.is_current(1.6, depth), matchers.Is(False)
         )
 
 
@@ -49,7 +49,9 @@
 def test_starting_host_waits_only_for_a_faster_link(
     link: float, other: float, is_first_start: bool, expected: bool
 ) -> None:
-    found = reading.is_worth_a_wait(link, other, is_first_start=is_first_start)
+    found = read_policy.is_worth_waiting_for(
+        link, other, is_first_start=is_first_start
+    )
     assertions.assert_that(found, matchers.Is(expected))
 
 
@@ -74,8 +76,10 @@
     reads_early: bool,
     expected: bool,
 ) -> None:
-    found = reading.Situation(has_all, is_promising, waited, age, reads_early)
-    assertions.assert_that(found.waits(), matchers.Is(expected))
+    found = read_policy.Situation(
+        has_all, is_promising, waited, age, reads_early
+    )
+    assertions.assert_that(found.should_wait(), matchers.Is(expected))
 
 
 @pytest.mark.parametrize(
@@ -96,7 +100,7 @@
     alone_for: float,
     expected: bool,
 ) -> None:
-    found = reading.is_read(
+    found = read_policy.reads_from_store(
         name, knows_hosts=knows_hosts, was_read=was_read, alone_for=alone_for
     )
     assertions.assert_that(found, matchers.Is(expected))
@@ -105,19 +109,19 @@
 @pytest.mark.parametrize(
     ("knows_hosts", "is_answered", "is_first", "expected"),
     [
-        (False, False, False, reading.ALONE),
-        (True, True, False, reading.RELAXED),
-        (True, True, True, reading.EAGER),
-        (True, False, False, reading.EAGER),
+        (False, False, False, read_policy.ALONE),
+        (True, True, False, read_policy.RELAXED),
+        (True, True, True, read_policy.EAGER),
+        (True, False, False, read_policy.EAGER),
     ],
 )
 def test_backoff_for_an_unavailable_store(
     knows_hosts: bool,
     is_answered: bool,
     is_first: bool,
-    expected: reading.Backoff,
+    expected: read_policy.Backoff,
 ) -> None:
-    found = reading.backoff_of(
+    found = read_policy.backoff_of(
         knows_hosts=knows_hosts, is_answered=is_answered, is_first=is_first
     )
     assertions.assert_that(found, matchers.Is(expected))
--- a/tests/core/relay/course/test_relay_budget.py
+++ b/tests/core/relay/course/test_relay_budget.py
@@ -36,7 +36,7 @@
     request = relay_parts.request()
     count = 0
     while router.may_retry(request, NOW) and count < 99:
-        router._service(request.service).budget.note_repeat(NOW)
+        router._service(request.service).budget.record_retry(NOW)
         count += 1
     return count
 
--- a/tests/core/relay/course/test_relay_machine.py
+++ b/tests/core/relay/course/test_relay_machine.py
@@ -12,7 +12,7 @@
 
 from hoistmoor.core import outcomes
 from hoistmoor.core import refusals
-from hoistmoor.core.relay.answers import pace
+from hoistmoor.core.relay.answers import response_times
 from hoistmoor.core.relay.beliefs import configuration
 from hoistmoor.core.relay.course import attempt_counts
 from hoistmoor.core.relay.course import machine as machine_lib
@@ -74,7 +74,7 @@
     router: router_lib.Router,
 ) -> None:
     declined, _ = start(router, relay_parts.ROUTE)
-    effect: messages.Effect = messages.Pass()
+    effect: messages.Effect = messages.Forward()
     for _ in range(3):
         effect = declined.handle(messages.AttemptEnded(State.DECLINED), NOW)
     assertions.assert_that(
@@ -138,7 +138,7 @@
     router: router_lib.Router,
     send: messages.Effect,
     state: State,
-    outcome: pace.AttemptOutcome,
+    outcome: response_times.AttemptOutcome,
 ) -> messages.Effect:
     """Ends an attempt as the request task does; returns the next effect."""
     assert isinstance(send, messages.Send)
@@ -158,13 +158,13 @@
     sends = 0
     while isinstance(effect, messages.Send):
         sends += 1
-        assertions.assert_that(effect.is_repeat, matchers.Is(False))
+        assertions.assert_that(effect.is_retry, matchers.Is(False))
         effect = end_attempt(
             machine,
             router,
             effect,
             State.UNSENT,
-            pace.AttemptOutcome.UNREACHABLE,
+            response_times.AttemptOutcome.UNREACHABLE,
         )
     assertions.assert_that(
         sends, matchers.Equals(attempt_counts.MAX_UNREACHABLE)
@@ -186,9 +186,9 @@
         machine.handle(messages.Started(), NOW)
         second = machine.handle(messages.AttemptEnded(State.DECLINED), NOW)
         assert isinstance(second, messages.Send)
-        assertions.assert_that(second.is_repeat, matchers.Is(True))
+        assertions.assert_that(second.is_retry, matchers.Is(True))
         router.record_outcome(
-            request, second, pace.AttemptOutcome.UNREACHABLE, NOW
+            request, second, response_times.AttemptOutcome.UNREACHABLE, NOW
         )
 
 
@@ -198,7 +198,11 @@
     machine, first = start(router, relay_parts.ROUTE)
     assert isinstance(first, messages.Send)
     end_attempt(
-        machine, router, first, State.DECLINED, pace.AttemptOutcome.REPLACED
+        machine,
+        router,
+        first,
+        State.DECLINED,
+        response_times.AttemptOutcome.REPLACED,
     )
     for now, is_asked in ((NOW, False), (NOW + 3.9, False), (NOW + 4.1, True)):
         ready = relay_parts.ready(router.fleet, "desk", {"v1"}, (), now)
@@ -214,7 +218,7 @@
     assertions.assert_that(first.model, matchers.Equals("small"))
     router.record_first_byte(machine.request, first, NOW)
     effect = machine.handle(messages.HeadArrived(200, 5.0), NOW)
-    assertions.assert_that(effect, matchers.IsInstance(messages.Drop))
+    assertions.assert_that(effect, matchers.IsInstance(messages.Discard))
     second = machine.handle(messages.AttemptEnded(State.ANSWERING, 200), NOW)
     assert isinstance(second, messages.Send)
     assertions.assert_that(second.model, matchers.Equals("large"))
@@ -227,7 +231,7 @@
     router.fleet.put(relay_parts.entry("e1", service="llm"))
     machine, _ = start(router, relay_parts.CHAT)
     effect = machine.handle(messages.HeadArrived(200, confidence), NOW)
-    assertions.assert_that(effect, matchers.IsInstance(messages.Pass))
+    assertions.assert_that(effect, matchers.IsInstance(messages.Forward))
 
 
 def test_partly_sent_response_is_never_discarded_or_refused(
@@ -235,13 +239,13 @@
 ) -> None:
     router.fleet.put(relay_parts.entry("e1", service="llm"))
     machine, _ = start(router, relay_parts.CHAT)
-    machine.note_begun()
+    machine.record_response_started()
     assertions.assert_that(
         machine.handle(messages.HeadArrived(200, 0.0), NOW),
-        matchers.IsInstance(messages.Pass),
+        matchers.IsInstance(messages.Forward),
     )
     effect = machine.handle(messages.DeadlineReached(State.UNSENT), NOW)
-    assertions.assert_that(effect, matchers.IsInstance(messages.Break))
+    assertions.assert_that(effect, matchers.IsInstance(messages.Abort))
 
 
 @pytest.mark.parametrize(
@@ -293,14 +297,14 @@
     router.fleet.put(relay_parts.entry("e1", service="llm"))
     router.fleet.put(relay_parts.entry("e2", service="llm"))
     machine, _ = start(router, relay_parts.CHAT)
-    machine.note_begun()
+    machine.record_response_started()
     effect = machine.handle(messages.AttemptEnded(State.ANSWERING), NOW)
     assertions.assert_that(effect, matchers.IsInstance(messages.Send))
     failed = messages.AttemptEnded(State.ANSWERED, 500)
     effect = machine.handle(failed, NOW)
     while isinstance(effect, messages.Send):
         effect = machine.handle(failed, NOW)
-    assertions.assert_that(effect, matchers.IsInstance(messages.Break))
+    assertions.assert_that(effect, matchers.IsInstance(messages.Abort))
 
 
 def test_timeout_of_large_model_leaves_time_for_the_small_one(
@@ -314,17 +318,19 @@
     large = machine.handle(messages.AttemptEnded(State.ANSWERING, 200), NOW)
     assert isinstance(large, messages.Send)
     assertions.assert_that(large.model, matchers.Equals("large"))
-    assert large.patience is not None
+    assert large.read_timeout is not None
     left = machine.request.deadline - NOW
-    assertions.assert_that(large.patience, matchers.LessThan(left / 2 + 0.01))
-    timed_out_at = NOW + large.patience
+    assertions.assert_that(
+        large.read_timeout, matchers.LessThan(left / 2 + 0.01)
+    )
+    timed_out_at = NOW + large.read_timeout
     small = machine.handle(messages.AttemptEnded(State.SENT), timed_out_at)
     assert isinstance(small, messages.Send)
     assertions.assert_that(small.model, matchers.Equals("small"))
     # Its response is forwarded even with low confidence.
     assertions.assert_that(
         machine.handle(messages.HeadArrived(200, 0.0), timed_out_at),
-        matchers.IsInstance(messages.Pass),
+        matchers.IsInstance(messages.Forward),
     )
 
 
@@ -473,7 +479,7 @@
     machine, _ = start(router, relay_parts.CHAT)
     limit_all_servers(router)
     effect = machine.handle(messages.HeadArrived(200, 5.0), NOW)
-    assertions.assert_that(effect, matchers.IsInstance(messages.Pass))
+    assertions.assert_that(effect, matchers.IsInstance(messages.Forward))
 
 
 def test_request_is_refused_at_once_if_all_servers_are_leaving(
--- a/tests/core/relay/course/test_relay_retry_after.py
+++ b/tests/core/relay/course/test_relay_retry_after.py
@@ -23,7 +23,7 @@
     now, refused = 0.01, 0
     while now < outage:
         refused += 1
-        wait = retry_after.wait_for(Reason.NO_TABLE, now, MIDDLE)
+        wait = retry_after.delay_for_reason(Reason.NO_TABLE, now, MIDDLE)
         now += wait if fixed_delay is None else fixed_delay
     return refused
 
@@ -53,13 +53,13 @@
 def test_retry_delays(
     reason: Reason, unable_for: float, expected: float
 ) -> None:
-    found = retry_after.wait_for(reason, unable_for, MIDDLE)
+    found = retry_after.delay_for_reason(reason, unable_for, MIDDLE)
     assertions.assert_that(found, matchers.Equals(expected))
 
 
 def test_retries_of_clients_refused_together_are_spread() -> None:
     waits = {
-        retry_after.wait_for(Reason.NO_TABLE, 2.0, draw / 10)
+        retry_after.delay_for_reason(Reason.NO_TABLE, 2.0, draw / 10)
         for draw in range(10)
     }
     assertions.assert_that(waits, matchers.HasLength(10))
--- a/tests/core/relay/placement/test_relay_placement.py
+++ b/tests/core/relay/placement/test_relay_placement.py
@@ -8,7 +8,7 @@
 from testtools import matchers
 
 from hoistmoor.core.relay.answers import cascade
-from hoistmoor.core.relay.answers import pace
+from hoistmoor.core.relay.answers import response_times
 from hoistmoor.core.relay.course import messages
 from hoistmoor.core.relay.course import requests as requests_lib
 from hoistmoor.core.relay.placement import partition
@@ -176,14 +176,14 @@
 def test_answer_is_escalated_where_that_is_worth_more(
     confidence: float | None, expected_delay: float, better: str | None
 ) -> None:
-    found = cascade.next_size(
+    found = cascade.escalation_target(
         relay_parts.SIZES, "small", confidence, expected_delay, 1.4
     )
     assertions.assert_that(found, matchers.Equals(better))
 
 
 def test_answer_of_the_largest_model_is_final() -> None:
-    found = cascade.next_size(relay_parts.SIZES, "large", 0.0, 0.1, 1.0)
+    found = cascade.escalation_target(relay_parts.SIZES, "large", 0.0, 0.1, 1.0)
     assertions.assert_that(found, matchers.Is(None))
 
 
@@ -220,7 +220,7 @@
         send = messages.Send(dead, "", work_class, serial, now + 1.0)
         router.record_sent(request, send, now)
         router.record_outcome(
-            request, send, pace.AttemptOutcome.UNREACHABLE, now
+            request, send, response_times.AttemptOutcome.UNREACHABLE, now
         )
 
     assertions.assert_that(pick(100.0), matchers.Equals("s0"))
@@ -264,13 +264,17 @@
 
 
 def test_slow_answers_are_detected_by_usual_durations() -> None:
-    paces = pace.Paces()
-    usual = pace.Measured("small", first=0.1, total=0.6, events=10)
-    slow = pace.Measured("small", first=0.8, total=4.8, events=10)
+    paces = response_times.ResponseTimes()
+    usual = response_times.ResponseTiming(
+        "small", first=0.1, total=0.6, events=10
+    )
+    slow = response_times.ResponseTiming(
+        "small", first=0.8, total=4.8, events=10
+    )
     key = ("chat", "small")
     assertions.assert_that(paces.is_slow(key, slow, 3.5), matchers.Is(False))
-    for _ in range(pace.MIN_ANSWERS):
-        paces.note(key, usual)
+    for _ in range(response_times.MIN_RESPONSES):
+        paces.record(key, usual)
     assertions.assert_that(paces.is_slow(key, usual, 3.5), matchers.Is(False))
     assertions.assert_that(paces.is_slow(key, slow, 3.5), matchers.Is(True))
 
@@ -286,8 +290,8 @@
     router.fleet.shares.set_hosts(["another"])
     router.fleet.servers["n1"].limit.record_limit(1.0, NOW)
     order = phases.Order("desk", "v2", 10.0, 1)
-    router.rollouts.take_order(order, NOW)
-    router.rollouts.take_phase(
+    router.rollouts.apply_order(order, NOW)
+    router.rollouts.apply_phase(
         phases.PhaseRecord("desk", "v2", 1, phases.Phase.SPREAD)
     )
     for session, expected in (("s", None), ("", "v1")):
--- a/tests/core/relay/servers/test_relay_warmup.py
+++ b/tests/core/relay/servers/test_relay_warmup.py
@@ -12,7 +12,7 @@
 from testtools import assertions
 from testtools import matchers
 
-from hoistmoor.core.relay.answers import pace
+from hoistmoor.core.relay.answers import response_times
 from hoistmoor.core.relay.beliefs import configuration
 from hoistmoor.core.relay.course import messages
 from hoistmoor.core.relay.placement import bounds as bounds_lib
@@ -189,7 +189,9 @@
     server = router.fleet.servers[name]
     send = messages.Send(server, "small", work_class, serial, now + 1.0)
     router.record_sent(request, send, now)
-    router.record_outcome(request, send, pace.AttemptOutcome.UNREACHABLE, now)
+    router.record_outcome(
+        request, send, response_times.AttemptOutcome.UNREACHABLE, now
+    )
 
 
 def test_unreachable_server_may_return_cold(
--- a/tests/core/relay/versions/test_relay_returned_orders.py
+++ b/tests/core/relay/versions/test_relay_returned_orders.py
@@ -7,7 +7,7 @@
 from testtools import assertions
 from testtools import matchers
 
-from hoistmoor.core.relay.beliefs import history
+from hoistmoor.core.relay.beliefs import store_era
 from hoistmoor.core.relay.versions import phases
 from hoistmoor.core.relay.versions import rollouts
 
@@ -25,26 +25,26 @@
 
 
 @pytest.fixture
-def book() -> rollouts.RolloutBook:
+def book() -> rollouts.RolloutRegistry:
     """Rollout of v3 in phase ``spread``, after a completed rollout of v2."""
-    made = rollouts.RolloutBook(5.0)
-    made.take_order(order("v2", 4), NOW - 50.0)
-    made.take_phase(phase("v2", 4, 1, "complete"))
-    made.take_order(order("v3", 9), NOW)
-    made.take_phase(phase("v3", 9, 1, "spread"))
+    made = rollouts.RolloutRegistry(5.0)
+    made.apply_order(order("v2", 4), NOW - 50.0)
+    made.apply_phase(phase("v2", 4, 1, "complete"))
+    made.apply_order(order("v3", 9), NOW)
+    made.apply_phase(phase("v3", 9, 1, "spread"))
     made.progress["llm"].is_doubted = True
     return made
 
 
 def test_rewritten_order_continues_its_rollout(
-    book: rollouts.RolloutBook,
+    book: rollouts.RolloutRegistry,
 ) -> None:
     before = book.progress["llm"]
-    book.note_return(NOW + 2.0)
+    book.record_restore(NOW + 2.0)
     # The copy contains the previous order, which was replaced.
-    is_new = book.take_order(order("v2", 4, 2), NOW + 2.0)
+    is_new = book.apply_order(order("v2", 4, 2), NOW + 2.0)
     assertions.assert_that(is_new, matchers.Is(False))
-    is_new = book.take_order(order("v3", 7, 2), NOW + 3.0)
+    is_new = book.apply_order(order("v3", 7, 2), NOW + 3.0)
     assertions.assert_that(is_new, matchers.Is(False))
     found = book.progress["llm"]
     assertions.assert_that(found, matchers.Is(before))
@@ -57,36 +57,36 @@
 
 
 def test_order_in_the_copy_and_its_rewrite_are_the_same(
-    book: rollouts.RolloutBook,
+    book: rollouts.RolloutRegistry,
 ) -> None:
     before = book.progress["llm"]
-    book.note_return(NOW + 2.0)
+    book.record_restore(NOW + 2.0)
     for offset in (9, 11):
-        book.take_order(order("v3", offset, 2), NOW + 2.0)
+        book.apply_order(order("v3", offset, 2), NOW + 2.0)
     assertions.assert_that(book.progress["llm"], matchers.Is(before))
     # Long after the restore, it is a new order.
-    later = NOW + 2.0 + history.HELD_FOR
-    is_new = book.take_order(order("v3", 15, 2), later)
+    later = NOW + 2.0 + store_era.RESTORE_GRACE_PERIOD
+    is_new = book.apply_order(order("v3", 15, 2), later)
     assertions.assert_that(is_new, matchers.Is(True))
 
 
 def test_new_order_after_the_restore_is_applied(
-    book: rollouts.RolloutBook,
+    book: rollouts.RolloutRegistry,
 ) -> None:
-    book.note_return(NOW + 2.0)
-    is_new = book.take_order(order("v4", 2, 2), NOW + 2.0)
+    book.record_restore(NOW + 2.0)
+    is_new = book.apply_order(order("v4", 2, 2), NOW + 2.0)
     assertions.assert_that(is_new, matchers.Is(True))
     found = book.progress["llm"]
     assertions.assert_that(found.phase, matchers.Equals(phases.Phase.TRIAL))
 
 
 def test_phase_from_an_older_copy_reverts_nothing(
-    book: rollouts.RolloutBook,
+    book: rollouts.RolloutRegistry,
 ) -> None:
-    book.take_phase(phase("v3", 9, 1, "reverted"))
-    book.note_return(NOW + 2.0)
-    book.take_order(order("v3", 9, 2), NOW + 2.0)
-    is_new = book.take_phase(phase("v3", 9, 1, "spread"))
+    book.apply_phase(phase("v3", 9, 1, "reverted"))
+    book.record_restore(NOW + 2.0)
+    book.apply_order(order("v3", 9, 2), NOW + 2.0)
+    is_new = book.apply_phase(phase("v3", 9, 1, "spread"))
     assertions.assert_that(is_new, matchers.Is(False))
     assertions.assert_that(
         book.progress["llm"].phase, matchers.Equals(phases.Phase.REVERTED)
@@ -95,40 +95,42 @@
 
 
 def test_starting_host_applies_phases_in_the_copy() -> None:
-    made = rollouts.RolloutBook(5.0)
-    made.take_order(order("v2", 4, 3), NOW)
-    made.take_phase(phase("v2", 4, 1, "complete"))
+    made = rollouts.RolloutRegistry(5.0)
+    made.apply_order(order("v2", 4, 3), NOW)
+    made.apply_phase(phase("v2", 4, 1, "complete"))
     assertions.assert_that(
         made.progress["llm"].phase, matchers.Equals(phases.Phase.COMPLETE)
     )
 
 
 def test_selected_sessions_do_not_depend_on_the_order_number() -> None:
-    made = rollouts.RolloutBook(5.0)
-    made.take_order(order("v3", 9), NOW)
+    made = rollouts.RolloutRegistry(5.0)
+    made.apply_order(order("v3", 9), NOW)
     late = NOW + 60.0 * 0.7
 
     def chosen() -> list[set[str]]:
         return [
-            made.choose("llm", {"v2", "v3"}, f"s{each}", frozenset(), late)
+            made.allowed_versions(
+                "llm", {"v2", "v3"}, f"s{each}", frozenset(), late
+            )
             for each in range(50)
         ]
 
     before = chosen()
-    made.note_return(late)
-    made.take_order(order("v3", 7, 2), late)
+    made.record_restore(late)
+    made.apply_order(order("v3", 7, 2), late)
     assertions.assert_that(before, matchers.Contains({"v3"}))
     assertions.assert_that(chosen(), matchers.Equals(before))
 
 
 def test_order_of_same_version_long_after_the_restore_is_new(
-    book: rollouts.RolloutBook,
+    book: rollouts.RolloutRegistry,
 ) -> None:
     # The previous order was lost and never written again.
-    book.take_phase(phase("v3", 9, 1, "reverted"))
-    book.note_return(NOW + 2.0)
-    later = NOW + 3.0 + history.HELD_FOR
-    is_new = book.take_order(order("v3", 7, 2), later)
+    book.apply_phase(phase("v3", 9, 1, "reverted"))
+    book.record_restore(NOW + 2.0)
+    later = NOW + 3.0 + store_era.RESTORE_GRACE_PERIOD
+    is_new = book.apply_order(order("v3", 7, 2), later)
     assertions.assert_that(is_new, matchers.Is(True))
     assertions.assert_that(
         book.progress["llm"].phase, matchers.Equals(phases.Phase.TRIAL)
--- a/tests/core/relay/versions/test_relay_rollouts.py
+++ b/tests/core/relay/versions/test_relay_rollouts.py
@@ -22,9 +22,9 @@
 
 
 @pytest.fixture
-def book() -> rollouts.RolloutBook:
-    made = rollouts.RolloutBook(session_life=5.0)
-    made.take_order(ORDER, 0.0)
+def book() -> rollouts.RolloutRegistry:
+    made = rollouts.RolloutRegistry(session_life=5.0)
+    made.apply_order(ORDER, 0.0)
     return made
 
 
@@ -39,7 +39,7 @@
 
 
 def send(
-    book: rollouts.RolloutBook,
+    book: rollouts.RolloutRegistry,
     count: int,
     session: str = "",
     begin: float = 1.0,
@@ -47,15 +47,15 @@
     versions = []
     for number in range(count):
         now = begin + number / 100
-        chosen = book.choose("llm", BOTH, session, NONE, now)
+        chosen = book.allowed_versions("llm", BOTH, session, NONE, now)
         version = min(chosen)
-        book.note_sent("llm", version, session, now)
+        book.record_sent("llm", version, session, now)
         versions.append(version)
     return versions
 
 
 def test_trial_gets_its_share_of_requests(
-    book: rollouts.RolloutBook,
+    book: rollouts.RolloutRegistry,
 ) -> None:
     versions = send(book, 500)
     share = versions.count("v2") / 500
@@ -64,7 +64,7 @@
 
 
 def test_some_sessions_join_a_trial_and_all_keep_their_version(
-    book: rollouts.RolloutBook,
+    book: rollouts.RolloutRegistry,
 ) -> None:
     send(book, 200)
     joined = set()
@@ -76,7 +76,7 @@
 
 
 def test_no_session_joins_a_trial_in_its_first_half(
-    book: rollouts.RolloutBook,
+    book: rollouts.RolloutRegistry,
 ) -> None:
     # With hundreds of hosts, the host that gets the next request of a session
     # does not know which version the session used before the order.
@@ -88,67 +88,71 @@
 
 
 def test_host_started_during_a_rollout_decides_like_the_others(
-    book: rollouts.RolloutBook,
+    book: rollouts.RolloutRegistry,
 ) -> None:
-    late = rollouts.RolloutBook(session_life=5.0)
-    late.take_order(ORDER, SECOND_HALF - 1.0)
-    late.take_ages(book.ages(SECOND_HALF), SECOND_HALF)
+    late = rollouts.RolloutRegistry(session_life=5.0)
+    late.apply_order(ORDER, SECOND_HALF - 1.0)
+    late.merge_ages(book.ages(SECOND_HALF), SECOND_HALF)
     for number in range(200):
         session = f"session {number}"
         assertions.assert_that(
-            late.choose("llm", BOTH, session, NONE, SECOND_HALF),
+            late.allowed_versions("llm", BOTH, session, NONE, SECOND_HALF),
             matchers.Equals(
-                book.choose("llm", BOTH, session, NONE, SECOND_HALF)
+                book.allowed_versions("llm", BOTH, session, NONE, SECOND_HALF)
             ),
         )
     # A lower age, from a host that has just started, changes nothing.
-    late.take_ages({ORDER.number: 0.1}, SECOND_HALF)
+    late.merge_ages({ORDER.number: 0.1}, SECOND_HALF)
     ages = late.ages(SECOND_HALF)
     assertions.assert_that(ages[ORDER.number], matchers.Equals(SECOND_HALF))
 
 
 def test_hosts_agree_on_session_versions_without_communication() -> None:
-    idle, busy = (rollouts.RolloutBook(session_life=5.0) for _ in range(2))
+    idle, busy = (rollouts.RolloutRegistry(session_life=5.0) for _ in range(2))
     for book in (idle, busy):
-        book.take_order(ORDER, 0.0)
+        book.apply_order(ORDER, 0.0)
     send(busy, 300)
     for number in range(200):
         session = f"session {number}"
         for now in (4.0, SECOND_HALF):
             assertions.assert_that(
-                busy.choose("llm", BOTH, session, NONE, now),
-                matchers.Equals(idle.choose("llm", BOTH, session, NONE, now)),
+                busy.allowed_versions("llm", BOTH, session, NONE, now),
+                matchers.Equals(
+                    idle.allowed_versions("llm", BOTH, session, NONE, now)
+                ),
             )
 
 
 def test_session_older_than_the_order_keeps_its_version() -> None:
-    book = rollouts.RolloutBook(session_life=5.0)
+    book = rollouts.RolloutRegistry(session_life=5.0)
     sessions = [f"session {number}" for number in range(50)]
     for session in sessions:
-        book.note_sent("llm", "v1", session, 0.5)
-    book.take_order(ORDER, 0.6)
+        book.record_sent("llm", "v1", session, 0.5)
+    book.apply_order(ORDER, 0.6)
     send(book, 100)
     for session in sessions:
-        chosen = book.choose("llm", BOTH, session, NONE, 3.0)
+        chosen = book.allowed_versions("llm", BOTH, session, NONE, 3.0)
         assertions.assert_that(chosen, matchers.Equals({"v1"}))
 
 
 def test_failures_at_one_host_stop_its_trial_at_once(
-    book: rollouts.RolloutBook,
+    book: rollouts.RolloutRegistry,
 ) -> None:
     progress = book.progress["llm"]
-    for _ in range(evidence_lib.MIN_ANSWERS):
-        progress.note_answer("chat", "v2", failed=True, slow=False)
+    for _ in range(evidence_lib.MIN_RESPONSES):
+        progress.record_response("chat", "v2", failed=True, slow=False)
     assertions.assert_that(set(send(book, 100)), matchers.Equals({"v1"}))
 
 
 def test_request_that_failed_in_a_trial_goes_to_the_old_version(
-    book: rollouts.RolloutBook,
+    book: rollouts.RolloutRegistry,
 ) -> None:
-    book.note_sent("llm", "v2", "a session", 1.0)
-    kept = book.choose("llm", BOTH, "a session", NONE, 2.0)
+    book.record_sent("llm", "v2", "a session", 1.0)
+    kept = book.allowed_versions("llm", BOTH, "a session", NONE, 2.0)
     assertions.assert_that(kept, matchers.Equals({"v2"}))
-    moved = book.choose("llm", BOTH, "a session", frozenset({"v2"}), 2.0)
+    moved = book.allowed_versions(
+        "llm", BOTH, "a session", frozenset({"v2"}), 2.0
+    )
     assertions.assert_that(moved, matchers.Equals({"v1"}))
 
 
@@ -161,49 +165,51 @@
     ],
 )
 def test_versions_allowed_in_each_phase(
-    book: rollouts.RolloutBook, phase: Phase, expected: set[str]
+    book: rollouts.RolloutRegistry, phase: Phase, expected: set[str]
 ) -> None:
-    book.take_phase(record(phase))
-    chosen = book.choose("llm", BOTH, "", NONE, 1.0)
+    book.apply_phase(record(phase))
+    chosen = book.allowed_versions("llm", BOTH, "", NONE, 1.0)
     assertions.assert_that(chosen, matchers.Equals(expected))
 
 
 def test_withdrawn_version_is_excluded_from_the_next_rollout(
-    book: rollouts.RolloutBook,
+    book: rollouts.RolloutRegistry,
 ) -> None:
-    book.take_phase(record(Phase.REVERTED))
-    book.take_order(phases.Order("llm", "v3", 20.0, 9), 5.0)
-    chosen = book.choose("llm", {"v1", "v2"}, "", NONE, 6.0)
+    book.apply_phase(record(Phase.REVERTED))
+    book.apply_order(phases.Order("llm", "v3", 20.0, 9), 5.0)
+    chosen = book.allowed_versions("llm", {"v1", "v2"}, "", NONE, 6.0)
     assertions.assert_that(chosen, matchers.Equals({"v1"}))
 
 
 @pytest.mark.parametrize("phase", [Phase.TRIAL, Phase.REVERTED])
 @pytest.mark.parametrize("session", ["", "s"])
 def test_replaced_version_is_excluded_from_the_next_rollout(
-    book: rollouts.RolloutBook, phase: Phase, session: str
+    book: rollouts.RolloutRegistry, phase: Phase, session: str
 ) -> None:
     # Its servers may still be listed, but no session uses it.
-    book.take_phase(record(Phase.COMPLETE))
-    book.note_sent("llm", "v2", session, 18.0)
-    book.take_order(phases.Order("llm", "v3", 20.0, 9), 18.2)
-    book.take_phase(phases.PhaseRecord("llm", "v3", 9, phase))
-    chosen = book.choose("llm", {"v1", "v2", "v3"}, session, NONE, 18.3)
+    book.apply_phase(record(Phase.COMPLETE))
+    book.record_sent("llm", "v2", session, 18.0)
+    book.apply_order(phases.Order("llm", "v3", 20.0, 9), 18.2)
+    book.apply_phase(phases.PhaseRecord("llm", "v3", 9, phase))
+    chosen = book.allowed_versions(
+        "llm", {"v1", "v2", "v3"}, session, NONE, 18.3
+    )
     assertions.assert_that(chosen, matchers.Equals({"v2"}))
     # If the established version has no servers left, older ones are used.
-    chosen = book.choose("llm", {"v1", "v3"}, session, NONE, 18.5)
+    chosen = book.allowed_versions("llm", {"v1", "v3"}, session, NONE, 18.5)
     assertions.assert_that(chosen, matchers.Equals({"v1"}))
 
 
-def test_older_order_is_ignored(book: rollouts.RolloutBook) -> None:
+def test_older_order_is_ignored(book: rollouts.RolloutRegistry) -> None:
     older = phases.Order("llm", "v9", 20.0, 3)
-    assertions.assert_that(book.take_order(older, 1.0), matchers.Is(False))
+    assertions.assert_that(book.apply_order(older, 1.0), matchers.Is(False))
     assertions.assert_that(book.progress["llm"].order, matchers.Equals(ORDER))
 
 
 def test_phase_read_before_its_order_applies() -> None:
-    book = rollouts.RolloutBook(session_life=5.0)
-    book.take_phase(record(Phase.COMPLETE))
-    book.take_order(ORDER, 0.0)
+    book = rollouts.RolloutRegistry(session_life=5.0)
+    book.apply_phase(record(Phase.COMPLETE))
+    book.apply_order(ORDER, 0.0)
     assertions.assert_that(
         book.progress["llm"].phase, matchers.Equals(Phase.COMPLETE)
     )
@@ -216,7 +222,7 @@
         ((30, 0, 0), (300, 0, 0), 0.7, Phase.SPREAD),
         # Without any response, the target must not spread.
         ((0, 0, 0), (300, 0, 0), 0.99, None),
-        ((phases.MIN_PROOF - 1, 0, 0), (300, 0, 0), 0.99, None),
+        ((phases.MIN_TARGET_RESPONSES - 1, 0, 0), (300, 0, 0), 0.99, None),
         ((12, 6, 0), (100, 0, 0), 0.1, Phase.REVERTED),
         ((12, 0, 8), (100, 0, 0), 0.1, Phase.REVERTED),
         # The failure rate of the target equals the baseline.
@@ -313,27 +319,27 @@
 
 @pytest.mark.parametrize("phase", [Phase.TRIAL, Phase.SPREAD])
 def test_doubt_stops_requests_to_the_target_before_any_phase_record(
-    book: rollouts.RolloutBook, phase: Phase
+    book: rollouts.RolloutRegistry, phase: Phase
 ) -> None:
-    book.take_phase(record(phase))
-    doubted = book.doubt(ORDER.number)
+    book.apply_phase(record(phase))
+    doubted = book.mark_doubted(ORDER.number)
     assertions.assert_that(doubted, matchers.Is(book.progress["llm"]))
-    assertions.assert_that(book.doubt(ORDER.number), matchers.Is(None))
+    assertions.assert_that(book.mark_doubted(ORDER.number), matchers.Is(None))
     assertions.assert_that(book.doubts(), matchers.Equals((ORDER.number,)))
     assertions.assert_that(set(send(book, 100)), matchers.Equals({"v1"}))
 
 
 def test_turns_of_hosts_are_distinct() -> None:
     hosts = [f"h{number}" for number in range(5)]
-    turns = [phases.turn_of(host, hosts, 7) for host in hosts]
-    expected = [place * phases.TURN for place in range(5)]
+    turns = [phases.turn_delay(host, hosts, 7) for host in hosts]
+    expected = [place * phases.TURN_SECONDS for place in range(5)]
     assertions.assert_that(sorted(turns), matchers.Equals(expected))
 
 
 def test_counts_of_all_hosts_are_summed() -> None:
     one = evidence_lib.Evidence("llm", 7, "a", evidence((1, 1, 0), (2, 0, 1)))
     two = evidence_lib.Evidence("llm", 7, "b", evidence((3, 0, 1), (4, 1, 0)))
-    pooled = evidence_lib.pool([one, two])["chat"]
+    pooled = evidence_lib.pool_evidence([one, two])["chat"]
     assertions.assert_that(
         pooled.target, matchers.Equals(evidence_lib.Tally(4, 1, 1))
     )
@@ -351,13 +357,13 @@
     new = evidence_lib.Evidence("llm", 7, "a", evidence((3, 1, 0), (2, 0, 0)))
     other = evidence_lib.Evidence("llm", 7, "b", evidence((1, 0, 0), (0, 0, 0)))
     for copies in ([old, new, other], [new, other, old, new]):
-        book = evidence_lib.EvidenceBook()
+        book = evidence_lib.EvidenceRegistry()
         for each in copies:
-            book.take(each)
+            book.merge(each)
         assertions.assert_that(
-            book.of("llm", 7),
+            book.for_order("llm", 7),
             matchers.MatchesSetwise(
                 matchers.Equals(new), matchers.Equals(other)
             ),
         )
-        assertions.assert_that(book.of("llm", 8), matchers.Equals([]))
+        assertions.assert_that(book.for_order("llm", 8), matchers.Equals([]))
--- a/tests/entry/once/test_entry_once.py
+++ b/tests/entry/once/test_entry_once.py
@@ -17,7 +17,7 @@
 from hoistmoor.core import codec
 from hoistmoor.core import identity
 from hoistmoor.core import outcomes
-from hoistmoor.core import pacing
+from hoistmoor.core import polling
 from hoistmoor.core import refusals
 from hoistmoor.core.once import permits
 from hoistmoor.core.once import records
@@ -297,8 +297,8 @@
     monkeypatch: pytest.MonkeyPatch, is_hurried: bool
 ) -> None:
     """Also shows that a claim which hurries nobody is noticed."""
-    never = attrs.evolve(pacing.CLAIMS, period=3600.0)
-    monkeypatch.setattr(pacing, "CLAIMS", never)
+    never = attrs.evolve(polling.CLAIMS, period=3600.0)
+    monkeypatch.setattr(polling, "CLAIMS", never)
     if not is_hurried:
         reader = claim_reader.ClaimReader
         monkeypatch.setattr(reader, "hurry", lambda _: None)
@@ -333,8 +333,8 @@
 async def test_pauses_end_until_the_own_claim_is_read_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    never = attrs.evolve(pacing.CLAIMS, period=3600.0)
-    monkeypatch.setattr(pacing, "CLAIMS", never)
+    never = attrs.evolve(polling.CLAIMS, period=3600.0)
+    monkeypatch.setattr(polling, "CLAIMS", never)
     host = make_host(_CrowdedLog(), 1)
     for _ in range(20):
         await asyncio.sleep(0)  # The first page is read; the pause begins.
@@ -346,8 +346,8 @@
 async def test_an_end_on_the_log_is_read_before_a_held_key_is_judged(
     log: once_fake_log.FakeLog, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    never = attrs.evolve(pacing.CLAIMS, period=3600.0)
-    monkeypatch.setattr(pacing, "CLAIMS", never)
+    never = attrs.evolve(polling.CLAIMS, period=3600.0)
+    monkeypatch.setattr(polling, "CLAIMS", never)
     monkeypatch.setattr(claims, "_CATCH_UP", 20.0)
     owner, other = make_host(log, 1), make_host(log, 2)
     for _ in range(20):
--- a/tests/platform/conftest.py
+++ b/tests/platform/conftest.py
@@ -9,7 +9,7 @@
 import store_standin
 
 from hoistmoor.clients import sessions
-from hoistmoor.core.relay.beliefs import history
+from hoistmoor.core.relay.beliefs import store_era
 from hoistmoor.platform import store
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
     ip, port = runner.addresses[0]
     async with sessions.make_session() as session:
         client = store.StoreTopic(
-            session, f"{ip}:{port}", TOPIC, history.StoreHistory()
+            session, f"{ip}:{port}", TOPIC, store_era.StoreEra()
         )
         yield store_server, store_server.topic(TOPIC), client
     await runner.cleanup()
--- a/tests/platform/test_platform_store.py
+++ b/tests/platform/test_platform_store.py
@@ -10,7 +10,7 @@
 from testtools import matchers
 
 from hoistmoor.core import errors
-from hoistmoor.core.relay.beliefs import history
+from hoistmoor.core.relay.beliefs import store_era
 
 if TYPE_CHECKING:
     import store_standin
@@ -104,7 +104,7 @@
     assertions.assert_that(known.end, matchers.Equals(relay_parts.at(5, 1)))
     server.era = "3"
     stored.records = [("a", b"2")] * 9
-    with pytest.raises(errors.LogHistoryChangedError):
+    with pytest.raises(errors.LogEraChangedError):
         await topic.changes(known.end, 0.0)
     again = await topic.newest()
     assertions.assert_that(again.end, matchers.Equals(relay_parts.at(9, 3)))
@@ -155,22 +155,22 @@
 @pytest.mark.parametrize(
     ("text", "kind"),
     [
-        (None, history.Unusable.ABSENT),
-        ("two", history.Unusable.JUNK),
-        ("-3", history.Unusable.JUNK),
-        ("9" * 30, history.Unusable.JUNK),
-        ("", history.Unusable.JUNK),
-        ("1", history.Unusable.FALLING),
+        (None, store_era.EraProblem.ABSENT),
+        ("two", store_era.EraProblem.JUNK),
+        ("-3", store_era.EraProblem.JUNK),
+        ("9" * 30, store_era.EraProblem.JUNK),
+        ("", store_era.EraProblem.JUNK),
+        ("1", store_era.EraProblem.FALLING),
     ],
 )
 async def test_an_era_that_says_nothing_changes_nothing(
-    standin: StoreFixture, text: str | None, kind: history.Unusable
+    standin: StoreFixture, text: str | None, kind: store_era.EraProblem
 ) -> None:
     server, stored, topic = standin
     server.era = "2"
     stored.records = [("a", b"1")]
     known = await topic.newest()
-    reported: list[history.Unusable] = []
+    reported: list[store_era.EraProblem] = []
     topic.history.on_unusable = lambda why, _: reported.append(why)
     server.era = text
     stored.records.append(("a", b"2"))
--- a/tests/relay/engine_traffic.py
+++ b/tests/relay/engine_traffic.py
@@ -17,7 +17,7 @@
 
 from hoistmoor.core import outcomes
 from hoistmoor.core import refusals
-from hoistmoor.core.relay.answers import pace
+from hoistmoor.core.relay.answers import response_times
 from hoistmoor.core.relay.course import machine as machine_lib
 from hoistmoor.core.relay.course import messages
 from hoistmoor.core.relay.course import requests
@@ -322,8 +322,16 @@
 
 # Status, state and outcome of an attempt, by whether it was declined.
 _RESULTS = {
-    False: (200, outcomes.ExchangeState.ANSWERED, pace.AttemptOutcome.WELL),
-    True: (503, outcomes.ExchangeState.DECLINED, pace.AttemptOutcome.FULL),
+    False: (
+        200,
+        outcomes.ExchangeState.ANSWERED,
+        response_times.AttemptOutcome.WELL,
+    ),
+    True: (
+        503,
+        outcomes.ExchangeState.DECLINED,
+        response_times.AttemptOutcome.FULL,
+    ),
 }
 
 
--- a/tests/relay/front/test_relay_request_line.py
+++ b/tests/relay/front/test_relay_request_line.py
@@ -29,7 +29,7 @@
     """A host's state, and the descriptor to read its event log from."""
     reading, writing = os.pipe()
     os.set_blocking(reading, False)
-    yield relay_states.fresh(relay_states.Clock(), writing), reading
+    yield relay_states.make_state(relay_states.Clock(), writing), reading
     os.close(reading)
     os.close(writing)
 
@@ -73,7 +73,7 @@
 ) -> None:
     state, descriptor = logged_state
     order = phases.Order("desk", "v2", 60.0, 7)
-    state.router.rollouts.take_order(order, 100.0)
+    state.router.rollouts.apply_order(order, 100.0)
     request = relay_parts.request(session="s1")
     request_line.note_version(state, request, send_to("v1"), "v1")
     (line,) = read_lines(descriptor)
--- a/tests/relay/peers/test_relay_peers.py
+++ b/tests/relay/peers/test_relay_peers.py
@@ -15,8 +15,8 @@
 from testtools import matchers
 
 from hoistmoor.clients import sessions
-from hoistmoor.core.relay.beliefs import mirror
-from hoistmoor.core.relay.beliefs import reading
+from hoistmoor.core.relay.beliefs import read_policy
+from hoistmoor.core.relay.beliefs import replication
 from hoistmoor.core.relay.versions import evidence as evidence_lib
 from hoistmoor.core.relay.versions import phases
 from hoistmoor.relay import application
@@ -224,16 +224,16 @@
     hosts = []
 
     async def hang(
-        _: peer_client.PeerClient, host: mirror.Host, __: object
+        _: peer_client.PeerClient, host: replication.Host, __: object
     ) -> None:
         hosts.append(host.name)
         await asyncio.sleep(0.2)
 
-    monkeypatch.setattr(reading, "OLDEST_OWN", 0.1)
+    monkeypatch.setattr(read_policy, "OLDEST_OWN", 0.1)
     monkeypatch.setattr(peer_client.PeerClient, "ask", hang)
     for number in range(20, 30):
         copier.relay._sources.put(
-            mirror.Host(f"silent{number}", "z", "127.0.0.1:1")
+            replication.Host(f"silent{number}", "z", "127.0.0.1:1")
         )
     hosts.clear()
     await until(lambda: copier.reads_store)
@@ -262,7 +262,7 @@
     books = [each.relay.state.router.rollouts for each in pair]
     await until(lambda: all("llm" in book.progress for book in books))
     for book in books:
-        book.progress["llm"].note_answer("chat", "v2", True, False)
+        book.progress["llm"].record_response("chat", "v2", True, False)
 
     def reported_runs() -> set[str]:
         newest = platform.evidence.records[-1:]
@@ -290,8 +290,8 @@
     # The phase cannot be written to the store.
     platform.phases.is_away = True
     progress = states[detector].router.rollouts.progress["desk"]
-    for _ in range(evidence_lib.MIN_ANSWERS):
-        progress.note_answer("look", "v2", failed=True, slow=False)
+    for _ in range(evidence_lib.MIN_RESPONSES):
+        progress.record_response("look", "v2", failed=True, slow=False)
     await until(
         lambda: all(
             each.router.rollouts.progress["desk"].is_stopped()
--- a/tests/relay/peers/test_relay_tree_stateful.py
+++ b/tests/relay/peers/test_relay_tree_stateful.py
@@ -21,7 +21,7 @@
 import relay_platform
 import relay_states
 
-from hoistmoor.core.relay.beliefs import mirror
+from hoistmoor.core.relay.beliefs import replication
 from hoistmoor.core.relay.beliefs import topics
 from hoistmoor.relay.peers import answers as answers_lib
 from hoistmoor.relay.peers import listing as listing_lib
@@ -70,7 +70,7 @@
     def __init__(
         self, clock: relay_states.Clock, codec: relay_platform.NamedCodec
     ) -> None:
-        self.state = relay_states.fresh(clock, NULL_DESCRIPTOR)
+        self.state = relay_states.make_state(clock, NULL_DESCRIPTOR)
         gate = store_gate.StoreGate()
         self.operator = follower.TopicFollower(
             self.state,
@@ -83,11 +83,11 @@
         )
         followers = {"operator": self.operator, "hosts": self.operator}
         self.answers = answers_lib.PeerAnswers(self.state, followers)
-        sources = mirror.Sources("h", "z")
+        sources = replication.SourceSelector("h", "z")
         listing = listing_lib.SelfListing(
             self.state,
             relay_platform.MemoryTopic(),
-            mirror.Host("h", "z", "127.0.0.1:1"),
+            replication.Host("h", "z", "127.0.0.1:1"),
             sources,
             listing_lib.HostListener(self.state, sources),
             is_first_start=False,
@@ -194,10 +194,10 @@
             return  # This run of the host has ended.
         if response.batch is None:
             answer = peer_codec.decode_answer(response.answer)
-            response.run.state.history.learn(answer.era, "host")
+            response.run.state.history.record_era(answer.era, "host")
             response.run.reader._take(answer, response.sent_at)
             return
-        response.run.state.history.learn(response.batch.end.era, "store")
+        response.run.state.history.record_era(response.batch.end.era, "store")
         if not response.run.operator.is_ahead_of(response.batch):
             update = follower.Update(
                 response.batch, response.sent_at, NO_OUTAGE
--- a/tests/relay/relay_swarm.py
+++ b/tests/relay/relay_swarm.py
@@ -21,7 +21,7 @@
 import relay_platform
 
 from hoistmoor.core import errors
-from hoistmoor.core.relay.beliefs import history as history_lib
+from hoistmoor.core.relay.beliefs import store_era as history_lib
 from hoistmoor.relay import application
 from hoistmoor.relay import settings as settings_lib
 from hoistmoor.relay.peers import answers as answers_lib
@@ -33,7 +33,7 @@
 
     import pytest
 
-    from hoistmoor.core.relay.beliefs import mirror
+    from hoistmoor.core.relay.beliefs import replication
     from hoistmoor.core.relay.beliefs import topics as topics_lib
 
 LATENCY = 0.003  # Seconds to deliver a small message.
@@ -170,7 +170,7 @@
     name: str
     host: str
     link: Link
-    history: history_lib.StoreHistory
+    history: history_lib.StoreEra
 
     @property
     def _shared(self) -> relay_platform.HostTopic:
@@ -396,7 +396,10 @@
         self._named = {each.name: each for each in self.members}
 
     async def ask(
-        self, client: peer_client.PeerClient, host: mirror.Host, data: bytes
+        self,
+        client: peer_client.PeerClient,
+        host: replication.Host,
+        data: bytes,
     ) -> peer_codec.CopyAnswer:
         """Delivers a request from one relay to another."""
         asker = self.by_state[id(client._state)]
@@ -454,7 +457,7 @@
     monkeypatch.setattr(application, "LOG_DESCRIPTOR", _NULL_DEVICE)
 
     async def exchange(
-        client: peer_client.PeerClient, host: mirror.Host, data: bytes
+        client: peer_client.PeerClient, host: replication.Host, data: bytes
     ) -> peer_codec.CopyAnswer:
         swarm = _SWARMS[asyncio.get_running_loop()]
         return await swarm.ask(client, host, data)
--- a/tests/relay/store/conftest.py
+++ b/tests/relay/store/conftest.py
@@ -69,7 +69,7 @@
     read_end, write_end = os.pipe()
     os.set_blocking(read_end, False)
     clock = relay_states.Clock()
-    state = relay_states.fresh(clock, write_end)
+    state = relay_states.make_state(clock, write_end)
     yield Rig(state, clock, read_end)
     os.close(read_end)
     os.close(write_end)
--- a/tests/relay/store/test_relay_follower.py
+++ b/tests/relay/store/test_relay_follower.py
@@ -137,14 +137,14 @@
     for _ in range(3):
         await platform.publish(platform.servers, "a", relay_parts.entry("a"))
     await servers.read_once()
-    copy = servers.mirror.copy_from(copied_until)
+    copy = servers.mirror.changes_since(copied_until)
     assert copy is not None
     assertions.assert_that(copy.records, matchers.Equals(()))
     assertions.assert_that(copy.end, matchers.Equals(relay_parts.at(4)))
     leaving = relay_parts.entry("a", is_leaving=True)
     await platform.publish(platform.servers, "a", leaving)
     await servers.read_once()
-    copy = servers.mirror.copy_from(copied_until)
+    copy = servers.mirror.changes_since(copied_until)
     assert copy is not None
     assertions.assert_that(copy.records, matchers.HasLength(1))
 
@@ -203,7 +203,7 @@
     servers.place = None
     await servers.read_once()
     assertions.assert_that(known_servers(rig), matchers.Equals(["a", "b"]))
-    copy = servers.mirror.copy_from(None)
+    copy = servers.mirror.changes_since(None)
     assert copy is not None
     assertions.assert_that(
         [each.key for each in copy.records], matchers.Equals(["b"])
@@ -211,7 +211,7 @@
     # The server's next heartbeat is passed on to them.
     await platform.publish(platform.servers, "a", relay_parts.entry("a"))
     await servers.read_once()
-    copy = servers.mirror.copy_from(None)
+    copy = servers.mirror.changes_since(None)
     assert copy is not None
     assertions.assert_that(
         sorted(each.key for each in copy.records), matchers.Equals(["a", "b"])
@@ -248,7 +248,7 @@
     found = rig.state.router.fleet.servers["a"]
     assertions.assert_that(found.entry.born, matchers.Equals(2000))
     # The late heartbeat of the older start is not passed on.
-    copy = servers.mirror.copy_from(relay_parts.at(1))
+    copy = servers.mirror.changes_since(relay_parts.at(1))
     assert copy is not None
     assertions.assert_that(
         [each.place.offset for each in copy.records], matchers.Equals([1])
--- a/tests/relay/store/test_relay_returned_operators.py
+++ b/tests/relay/store/test_relay_returned_operators.py
@@ -8,7 +8,7 @@
 from testtools import assertions
 from testtools import matchers
 
-from hoistmoor.core.relay.beliefs import history
+from hoistmoor.core.relay.beliefs import store_era
 from hoistmoor.relay.store import operator_listener
 
 if TYPE_CHECKING:
@@ -41,5 +41,5 @@
     )
     # An evacuation that is not written again was revoked.
     await platform.operator.put("empty-south", b"{}")
-    rig.clock.now += history.HELD_FOR
+    rig.clock.now += store_era.RESTORE_GRACE_PERIOD
     assertions.assert_that(await evacuated(), matchers.Equals({"south"}))
--- a/tests/relay_platform.py
+++ b/tests/relay_platform.py
@@ -13,7 +13,7 @@
 
 from hoistmoor.core import errors
 from hoistmoor.core.relay.beliefs import configuration
-from hoistmoor.core.relay.beliefs import history as history_lib
+from hoistmoor.core.relay.beliefs import store_era as history_lib
 from hoistmoor.core.relay.beliefs import topics
 from hoistmoor.core.relay.servers import server as server_lib
 from hoistmoor.core.relay.versions import phases as phases_lib
@@ -64,9 +64,7 @@
         while True:
             self._check()
             if place.era != self.era:
-                raise errors.LogHistoryChangedError(
-                    "topic", place.era, self.era
-                )
+                raise errors.LogEraChangedError("topic", place.era, self.era)
             if not self.first_kept <= offset <= len(self.records):
                 raise errors.LogOffsetExpiredError(
                     "topic", offset, self.first_kept
@@ -120,7 +118,7 @@
     """
 
     topic: MemoryTopic
-    history: history_lib.StoreHistory
+    history: history_lib.StoreEra
 
     async def newest(self) -> topics.Batch:
         """Returns the newest record of each key."""
@@ -156,11 +154,11 @@
 
 
 def note_era(
-    history: history_lib.StoreHistory, topic: MemoryTopic, known: int
+    history: history_lib.StoreEra, topic: MemoryTopic, known: int
 ) -> None:
     """Updates a host's knowledge of the era from a response."""
-    word = history_lib.EraWord(str(topic.era), topic.era)
-    history.take_answer(word, known)
+    word = history_lib.EraHeader(str(topic.era), topic.era)
+    history.record_response(word, known)
 
 
 @attrs.define
@@ -186,7 +184,7 @@
         found = self.known.get(record.value or b"")
         if not isinstance(found, phases_lib.Order):
             return None
-        if record.place.era == history_lib.UNNAMED:
+        if record.place.era == history_lib.UNKNOWN_ERA:
             return found  # Keeps the number that the test has assigned.
         return attrs.evolve(found, number=record.place.serial)
 
@@ -222,7 +220,7 @@
 
     def as_port(self) -> ports.Platform:
         """Returns the platform adapter of one relay."""
-        history = history_lib.StoreHistory()
+        history = history_lib.StoreEra()
         topics = ports.Topics(
             *(HostTopic(each, history) for each in self.topics.values())
         )
--- a/tests/relay_states.py
+++ b/tests/relay_states.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from hoistmoor.core.relay.beliefs import freshness
+from hoistmoor.core.relay.beliefs import configuration_lease
 from hoistmoor.core.relay.placement import bounds as bounds_lib
 from hoistmoor.core.relay.placement import router as router_lib
 from hoistmoor.core.relay.servers import outstanding
@@ -25,7 +25,7 @@
         return self.now
 
 
-def fresh(clock: Clock, log_descriptor: int) -> state_lib.RelayState:
+def make_state(clock: Clock, log_descriptor: int) -> state_lib.RelayState:
     """Returns the state of a host that has not read any topic.
 
     Args:
@@ -39,7 +39,7 @@
         router=router_lib.Router(
             "north", bounds_lib.Bounds(), hashing.Draws.seeded(1)
         ),
-        lease=freshness.ConfigurationLease(5.0),
+        lease=configuration_lease.ConfigurationLease(5.0),
         outstanding=outstanding.OutstandingWork(),
         run_name="h1-1",
     )
