--- a/benchmarks/capacity/tree.py
+++ b/benchmarks/capacity/tree.py
@@ -26,8 +26,8 @@
 from hoistmoor.relay import counters
 from hoistmoor.relay import event_log
 from hoistmoor.relay import state as state_lib
-from hoistmoor.relay.peers import answers as answers_lib
 from hoistmoor.relay.peers import peer_codec
+from hoistmoor.relay.peers import request_handler as answers_lib
 from hoistmoor.relay.store import follower as follower_lib
 from hoistmoor.relay.store import store_gate
 
@@ -94,7 +94,7 @@
     )
 
 
-def _answers(state: state_lib.RelayState) -> answers_lib.PeerAnswers:
+def _answers(state: state_lib.RelayState) -> answers_lib.PeerRequestHandler:
     gate = store_gate.StoreGate()
     followers = {
         name: follower_lib.TopicFollower(
@@ -109,12 +109,12 @@
         for name in TOPICS
     }
     for each in followers.values():
-        each.mirror = replication.TopicReplica()
-        each.mirror.apply(topics.Batch((), 100, is_snapshot=True))
-    return answers_lib.PeerAnswers(state, followers)
+        each.replica = replication.TopicReplica()
+        each.replica.apply(topics.Batch((), 100, is_snapshot=True))
+    return answers_lib.PeerRequestHandler(state, followers)
 
 
-def _answer(answers: answers_lib.PeerAnswers, asked: bytes) -> bytes:
+def _answer(answers: answers_lib.PeerRequestHandler, asked: bytes) -> bytes:
     question = peer_codec.decode_request(asked)
     return peer_codec.encode(answers.answer(question))
 
--- a/src/hoistmoor/platform/main.py
+++ b/src/hoistmoor/platform/main.py
@@ -43,7 +43,7 @@
             codec=codec.PlatformCodec(),
             headers=names.HEADERS,
             not_run_statuses=names.NOT_RUN_STATUSES,
-            history=history,
+            store_era=history,
         )
 
     def reload_settings() -> relay_settings.RelaySettings:
--- a/src/hoistmoor/relay/application.py
+++ b/src/hoistmoor/relay/application.py
@@ -29,9 +29,9 @@
 from hoistmoor.relay.peers import listing as listing_lib
 from hoistmoor.relay.peers import peer_client
 from hoistmoor.relay.peers import reader as reader_lib
-from hoistmoor.relay.store import era_watch
+from hoistmoor.relay.store import era_monitor
 from hoistmoor.relay.store import followers as followers_lib
-from hoistmoor.relay.store import lease_watch
+from hoistmoor.relay.store import lease_monitor
 from hoistmoor.relay.store import quarantine
 from hoistmoor.relay.store import store_gate
 from hoistmoor.relay.versions import rollout_listeners
@@ -102,7 +102,7 @@
             ),
             outstanding=outstanding.OutstandingWork(),
             run_name=f"{settings.host}-{seed:016x}",
-            history=platform.history,
+            history=platform.store_era,
         )
         dialect = dialect_lib.Dialect(
             attempt_header=platform.headers.request_id,
@@ -129,7 +129,7 @@
         )
         self._sources = replication.SourceSelector(settings.host, settings.zone)
         self._gate = store_gate.StoreGate()
-        self._heard = followers_lib.OwnListeners(
+        self._heard = followers_lib.RelayListeners(
             rollout_listeners.PhaseListener(self.state),
             listing_lib.HostListener(self.state, self._sources),
             quarantine.QuarantineListener(self.state),
@@ -140,9 +140,9 @@
             self._gate,
             self._heard,
             # With peers, wait until it is known which host reads the store.
-            yields=bool(settings.peer_listen),
+            may_use_peers=bool(settings.peer_listen),
         )
-        era_watch.EraWatch(self.state, self.followers).attach()
+        era_monitor.EraMonitor(self.state, self.followers).attach()
         self._make_tasks(platform, peer_session)
         self._serving = serving.Serving(
             self.state,
@@ -176,7 +176,7 @@
         self.loops = {name: each.run for name, each in self.followers.items()}
         self.loops["settings"] = self.settings_task.run
         self.loops["suspension"] = self.suspension.run
-        self.loops["lease"] = lease_watch.LeaseWatch(self.state).run
+        self.loops["lease"] = lease_monitor.LeaseMonitor(self.state).run
         self.loops["rollouts"] = rollout_task.RolloutTask(
             self.state,
             platform.topics,
--- a/src/hoistmoor/relay/peers/news_exchange.py
+++ b/src/hoistmoor/relay/peers/change_exchange.py
@@ -31,23 +31,23 @@
     received: int = 0
 
 
-class NewsExchange:
+class ChangeExchange:
     """The requesting side; tracks each host to which requests were sent."""
 
     def __init__(self, state: state_lib.RelayState) -> None:
         self._state = state
         self._acknowledged: dict[str, _Acknowledged] = {}
 
-    def question(self, host: str) -> peer_codec.News:
+    def changes_for(self, host: str) -> peer_codec.StateChanges:
         """Returns the changes to send with a request to a host."""
         known = self._acknowledged.setdefault(host, _Acknowledged())
-        return news_of(self._state, known.sent, known.received)
+        return changes_since(self._state, known.sent, known.received)
 
-    def take(
+    def merge_response(
         self,
         host: str,
-        sent: peer_codec.News,
-        received: peer_codec.News,
+        sent: peer_codec.StateChanges,
+        received: peer_codec.StateChanges,
         sent_at: float,
     ) -> None:
         """Applies the changes in a host's response.
@@ -66,12 +66,12 @@
         else:
             # The new run received this request, but no earlier one.
             self._acknowledged[host] = _Acknowledged(received.run_name)
-        take(self._state, received, sent_at)
+        merge_changes(self._state, received, sent_at)
 
 
-def news_of(
+def changes_since(
     state: state_lib.RelayState, after: int, heard: int
-) -> peer_codec.News:
+) -> peer_codec.StateChanges:
     """Returns the changes of this host that another one lacks.
 
     Args:
@@ -85,7 +85,7 @@
     departures, departures_until = router.fleet.departures.changes_since(
         after, now
     )
-    return peer_codec.News(
+    return peer_codec.StateChanges(
         state.run_name,
         suspects,
         departures,
@@ -94,7 +94,9 @@
     )
 
 
-def take(state: state_lib.RelayState, news: peer_codec.News, at: float) -> None:
+def merge_changes(
+    state: state_lib.RelayState, news: peer_codec.StateChanges, at: float
+) -> None:
     """Applies the changes that another host has sent.
 
     Args:
--- a/src/hoistmoor/relay/peers/listing.py
+++ b/src/hoistmoor/relay/peers/listing.py
@@ -37,7 +37,7 @@
         self, state: state_lib.RelayState, sources: replication.SourceSelector
     ) -> None:
         self.listed: dict[str, replication.Host] = {}
-        self.missing = asyncio.Event()
+        self.has_lost_hosts = asyncio.Event()
         self._state = state
         self._sources = sources
 
@@ -57,13 +57,13 @@
                 continue
             self.listed[host.name] = host
             self._sources.put(host)
-        if update.batch.is_snapshot and self.lost():
-            self.missing.set()
+        if update.batch.is_snapshot and self.lost_hosts():
+            self.has_lost_hosts.set()
         if update.batch.records:  # Most updates are empty.
             self._state.router.fleet.shares.set_hosts(self._sources.hosts)
         return update.batch.records
 
-    def lost(self) -> dict[str, replication.Host]:
+    def lost_hosts(self) -> dict[str, replication.Host]:
         """Returns the known hosts that the store's newest era lacks."""
         known = self._sources.hosts
         return {name: known[name] for name in known.keys() - self.listed.keys()}
@@ -123,8 +123,8 @@
 
     async def _relist_missing(self) -> None:
         while True:
-            await self._listener.missing.wait()
-            self._listener.missing.clear()
+            await self._listener.has_lost_hosts.wait()
+            self._listener.has_lost_hosts.clear()
             await self._relist()
 
     async def _relist(self) -> None:
@@ -136,7 +136,7 @@
         """
         if self._state.source:
             await asyncio.sleep(SELF_RELIST_DELAY)
-        lost = self._listener.lost()
+        lost = self._listener.lost_hosts()
         if self._state.source:
             lost = {name: lost[name] for name in lost if name == self.host.name}
         if lost:
--- a/src/hoistmoor/relay/peers/peer_codec.py
+++ b/src/hoistmoor/relay/peers/peer_codec.py
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen
-class News:
+class StateChanges:
     """State changes that one host has not sent to another yet.
 
     Attributes:
@@ -83,7 +83,7 @@
     evidence: tuple[evidence_lib.Evidence, ...] = ()
     doubts: tuple[int, ...] = ()
     order_ages: dict[int, float] = attrs.field(factory=dict)
-    news: News = attrs.field(factory=News)
+    news: StateChanges = attrs.field(factory=StateChanges)
     limits: dict[str, limits_lib.GossipedLimit] = attrs.field(factory=dict)
     era: int = 0
     revision: int = -1
@@ -114,7 +114,7 @@
     work: outstanding.WorkByServer = attrs.field(factory=dict)
     doubts: tuple[int, ...] = ()
     order_ages: dict[int, float] = attrs.field(factory=dict)
-    news: News = attrs.field(factory=News)
+    news: StateChanges = attrs.field(factory=StateChanges)
     limits: dict[str, limits_lib.GossipedLimit] = attrs.field(factory=dict)
     era: int = 0
     revision: int = -1
--- a/src/hoistmoor/relay/peers/reader.py
+++ b/src/hoistmoor/relay/peers/reader.py
@@ -18,7 +18,7 @@
 
 from hoistmoor.core.relay.beliefs import read_policy
 from hoistmoor.core.relay.servers import limit_gossip
-from hoistmoor.relay.peers import news_exchange
+from hoistmoor.relay.peers import change_exchange
 from hoistmoor.relay.peers import peer_codec
 from hoistmoor.relay.store import follower as follower_lib
 from hoistmoor.relay.store import store_gate
@@ -77,7 +77,7 @@
         self._followers = followers
         self._hosts = followers["hosts"]
         self._client = client
-        self._news = news_exchange.NewsExchange(state)
+        self._news = change_exchange.ChangeExchange(state)
         # Configuration revision in the last response of each host.
         self._revisions: dict[str, int] = {}
 
@@ -90,7 +90,7 @@
             self._set_source(source)
             self._update_others_work()
             self._gate.backoff = read_policy.backoff_of(
-                knows_hosts=self._hosts.known.is_set(),
+                knows_hosts=self._hosts.loaded.is_set(),
                 is_answered=self._any_responded,
                 is_first=self._sources.is_first(),
             )
@@ -106,7 +106,7 @@
             await asyncio.sleep(FIRST_START_DELAY)
         self._hosts.direct.set()
         await self._wait_for_hosts(HOST_LIST_TIMEOUT)
-        if not self._hosts.known.is_set():
+        if not self._hosts.loaded.is_set():
             return
         self._hosts.direct.clear()
         if self._listing.is_needed():
@@ -125,10 +125,10 @@
         """Waits until the hosts are known, or a timeout in seconds is over."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout):
-                await self._hosts.known.wait()
+                await self._hosts.loaded.wait()
 
     async def _pause(self, is_waiting: bool) -> None:
-        if not self._hosts.known.is_set():
+        if not self._hosts.loaded.is_set():
             await self._wait_for_hosts(read_policy.REQUEST_INTERVAL)
             return
         if is_waiting and not self._has_all_topics():
@@ -159,7 +159,7 @@
             self._state.depth = 0
             # This host has made no calls to the store until now, so the store
             # may be unavailable.
-            self._gate.note_lost()
+            self._gate.record_failure()
         self._state.source = source
         self._state.believe("source", peer=source or "store")
 
@@ -167,7 +167,7 @@
         """Starts or stops reads of the store for each topic."""
         for name, follower in self._followers.items():
             if self._reads_store(name):
-                follower.read_directly()
+                follower.start_reading_store()
             else:
                 follower.direct.clear()
 
@@ -175,7 +175,7 @@
         """Returns whether this host reads a topic from the store."""
         return not self._state.source and read_policy.reads_from_store(
             name,
-            knows_hosts=self._hosts.known.is_set(),
+            knows_hosts=self._hosts.loaded.is_set(),
             was_read=name in self._state.topics_read,
             alone_for=self._state.clock() - self._direct_since,
         )
@@ -194,10 +194,10 @@
                 return host.name
             if self._has_all_topics() and self._age() > read_policy.MAX_OWN_AGE:
                 break  # Another unresponsive host would take too long.
-        if self._gate.is_heard and not self._has_all_topics():
+        if self._gate.is_available and not self._has_all_topics():
             await self._copy_at_start()
             return ""
-        if self._gate.is_heard or self._age() <= read_policy.MAX_OWN_AGE:
+        if self._gate.is_available or self._age() <= read_policy.MAX_OWN_AGE:
             return ""
         for host in self._sources.fallback_sources(self._state.clock()):
             if await self._copy_from(host, is_before=False):
@@ -250,7 +250,7 @@
             self._state.known_evidence(),
             self._state.look_for_doubts(),
             self._state.router.rollouts.ages(self._state.clock()),
-            self._news.question(host.name),
+            self._news.changes_for(host.name),
             limit_gossip.limits_to_gossip(
                 self._state.router.fleet, self._state.clock()
             ),
@@ -266,7 +266,7 @@
         self._sources.record_success(host.name)
         self._state.history.record_era(answer.era, host.name)
         self._revisions[host.name] = answer.revision
-        self._news.take(host.name, request.news, answer.news, sent_at)
+        self._news.merge_response(host.name, request.news, answer.news, sent_at)
         self._state.server_beliefs.take_limits(answer.limits, sent_at)
         self._any_responded = True
         self._is_promising |= read_policy.is_worth_waiting_for(
@@ -327,17 +327,17 @@
                 continue
             # A concurrent read of the store may have returned newer data.
             if follower.is_ahead_of(topic.batch):
-                follower.note_dropped(topic.batch)
+                follower.record_outdated_copy(topic.batch)
                 continue
             # The response was created after the request was sent, and its ages
             # refer to its creation: counting them from the request's start
             # never makes a copy look newer than it is.
             current_at = sent_at - topic.age
-            follower.take(
+            follower.apply(
                 follower_lib.Update(topic.batch, current_at, topic.after_outage)
             )
         if answer.configuration is not None:
-            self._followers["operator"].hold(answer.configuration)
+            self._followers["operator"].retain(answer.configuration)
         # After the topics, which may contain the orders themselves.
         self._state.router.rollouts.merge_ages(
             answer.order_ages, self._state.clock()
--- a/src/hoistmoor/relay/peers/answers.py
+++ b/src/hoistmoor/relay/peers/request_handler.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from hoistmoor.core.relay.servers import limit_gossip
-from hoistmoor.relay.peers import news_exchange
+from hoistmoor.relay.peers import change_exchange
 from hoistmoor.relay.peers import peer_codec
 
 if TYPE_CHECKING:
@@ -18,7 +18,7 @@
 _FOREVER = 1e9  # Seconds; JSON cannot represent infinity.
 
 
-class PeerAnswers:
+class PeerRequestHandler:
     """Handles the requests of other hosts."""
 
     def __init__(
@@ -41,11 +41,11 @@
         """Applies the state in a request; returns what the sender lacks."""
         self._state.history.record_era(request.era, request.host)
         if request.configuration is not None:
-            self._followers["operator"].hold(request.configuration)
+            self._followers["operator"].retain(request.configuration)
         copies = {}
         for name, place in request.places.items():
             follower = self._followers.get(name)
-            batch = follower.mirror.changes_since(place) if follower else None
+            batch = follower.replica.changes_since(place) if follower else None
             if follower is not None and batch is not None:
                 after_outage = min(follower.after_outage, _FOREVER)
                 age = min(follower.age(), _FOREVER)
@@ -87,10 +87,14 @@
             return None
         return held
 
-    def _exchange_news(self, received: peer_codec.News) -> peer_codec.News:
+    def _exchange_news(
+        self, received: peer_codec.StateChanges
+    ) -> peer_codec.StateChanges:
         """Applies received changes; returns those that the sender lacks."""
-        news_exchange.take(self._state, received, self._state.clock())
+        change_exchange.merge_changes(
+            self._state, received, self._state.clock()
+        )
         # The changes just received are sent back once, which has no effect.
-        return news_exchange.news_of(
+        return change_exchange.changes_since(
             self._state, received.heard, received.until
         )
--- a/src/hoistmoor/relay/serving.py
+++ b/src/hoistmoor/relay/serving.py
@@ -9,7 +9,7 @@
 from aiohttp import web
 
 from hoistmoor.relay.front import front as front_lib
-from hoistmoor.relay.peers import answers as answers_lib
+from hoistmoor.relay.peers import request_handler as answers_lib
 from hoistmoor.utils import listening
 
 if TYPE_CHECKING:
@@ -101,7 +101,9 @@
             metrics = front_lib.MetricsPage(self._state)
             handlers.append((settings.metrics_listen, metrics.handle))
         if settings.peer_listen:
-            answers = answers_lib.PeerAnswers(self._state, self._followers)
+            answers = answers_lib.PeerRequestHandler(
+                self._state, self._followers
+            )
             handlers.append((settings.peer_listen, answers.handle))
         runners = []
         for address, handler in handlers:
--- a/src/hoistmoor/relay/store/era_watch.py
+++ b/src/hoistmoor/relay/store/era_monitor.py
@@ -15,7 +15,7 @@
     from hoistmoor.relay.store import follower as follower_lib
 
 
-class EraWatch:
+class EraMonitor:
     """Logs and counts changes of the store's era."""
 
     def __init__(
--- a/src/hoistmoor/relay/store/follower.py
+++ b/src/hoistmoor/relay/store/follower.py
@@ -35,7 +35,7 @@
     batch: topics.Batch
     current_at: float
     after_outage: float
-    is_return: bool = False
+    is_first_of_era: bool = False
 
 
 class Listener(Protocol):
@@ -73,8 +73,8 @@
         pause: float,
         gate: store_gate.StoreGate,
         is_probe: bool = False,
-        is_held: bool = True,
-        yields: bool = False,
+        waits_for_store: bool = True,
+        may_use_peers: bool = False,
     ) -> None:
         """Creates a follower.
 
@@ -97,10 +97,10 @@
         self.name = name
         self.place: topics.Place | None = None
         self.current_at = float("-inf")
-        self.mirror = mirror_lib.TopicReplica()
+        self.replica = mirror_lib.TopicReplica()
         self.direct = asyncio.Event()
-        self.known = asyncio.Event()
-        if not yields:
+        self.loaded = asyncio.Event()
+        if not may_use_peers:
             self.direct.set()
         self._state = state
         self._topic = topic
@@ -109,7 +109,7 @@
         self._pause = pause
         self._gate = gate
         self._is_probe = is_probe
-        self._waits_for_store = is_held and not is_probe
+        self._waits_for_store = waits_for_store and not is_probe
         self._is_unconfirmed = False
         self._was_copy_dropped = False  # Whether the last copy was dropped.
         self._pending_read: asyncio.Future[topics.Batch] | None = None
@@ -122,7 +122,7 @@
         while True:
             await self.direct.wait()
             if self._waits_for_store:
-                await self._gate.wait_until_heard()
+                await self._gate.wait_until_available()
             if not self.direct.is_set():
                 continue  # Another host reads for this one by now.
             # After the first attempt, only the probe topic is read during an
@@ -147,7 +147,7 @@
         """Returns the seconds since the topic was last known to be current."""
         return self._state.clock() - self.current_at
 
-    def read_directly(self) -> None:
+    def start_reading_store(self) -> None:
         """Starts reading the store; the first read is not a long poll."""
         if not self.direct.is_set():
             self._is_unconfirmed = True
@@ -155,9 +155,9 @@
 
     async def _back_off(self) -> None:
         if self._is_probe:
-            await self._gate.back_off()
+            await self._gate.wait_before_probe()
         else:
-            await asyncio.sleep(store_gate.PAUSE)
+            await asyncio.sleep(store_gate.FAILURE_DELAY)
 
     async def read_once(self) -> None:
         """Reads one batch and applies it."""
@@ -177,7 +177,7 @@
         if waited_fully and not batch.records and not batch.is_snapshot:
             current_at += wait
         self._is_unconfirmed = bool(batch.records) and not batch.is_snapshot
-        self.take(Update(batch, current_at, self.after_outage))
+        self.apply(Update(batch, current_at, self.after_outage))
 
     async def _read_changes(
         self, place: topics.Place, wait: float
@@ -240,7 +240,7 @@
             return True
         return self.place is not None and batch.end < self.place
 
-    def note_dropped(self, batch: topics.Batch) -> None:
+    def record_outdated_copy(self, batch: topics.Batch) -> None:
         """Counts an outdated copy; logs the first of consecutive ones."""
         self._state.counters.dropped_copies.labels(self.name).inc()
         if self._was_copy_dropped:
@@ -258,7 +258,7 @@
         """Seconds since the store became available again."""
         return self._state.clock() - self._regained_at
 
-    def take(self, update: Update) -> None:
+    def apply(self, update: Update) -> None:
         """Applies a batch that this host or another one has read."""
         batch = update.batch
         self._was_copy_dropped = False
@@ -270,15 +270,15 @@
             self._regained_at, self._state.clock() - update.after_outage
         )
         self.place = batch.end
-        known = self.mirror.end
+        known = self.replica.end
         if known is not None and batch.end.era > known.era:
             update = attrs.evolve(update, is_return=True)
         relevant = self._listener(update)
-        self.mirror.apply(attrs.evolve(batch, records=relevant))
+        self.replica.apply(attrs.evolve(batch, records=relevant))
         self._state.topics_read.add(self.name)
-        self.known.set()
+        self.loaded.set()
 
-    def hold(self, record: topics.Record) -> None:
+    def retain(self, record: topics.Record) -> None:
         """Applies a record that another host has kept from an older era.
 
         It does not prove when the topic was current.
@@ -287,7 +287,7 @@
             return
         batch = topics.Batch((record,), self.place)
         update = Update(batch, float("-inf"), float("inf"))
-        self.mirror.retain(self._listener(update))
+        self.replica.retain(self._listener(update))
 
     def _end_outage(self, current_at: float) -> None:
         """Ends the outage if a copy is newer than its start.
@@ -300,7 +300,7 @@
             self._lost_at = None
 
     def _record_failure(self, error: errors.HoistmoorError) -> None:
-        self._gate.note_lost()
+        self._gate.record_failure()
         if self._lost_at is None:
             self._lost_at = self._state.clock()
             self._state.believe(
@@ -308,7 +308,7 @@
             )
 
     def _record_success(self) -> None:
-        self._gate.note_heard()
+        self._gate.record_success()
         if self._lost_at is None:
             return
         now = self._state.clock()
--- a/src/hoistmoor/relay/store/followers.py
+++ b/src/hoistmoor/relay/store/followers.py
@@ -56,7 +56,7 @@
 
 
 @attrs.frozen
-class OwnListeners:
+class RelayListeners:
     """Listeners of the topics that relays write themselves.
 
     They also track which of these records the store has.
@@ -76,9 +76,9 @@
     state: state_lib.RelayState,
     platform: ports.Platform,
     gate: store_gate.StoreGate,
-    own_listeners: OwnListeners,
+    own_listeners: RelayListeners,
     *,
-    yields: bool,
+    may_use_peers: bool,
 ) -> dict[str, follower.TopicFollower]:
     """Returns the followers of all topics that a relay needs, by topic name.
 
@@ -115,7 +115,7 @@
             own_listeners.hosts,
             wait=SLOW_WAIT,
             pause=HOSTS_PAUSE,
-            waits_for_store=not yields,
+            waits_for_store=not may_use_peers,
         ),
         "quarantine": _ReadOptions(
             topics.quarantine,
@@ -134,8 +134,8 @@
             pause=each.pause,
             gate=gate,
             is_probe=each.is_probe,
-            is_held=each.waits_for_store,
-            yields=yields,
+            waits_for_store=each.waits_for_store,
+            may_use_peers=may_use_peers,
         )
         for name, each in options.items()
     }
--- a/src/hoistmoor/relay/store/lease_watch.py
+++ b/src/hoistmoor/relay/store/lease_monitor.py
@@ -12,10 +12,12 @@
 if TYPE_CHECKING:
     from hoistmoor.relay import state as state_lib
 
-PERIOD = 0.25  # Seconds between two checks; the longest delay of a log line.
+POLL_INTERVAL = (
+    0.25  # Seconds between two checks; the longest delay of a log line.
+)
 
 
-class LeaseWatch:
+class LeaseMonitor:
     """Logs when the configuration stops or starts being current.
 
     Routing decisions check the lease itself; this task only reports it.
@@ -28,10 +30,10 @@
     async def run(self) -> None:
         """Checks the lease periodically until cancelled."""
         while True:
-            await asyncio.sleep(PERIOD)
-            self.look()
+            await asyncio.sleep(POLL_INTERVAL)
+            self.check()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Logs a change since the last check."""
         now = self._state.clock()
         lease = self._state.lease
--- a/src/hoistmoor/relay/store/operator_listener.py
+++ b/src/hoistmoor/relay/store/operator_listener.py
@@ -29,7 +29,7 @@
         Older configurations are not passed on to other hosts. If a snapshot
         has only an older one, the record in use here is passed on instead.
         """
-        if update.is_return:
+        if update.is_first_of_era:
             self._state.router.rollouts.record_restore(self._state.clock())
         relevant = [
             each for each in update.batch.records if self._try_apply(each)
@@ -77,7 +77,7 @@
             changes,
             now,
             is_snapshot=batch.is_snapshot,
-            is_return=update.is_return,
+            is_return=update.is_first_of_era,
         ):
             return
         zones = self._evacuations.zones
--- a/src/hoistmoor/relay/store/ports.py
+++ b/src/hoistmoor/relay/store/ports.py
@@ -128,4 +128,4 @@
     codec: Codec
     headers: header_names.HeaderNames
     not_run_statuses: frozenset[int]
-    history: history_lib.StoreEra = attrs.field(factory=history_lib.StoreEra)
+    store_era: history_lib.StoreEra = attrs.field(factory=history_lib.StoreEra)
--- a/src/hoistmoor/relay/store/quarantine.py
+++ b/src/hoistmoor/relay/store/quarantine.py
@@ -22,7 +22,7 @@
     from hoistmoor.relay.store import ports
     from hoistmoor.relay.store import store_gate
 
-PERIOD = 1.0  # Seconds between two checks.
+POLL_INTERVAL = 1.0  # Seconds between two checks.
 RETRY_DELAY = 1.0  # Seconds until a failed write is retried.
 # Ended quarantines to remember; a store restored from an older copy may still
 # list them.
@@ -48,7 +48,7 @@
     def __call__(self, update: follower.Update) -> tuple[topics.Record, ...]:
         """Applies one update."""
         batch = update.batch
-        if update.is_return:
+        if update.is_first_of_era:
             self._reset_listed(batch)
         elif batch.is_snapshot:
             for fingerprint in self.listed - {
@@ -58,7 +58,7 @@
         for record in batch.records:
             if record.value is None:
                 self._end(record.key)
-            elif update.is_return and self._has_ended(record.key):
+            elif update.is_first_of_era and self._has_ended(record.key):
                 continue
             else:
                 self._apply(record, record.value)
@@ -122,14 +122,14 @@
     async def run(self) -> None:
         """Synchronizes the list periodically until cancelled."""
         while True:
-            await asyncio.sleep(PERIOD)
+            await asyncio.sleep(POLL_INTERVAL)
             quarantined = self._state.router.suspects.quarantined(
                 self._state.clock()
             )
             self._state.note_suspects()
             # Only the host that reads the store writes, and only once it has
             # read the list.
-            if self._state.source or not self._gate.is_heard:
+            if self._state.source or not self._gate.is_available:
                 continue
             if "quarantine" not in self._state.topics_read:
                 continue
--- a/src/hoistmoor/relay/store/server_listener.py
+++ b/src/hoistmoor/relay/store/server_listener.py
@@ -39,7 +39,7 @@
         # final.
         grace_ends = now - update.after_outage + fleet_lib.EXPIRY_GRACE_PERIOD
         records = batch.records
-        if update.is_return:
+        if update.is_first_of_era:
             records = self._without_reverted(batch)
         relevant = [
             record for record in records if self._apply(record, grace_ends)
--- a/src/hoistmoor/relay/store/store_gate.py
+++ b/src/hoistmoor/relay/store/store_gate.py
@@ -7,9 +7,9 @@
 from hoistmoor.core.relay.beliefs import read_policy
 
 # Seconds that a failed topic pauses before it waits for the probe to succeed.
-PAUSE = 0.1
+FAILURE_DELAY = 0.1
 # Seconds after which a topic is read even if the probe has not succeeded.
-LONGEST_HOLD = 10.0
+MAX_WAIT = 10.0
 
 
 class StoreGate:
@@ -28,30 +28,30 @@
         self._next_pause = 0.0
 
     @property
-    def is_heard(self) -> bool:
+    def is_available(self) -> bool:
         """Whether the last call succeeded."""
         return self._available.is_set()
 
-    def note_heard(self) -> None:
+    def record_success(self) -> None:
         """Records a successful call."""
         self._next_pause = 0.0
         self._available.set()
 
-    def note_lost(self) -> None:
+    def record_failure(self) -> None:
         """Records a failed call."""
         self._available.clear()
 
-    async def back_off(self) -> None:
+    async def wait_before_probe(self) -> None:
         """Waits for the exponential delay before the next probe."""
         pause = max(self._next_pause, self.backoff.first)
         pause = min(pause, self.backoff.longest)
         self._next_pause = 2.0 * pause
         await asyncio.sleep(pause)
 
-    async def wait_until_heard(self) -> None:
+    async def wait_until_available(self) -> None:
         """Waits until the store is available, for ``LONGEST_HOLD`` at most."""
         try:
-            async with asyncio.timeout(LONGEST_HOLD):
+            async with asyncio.timeout(MAX_WAIT):
                 await self._available.wait()
         except TimeoutError:
             return  # Only the probe topic may be unavailable: try this one.
--- a/src/hoistmoor/relay/versions/rollout_task.py
+++ b/src/hoistmoor/relay/versions/rollout_task.py
@@ -22,7 +22,9 @@
     from hoistmoor.relay.store import ports
     from hoistmoor.relay.store import store_gate
 
-PERIOD = 1.0  # Seconds between two checks; a rollback may take five seconds.
+POLL_INTERVAL = (
+    1.0  # Seconds between two checks; a rollback may take five seconds.
+)
 
 
 class RolloutTask:
@@ -71,10 +73,10 @@
     async def run(self) -> None:
         """Advances all rollouts until cancelled."""
         while True:
-            await asyncio.sleep(PERIOD)
+            await asyncio.sleep(POLL_INTERVAL)
             # During an outage, every host would otherwise call the store once
             # a second.
-            if self._state.source or not self._gate.is_heard:
+            if self._state.source or not self._gate.is_available:
                 continue
             active = [
                 progress
--- a/tests/relay/peers/test_relay_peer_codec.py
+++ b/tests/relay/peers/test_relay_peer_codec.py
@@ -59,7 +59,7 @@
     for size in (64, 36, 0):
         ages, until = departures.changes_since(until, 160.0)
         assertions.assert_that(len(ages), matchers.Equals(size))
-        news = peer_codec.News("h1-1", departures=ages, until=until)
+        news = peer_codec.StateChanges("h1-1", departures=ages, until=until)
         data = peer_codec.encode(peer_codec.CopyRequest({}, "h2", news=news))
         assertions.assert_that(len(data), matchers.LessThan(4096))
         received |= peer_codec.decode_request(data).news.departures
--- a/tests/relay/peers/test_relay_tree_stateful.py
+++ b/tests/relay/peers/test_relay_tree_stateful.py
@@ -23,11 +23,11 @@
 
 from hoistmoor.core.relay.beliefs import replication
 from hoistmoor.core.relay.beliefs import topics
-from hoistmoor.relay.peers import answers as answers_lib
 from hoistmoor.relay.peers import listing as listing_lib
 from hoistmoor.relay.peers import peer_client
 from hoistmoor.relay.peers import peer_codec
 from hoistmoor.relay.peers import reader as reader_lib
+from hoistmoor.relay.peers import request_handler as answers_lib
 from hoistmoor.relay.store import follower
 from hoistmoor.relay.store import operator_listener
 from hoistmoor.relay.store import store_gate
@@ -82,7 +82,7 @@
             gate=gate,
         )
         followers = {"operator": self.operator, "hosts": self.operator}
-        self.answers = answers_lib.PeerAnswers(self.state, followers)
+        self.answers = answers_lib.PeerRequestHandler(self.state, followers)
         sources = replication.SourceSelector("h", "z")
         listing = listing_lib.SelfListing(
             self.state,
@@ -202,7 +202,7 @@
             update = follower.Update(
                 response.batch, response.sent_at, NO_OUTAGE
             )
-            response.run.operator.take(update)
+            response.run.operator.apply(update)
 
     @stateful.rule(number=st.sampled_from(HOSTS))
     def restart(self, number: int) -> None:
--- a/tests/relay/relay_swarm.py
+++ b/tests/relay/relay_swarm.py
@@ -24,9 +24,9 @@
 from hoistmoor.core.relay.beliefs import store_era as history_lib
 from hoistmoor.relay import application
 from hoistmoor.relay import settings as settings_lib
-from hoistmoor.relay.peers import answers as answers_lib
 from hoistmoor.relay.peers import peer_client
 from hoistmoor.relay.peers import peer_codec
+from hoistmoor.relay.peers import request_handler as answers_lib
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
@@ -279,7 +279,7 @@
         port = self._swarm.store.platform.as_port()
         topic_clients = {
             name: StoreTopic(
-                self._swarm.store, name, self.name, self.link, port.history
+                self._swarm.store, name, self.name, self.link, port.store_era
             )
             for name in names
         }
@@ -295,7 +295,7 @@
             clock=asyncio.get_running_loop().time,
         )
         self._swarm.by_state[id(self.relay.state)] = self
-        self._answers = answers_lib.PeerAnswers(
+        self._answers = answers_lib.PeerRequestHandler(
             self.relay.state, self.relay.followers
         )
         self._tasks = [
--- a/tests/relay/store/test_relay_follower.py
+++ b/tests/relay/store/test_relay_follower.py
@@ -18,7 +18,7 @@
 from hoistmoor.core.relay.servers import fleet as fleet_lib
 from hoistmoor.relay import event_log
 from hoistmoor.relay.store import follower
-from hoistmoor.relay.store import lease_watch
+from hoistmoor.relay.store import lease_monitor
 from hoistmoor.relay.store import operator_listener
 from hoistmoor.relay.store import server_listener
 
@@ -118,7 +118,7 @@
     # Another host has read for this one, which then reads the store again.
     rig.clock.now += 1.0
     copy = topics.Batch((), relay_parts.at(1))
-    servers.take(follower.Update(copy, rig.clock.now, float("inf")))
+    servers.apply(follower.Update(copy, rig.clock.now, float("inf")))
     rig.clock.now += 14.0
     await platform.publish(platform.servers, "a", None)
     await servers.read_once()
@@ -137,14 +137,14 @@
     for _ in range(3):
         await platform.publish(platform.servers, "a", relay_parts.entry("a"))
     await servers.read_once()
-    copy = servers.mirror.changes_since(copied_until)
+    copy = servers.replica.changes_since(copied_until)
     assert copy is not None
     assertions.assert_that(copy.records, matchers.Equals(()))
     assertions.assert_that(copy.end, matchers.Equals(relay_parts.at(4)))
     leaving = relay_parts.entry("a", is_leaving=True)
     await platform.publish(platform.servers, "a", leaving)
     await servers.read_once()
-    copy = servers.mirror.changes_since(copied_until)
+    copy = servers.replica.changes_since(copied_until)
     assert copy is not None
     assertions.assert_that(copy.records, matchers.HasLength(1))
 
@@ -153,7 +153,7 @@
     servers: follower.TopicFollower,
 ) -> None:
     nothing = topics.Batch((), relay_parts.at(0))
-    servers.take(follower.Update(nothing, 100.0, after_outage=0.3))
+    servers.apply(follower.Update(nothing, 100.0, after_outage=0.3))
     assertions.assert_that(round(servers.after_outage, 3), matchers.Equals(0.3))
 
 
@@ -203,7 +203,7 @@
     servers.place = None
     await servers.read_once()
     assertions.assert_that(known_servers(rig), matchers.Equals(["a", "b"]))
-    copy = servers.mirror.changes_since(None)
+    copy = servers.replica.changes_since(None)
     assert copy is not None
     assertions.assert_that(
         [each.key for each in copy.records], matchers.Equals(["b"])
@@ -211,7 +211,7 @@
     # The server's next heartbeat is passed on to them.
     await platform.publish(platform.servers, "a", relay_parts.entry("a"))
     await servers.read_once()
-    copy = servers.mirror.changes_since(None)
+    copy = servers.replica.changes_since(None)
     assert copy is not None
     assertions.assert_that(
         sorted(each.key for each in copy.records), matchers.Equals(["a", "b"])
@@ -248,7 +248,7 @@
     found = rig.state.router.fleet.servers["a"]
     assertions.assert_that(found.entry.born, matchers.Equals(2000))
     # The late heartbeat of the older start is not passed on.
-    copy = servers.mirror.changes_since(relay_parts.at(1))
+    copy = servers.replica.changes_since(relay_parts.at(1))
     assert copy is not None
     assertions.assert_that(
         [each.place.offset for each in copy.records], matchers.Equals([1])
@@ -415,12 +415,12 @@
 
 
 async def test_end_of_lease_is_logged_once(rig: Rig) -> None:
-    monitor = lease_watch.LeaseWatch(rig.state)
+    monitor = lease_monitor.LeaseMonitor(rig.state)
     rig.state.lease.prove(rig.clock.now)
-    monitor.look()
-    monitor.look()
+    monitor.check()
+    monitor.check()
     rig.clock.now += 5.0
-    monitor.look()
+    monitor.check()
     lines = [each for each in rig.events() if each["event"] == "lease"]
     assertions.assert_that(
         [(each["holds"], each["age"]) for each in lines],
--- a/tests/relay/store/test_relay_returned_servers.py
+++ b/tests/relay/store/test_relay_returned_servers.py
@@ -75,7 +75,7 @@
     await restore(platform, servers, copy)
     assertions.assert_that(usable(rig), matchers.Equals({"stays"}))
     # A starting host does not get them in a copy from this host either.
-    copied = servers.mirror.changes_since(None)
+    copied = servers.replica.changes_since(None)
     assert copied is not None
     assertions.assert_that(
         [each.key for each in copied.records], matchers.Equals(["stays"])
@@ -87,7 +87,7 @@
     await publish_entry(platform, "gone", born=born, sequence=5)
     await servers.read_once()
     assertions.assert_that(usable(rig), matchers.Equals({"stays", "gone"}))
-    copied = servers.mirror.changes_since(None)
+    copied = servers.replica.changes_since(None)
     assert copied is not None
     assertions.assert_that(copied.records, matchers.HasLength(3))
     lines = [e for e in rig.events() if e["event"] == "servers_returned"]
--- a/tests/relay/store/test_relay_store_gate.py
+++ b/tests/relay/store/test_relay_store_gate.py
@@ -48,13 +48,13 @@
 async def test_other_calls_wait_until_probe_succeeds() -> None:
     gate = store_gate.StoreGate()
     for _ in range(2):  # At a start, and in a later outage.
-        waiting = asyncio.create_task(gate.wait_until_heard())
+        waiting = asyncio.create_task(gate.wait_until_available())
         await asyncio.sleep(0.1)
         assertions.assert_that(waiting.done(), matchers.Is(False))
-        gate.note_heard()
+        gate.record_success()
         async with asyncio.timeout(TIMEOUT):
             await waiting
-        gate.note_lost()
+        gate.record_failure()
 
 
 async def test_wait_ends_after_longest_hold(
@@ -62,9 +62,9 @@
 ) -> None:
     monkeypatch.setattr(store_gate, "LONGEST_HOLD", 0.05)
     gate = store_gate.StoreGate()
-    gate.note_lost()
+    gate.record_failure()
     async with asyncio.timeout(TIMEOUT):
-        await gate.wait_until_heard()
+        await gate.wait_until_available()
 
 
 @attrs.define
--- a/tests/relay_platform.py
+++ b/tests/relay_platform.py
@@ -229,7 +229,7 @@
             self.codec,
             header_names.HeaderNames(),
             not_run_statuses=frozenset({421}),
-            history=history,
+            store_era=history,
         )
 
     @property
