--- a/benchmarks/capacity/tree.py
+++ b/benchmarks/capacity/tree.py
@@ -23,8 +23,8 @@
 from hoistmoor.core.relay.servers import server as server_lib
 from hoistmoor.core.relay.versions import evidence as evidence_lib
 from hoistmoor.core.routing import hashing
-from hoistmoor.relay import counters
 from hoistmoor.relay import event_log
+from hoistmoor.relay import metrics
 from hoistmoor.relay import state as state_lib
 from hoistmoor.relay.peers import peer_codec
 from hoistmoor.relay.peers import request_handler as answers_lib
@@ -60,7 +60,7 @@
     state = state_lib.RelayState(
         clock=clock,
         log=event_log.EventLog("h", clock, nowhere),
-        counters=counters.Counters(),
+        counters=metrics.RelayMetrics(),
         router=router_lib.Router(
             "z", bounds_lib.Bounds(), hashing.Draws.seeded(1)
         ),
--- a/src/hoistmoor/entry/table_follower.py
+++ b/src/hoistmoor/entry/table_follower.py
@@ -68,7 +68,7 @@
         self._on_table = on_table
         self._on_verdict = on_verdict
         self._clock = clock
-        self._pace = attrs.evolve(polling.TABLE, hold=poll_seconds)
+        self._pace = attrs.evolve(polling.TABLE, long_poll_timeout=poll_seconds)
         self._reader = stream_reader.StreamReader(
             client, streams.TABLE, self, self._pace, decode=bytes
         )
--- a/src/hoistmoor/platform/codec.py
+++ b/src/hoistmoor/platform/codec.py
@@ -112,7 +112,7 @@
         fields = orjson.loads(record.value or b"")
         if not isinstance(fields, dict):
             raise fields_lib.FieldError("the record is not a JSON object")
-        fields_lib.check(fields, schema or {})
+        fields_lib.validate(fields, schema or {})
     except ValueError as error:  # JSONDecodeError or FieldError.
         raise _codec_error(record, error) from error
     return fields
--- a/src/hoistmoor/platform/fields.py
+++ b/src/hoistmoor/platform/fields.py
@@ -40,7 +40,7 @@
     """A required field is missing, or a field has an invalid value."""
 
 
-def check(fields: Mapping[str, Any], table: Mapping[str, Field]) -> None:
+def validate(fields: Mapping[str, Any], table: Mapping[str, Field]) -> None:
     """Validates the fields of a record.
 
     Args:
@@ -67,12 +67,12 @@
     )
 
 
-def is_whole(value: Any) -> bool:
+def is_non_negative_int(value: Any) -> bool:
     """Returns whether a value is a non-negative integer; rejects booleans."""
     return type(value) is int and value >= 0
 
 
-def is_amount(value: Any) -> bool:
+def is_non_negative_number(value: Any) -> bool:
     """Returns whether a value is a finite non-negative number."""
     return type(value) in (int, float) and 0 <= value < math.inf
 
@@ -89,7 +89,7 @@
 
 
 def _is_slot_count(value: Any) -> bool:
-    return is_whole(value) and 0 < value <= MAX_SLOTS
+    return is_non_negative_int(value) and 0 < value <= MAX_SLOTS
 
 
 def _is_model_list(value: Any) -> bool:
@@ -106,8 +106,8 @@
 
 
 TEXT = Field(is_text, "a non-empty printable string")
-WHOLE = Field(is_whole, "a non-negative integer")
-AMOUNT = Field(is_amount, "a non-negative number")
+WHOLE = Field(is_non_negative_int, "a non-negative integer")
+AMOUNT = Field(is_non_negative_number, "a non-negative number")
 
 SERVER = {
     "service": TEXT,
@@ -120,7 +120,9 @@
     "sequence": WHOLE,
     # Start time in Unix milliseconds; optional, since the servers of some
     # deployments do not report it.
-    "born": Field(is_whole, "a non-negative integer", is_required=False),
+    "born": Field(
+        is_non_negative_int, "a non-negative integer", is_required=False
+    ),
     "models": Field(_is_model_list, "a list of models", is_required=False),
 }
 ORDER = {"service": TEXT, "target": TEXT, "duration_s": AMOUNT}
--- a/src/hoistmoor/platform/names.py
+++ b/src/hoistmoor/platform/names.py
@@ -26,10 +26,10 @@
     urgency="Hoistmoor-Request-Urgency",
     session="Session",
     last_event="Last-Event-Id",
-    word_prefixes=("hoistmoor-", "server-"),
+    report_prefixes=("hoistmoor-", "server-"),
     # The id in a response is verified separately, and weight versions are read
     # from the store.
-    needless=frozenset({"hoistmoor-instance-id", "hoistmoor-weight-versions"}),
+    ignored=frozenset({"hoistmoor-instance-id", "hoistmoor-weight-versions"}),
     # Engine directives; values set by callers must not reach an engine.
     stripped=frozenset(
         {
--- a/src/hoistmoor/platform/store.py
+++ b/src/hoistmoor/platform/store.py
@@ -47,7 +47,7 @@
         session: aiohttp.ClientSession,
         address: str,
         topic: str,
-        history: history_lib.StoreEra,
+        store_era: history_lib.StoreEra,
     ) -> None:
         """Initializes the client without connecting.
 
@@ -58,7 +58,7 @@
             history: Store history to update with the era of each response.
         """
         self.topic = topic
-        self.history = history
+        self.store_era = store_era
         self._session = session
         self._base = f"http://{address}/hoistmoor/"
 
@@ -106,7 +106,7 @@
         self, key: str, value: bytes, expected: topics.Place | None = None
     ) -> topics.Place | None:
         """Appends a record; see ``ports.KeyedTopic``."""
-        if expected is not None and expected.era != self.history.era:
+        if expected is not None and expected.era != self.store_era.era:
             return None
         query = {}
         if expected is not None:
@@ -161,7 +161,7 @@
         wait: float = 0.0,
     ) -> tuple[int, bytes, int]:
         """Returns the status, body and era of a response."""
-        known = self.history.era
+        known = self.store_era.era
         try:
             async with self._session.request(
                 method,
@@ -170,7 +170,7 @@
                 data=body or None,
                 timeout=replies.timeout_of(CALL_TIMEOUT + wait),
             ) as reply:
-                era = self.history.record_response(
+                era = self.store_era.record_response(
                     _parse_era(reply.headers), known
                 )
                 return reply.status, await reply.read(), era
@@ -242,10 +242,10 @@
 def open_topics(
     session: aiohttp.ClientSession,
     address: str,
-    history: history_lib.StoreEra,
+    store_era: history_lib.StoreEra,
 ) -> ports.Topics:
     """Returns clients for the relay's topics in the store at ``address``."""
-    topic = functools.partial(StoreTopic, session, address, history=history)
+    topic = functools.partial(StoreTopic, session, address, store_era=store_era)
     return ports.Topics(
         operator=topic("keyed.op"),
         servers=topic("keyed.servers"),
--- a/src/hoistmoor/relay/application.py
+++ b/src/hoistmoor/relay/application.py
@@ -16,16 +16,16 @@
 from hoistmoor.core.relay.servers import outstanding
 from hoistmoor.core.relay.servers import warmup
 from hoistmoor.core.routing import hashing
-from hoistmoor.relay import counters
 from hoistmoor.relay import event_log
-from hoistmoor.relay import serving
-from hoistmoor.relay import settings_task
+from hoistmoor.relay import metrics
+from hoistmoor.relay import relay_server
+from hoistmoor.relay import settings_reloader
 from hoistmoor.relay import state as state_lib
 from hoistmoor.relay import suspension
 from hoistmoor.relay.front import admission
-from hoistmoor.relay.front import front as front_lib
-from hoistmoor.relay.front import links as links_lib
-from hoistmoor.relay.front import server_ends
+from hoistmoor.relay.front import backend_connector as links_lib
+from hoistmoor.relay.front import http_handlers as front_lib
+from hoistmoor.relay.front import server_end_detector
 from hoistmoor.relay.peers import listing as listing_lib
 from hoistmoor.relay.peers import peer_client
 from hoistmoor.relay.peers import reader as reader_lib
@@ -93,7 +93,7 @@
         self.state = state_lib.RelayState(
             clock=clock,
             log=event_log.EventLog(settings.host, clock, LOG_DESCRIPTOR),
-            counters=counters.Counters(),
+            counters=metrics.RelayMetrics(),
             router=router_lib.Router(
                 settings.zone, _bounds(settings), draws, settings.host
             ),
@@ -102,7 +102,7 @@
             ),
             outstanding=outstanding.OutstandingWork(),
             run_name=f"{settings.host}-{seed:016x}",
-            history=platform.store_era,
+            store_era=platform.store_era,
         )
         dialect = dialect_lib.Dialect(
             attempt_header=platform.headers.request_id,
@@ -110,22 +110,22 @@
             not_run_statuses=platform.not_run_statuses,
             has_end_mark=False,
         )
-        deadlines = suspension.Deadlines()
-        self.suspension = suspension.SuspensionWatch(self.state, deadlines)
-        self.front = front_lib.Front(
+        deadlines = suspension.SuspensionAwareTimeouts()
+        self.suspension = suspension.SuspensionMonitor(self.state, deadlines)
+        self.front = front_lib.RequestHandler(
             self.state,
             admission.Admission(self.state, platform.headers, draws),
-            links_lib.Links(
+            links_lib.BackendConnector(
                 backends,
                 platform.headers,
                 dialect,
-                server_ends.ServerEnds(self.state),
+                server_end_detector.ServerEndDetector(self.state),
                 deadlines,
             ),
             draws,
         )
-        self.settings_task = settings_task.SettingsTask(
-            self.state, settings, read_settings, self.apply
+        self.settings_task = settings_reloader.SettingsReloader(
+            self.state, settings, read_settings, self.apply_settings
         )
         self._sources = replication.SourceSelector(settings.host, settings.zone)
         self._gate = store_gate.StoreGate()
@@ -144,11 +144,11 @@
         )
         era_monitor.EraMonitor(self.state, self.followers).attach()
         self._make_tasks(platform, peer_session)
-        self._serving = serving.Serving(
+        self._serving = relay_server.RelayServer(
             self.state,
             self.front,
             self.followers,
-            self.loops,
+            self.background_tasks,
             lambda: self.settings,
         )
 
@@ -160,7 +160,7 @@
         """
         return self._serving.addresses
 
-    def apply(self, settings: settings_lib.RelaySettings) -> None:
+    def apply_settings(self, settings: settings_lib.RelaySettings) -> None:
         """Applies changed settings; listen addresses need a restart."""
         self.settings = settings
         self.state.lease.bound = settings.revocation
@@ -173,11 +173,15 @@
         peer_session: aiohttp.ClientSession,
     ) -> None:
         settings = self.settings
-        self.loops = {name: each.run for name, each in self.followers.items()}
-        self.loops["settings"] = self.settings_task.run
-        self.loops["suspension"] = self.suspension.run
-        self.loops["lease"] = lease_monitor.LeaseMonitor(self.state).run
-        self.loops["rollouts"] = rollout_task.RolloutTask(
+        self.background_tasks = {
+            name: each.run for name, each in self.followers.items()
+        }
+        self.background_tasks["settings"] = self.settings_task.run
+        self.background_tasks["suspension"] = self.suspension.run
+        self.background_tasks["lease"] = lease_monitor.LeaseMonitor(
+            self.state
+        ).run
+        self.background_tasks["rollouts"] = rollout_task.RolloutTask(
             self.state,
             platform.topics,
             platform.codec,
@@ -185,12 +189,14 @@
             self._heard.phases,
             self._gate,
         ).run
-        self.loops["quarantine_writes"] = quarantine.QuarantineWriter(
-            self.state,
-            platform.topics.quarantine,
-            self._heard.quarantine,
-            self._gate,
-        ).run
+        self.background_tasks["quarantine_writes"] = (
+            quarantine.QuarantineWriter(
+                self.state,
+                platform.topics.quarantine,
+                self._heard.quarantine,
+                self._gate,
+            ).run
+        )
         if not settings.peer_listen:
             self.state.router.fleet.shares.set_hosts([settings.host])
             return
@@ -205,7 +211,7 @@
             self._heard.hosts,
             is_first_start=settings.is_first_start,
         )
-        self.loops["listing"] = listing.run
+        self.background_tasks["listing"] = listing.run
         client = peer_client.PeerClient(self.state, peer_session)
         reader = reader_lib.PeerReader(
             self.state,
@@ -215,7 +221,7 @@
             self._gate,
             listing,
         )
-        self.loops["peers"] = reader.run
+        self.background_tasks["peers"] = reader.run
 
     async def serve(self, stop: asyncio.Event) -> None:
         """Serves until ``stop`` is set, then shuts down gracefully."""
@@ -269,5 +275,5 @@
         relay = Relay(
             read_settings(), platform, backends, platform_session, read_settings
         )
-        signals.on_reload(relay.settings_task.changed.set)
+        signals.on_reload(relay.settings_task.reload_requested.set)
         await relay.serve(stop)
--- a/src/hoistmoor/relay/front/admission.py
+++ b/src/hoistmoor/relay/front/admission.py
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen
-class Head:
+class RequestHead:
     """Head of a caller's request.
 
     Attributes:
@@ -59,7 +59,9 @@
         self._names = names
         self._draws = draws
 
-    def admit(self, head: Head) -> requests.RelayRequest | refusals.Refusal:
+    def admit(
+        self, head: RequestHead
+    ) -> requests.RelayRequest | refusals.Refusal:
         """Returns the admitted request, or the reason for its refusal."""
         if self._state.stopping:
             return _refuse(refusals.Reason.STOPPING, "this host stops")
@@ -77,7 +79,7 @@
     def _admit_with(
         self,
         config: configuration_lib.Configuration,
-        head: Head,
+        head: RequestHead,
         request_id: str,
     ) -> requests.RelayRequest | refusals.Refusal:
         route = config.find_route(head.host, head.path)
@@ -111,14 +113,14 @@
             f"the configuration was last known current {age:.1f} s ago",
         )
 
-    def _key_of(self, head: Head) -> str:
+    def _key_of(self, head: RequestHead) -> str:
         scheme, _, key = head.headers.get("Authorization", "").partition(" ")
         return key.strip() if scheme == self._names.key_scheme else ""
 
     def _build_request(
         self,
         config: configuration_lib.Configuration,
-        head: Head,
+        head: RequestHead,
         request_id: str,
         route: configuration_lib.Route,
         account: configuration_lib.ClientAccount | None,
--- a/src/hoistmoor/relay/front/attempt.py
+++ b/src/hoistmoor/relay/front/attempt.py
@@ -25,7 +25,9 @@
 _MIN_FAILURE_STATUS = 500  # Lowest status code that counts as server failure.
 
 
-def words_against(server: server_lib.ServerState, now: float) -> dict[str, str]:
+def active_notices(
+    server: server_lib.ServerState, now: float
+) -> dict[str, str]:
     """Returns the server's notices against new requests, by kind."""
     notices = {}
     if server.limit.rate is not None:
@@ -66,25 +68,27 @@
     exchange: exchange_lib.Exchange
     head: exchange_lib.Head | None = None
     first: float | None = None
-    latest: float = 0.0
+    latest_event_at: float = 0.0
     longest_pause: float = 0.0
     events_before: int = 0
     body: list[bytes] = attrs.field(factory=list)
     is_dropped: bool = False
     is_cut: bool = False
     detail: str = ""
-    asks_rest: bool = False
-    words: dict[str, str] = attrs.field(factory=dict)
+    requests_rest: bool = False
+    notices: dict[str, str] = attrs.field(factory=dict)
 
-    def note_events(self, now: float) -> None:
+    def record_events(self, now: float) -> None:
         """Records the arrival of events of the stream."""
         if self.first is None:
             self.first = now
         else:
-            self.longest_pause = max(self.longest_pause, now - self.latest)
-        self.latest = now
+            self.longest_pause = max(
+                self.longest_pause, now - self.latest_event_at
+            )
+        self.latest_event_at = now
 
-    def waits(self) -> str:
+    def latency_summary(self) -> str:
         """Returns a stream's time to first event and longest pause."""
         if self.first is None:
             return ""
@@ -110,14 +114,14 @@
             return response_times.AttemptOutcome.WELL
         if state is _State.DECLINED and self.status in replaced:
             return response_times.AttemptOutcome.REPLACED
-        if self.asks_rest:
+        if self.requests_rest:
             return response_times.AttemptOutcome.FULL
         is_complete = state is _State.ANSWERED
         if is_complete and self.status < _MIN_FAILURE_STATUS:
             return response_times.AttemptOutcome.WELL
         return _OUTCOMES.get(state, response_times.AttemptOutcome.FAILED)
 
-    def measured(
+    def measure(
         self,
         state: outcomes.ExchangeState,
         now: float,
@@ -139,7 +143,10 @@
         duration = now - self.started
         is_silent = state is _State.SENT and duration > target
         is_complete = state is _State.ANSWERED
-        if not (is_complete or is_silent or self.is_dropped) or self.asks_rest:
+        if (
+            not (is_complete or is_silent or self.is_dropped)
+            or self.requests_rest
+        ):
             return None
         first = self.first or now
         return response_times.ResponseTiming(
@@ -152,14 +159,14 @@
             is_silent=is_silent,
         )
 
-    def text(self, state: outcomes.ExchangeState, now: float) -> str:
+    def summary(self, state: outcomes.ExchangeState, now: float) -> str:
         """Returns a one-line summary for the event log."""
         entry = self.send.server.entry
         notices = "".join(
-            f" {kind} {text}" for kind, text in self.words.items()
+            f" {kind} {text}" for kind, text in self.notices.items()
         )
         return (
             f"{entry.server_id} {entry.version} {self.send.model}"
             f" {state.name.lower()} {self.status}"
-            f" {now - self.started:.3f}s{self.waits()}{notices} {self.detail}"
+            f" {now - self.started:.3f}s{self.latency_summary()}{notices} {self.detail}"
         )
--- a/src/hoistmoor/relay/front/links.py
+++ b/src/hoistmoor/relay/front/backend_connector.py
@@ -12,7 +12,7 @@
 from hoistmoor.relay import suspension
 from hoistmoor.relay.front import forwarding
 from hoistmoor.relay.front import header_names
-from hoistmoor.relay.front import server_ends
+from hoistmoor.relay.front import server_end_detector
 
 if TYPE_CHECKING:
     from hoistmoor.core.relay.beliefs import configuration
@@ -36,16 +36,16 @@
         fresh: Session that opens a connection for each request.
     """
 
-    kept: aiohttp.ClientSession
+    reusing: aiohttp.ClientSession
     fresh: aiohttp.ClientSession
 
     def for_route(self, route: configuration.Route) -> aiohttp.ClientSession:
         """Returns the session for a route's requests."""
-        return self.kept if route.may_run_again else self.fresh
+        return self.reusing if route.may_run_again else self.fresh
 
 
 @attrs.frozen
-class Links:
+class BackendConnector:
     """Everything that is needed to send requests to backend servers.
 
     Attributes:
@@ -59,12 +59,12 @@
     sessions: BackendSessions
     names: header_names.HeaderNames
     dialect: dialect_lib.Dialect
-    ends: server_ends.ServerEnds
-    deadlines: suspension.Deadlines
+    end_detector: server_end_detector.ServerEndDetector
+    deadlines: suspension.SuspensionAwareTimeouts
 
     def open_exchange(
         self,
-        head: admission.Head,
+        head: admission.RequestHead,
         request: requests.RelayRequest,
         send: messages.Send,
         body: bytes,
--- a/src/hoistmoor/relay/front/caller_answer.py
+++ b/src/hoistmoor/relay/front/caller_response.py
@@ -16,7 +16,7 @@
     from hoistmoor.core import refusals
 
 
-class CallerAnswer:
+class CallerResponse:
     """Writes the response to one request.
 
     Attributes:
@@ -27,7 +27,7 @@
         self,
         request: web.BaseRequest,
         keep_open: bool,
-        wait_for: Callable[[refusals.Reason], float],
+        retry_after_for: Callable[[refusals.Reason], float],
     ) -> None:
         """Initializes a response without sending anything.
 
@@ -40,9 +40,9 @@
         self.response: web.StreamResponse | None = None
         self._request = request
         self._keep_open = keep_open
-        self._wait_for = wait_for
+        self._wait_for = retry_after_for
 
-    async def begin(self, head: exchange_lib.Head) -> None:
+    async def start(self, head: exchange_lib.Head) -> None:
         """Sends a server's response head; the body follows in chunks."""
         response = web.StreamResponse(
             status=head.status, headers=forwarding.to_caller(head.headers)
@@ -92,7 +92,7 @@
         await response.write_eof()
         return response
 
-    def cut(self) -> web.StreamResponse:
+    def abort(self) -> web.StreamResponse:
         """Aborts the connection, so that the response looks incomplete."""
         assert self.response is not None
         self.response.force_close()
--- a/src/hoistmoor/relay/front/forwarding.py
+++ b/src/hoistmoor/relay/front/forwarding.py
@@ -40,7 +40,7 @@
             there is none.
         now: Monotonic time.
     """
-    dropped = names.set_here | _connection_options(headers)
+    dropped = names.removed_from_requests | _connection_options(headers)
     result = CIMultiDict(
         (name, value)
         for name, value in headers.items()
--- a/src/hoistmoor/relay/front/header_names.py
+++ b/src/hoistmoor/relay/front/header_names.py
@@ -73,8 +73,8 @@
     session: str = "X-Session"
     last_event: str = "Last-Event-Id"
     stripped: frozenset[str] = frozenset()
-    word_prefixes: tuple[str, ...] = ("x-server-",)
-    needless: frozenset[str] = frozenset()
+    report_prefixes: tuple[str, ...] = ("x-server-",)
+    ignored: frozenset[str] = frozenset()
     read: frozenset[str] = attrs.field(init=False)
 
     @read.default
@@ -89,15 +89,15 @@
             self.leaving,
             self.confidence,
         )
-        return frozenset(name.lower() for name in names) | self.needless
+        return frozenset(name.lower() for name in names) | self.ignored
 
-    def is_unread(self, name: str) -> bool:
+    def is_unsupported(self, name: str) -> bool:
         """Returns whether a response header is an unrecognized report."""
         lower = name.lower()
-        return lower.startswith(self.word_prefixes) and lower not in self.read
+        return lower.startswith(self.report_prefixes) and lower not in self.read
 
     @property
-    def set_here(self) -> frozenset[str]:
+    def removed_from_requests(self) -> frozenset[str]:
         """Headers removed from a caller's request, in lower case."""
         own = (self.account, self.expected_server, self.urgency)
         return frozenset(
--- a/src/hoistmoor/relay/front/front.py
+++ b/src/hoistmoor/relay/front/http_handlers.py
@@ -13,8 +13,8 @@
 from hoistmoor.core.relay.course import fingerprint
 from hoistmoor.core.relay.course import retry_after
 from hoistmoor.relay.front import admission as admission_lib
-from hoistmoor.relay.front import caller_answer
-from hoistmoor.relay.front import links as links_lib
+from hoistmoor.relay.front import backend_connector as links_lib
+from hoistmoor.relay.front import caller_response
 from hoistmoor.relay.front import relay_task
 
 if TYPE_CHECKING:
@@ -26,7 +26,7 @@
     """A request body exceeds the configured size limit."""
 
 
-class Front:
+class RequestHandler:
     """Handles callers' requests.
 
     Attributes:
@@ -37,7 +37,7 @@
         self,
         state: state_lib.RelayState,
         admission: admission_lib.Admission,
-        links: links_lib.Links,
+        links: links_lib.BackendConnector,
         draws: hashing.Draws,
     ) -> None:
         self.running: set[asyncio.Task[Any]] = set()
@@ -57,17 +57,17 @@
             self.running.discard(task)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        head = admission_lib.Head(
+        head = admission_lib.RequestHead(
             method=request.method,
             target=request.raw_path,
             host=request.headers.get("Host", ""),
             headers=request.headers,
             arrived=self._state.clock(),
         )
-        answer = caller_answer.CallerAnswer(
+        answer = caller_response.CallerResponse(
             request,
             keep_open=not self._state.draining,
-            wait_for=self._wait_for,
+            retry_after_for=self._wait_for,
         )
         admitted = self._admission.admit(head)
         if isinstance(admitted, refusals.Refusal):
@@ -114,7 +114,7 @@
 
     def _wait_for(self, reason: refusals.Reason) -> float:
         return retry_after.delay_for_reason(
-            reason, self._state.unable_for(), self._draws.unit()
+            reason, self._state.unavailable_duration(), self._draws.unit()
         )
 
     async def _skip_body(self, request: web.BaseRequest) -> None:
@@ -124,8 +124,8 @@
 
     async def _refuse(
         self,
-        head: admission_lib.Head,
-        answer: caller_answer.CallerAnswer,
+        head: admission_lib.RequestHead,
+        answer: caller_response.CallerResponse,
         refusal: refusals.Refusal,
     ) -> web.StreamResponse:
         names = self._links.names
@@ -144,7 +144,7 @@
         return await answer.refuse(refusal)
 
 
-class Readiness:
+class ReadinessHandler:
     """Answers the load balancer's readiness probe."""
 
     def __init__(self, state: state_lib.RelayState) -> None:
@@ -156,7 +156,7 @@
         is_ready = self._state.is_ready()
         if is_ready != self._was_ready:
             self._was_ready = is_ready
-            self._state.believe(
+            self._state.log_change(
                 "readiness",
                 ready=is_ready,
                 age=round(self._state.lease.age(self._state.clock()), 3),
@@ -165,7 +165,7 @@
         return web.Response(status=200 if is_ready else 503)
 
 
-class MetricsPage:
+class MetricsHandler:
     """Serves the metrics in the Prometheus text format."""
 
     def __init__(self, state: state_lib.RelayState) -> None:
--- a/src/hoistmoor/relay/front/relay_task.py
+++ b/src/hoistmoor/relay/front/relay_task.py
@@ -15,7 +15,7 @@
 from hoistmoor.core.relay.course import messages
 from hoistmoor.relay.front import attempt as attempt_lib
 from hoistmoor.relay.front import header_values
-from hoistmoor.relay.front import request_line
+from hoistmoor.relay.front import request_log
 from hoistmoor.relay.front import server_reports
 
 if TYPE_CHECKING:
@@ -24,8 +24,8 @@
     from hoistmoor.core.relay.course import requests
     from hoistmoor.relay import state as state_lib
     from hoistmoor.relay.front import admission
-    from hoistmoor.relay.front import caller_answer
-    from hoistmoor.relay.front import links as links_lib
+    from hoistmoor.relay.front import backend_connector as links_lib
+    from hoistmoor.relay.front import caller_response
 
 _State = outcomes.ExchangeState
 
@@ -39,11 +39,11 @@
     def __init__(
         self,
         state: state_lib.RelayState,
-        links: links_lib.Links,
-        head: admission.Head,
+        links: links_lib.BackendConnector,
+        head: admission.RequestHead,
         request: requests.RelayRequest,
         body: bytes,
-        answer: caller_answer.CallerAnswer,
+        answer: caller_response.CallerResponse,
     ) -> None:
         self._state = state
         self._links = links
@@ -63,13 +63,13 @@
         version = sessions.version_of(self._request.session, self._now())
         effect = self._machine.handle(messages.Started(), self._now())
         while isinstance(effect, messages.Send):
-            request_line.note_version(
+            request_log.log_session_version(
                 self._state, self._request, effect, version
             )
             version = effect.server.entry.version
             effect = await self._attempt(effect)
         response = await self._finish(effect)
-        request_line.note_end(
+        request_log.record_request_end(
             self._state, self._request, effect, self._attempt_summaries
         )
         return response
@@ -88,7 +88,7 @@
             )
         if isinstance(effect, messages.Refuse):
             return await self._answer.refuse(effect.refusal)
-        return self._answer.cut()
+        return self._answer.abort()
 
     async def _attempt(self, send: messages.Send) -> messages.Effect:
         """Makes one attempt and returns the next effect."""
@@ -111,7 +111,7 @@
                 self._request.fingerprint, self._now()
             )
         if attempt.is_cut:
-            await self._links.ends.has_ended(send.server)
+            await self._links.end_detector.has_ended(send.server)
         self._record_attempt(attempt, state)
         is_late = self._now() >= self._request.deadline
         if is_late and state is not _State.ANSWERED:
@@ -125,7 +125,7 @@
                 attempt.status,
                 attempt.detail,
                 send.server.has_ended,
-                attempt.asks_rest,
+                attempt.requests_rest,
             ),
             self._now(),
         )
@@ -141,16 +141,16 @@
             now,
         )
         self._sequence.reset_buffer()
-        self._state.server_beliefs.note_send(send.server)
-        notices = attempt_lib.words_against(send.server, now)
+        self._state.report_tracker.record_send(send.server)
+        notices = attempt_lib.active_notices(send.server, now)
         for kind in notices:
-            self._state.counters.sends_despite.labels(kind).inc()
+            self._state.counters.sends_despite_notice.labels(kind).inc()
         return attempt_lib.Attempt(
             send,
             now,
             exchange,
             events_before=self._sequence.events,
-            words=notices,
+            notices=notices,
         )
 
     async def _exchange_until_deadline(
@@ -163,7 +163,7 @@
         """
         remaining = max(0.0, attempt.send.deadline - self._now())
         timer = asyncio.timeout(None)
-        with self._links.deadlines.counted(timer, remaining):
+        with self._links.deadlines.track(timer, remaining):
             try:
                 async with timer:
                     return await self._exchange(attempt)
@@ -239,8 +239,8 @@
             return
         names = self._links.names
         report = server_reports.parse_report(head.status, head.headers, names)
-        attempt.asks_rest = report.rest is not None
-        self._state.server_beliefs.take_report(
+        attempt.requests_rest = report.rest is not None
+        self._state.report_tracker.apply_report(
             attempt.send.server,
             report,
             attempt.started,
@@ -282,10 +282,10 @@
         if not events:
             return
         attempt.send.run.record_part()
-        attempt.note_events(self._now())
+        attempt.record_events(self._now())
         if self._answer.response is None:
             assert attempt.head is not None
-            await self._answer.begin(attempt.head)
+            await self._answer.start(attempt.head)
             self._machine.record_response_started()
         await self._answer.write(events)
 
@@ -293,8 +293,8 @@
         self, attempt: attempt_lib.Attempt, state: outcomes.ExchangeState
     ) -> None:
         self._state.counters.attempts.labels(state.name.lower()).inc()
-        self._attempt_summaries.append(attempt.text(state, self._now()))
-        measured = attempt.measured(
+        self._attempt_summaries.append(attempt.summary(state, self._now()))
+        measured = attempt.measure(
             state,
             self._now(),
             self._request.route.target,
--- a/src/hoistmoor/relay/front/request_line.py
+++ b/src/hoistmoor/relay/front/request_log.py
@@ -12,7 +12,7 @@
     from hoistmoor.relay import state as state_lib
 
 
-def note_version(
+def log_session_version(
     state: state_lib.RelayState,
     request: requests.RelayRequest,
     send: messages.Send,
@@ -48,7 +48,7 @@
     )
 
 
-def note_end(
+def record_request_end(
     state: state_lib.RelayState,
     request: requests.RelayRequest,
     effect: messages.Effect,
--- a/src/hoistmoor/relay/front/server_ends.py
+++ b/src/hoistmoor/relay/front/server_end_detector.py
@@ -22,7 +22,7 @@
 PROBE_TIMEOUT = 0.3
 
 
-class ServerEnds:
+class ServerEndDetector:
     """Detects terminated servers for the attempts of one host."""
 
     def __init__(self, state: state_lib.RelayState) -> None:
@@ -46,7 +46,7 @@
     async def _probe(self, server: server_lib.ServerState) -> bool:
         if await _accepts_connections(server.entry.address):
             return False
-        self._state.note_server_end(server)
+        self._state.record_server_end(server)
         return True
 
 
--- a/src/hoistmoor/relay/front/server_reports.py
+++ b/src/hoistmoor/relay/front/server_reports.py
@@ -22,7 +22,7 @@
 # RFC 9110, section 10.2.3; only seconds are supported, not dates.
 RETRY_AFTER = "Retry-After"
 BACKOFF_STATUS = 503  # Status with which a server requests a back-off.
-LONGEST_SHOWN = 40  # Characters of a malformed value that are kept.
+MAX_LOGGED_CHARACTERS = 40  # Characters of a malformed value that are kept.
 
 
 def parse_report(
@@ -45,14 +45,14 @@
         (reports.ReportField.REST, rest, _DECIMAL),
     ):
         if text is not None and form.fullmatch(text) is None:
-            unreadable[word] = text[:LONGEST_SHOWN] or "nothing"
+            unreadable[word] = text[:MAX_LOGGED_CHARACTERS] or "nothing"
     return reports.ServerReport(
         parse_load(headers.get(names.load)),
         _to_number(limit, reports.ReportField.LIMIT in unreadable),
         leaving is not None and reports.ReportField.LEAVING not in unreadable,
         _to_number(rest, reports.ReportField.REST in unreadable),
         unreadable,
-        tuple(name for name in headers if names.is_unread(name)),
+        tuple(name for name in headers if names.is_unsupported(name)),
     )
 
 
--- a/src/hoistmoor/relay/counters.py
+++ b/src/hoistmoor/relay/metrics.py
@@ -7,7 +7,7 @@
 _BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 25.0)
 
 
-class Counters:
+class RelayMetrics:
     """Metrics of one relay.
 
     Attributes:
@@ -39,14 +39,14 @@
             ["state"],
             registry=self.registry,
         )
-        self.sends_despite = prometheus_client.Counter(
+        self.sends_despite_notice = prometheus_client.Counter(
             "hoistmoor_relay_sends_despite",
             "Attempts sent to servers that had named a limit, said that they"
             " leave, or asked for rest.",
             ["word"],
             registry=self.registry,
         )
-        self.beliefs = prometheus_client.Counter(
+        self.state_changes = prometheus_client.Counter(
             "hoistmoor_relay_belief_changes",
             "Changes of what this host believes.",
             ["kind"],
--- a/src/hoistmoor/relay/peers/change_exchange.py
+++ b/src/hoistmoor/relay/peers/change_exchange.py
@@ -104,5 +104,5 @@
         news: The changes.
         at: Monotonic time to which the ages in them refer.
     """
-    state.take_suspects(news.suspects)
-    state.server_beliefs.take_departures(news.departures, at)
+    state.merge_suspects(news.suspects)
+    state.report_tracker.merge_departures(news.departures, at)
--- a/src/hoistmoor/relay/peers/listing.py
+++ b/src/hoistmoor/relay/peers/listing.py
@@ -53,7 +53,7 @@
             try:
                 host = peer_codec.decode_host(record.value)
             except ValueError as error:
-                self._state.note_unreadable("host", record, error)
+                self._state.log_unreadable_record("host", record, error)
                 continue
             self.listed[host.name] = host
             self._sources.put(host)
@@ -141,7 +141,7 @@
             lost = {name: lost[name] for name in lost if name == self.host.name}
         if lost:
             await self._write_with_retries(list(lost.values()))
-            self._state.believe("hosts_listed_again", hosts=len(lost))
+            self._state.log_change("hosts_listed_again", hosts=len(lost))
 
     async def _write_with_retries(self, hosts: list[replication.Host]) -> None:
         entries = {host.name: peer_codec.encode(host) for host in hosts}
--- a/src/hoistmoor/relay/peers/reader.py
+++ b/src/hoistmoor/relay/peers/reader.py
@@ -136,10 +136,10 @@
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(read_policy.REQUEST_INTERVAL):
-                await self._state.has_urgent_news.wait()
+                await self._state.has_urgent_changes.wait()
                 # Other changes of the same moment are sent along.
                 await asyncio.sleep(START_PERIOD)
-        self._state.has_urgent_news.clear()
+        self._state.has_urgent_changes.clear()
 
     def _has_all_topics(self) -> bool:
         return self._followers.keys() <= self._state.topics_read
@@ -161,7 +161,7 @@
             # may be unavailable.
             self._gate.record_failure()
         self._state.source = source
-        self._state.believe("source", peer=source or "store")
+        self._state.log_change("source", peer=source or "store")
 
     def _switch_followers(self) -> None:
         """Starts or stops reads of the store for each topic."""
@@ -247,14 +247,14 @@
             {name: each.place for name, each in self._followers.items()},
             self._sources.own,
             work,
-            self._state.known_evidence(),
-            self._state.look_for_doubts(),
+            self._state.collect_evidence(),
+            self._state.update_doubted_orders(),
             self._state.router.rollouts.ages(self._state.clock()),
             self._news.changes_for(host.name),
             limit_gossip.limits_to_gossip(
                 self._state.router.fleet, self._state.clock()
             ),
-            self._state.history.era,
+            self._state.store_era.era,
             self._state.revision,
             self._configuration_for(host),
         )
@@ -264,10 +264,10 @@
             self._sources.record_failure(host.name, self._state.clock())
             return False
         self._sources.record_success(host.name)
-        self._state.history.record_era(answer.era, host.name)
+        self._state.store_era.record_era(answer.era, host.name)
         self._revisions[host.name] = answer.revision
         self._news.merge_response(host.name, request.news, answer.news, sent_at)
-        self._state.server_beliefs.take_limits(answer.limits, sent_at)
+        self._state.report_tracker.merge_limits(answer.limits, sent_at)
         self._any_responded = True
         self._is_promising |= read_policy.is_worth_waiting_for(
             self._listing.host.link,
@@ -308,7 +308,7 @@
         new, but remains acceptable as long as this host's own copy is current.
         """
         copy = answer.topics.get(name)
-        if copy and copy.batch.end.era < self._state.history.era:
+        if copy and copy.batch.end.era < self._state.store_era.era:
             return self._followers[name].age()
         return answer.age_of(name) + self._state.clock() - sent_at
 
@@ -320,7 +320,7 @@
         self._state.log.write("host_stale", peer=host.name, age=round(age, 3))
 
     def _take(self, answer: peer_codec.CopyAnswer, sent_at: float) -> None:
-        self._state.look_for_doubts(answer.doubts)
+        self._state.update_doubted_orders(answer.doubts)
         for name, topic in answer.topics.items():
             follower = self._followers.get(name)
             if follower is None:
--- a/src/hoistmoor/relay/peers/request_handler.py
+++ b/src/hoistmoor/relay/peers/request_handler.py
@@ -39,7 +39,7 @@
 
     def answer(self, request: peer_codec.CopyRequest) -> peer_codec.CopyAnswer:
         """Applies the state in a request; returns what the sender lacks."""
-        self._state.history.record_era(request.era, request.host)
+        self._state.store_era.record_era(request.era, request.host)
         if request.configuration is not None:
             self._followers["operator"].retain(request.configuration)
         copies = {}
@@ -59,16 +59,16 @@
         outstanding.set_subtree_work(request.host, request.work, now)
         fleet = self._state.router.fleet
         own_work = fleet.own_work()
-        self._state.server_beliefs.take_limits(request.limits, now)
+        self._state.report_tracker.merge_limits(request.limits, now)
         return peer_codec.CopyAnswer(
             self._state.depth,
             copies,
             outstanding.total_for(request.host, own_work, now),
-            self._state.look_for_doubts(request.doubts),
+            self._state.update_doubted_orders(request.doubts),
             rollouts.ages(now),
             self._exchange_news(request.news),
             limit_gossip.limits_to_gossip(fleet, now),
-            self._state.history.era,
+            self._state.store_era.era,
             self._state.revision,
             self._configuration_for(request, copies),
         )
--- a/src/hoistmoor/relay/serving.py
+++ b/src/hoistmoor/relay/relay_server.py
@@ -8,7 +8,7 @@
 
 from aiohttp import web
 
-from hoistmoor.relay.front import front as front_lib
+from hoistmoor.relay.front import http_handlers as front_lib
 from hoistmoor.relay.peers import request_handler as answers_lib
 from hoistmoor.utils import listening
 
@@ -21,7 +21,7 @@
 
 # Seconds after the stop signal during which requests are still accepted: the
 # load balancer probes once a second and needs two failed probes.
-TAKE_ON = 2.5
+DRAIN_SECONDS = 2.5
 # Seconds between checks of the clock while requests finish: unlike timers, the
 # clock advances while the machine is suspended.
 STOP_POLL_INTERVAL = 0.5
@@ -30,7 +30,7 @@
 MAX_HEADER_LINE = 16384  # Bytes per line of a request head.
 
 
-class Serving:
+class RelayServer:
     """Lifecycle of a relay's background tasks and listeners.
 
     Attributes:
@@ -41,7 +41,7 @@
     def __init__(
         self,
         state: state_lib.RelayState,
-        front: front_lib.Front,
+        front: front_lib.RequestHandler,
         followers: dict[str, follower_lib.TopicFollower],
         loops: Mapping[str, Callable[[], Coroutine[Any, Any, None]]],
         settings: Callable[[], settings_lib.RelaySettings],
@@ -92,13 +92,13 @@
 
     async def _listen(self) -> list[web.ServerRunner]:
         settings = self._settings()
-        readiness = front_lib.Readiness(self._state)
+        readiness = front_lib.ReadinessHandler(self._state)
         handlers = [
             (settings.listen, self._front.handle),
             (settings.ready_listen, readiness.handle),
         ]
         if settings.metrics_listen:
-            metrics = front_lib.MetricsPage(self._state)
+            metrics = front_lib.MetricsHandler(self._state)
             handlers.append((settings.metrics_listen, metrics.handle))
         if settings.peer_listen:
             answers = answers_lib.PeerRequestHandler(
@@ -130,7 +130,7 @@
         began = state.clock()
         state.log.write("stopping", running=len(self._front.running))
         state.draining = True
-        await asyncio.sleep(TAKE_ON)
+        await asyncio.sleep(DRAIN_SECONDS)
         state.stopping = True
         end = began + self._settings().stop_timeout - STOP_MARGIN
         while self._front.running and state.clock() < end:
--- a/src/hoistmoor/relay/server_beliefs.py
+++ b/src/hoistmoor/relay/report_tracker.py
@@ -23,15 +23,15 @@
 MAX_LOGGED_NAMES = 64
 
 
-class ServerBeliefs:
+class ServerReportTracker:
     """Updates the state of servers from their own reports."""
 
     def __init__(
         self,
         fleet: fleet_lib.Fleet,
         clock: Callable[[], float],
-        believe: Callable[..., None],
-        has_urgent_news: asyncio.Event,
+        log_change: Callable[..., None],
+        has_urgent_changes: asyncio.Event,
     ) -> None:
         """Initializes the tracker without any reports.
 
@@ -43,11 +43,11 @@
         """
         self._fleet = fleet
         self._clock = clock
-        self._believe = believe
-        self._has_urgent_news = has_urgent_news
+        self._log_state_change = log_change
+        self._has_urgent_changes = has_urgent_changes
         self._logged_names: set[str] = set()
 
-    def take_report(
+    def apply_report(
         self,
         server: server_lib.ServerState,
         report: reports.ServerReport,
@@ -77,7 +77,7 @@
         if report.rest:
             self._apply_rest(server, report.rest)
 
-    def note_send(self, server: server_lib.ServerState) -> None:
+    def record_send(self, server: server_lib.ServerState) -> None:
         """Records that this host is sending a request to a server."""
         now = self._clock()
         if server.rest.record_send(now):
@@ -87,7 +87,7 @@
                 since=round(now - server.rest.until, 3),
             )
 
-    def note_replaced(self, server: server_lib.ServerState) -> None:
+    def record_replacement(self, server: server_lib.ServerState) -> None:
         """Records that a new incarnation has replaced a server."""
         if server.departure.announced_at is not None:
             self._log_change(
@@ -97,7 +97,7 @@
                 since=round(self._clock() - server.departure.announced_at, 3),
             )
 
-    def take_limits(
+    def merge_limits(
         self, words: limit_gossip.GossipedLimits, now: float
     ) -> None:
         """Applies the server limits received from another host.
@@ -109,7 +109,7 @@
         for news in limit_gossip.merge(self._fleet, words, now):
             self._log_limit(news, told=True)
 
-    def take_departures(
+    def merge_departures(
         self, ages: departure_gossip.DepartureAges, now: float
     ) -> None:
         """Applies the departures of servers received from another host.
@@ -138,9 +138,9 @@
 
     def _log_departure(self, identity: str, age: float, *, told: bool) -> None:
         """Logs that a server incarnation is leaving and informs peers."""
-        self._has_urgent_news.set()
+        self._has_urgent_changes.set()
         server = self._fleet.find(identity)
-        self._believe(
+        self._log_state_change(
             "server_leaves",
             server=identity,
             service=server.entry.service if server else None,
@@ -191,7 +191,7 @@
         """
         server = news.server
         if news.before is None or server.limit.rate is None:
-            self._has_urgent_news.set()
+            self._has_urgent_changes.set()
         self._log_change(
             "server_limit",
             server,
@@ -225,7 +225,7 @@
     def _log_change(
         self, kind: str, server: server_lib.ServerState, **fields: object
     ) -> None:
-        self._believe(
+        self._log_state_change(
             kind,
             server=server.entry.server_id,
             service=server.entry.service,
--- a/src/hoistmoor/relay/settings_task.py
+++ b/src/hoistmoor/relay/settings_reloader.py
@@ -18,7 +18,7 @@
 POLL_INTERVAL = 2.0
 
 
-class SettingsTask:
+class SettingsReloader:
     """Reloads the settings periodically and on a signal.
 
     Attributes:
@@ -42,7 +42,7 @@
             apply: Applies changed settings.
         """
         self.settings = settings
-        self.changed = asyncio.Event()
+        self.reload_requested = asyncio.Event()
         self._state = state
         self._read = read
         self._apply = apply
@@ -52,11 +52,11 @@
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(POLL_INTERVAL):
-                    await self.changed.wait()
-            self.look(signalled=self.changed.is_set())
-            self.changed.clear()
+                    await self.reload_requested.wait()
+            self.reload(signalled=self.reload_requested.is_set())
+            self.reload_requested.clear()
 
-    def look(self, *, signalled: bool) -> None:
+    def reload(self, *, signalled: bool) -> None:
         """Reloads the settings once; keeps the old ones if they are invalid."""
         try:
             loaded = self._read()
@@ -68,6 +68,6 @@
             self.settings = loaded
             self._apply(loaded)
         if is_changed or signalled:
-            self._state.believe(
+            self._state.log_change(
                 "settings", signalled=signalled, changed=is_changed
             )
--- a/src/hoistmoor/relay/state.py
+++ b/src/hoistmoor/relay/state.py
@@ -16,9 +16,9 @@
 from hoistmoor.core.relay.servers import server as server_lib
 from hoistmoor.core.relay.servers import suspect_state
 from hoistmoor.core.relay.versions import evidence as evidence_lib
-from hoistmoor.relay import counters as counters_lib
 from hoistmoor.relay import event_log
-from hoistmoor.relay import server_beliefs as server_beliefs_lib
+from hoistmoor.relay import metrics as counters_lib
+from hoistmoor.relay import report_tracker as server_beliefs_lib
 
 
 @attrs.define(eq=False)
@@ -52,12 +52,12 @@
 
     clock: Callable[[], float]
     log: event_log.EventLog
-    counters: counters_lib.Counters
+    counters: counters_lib.RelayMetrics
     router: router_lib.Router
     lease: configuration_lease.ConfigurationLease
     outstanding: outstanding_lib.OutstandingWork
     run_name: str
-    history: history_lib.StoreEra = attrs.field(factory=history_lib.StoreEra)
+    store_era: history_lib.StoreEra = attrs.field(factory=history_lib.StoreEra)
     evidence: evidence_lib.EvidenceRegistry = attrs.field(
         factory=evidence_lib.EvidenceRegistry
     )
@@ -69,50 +69,55 @@
     source: str = ""
     depth: int = 0
     started_at: float = attrs.field(init=False)
-    has_urgent_news: asyncio.Event = attrs.field(factory=asyncio.Event)
-    server_beliefs: server_beliefs_lib.ServerBeliefs = attrs.field(init=False)
+    has_urgent_changes: asyncio.Event = attrs.field(factory=asyncio.Event)
+    report_tracker: server_beliefs_lib.ServerReportTracker = attrs.field(
+        init=False
+    )
 
     def __attrs_post_init__(self) -> None:
         """Records the start time and connects the server reports."""
         self.started_at = self.clock()
-        self.server_beliefs = server_beliefs_lib.ServerBeliefs(
-            self.router.fleet, self.clock, self.believe, self.has_urgent_news
+        self.report_tracker = server_beliefs_lib.ServerReportTracker(
+            self.router.fleet,
+            self.clock,
+            self.log_change,
+            self.has_urgent_changes,
         )
 
-    def believe(self, kind: str, **fields: object) -> None:
+    def log_change(self, kind: str, **fields: object) -> None:
         """Logs and counts a state change."""
         self.log.write(kind, **fields)
-        self.counters.beliefs.labels(kind).inc()
+        self.counters.state_changes.labels(kind).inc()
 
     @property
     def revision(self) -> int:
         """Revision of the configuration in force; -1 for none."""
         return self.configuration.revision if self.configuration else -1
 
-    def note_unreadable(
+    def log_unreadable_record(
         self, kind: str, record: topics.Record, error: Exception
     ) -> None:
         """Logs and counts a record that cannot be decoded."""
-        self.believe(
+        self.log_change(
             f"{kind}_unreadable",
             key=record.key,
             place=record.place.text,
             detail=str(error),
         )
 
-    def note_server_end(self, server: server_lib.ServerState) -> None:
+    def record_server_end(self, server: server_lib.ServerState) -> None:
         """Records that this host found a server incarnation terminated."""
         if server.has_ended:
             return
         self._log_server_end(server, told=False)
         self.router.record_server_end(server, self.clock())
-        self.note_suspects()
+        self.log_quarantines()
 
     def _log_server_end(
         self, server: server_lib.ServerState, *, told: bool
     ) -> None:
         now = self.clock()
-        self.believe(
+        self.log_change(
             "server_ended",
             server=server.entry.server_id,
             service=server.entry.service,
@@ -123,25 +128,25 @@
             ],
         )
 
-    def take_suspects(self, told: Iterable[suspect_state.Suspect]) -> None:
+    def merge_suspects(self, told: Iterable[suspect_state.Suspect]) -> None:
         """Merges the suspected requests received from another host."""
         for server in self.router.merge_suspects(told, self.clock()):
             self._log_server_end(server, told=True)
-        self.note_suspects()
+        self.log_quarantines()
 
-    def note_suspects(self) -> None:
+    def log_quarantines(self) -> None:
         """Logs newly quarantined requests and informs peers immediately."""
         suspects = self.router.suspects
         if suspects.newly_quarantined:
-            self.has_urgent_news.set()
+            self.has_urgent_changes.set()
         for fingerprint in suspects.newly_quarantined:
-            self.believe(
+            self.log_change(
                 "request_quarantined",
                 **suspects.quarantine_details(fingerprint),
             )
         suspects.newly_quarantined.clear()
 
-    def known_evidence(self) -> tuple[evidence_lib.Evidence, ...]:
+    def collect_evidence(self) -> tuple[evidence_lib.Evidence, ...]:
         """Returns the counts of this host and of those that read through it.
 
         Covers only rollouts in progress.
@@ -158,7 +163,9 @@
             )
         )
 
-    def look_for_doubts(self, told: tuple[int, ...] = ()) -> tuple[int, ...]:
+    def update_doubted_orders(
+        self, told: tuple[int, ...] = ()
+    ) -> tuple[int, ...]:
         """Marks failing rollouts as doubted.
 
         Args:
@@ -171,7 +178,7 @@
         pooled = {
             number: evidence_lib.pool_evidence(each)
             for number, each in evidence_lib.group_by_order(
-                self.known_evidence()
+                self.collect_evidence()
             ).items()
         }
         found = [
@@ -182,7 +189,7 @@
         for number in (*told, *found):
             doubted = rollouts.mark_doubted(number)
             if doubted is not None:
-                self.believe(
+                self.log_change(
                     "rollout_doubted",
                     service=doubted.order.service,
                     target=doubted.order.target,
@@ -192,7 +199,7 @@
                 )
         return rollouts.doubts()
 
-    def unable_for(self) -> float:
+    def unavailable_duration(self) -> float:
         """Returns the seconds for which requests with a key are not served.
 
         0 while they are served.
--- a/src/hoistmoor/relay/store/era_monitor.py
+++ b/src/hoistmoor/relay/store/era_monitor.py
@@ -29,15 +29,15 @@
 
     def attach(self) -> None:
         """Subscribes to the store's history."""
-        self._state.history.observers.append(self.on_new_era)
-        self._state.history.on_unusable = self.on_unusable_era
+        self._state.store_era.observers.append(self.on_new_era)
+        self._state.store_era.on_unusable = self.on_unusable_era
 
     def on_new_era(self, before: int, era: int, told_by: str) -> None:
         """Logs a new era, and where each topic ended in the previous one."""
         self._state.counters.store_era.set(era)
         if told_by == history_lib.STORE:
-            self._state.has_urgent_news.set()
-        self._state.believe(
+            self._state.has_urgent_changes.set()
+        self._state.log_change(
             "store_era",
             era=era,
             before=before,
@@ -56,9 +56,9 @@
         if kind in self._logged_kinds:
             return
         self._logged_kinds.add(kind)
-        self._state.believe(
+        self._state.log_change(
             "store_era_unusable",
             why=kind.value,
             text=word.text,
-            era=self._state.history.era,
+            era=self._state.store_era.era,
         )
--- a/src/hoistmoor/relay/store/follower.py
+++ b/src/hoistmoor/relay/store/follower.py
@@ -115,7 +115,7 @@
         self._pending_read: asyncio.Future[topics.Batch] | None = None
         self._lost_at: float | None = None
         self._regained_at = float("-inf")
-        state.history.observers.append(self._on_new_era)
+        state.store_era.observers.append(self._on_new_era)
 
     async def run(self) -> None:
         """Reads until cancelled."""
@@ -133,7 +133,7 @@
             except errors.LogEraChangedError:
                 continue  # The position is of an older era: read a snapshot.
             except errors.LogOffsetExpiredError as error:
-                self._state.believe(
+                self._state.log_change(
                     "topic_expired", topic=self.name, detail=error.problem
                 )
                 self.place = None
@@ -164,7 +164,7 @@
         sent_at = self._state.clock()
         wait = 0.0 if self._needs_immediate_answer else self._wait
         known = self.place
-        if known is None or known.era < self._state.history.era:
+        if known is None or known.era < self._state.store_era.era:
             batch = await self._topic.newest()
         else:
             batch = await self._read_changes(known, wait)
@@ -199,7 +199,7 @@
             self._pending_read.cancel()
             self._pending_read = None
         raise errors.LogEraChangedError(
-            self.name, place.era, self._state.history.era
+            self.name, place.era, self._state.store_era.era
         )
 
     def _on_new_era(self, before: int, era: int, told_by: str) -> None:
@@ -236,7 +236,7 @@
         is known, a batch of an older one proves nothing, even if nothing of
         the newer era was read yet.
         """
-        if batch.end.era < self._state.history.era:
+        if batch.end.era < self._state.store_era.era:
             return True
         return self.place is not None and batch.end < self.place
 
@@ -246,7 +246,7 @@
         if self._was_copy_dropped:
             return
         self._was_copy_dropped = True
-        self._state.believe(
+        self._state.log_change(
             "copy_dropped",
             topic=self.name,
             known=self.place.text if self.place else None,
@@ -272,7 +272,7 @@
         self.place = batch.end
         known = self.replica.end
         if known is not None and batch.end.era > known.era:
-            update = attrs.evolve(update, is_return=True)
+            update = attrs.evolve(update, is_first_of_era=True)
         relevant = self._listener(update)
         self.replica.apply(attrs.evolve(batch, records=relevant))
         self._state.topics_read.add(self.name)
@@ -303,7 +303,7 @@
         self._gate.record_failure()
         if self._lost_at is None:
             self._lost_at = self._state.clock()
-            self._state.believe(
+            self._state.log_change(
                 "store_lost", topic=self.name, detail=error.problem
             )
 
@@ -315,6 +315,6 @@
         outage = now - self._lost_at
         self._lost_at = None
         self._regained_at = now
-        self._state.believe(
+        self._state.log_change(
             "store_regained", topic=self.name, away=round(outage, 3)
         )
--- a/src/hoistmoor/relay/store/lease_monitor.py
+++ b/src/hoistmoor/relay/store/lease_monitor.py
@@ -43,7 +43,7 @@
             return
         self._last_status = holds, is_current
         configuration = self._state.configuration
-        self._state.believe(
+        self._state.log_change(
             "lease",
             holds=holds,
             current=is_current,
--- a/src/hoistmoor/relay/store/operator_listener.py
+++ b/src/hoistmoor/relay/store/operator_listener.py
@@ -41,7 +41,7 @@
             and held is not None
             and held not in relevant
         ):
-            self._state.believe(
+            self._state.log_change(
                 "configuration_held", revision=self._state.revision
             )
             relevant.append(held)
@@ -59,7 +59,7 @@
         try:
             return self._apply(record)
         except errors.CodecError as error:
-            self._state.note_unreadable("operator", record, error)
+            self._state.log_unreadable_record("operator", record, error)
             return True
 
     def _apply_evacuations(self, update: follower.Update) -> None:
@@ -82,7 +82,7 @@
             return
         zones = self._evacuations.zones
         self._state.router.fleet.evacuate(zones, now)
-        self._state.believe(
+        self._state.log_change(
             "evacuated", zones=sorted(zones), place=batch.end.text
         )
 
@@ -97,7 +97,7 @@
         if order is None:
             return True
         if self._state.router.rollouts.apply_order(order, self._state.clock()):
-            self._state.believe(
+            self._state.log_change(
                 "rollout_ordered",
                 service=order.service,
                 target=order.target,
@@ -125,7 +125,7 @@
             return True
         self._state.configuration = candidate
         self._state.router.fleet.warmups.set_services(candidate.services)
-        self._state.believe(
+        self._state.log_change(
             "configuration",
             revision=candidate.revision,
             before=known.revision if known else None,
--- a/src/hoistmoor/relay/store/quarantine.py
+++ b/src/hoistmoor/relay/store/quarantine.py
@@ -84,16 +84,16 @@
         try:
             suspect = records.decode(value, suspect_state.Suspect)
         except ValueError as error:
-            self._state.note_unreadable("quarantine", record, error)
+            self._state.log_unreadable_record("quarantine", record, error)
             return
         self.listed.add(record.key)
-        self._state.take_suspects([suspect])
+        self._state.merge_suspects([suspect])
 
     def _end(self, fingerprint: str) -> None:
         self.listed.discard(fingerprint)
         self._ended.append(fingerprint)
         self._state.router.suspects.forget(fingerprint)
-        self._state.believe("quarantine_over", fingerprint=fingerprint)
+        self._state.log_change("quarantine_over", fingerprint=fingerprint)
 
 
 class QuarantineWriter:
@@ -126,7 +126,7 @@
             quarantined = self._state.router.suspects.quarantined(
                 self._state.clock()
             )
-            self._state.note_suspects()
+            self._state.log_quarantines()
             # Only the host that reads the store writes, and only once it has
             # read the list.
             if self._state.source or not self._gate.is_available:
--- a/src/hoistmoor/relay/store/server_listener.py
+++ b/src/hoistmoor/relay/store/server_listener.py
@@ -52,7 +52,9 @@
                 if record.key not in self._unusable
             ]
         for server_id in self._fleet.remove_expired(now):
-            self._state.believe("server_gone", server=server_id, why="lapsed")
+            self._state.log_change(
+                "server_gone", server=server_id, why="lapsed"
+            )
         return tuple(relevant)
 
     def _without_reverted(
@@ -65,7 +67,7 @@
             if self._is_reverted(record)
         }
         if reverted:
-            self._state.believe(
+            self._state.log_change(
                 "servers_returned",
                 servers=sorted(reverted)[:MAX_LOGGED_SERVERS],
                 count=len(reverted),
@@ -104,7 +106,7 @@
             # Written by another program: the server's last valid entry still
             # holds.
             if self._unusable.get(record.key) != record.place:
-                self._state.note_unreadable("server", record, error)
+                self._state.log_unreadable_record("server", record, error)
             self._unusable[record.key] = record.place
             return False
         was_unusable = self._unusable.pop(record.key, None) is not None
@@ -112,8 +114,8 @@
         if not self._fleet.put(entry, self._state.clock()):
             return was_unusable
         if before and before is not self._fleet.servers[entry.server_id]:
-            self._state.server_beliefs.note_replaced(before)
-        self._state.believe(
+            self._state.report_tracker.record_replacement(before)
+        self._state.log_change(
             "server",
             server=entry.server_id,
             born=entry.born,
@@ -153,7 +155,9 @@
             self._fleet.schedule_expiry(server_id, grace_ends)
             return
         if self._fleet.remove(server_id):
-            self._state.believe("server_gone", server=server_id, why="removed")
+            self._state.log_change(
+                "server_gone", server=server_id, why="removed"
+            )
 
     def _remove_unlisted(self, batch: topics.Batch, grace_ends: float) -> None:
         listed = {record.key for record in batch.records}
--- a/src/hoistmoor/relay/suspension.py
+++ b/src/hoistmoor/relay/suspension.py
@@ -23,7 +23,7 @@
 MIN_SUSPENSION = 0.1
 
 
-class Deadlines:
+class SuspensionAwareTimeouts:
     """Timeouts that are armed only after the machine was suspended.
 
     Without a suspension, the waiting operations rely on their own timers.
@@ -34,7 +34,7 @@
         self._due: dict[asyncio.Timeout, float] = {}
 
     @contextlib.contextmanager
-    def counted(self, timer: asyncio.Timeout, seconds: float) -> Iterator[None]:
+    def track(self, timer: asyncio.Timeout, seconds: float) -> Iterator[None]:
         """Makes a timeout account for suspensions while the block runs.
 
         Args:
@@ -56,11 +56,11 @@
                 timer.reschedule(self._due[timer])
 
 
-class SuspensionWatch:
+class SuspensionMonitor:
     """Compares the event loop's clock with one that includes suspensions."""
 
     def __init__(
-        self, state: state_lib.RelayState, deadlines: Deadlines
+        self, state: state_lib.RelayState, deadlines: SuspensionAwareTimeouts
     ) -> None:
         self._state = state
         self._deadlines = deadlines
@@ -77,4 +77,4 @@
                 continue
             offset = new_offset
             self._deadlines.advance(suspended)
-            self._state.believe("resumed", suspended=round(suspended, 3))
+            self._state.log_change("resumed", suspended=round(suspended, 3))
--- a/src/hoistmoor/relay/versions/rollout_listeners.py
+++ b/src/hoistmoor/relay/versions/rollout_listeners.py
@@ -35,11 +35,11 @@
             try:
                 phase = rollout_codec.decode_phase(record.value)
             except ValueError as error:
-                self._state.note_unreadable("phase", record, error)
+                self._state.log_unreadable_record("phase", record, error)
                 continue
             self.stored[phase.service, phase.target] = phase
             if self._state.router.rollouts.apply_phase(phase):
-                self._state.believe(
+                self._state.log_change(
                     "rollout_phase",
                     service=phase.service,
                     target=phase.target,
@@ -70,7 +70,7 @@
             try:
                 report = rollout_codec.decode_report(record.value)
             except ValueError as error:
-                self._state.note_unreadable("evidence", record, error)
+                self._state.log_unreadable_record("evidence", record, error)
                 continue
             self._last_report[report.run_name] = self._state.clock()
             for evidence in report.evidence:
--- a/src/hoistmoor/relay/versions/rollout_task.py
+++ b/src/hoistmoor/relay/versions/rollout_task.py
@@ -124,7 +124,7 @@
         order, state = progress.order, self._state
         known = [
             evidence
-            for evidence in state.known_evidence()
+            for evidence in state.collect_evidence()
             if evidence.service == order.service
         ]
         answers = sum(each.target_responses for each in known)
@@ -140,7 +140,7 @@
 
     def _has_order(self, progress: progress_lib.Progress) -> bool:
         """Returns whether the store's newest era has the order."""
-        era = self._state.history.era
+        era = self._state.store_era.era
         place = self._phases.place
         is_read = place is not None and place.era == era
         return is_read and progress.order.place.era == era
@@ -159,7 +159,7 @@
         """Writes a phase again that the store has lost."""
         record = self._record(progress, progress.phase)
         is_written = await self._write_phase(record)
-        self._state.believe(
+        self._state.log_change(
             "rollout_phase_restored",
             service=record.service,
             target=record.target,
@@ -197,7 +197,7 @@
             return
         record = self._record(progress, phase)
         is_written = await self._write_phase(record)
-        self._state.believe(
+        self._state.log_change(
             "rollout_decided",
             service=order.service,
             target=order.target,
--- a/tests/core/relay/beliefs/test_relay_configuration.py
+++ b/tests/core/relay/beliefs/test_relay_configuration.py
@@ -31,7 +31,9 @@
 def test_longest_matching_prefix_wins(
     host: str, path: str, expected: str | None
 ) -> None:
-    found = relay_parts.in_force(routes=(relay_parts.ROUTE, NESTED_ROUTE))
+    found = relay_parts.make_configuration(
+        routes=(relay_parts.ROUTE, NESTED_ROUTE)
+    )
     route = found.find_route(host, path)
     assertions.assert_that(
         route.name if route else None, matchers.Equals(expected)
@@ -39,7 +41,7 @@
 
 
 def test_account_is_found_by_any_of_its_keys() -> None:
-    found = relay_parts.in_force()
+    found = relay_parts.make_configuration()
     holder = found.find_account("key2")
     assert holder is not None
     assertions.assert_that(holder.name, matchers.Equals("farm"))
--- a/tests/core/relay/beliefs/test_relay_evacuations.py
+++ b/tests/core/relay/beliefs/test_relay_evacuations.py
@@ -16,7 +16,7 @@
 def record(
     zone: str, offset: int, era: int = 1, *, is_evacuated: bool = True
 ) -> evacuations.EvacuationRecord:
-    place = relay_parts.at(offset, era)
+    place = relay_parts.make_place(offset, era)
     return evacuations.EvacuationRecord(zone, is_evacuated, place)
 
 
--- a/tests/core/relay/beliefs/test_relay_mirror.py
+++ b/tests/core/relay/beliefs/test_relay_mirror.py
@@ -16,7 +16,7 @@
 
 
 def change(key: str, offset: int, value: bytes | None = b"v") -> topics.Record:
-    return topics.Record(key, value, relay_parts.at(offset))
+    return topics.Record(key, value, relay_parts.make_place(offset))
 
 
 @given(
@@ -35,12 +35,12 @@
     ]
     source = replication.TopicReplica()
     first = tuple(changes[:split])
-    source.apply(topics.Batch(first, relay_parts.at(len(first))))
-    end = relay_parts.at(len(changes))
+    source.apply(topics.Batch(first, relay_parts.make_place(len(first))))
+    end = relay_parts.make_place(len(changes))
     source.apply(topics.Batch(tuple(changes[split:]), end))
     asked = min(asked, len(changes))
     state = {each.key: each.value for each in changes[:asked]}
-    copy = source.changes_since(relay_parts.at(asked))
+    copy = source.changes_since(relay_parts.make_place(asked))
     assert copy is not None
     if copy.is_snapshot:
         state = {}
@@ -56,13 +56,15 @@
     source = replication.TopicReplica()
     assertions.assert_that(source.changes_since(None), matchers.Is(None))
     source.apply(
-        topics.Batch((change("a", 3),), relay_parts.at(10), is_snapshot=True)
+        topics.Batch(
+            (change("a", 3),), relay_parts.make_place(10), is_snapshot=True
+        )
     )
     end = 10 + 2 * replication.MAX_RECENT_CHANGES
     many = tuple(change(f"k{at}", at) for at in range(10, end))
-    source.apply(topics.Batch(many, relay_parts.at(end)))
+    source.apply(topics.Batch(many, relay_parts.make_place(end)))
     for asked in (None, 0, 9, 20):
-        place = None if asked is None else relay_parts.at(asked)
+        place = None if asked is None else relay_parts.make_place(asked)
         copy = source.changes_since(place)
         assert copy is not None
         assertions.assert_that(copy.is_snapshot, matchers.Is(True))
@@ -70,7 +72,7 @@
             copy.records,
             matchers.HasLength(2 * replication.MAX_RECENT_CHANGES + 1),
         )
-    copy = source.changes_since(relay_parts.at(end - 5))
+    copy = source.changes_since(relay_parts.make_place(end - 5))
     assert copy is not None
     assertions.assert_that(copy.is_snapshot, matchers.Is(False))
     assertions.assert_that(copy.records, matchers.HasLength(5))
@@ -79,11 +81,11 @@
 def test_only_newest_change_of_a_key_is_copied() -> None:
     source = replication.TopicReplica()
     changes = tuple(change("config", at, b"%d" % at) for at in range(5))
-    source.apply(topics.Batch(changes, relay_parts.at(5)))
-    copy = source.changes_since(relay_parts.at(1))
+    source.apply(topics.Batch(changes, relay_parts.make_place(5)))
+    copy = source.changes_since(relay_parts.make_place(1))
     assert copy is not None
     assertions.assert_that(copy.records, matchers.Equals((changes[4],)))
-    assertions.assert_that(copy.end, matchers.Equals(relay_parts.at(5)))
+    assertions.assert_that(copy.end, matchers.Equals(relay_parts.make_place(5)))
 
 
 @pytest.fixture
--- a/tests/core/relay/conftest.py
+++ b/tests/core/relay/conftest.py
@@ -17,5 +17,5 @@
         "north", bounds_lib.Bounds(), hashing.Draws.seeded(1)
     )
     for number in range(3):
-        made.fleet.put(relay_parts.entry(f"s{number}", zone=f"z{number}"))
+        made.fleet.put(relay_parts.make_entry(f"s{number}", zone=f"z{number}"))
     return made
--- a/tests/core/relay/course/test_relay_budget.py
+++ b/tests/core/relay/course/test_relay_budget.py
@@ -33,7 +33,7 @@
 
 def count_retries(router: router_lib.Router) -> int:
     """Returns how many retries the budget of a host allows."""
-    request = relay_parts.request()
+    request = relay_parts.make_request()
     count = 0
     while router.may_retry(request, NOW) and count < 99:
         router._service(request.service).budget.record_retry(NOW)
@@ -59,5 +59,5 @@
     router = make_router("h1", [], SLACK)
     assertions.assert_that(count_retries(router), matchers.Equals(0))
     for _ in range(50):
-        router.record_request(relay_parts.request(), NOW)
+        router.record_request(relay_parts.make_request(), NOW)
     assertions.assert_that(count_retries(router), matchers.Equals(8))
--- a/tests/core/relay/course/test_relay_machine.py
+++ b/tests/core/relay/course/test_relay_machine.py
@@ -32,7 +32,7 @@
 def start(
     router: router_lib.Router, route: relay_parts.configuration.Route
 ) -> tuple[machine_lib.RelayMachine, messages.Effect]:
-    request = relay_parts.request(route)
+    request = relay_parts.make_request(route)
     for _ in range(20):
         router.record_request(request, NOW)
     machine = machine_lib.RelayMachine(request, router)
@@ -115,7 +115,7 @@
 def test_no_retry_without_budget(
     router: router_lib.Router,
 ) -> None:
-    request = relay_parts.request()
+    request = relay_parts.make_request()
     exhaust_budget(router, request)
     machine = machine_lib.RelayMachine(request, router)
     machine.handle(messages.Started(), NOW)
@@ -152,8 +152,8 @@
     # Half of the servers are dead. Trying the next server puts no load on any
     # of them, so it is allowed although the budget is exhausted.
     for number in range(9):
-        router.fleet.put(relay_parts.entry(f"d{number}"))
-    exhaust_budget(router, relay_parts.request())
+        router.fleet.put(relay_parts.make_entry(f"d{number}"))
+    exhaust_budget(router, relay_parts.make_request())
     machine, effect = start(router, relay_parts.CONFIRM)
     sends = 0
     while isinstance(effect, messages.Send):
@@ -177,7 +177,7 @@
 def test_retry_that_reached_no_server_is_not_counted(
     router: router_lib.Router,
 ) -> None:
-    request = relay_parts.request()
+    request = relay_parts.make_request()
     for _ in range(200):
         assertions.assert_that(
             router.may_retry(request, NOW), matchers.Is(True)
@@ -205,14 +205,14 @@
         response_times.AttemptOutcome.REPLACED,
     )
     for now, is_asked in ((NOW, False), (NOW + 3.9, False), (NOW + 4.1, True)):
-        ready = relay_parts.ready(router.fleet, "desk", {"v1"}, (), now)
+        ready = relay_parts.ready_servers(router.fleet, "desk", {"v1"}, (), now)
         assertions.assert_that(first.server in ready, matchers.Is(is_asked))
 
 
 def test_low_confidence_escalates_to_the_largest_model(
     router: router_lib.Router,
 ) -> None:
-    router.fleet.put(relay_parts.entry("e1", service="llm"))
+    router.fleet.put(relay_parts.make_entry("e1", service="llm"))
     machine, first = start(router, relay_parts.CHAT)
     assert isinstance(first, messages.Send)
     assertions.assert_that(first.model, matchers.Equals("small"))
@@ -228,7 +228,7 @@
 def test_response_with_high_or_no_confidence_is_forwarded(
     router: router_lib.Router, confidence: float | None
 ) -> None:
-    router.fleet.put(relay_parts.entry("e1", service="llm"))
+    router.fleet.put(relay_parts.make_entry("e1", service="llm"))
     machine, _ = start(router, relay_parts.CHAT)
     effect = machine.handle(messages.HeadArrived(200, confidence), NOW)
     assertions.assert_that(effect, matchers.IsInstance(messages.Forward))
@@ -237,7 +237,7 @@
 def test_partly_sent_response_is_never_discarded_or_refused(
     router: router_lib.Router,
 ) -> None:
-    router.fleet.put(relay_parts.entry("e1", service="llm"))
+    router.fleet.put(relay_parts.make_entry("e1", service="llm"))
     machine, _ = start(router, relay_parts.CHAT)
     machine.record_response_started()
     assertions.assert_that(
@@ -294,8 +294,8 @@
 def test_error_response_does_not_complete_a_partly_sent_response(
     router: router_lib.Router,
 ) -> None:
-    router.fleet.put(relay_parts.entry("e1", service="llm"))
-    router.fleet.put(relay_parts.entry("e2", service="llm"))
+    router.fleet.put(relay_parts.make_entry("e1", service="llm"))
+    router.fleet.put(relay_parts.make_entry("e2", service="llm"))
     machine, _ = start(router, relay_parts.CHAT)
     machine.record_response_started()
     effect = machine.handle(messages.AttemptEnded(State.ANSWERING), NOW)
@@ -311,7 +311,7 @@
     router: router_lib.Router,
 ) -> None:
     for number in range(3):
-        router.fleet.put(relay_parts.entry(f"e{number}", service="llm"))
+        router.fleet.put(relay_parts.make_entry(f"e{number}", service="llm"))
     machine, first = start(router, relay_parts.CHAT)
     assert isinstance(first, messages.Send)
     machine.handle(messages.HeadArrived(200, 0.0), NOW)
@@ -346,7 +346,7 @@
     router: router_lib.Router,
 ) -> None:
     terminate_servers(router, "bad", 2, runs.Stage.BEGUN)
-    request = relay_parts.request(fingerprint="bad")
+    request = relay_parts.make_request(fingerprint="bad")
     machine = machine_lib.RelayMachine(request, router)
     refusal = get_refusal(machine.handle(messages.Started(), NOW))
     assertions.assert_that(
@@ -365,9 +365,9 @@
 def test_request_quarantined_during_an_attempt_is_not_retried(
     router: router_lib.Router,
 ) -> None:
-    request = relay_parts.request(relay_parts.CHAT, fingerprint="bad")
-    router.fleet.put(relay_parts.entry("e1", service="llm"))
-    router.fleet.put(relay_parts.entry("e2", service="llm"))
+    request = relay_parts.make_request(relay_parts.CHAT, fingerprint="bad")
+    router.fleet.put(relay_parts.make_entry("e1", service="llm"))
+    router.fleet.put(relay_parts.make_entry("e2", service="llm"))
     machine = machine_lib.RelayMachine(request, router)
     machine.handle(messages.Started(), NOW)
     terminate_servers(router, "bad", 2, runs.Stage.BEGUN)
@@ -391,9 +391,9 @@
 ) -> None:
     # The route allows two attempts.
     for number in range(9):
-        router.fleet.put(relay_parts.entry(f"d{number}"))
+        router.fleet.put(relay_parts.make_entry(f"d{number}"))
     terminate_servers(router, "r", ends_before, runs.Stage.WAITING)
-    request = relay_parts.request(fingerprint="r")
+    request = relay_parts.make_request(fingerprint="r")
     for _ in range(20):
         router.record_request(request, NOW)
     machine = machine_lib.RelayMachine(request, router)
@@ -438,7 +438,7 @@
     router: router_lib.Router,
 ) -> None:
     limit_all_servers(router)
-    router.fleet.put(relay_parts.entry("free"))
+    router.fleet.put(relay_parts.make_entry("free"))
     _, effect = start(router, relay_parts.CONFIRM)
     assert isinstance(effect, messages.Send)
     assertions.assert_that(
@@ -475,7 +475,7 @@
 def test_low_confidence_is_accepted_if_no_larger_model_is_available(
     router: router_lib.Router,
 ) -> None:
-    router.fleet.put(relay_parts.entry("e1", service="llm"))
+    router.fleet.put(relay_parts.make_entry("e1", service="llm"))
     machine, _ = start(router, relay_parts.CHAT)
     limit_all_servers(router)
     effect = machine.handle(messages.HeadArrived(200, 5.0), NOW)
@@ -489,7 +489,7 @@
         server.departure.record(NOW)
     waits = []
     for delay in (0.0, 1.0, 2.0, 9.0):
-        request = relay_parts.request(relay_parts.CONFIRM)
+        request = relay_parts.make_request(relay_parts.CONFIRM)
         machine = machine_lib.RelayMachine(request, router)
         refusal = get_refusal(machine.handle(messages.Started(), NOW + delay))
         assertions.assert_that(
@@ -515,7 +515,7 @@
         "desk", 10, warmup_duration=9.0, warmup_rate=1.0
     )
     router.fleet.warmups.set_services({"desk": service})
-    router.fleet.put(relay_parts.entry("new", warm_in=4.0), NOW)
+    router.fleet.put(relay_parts.make_entry("new", warm_in=4.0), NOW)
     # No host may send a request: the rate allows less than one per window.
     _, effect = start(router, relay_parts.CONFIRM)
     refusal = get_refusal(effect)
--- a/tests/core/relay/placement/test_relay_placement.py
+++ b/tests/core/relay/placement/test_relay_placement.py
@@ -27,7 +27,7 @@
 def engines(count: int) -> list[server_lib.ServerState]:
     return [
         server_lib.ServerState(
-            relay_parts.entry(f"e{number}", service="llm", slots=64)
+            relay_parts.make_entry(f"e{number}", service="llm", slots=64)
         )
         for number in range(count)
     ]
@@ -36,7 +36,7 @@
 def pick_engine(
     ready: list[server_lib.ServerState], model: str = "small"
 ) -> str:
-    request = relay_parts.request(relay_parts.CHAT)
+    request = relay_parts.make_request(relay_parts.CHAT)
     work_class = partition.WorkClass(relay_parts.SIZES.index(model), 3, False)
     found = placement.pick_engine(
         ready,
@@ -53,8 +53,8 @@
 
 
 def test_local_server_is_preferred_until_it_is_busier() -> None:
-    near = server_lib.ServerState(relay_parts.entry("near", zone="a"))
-    far = server_lib.ServerState(relay_parts.entry("far", zone="b"))
+    near = server_lib.ServerState(relay_parts.make_entry("near", zone="a"))
+    far = server_lib.ServerState(relay_parts.make_entry("far", zone="b"))
     found = placement.pick([far, near], "a", NOW, DRAWS)
     assertions.assert_that(found, matchers.Is(near))
     near.in_flight = 3
@@ -86,13 +86,13 @@
 ) -> None:
     ready = [
         server_lib.ServerState(
-            relay_parts.entry(zone, service="llm", zone=zone), work=work
+            relay_parts.make_entry(zone, service="llm", zone=zone), work=work
         )
         for zone, work in (("near", more * 1e6), ("far", 1e6))
     ]
     found = placement.pick_engine(
         ready,
-        relay_parts.request(relay_parts.CHAT),
+        relay_parts.make_request(relay_parts.CHAT),
         "small",
         "near",
         {"near": 0.0, "far": 0.0},
@@ -111,7 +111,7 @@
     # the request at a full engine.
     ready = [
         server_lib.ServerState(
-            relay_parts.entry(f"e{number}", service="llm", slots=16)
+            relay_parts.make_entry(f"e{number}", service="llm", slots=16)
         )
         for number in range(70)
     ]
@@ -126,7 +126,7 @@
     prompt = requests_lib.Prompt(
         "*", 800, 50, (requests_lib.PromptPart("own", 800),)
     )
-    request = relay_parts.request(relay_parts.CHAT, prompt=prompt)
+    request = relay_parts.make_request(relay_parts.CHAT, prompt=prompt)
     waiting = 0
     for _ in range(200):
         found = placement.pick_engine(
@@ -192,7 +192,7 @@
 ) -> None:
     for server in router.fleet:
         server.health.eject(NOW)
-        left = relay_parts.ready(router.fleet, "desk", {"v1"}, (), NOW)
+        left = relay_parts.ready_servers(router.fleet, "desk", {"v1"}, (), NOW)
         resting = sum(each.health.is_resting for each in router.fleet)
         expected = 3 - resting if resting == 1 else 3
         assertions.assert_that(left, matchers.HasLength(expected))
@@ -205,7 +205,7 @@
     dead = router.fleet.servers["s0"]
     for each in router.fleet:
         each.in_flight = 0 if each is dead else 3
-    request = relay_parts.request()
+    request = relay_parts.make_request()
     work_class = router.class_of(request, "")
 
     def pick(now: float) -> str:
@@ -237,27 +237,28 @@
 def test_outlier_is_kept_if_it_is_the_only_server_of_a_version(
     router: router_lib.Router,
 ) -> None:
-    router.fleet.put(relay_parts.entry("new", version="v2"))
+    router.fleet.put(relay_parts.make_entry("new", version="v2"))
     router.fleet.servers["new"].health.eject(NOW)
-    ready = relay_parts.ready(router.fleet, "desk", {"v2"}, (), NOW)
+    ready = relay_parts.ready_servers(router.fleet, "desk", {"v2"}, (), NOW)
     assertions.assert_that(ready, matchers.HasLength(1))
 
 
 def test_leaving_servers_and_missing_entries() -> None:
     fleet = fleet_lib.Fleet()
-    fleet.put(relay_parts.entry("a"))
-    fleet.put(relay_parts.entry("b", is_leaving=True))
+    fleet.put(relay_parts.make_entry("a"))
+    fleet.put(relay_parts.make_entry("b", is_leaving=True))
     assertions.assert_that(
-        relay_parts.ready(fleet, "desk", {"v1"}, (), NOW), matchers.HasLength(1)
+        relay_parts.ready_servers(fleet, "desk", {"v1"}, (), NOW),
+        matchers.HasLength(1),
     )
     fleet.schedule_expiry("a", NOW + 2.0)
     assertions.assert_that(fleet.remove_expired(NOW + 1.0), matchers.Equals([]))
-    fleet.put(relay_parts.entry("a"))  # The entry is listed again.
+    fleet.put(relay_parts.make_entry("a"))  # The entry is listed again.
     assertions.assert_that(fleet.remove_expired(NOW + 9.0), matchers.Equals([]))
     fleet.schedule_expiry("a", NOW + 12.0)
     # It gets no requests after the grace period, even before it is removed.
     for now, count in ((NOW + 11.9, 1), (NOW + 12.0, 0)):
-        ready = relay_parts.ready(fleet, "desk", {"v1"}, (), now)
+        ready = relay_parts.ready_servers(fleet, "desk", {"v1"}, (), now)
         assertions.assert_that(ready, matchers.HasLength(count))
     gone = fleet.remove_expired(NOW + 13.0)
     assertions.assert_that(gone, matchers.Equals(["a"]))
@@ -285,7 +286,7 @@
     # With the new version's servers at their rate limit, each request of a
     # session went to whichever version had quota left. The fault was found by
     # reading the code.
-    new = relay_parts.entry("n1", version="v2")
+    new = relay_parts.make_entry("n1", version="v2")
     router.fleet.put(new)
     router.fleet.shares.set_hosts(["another"])
     router.fleet.servers["n1"].limit.record_limit(1.0, NOW)
@@ -295,7 +296,7 @@
         phases.PhaseRecord("desk", "v2", 1, phases.Phase.SPREAD)
     )
     for session, expected in (("s", None), ("", "v1")):
-        request = relay_parts.request(session=session)
+        request = relay_parts.make_request(session=session)
         work_class = router.class_of(request, "")
         found = router.pick(
             request, "", work_class, frozenset(), frozenset(), NOW
--- a/tests/core/relay/placement/test_relay_urgency.py
+++ b/tests/core/relay/placement/test_relay_urgency.py
@@ -24,7 +24,7 @@
 
 
 def request(tokens: int, priority: int = 0) -> requests.RelayRequest:
-    return relay_parts.request(
+    return relay_parts.make_request(
         relay_parts.CHAT, prompt=prompt(tokens), priority=priority
     )
 
--- a/tests/core/relay/servers/test_relay_fleet.py
+++ b/tests/core/relay/servers/test_relay_fleet.py
@@ -34,7 +34,7 @@
 
 def entry(**fields: Any) -> server_lib.ServerEntry:
     """Returns an entry of the server."""
-    return relay_parts.entry("a", **fields)
+    return relay_parts.make_entry("a", **fields)
 
 
 def test_new_incarnation_starts_from_a_clean_state(
@@ -51,7 +51,7 @@
     assertions.assert_that(
         attrs.asdict(found), matchers.Equals(attrs.asdict(fresh))
     )
-    ready = relay_parts.ready(fleet, "desk", {"v1"}, (), NOW)
+    ready = relay_parts.ready_servers(fleet, "desk", {"v1"}, (), NOW)
     assertions.assert_that(ready, matchers.Equals([found]))
     # Requests to the old incarnation that end now do not affect the new one.
     old.in_flight -= 1
@@ -63,10 +63,10 @@
 ) -> None:
     failed = frozenset({fleet.servers["a"].entry.identity})
     fleet.servers["a"].health.put_back()
-    ready = relay_parts.ready(fleet, "desk", {"v1"}, failed, NOW)
+    ready = relay_parts.ready_servers(fleet, "desk", {"v1"}, failed, NOW)
     assertions.assert_that(ready, matchers.HasLength(0))
     fleet.put(entry(born=2000))
-    ready = relay_parts.ready(fleet, "desk", {"v1"}, failed, NOW)
+    ready = relay_parts.ready_servers(fleet, "desk", {"v1"}, failed, NOW)
     assertions.assert_that(ready, matchers.HasLength(1))
 
 
@@ -122,7 +122,7 @@
 def test_memory_of_removed_servers_is_bounded() -> None:
     fleet = fleet_lib.Fleet()
     for number in range(fleet_lib.MAX_REMOVED + 50):
-        fleet.put(relay_parts.entry(f"s{number}", born=1))
+        fleet.put(relay_parts.make_entry(f"s{number}", born=1))
         fleet.remove(f"s{number}")
     assertions.assert_that(
         fleet._removed, matchers.HasLength(fleet_lib.MAX_REMOVED)
@@ -134,19 +134,21 @@
 ) -> None:
     fleet.put(entry(born=1000, sequence=51, service="llm"))
     assertions.assert_that(
-        relay_parts.ready(fleet, "desk", {"v1"}, (), NOW), matchers.HasLength(0)
+        relay_parts.ready_servers(fleet, "desk", {"v1"}, (), NOW),
+        matchers.HasLength(0),
     )
     assertions.assert_that(
-        relay_parts.ready(fleet, "llm", {"v1"}, (), NOW), matchers.HasLength(1)
+        relay_parts.ready_servers(fleet, "llm", {"v1"}, (), NOW),
+        matchers.HasLength(1),
     )
 
 
 def test_evacuated_failure_domain_gets_no_requests() -> None:
     fleet = fleet_lib.Fleet()
-    fleet.put(relay_parts.entry("n", zone="north"))
-    fleet.put(relay_parts.entry("s", zone="south", version="v2"))
+    fleet.put(relay_parts.make_entry("n", zone="north"))
+    fleet.put(relay_parts.make_entry("s", zone="south", version="v2"))
     fleet.evacuate(frozenset({"north"}), NOW)
-    ready = relay_parts.ready(fleet, "desk", {"v1", "v2"}, (), NOW)
+    ready = relay_parts.ready_servers(fleet, "desk", {"v1", "v2"}, (), NOW)
     assertions.assert_that(
         [each.entry.server_id for each in ready], matchers.Equals(["s"])
     )
@@ -154,7 +156,7 @@
     assertions.assert_that(fleet.versions("desk", NOW), matchers.Equals({"v2"}))
     fleet.evacuate(frozenset({"north", "south"}), NOW)
     assertions.assert_that(
-        relay_parts.ready(fleet, "desk", {"v1", "v2"}, (), NOW),
+        relay_parts.ready_servers(fleet, "desk", {"v1", "v2"}, (), NOW),
         matchers.Equals([]),
     )
 
@@ -162,14 +164,14 @@
 def leaving_fleet(**fields: Any) -> fleet_lib.Fleet:
     """Returns a fleet in which server "a" has announced its departure."""
     fleet = fleet_lib.Fleet()
-    fleet.put(relay_parts.entry("a", **fields), NOW)
-    fleet.put(relay_parts.entry("b"), NOW)
+    fleet.put(relay_parts.make_entry("a", **fields), NOW)
+    fleet.put(relay_parts.make_entry("b"), NOW)
     fleet.servers["a"].departure.record(NOW)
     return fleet
 
 
 def ready_names(fleet: fleet_lib.Fleet, now: float) -> list[str]:
-    ready = relay_parts.ready(fleet, "desk", {"v1"}, (), now)
+    ready = relay_parts.ready_servers(fleet, "desk", {"v1"}, (), now)
     return sorted(each.entry.server_id for each in ready)
 
 
@@ -179,18 +181,18 @@
 ) -> None:
     fleet = leaving_fleet(born=born, sequence=7)
     assertions.assert_that(ready_names(fleet, NOW), matchers.Equals(["b"]))
-    fleet.put(relay_parts.entry("a", born=born, sequence=8), NOW + 1.0)
+    fleet.put(relay_parts.make_entry("a", born=born, sequence=8), NOW + 1.0)
     assertions.assert_that(
         ready_names(fleet, NOW + 1.0), matchers.Equals(["b"])
     )
     fleet.remove("a")
-    fleet.put(relay_parts.entry("a", born=born, sequence=9), NOW + 2.0)
+    fleet.put(relay_parts.make_entry("a", born=born, sequence=9), NOW + 2.0)
     assertions.assert_that(
         ready_names(fleet, NOW + 2.0), matchers.Equals(["b"])
     )
     fleet.schedule_expiry("a", NOW + 3.0)
     fleet.remove_expired(NOW + 4.0)
-    fleet.put(relay_parts.entry("a", born=born, sequence=9), NOW + 5.0)
+    fleet.put(relay_parts.make_entry("a", born=born, sequence=9), NOW + 5.0)
     assertions.assert_that(
         ready_names(fleet, NOW + 5.0), matchers.Equals(["b"])
     )
@@ -203,7 +205,7 @@
     start: dict[str, Any],
 ) -> None:
     fleet = leaving_fleet(born=1000, sequence=7)
-    fleet.put(relay_parts.entry("a", sequence=8, **start), NOW + 0.1)
+    fleet.put(relay_parts.make_entry("a", sequence=8, **start), NOW + 0.1)
     assertions.assert_that(
         ready_names(fleet, NOW + 0.1), matchers.Equals(["a", "b"])
     )
@@ -225,14 +227,14 @@
     assertions.assert_that(
         fleet.record_departure("a@1000", NOW - 1.0), matchers.Is(True)
     )
-    fleet.put(relay_parts.entry("a", born=1000), NOW)
+    fleet.put(relay_parts.make_entry("a", born=1000), NOW)
     assertions.assert_that(ready_names(fleet, NOW), matchers.Equals([]))
 
 
 def test_departure_ends_with_its_incarnation() -> None:
     fleet = leaving_fleet(born=1000)
     fleet.record_departure("a@1000", NOW)
-    fleet.put(relay_parts.entry("a", born=2000), NOW)
+    fleet.put(relay_parts.make_entry("a", born=2000), NOW)
     assertions.assert_that(
         fleet.record_departure("a@1000", NOW), matchers.Is(False)
     )
@@ -244,7 +246,7 @@
 def test_departure_does_not_apply_to_a_successor_of_equal_identity() -> None:
     fleet = leaving_fleet()
     fleet.record_departure("a", NOW)
-    fleet.put(relay_parts.entry("a", address="127.0.0.1:2"), NOW + 1.0)
+    fleet.put(relay_parts.make_entry("a", address="127.0.0.1:2"), NOW + 1.0)
     # Another host that has not read the new entry repeats the announcement.
     assertions.assert_that(
         fleet.record_departure("a", NOW + 0.5), matchers.Is(False)
--- a/tests/core/relay/servers/test_relay_outstanding.py
+++ b/tests/core/relay/servers/test_relay_outstanding.py
@@ -75,7 +75,7 @@
 def test_hosts_with_equal_information_spread_over_engines() -> None:
     ready = [
         server_lib.ServerState(
-            relay_parts.entry(f"e{number}", service="llm", slots=64)
+            relay_parts.make_entry(f"e{number}", service="llm", slots=64)
         )
         for number in range(40)
     ]
@@ -88,7 +88,7 @@
     for host in range(40):
         found = placement.pick_engine(
             ready,
-            relay_parts.request(relay_parts.CHAT, prompt=own_prompt),
+            relay_parts.make_request(relay_parts.CHAT, prompt=own_prompt),
             "small",
             "",
             partition.distances(work_class, ready),
@@ -103,7 +103,7 @@
 
 def test_reported_work_of_other_hosts_expires() -> None:
     fleet = fleet_lib.Fleet()
-    fleet.put(relay_parts.entry("a"))
+    fleet.put(relay_parts.make_entry("a"))
     state = fleet.servers["a"]
     state.load.others, state.load.at = 3, NOW
     fleet.set_peer_work(works(a=500.0), NOW)
--- a/tests/core/relay/servers/test_relay_rests.py
+++ b/tests/core/relay/servers/test_relay_rests.py
@@ -26,11 +26,11 @@
 
 def test_resting_server_is_not_used_as_a_last_resort() -> None:
     fleet = fleet_lib.Fleet()
-    fleet.put(relay_parts.entry("a"))
-    fleet.put(relay_parts.entry("b"))
+    fleet.put(relay_parts.make_entry("a"))
+    fleet.put(relay_parts.make_entry("b"))
     for server in fleet:
         server.rest.record(3.0, NOW)
-    ready = relay_parts.ready(fleet, "desk", {"v1"}, (), NOW + 2.9)
+    ready = relay_parts.ready_servers(fleet, "desk", {"v1"}, (), NOW + 2.9)
     assertions.assert_that(ready, matchers.Equals([]))
     fleet.servers["b"].rest.record(9.0, NOW)
     assertions.assert_that(
@@ -48,8 +48,8 @@
 
 def test_session_keeps_its_version_while_its_servers_rest() -> None:
     fleet = fleet_lib.Fleet()
-    fleet.put(relay_parts.entry("a"))
-    fleet.put(relay_parts.entry("b", version="v2"))
+    fleet.put(relay_parts.make_entry("a"))
+    fleet.put(relay_parts.make_entry("b", version="v2"))
     fleet.servers["a"].rest.record(3.0, NOW)
     assertions.assert_that(fleet.versions("desk", NOW), matchers.Equals({"v2"}))
     assertions.assert_that(
@@ -60,9 +60,9 @@
 
 def test_next_incarnation_does_not_inherit_a_rest() -> None:
     fleet = fleet_lib.Fleet()
-    fleet.put(relay_parts.entry("a", born=1000))
+    fleet.put(relay_parts.make_entry("a", born=1000))
     fleet.servers["a"].rest.record(9.0, NOW)
-    fleet.put(relay_parts.entry("a", born=2000))
+    fleet.put(relay_parts.make_entry("a", born=2000))
     assertions.assert_that(
         fleet.next_eligibility("desk", NOW), matchers.Is(None)
     )
@@ -79,28 +79,32 @@
 
 def test_traffic_ramps_up_after_a_rest() -> None:
     fleet = fleet_lib.Fleet()
-    fleet.put(relay_parts.entry("a"))
-    fleet.put(relay_parts.entry("b"))
+    fleet.put(relay_parts.make_entry("a"))
+    fleet.put(relay_parts.make_entry("b"))
     fleet.servers["a"].rest.record(3.0, NOW)
     for elapsed, fraction in ((3.0, 0.0), (3.5, 0.25), (4.0, 0.5), (5.0, 1.0)):
         now = NOW + elapsed
         is_ready = [
-            len(relay_parts.ready(fleet, "desk", {"v1"}, (), now, draw / 100))
+            len(
+                relay_parts.ready_servers(
+                    fleet, "desk", {"v1"}, (), now, draw / 100
+                )
+            )
             == 2
             for draw in range(1, 101)
         ]
         assertions.assert_that(sum(is_ready) / 100, matchers.Equals(fraction))
     # Without another server, all requests return at once.
     fleet.remove("b")
-    ready = relay_parts.ready(fleet, "desk", {"v1"}, (), NOW + 3.0, 0.9)
+    ready = relay_parts.ready_servers(fleet, "desk", {"v1"}, (), NOW + 3.0, 0.9)
     assertions.assert_that(len(ready), matchers.Equals(1))
 
 
 def test_rest_survives_removal_and_relisting_of_the_entry() -> None:
     fleet = fleet_lib.Fleet()
-    fleet.put(relay_parts.entry("a"))
+    fleet.put(relay_parts.make_entry("a"))
     fleet.servers["a"].rest.record(9.0, NOW)
     fleet.remove("a")
-    fleet.put(relay_parts.entry("a"), NOW + 1.0)
-    ready = relay_parts.ready(fleet, "desk", {"v1"}, (), NOW + 1.0)
+    fleet.put(relay_parts.make_entry("a"), NOW + 1.0)
+    ready = relay_parts.ready_servers(fleet, "desk", {"v1"}, (), NOW + 1.0)
     assertions.assert_that(ready, matchers.Equals([]))
--- a/tests/core/relay/servers/test_relay_suspects.py
+++ b/tests/core/relay/servers/test_relay_suspects.py
@@ -274,7 +274,7 @@
 def test_abandoned_run_is_recorded_when_a_host_reports_the_end(
     router: router_lib.Router,
 ) -> None:
-    router.fleet.put(relay_parts.entry("s0"))
+    router.fleet.put(relay_parts.make_entry("s0"))
     server = router.fleet.servers["s0"]
     left = runs.Run("left")
     server.runs.add(left)
--- a/tests/core/relay/servers/test_relay_warmup.py
+++ b/tests/core/relay/servers/test_relay_warmup.py
@@ -48,11 +48,11 @@
 
 def entry(server_id: str, **fields: Any) -> server_lib.ServerEntry:
     """Returns the entry of an engine."""
-    return relay_parts.entry(server_id, service="llm", **fields)
+    return relay_parts.make_entry(server_id, service="llm", **fields)
 
 
 def ready(fleet: fleet_lib.Fleet, now: float) -> set[str]:
-    found = relay_parts.ready(fleet, "llm", {"v1"}, (), now)
+    found = relay_parts.ready_servers(fleet, "llm", {"v1"}, (), now)
     return {each.entry.server_id for each in found}
 
 
@@ -183,7 +183,7 @@
 
 
 def fail_to_connect(router: router_lib.Router, name: str, now: float) -> None:
-    request = relay_parts.request(relay_parts.CHAT)
+    request = relay_parts.make_request(relay_parts.CHAT)
     work_class = router.class_of(request, "small")
     serial = router.begin_attempt(request, work_class, now)
     server = router.fleet.servers[name]
--- a/tests/core/relay/versions/test_relay_returned_orders.py
+++ b/tests/core/relay/versions/test_relay_returned_orders.py
@@ -15,12 +15,12 @@
 
 
 def order(target: str, offset: int, era: int = 1) -> phases.Order:
-    number = relay_parts.at(offset, era).serial
+    number = relay_parts.make_place(offset, era).serial
     return phases.Order("llm", target, 60.0, number)
 
 
 def phase(target: str, offset: int, era: int, name: str) -> phases.PhaseRecord:
-    number = relay_parts.at(offset, era).serial
+    number = relay_parts.make_place(offset, era).serial
     return phases.PhaseRecord("llm", target, number, phases.Phase(name))
 
 
@@ -52,7 +52,7 @@
     assertions.assert_that(found.phase, matchers.Equals(phases.Phase.SPREAD))
     assertions.assert_that(found.is_doubted, matchers.Is(True))
     assertions.assert_that(
-        book.doubts(), matchers.Equals((relay_parts.at(7, 2).serial,))
+        book.doubts(), matchers.Equals((relay_parts.make_place(7, 2).serial,))
     )
 
 
--- a/tests/platform/test_platform_codec.py
+++ b/tests/platform/test_platform_codec.py
@@ -79,7 +79,9 @@
 
 
 def record(key: str, fields: object, offset: int = 3) -> topics.Record:
-    return topics.Record(key, orjson.dumps(fields), relay_parts.at(offset))
+    return topics.Record(
+        key, orjson.dumps(fields), relay_parts.make_place(offset)
+    )
 
 
 def test_decodes_a_complete_configuration() -> None:
@@ -139,7 +141,7 @@
 @pytest.mark.parametrize("value", [b"", b"{", b"[]", b'{"service":"a"}'])
 def test_malformed_server_entry_raises_codec_error(value: bytes) -> None:
     with pytest.raises(errors.CodecError):
-        CODEC.server(topics.Record("i-1", value, relay_parts.at(0)))
+        CODEC.server(topics.Record("i-1", value, relay_parts.make_place(0)))
 
 
 INVALID_FIELDS = (
@@ -234,7 +236,7 @@
         for decode in (CODEC.server, CODEC.order, CODEC.configuration):
             for key in ("i-1", "config", "rollout/a"):
                 with contextlib.suppress(errors.CodecError):
-                    decode(topics.Record(key, data, relay_parts.at(0)))
+                    decode(topics.Record(key, data, relay_parts.make_place(0)))
 
 
 @pytest.mark.parametrize(
@@ -297,7 +299,7 @@
 def test_protected_headers_are_stripped_from_requests() -> None:
     for name in ("authorization", "hoistmoor-tenant", "kv-from"):
         assertions.assert_that(
-            name in names.HEADERS.set_here, matchers.Is(True)
+            name in names.HEADERS.removed_from_requests, matchers.Is(True)
         )
 
 
@@ -321,7 +323,7 @@
     bad = header_values.parse_prompt("*", "x", "no parts")
     assert bad is not None
     assertions.assert_that(bad.parts, matchers.Equals(()))
-    request = relay_parts.request(relay_parts.CHAT)
+    request = relay_parts.make_request(relay_parts.CHAT)
     assertions.assert_that(
         request.work("large"), matchers.Equals(10 * request.work("small"))
     )
--- a/tests/platform/test_platform_store.py
+++ b/tests/platform/test_platform_store.py
@@ -33,7 +33,9 @@
         matchers.Equals({"a": b"old", "b": b"new", "d": b"old", "e": b"old"}),
     )
     assertions.assert_that(batch.is_snapshot, matchers.Is(True))
-    assertions.assert_that(batch.end, matchers.Equals(relay_parts.at(7)))
+    assertions.assert_that(
+        batch.end, matchers.Equals(relay_parts.make_place(7))
+    )
 
 
 async def test_changes_include_offsets_and_deleted_keys(
@@ -41,14 +43,16 @@
 ) -> None:
     server, stored, topic = standin
     stored.records = [("a", b"1"), ("b", b"\x00\xff"), ("a", b"")]
-    batch = await topic.changes(relay_parts.at(1), 0.5)
+    batch = await topic.changes(relay_parts.make_place(1), 0.5)
     found = [
         (each.key, each.value, each.place.offset) for each in batch.records
     ]
     assertions.assert_that(
         found, matchers.Equals([("b", b"\x00\xff", 1), ("a", None, 2)])
     )
-    assertions.assert_that(batch.end, matchers.Equals(relay_parts.at(3)))
+    assertions.assert_that(
+        batch.end, matchers.Equals(relay_parts.make_place(3))
+    )
     call, query = server.calls[-1]
     assertions.assert_that(call, matchers.Equals("log-read"))
     assertions.assert_that(query["wait_ms"], matchers.Equals("500"))
@@ -62,9 +66,9 @@
     stored.first_kept = 3
     server.era = None
     with pytest.raises(errors.LogOffsetExpiredError):
-        await topic.changes(relay_parts.at(1), 0.0)
+        await topic.changes(relay_parts.make_place(1), 0.0)
     with pytest.raises(errors.LogOffsetExpiredError):
-        await topic.changes(relay_parts.at(9), 0.0)
+        await topic.changes(relay_parts.make_place(9), 0.0)
 
 
 async def test_only_one_conditional_write_succeeds(
@@ -72,11 +76,12 @@
 ) -> None:
     _server, stored, topic = standin
     assertions.assert_that(
-        await topic.put("k", b"first", relay_parts.at(0)),
-        matchers.Equals(relay_parts.at(1)),
+        await topic.put("k", b"first", relay_parts.make_place(0)),
+        matchers.Equals(relay_parts.make_place(1)),
     )
     assertions.assert_that(
-        await topic.put("k", b"second", relay_parts.at(0)), matchers.Is(None)
+        await topic.put("k", b"second", relay_parts.make_place(0)),
+        matchers.Is(None),
     )
     assertions.assert_that(stored.records, matchers.Equals([("k", b"first")]))
 
@@ -93,7 +98,7 @@
         await topic.put("k", b"v")
 
 
-async def test_a_place_of_an_older_history_is_not_read_from(
+async def test_reading_from_an_older_era_fails(
     standin: StoreFixture,
 ) -> None:
     # The new era may have more records than the offset that was read up to.
@@ -101,16 +106,20 @@
     stored.records = [("a", b"1")] * 5
     server.era = "1"
     known = await topic.newest()
-    assertions.assert_that(known.end, matchers.Equals(relay_parts.at(5, 1)))
+    assertions.assert_that(
+        known.end, matchers.Equals(relay_parts.make_place(5, 1))
+    )
     server.era = "3"
     stored.records = [("a", b"2")] * 9
     with pytest.raises(errors.LogEraChangedError):
         await topic.changes(known.end, 0.0)
     again = await topic.newest()
-    assertions.assert_that(again.end, matchers.Equals(relay_parts.at(9, 3)))
+    assertions.assert_that(
+        again.end, matchers.Equals(relay_parts.make_place(9, 3))
+    )
 
 
-async def test_pages_of_two_histories_are_no_snapshot(
+async def test_pages_of_different_eras_are_read_again(
     standin: StoreFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     server, stored, topic = standin
@@ -131,16 +140,18 @@
     batch = await topic.newest()
     found = {each.key: each.value for each in batch.records}
     assertions.assert_that(found, matchers.Equals({"a": b"new", "b": b"new"}))
-    assertions.assert_that(batch.end, matchers.Equals(relay_parts.at(2, 2)))
+    assertions.assert_that(
+        batch.end, matchers.Equals(relay_parts.make_place(2, 2))
+    )
 
 
-async def test_a_condition_does_not_hold_in_another_history(
+async def test_a_conditional_write_fails_in_another_era(
     standin: StoreFixture,
 ) -> None:
     server, stored, topic = standin
     server.era = "1"
     end = await topic.put("k", b"first")
-    assertions.assert_that(end, matchers.Equals(relay_parts.at(1, 1)))
+    assertions.assert_that(end, matchers.Equals(relay_parts.make_place(1, 1)))
     server.era = "2"
     assertions.assert_that(
         await topic.put("k", b"second", end), matchers.Is(None)
@@ -163,7 +174,7 @@
         ("1", store_era.EraProblem.FALLING),
     ],
 )
-async def test_an_era_that_says_nothing_changes_nothing(
+async def test_an_unusable_era_is_ignored(
     standin: StoreFixture, text: str | None, kind: store_era.EraProblem
 ) -> None:
     server, stored, topic = standin
@@ -171,10 +182,12 @@
     stored.records = [("a", b"1")]
     known = await topic.newest()
     reported: list[store_era.EraProblem] = []
-    topic.history.on_unusable = lambda why, _: reported.append(why)
+    topic.store_era.on_unusable = lambda why, _: reported.append(why)
     server.era = text
     stored.records.append(("a", b"2"))
     batch = await topic.changes(known.end, 0.0)
-    assertions.assert_that(batch.end, matchers.Equals(relay_parts.at(2, 2)))
-    assertions.assert_that(topic.history.era, matchers.Equals(2))
+    assertions.assert_that(
+        batch.end, matchers.Equals(relay_parts.make_place(2, 2))
+    )
+    assertions.assert_that(topic.store_era.era, matchers.Equals(2))
     assertions.assert_that(reported, matchers.Equals([kind]))
--- a/tests/relay/conftest.py
+++ b/tests/relay/conftest.py
@@ -16,9 +16,9 @@
 
 from hoistmoor.clients import sessions
 from hoistmoor.relay import application
-from hoistmoor.relay import serving
+from hoistmoor.relay import relay_server
 from hoistmoor.relay import settings as settings_lib
-from hoistmoor.relay.front import links as links_lib
+from hoistmoor.relay.front import backend_connector as links_lib
 from hoistmoor.relay.store import followers
 
 if TYPE_CHECKING:
@@ -99,7 +99,9 @@
         self.backends.callback(server.close)
         ip, port = server.sockets[0].getsockname()
         backend.address = f"{ip}:{port}"
-        entry = relay_parts.entry(server_id, address=backend.address, **fields)
+        entry = relay_parts.make_entry(
+            server_id, address=backend.address, **fields
+        )
         await self.platform.publish(self.platform.servers, server_id, entry)
         await self.until(lambda: server_id in self.state.router.fleet.servers)
         return backend
@@ -133,13 +135,15 @@
     """A ready relay that has loaded its configuration."""
     monkeypatch.setattr(followers, "SERVERS_PAUSE", 0.02)
     monkeypatch.setattr(followers, "OPERATOR_WAIT", 0.2)
-    monkeypatch.setattr(serving, "TAKE_ON", 0.1)
+    monkeypatch.setattr(relay_server, "TAKE_ON", 0.1)
     # Event lines go to /dev/null, since the file that pytest captures output
     # with cannot be made non-blocking.
     null_device = os.open(os.devnull, os.O_WRONLY)
     monkeypatch.setattr(application, "LOG_DESCRIPTOR", null_device)
     platform = relay_platform.MemoryPlatform()
-    await platform.publish(platform.operator, "config", relay_parts.in_force())
+    await platform.publish(
+        platform.operator, "config", relay_parts.make_configuration()
+    )
     settings = settings_lib.RelaySettings(
         host="h1",
         zone="north",
--- a/tests/relay/engine_traffic.py
+++ b/tests/relay/engine_traffic.py
@@ -41,10 +41,10 @@
 # Guarantee for a server that announces its departure: it receives no request
 # from a host whose caller called more than this many seconds after that host
 # had forwarded the announcement.
-LEAVING_HEARD = 2.0
+DEPARTURE_DELAY = 2.0
 # Guarantee for a server that requests a back-off from a host: after this many
 # seconds, it receives nothing from that host until the back-off is over.
-REST_HEARD = 0.5
+REST_DELAY = 0.5
 
 
 @attrs.define
@@ -75,12 +75,12 @@
 
     name: str
     limit: float | None = None
-    named_at: float = 0.0
-    told: dict[str, float] = attrs.field(factory=dict)
+    limit_announced_at: float = 0.0
+    informed_at: dict[str, float] = attrs.field(factory=dict)
     arrived: list[float] = attrs.field(factory=list)
     counted: list[float] = attrs.field(factory=list)
     is_leaving: bool = False
-    leaving_passed_on: dict[str, float] = attrs.field(factory=dict)
+    departure_forwarded_at: dict[str, float] = attrs.field(factory=dict)
     after_leaving: list[float] = attrs.field(factory=list)
     rest: float | None = None
     rests: dict[str, tuple[float, float]] = attrs.field(factory=dict)
@@ -89,37 +89,40 @@
     def begin_limit(self, limit: float) -> None:
         """Starts to announce a limit."""
         self.limit = limit
-        self.named_at = asyncio.get_running_loop().time()
+        self.limit_announced_at = asyncio.get_running_loop().time()
 
     def end_limit(self) -> None:
         """Stops announcing a limit."""
         self.limit = None
-        self.told.clear()
+        self.informed_at.clear()
 
-    def start_anew(self) -> None:
+    def restart(self) -> None:
         """Restarts as a new incarnation with the same id."""
         self.is_leaving = False
-        self.leaving_passed_on.clear()
+        self.departure_forwarded_at.clear()
 
-    def take(self, host: str, called_at: float) -> None:
+    def receive(self, host: str, called_at: float) -> None:
         """Records a request from a host whose caller called earlier."""
         now = asyncio.get_running_loop().time()
         self.arrived.append(now)
-        if called_at > self.leaving_passed_on.get(host, now) + LEAVING_HEARD:
+        if (
+            called_at
+            > self.departure_forwarded_at.get(host, now) + DEPARTURE_DELAY
+        ):
             self.after_leaving.append(now)
         since, until = self.rests.get(host, (now, now))
-        if since + REST_HEARD < now < until:
+        if since + REST_DELAY < now < until:
             self.during_rest.append(now)
-        if now - self.told.get(host, now) >= INFORMED_FOR:
+        if now - self.informed_at.get(host, now) >= INFORMED_FOR:
             self.counted.append(now)
 
-    def answer(self, host: str) -> reports.ServerReport:
+    def respond(self, host: str) -> reports.ServerReport:
         """Responds to a host and returns the report in the response."""
         now = asyncio.get_running_loop().time()
         if self.limit is not None:
-            self.told.setdefault(host, now)
+            self.informed_at.setdefault(host, now)
         if self.is_leaving:
-            self.leaving_passed_on.setdefault(host, now)
+            self.departure_forwarded_at.setdefault(host, now)
         if self.rest is not None:
             _, until = self.rests.get(host, (now, now))
             self.rests[host] = (now, max(until, now + self.rest))
@@ -127,9 +130,11 @@
             limit=self.limit, is_leaving=self.is_leaving, rest=self.rest
         )
 
-    def most_in_a_window(self) -> int:
+    def max_requests_in_window(self) -> int:
         """Returns the maximum number of counted requests in one window."""
-        counted = [at for at in self.counted if at >= self.named_at + SETTLED]
+        counted = [
+            at for at in self.counted if at >= self.limit_announced_at + SETTLED
+        ]
         return max(
             (
                 bisect.bisect_right(counted, at + WINDOW) - number
@@ -151,7 +156,7 @@
 
 
 @attrs.frozen
-class Refused:
+class RefusedCall:
     """A refused call.
 
     Attributes:
@@ -187,7 +192,7 @@
             rate: Requests per second of all callers together.
         """
         self.engines = [Engine(f"e{number}") for number in range(engines)]
-        self.refused: list[Refused] = []
+        self.refused: list[RefusedCall] = []
         self.delivered = 0
         self._by_name = {each.name: each for each in self.engines}
         self._swarm = swarm
@@ -204,7 +209,7 @@
 
     async def list_engine(self, engine: Engine, born: int) -> None:
         """Registers an incarnation of an engine in the store."""
-        entry = relay_parts.entry(
+        entry = relay_parts.make_entry(
             engine.name,
             service="llm",
             address=f"{engine.name}:1",
@@ -213,12 +218,12 @@
         )
         await self._swarm.store.publish("servers", engine.name, entry)
 
-    def most_wanted(self, count: int) -> list[Engine]:
+    def busiest_engines(self, count: int) -> list[Engine]:
         """Returns the engines that have received the most requests."""
         by_demand = sorted(self.engines, key=lambda each: len(each.arrived))
         return by_demand[-count:]
 
-    def share_served(self) -> float:
+    def fraction_served(self) -> float:
         """Returns the fraction of finished calls that were served."""
         return self.delivered / (self.delivered + len(self.refused))
 
@@ -255,7 +260,7 @@
         assert member.relay is not None
         state = member.relay.state
         now = state.clock()
-        request = relay_parts.request(
+        request = relay_parts.make_request(
             relay_parts.CHAT,
             arrived=now,
             deadline=now + 20.0,
@@ -276,13 +281,13 @@
         member: relay_swarm.Member,
         machine: machine_lib.RelayMachine,
         effect: messages.Refuse,
-    ) -> Refused:
+    ) -> RefusedCall:
         now = asyncio.get_running_loop().time()
         ends = [
             each.rests[member.name][1] if member.name in each.rests else now
             for each in self.engines
         ]
-        return Refused(
+        return RefusedCall(
             effect.refusal,
             now - machine.request.arrived,
             machine.sent,
@@ -300,12 +305,12 @@
         engine = self._by_name[send.server.entry.server_id]
         sent_at = state.clock()
         await asyncio.sleep(relay_swarm.LATENCY)
-        engine.take(member.name, machine.request.arrived)
+        engine.receive(member.name, machine.request.arrived)
         is_declined = engine.rest is not None
         await asyncio.sleep(relay_swarm.LATENCY if is_declined else FIRST_PART)
-        state.server_beliefs.take_report(
+        state.report_tracker.apply_report(
             send.server,
-            engine.answer(member.name),
+            engine.respond(member.name),
             sent_at,
             is_success=not is_declined,
         )
@@ -345,7 +350,7 @@
         engines: Number of engines; None for that in ``SIZES``.
     """
     default_engines, rate = SIZES[hosts]
-    swarm = await relay_swarm.calm_swarm(hosts)
+    swarm = await relay_swarm.start_swarm(hosts)
     traffic = Traffic(swarm, engines or default_engines, rate)
     await traffic.begin()
     await asyncio.sleep(3.0)
--- a/tests/relay/front/test_relay_path.py
+++ b/tests/relay/front/test_relay_path.py
@@ -256,7 +256,7 @@
             await reply.read()
 
 
-async def test_a_failure_after_a_cut_does_not_make_a_stream_whole(
+async def test_a_failure_after_a_cut_leaves_a_stream_incomplete(
     harness: Harness,
 ) -> None:
     async def stream_first_half_then_fail(
@@ -406,10 +406,10 @@
 
 async def test_a_revision_never_goes_back(harness: Harness) -> None:
     platform = harness.platform
-    newer = relay_parts.in_force(5, (relay_parts.ROUTE,))
+    newer = relay_parts.make_configuration(5, (relay_parts.ROUTE,))
     await platform.publish(platform.operator, "config", newer)
     await harness.until(lambda: harness.state.configuration is newer)
-    older = relay_parts.in_force(4)
+    older = relay_parts.make_configuration(4)
     await platform.publish(platform.operator, "config", older)
     platform.operator.first_kept = len(platform.operator.records)
     await asyncio.sleep(0.3)
--- a/tests/relay/front/test_relay_reports.py
+++ b/tests/relay/front/test_relay_reports.py
@@ -66,7 +66,7 @@
     shown = report.unreadable[reports.ReportField.LIMIT]
     assertions.assert_that(shown, matchers.Not(matchers.Equals("")))
     assertions.assert_that(
-        len(shown), matchers.LessThan(server_reports.LONGEST_SHOWN + 1)
+        len(shown), matchers.LessThan(server_reports.MAX_LOGGED_CHARACTERS + 1)
     )
     assert report.load is not None
     assertions.assert_that(report.load.running, matchers.Equals(3))
@@ -282,7 +282,7 @@
 ) -> None:
     _, before = await add_reporting_server(harness)
     fleet, beliefs = harness.state.router.fleet, harness.state.server_beliefs
-    fleet.put(relay_parts.entry("s1", address="127.0.0.1:9"), 0.0)
+    fleet.put(relay_parts.make_entry("s1", address="127.0.0.1:9"), 0.0)
     beliefs.take_report(
         before,
         reports.ServerReport(is_leaving=True, rest=9.0),
--- a/tests/relay/front/test_relay_request_line.py
+++ b/tests/relay/front/test_relay_request_line.py
@@ -16,7 +16,7 @@
 from hoistmoor.core.relay.placement import partition
 from hoistmoor.core.relay.servers import server as server_lib
 from hoistmoor.core.relay.versions import phases
-from hoistmoor.relay.front import request_line
+from hoistmoor.relay.front import request_log
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -35,7 +35,7 @@
 
 
 def send_to(version: str) -> messages.Send:
-    server = server_lib.ServerState(relay_parts.entry(version=version))
+    server = server_lib.ServerState(relay_parts.make_entry(version=version))
     return messages.Send(
         server, "", partition.WorkClass(0, 1, is_long=False), 1, 101.0
     )
@@ -53,13 +53,13 @@
     logged_state: tuple[state_lib.RelayState, int],
 ) -> None:
     state, descriptor = logged_state
-    request = relay_parts.request(session="s1")
-    request_line.note_version(state, request, send_to("v1"), None)
-    request_line.note_version(state, request, send_to("v1"), "v1")
-    sessionless = relay_parts.request()
-    request_line.note_version(state, sessionless, send_to("v2"), "v1")
+    request = relay_parts.make_request(session="s1")
+    request_log.log_session_version(state, request, send_to("v1"), None)
+    request_log.log_session_version(state, request, send_to("v1"), "v1")
+    sessionless = relay_parts.make_request()
+    request_log.log_session_version(state, sessionless, send_to("v2"), "v1")
     assertions.assert_that(read_lines(descriptor), matchers.Equals([]))
-    request_line.note_version(state, request, send_to("v2"), "v1")
+    request_log.log_session_version(state, request, send_to("v2"), "v1")
     (line,) = read_lines(descriptor)
     logged = {key: line[key] for key in ("session", "before", "version")}
     assertions.assert_that(
@@ -74,8 +74,8 @@
     state, descriptor = logged_state
     order = phases.Order("desk", "v2", 60.0, 7)
     state.router.rollouts.apply_order(order, 100.0)
-    request = relay_parts.request(session="s1")
-    request_line.note_version(state, request, send_to("v1"), "v1")
+    request = relay_parts.make_request(session="s1")
+    request_log.log_session_version(state, request, send_to("v1"), "v1")
     (line,) = read_lines(descriptor)
     logged = {key: line[key] for key in ("version", "order", "phase")}
     assertions.assert_that(
--- a/tests/relay/peers/test_relay_peer_codec.py
+++ b/tests/relay/peers/test_relay_peer_codec.py
@@ -21,8 +21,8 @@
 
 def answer(value: bytes | None) -> peer_codec.CopyAnswer:
     batch = topics.Batch(
-        (topics.Record("config", value, relay_parts.at(3, 7)),),
-        relay_parts.at(4, 7),
+        (topics.Record("config", value, relay_parts.make_place(3, 7)),),
+        relay_parts.make_place(4, 7),
     )
     copy = peer_codec.TopicCopy(batch, after_outage=1.0, age=0.2)
     return peer_codec.CopyAnswer(
--- a/tests/relay/peers/test_relay_peers.py
+++ b/tests/relay/peers/test_relay_peers.py
@@ -21,7 +21,7 @@
 from hoistmoor.core.relay.versions import phases
 from hoistmoor.relay import application
 from hoistmoor.relay import settings as settings_lib
-from hoistmoor.relay.front import links as links_lib
+from hoistmoor.relay.front import backend_connector as links_lib
 from hoistmoor.relay.peers import peer_client
 from hoistmoor.relay.store import followers
 from hoistmoor.relay.versions import rollout_codec
@@ -135,7 +135,9 @@
     null_descriptor = os.open(os.devnull, os.O_WRONLY)
     monkeypatch.setattr(application, "LOG_DESCRIPTOR", null_descriptor)
     monkeypatch.setattr(followers, "SERVERS_PAUSE", 0.02)
-    await platform.publish(platform.operator, "config", relay_parts.in_force())
+    await platform.publish(
+        platform.operator, "config", relay_parts.make_configuration()
+    )
     members: list[Member] = []
     async with sessions.make_session() as session:
         for number in range(2):
@@ -158,9 +160,9 @@
 ) -> None:
     reader, copier = pair
     before = copier.operator.reads
-    newer = relay_parts.in_force(5)
+    newer = relay_parts.make_configuration(5)
     await platform.publish(platform.operator, "config", newer)
-    await platform.publish(platform.servers, "a", relay_parts.entry("a"))
+    await platform.publish(platform.servers, "a", relay_parts.make_entry("a"))
     await until(lambda: copier.relay.state.configuration is newer)
     await until(lambda: "a" in copier.relay.state.router.fleet.servers)
     assertions.assert_that(copier.operator.reads - before, matchers.LessThan(3))
@@ -193,16 +195,16 @@
     platform: relay_platform.MemoryPlatform, pair: list[Member]
 ) -> None:
     reader, copier = pair
-    reader.operator.is_away = True
+    reader.operator.is_unavailable = True
     await until(lambda: copier.reads_store)
-    newer = relay_parts.in_force(6)
+    newer = relay_parts.make_configuration(6)
     await platform.publish(platform.operator, "config", newer)
     await until(lambda: copier.relay.state.configuration is newer)
     assertions.assert_that(copier.relay.state.is_ready(), matchers.Is(True))
     # A host that has read a topic which only readers of the store use can still
     # return to copying.
     copier.relay.state.topics_read.add("evidence")
-    reader.operator.is_away = False
+    reader.operator.is_unavailable = False
     await until(lambda: not copier.reads_store)
 
 
@@ -212,7 +214,7 @@
     reader, copier = pair
     reader.task.cancel()
     await until(lambda: copier.reads_store)
-    await platform.publish(platform.servers, "b", relay_parts.entry("b"))
+    await platform.publish(platform.servers, "b", relay_parts.make_entry("b"))
     await until(lambda: "b" in copier.relay.state.router.fleet.servers)
 
 
@@ -244,7 +246,7 @@
 async def test_hosts_exchange_outstanding_work(
     platform: relay_platform.MemoryPlatform, pair: list[Member]
 ) -> None:
-    await platform.publish(platform.servers, "a", relay_parts.entry("a"))
+    await platform.publish(platform.servers, "a", relay_parts.make_entry("a"))
     servers = [each.relay.state.router.fleet.servers for each in pair]
     await until(lambda: all("a" in each for each in servers))
     servers[0]["a"].work, servers[1]["a"].work = 300.0, 20.0
@@ -288,7 +290,7 @@
     states = [each.relay.state for each in pair]
     await until(lambda: all(each.router.rollouts.progress for each in states))
     # The phase cannot be written to the store.
-    platform.phases.is_away = True
+    platform.phases.is_unavailable = True
     progress = states[detector].router.rollouts.progress["desk"]
     for _ in range(evidence_lib.MIN_RESPONSES):
         progress.record_response("look", "v2", failed=True, slow=False)
--- a/tests/relay/peers/test_relay_returned_store_swarm.py
+++ b/tests/relay/peers/test_relay_returned_store_swarm.py
@@ -26,15 +26,15 @@
 ) -> None:
     """Simulates an outage after which the store is restored from a copy."""
     swarm.store.fault[""] = "reset"
-    swarm.store.wake()
+    swarm.store.wake_long_polls()
     await asyncio.sleep(outage)
-    swarm.store.platform.rewind(copy)
+    swarm.store.platform.restore(copy)
     swarm.store.fault.clear()
-    swarm.store.wake()
+    swarm.store.wake_long_polls()
 
 
 async def publish(swarm: relay_swarm.Swarm, revision: int) -> None:
-    configuration = relay_parts.in_force(revision)
+    configuration = relay_parts.make_configuration(revision)
     await swarm.store.publish("operator", "config", configuration)
 
 
@@ -42,8 +42,8 @@
     hosts: int, revision: int
 ) -> tuple[relay_swarm.Swarm, dict[str, int]]:
     """Returns hosts that all use a revision, and a copy without it."""
-    swarm = await relay_swarm.calm_swarm(hosts)
-    copy = swarm.store.platform.copy()
+    swarm = await relay_swarm.start_swarm(hosts)
+    copy = swarm.store.platform.backup()
     await publish(swarm, revision)
     await swarm.until(lambda each: each.revision == revision)
     return swarm, copy
@@ -68,8 +68,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(hosts: int) -> None:
-        swarm = await relay_swarm.calm_swarm(hosts)
-        copy = swarm.store.platform.copy()
+        swarm = await relay_swarm.start_swarm(hosts)
+        copy = swarm.store.platform.backup()
         for revision in (2, 3, 4):
             await publish(swarm, revision)
             await asyncio.sleep(1.0)
@@ -83,7 +83,7 @@
             )
 
     for hosts in SIZES:
-        relay_swarm.play(monkeypatch, scenario(hosts))
+        relay_swarm.run_in_virtual_time(monkeypatch, scenario(hosts))
 
 
 @pytest.mark.parametrize("hosts", SIZES)
@@ -95,7 +95,7 @@
         swarm, copy = await swarm_ahead_of_copy(hosts, 5)
         await restore(swarm, copy)
         await asyncio.sleep(1.0)
-        readers = [each for each in swarm.members if each.reads]
+        readers = [each for each in swarm.members if each.reads_store]
         for member in {*readers, *swarm.members[::3]}:
             member.stop()
             await asyncio.sleep(0.01)
@@ -114,7 +114,7 @@
             await asyncio.sleep(0.02)
         await assert_applied_within_a_second(swarm, 6)
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 ORDER = phases.Order("desk", "v2", 60.0, 2)
@@ -130,9 +130,9 @@
     await swarm.store.platform.phases.put(
         "desk/v2", rollout_codec.encode(record)
     )
-    swarm.store.wake()
+    swarm.store.wake_long_polls()
     assert swarm.members[-1].relay is not None
-    swarm.members[-1].relay.state.take_suspects([SUSPECT])
+    swarm.members[-1].relay.state.merge_suspects([SUSPECT])
     took = await swarm.until(has_quarantine_and_phase)
     assertions.assert_that(took, matchers.LessThan(10.0))
     await asyncio.sleep(3.0)
@@ -161,8 +161,8 @@
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
-        swarm = await relay_swarm.calm_swarm(hosts)
-        copy = swarm.store.platform.copy() | {"hosts": hosts // 2}
+        swarm = await relay_swarm.start_swarm(hosts)
+        copy = swarm.store.platform.backup() | {"hosts": hosts // 2}
         await write_hosts_records(swarm)
         before = stored_keys(swarm)
         await restore(swarm, copy)
@@ -194,7 +194,7 @@
         )
         assertions.assert_that(snapshots(swarm), matchers.LessThan(hosts + 10))
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 @attrs.define
@@ -241,13 +241,13 @@
         swarm, copy = await swarm_ahead_of_copy(hosts, 3)
         monitor = Monitor(swarm)
         monitoring = asyncio.create_task(monitor.run())
-        swarm_troubles.third_cut_off(swarm)
+        swarm_troubles.partition_third(swarm)
         await restore(swarm, copy, 0.3)
-        swarm_troubles.third_cut_off(swarm)
+        swarm_troubles.partition_third(swarm)
         await asyncio.sleep(0.15)
         await publish(swarm, 4)
         await restore(swarm, copy, 0.3)
-        swarm_troubles.third_cut_off(swarm)
+        swarm_troubles.partition_third(swarm)
         for member in swarm.members[1::5]:
             member.stop()
             member.start()
@@ -260,13 +260,13 @@
         monitoring.cancel()
         assertions.assert_that(monitor.violations, matchers.Equals([]))
         eras = {
-            each.relay.state.history.era
+            each.relay.state.store_era.era
             for each in swarm.members
             if each.relay is not None
         }
         assertions.assert_that(eras, matchers.Equals({2}))
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize("hosts", SIZES)
@@ -276,15 +276,15 @@
     async def scenario() -> None:
         swarm, copy = await swarm_ahead_of_copy(hosts, 3)
         swarm.store.calls.clear()
-        swarm.store.platform.rewind(copy)
-        swarm.store.wake()
+        swarm.store.platform.restore(copy)
+        swarm.store.wake_long_polls()
         took = await swarm.until(has_newest_era, 5.0)
         assertions.assert_that(took, matchers.LessThan(1.0))
         # At most one snapshot of each topic per host that reads the store.
         readers = 2 * swarm.readers() + 2
         assertions.assert_that(snapshots(swarm), matchers.LessThan(7 * readers))
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 def has_newest_era(member: relay_swarm.Member) -> bool:
--- a/tests/relay/peers/test_relay_suspects_swarm.py
+++ b/tests/relay/peers/test_relay_suspects_swarm.py
@@ -39,12 +39,12 @@
     assert member.relay is not None
     state = member.relay.state
     now = state.clock()
-    state.router.fleet.put(relay_parts.entry(server))
+    state.router.fleet.put(relay_parts.make_entry(server))
     crashed = state.router.fleet.servers[server]
     for fingerprint, stage in requests:
         begun_at = None if stage is runs.Stage.WAITING else now - 0.1
         crashed.runs.add(runs.Run(fingerprint, stage, begun_at))
-    state.note_server_end(crashed)
+    state.record_server_end(crashed)
 
 
 def crash_servers_of_last_hosts(swarm: relay_swarm.Swarm) -> None:
@@ -66,7 +66,7 @@
     monkeypatch: pytest.MonkeyPatch, hosts: int, stage: runs.Stage
 ) -> None:
     async def scenario() -> None:
-        swarm = await relay_swarm.calm_swarm(hosts)
+        swarm = await relay_swarm.start_swarm(hosts)
         generator = random.Random(hosts)
         ends = suspects.ENDS_TO_QUARANTINE
         if stage is runs.Stage.BEGUN:
@@ -87,7 +87,7 @@
         refused = [refuses(each, f"{CONCURRENT}0.0") for each in swarm.members]
         assertions.assert_that(any(refused), matchers.Is(False))
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize("hosts", SIZES)
@@ -95,7 +95,7 @@
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
-        swarm = await relay_swarm.calm_swarm(hosts)
+        swarm = await relay_swarm.start_swarm(hosts)
         crash_servers_of_last_hosts(swarm)
         await swarm.until(refuses)
         await asyncio.sleep(1.0)
@@ -106,7 +106,7 @@
         took = await swarm.until(refuses)
         assertions.assert_that(took, matchers.LessThan(DEADLINE))
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize("hosts", SIZES)
@@ -114,7 +114,7 @@
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
-        swarm = await relay_swarm.calm_swarm(hosts)
+        swarm = await relay_swarm.start_swarm(hosts)
         crash_servers_of_last_hosts(swarm)
         await swarm.until(refuses)
         await asyncio.sleep(5.0)
@@ -125,7 +125,7 @@
         )
         assertions.assert_that(writes, matchers.Equals(1))
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize("hosts", SIZES)
@@ -133,12 +133,12 @@
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
-        swarm = await relay_swarm.calm_swarm(hosts)
+        swarm = await relay_swarm.start_swarm(hosts)
         swarm.store.fault[""] = "reset"
-        swarm.store.wake()
+        swarm.store.wake_long_polls()
         await asyncio.sleep(5.0)
         crash_servers_of_last_hosts(swarm)
         took = await swarm.until(refuses)
         assertions.assert_that(took, matchers.LessThan(DEADLINE))
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
--- a/tests/relay/peers/test_relay_swarm.py
+++ b/tests/relay/peers/test_relay_swarm.py
@@ -35,13 +35,13 @@
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
-        swarm = relay_swarm.swarm_of(hosts)
+        swarm = relay_swarm.make_swarm(hosts)
         await swarm.begin()
         await asyncio.sleep(0.4)
         assert_within(await swarm.until(lambda each: each.is_current), 1.0)
         assert_calls(swarm, 2.5 * hosts)
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize("hosts", SIZES)
@@ -49,12 +49,12 @@
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
-        swarm = await relay_swarm.calm_swarm(hosts)
+        swarm = await relay_swarm.start_swarm(hosts)
         await asyncio.sleep(10.0)
         assertions.assert_that(swarm.readers(), matchers.Equals(1))
         assert_calls(swarm, READER_CALL_RATE * 10)
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize("hosts", SIZES)
@@ -63,9 +63,9 @@
     monkeypatch: pytest.MonkeyPatch, hosts: int, fault: str
 ) -> None:
     async def scenario() -> None:
-        swarm = await relay_swarm.calm_swarm(hosts)
+        swarm = await relay_swarm.start_swarm(hosts)
         swarm.store.fault[""] = fault
-        swarm.store.wake()
+        swarm.store.wake_long_polls()
         for second in range(8):
             restarting = swarm.members[second::24]
             for member in restarting:
@@ -80,7 +80,7 @@
         assert_within(await swarm.until(lambda each: each.is_current), 2.0)
         assert_calls(swarm, 2 * hosts)
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize("hosts", SIZES)
@@ -88,14 +88,14 @@
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
-        swarm = await relay_swarm.calm_swarm(hosts)
-        newer = relay_parts.in_force(9)
+        swarm = await relay_swarm.start_swarm(hosts)
+        newer = relay_parts.make_configuration(9)
         await swarm.store.publish_large("config", newer, LARGE)
         took = await swarm.until(lambda each: each.revision == 9)
         assert_within(took, 1.0)
         assert_calls(swarm, hosts)
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize("hosts", SIZES)
@@ -103,14 +103,16 @@
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
-        swarm = await relay_swarm.calm_swarm(hosts)
-        readers = [each for each in swarm.members if each.reads]
+        swarm = await relay_swarm.start_swarm(hosts)
+        readers = [each for each in swarm.members if each.reads_store]
         rejected = {*swarm.members[::3], *readers}
         for member in rejected:
             swarm.store.fault[member.name] = "busy"
-        swarm.store.wake()
+        swarm.store.wake_long_polls()
         await asyncio.sleep(1.0)
-        await swarm.store.publish("operator", "config", relay_parts.in_force(7))
+        await swarm.store.publish(
+            "operator", "config", relay_parts.make_configuration(7)
+        )
         took = await swarm.until(lambda each: each.revision == 7)
         assert_within(took, 1.0)
         oldest = 0.0
@@ -120,7 +122,7 @@
         assert_within(oldest, 2.0)
         assert_calls(swarm, 2 * hosts + 10 * READER_CALL_RATE)
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize("hosts", SIZES)
@@ -128,7 +130,7 @@
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
-        swarm = await relay_swarm.calm_swarm(hosts)
+        swarm = await relay_swarm.start_swarm(hosts)
         for member in swarm.members:
             member.stop()
         loop = asyncio.get_running_loop()
@@ -139,7 +141,7 @@
         assert_within(await swarm.until(lambda each: each.is_current), 1.0)
         assert_calls(swarm, 2 * hosts)
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 async def evacuate(swarm: relay_swarm.Swarm, zone: str, value: object) -> float:
@@ -158,12 +160,12 @@
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
-        swarm = await relay_swarm.calm_swarm(hosts)
+        swarm = await relay_swarm.start_swarm(hosts)
         for value in ("{}", None, "{}"):
             assert_within(await evacuate(swarm, "north", value), 1.0)
             await asyncio.sleep(0.7)
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize("hosts", EVACUATION_SIZES)
@@ -171,7 +173,7 @@
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
-        swarm = await relay_swarm.calm_swarm(hosts)
+        swarm = await relay_swarm.start_swarm(hosts)
         await evacuate(swarm, "north", "{}")
         for member in swarm.members:
             member.stop()
@@ -184,7 +186,7 @@
             matchers.AllMatch(matchers.Equals({"north"})),
         )
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize("hosts", EVACUATION_SIZES[1:])
@@ -192,14 +194,14 @@
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
-        swarm = await relay_swarm.calm_swarm(hosts)
+        swarm = await relay_swarm.start_swarm(hosts)
         for member in swarm.members[::3]:
             swarm.store.fault[member.name] = "busy"
-        swarm.store.wake()
+        swarm.store.wake_long_polls()
         assert_within(await evacuate(swarm, "north", "{}"), 3.0)
         assert_within(await evacuate(swarm, "north", None), 2.0)
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize("hosts", [6, 84])
@@ -209,9 +211,9 @@
     # During an outage, a host may copy from any other one, which may in turn
     # copy from it.
     async def scenario() -> None:
-        swarm = await relay_swarm.calm_swarm(hosts)
+        swarm = await relay_swarm.start_swarm(hosts)
         swarm.store.fault[""] = "silent"
-        swarm.store.wake()
+        swarm.store.wake_long_polls()
         most = 0.0
         for _ in range(60):
             await asyncio.sleep(0.2)
@@ -227,4 +229,4 @@
         # Work of a host that changes its source is briefly counted at both.
         assertions.assert_that(most, matchers.LessThan(3 * 100.0 * hosts))
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
--- a/tests/relay/peers/test_relay_tree_stateful.py
+++ b/tests/relay/peers/test_relay_tree_stateful.py
@@ -134,8 +134,8 @@
         """Writes the next revision to the store."""
         revision = len(self.published) + 1
         name = f"r{revision}".encode()
-        self.codec.known[name] = relay_parts.in_force(revision)
-        place = relay_parts.at(len(self.records), self.era)
+        self.codec.known[name] = relay_parts.make_configuration(revision)
+        place = relay_parts.make_place(len(self.records), self.era)
         self.records.append(topics.Record("config", name, place))
         self.published.append(Published(revision, self.clock.now))
 
@@ -146,7 +146,7 @@
         kept = max(0, len(self.records) - lost)
         gone = {each.value for each in self.records[kept:]}
         self.records = [
-            attrs.evolve(each, place=relay_parts.at(offset, self.era))
+            attrs.evolve(each, place=relay_parts.make_place(offset, self.era))
             for offset, each in enumerate(self.records[:kept])
         ]
         for each in self.published:
@@ -159,7 +159,7 @@
         """Creates a response of the store, to be delivered later."""
         host = self.hosts[number]
         place = host.operator.place
-        end = relay_parts.at(len(self.records), self.era)
+        end = relay_parts.make_place(len(self.records), self.era)
         if place is None or place.era != self.era:
             batch = topics.Batch(
                 tuple(self.records[-1:]), end, is_snapshot=True
@@ -174,7 +174,7 @@
         host, source = self.hosts[number], self.hosts[number - 1]
         request = peer_codec.CopyRequest(
             {"operator": host.operator.place},
-            era=host.state.history.era,
+            era=host.state.store_era.era,
             revision=host.state.revision,
         )
         answer = peer_codec.encode(source.answers.answer(request))
@@ -194,10 +194,10 @@
             return  # This run of the host has ended.
         if response.batch is None:
             answer = peer_codec.decode_answer(response.answer)
-            response.run.state.history.record_era(answer.era, "host")
+            response.run.state.store_era.record_era(answer.era, "host")
             response.run.reader._take(answer, response.sent_at)
             return
-        response.run.state.history.record_era(response.batch.end.era, "store")
+        response.run.state.store_era.record_era(response.batch.end.era, "store")
         if not response.run.operator.is_ahead_of(response.batch):
             update = follower.Update(
                 response.batch, response.sent_at, NO_OUTAGE
--- a/tests/relay/relay_cluster.py
+++ b/tests/relay/relay_cluster.py
@@ -24,7 +24,7 @@
 from hoistmoor.clients import sessions
 from hoistmoor.relay import application
 from hoistmoor.relay import settings as settings_lib
-from hoistmoor.relay.front import links as links_lib
+from hoistmoor.relay.front import backend_connector as links_lib
 from hoistmoor.relay.store import followers
 
 if TYPE_CHECKING:
@@ -62,12 +62,12 @@
     name: str
     address: str
     starts: int = 0
-    ends: int = 0
+    crashes: int = 0
     arrived: list[bytes] = attrs.field(factory=list)
     running: list[bytes] = attrs.field(factory=list)
-    pace: asyncio.Event = attrs.field(factory=asyncio.Event)
-    words: bytes = b""
-    turns_away: bool = False
+    may_proceed: asyncio.Event = attrs.field(factory=asyncio.Event)
+    extra_headers: bytes = b""
+    declines: bool = False
     _server: asyncio.Server | None = None
     _writers: set[asyncio.StreamWriter] = attrs.field(factory=set)
 
@@ -87,13 +87,13 @@
         self.starts += 1
         self._server = await asyncio.start_server(self._serve, ip, int(port))
 
-    def end(self) -> None:
+    def crash(self) -> None:
         """Crashes: resets all connections and stops listening."""
         if self._server is None:
             return
         self._server.close()
         self._server = None
-        self.ends += 1
+        self.crashes += 1
         self.running.clear()
         for writer in self._writers:
             writer.transport.abort()
@@ -113,11 +113,11 @@
     ) -> None:
         head, _, body = request.partition(b"\r\n\r\n")
         self.arrived.append(body)
-        if self.turns_away:
+        if self.declines:
             writer.write(
                 b"HTTP/1.1 503 Away\r\nX-Request-Id: %b\r\n%b"
                 b"X-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
-                % (_value_of(head, b"x-request-id"), self.words)
+                % (_value_of(head, b"x-request-id"), self.extra_headers)
             )
             return
         writer.write(
@@ -125,11 +125,11 @@
             b"X-Answer-Signature: s\r\n"
             b"Content-Type: text/event-stream\r\n"
             b"Transfer-Encoding: chunked\r\n\r\n"
-            % (_value_of(head, b"x-request-id"), self.words)
+            % (_value_of(head, b"x-request-id"), self.extra_headers)
         )
         await writer.drain()
         if CRASH in body:
-            self.end()
+            self.crash()
             return
         self.running.append(body)
         first = int(_value_of(head, b"last-event-id") or b"0") + 1
@@ -137,7 +137,7 @@
             event = b"id: %d\ndata: t\n\n" % number
             writer.write(b"%x\r\n%b\r\n" % (len(event), event))
             await writer.drain()
-            await self.pace.wait()
+            await self.may_proceed.wait()
         if body in self.running:
             self.running.remove(body)
         writer.write(b"0\r\n\r\n")
@@ -156,7 +156,7 @@
 
 
 @attrs.define
-class Answer:
+class Response:
     """Response received by a caller.
 
     Attributes:
@@ -224,7 +224,7 @@
         await self.stop_relays()
         starts = [self.start_relay(n) for n in range(len(self.relays))]
         self.relays = list(await asyncio.gather(*starts))
-        await self.know_engines()
+        await self.wait_until_engines_known()
 
     async def stop_relays(self) -> None:
         """Stops all relays without a graceful shutdown."""
@@ -232,7 +232,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks.values(), return_exceptions=True)
 
-    async def revive(self) -> None:
+    async def restart_engines(self) -> None:
         """Restarts crashed engines and waits until all relays know them."""
         for engine in self.engines:
             if engine.is_up:
@@ -241,15 +241,15 @@
                 self.platform.servers, engine.server_id, None
             )
             await engine.start()
-            entry = relay_parts.entry(
+            entry = relay_parts.make_entry(
                 engine.server_id, service="llm", address=engine.address
             )
             await self.platform.publish(
                 self.platform.servers, engine.server_id, entry
             )
-        await self.know_engines()
+        await self.wait_until_engines_known()
 
-    async def know_engines(self) -> None:
+    async def wait_until_engines_known(self) -> None:
         """Waits until all relays know the current incarnations."""
         wanted = {engine.server_id for engine in self.engines}
         await until(
@@ -259,11 +259,11 @@
             )
         )
 
-    async def talk(self) -> None:
+    async def exchange_state(self) -> None:
         """Gives all relays time to exchange their state."""
         for _ in range(ROUNDS):
             self._revision += 1
-            newer = relay_parts.in_force(self._revision)
+            newer = relay_parts.make_configuration(self._revision)
             await self.platform.publish(self.platform.operator, "config", newer)
             await until(
                 lambda newer=newer: all(
@@ -273,7 +273,7 @@
 
     async def call(
         self, relay: int, body: bytes, name: str = "r1", path: str = "/chat/a"
-    ) -> Answer:
+    ) -> Response:
         """Sends a request to one relay with the key of the client account."""
         headers = {
             "Host": "shop.example",
@@ -290,11 +290,11 @@
                 url, data=body, headers=headers
             ) as reply:
                 wait = reply.headers.get("Retry-After", "")
-                return Answer(reply.status, await reply.read(), wait)
+                return Response(reply.status, await reply.read(), wait)
         except aiohttp.ClientError:
-            return Answer(0)
+            return Response(0)
 
-    async def find_wanted(self) -> Engine:
+    async def find_preferred_engine(self) -> Engine:
         """Returns the engine that the hosts prefer for the test's calls."""
         for number in range(len(self.relays)):
             await self.call(number, b"before")
@@ -327,7 +327,7 @@
                 )
         assertions.assert_that(engine.arrived, matchers.Equals([]))
 
-    def tries_of(self, body: bytes) -> int:
+    def count_attempts(self, body: bytes) -> int:
         """Returns how many requests with this body engines have received."""
         return sum(engine.arrived.count(body) for engine in self.engines)
 
@@ -335,9 +335,9 @@
         """Returns the engines that are running a request with this body."""
         return [each for each in self.engines if body in each.running]
 
-    def ends(self) -> int:
+    def crash_count(self) -> int:
         """Returns the total number of engine crashes."""
-        return sum(engine.ends for engine in self.engines)
+        return sum(engine.crashes for engine in self.engines)
 
 
 async def until(condition: Callable[[], bool]) -> None:
@@ -358,7 +358,9 @@
     monkeypatch.setattr(followers, "OPERATOR_WAIT", 0.2)
     monkeypatch.setattr(followers, "HOSTS_PAUSE", 0.02)
     platform = relay_platform.MemoryPlatform()
-    await platform.publish(platform.operator, "config", relay_parts.in_force())
+    await platform.publish(
+        platform.operator, "config", relay_parts.make_configuration()
+    )
     async with (
         sessions.make_session(
             total_timeout=None, attempt_header="X-Request-Id"
@@ -377,14 +379,14 @@
         )
         try:
             for engine in cluster.engines:
-                engine.pace.set()
+                engine.may_proceed.set()
             cluster.relays = [
                 await cluster.start_relay(n) for n in range(relays)
             ]
-            await cluster.revive()
+            await cluster.restart_engines()
             yield cluster
         finally:
             await cluster.stop_relays()
             for engine in cluster.engines:
-                engine.end()
+                engine.crash()
     os.close(null_device)
--- a/tests/relay/relay_swarm.py
+++ b/tests/relay/relay_swarm.py
@@ -98,8 +98,8 @@
     """
 
     rate: float
-    out_free: float = 0.0
-    in_free: float = 0.0
+    sending_until: float = 0.0
+    receiving_until: float = 0.0
 
 
 async def transfer(source: Link, target: Link, size: int) -> None:
@@ -107,10 +107,12 @@
     loop = asyncio.get_running_loop()
     for at in range(0, size, CHUNK):
         part = min(CHUNK, size - at)
-        begin = max(loop.time(), source.out_free)
-        source.out_free = begin + part / source.rate
-        target.in_free = max(begin, target.in_free) + part / target.rate
-        wait = max(source.out_free, target.in_free) - loop.time()
+        begin = max(loop.time(), source.sending_until)
+        source.sending_until = begin + part / source.rate
+        target.receiving_until = (
+            max(begin, target.receiving_until) + part / target.rate
+        )
+        wait = max(source.sending_until, target.receiving_until) - loop.time()
         if wait > peer_client.TIMEOUT:
             raise TimeoutError
         await asyncio.sleep(wait)
@@ -139,7 +141,7 @@
         """Returns the fault that currently affects a host's calls."""
         return self.fault.get(host, self.fault.get("", ""))
 
-    def wake(self) -> None:
+    def wake_long_polls(self) -> None:
         """Wakes pending long polls."""
         self.changed.set()
         self.changed = asyncio.Event()
@@ -148,14 +150,14 @@
         """Appends an object to a topic."""
         target = getattr(self.platform, topic)
         await self.platform.publish(target, key, value)
-        self.wake()
+        self.wake_long_polls()
 
     async def publish_large(self, key: str, value: object, size: int) -> None:
         """Appends an object of a given size to the operators' topic."""
         name = os.urandom(size)
         self.platform.codec.known[name] = value
         await self.platform.operator.put(key, name)
-        self.wake()
+        self.wake_long_polls()
 
     def total(self) -> int:
         """Returns the total number of calls of all hosts."""
@@ -170,12 +172,12 @@
     name: str
     host: str
     link: Link
-    history: history_lib.StoreEra
+    store_era: history_lib.StoreEra
 
     @property
     def _shared(self) -> relay_platform.HostTopic:
         found = self.store.platform.topics[self.name]
-        return relay_platform.HostTopic(found, self.history)
+        return relay_platform.HostTopic(found, self.store_era)
 
     async def newest(self) -> topics_lib.Batch:
         """Returns the newest record of each key."""
@@ -206,14 +208,14 @@
         """Appends a record."""
         await self._call("put", 0.0)
         put = await self._shared.put(key, value, expected)
-        self.store.wake()
+        self.store.wake_long_polls()
         return put
 
     async def put_all(self, records: dict[str, bytes]) -> None:
         """Appends a record for each key in a single call."""
         await self._call("put", 0.0)
         await self._shared.put_all(records)
-        self.store.wake()
+        self.store.wake_long_polls()
 
     async def _call(self, call: str, wait: float) -> None:
         self.store.calls[self.host, call, self.name] += 1
@@ -299,7 +301,8 @@
             self.relay.state, self.relay.followers
         )
         self._tasks = [
-            asyncio.create_task(self.relay.loops[name]()) for name in _LOOPS
+            asyncio.create_task(self.relay.background_tasks[name]())
+            for name in _LOOPS
         ]
 
     def stop(self) -> None:
@@ -336,7 +339,7 @@
         return {"operator", "servers"} <= state.topics_read
 
     @property
-    def reads(self) -> bool:
+    def reads_store(self) -> bool:
         """Whether it reads the store directly."""
         return self.relay is not None and not self.relay.state.source
 
@@ -411,7 +414,9 @@
 
     async def begin(self, servers: int = 45) -> None:
         """Starts all hosts within 0.3 s and registers backend servers."""
-        await self.store.publish("operator", "config", relay_parts.in_force())
+        await self.store.publish(
+            "operator", "config", relay_parts.make_configuration()
+        )
         self._heartbeats = asyncio.create_task(self._send_heartbeats(servers))
         for number, member in enumerate(self.members):
             asyncio.get_running_loop().call_later(
@@ -423,7 +428,7 @@
         number = 0
         while True:
             name = f"s{number % servers}"
-            entry = relay_parts.entry(name, address=f"{name}:1")
+            entry = relay_parts.make_entry(name, address=f"{name}:1")
             if not self.store.fault_of(""):
                 await self.store.publish("servers", name, entry)
             number += 1
@@ -447,10 +452,10 @@
 
     def readers(self) -> int:
         """Returns the number of hosts that read the store directly."""
-        return sum(each.reads for each in self.members)
+        return sum(each.reads_store for each in self.members)
 
 
-def play(
+def run_in_virtual_time(
     monkeypatch: pytest.MonkeyPatch, scenario: Coroutine[Any, Any, None]
 ) -> None:
     """Runs a scenario to completion in virtual time."""
@@ -480,16 +485,16 @@
 _SWARMS: dict[asyncio.AbstractEventLoop, Swarm] = {}
 
 
-def swarm_of(hosts: int, zones: int = 6, strong: int = 3) -> Swarm:
+def make_swarm(hosts: int, zones: int = 6, strong: int = 3) -> Swarm:
     """Creates the swarm of the running scenario; see ``Swarm``."""
     swarm = Swarm(hosts, zones, strong)
     _SWARMS[asyncio.get_running_loop()] = swarm
     return swarm
 
 
-async def calm_swarm(hosts: int) -> Swarm:
+async def start_swarm(hosts: int) -> Swarm:
     """Starts a swarm, waits until it is current and resets the call counts."""
-    swarm = swarm_of(hosts)
+    swarm = make_swarm(hosts)
     await swarm.begin()
     await asyncio.sleep(5.0)
     await swarm.until(lambda each: each.is_current)
--- a/tests/relay/store/test_relay_follower.py
+++ b/tests/relay/store/test_relay_follower.py
@@ -51,7 +51,9 @@
     servers: follower.TopicFollower,
 ) -> None:
     for name in "ab":
-        await platform.publish(platform.servers, name, relay_parts.entry(name))
+        await platform.publish(
+            platform.servers, name, relay_parts.make_entry(name)
+        )
     await servers.read_once()
     await platform.publish(platform.servers, "a", None)
     await servers.read_once()
@@ -66,14 +68,16 @@
 ) -> None:
     """Lists servers in the store, then simulates an outage and its end."""
     for name in names:
-        await platform.publish(platform.servers, name, relay_parts.entry(name))
+        await platform.publish(
+            platform.servers, name, relay_parts.make_entry(name)
+        )
     await servers.read_once()
     task = asyncio.create_task(servers.run())
-    platform.servers.is_away = True
+    platform.servers.is_unavailable = True
     while "store_lost" not in [each["event"] for each in rig.events()]:
         await asyncio.sleep(0.01)
     task.cancel()
-    platform.servers.is_away = False
+    platform.servers.is_unavailable = False
 
 
 async def test_entries_removed_during_outage_are_kept_for_grace_period(
@@ -86,7 +90,7 @@
         await platform.publish(platform.servers, name, None)
     await servers.read_once()
     assertions.assert_that(known_servers(rig), matchers.Equals(["a", "b"]))
-    await platform.publish(platform.servers, "a", relay_parts.entry("a"))
+    await platform.publish(platform.servers, "a", relay_parts.make_entry("a"))
     rig.clock.now += fleet_lib.EXPIRY_GRACE_PERIOD + 0.1
     await servers.read_once()
     assertions.assert_that(known_servers(rig), matchers.Equals(["a"]))
@@ -103,7 +107,7 @@
     await platform.publish(platform.servers, "a", None)
     await servers.read_once()
     rig.clock.now += 0.26 * fleet_lib.EXPIRY_GRACE_PERIOD
-    ready = relay_parts.ready(
+    ready = relay_parts.ready_servers(
         rig.state.router.fleet, "desk", {"v1"}, (), rig.clock.now
     )
     assertions.assert_that(ready, matchers.HasLength(0))
@@ -117,12 +121,12 @@
     await fail_and_return(rig, platform, servers, "a")
     # Another host has read for this one, which then reads the store again.
     rig.clock.now += 1.0
-    copy = topics.Batch((), relay_parts.at(1))
+    copy = topics.Batch((), relay_parts.make_place(1))
     servers.apply(follower.Update(copy, rig.clock.now, float("inf")))
     rig.clock.now += 14.0
     await platform.publish(platform.servers, "a", None)
     await servers.read_once()
-    ready = relay_parts.ready(
+    ready = relay_parts.ready_servers(
         rig.state.router.fleet, "desk", {"v1"}, (), rig.clock.now
     )
     assertions.assert_that(ready, matchers.HasLength(0))
@@ -131,17 +135,19 @@
 async def test_heartbeat_without_changes_is_not_passed_on(
     platform: relay_platform.MemoryPlatform, servers: follower.TopicFollower
 ) -> None:
-    await platform.publish(platform.servers, "a", relay_parts.entry("a"))
+    await platform.publish(platform.servers, "a", relay_parts.make_entry("a"))
     await servers.read_once()
     copied_until = servers.place
     for _ in range(3):
-        await platform.publish(platform.servers, "a", relay_parts.entry("a"))
+        await platform.publish(
+            platform.servers, "a", relay_parts.make_entry("a")
+        )
     await servers.read_once()
     copy = servers.replica.changes_since(copied_until)
     assert copy is not None
     assertions.assert_that(copy.records, matchers.Equals(()))
-    assertions.assert_that(copy.end, matchers.Equals(relay_parts.at(4)))
-    leaving = relay_parts.entry("a", is_leaving=True)
+    assertions.assert_that(copy.end, matchers.Equals(relay_parts.make_place(4)))
+    leaving = relay_parts.make_entry("a", is_leaving=True)
     await platform.publish(platform.servers, "a", leaving)
     await servers.read_once()
     copy = servers.replica.changes_since(copied_until)
@@ -152,7 +158,7 @@
 async def test_outage_at_source_is_passed_on(
     servers: follower.TopicFollower,
 ) -> None:
-    nothing = topics.Batch((), relay_parts.at(0))
+    nothing = topics.Batch((), relay_parts.make_place(0))
     servers.apply(follower.Update(nothing, 100.0, after_outage=0.3))
     assertions.assert_that(round(servers.after_outage, 3), matchers.Equals(0.3))
 
@@ -163,10 +169,12 @@
     servers: follower.TopicFollower,
 ) -> None:
     for name in "abc":
-        await platform.publish(platform.servers, name, relay_parts.entry(name))
+        await platform.publish(
+            platform.servers, name, relay_parts.make_entry(name)
+        )
     await servers.read_once()
     await platform.publish(platform.servers, "b", None)
-    await platform.publish(platform.servers, "d", relay_parts.entry("d"))
+    await platform.publish(platform.servers, "d", relay_parts.make_entry("d"))
     platform.servers.first_kept = 5
     with pytest.raises(errors.LogOffsetExpiredError):
         await servers.read_once()
@@ -181,7 +189,7 @@
     servers: follower.TopicFollower,
 ) -> None:
     await platform.servers.put("bad", b"unknown")
-    await platform.publish(platform.servers, "a", relay_parts.entry("a"))
+    await platform.publish(platform.servers, "a", relay_parts.make_entry("a"))
     await servers.read_once()
     assertions.assert_that(known_servers(rig), matchers.Equals(["a"]))
     written = [each["event"] for each in rig.events()]
@@ -194,7 +202,9 @@
     servers: follower.TopicFollower,
 ) -> None:
     for name in "ab":
-        await platform.publish(platform.servers, name, relay_parts.entry(name))
+        await platform.publish(
+            platform.servers, name, relay_parts.make_entry(name)
+        )
     await servers.read_once()
     await platform.servers.put("a", b"unknown")
     await servers.read_once()
@@ -209,7 +219,7 @@
         [each.key for each in copy.records], matchers.Equals(["b"])
     )
     # The server's next heartbeat is passed on to them.
-    await platform.publish(platform.servers, "a", relay_parts.entry("a"))
+    await platform.publish(platform.servers, "a", relay_parts.make_entry("a"))
     await servers.read_once()
     copy = servers.replica.changes_since(None)
     assert copy is not None
@@ -227,11 +237,11 @@
     platform: relay_platform.MemoryPlatform,
     servers: follower.TopicFollower,
 ) -> None:
-    await platform.publish(platform.servers, "x", relay_parts.entry("x"))
+    await platform.publish(platform.servers, "x", relay_parts.make_entry("x"))
     for name in "ab":
-        entry = relay_parts.entry(name, born=1000)
+        entry = relay_parts.make_entry(name, born=1000)
         await platform.publish(platform.servers, name, entry)
-    await platform.publish(platform.servers, "y", relay_parts.entry("y"))
+    await platform.publish(platform.servers, "y", relay_parts.make_entry("y"))
     await servers.read_once()
     assertions.assert_that(known_servers(rig), matchers.Equals(["a", "b"]))
 
@@ -242,13 +252,13 @@
     servers: follower.TopicFollower,
 ) -> None:
     for born, sequence in ((1000, 7), (2000, 1), (1000, 8)):
-        entry = relay_parts.entry("a", born=born, sequence=sequence)
+        entry = relay_parts.make_entry("a", born=born, sequence=sequence)
         await platform.publish(platform.servers, "a", entry)
         await servers.read_once()
     found = rig.state.router.fleet.servers["a"]
     assertions.assert_that(found.entry.born, matchers.Equals(2000))
     # The late heartbeat of the older start is not passed on.
-    copy = servers.replica.changes_since(relay_parts.at(1))
+    copy = servers.replica.changes_since(relay_parts.make_place(1))
     assert copy is not None
     assertions.assert_that(
         [each.place.offset for each in copy.records], matchers.Equals([1])
@@ -267,14 +277,20 @@
 
     await platform.operator.put("empty-north", b"{}")
     await platform.operator.put("empty-south", b"{}")
-    zones = take(await platform.operator.changes(relay_parts.at(0), 0.0))
+    zones = take(
+        await platform.operator.changes(relay_parts.make_place(0), 0.0)
+    )
     assertions.assert_that(zones, matchers.Equals({"north", "south"}))
     # Other records of operators do not end an evacuation.
-    await platform.publish(platform.operator, "config", relay_parts.in_force())
-    zones = take(await platform.operator.changes(relay_parts.at(2), 0.0))
+    await platform.publish(
+        platform.operator, "config", relay_parts.make_configuration()
+    )
+    zones = take(
+        await platform.operator.changes(relay_parts.make_place(2), 0.0)
+    )
     assertions.assert_that(zones, matchers.Equals({"north", "south"}))
     await platform.operator.put("empty-north", None)
-    left = take(await platform.operator.changes(relay_parts.at(3), 0.0))
+    left = take(await platform.operator.changes(relay_parts.make_place(3), 0.0))
     assertions.assert_that(left, matchers.Equals({"south"}))
     # A failure domain that a snapshot lacks was released, also if the removal
     # itself is no longer retained.
@@ -298,7 +314,9 @@
     codec = FailingCodec(platform.codec.known)
     listener = operator_listener.OperatorListener(rig.state, codec)
     await platform.operator.put("rollout/a", b"torn")
-    await platform.publish(platform.operator, "config", relay_parts.in_force())
+    await platform.publish(
+        platform.operator, "config", relay_parts.make_configuration()
+    )
     batch = await platform.operator.newest()
     listener(follower.Update(batch, rig.clock.now, float("inf")))
     assertions.assert_that(
@@ -366,11 +384,13 @@
 ) -> None:
     topic = LongPollTopic(clock=rig.clock, held=held)
     platform.operator = topic
-    await platform.publish(topic, "config", relay_parts.in_force(1))
+    await platform.publish(topic, "config", relay_parts.make_configuration(1))
     reader = operator_follower(rig, platform, topic)
     await reader.read_once()
     if adds:
-        await platform.publish(topic, "config", relay_parts.in_force(2))
+        await platform.publish(
+            topic, "config", relay_parts.make_configuration(2)
+        )
     await reader.read_once()
     assert rig.state.lease.proved_at is not None
     assertions.assert_that(
@@ -390,12 +410,12 @@
         is_probe=True,
     )
     await reader.read_once()
-    topic.is_away = True
+    topic.is_unavailable = True
     task = asyncio.create_task(reader.run())
     while len(topic.waits) < 3:
         await asyncio.sleep(0.01)
     task.cancel()
-    topic.is_away = False
+    topic.is_unavailable = False
     await reader.read_once()
     await reader.read_once()
     assertions.assert_that(topic.waits[0], matchers.Equals(1.0))
@@ -408,7 +428,7 @@
     topic = LongPollTopic(clock=rig.clock)
     reader = operator_follower(rig, platform, topic)
     await reader.read_once()
-    await platform.publish(topic, "config", relay_parts.in_force(2))
+    await platform.publish(topic, "config", relay_parts.make_configuration(2))
     for _ in range(3):
         await reader.read_once()
     assertions.assert_that(topic.waits, matchers.Equals([1.0, 0.0, 1.0]))
--- a/tests/relay/store/test_relay_returned_operators.py
+++ b/tests/relay/store/test_relay_returned_operators.py
@@ -28,13 +28,13 @@
         await operator.read_once()
         return set(rig.state.router.fleet.evacuated)
 
-    copy = platform.copy()
+    copy = platform.backup()
     await platform.operator.put("empty-north", b"{}")
     await platform.operator.put("empty-south", b"{}")
     assertions.assert_that(
         await evacuated(), matchers.Equals({"north", "south"})
     )
-    platform.rewind(copy)
+    platform.restore(copy)
     rig.state.history.learn(platform.operator.era, "h2")
     assertions.assert_that(
         await evacuated(), matchers.Equals({"north", "south"})
--- a/tests/relay/store/test_relay_returned_servers.py
+++ b/tests/relay/store/test_relay_returned_servers.py
@@ -37,7 +37,7 @@
 async def publish_entry(
     platform: relay_platform.MemoryPlatform, name: str, **fields: Any
 ) -> None:
-    entry = relay_parts.entry(name, address=f"{name}:1", **fields)
+    entry = relay_parts.make_entry(name, address=f"{name}:1", **fields)
     await platform.publish(platform.servers, name, entry)
 
 
@@ -51,8 +51,8 @@
     servers: follower.TopicFollower,
     copy: dict[str, int],
 ) -> None:
-    platform.rewind(copy)
-    servers._state.history.record_era(platform.servers.era, "h2")
+    platform.restore(copy)
+    servers._state.store_era.record_era(platform.servers.era, "h2")
     await servers.read_once()
 
 
@@ -66,7 +66,7 @@
     for name in ("gone", "leaving", "stays"):
         await publish_entry(platform, name, born=born, sequence=4)
     await servers.read_once()
-    copy = platform.copy()
+    copy = platform.backup()
     await platform.publish(platform.servers, "gone", None)
     await publish_entry(
         platform, "leaving", born=born, sequence=5, is_leaving=True
@@ -102,7 +102,7 @@
     platform: relay_platform.MemoryPlatform,
     servers: follower.TopicFollower,
 ) -> None:
-    copy = platform.copy()
+    copy = platform.backup()
     for name in ("lives", "ended"):
         await publish_entry(platform, name)
     await servers.read_once()
@@ -123,7 +123,7 @@
     await publish_entry(platform, "a")
     await servers.read_once()
     await publish_entry(platform, "late")
-    late = await platform.servers.changes(relay_parts.at(1), 0.0)
+    late = await platform.servers.changes(relay_parts.make_place(1), 0.0)
     rig.state.history.learn(1, "h2")
     assertions.assert_that(servers.is_ahead_of(late), matchers.Is(True))
     proved_at = servers.current_at
--- a/tests/relay/store/test_relay_store_gate.py
+++ b/tests/relay/store/test_relay_store_gate.py
@@ -16,7 +16,7 @@
 from hoistmoor.clients import sessions
 from hoistmoor.relay import application
 from hoistmoor.relay import settings as settings_lib
-from hoistmoor.relay.front import links as links_lib
+from hoistmoor.relay.front import backend_connector as links_lib
 from hoistmoor.relay.store import followers
 from hoistmoor.relay.store import store_gate
 
@@ -78,7 +78,7 @@
     def set_away(self, *, is_away: bool) -> None:
         """Starts or ends an outage of the whole store."""
         for topic in self.topics:
-            topic.is_away = is_away
+            topic.is_unavailable = is_away
 
 
 @contextlib.asynccontextmanager
@@ -98,7 +98,9 @@
         hosts=topics[3],
         quarantine=topics[4],
     )
-    await platform.publish(platform.operator, "config", relay_parts.in_force())
+    await platform.publish(
+        platform.operator, "config", relay_parts.make_configuration()
+    )
     settings = settings_lib.RelaySettings(
         host="h0", zone="z", listen="127.0.0.1:0", ready_listen="127.0.0.1:0"
     )
@@ -136,10 +138,12 @@
         ]
         assertions.assert_that(max(tried), matchers.LessThan(3))
         made.set_away(is_away=False)
-        newer = relay_parts.in_force(2)
+        newer = relay_parts.make_configuration(2)
         platform = made.platform
         await platform.publish(platform.operator, "config", newer)
-        await platform.publish(platform.servers, "a", relay_parts.entry("a"))
+        await platform.publish(
+            platform.servers, "a", relay_parts.make_entry("a")
+        )
         await until(lambda: state.configuration is newer)
         await until(lambda: "a" in state.router.fleet.servers)
 
--- a/tests/relay/swarm_troubles.py
+++ b/tests/relay/swarm_faults.py
@@ -9,12 +9,12 @@
     import relay_swarm
 
 
-def store_away(swarm: relay_swarm.Swarm) -> None:
+def make_store_unavailable(swarm: relay_swarm.Swarm) -> None:
     """Makes the store unreachable for all hosts."""
     swarm.store.fault[""] = "silent"
 
 
-def hosts_with_old_lists(swarm: relay_swarm.Swarm) -> None:
+def give_stale_host_lists(swarm: relay_swarm.Swarm) -> None:
     """Gives each host a stale list of the others.
 
     Each list lacks a fifth of the hosts and contains some that do not exist.
@@ -37,7 +37,7 @@
     return draws.sample(swarm.members, len(swarm.members) // 3)
 
 
-def third_cut_off(swarm: relay_swarm.Swarm) -> None:
+def partition_third(swarm: relay_swarm.Swarm) -> None:
     """Partitions a third from the store and the others; it keeps serving."""
     partitioned = sample_third(swarm)
     swarm.cut_off = frozenset(member.name for member in partitioned)
@@ -45,13 +45,13 @@
         swarm.store.fault[member.name] = "silent"
 
 
-def third_down(swarm: relay_swarm.Swarm) -> None:
+def stop_third(swarm: relay_swarm.Swarm) -> None:
     """Stops a third of the hosts, which stay on the lists of the others."""
     for member in sample_third(swarm):
         member.stop()
 
 
-def all_restarted(swarm: relay_swarm.Swarm) -> None:
+def restart_all(swarm: relay_swarm.Swarm) -> None:
     """Restarts all hosts at once, which loses their knowledge of limits."""
     for member in swarm.members:
         member.stop()
--- a/tests/relay/test_relay_crashing_request.py
+++ b/tests/relay/test_relay_crashing_request.py
@@ -50,9 +50,9 @@
 async def crash_three_servers(cluster: relay_cluster.Cluster) -> None:
     """Sends the request to each host until three servers crashed."""
     attempt = 0
-    while cluster.ends() < 3 and attempt < 6:
+    while cluster.crash_count() < 3 and attempt < 6:
         await cluster.call(attempt % RELAYS, CRASHING_BODY, f"p{attempt}")
-        await cluster.revive()
+        await cluster.restart_engines()
         attempt += 1
 
 
@@ -62,18 +62,18 @@
     """Returns how many of the caller's attempts reach a server."""
     arrived = 0
     for number in range(attempts):
-        before = cluster.tries_of(CRASHING_BODY)
+        before = cluster.count_attempts(CRASHING_BODY)
         await cluster.call(number % RELAYS, CRASHING_BODY, f"q{number}")
-        arrived += cluster.tries_of(CRASHING_BODY) > before
-        await cluster.revive()
+        arrived += cluster.count_attempts(CRASHING_BODY) > before
+        await cluster.restart_engines()
     return arrived
 
 
-async def test_a_request_that_ends_servers_is_sent_no_more(
+async def test_a_request_that_crashes_servers_is_quarantined(
     cluster: relay_cluster.Cluster,
 ) -> None:
     await crash_three_servers(cluster)
-    await cluster.talk()
+    await cluster.exchange_state()
     arrived = await count_arriving_attempts(cluster, 3 * RELAYS)
     assertions.assert_that(arrived, matchers.LessThan(MAX_ATTEMPTS + 1))
 
@@ -82,7 +82,7 @@
     cluster: relay_cluster.Cluster,
 ) -> None:
     await crash_three_servers(cluster)
-    await cluster.talk()
+    await cluster.exchange_state()
     arrived = 0
     for _ in range(3):
         await cluster.restart_relays()
@@ -92,10 +92,10 @@
 
 async def start_concurrent_streams(
     cluster: relay_cluster.Cluster, count: int
-) -> list[asyncio.Task[relay_cluster.Answer]]:
+) -> list[asyncio.Task[relay_cluster.Response]]:
     """Starts streams on all servers that pause after their first event."""
     for engine in cluster.engines:
-        engine.pace.clear()
+        engine.may_proceed.clear()
     bodies = [b"beside %d" % number for number in range(count)]
     streams = [
         asyncio.create_task(
@@ -103,29 +103,29 @@
         )
         for number, body in enumerate(bodies)
     ]
-    await relay_cluster.until(lambda: all(map(cluster.tries_of, bodies)))
+    await relay_cluster.until(lambda: all(map(cluster.count_attempts, bodies)))
     return streams
 
 
 async def assert_all_complete(
     cluster: relay_cluster.Cluster,
-    streams: list[asyncio.Task[relay_cluster.Answer]],
+    streams: list[asyncio.Task[relay_cluster.Response]],
 ) -> None:
     for engine in cluster.engines:
-        engine.pace.set()
+        engine.may_proceed.set()
     answers = await asyncio.gather(*streams)
     complete = [answer.is_whole_stream for answer in answers]
     assertions.assert_that(complete.count(False), matchers.Equals(0))
 
 
-async def test_what_runs_beside_it_costs_callers_nothing(
+async def test_concurrent_requests_survive_the_crashes(
     cluster: relay_cluster.Cluster,
 ) -> None:
     streams = await start_concurrent_streams(cluster, 4 * ENGINES)
     for number in range(RELAYS):
         await cluster.call(number, CRASHING_BODY, f"p{number}")
-        await cluster.revive()
-        await cluster.talk()
+        await cluster.restart_engines()
+        await cluster.exchange_state()
     await assert_all_complete(cluster, streams)
 
 
@@ -142,29 +142,29 @@
             for number in range(2)
         )
     )
-    assertions.assert_that(cluster.ends(), matchers.LessThan(5))
-    await cluster.talk()
-    await cluster.revive()
+    assertions.assert_that(cluster.crash_count(), matchers.LessThan(5))
+    await cluster.exchange_state()
+    await cluster.restart_engines()
     await assert_all_complete(cluster, streams)
 
 
-async def test_servers_that_end_by_themselves_cost_callers_nothing(
+async def test_requests_survive_unrelated_crashes(
     cluster: relay_cluster.Cluster,
 ) -> None:
     for engine in cluster.engines:
-        engine.pace.clear()
+        engine.may_proceed.clear()
     body = b"unlucky"
     call = asyncio.create_task(cluster.call(0, body))
     for _ in range(3):
         await relay_cluster.until(lambda: bool(cluster.running(body)))
-        cluster.running(body)[0].end()
+        cluster.running(body)[0].crash()
         # A server takes longer to restart than a request to resume.
         await relay_cluster.until(
             lambda: bool(cluster.running(body)) or call.done()
         )
-        await cluster.revive()
+        await cluster.restart_engines()
     for engine in cluster.engines:
-        engine.pace.set()
+        engine.may_proceed.set()
     answer = await call
     assertions.assert_that(answer.is_whole_stream, matchers.Is(True))
     again = await cluster.call(1, body, "r2")
--- a/tests/relay/test_relay_leaving_server.py
+++ b/tests/relay/test_relay_leaving_server.py
@@ -40,12 +40,12 @@
 
 
 @pytest.mark.parametrize("relays", [3, 7])
-async def test_a_leaving_server_gets_nothing_more(
+async def test_a_leaving_server_receives_no_requests(
     monkeypatch: pytest.MonkeyPatch, relays: int
 ) -> None:
     async with relay_cluster.open_cluster(monkeypatch, relays, 3) as cluster:
-        leaving = await cluster.find_wanted()
-        leaving.words = LEAVES
+        leaving = await cluster.find_preferred_engine()
+        leaving.extra_headers = LEAVES
         await cluster.call_until(
             lambda relay: (
                 relay.state.router.fleet.servers[
@@ -63,27 +63,27 @@
 ) -> None:
     async def scenario() -> None:
         swarm, traffic = await engine_traffic.begin(hosts)
-        swarm_troubles.store_away(swarm)
-        (engine,) = traffic.most_wanted(1)
+        swarm_troubles.make_store_unavailable(swarm)
+        (engine,) = traffic.busiest_engines(1)
         engine.is_leaving = True
         await asyncio.sleep(OUTAGE)
         swarm.store.fault.clear()
         await asyncio.sleep(3.0)
         assertions.assert_that(engine.after_leaving, matchers.Equals([]))
         # A response to one host is enough to inform all of them.
-        first = min(engine.leaving_passed_on.values())
+        first = min(engine.departure_forwarded_at.values())
         late = [at for at in engine.arrived if at > first + PROPAGATION]
         assertions.assert_that(late, matchers.Equals([]))
         assertions.assert_that(
-            traffic.share_served(), matchers.GreaterThan(0.99)
+            traffic.fraction_served(), matchers.GreaterThan(0.99)
         )
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize(
     "inject_fault",
-    [swarm_troubles.third_cut_off, swarm_troubles.hosts_with_old_lists],
+    [swarm_troubles.partition_third, swarm_troubles.give_stale_host_lists],
 )
 @pytest.mark.parametrize("hosts", [7, 84])
 def test_no_host_uses_a_leaving_server_with_incomplete_peer_lists(
@@ -94,12 +94,12 @@
     async def scenario() -> None:
         swarm, traffic = await engine_traffic.begin(hosts)
         inject_fault(swarm)
-        (engine,) = traffic.most_wanted(1)
+        (engine,) = traffic.busiest_engines(1)
         engine.is_leaving = True
         await asyncio.sleep(OUTAGE)
         assertions.assert_that(engine.after_leaving, matchers.Equals([]))
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize("hosts", [7, 84])
@@ -108,7 +108,7 @@
 ) -> None:
     async def scenario() -> None:
         _, traffic = await engine_traffic.begin(hosts)
-        (engine,) = traffic.most_wanted(1)
+        (engine,) = traffic.busiest_engines(1)
         engine.begin_limit(1.7)
         await asyncio.sleep(4.0)
         engine.rest = 3.0
@@ -120,14 +120,14 @@
         assertions.assert_that(engine.after_leaving, matchers.Equals([]))
         assertions.assert_that(engine.during_rest, matchers.Equals([]))
         assertions.assert_that(
-            engine.most_in_a_window(),
+            engine.max_requests_in_window(),
             matchers.LessThan(engine_traffic.allowed(1.7) + 1e-9),
         )
         assertions.assert_that(
-            traffic.share_served(), matchers.GreaterThan(0.99)
+            traffic.fraction_served(), matchers.GreaterThan(0.99)
         )
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 def test_restarted_hosts_relearn_the_departure(
@@ -135,18 +135,18 @@
 ) -> None:
     async def scenario() -> None:
         swarm, traffic = await engine_traffic.begin(84)
-        (engine,) = traffic.most_wanted(1)
+        (engine,) = traffic.busiest_engines(1)
         engine.is_leaving = True
         await asyncio.sleep(4.0)
-        swarm_troubles.all_restarted(swarm)
-        engine.leaving_passed_on.clear()
+        swarm_troubles.restart_all(swarm)
+        engine.departure_forwarded_at.clear()
         await asyncio.sleep(OUTAGE)
         assertions.assert_that(engine.after_leaving, matchers.Equals([]))
-        first = min(engine.leaving_passed_on.values())
+        first = min(engine.departure_forwarded_at.values())
         late = [at for at in engine.arrived if at > first + PROPAGATION]
         assertions.assert_that(late, matchers.Equals([]))
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize("hosts", engine_traffic.SIZES)
@@ -161,7 +161,7 @@
             engine.is_leaving = True
             await asyncio.sleep(2.0)
             assertions.assert_that(engine.after_leaving, matchers.Equals([]))
-            engine.start_anew()
+            engine.restart()
             await traffic.list_engine(engine, born=2000 + number)
             begin = asyncio.get_running_loop().time()
             await asyncio.sleep(3.0)
@@ -170,13 +170,13 @@
                 engine.rate_since(begin), matchers.GreaterThan(0.0)
             )
         assertions.assert_that(
-            traffic.share_served(), matchers.GreaterThan(0.99)
+            traffic.fraction_served(), matchers.GreaterThan(0.99)
         )
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
-def test_where_all_leave_callers_are_refused_at_once(
+def test_requests_are_refused_immediately_when_all_servers_leave(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
@@ -207,4 +207,4 @@
         assertions.assert_that(waits[0], matchers.LessThan(1.0))
         assertions.assert_that(waits[-1], matchers.GreaterThan(2.0))
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
--- a/tests/relay/test_relay_limited_servers.py
+++ b/tests/relay/test_relay_limited_servers.py
@@ -38,7 +38,7 @@
         monkeypatch, RELAYS, ENGINES
     ) as opened:
         for engine in opened.engines:
-            engine.pace.set()
+            engine.may_proceed.set()
         yield opened
 
 
@@ -58,7 +58,7 @@
 
 async def call_all(
     cluster: relay_cluster.Cluster, name: str
-) -> list[relay_cluster.Answer]:
+) -> list[relay_cluster.Response]:
     """Sends requests to all relays in turn."""
     return [
         await cluster.call(number % RELAYS, b"%d" % number, f"{name}{number}")
@@ -71,7 +71,7 @@
 ) -> None:
     await cluster.call(0, b"first", "first")
     (limited,) = [each for each in cluster.engines if each.arrived]
-    limited.words = limit_line(LOW_LIMIT)
+    limited.extra_headers = limit_line(LOW_LIMIT)
     # The same prompt is routed to the same server, which has it cached.
     await cluster.call(0, b"told", "told")
     await relay_cluster.until(
@@ -88,15 +88,15 @@
     assertions.assert_that(complete.count(False), matchers.Equals(0))
 
 
-async def test_a_limit_is_over_everywhere_once_one_host_sees_it(
+async def test_the_end_of_a_limit_reaches_all_hosts(
     cluster: relay_cluster.Cluster,
 ) -> None:
     await cluster.call(0, b"first", "first")
     (limited,) = [each for each in cluster.engines if each.arrived]
-    limited.words = limit_line(40)
+    limited.extra_headers = limit_line(40)
     await cluster.call(0, b"told", "told")
     await relay_cluster.until(lambda: limits_of(cluster).count(40.0) == RELAYS)
-    limited.words = b""
+    limited.extra_headers = b""
     async with asyncio.timeout(relay_cluster.PATIENCE):
         while set(limits_of(cluster)) != {None}:
             await call_all(cluster, "r")
@@ -106,7 +106,7 @@
     cluster: relay_cluster.Cluster,
 ) -> None:
     for engine in cluster.engines:
-        engine.words = limit_line(LOW_LIMIT)
+        engine.extra_headers = limit_line(LOW_LIMIT)
     answers = await call_all(cluster, "r")
     refused = [answer for answer in answers if answer.status == 503]
     assertions.assert_that(len(refused), matchers.GreaterThan(CALLS // 2))
--- a/tests/relay/test_relay_resting_server.py
+++ b/tests/relay/test_relay_resting_server.py
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("relays", [3, 7])
-async def test_a_resting_server_gets_nothing(
+async def test_a_server_receives_nothing_during_its_rest(
     monkeypatch: pytest.MonkeyPatch, relays: int
 ) -> None:
     def server_at(relay: application.Relay) -> server_lib.ServerState:
@@ -57,8 +57,8 @@
         return relay.state.clock() > server_at(relay).health.full_until
 
     async with relay_cluster.open_cluster(monkeypatch, relays, 3) as cluster:
-        resting = await cluster.find_wanted()
-        resting.words, resting.turns_away = BACK_OFF_HEADER, True
+        resting = await cluster.find_preferred_engine()
+        resting.extra_headers, resting.declines = BACK_OFF_HEADER, True
         await cluster.call_until(is_backed_off)
         await relay_cluster.until(
             lambda: all(map(may_be_retried, cluster.relays))
@@ -72,7 +72,7 @@
 ) -> None:
     async def scenario() -> None:
         _, traffic = await engine_traffic.begin(hosts)
-        resting = traffic.most_wanted(2)
+        resting = traffic.busiest_engines(2)
         for engine in resting:
             engine.rest = BACK_OFF
         await asyncio.sleep(DECLINING)
@@ -82,14 +82,14 @@
         for engine in resting:
             assertions.assert_that(engine.during_rest, matchers.Equals([]))
         assertions.assert_that(
-            traffic.share_served(), matchers.GreaterThan(0.99)
+            traffic.fraction_served(), matchers.GreaterThan(0.99)
         )
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize("hosts", engine_traffic.SIZES)
-def test_where_all_rest_callers_are_refused_at_once(
+def test_requests_are_refused_immediately_when_all_servers_rest(
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
@@ -128,11 +128,12 @@
         await asyncio.sleep(2.0)
         assertions.assert_that(len(traffic.refused), matchers.Equals(count))
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 @pytest.mark.parametrize(
-    "inject_fault", [swarm_troubles.store_away, swarm_troubles.third_cut_off]
+    "inject_fault",
+    [swarm_troubles.make_store_unavailable, swarm_troubles.partition_third],
 )
 @pytest.mark.parametrize("hosts", [7, 84])
 def test_back_off_is_respected_during_a_partition(
@@ -143,11 +144,11 @@
     async def scenario() -> None:
         swarm, traffic = await engine_traffic.begin(hosts)
         inject_fault(swarm)
-        resting = traffic.most_wanted(2)
+        resting = traffic.busiest_engines(2)
         for engine in resting:
             engine.rest = BACK_OFF
         await asyncio.sleep(DECLINING)
         for engine in resting:
             assertions.assert_that(engine.during_rest, matchers.Equals([]))
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
--- a/tests/relay/test_relay_returned_store.py
+++ b/tests/relay/test_relay_returned_store.py
@@ -20,7 +20,7 @@
 async def publish(
     cluster: relay_cluster.Cluster, revision: int, **fields: object
 ) -> None:
-    config = relay_parts.in_force(revision, **fields)
+    config = relay_parts.make_configuration(revision, **fields)
     operator = cluster.platform.operator
     await cluster.platform.publish(operator, "config", config)
 
@@ -36,17 +36,17 @@
 
 
 @pytest.mark.parametrize("written_again", [1, LOST])
-async def test_a_key_taken_away_after_the_store_returned_is_refused(
+async def test_a_key_revoked_after_a_restore_is_refused(
     monkeypatch: pytest.MonkeyPatch, written_again: int
 ) -> None:
     # After the new writes, the topic ends before or exactly at the position up
     # to which the hosts had read.
     async with relay_cluster.open_cluster(monkeypatch, HOSTS, 2) as cluster:
-        copy = cluster.platform.copy()
+        copy = cluster.platform.backup()
         for revision in range(2, 2 + LOST):
             await publish(cluster, revision)
         await wait_for_revision(cluster, 1 + LOST)
-        cluster.platform.rewind(copy)
+        cluster.platform.restore(copy)
         newest = 1 + LOST + written_again
         for revision in range(2 + LOST, newest):
             await publish(cluster, revision)
@@ -61,7 +61,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with relay_cluster.open_cluster(monkeypatch, HOSTS, 2) as cluster:
-        copy = cluster.platform.copy()
+        copy = cluster.platform.backup()
         await publish(cluster, 2)
         await wait_for_revision(cluster, 2)
         statuses: list[int] = []
@@ -75,7 +75,7 @@
             asyncio.create_task(call_repeatedly(each)) for each in range(HOSTS)
         ]
         for revision in (3, 4):
-            cluster.platform.rewind(copy)
+            cluster.platform.restore(copy)
             await publish(cluster, revision)
             await wait_for_revision(cluster, revision)
         for call in calls:
--- a/tests/relay/test_relay_server_limit.py
+++ b/tests/relay/test_relay_server_limit.py
@@ -39,13 +39,13 @@
 def assert_limit_respected(engine: engine_traffic.Engine, limit: float) -> None:
     """Asserts that an engine received no more than its limit allows."""
     assertions.assert_that(
-        engine.most_in_a_window(),
+        engine.max_requests_in_window(),
         matchers.LessThan(engine_traffic.allowed(limit) + 1e-9),
     )
 
 
 @pytest.mark.parametrize("hosts", engine_traffic.SIZES)
-def test_all_hosts_together_keep_to_the_limit(
+def test_all_hosts_together_respect_the_limit(
     monkeypatch: pytest.MonkeyPatch, hosts: int
 ) -> None:
     async def scenario() -> None:
@@ -57,7 +57,7 @@
         for engine in limited:
             assert_limit_respected(engine, 1.7)
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 def limited_hosts(
@@ -77,13 +77,13 @@
     ("hosts", "limit"),
     [(7, 0.3), (7, 1.7), (84, 0.3), (84, 1.7), (360, 1.7)],
 )
-def test_half_of_a_limit_is_used_and_all_of_it_once_it_ends(
+def test_at_least_half_of_a_limit_is_used(
     monkeypatch: pytest.MonkeyPatch, hosts: int, limit: float
 ) -> None:
     async def scenario() -> None:
         swarm, traffic = await engine_traffic.begin(hosts)
         clock = asyncio.get_running_loop().time
-        (engine,) = traffic.most_wanted(1)
+        (engine,) = traffic.busiest_engines(1)
         engine.begin_limit(limit)
         await asyncio.sleep(2.0)
         start = clock()
@@ -100,14 +100,14 @@
         # one in seven seconds.
         assertions.assert_that(took, matchers.LessThan(10.0))
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 FAULTS = [
-    swarm_troubles.hosts_with_old_lists,
-    swarm_troubles.third_cut_off,
-    swarm_troubles.third_down,
-    swarm_troubles.all_restarted,
+    swarm_troubles.give_stale_host_lists,
+    swarm_troubles.partition_third,
+    swarm_troubles.stop_third,
+    swarm_troubles.restart_all,
 ]
 
 
@@ -124,19 +124,19 @@
 ) -> None:
     async def scenario() -> None:
         swarm, traffic = await engine_traffic.begin(hosts)
-        limited = traffic.most_wanted(2)
+        limited = traffic.busiest_engines(2)
         for engine in limited:
             engine.begin_limit(limit)
         await asyncio.sleep(4.0)
         inject_fault(swarm)
-        if inject_fault is swarm_troubles.all_restarted:
+        if inject_fault is swarm_troubles.restart_all:
             for engine in limited:
-                engine.told.clear()
+                engine.informed_at.clear()
         await asyncio.sleep(10.0)
         for engine in limited:
             assert_limit_respected(engine, limit)
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
 
 
 def test_excess_requests_are_refused_when_all_servers_are_limited(
@@ -161,4 +161,4 @@
         assertions.assert_that(min(waits), matchers.GreaterThan(0.4))
         assertions.assert_that(max(waits), matchers.LessThan(5.0))
 
-    relay_swarm.play(monkeypatch, scenario())
+    relay_swarm.run_in_virtual_time(monkeypatch, scenario())
