--- a/tests/relay/test_relay_settings.py
+++ b/tests/relay/test_relay_settings.py
@@ -13,7 +13,7 @@
 from testtools import matchers
 
 from hoistmoor.core import errors
-from hoistmoor.relay import settings_task
+from hoistmoor.relay import settings_reloader
 from hoistmoor.utils import signals
 
 if TYPE_CHECKING:
@@ -31,7 +31,7 @@
 @pytest.fixture
 def task(
     harness: Harness, stored_settings: list[settings_lib.RelaySettings]
-) -> settings_task.SettingsTask:
+) -> settings_reloader.SettingsReloader:
     """A task that reloads from ``stored_settings``."""
 
     def read() -> settings_lib.RelaySettings:
@@ -40,7 +40,7 @@
         return stored_settings[0]
 
     relay = harness.relay
-    return settings_task.SettingsTask(
+    return settings_reloader.SettingsReloader(
         relay.state, relay.settings, read, relay.apply
     )
 
@@ -48,12 +48,12 @@
 async def test_changed_settings_apply_immediately(
     harness: Harness,
     stored_settings: list[settings_lib.RelaySettings],
-    task: settings_task.SettingsTask,
+    task: settings_reloader.SettingsReloader,
 ) -> None:
     stored_settings[0] = attrs.evolve(
         stored_settings[0], revocation=2.0, session_life=9.0
     )
-    task.look(signalled=False)
+    task.reload(signalled=False)
     state = harness.state
     assertions.assert_that(state.lease.bound, matchers.Equals(2.0))
     assertions.assert_that(
@@ -64,18 +64,18 @@
 async def test_invalid_settings_are_ignored(
     harness: Harness,
     stored_settings: list[settings_lib.RelaySettings],
-    task: settings_task.SettingsTask,
+    task: settings_reloader.SettingsReloader,
 ) -> None:
     before = harness.relay.settings
     stored_settings.clear()
-    task.look(signalled=True)
+    task.reload(signalled=True)
     assertions.assert_that(harness.relay.settings, matchers.Is(before))
 
 
-async def test_a_hangup_is_a_look_and_no_end(
-    task: settings_task.SettingsTask,
+async def test_sighup_triggers_a_reload(
+    task: settings_reloader.SettingsReloader,
 ) -> None:
-    signals.on_reload(task.changed.set)
+    signals.on_reload(task.reload_requested.set)
     os.kill(os.getpid(), signal.SIGHUP)
     async with asyncio.timeout(20.0):
-        await task.changed.wait()
+        await task.reload_requested.wait()
--- a/tests/relay/test_relay_suspension.py
+++ b/tests/relay/test_relay_suspension.py
@@ -76,7 +76,7 @@
     )
 
 
-async def test_a_lease_is_over_when_the_machine_wakes(
+async def test_a_lease_expires_during_a_suspension(
     machine: Machine, harness: Harness
 ) -> None:
     await harness.add_backend("s1", answer_done)
@@ -99,7 +99,7 @@
     machine: Machine, harness: Harness
 ) -> None:
     slow_route = attrs.evolve(relay_parts.CONFIRM, timeout=SUSPENDED / 2.0)
-    newer = relay_parts.in_force(2, (slow_route,))
+    newer = relay_parts.make_configuration(2, (slow_route,))
     await harness.platform.publish(harness.platform.operator, "config", newer)
     await harness.until(lambda: harness.state.configuration is newer)
     backend = await harness.add_backend("s1", stay_silent)
--- a/tests/relay_parts.py
+++ b/tests/relay_parts.py
@@ -66,12 +66,12 @@
 )
 
 
-def at(offset: int, era: int = 0) -> topics.Place:
+def make_place(offset: int, era: int = 0) -> topics.Place:
     """Returns a position in a topic."""
     return topics.Place(era, offset)
 
 
-def entry(server_id: str = "s0", **fields: Any) -> server_lib.ServerEntry:
+def make_entry(server_id: str = "s0", **fields: Any) -> server_lib.ServerEntry:
     """Returns the registry entry of a server."""
     defaults = {
         "service": "desk",
@@ -82,7 +82,7 @@
     return server_lib.ServerEntry(server_id, **{**defaults, **fields})
 
 
-def request(
+def make_request(
     route: configuration.Route = ROUTE, **fields: Any
 ) -> requests.RelayRequest:
     """Returns a request that arrived at 100 s with the route's timeout."""
@@ -100,7 +100,7 @@
     return requests.RelayRequest(**{**defaults, **fields})
 
 
-def ready(
+def ready_servers(
     fleet: fleet_lib.Fleet,
     service: str,
     versions: Container[str],
@@ -113,7 +113,7 @@
     return fleet.ready(usable, versions, excluded, now, draw)
 
 
-def in_force(
+def make_configuration(
     revision: int = 1,
     routes: tuple[configuration.Route, ...] = (ROUTE, CONFIRM, CHAT),
     **fields: Any,
--- a/tests/relay_platform.py
+++ b/tests/relay_platform.py
@@ -43,8 +43,8 @@
     records: list[topics.Record] = attrs.field(factory=list)
     first_kept: int = 0
     era: int = 0
-    is_away: bool = False
-    loses_answers: bool = False
+    is_unavailable: bool = False
+    loses_responses: bool = False
 
     async def newest(self) -> topics.Batch:
         """Returns the newest record of each key."""
@@ -85,7 +85,7 @@
         if expected is not None and expected.offset != len(self.records):
             return None
         self.records.append(topics.Record(key, value or None, self._place()))
-        if self.loses_answers:
+        if self.loses_responses:
             raise errors.LogOutcomeUnknownError("lost", "Read first.")
         return self._place()
 
@@ -97,14 +97,14 @@
         for key, value in records.items():
             await self.put(key, value)
 
-    def rewind(self, length: int) -> None:
+    def restore(self, length: int) -> None:
         """Restores the topic from a backup of the given length."""
         del self.records[length:]
         self.first_kept = min(self.first_kept, length)
         self.era += 1
 
     def _check(self) -> None:
-        if self.is_away:
+        if self.is_unavailable:
             raise errors.LogUnavailableError("away", "Wait.")
 
 
@@ -118,7 +118,7 @@
     """
 
     topic: MemoryTopic
-    history: history_lib.StoreEra
+    store_era: history_lib.StoreEra
 
     async def newest(self) -> topics.Batch:
         """Returns the newest record of each key."""
@@ -145,15 +145,15 @@
         await self._call(self.topic.put_all(records))
 
     async def _call(self, call: Awaitable[_T]) -> _T:
-        known = self.history.era
+        known = self.store_era.era
         try:
             return await call
         finally:
-            if not self.topic.is_away:
-                note_era(self.history, self.topic, known)
+            if not self.topic.is_unavailable:
+                record_era(self.store_era, self.topic, known)
 
 
-def note_era(
+def record_era(
     history: history_lib.StoreEra, topic: MemoryTopic, known: int
 ) -> None:
     """Updates a host's knowledge of the era from a response."""
@@ -238,14 +238,14 @@
         names = [each.name for each in attrs.fields(ports.Topics)]
         return {name: getattr(self, name) for name in names}
 
-    def copy(self) -> dict[str, int]:
+    def backup(self) -> dict[str, int]:
         """Returns a backup for ``rewind``: the lengths of all topics."""
         return {name: len(each.records) for name, each in self.topics.items()}
 
-    def rewind(self, copy: dict[str, int]) -> None:
+    def restore(self, copy: dict[str, int]) -> None:
         """Restores all topics from an older backup."""
         for name, topic in self.topics.items():
-            topic.rewind(copy[name])
+            topic.restore(copy[name])
 
     async def publish(
         self, topic: MemoryTopic, key: str, value: object
--- a/tests/relay_states.py
+++ b/tests/relay_states.py
@@ -9,8 +9,8 @@
 from hoistmoor.core.relay.placement import router as router_lib
 from hoistmoor.core.relay.servers import outstanding
 from hoistmoor.core.routing import hashing
-from hoistmoor.relay import counters
 from hoistmoor.relay import event_log
+from hoistmoor.relay import metrics
 from hoistmoor.relay import state as state_lib
 
 
@@ -35,7 +35,7 @@
     return state_lib.RelayState(
         clock=clock,
         log=event_log.EventLog("h1", clock, log_descriptor),
-        counters=counters.Counters(),
+        counters=metrics.RelayMetrics(),
         router=router_lib.Router(
             "north", bounds_lib.Bounds(), hashing.Draws.seeded(1)
         ),
