--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -141,7 +141,7 @@
                 functools.partial(near.on_hosts, live), 20
             ),
             "part of an account's rate (each second)": time_call(
-                functools.partial(shares._work_out_part, "account-0", _NOW)
+                functools.partial(shares._compute_fraction, "account-0", _NOW)
             ),
             "homes of a session": time_call(
                 functools.partial(choice.homes, views, "account-0", "s1")
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -23,7 +23,7 @@
 from hoistmoor.core import codec
 from hoistmoor.core import identity
 from hoistmoor.core.limits import adaptive
-from hoistmoor.core.limits import book as book_lib
+from hoistmoor.core.limits import ledger as book_lib
 from hoistmoor.core.limits import queue
 from hoistmoor.core.limits import records
 from hoistmoor.core.sessions import choice
@@ -38,7 +38,7 @@
 DEMAND = 425_000.0  # Micros a second in all: 850 requests of 500 each.
 STEP = 10.0  # Seconds between two plans of a host.
 PIECES = 4  # Requests of a host and account in one step of an outage.
-URGENT, NORMAL, DEFERRABLE = queue.ORDER
+URGENT, NORMAL, DEFERRABLE = queue.PRIORITY_ORDER
 
 
 def say(text: str) -> None:
@@ -124,7 +124,7 @@
     rng = random.Random(1)
 
     def offer() -> None:
-        priority = rng.choice(queue.ORDER)
+        priority = rng.choice(queue.PRIORITY_ORDER)
         deadline = 1e6 + rng.random()
         pool.offer(queue.Entry(next(serials), priority, deadline), 0.0)
 
@@ -134,7 +134,7 @@
     begin = time.perf_counter()
     for _ in range(rounds):
         offer()
-        held = max(queue.ORDER, key=lambda known: pool.running[known])
+        held = max(queue.PRIORITY_ORDER, key=lambda known: pool.running[known])
         pool.finish(held, 0.01, 0.0)
     each = (time.perf_counter() - begin) / rounds * 1e6
     left = len(pool.waiting)
@@ -223,7 +223,7 @@
 
     def run(self, horizon: float) -> Outcome:
         """Runs for ``horizon`` seconds and returns what became of it."""
-        for index in range(len(queue.ORDER)):
+        for index in range(len(queue.PRIORITY_ORDER)):
             self.plan_arrival(index, 0.0)
         while self.events[0][0] < horizon:
             now, serial, is_arrival, value = heapq.heappop(self.events)
@@ -248,7 +248,7 @@
 
     def arrive(self, serial: int, index: int, now: float) -> None:
         """Offers a request."""
-        priority = queue.ORDER[index]
+        priority = queue.PRIORITY_ORDER[index]
         deadline = now + self.mix.patience[index]
         self.arrived[serial] = (now, index)
         self.outcome.offered[priority] += 1
@@ -260,7 +260,7 @@
         """Ends a request that held a slot."""
         at, index = self.arrived.pop(serial)
         begin = self.started.pop(serial)
-        priority = queue.ORDER[index]
+        priority = queue.PRIORITY_ORDER[index]
         if now - at <= self.mix.patience[index]:
             self.outcome.done[priority] += 1
         if priority is URGENT:
@@ -298,7 +298,7 @@
             ratios.append(ratio)
         kept = {
             str(known): round(over.done[known] / over.offered[known], 2)
-            for known in queue.ORDER
+            for known in queue.PRIORITY_ORDER
         }
         say(
             f"overload: {mix.name}, {name}: urgent p99 at 2.0 over 0.5 load"
@@ -368,12 +368,12 @@
         self.spent: collections.Counter[str] = collections.Counter()
         self.wanted: collections.Counter[str] = collections.Counter()
 
-    def make_book(self, number: int, hosts: int) -> book_lib.ShareBook:
+    def make_book(self, number: int, hosts: int) -> book_lib.ShareLedger:
         """Returns the book of one host."""
-        book = book_lib.ShareBook(identity.Incarnation(f"h{number}", 1))
+        book = book_lib.ShareLedger(identity.Incarnation(f"h{number}", 1))
         book.hosts = hosts
         book.in_force = self.in_force
-        book.fold.begin_at(0)
+        book.fold.restart(0)
         return book
 
     def step(self, now: float) -> None:
@@ -393,7 +393,7 @@
     def begin_outage(self) -> None:
         """Stops the log, and replaces one host of ten."""
         for number in range(0, len(self.books), 10):
-            book = book_lib.ShareBook(identity.Incarnation(f"h{number}", 2))
+            book = book_lib.ShareLedger(identity.Incarnation(f"h{number}", 2))
             book.hosts = len(self.books)
             book.in_force = self.in_force
             self.books[number] = book
@@ -424,40 +424,42 @@
         quiet, failures = self.quiet.get((number, account), (0.0, 0))
         found = book.reserve(account, cost, DAY, now)
         others = [n for n in range(len(self.books)) if n != number]
-        if found is not book_lib.Verdict.RESERVED and now >= quiet:
+        if found is not book_lib.ReserveResult.RESERVED and now >= quiet:
             for giver in self.rng.sample(others, share_peers.MOST_ASKED):
                 self.ask(book, giver, account, cost, now)
                 found = book.reserve(account, cost, DAY, now)
-                if found is book_lib.Verdict.RESERVED:
+                if found is book_lib.ReserveResult.RESERVED:
                     break
-            ok = found is book_lib.Verdict.RESERVED
+            ok = found is book_lib.ReserveResult.RESERVED
             pause = share_peers.QUIET_SECONDS * 2.0 ** min(failures, 10)
             pause = min(pause, share_peers.MOST_QUIET_SECONDS)
             self.quiet[number, account] = (
                 (0.0, 0) if ok else (now + pause, failures + 1)
             )
-        if found is not book_lib.Verdict.RESERVED:
+        if found is not book_lib.ReserveResult.RESERVED:
             return False
-        book.wallet.settle(account, DAY, cost, cost)
+        book.local_shares.settle(account, DAY, cost, cost)
         return True
 
     def ask(
         self,
-        book: book_lib.ShareBook,
+        book: book_lib.ShareLedger,
         giver: int,
         account: str,
         cost: int,
         now: float,
     ) -> None:
         """Carries one ask to a peer and its answer back."""
-        ask = book.ask_peer(f"h{giver}", account, cost, DAY, urgent=True)
-        answer = self.books[giver].give_peer(ask, now)
-        book.transfers.take(answer)
+        ask = book.request_transfer(
+            f"h{giver}", account, cost, DAY, urgent=True
+        )
+        answer = self.books[giver].grant_transfer(ask, now)
+        book.transfers.accept(answer)
         self.asks += 1
         self.octets += len(codec.encode(ask)) + len(codec.encode(answer))
 
     def spend(
-        self, book: book_lib.ShareBook, part: float, now: float
+        self, book: book_lib.ShareLedger, part: float, now: float
     ) -> dict[str, int]:
         """Spends one step's demand; returns what could not be covered."""
         needs: dict[str, int] = {}
@@ -465,10 +467,10 @@
             cost = int(rate * part * STEP)
             self.wanted[account] += cost
             verdict = book.reserve(account, cost, DAY, now)
-            if verdict is book_lib.Verdict.RESERVED:
-                book.wallet.settle(account, DAY, cost, cost)
+            if verdict is book_lib.ReserveResult.RESERVED:
+                book.local_shares.settle(account, DAY, cost, cost)
                 self.spent[account] += cost
-            elif verdict is book_lib.Verdict.WAIT:
+            elif verdict is book_lib.ReserveResult.WAIT:
                 needs[account] = cost
         return needs
 
--- a/src/hoistmoor/core/limits/accounts.py
+++ b/src/hoistmoor/core/limits/accounts.py
@@ -44,44 +44,44 @@
 
     def __init__(self, incarnation: identity.Incarnation) -> None:
         self.shares = rates.RateShares(incarnation)
-        self.uses: dict[str, AccountUsage] = {}
+        self.usage: dict[str, AccountUsage] = {}
         self._arrivals = 0
 
-    def enter(self, row: model.Account, now: float) -> refusals.Refusal | None:
+    def admit(self, row: model.Account, now: float) -> refusals.Refusal | None:
         """Admits a request, or returns the refusal."""
         self._arrivals += 1
-        self.shares.note_request(row.account, now)
-        fraction = self.shares.part(row.account, now)
+        self.shares.record_request(row.account, now)
+        fraction = self.shares.fraction(row.account, now)
         use = self._use(row, fraction, now)
         if use.in_flight >= _host_concurrency(row.concurrency, fraction):
             return self._refuse(refusals.Reason.CONCURRENCY_LIMITED, 0.0)
-        if not use.bucket.take(now):
-            wait = use.bucket.wait(now)
+        if not use.bucket.try_take(now):
+            wait = use.bucket.time_until_token(now)
             return self._refuse(refusals.Reason.RATE_LIMITED, wait)
         use.in_flight += 1
         return None
 
-    def leave(self, account: str) -> None:
+    def release(self, account: str) -> None:
         """Releases the concurrency slot of a finished request."""
-        self.uses[account].in_flight -= 1
+        self.usage[account].in_flight -= 1
 
-    def undo(self, account: str) -> None:
+    def revert(self, account: str) -> None:
         """Reverts the admission of a request that a later check refused.
 
         Unlike ``leave``, this also refunds the rate token.
         """
-        self.leave(account)
-        self.uses[account].bucket.give_back()
+        self.release(account)
+        self.usage[account].bucket.refund()
 
     def _use(
         self, row: model.Account, fraction: float, now: float
     ) -> AccountUsage:
         rate = row.rate_limit * fraction
         burst = max(1.0, rate * BURST_SECONDS) if rate > 0 else 0.0
-        use = self.uses.get(row.account)
+        use = self.usage.get(row.account)
         if use is None:
             bucket = buckets.TokenBucket(rate, burst, burst, now)
-            use = self.uses[row.account] = AccountUsage(bucket)
+            use = self.usage[row.account] = AccountUsage(bucket)
         if use.bucket.rate != rate:
             use.bucket.set_rate(rate, burst, now)
         return use
@@ -89,7 +89,7 @@
     def _refuse(
         self, reason: refusals.Reason, seconds: float
     ) -> refusals.Refusal:
-        wait = retries.spread_wait(seconds, self._arrivals)
+        wait = retries.jittered_wait(seconds, self._arrivals)
         detail = "This host's part of the account's limit is in use."
         return refusals.Refusal(reason, outcomes.Outcome.NOT_RUN, detail, wait)
 
--- a/src/hoistmoor/core/limits/turns.py
+++ b/src/hoistmoor/core/limits/ask_schedule.py
@@ -4,8 +4,8 @@
 
 import xxhash
 
+from hoistmoor.core.limits import local_shares
 from hoistmoor.core.limits import records
-from hoistmoor.core.limits import wallet
 
 # Hosts request their first shares of the next day seven hours ahead, so that
 # each of them holds some if the log is down over midnight. The requests are
@@ -17,7 +17,7 @@
 _HASH_SPAN = 2.0**32
 
 
-class Turns:
+class AskSchedule:
     """Schedule of one host's share requests among the other hosts.
 
     Attributes:
@@ -27,7 +27,7 @@
     """
 
     def __init__(self, host: str) -> None:
-        self.place = xxhash.xxh32_intdigest(host.encode()) / _HASH_SPAN
+        self.position = xxhash.xxh32_intdigest(host.encode()) / _HASH_SPAN
         self.hosts = 1
         self.is_settled = False
         self._began_at: float | None = None
@@ -35,18 +35,18 @@
     @property
     def delay(self) -> float:
         """Seconds that this host waits for hosts with a lower position."""
-        return self.place * self.hosts * wallet.ASK_SPACING
+        return self.position * self.hosts * local_shares.ASK_INTERVAL
 
-    def note_table(self, now: float) -> None:
+    def on_table(self, now: float) -> None:
         """Starts the schedule when the first table is in force.
 
         Later calls only update ``is_settled``.
         """
         if self._began_at is None:
             self._began_at = now
-        self.is_settled = self.has_come(now - _SETTLE_SECONDS)
+        self.is_settled = self.may_ask_ahead(now - _SETTLE_SECONDS)
 
-    def has_come(self, now: float) -> bool:
+    def may_ask_ahead(self, now: float) -> bool:
         """Returns whether this host may request shares ahead of demand.
 
         Hosts that start together take turns; with few hosts, none has to wait.
@@ -58,4 +58,4 @@
     def is_prefetch_time(self, now: float) -> bool:
         """Returns whether to request shares of the next day."""
         remaining = records.SECONDS_PER_DAY - now % records.SECONDS_PER_DAY
-        return remaining <= _PREFETCH_SECONDS - self.place * _PREFETCH_SPREAD
+        return remaining <= _PREFETCH_SECONDS - self.position * _PREFETCH_SPREAD
--- a/src/hoistmoor/core/limits/buckets.py
+++ b/src/hoistmoor/core/limits/buckets.py
@@ -28,7 +28,7 @@
         self.burst = burst
         self.tokens = min(self.tokens, burst)
 
-    def take(self, now: float) -> bool:
+    def try_take(self, now: float) -> bool:
         """Takes a token, and returns whether one was available."""
         self._refill(now)
         if self.tokens < 1:
@@ -36,11 +36,11 @@
         self.tokens -= 1
         return True
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Refunds the token of an event that did not happen."""
         self.tokens = min(self.burst, self.tokens + 1)
 
-    def wait(self, now: float) -> float:
+    def time_until_token(self, now: float) -> float:
         """Returns the seconds until a token is available."""
         self._refill(now)
         if self.tokens >= 1:
--- a/src/hoistmoor/core/limits/gifts.py
+++ b/src/hoistmoor/core/limits/handoffs.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from hoistmoor.core import identity
-    from hoistmoor.core.limits import wallet as local_shares_lib
+    from hoistmoor.core.limits import local_shares as local_shares_lib
 
 
 @attrs.frozen
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen
-class Gift:
+class Handoff:
     """Permanent handoff of share amounts to one process.
 
     Attributes:
@@ -48,7 +48,7 @@
 
 
 @attrs.frozen
-class Receipt:
+class HandoffReceipt:
     """Reply of the receiver of a handoff.
 
     Attributes:
@@ -58,11 +58,11 @@
     counted: bool
 
 
-codec.register("share_gift", Gift)
-codec.register("share_receipt", Receipt)
+codec.register("share_gift", Handoff)
+codec.register("share_receipt", HandoffReceipt)
 
 
-class Gifts:
+class Handoffs:
     """Sends and receives handoffs for one incarnation of one host.
 
     Attributes:
@@ -73,15 +73,15 @@
     def __init__(
         self,
         incarnation: identity.Incarnation,
-        local_shares: local_shares_lib.Wallet,
+        local_shares: local_shares_lib.LocalShares,
     ) -> None:
         self.incarnation = incarnation
-        self.wallet = local_shares
+        self.local_shares = local_shares
         self._serial = 0
         # Newest incarnation and its newest handoff serial, by sending host.
         self._seen: dict[str, tuple[int, int]] = {}
 
-    def part_with(self, to: int, today: int, peers: int) -> Gift:
+    def prepare(self, to: int, today: int, peers: int) -> Handoff:
         """Deducts one of ``peers`` equal parts of each share, as a handoff.
 
         Args:
@@ -91,7 +91,7 @@
                 one.
         """
         items = []
-        for (account, day), share in sorted(self.wallet.shares.items()):
+        for (account, day), share in sorted(self.local_shares.shares.items()):
             amount = share.left // peers
             if day >= today and amount > 0:
                 items.append(HandoffItem(account, day, amount))
@@ -99,19 +99,19 @@
                 share.given += amount
         self._serial += 1
         own = self.incarnation
-        return Gift(own.host, own.number, self._serial, to, tuple(items))
+        return Handoff(own.host, own.number, self._serial, to, tuple(items))
 
-    def receive(self, handoff: Gift) -> Receipt:
+    def receive(self, handoff: Handoff) -> HandoffReceipt:
         """Credits a handoff, at most once."""
         sequence = handoff.incarnation, handoff.serial
         newest = self._seen.get(handoff.host)
         if handoff.to != self.incarnation.number or (
             newest and sequence <= newest
         ):
-            return Receipt(counted=False)
+            return HandoffReceipt(counted=False)
         self._seen[handoff.host] = sequence
         for item in handoff.items:
-            share = self.wallet.share(item.account, item.day)
+            share = self.local_shares.share(item.account, item.day)
             share.granted += max(0, item.amount)
             share.taken += max(0, item.amount)
-        return Receipt(counted=True)
+        return HandoffReceipt(counted=True)
--- a/src/hoistmoor/core/limits/book.py
+++ b/src/hoistmoor/core/limits/ledger.py
@@ -5,12 +5,12 @@
 import enum
 from typing import TYPE_CHECKING
 
-from hoistmoor.core.limits import gifts
+from hoistmoor.core.limits import ask_schedule
+from hoistmoor.core.limits import handoffs
+from hoistmoor.core.limits import local_shares
 from hoistmoor.core.limits import records
 from hoistmoor.core.limits import shares
 from hoistmoor.core.limits import transfers
-from hoistmoor.core.limits import turns
-from hoistmoor.core.limits import wallet
 from hoistmoor.core.table import model
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
 _URGENT_FRACTION = 0.25
 
 
-class Verdict(enum.Enum):
+class ReserveResult(enum.Enum):
     """Result of reserving a cost."""
 
     RESERVED = enum.auto()
@@ -33,7 +33,7 @@
     UNKNOWN = enum.auto()  # The grants of other hosts are not known.
 
 
-class ShareBook:
+class ShareLedger:
     """Manages the spend limit shares of one incarnation of one host.
 
     Attributes:
@@ -49,13 +49,13 @@
     def __init__(self, incarnation: identity.Incarnation) -> None:
         self.incarnation = incarnation
         self.fold = shares.ShareFold()
-        self.wallet = wallet.Wallet()
+        self.local_shares = local_shares.LocalShares()
         self.in_force = model.TableInForce(-1, model.Table())
         self.log_is_up = True
-        self.transfers = transfers.Transfers(incarnation, self.wallet)
-        self.gifts = gifts.Gifts(incarnation, self.wallet)
+        self.transfers = transfers.Transfers(incarnation, self.local_shares)
+        self.handoffs = handoffs.Handoffs(incarnation, self.local_shares)
         self._serial = 0
-        self._schedule = turns.Turns(incarnation.host)
+        self._schedule = ask_schedule.AskSchedule(incarnation.host)
 
     @property
     def hosts(self) -> int:
@@ -76,7 +76,7 @@
         for grant in self.fold.apply(offset, at, record):
             if self._is_own_grant(grant):
                 is_affected = True
-                self.wallet.credit(
+                self.local_shares.credit(
                     grant.account, grant.day, grant.serial, grant.amount, now
                 )
         return is_affected
@@ -88,28 +88,28 @@
         day: int,
         now: float,
         urgent: bool = True,
-    ) -> Verdict:
+    ) -> ReserveResult:
         """Reserves ``cost`` micros for a request that arrived on ``day``."""
         terms = self.terms(account, day)
         if cost > terms.limit:
-            return Verdict.EXHAUSTED
+            return ReserveResult.EXHAUSTED
         reserved_fraction = (
             0.0 if urgent or self.log_is_up else _URGENT_FRACTION
         )
-        if self.wallet.reserve(cost, day, now, terms, reserved_fraction):
-            return Verdict.RESERVED
+        if self.local_shares.reserve(cost, day, now, terms, reserved_fraction):
+            return ReserveResult.RESERVED
         if not self.fold.is_complete(day):
-            return Verdict.UNKNOWN
-        share = self.wallet.share(account, day)
-        if wallet.is_exhausted(share, terms, now):
-            return Verdict.EXHAUSTED
-        return Verdict.WAIT
+            return ReserveResult.UNKNOWN
+        share = self.local_shares.share(account, day)
+        if local_shares.is_exhausted(share, terms, now):
+            return ReserveResult.EXHAUSTED
+        return ReserveResult.WAIT
 
-    def terms(self, account: str, day: int) -> wallet.Terms:
+    def terms(self, account: str, day: int) -> local_shares.LimitTerms:
         """Returns the known state of an account's limit."""
         row = self.in_force.table.accounts.get(account)
         day_sum = self.fold.sum_for(account, day)
-        return wallet.Terms(
+        return local_shares.LimitTerms(
             account,
             row.spend_limit if row else 0,
             self.in_force.revision,
@@ -119,9 +119,9 @@
             self._schedule.is_settled,
         )
 
-    def ask_peer(
+    def request_transfer(
         self, donor: str, account: str, cost: int, day: int, urgent: bool
-    ) -> transfers.TransferAsk:
+    ) -> transfers.TransferRequest:
         """Returns a transfer request for a peer, on behalf of a request.
 
         Args:
@@ -132,17 +132,17 @@
             urgent: Whether the request is urgent.
         """
         terms = self.terms(account, day)
-        demand = self.wallet.share(account, day).demand
-        low_water = int(demand * wallet.LOW_SECONDS)
+        demand = self.local_shares.share(account, day).demand
+        low_water = int(demand * local_shares.LOW_WATER_SECONDS)
         amount = max(2 * cost, low_water, terms.floor // 2)
-        return self.transfers.ask(donor, account, day, amount, urgent)
+        return self.transfers.request(donor, account, day, amount, urgent)
 
-    def give_peer(
-        self, request: transfers.TransferAsk, now: float
+    def grant_transfer(
+        self, request: transfers.TransferRequest, now: float
     ) -> transfers.TransferAnswer:
         """Answers a peer's request, deducting from this host's share."""
         terms = self.terms(request.account, request.day)
-        return self.transfers.give(request, terms, now)
+        return self.transfers.grant(request, terms, now)
 
     def plan(
         self, now: float, needs: Mapping[str, int]
@@ -154,26 +154,28 @@
             needs: Micros needed by waiting requests, by account.
         """
         today = records.day_of(now)
-        self.wallet.drop_before(today)
+        self.local_shares.drop_before(today)
         if self.in_force.revision >= 0:
-            self._schedule.note_table(now)
+            self._schedule.on_table(now)
         planned = [self._plan_day(today, now, needs)]
         if self._schedule.is_prefetch_time(now):
             planned.append(self._plan_day(today + 1, now, {}))
         return tuple(request for request in planned if request)
 
-    def not_stored(self, request: records.ShareRequest) -> None:
+    def revert(self, request: records.ShareRequest) -> None:
         """Reverts a share request that the log did not store."""
         for ask in request.asks:
-            self.wallet.failed(ask.account, request.day, request.serial)
+            self.local_shares.clear_pending(
+                ask.account, request.day, request.serial
+            )
         for returned in request.returns:
-            share = self.wallet.share(returned.account, request.day)
+            share = self.local_shares.share(returned.account, request.day)
             share.granted += returned.amount
 
-    def give_back(self, now: float) -> tuple[records.ShareRequest, ...]:
+    def release_all(self, now: float) -> tuple[records.ShareRequest, ...]:
         """Returns all unused shares of a stopping host, one request per day."""
         by_day: dict[int, list[records.ShareReturn]] = {}
-        for (account, day), share in sorted(self.wallet.shares.items()):
+        for (account, day), share in sorted(self.local_shares.shares.items()):
             if day >= records.day_of(now) and share.left > 0:
                 item = records.ShareReturn(account, share.left)
                 by_day.setdefault(day, []).append(item)
@@ -185,7 +187,7 @@
     def is_snapshot_due(self, now: float) -> bool:
         """Returns whether this host should append a snapshot."""
         age = now - self.fold.snapshot_at
-        max_age = SNAPSHOT_SECONDS + self._schedule.place * _SNAPSHOT_SPREAD
+        max_age = SNAPSHOT_SECONDS + self._schedule.position * _SNAPSHOT_SPREAD
         return self.fold.can_snapshot and age >= max_age
 
     def _plan_day(
@@ -206,11 +208,13 @@
         accounts = self.in_force.table.accounts
         # Before its turn, a host only asks for accounts with waiting requests.
         for account in sorted(
-            accounts if self._schedule.has_come(now) else needs
+            accounts if self._schedule.may_ask_ahead(now) else needs
         ):
             terms = self.terms(account, day)
-            share = self.wallet.share(account, day)
-            amount = wallet.plan_ask(share, terms, now, needs.get(account, 0))
+            share = self.local_shares.share(account, day)
+            amount = local_shares.plan_ask(
+                share, terms, now, needs.get(account, 0)
+            )
             if amount:
                 yield records.ShareAsk(
                     account, amount, terms.limit, terms.revision
@@ -219,11 +223,13 @@
     def _returns(
         self, day: int, now: float, needing: set[str]
     ) -> Iterator[records.ShareReturn]:
-        for (account, share_day), share in sorted(self.wallet.shares.items()):
+        for (account, share_day), share in sorted(
+            self.local_shares.shares.items()
+        ):
             if share_day != day or account in needing:
                 continue
             terms = self.terms(account, day)
-            amount = wallet.plan_return(
+            amount = local_shares.plan_return(
                 share, terms, now - self._schedule.delay
             )
             if amount:
@@ -238,11 +244,11 @@
     ) -> records.ShareRequest:
         self._serial += 1
         for ask in asks:
-            share = self.wallet.share(ask.account, day)
+            share = self.local_shares.share(ask.account, day)
             share.pending = self._serial
             share.asked_at = now
         for returned in returns:
-            share = self.wallet.share(returned.account, day)
+            share = self.local_shares.share(returned.account, day)
             share.granted -= returned.amount
             share.returned_at = now
             share.refused_seen = self.terms(returned.account, day).refused
--- a/src/hoistmoor/core/limits/wallet.py
+++ b/src/hoistmoor/core/limits/local_shares.py
@@ -14,20 +14,22 @@
 from hoistmoor.core.limits import records
 
 CHUNK_SECONDS = 600.0  # Seconds of local demand that one ask covers.
-LOW_SECONDS = 120.0  # Below this many seconds of demand, more is requested.
+LOW_WATER_SECONDS = (
+    120.0  # Below this many seconds of demand, more is requested.
+)
 IDLE_SECONDS = 600.0  # Time after which an unneeded amount is returned.
 FLOOR_DIVISOR = 8  # All floors together are the limit divided by this.
 # Before a host knows the other hosts, it assumes at least this many of them, so
 # that the first shares of all hosts together stay within the floors.
-MOST_HOSTS = 360
+MIN_ASSUMED_HOSTS = 360
 ASK_TIMEOUT = 30.0  # Seconds until an ask that was not read back is dropped.
 # Initial and maximum delay after an ask that was granted nothing, in seconds.
 MIN_ASK_BACKOFF = 5.0
 MAX_ASK_BACKOFF = 60.0
 # Minimum seconds between two asks for one account over all hosts.
-ASK_SPACING = 0.02
+ASK_INTERVAL = 0.02
 # Minimum seconds between two repeats of ungranted asks over all hosts.
-REPEAT_SPACING = 5.0
+ASK_RETRY_INTERVAL = 5.0
 STARVED_RETURN_SECONDS = 30.0  # Minimum time between returns for starved hosts.
 _DEMAND_HALF_LIFE = 120.0  # Half-life of the smoothed demand, in seconds.
 
@@ -73,7 +75,7 @@
         """Micros that are neither spent nor reserved."""
         return self.granted - self.reserved - self.spent
 
-    def note_demand(self, cost: int, now: float) -> None:
+    def record_demand(self, cost: int, now: float) -> None:
         """Adds the cost of a request to the demand."""
         self.decay(now)
         self.demand += cost * math.log(2) / _DEMAND_HALF_LIFE
@@ -86,7 +88,7 @@
 
 
 @attrs.frozen
-class Terms:
+class LimitTerms:
     """State of an account's limit over all hosts, as known to this host.
 
     Attributes:
@@ -117,7 +119,7 @@
         """Micros that each host keeps in order to serve during a log outage."""
         hosts = self.hosts
         if not self.is_settled:
-            hosts = max(hosts, MOST_HOSTS)
+            hosts = max(hosts, MIN_ASSUMED_HOSTS)
         return self.limit // (FLOOR_DIVISOR * hosts)
 
     @property
@@ -126,7 +128,7 @@
         return max(1, self.floor // 4)
 
 
-class Wallet:
+class LocalShares:
     """Shares held by one incarnation of one host.
 
     Attributes:
@@ -151,7 +153,7 @@
         cost: int,
         day: int,
         now: float,
-        terms: Terms,
+        terms: LimitTerms,
         retained_fraction: float = 0.0,
     ) -> bool:
         """Reserves ``cost`` if the share covers it, and returns whether it did.
@@ -167,7 +169,7 @@
         retained = int(share.granted * retained_fraction)
         if cost + retained > spendable(share, terms):
             return False
-        share.note_demand(cost, now)
+        share.record_demand(cost, now)
         share.reserved += cost
         return True
 
@@ -193,7 +195,7 @@
             wait = MIN_ASK_BACKOFF * 2.0 ** min(share.refusals - 1, 10)
             share.next_ask_at = now + min(wait, MAX_ASK_BACKOFF)
 
-    def failed(self, account: str, day: int, serial: int) -> None:
+    def clear_pending(self, account: str, day: int, serial: int) -> None:
         """Clears a pending ask that the log did not store."""
         share = self.share(account, day)
         if share.pending == serial:
@@ -210,7 +212,7 @@
             del self.shares[key]
 
 
-def spendable(share: Share, terms: Terms) -> int:
+def spendable(share: Share, terms: LimitTerms) -> int:
     """Returns the micros that may be reserved now.
 
     After the limit is lowered below the total granted, each host scales its
@@ -222,7 +224,7 @@
     return scaled - share.reserved - share.spent
 
 
-def plan_ask(share: Share, terms: Terms, now: float, cost: int = 0) -> int:
+def plan_ask(share: Share, terms: LimitTerms, now: float, cost: int = 0) -> int:
     """Returns the micros to request now; 0 for none.
 
     The chunk is sized by local demand and shrinks with the remaining limit, so
@@ -242,11 +244,11 @@
     chunk = min(wanted, terms.remaining // (2 * terms.hosts))
     if need:
         return max(need, chunk)
-    low = max(terms.floor // 2, int(share.demand * LOW_SECONDS))
+    low = max(terms.floor // 2, int(share.demand * LOW_WATER_SECONDS))
     return chunk if share.left <= low and chunk >= terms.min_append else 0
 
 
-def is_exhausted(share: Share, terms: Terms, now: float) -> bool:
+def is_exhausted(share: Share, terms: LimitTerms, now: float) -> bool:
     """Returns whether another ask would be useless for now.
 
     After an ask that was granted nothing, the host waits until it reads a
@@ -257,19 +259,19 @@
         return False
     if now < share.next_ask_at:
         return True
-    repeat = max(MAX_ASK_BACKOFF, terms.hosts * REPEAT_SPACING)
+    repeat = max(MAX_ASK_BACKOFF, terms.hosts * ASK_RETRY_INTERVAL)
     return terms.remaining < terms.min_append and now - share.asked_at < repeat
 
 
-def _may_ask(share: Share, terms: Terms, now: float) -> bool:
+def _may_ask(share: Share, terms: LimitTerms, now: float) -> bool:
     if terms.limit <= 0 or is_exhausted(share, terms, now):
         return False
     if share.pending and now - share.asked_at < ASK_TIMEOUT:
         return False
-    return now - share.asked_at >= terms.hosts * ASK_SPACING
+    return now - share.asked_at >= terms.hosts * ASK_INTERVAL
 
 
-def plan_return(share: Share, terms: Terms, now: float) -> int:
+def plan_return(share: Share, terms: LimitTerms, now: float) -> int:
     """Returns the micros to return now; 0 for none.
 
     A host keeps ten minutes of its demand, but at least its floor. Once another
@@ -280,7 +282,7 @@
     period = STARVED_RETURN_SECONDS if starved else IDLE_SECONDS
     if share.pending or share.refusals or now - share.returned_at < period:
         return 0
-    target = int(share.demand * LOW_SECONDS)
+    target = int(share.demand * LOW_WATER_SECONDS)
     if not starved:
         target = max(terms.floor, int(share.demand * CHUNK_SECONDS))
     surplus = share.left - target
--- a/src/hoistmoor/core/limits/queue.py
+++ b/src/hoistmoor/core/limits/queue.py
@@ -28,7 +28,7 @@
     model.Priority.NORMAL: 0.1,
     model.Priority.DEFERRABLE: 0.2,
 }
-ORDER = tuple(HEADROOM)  # Priority classes, highest first.
+PRIORITY_ORDER = tuple(HEADROOM)  # Priority classes, highest first.
 _SMOOTHING = 0.1  # Weight of the newest service time in the moving average.
 _MAX_STALE = 64  # Removed entries tolerated before a container is rebuilt.
 
@@ -89,12 +89,12 @@
     def __init__(self, slots: int, max_waiting: int = MAX_WAITING) -> None:
         self.slots = slots
         self.max_waiting = max_waiting
-        self.running = dict.fromkeys(ORDER, 0)
-        self.service_times = dict.fromkeys(ORDER, 0.0)
+        self.running = dict.fromkeys(PRIORITY_ORDER, 0)
+        self.service_times = dict.fromkeys(PRIORITY_ORDER, 0.0)
         self.waiting: dict[int, Entry] = {}
-        self.counts = dict.fromkeys(ORDER, 0)
-        self._lines: dict[model.Priority, collections.deque[Entry]] = {
-            priority: collections.deque() for priority in ORDER
+        self.waiting_counts = dict.fromkeys(PRIORITY_ORDER, 0)
+        self._queues: dict[model.Priority, collections.deque[Entry]] = {
+            priority: collections.deque() for priority in PRIORITY_ORDER
         }
         self._expiries: list[tuple[float, int]] = []
 
@@ -147,7 +147,7 @@
         entry = self.waiting.get(serial)
         if entry is None:
             return False
-        self._forget(entry)
+        self._remove(entry)
         return True
 
     def set_slots(self, slots: int, now: float) -> tuple[Effect, ...]:
@@ -157,7 +157,7 @@
 
     def tick(self, now: float) -> tuple[Effect, ...]:
         """Refuses expired requests and fills the free slots."""
-        return (*self._expire(now), *self._fill())
+        return (*self._expire(now), *self._fill_slots())
 
     def next_expiry(self) -> float | None:
         """Returns the time of the next required ``tick`` call, if any."""
@@ -173,8 +173,11 @@
         self.service_times[priority] = average + weight * (seconds - average)
 
     def _ahead_of(self, priority: model.Priority) -> int:
-        position = ORDER.index(priority)
-        return sum(self.counts[other] for other in ORDER[: position + 1])
+        position = PRIORITY_ORDER.index(priority)
+        return sum(
+            self.waiting_counts[other]
+            for other in PRIORITY_ORDER[: position + 1]
+        )
 
     def _usable_slots(self, priority: model.Priority) -> int:
         reserved = math.ceil(self.slots * HEADROOM[priority])
@@ -189,7 +192,8 @@
             return math.inf
         in_use = self.in_use
         total = sum(
-            self.running[other] * self.service_times[other] for other in ORDER
+            self.running[other] * self.service_times[other]
+            for other in PRIORITY_ORDER
         )
         mean = total / in_use if in_use else self.service_times[priority]
         return position * mean / slots
@@ -205,7 +209,7 @@
         return Refuse(
             entry.serial,
             refusals.Reason.OVERLOADED,
-            retries.spread_wait(wait, entry.serial),
+            retries.jittered_wait(wait, entry.serial),
         )
 
     def _make_room(self, entry: Entry) -> tuple[Effect, ...] | None:
@@ -216,38 +220,40 @@
         """
         if len(self.waiting) < self.max_waiting:
             return ()
-        lower_classes = ORDER[ORDER.index(entry.priority) + 1 :]
+        lower_classes = PRIORITY_ORDER[
+            PRIORITY_ORDER.index(entry.priority) + 1 :
+        ]
         for priority in reversed(lower_classes):
-            if self.counts[priority]:
+            if self.waiting_counts[priority]:
                 victim = self._peek_last(priority)
-                self._forget(victim)
+                self._remove(victim)
                 wait = self._expected_wait(priority, self._ahead_of(priority))
                 return (self._overloaded(victim, wait),)
         return None
 
     def _peek_last(self, priority: model.Priority) -> Entry:
-        queued = self._lines[priority]
+        queued = self._queues[priority]
         while queued[-1].serial not in self.waiting:
             queued.pop()
         return queued[-1]
 
     def _enqueue(self, entry: Entry) -> None:
         self.waiting[entry.serial] = entry
-        self.counts[entry.priority] += 1
-        self._lines[entry.priority].append(entry)
+        self.waiting_counts[entry.priority] += 1
+        self._queues[entry.priority].append(entry)
         expiry = (self._latest_start(entry), entry.serial)
         heapq.heappush(self._expiries, expiry)
         self._compact(entry.priority)
 
-    def _forget(self, entry: Entry) -> None:
+    def _remove(self, entry: Entry) -> None:
         del self.waiting[entry.serial]
-        self.counts[entry.priority] -= 1
+        self.waiting_counts[entry.priority] -= 1
 
     def _compact(self, priority: model.Priority) -> None:
         """Rebuilds containers that hold too many removed entries."""
-        queued = self._lines[priority]
-        if len(queued) > 2 * self.counts[priority] + _MAX_STALE:
-            self._lines[priority] = collections.deque(
+        queued = self._queues[priority]
+        if len(queued) > 2 * self.waiting_counts[priority] + _MAX_STALE:
+            self._queues[priority] = collections.deque(
                 self._still_waiting(queued)
             )
         if len(self._expiries) > 2 * len(self.waiting) + _MAX_STALE:
@@ -272,23 +278,23 @@
             wait = self._expected_wait(
                 entry.priority, self._ahead_of(entry.priority)
             )
-            self._forget(entry)
-            retry_after = retries.spread_wait(wait, serial)
+            self._remove(entry)
+            retry_after = retries.jittered_wait(wait, serial)
             effects.append(
                 Refuse(serial, refusals.Reason.DEADLINE_EXCEEDED, retry_after)
             )
 
-    def _fill(self) -> tuple[Effect, ...]:
+    def _fill_slots(self) -> tuple[Effect, ...]:
         effects: list[Effect] = []
-        for priority in ORDER:
-            while self.counts[priority] and self._has_slot(priority):
+        for priority in PRIORITY_ORDER:
+            while self.waiting_counts[priority] and self._has_slot(priority):
                 entry = self._pop_next(priority)
-                self._forget(entry)
+                self._remove(entry)
                 effects.append(self._start(entry))
         return tuple(effects)
 
     def _pop_next(self, priority: model.Priority) -> Entry:
-        queued = self._lines[priority]
+        queued = self._queues[priority]
         while True:
             entry = queued.popleft()
             if entry.serial in self.waiting:
--- a/src/hoistmoor/core/limits/rates.py
+++ b/src/hoistmoor/core/limits/rates.py
@@ -59,7 +59,7 @@
     rate: float = 0.0
     at: float = 0.0
 
-    def note(self, now: float) -> None:
+    def record(self, now: float) -> None:
         """Records a request."""
         self.decay(now)
         self.rate += math.log(2) / _HALF_LIFE
@@ -100,7 +100,7 @@
         self._drop_lost_hosts(now)
         self._fractions.clear()
 
-    def count(self, now: float) -> int:
+    def host_count(self, now: float) -> int:
         """Returns the number of hosts that share the limits."""
         self._drop_lost_hosts(now)
         return len(self._hosts)
@@ -116,15 +116,15 @@
             self._set_weight((report.host, account), value, now)
         self._fractions.clear()
 
-    def note_request(self, account: str, now: float) -> None:
+    def record_request(self, account: str, now: float) -> None:
         """Records a request that asks for admission."""
-        self.demands.setdefault(account, Demand(at=now)).note(now)
+        self.demands.setdefault(account, Demand(at=now)).record(now)
 
-    def part(self, account: str, now: float) -> float:
+    def fraction(self, account: str, now: float) -> float:
         """Returns this host's fraction of an account's limits, at most 1."""
         cached = self._fractions.get(account)
         if cached is None or now >= cached.until:
-            value = self._work_out_part(account, now)
+            value = self._compute_fraction(account, now)
             cached = _CachedFraction(value, now + _CACHE_SECONDS)
             self._fractions[account] = cached
         return cached.value
@@ -150,11 +150,11 @@
             self.incarnation.host, self.incarnation.number, weights
         )
 
-    def not_stored(self) -> None:
+    def on_append_failed(self) -> None:
         """Marks the last report as possibly not stored on the log."""
         self._reported = ()
 
-    def _work_out_part(self, account: str, now: float) -> float:
+    def _compute_fraction(self, account: str, now: float) -> float:
         self._drop_lost_hosts(now)
         own = self.incarnation.host
         own_weight = self._weight(own, account, now, min)
@@ -168,7 +168,7 @@
     def _own_weights(
         self, limits: Mapping[str, float], now: float
     ) -> tuple[records.DemandWeight, ...]:
-        hosts = self.count(now)
+        hosts = self.host_count(now)
         weights: list[records.DemandWeight] = []
         for account, demand in sorted(self.demands.items()):
             demand.decay(now)
--- a/src/hoistmoor/core/limits/retries.py
+++ b/src/hoistmoor/core/limits/retries.py
@@ -42,7 +42,7 @@
         """Adds a fraction of a retry."""
         self.saved = min(CAPACITY, self.saved + self.ratio)
 
-    def take(self, now: float) -> bool:
+    def try_take(self, now: float) -> bool:
         """Takes a retry, and returns whether one was available."""
         elapsed = max(0.0, now - self.at)
         self.at = max(now, self.at)
@@ -54,7 +54,7 @@
         return True
 
 
-def spread_wait(seconds: float, seed: int) -> int:
+def jittered_wait(seconds: float, seed: int) -> int:
     """Returns the jittered wait for a refused caller, in whole seconds.
 
     Args:
--- a/src/hoistmoor/core/limits/shares.py
+++ b/src/hoistmoor/core/limits/shares.py
@@ -15,8 +15,8 @@
 
 # Requests for a day are accepted from this many seconds before the day begins
 # until it ends, by the log's clock. A host with a wrong clock gets no share.
-ASK_AHEAD = 28_800.0
-DEMAND_AGE = 3_600.0  # Seconds for which a demand report is valid.
+ASK_AHEAD_SECONDS = 28_800.0
+DEMAND_TTL = 3_600.0  # Seconds for which a demand report is valid.
 
 
 @attrs.frozen
@@ -70,7 +70,7 @@
         self._base = -1
         self._since: list[tuple[int, float, object]] = []
 
-    def begin_at(self, first_offset: int) -> None:
+    def restart(self, first_offset: int) -> None:
         """Resets the state and starts at the oldest record in the log."""
         self.next_offset = first_offset
         self.sums.clear()
@@ -104,7 +104,7 @@
             return ()
         self.next_offset = offset + 1
         if self.complete_from is None:
-            first_complete_day = records.day_of(at + ASK_AHEAD) + 1
+            first_complete_day = records.day_of(at + ASK_AHEAD_SECONDS) + 1
             self.complete_from = first_complete_day if offset else 0
         if records.day_of(at) >= self.complete_from:
             self._end_replay()
@@ -137,7 +137,11 @@
         self, request: records.ShareRequest, at: float
     ) -> tuple[Grant, ...]:
         day = request.day
-        if not records.day_of(at) <= day <= records.day_of(at + ASK_AHEAD):
+        if (
+            not records.day_of(at)
+            <= day
+            <= records.day_of(at + ASK_AHEAD_SECONDS)
+        ):
             self.ignored += 1
             return ()
         self._drop_old_days(records.day_of(at))
@@ -155,7 +159,7 @@
             return ()
         self.demands[report.host] = records.DemandSum(report, at)
         for host, demand in tuple(self.demands.items()):
-            if at - demand.at > DEMAND_AGE:
+            if at - demand.at > DEMAND_TTL:
                 del self.demands[host]
         return ()
 
--- a/src/hoistmoor/core/limits/transfers.py
+++ b/src/hoistmoor/core/limits/transfers.py
@@ -14,7 +14,7 @@
 import attrs
 
 from hoistmoor.core import codec
-from hoistmoor.core.limits import wallet as local_shares_lib
+from hoistmoor.core.limits import local_shares as local_shares_lib
 
 if TYPE_CHECKING:
     from hoistmoor.core import identity
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen
-class TransferAsk:
+class TransferRequest:
     """Request for a part of a peer's share.
 
     Attributes:
@@ -65,7 +65,7 @@
     amount: int
 
 
-codec.register("transfer_ask", TransferAsk)
+codec.register("transfer_ask", TransferRequest)
 codec.register("transfer_answer", TransferAnswer)
 
 
@@ -101,17 +101,17 @@
     def __init__(
         self,
         incarnation: identity.Incarnation,
-        local_shares: local_shares_lib.Wallet,
+        local_shares: local_shares_lib.LocalShares,
     ) -> None:
         self.incarnation = incarnation
-        self.wallet = local_shares
+        self.local_shares = local_shares
         self._serial = 0
-        self._open: dict[tuple[str, str], TransferAsk] = {}
+        self._pending: dict[tuple[str, str], TransferRequest] = {}
         self._recipients: dict[str, _Recipient] = {}
 
-    def ask(
+    def request(
         self, donor: str, account: str, day: int, amount: int, urgent: bool
-    ) -> TransferAsk:
+    ) -> TransferRequest:
         """Returns the request to send to a peer.
 
         An earlier unanswered request to the peer is repeated unchanged,
@@ -124,30 +124,33 @@
             amount: Maximum amount wanted, in micros.
             urgent: Whether the amount is for an urgent request.
         """
-        pending = self._open.get((donor, account))
+        pending = self._pending.get((donor, account))
         if pending and pending.day == day:
             return pending
         self._serial += 1
         own = self.incarnation
-        request = TransferAsk(
+        request = TransferRequest(
             own.host, own.number, self._serial, account, day, amount, urgent
         )
-        self._open[donor, account] = request
+        self._pending[donor, account] = request
         return request
 
-    def take(self, answer: TransferAnswer) -> int:
+    def accept(self, answer: TransferAnswer) -> int:
         """Credits an answer at most once, and returns its micros."""
         request = self._pop_open(answer)
         if request is None:
             return 0
         amount = max(0, min(answer.amount, request.amount))
-        share = self.wallet.share(request.account, request.day)
+        share = self.local_shares.share(request.account, request.day)
         share.granted += amount
         share.taken += amount
         return amount
 
-    def give(
-        self, request: TransferAsk, terms: local_shares_lib.Terms, now: float
+    def grant(
+        self,
+        request: TransferRequest,
+        terms: local_shares_lib.LimitTerms,
+        now: float,
     ) -> TransferAnswer:
         """Deducts what a peer gets from this host's share, and answers it."""
         recipient = self._recipients.get(request.host)
@@ -166,9 +169,12 @@
         return answer
 
     def _deduct(
-        self, request: TransferAsk, terms: local_shares_lib.Terms, now: float
+        self,
+        request: TransferRequest,
+        terms: local_shares_lib.LimitTerms,
+        now: float,
     ) -> int:
-        share = self.wallet.shares.get((request.account, request.day))
+        share = self.local_shares.shares.get((request.account, request.day))
         if share is None or request.host == self.incarnation.host:
             return 0
         amount = max(
@@ -179,19 +185,21 @@
         share.given += amount
         return amount
 
-    def _pop_open(self, answer: TransferAnswer) -> TransferAsk | None:
+    def _pop_open(self, answer: TransferAnswer) -> TransferRequest | None:
         """Removes and returns the open request that ``answer`` is for."""
-        for key, request in self._open.items():
-            if self._answers(answer, request):
-                return self._open.pop(key)
+        for key, request in self._pending.items():
+            if self._matches(answer, request):
+                return self._pending.pop(key)
         return None
 
-    def _answers(self, answer: TransferAnswer, request: TransferAsk) -> bool:
+    def _matches(
+        self, answer: TransferAnswer, request: TransferRequest
+    ) -> bool:
         owner = answer.host, answer.incarnation, answer.serial
         return owner == (request.host, request.incarnation, request.serial)
 
 
-def _make_answer(request: TransferAsk, amount: int) -> TransferAnswer:
+def _make_answer(request: TransferRequest, amount: int) -> TransferAnswer:
     return TransferAnswer(
         request.host, request.incarnation, request.serial, amount
     )
@@ -199,7 +207,7 @@
 
 def _peer_offer(
     share: local_shares_lib.Share,
-    terms: local_shares_lib.Terms,
+    terms: local_shares_lib.LimitTerms,
     now: float,
     urgent: bool,
 ) -> int:
@@ -213,14 +221,14 @@
     if urgent:
         return left // 2
     share.decay(now)
-    own_demand = int(share.demand * local_shares_lib.LOW_SECONDS)
+    own_demand = int(share.demand * local_shares_lib.LOW_WATER_SECONDS)
     return (
         left - max(own_demand, share.granted // _URGENT_RESERVE_DIVISOR)
     ) // 2
 
 
 def transferable(
-    share: local_shares_lib.Share, terms: local_shares_lib.Terms
+    share: local_shares_lib.Share, terms: local_shares_lib.LimitTerms
 ) -> int:
     """Returns the granted micros that are not needed to cover local use.
 
--- a/src/hoistmoor/core/once/claimant.py
+++ b/src/hoistmoor/core/once/claimant.py
@@ -46,7 +46,7 @@
         incarnation: identity.Incarnation,
         address: str,
         is_alive: Callable[[identity.Incarnation], bool],
-        window: float = view_lib.DEFAULT_WINDOW,
+        window: float = view_lib.DEFAULT_WINDOW_SECONDS,
         find_oldest_host: Callable[[], str] = lambda: "",
         serials: Iterator[int] | None = None,
     ) -> None:
@@ -83,12 +83,12 @@
         return not self._runs and not self.outbox
 
     @property
-    def is_claiming(self) -> bool:
+    def has_unread_claim(self) -> bool:
         """Whether a claim of this host has not been read back yet."""
         runs = self._runs.values()
         return any(run.stage is runs_lib.Stage.CLAIMING for run in runs)
 
-    def is_held(self, request: messages.KeyedRequest) -> bool:
+    def is_held_elsewhere(self, request: messages.KeyedRequest) -> bool:
         """Returns whether a claim without a run on this host holds the key.
 
         The end of the claim may already be on the log but not read yet.
@@ -97,7 +97,7 @@
         held = self.view.find(key).status is view_lib.Status.HELD
         return held and key not in self._runs
 
-    def take_changed(self) -> dict[str, messages.Change]:
+    def pop_changes(self) -> dict[str, messages.Change]:
         """Returns the claims changed since the last call, to notify waiters."""
         changed, self._changed = self._changed, {}
         return changed
@@ -123,7 +123,7 @@
         run = self._runs.get(wait.key)
         return run is not None and run.stage is runs_lib.Stage.RUNNING
 
-    def leave(self, wait: messages.Wait, request_id: str) -> None:
+    def stop_waiting(self, wait: messages.Wait, request_id: str) -> None:
         """Ends a request's wait; the last one abandons an unstarted claim."""
         run = self._runs.get(wait.key)
         if run is None or run.claim_id != wait.claim_id:
@@ -195,24 +195,24 @@
             self._runs[claim.key].sent = True
         return batch
 
-    def appended(self, batch: records.ClaimBatch) -> None:
+    def on_append_stored(self, batch: records.ClaimBatch) -> None:
         """Handles a batch that the log stored."""
-        self.outbox.stored(batch)
+        self.outbox.on_append_stored(batch)
 
-    def append_lost(self, batch: records.ClaimBatch, now: float) -> None:
+    def on_append_lost(self, batch: records.ClaimBatch, now: float) -> None:
         """Handles an append without a reply, which may or may not be stored.
 
         The batch is appended again; the fold applies each claim once.
         """
-        self.outbox.failed(now)
+        self.outbox.on_append_failed(now)
         for run in self._claiming(batch):
-            run.lost = True
+            run.reply_lost = True
 
-    def append_refused(self, batch: records.ClaimBatch, now: float) -> None:
+    def on_append_refused(self, batch: records.ClaimBatch, now: float) -> None:
         """Abandons the claims of a batch that the log did not store."""
-        self.outbox.failed(now)
+        self.outbox.on_append_failed(now)
         for run in self._claiming(batch):
-            run.sent = run.lost
+            run.sent = run.reply_lost
             self._abandon_unstarted(run)
 
     def _claiming(self, batch: records.ClaimBatch) -> list[runs_lib.Run]:
@@ -267,9 +267,9 @@
         request: messages.KeyedRequest,
         now: float,
     ) -> messages.Result:
-        if self.outbox.is_closed(now):
+        if self.outbox.is_suspended(now):
             return replies.claim_unavailable("the log cannot be reached")
-        if self.view.blind_for(now) > 0 or not state.certain:
+        if self.view.seconds_until_certain(now) > 0 or not state.certain:
             return self._forward_to_oldest_host(request)
         claim = records.Claim(key, next(self._serials), request.fingerprint)
         claim_id = records.claim_id(self.incarnation, claim.serial)
@@ -289,7 +289,7 @@
             )
         return permits.ForwardTo(address)
 
-    def _on_own_claim(self, settled: view_lib.Settled) -> None:
+    def _on_own_claim(self, settled: view_lib.DecidedClaim) -> None:
         run = self._runs.get(settled.key)
         if run is None or run.claim.serial != settled.serial:
             return  # Abandoned before; its release is queued.
--- a/src/hoistmoor/core/once/known_keys.py
+++ b/src/hoistmoor/core/once/known_keys.py
@@ -82,7 +82,7 @@
             if request.forwarded:
                 return replies.in_progress("another host runs this key")
             return permits.ForwardTo(state.address)
-        if self._outbox.is_closed(now):
+        if self._outbox.is_suspended(now):
             return replies.claim_unavailable("the log cannot be reached")
         return replies.outcome_unknown(
             f"host {state.owner.host} went away while it held this key"
--- a/src/hoistmoor/core/once/outbox.py
+++ b/src/hoistmoor/core/once/outbox.py
@@ -37,7 +37,7 @@
         """Returns the number of waiting records."""
         return len(self.claims) + len(self.ended)
 
-    def is_closed(self, now: float) -> bool:
+    def is_suspended(self, now: float) -> bool:
         """Returns whether claims are suspended after a failed append."""
         return now < self._closed_until
 
@@ -48,7 +48,7 @@
             tuple(itertools.islice(self.claims.values(), BATCH_LIMIT)),
         )
 
-    def last_batches(self) -> Iterator[records.ClaimBatch]:
+    def final_batches(self) -> Iterator[records.ClaimBatch]:
         """Returns the ends that are not confirmed on the log.
 
         For a process that starts no more runs. Another process may append
@@ -67,7 +67,7 @@
         """
         return self._batch((), ())
 
-    def stored(self, batch: records.ClaimBatch) -> None:
+    def on_append_stored(self, batch: records.ClaimBatch) -> None:
         """Removes the records of a batch that the log stored."""
         self._closed_until = 0.0
         for ended in batch.ended:
@@ -75,7 +75,7 @@
         for claim in batch.claims:
             self.claims.pop(claim.serial, None)
 
-    def failed(self, now: float) -> None:
+    def on_append_failed(self, now: float) -> None:
         """Suspends new claims for a while after a failed append."""
         self._closed_until = now + _BACK_OFF
 
--- a/src/hoistmoor/core/once/replies.py
+++ b/src/hoistmoor/core/once/replies.py
@@ -86,7 +86,7 @@
     )
 
 
-def tickets_full() -> refusals.Refusal:
+def ticket_capacity_reached() -> refusals.Refusal:
     """This host has reached its limit of remembered used tickets."""
     return _refusal(
         refusals.Reason.OVERLOADED,
--- a/src/hoistmoor/core/once/runs.py
+++ b/src/hoistmoor/core/once/runs.py
@@ -38,7 +38,7 @@
     stage: Stage = Stage.CLAIMING
     waiters: set[str] = attrs.field(factory=set)
     sent: bool = False
-    lost: bool = False
+    reply_lost: bool = False
     outcome: outcomes.Outcome | None = None
 
     @property
--- a/src/hoistmoor/core/once/ticket_book.py
+++ b/src/hoistmoor/core/once/ticket_registry.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-DEFAULT_LIFETIME = 900.0  # Seconds.
+DEFAULT_TTL = 900.0  # Seconds.
 DEFAULT_CAPACITY = 50_000  # Used tickets.
 
 
@@ -43,7 +43,7 @@
 TicketResult = permits.BeginResult | Running
 
 
-class TicketBook:
+class TicketRegistry:
     """Issues tickets and lets each of them run at most once.
 
     Attributes:
@@ -59,7 +59,7 @@
         incarnation: identity.Incarnation,
         address: str,
         secrets: Sequence[bytes],
-        lifetime: float = DEFAULT_LIFETIME,
+        lifetime: float = DEFAULT_TTL,
         capacity: int = DEFAULT_CAPACITY,
     ) -> None:
         self.incarnation = incarnation
@@ -150,7 +150,7 @@
     ) -> permits.Permit | refusals.Refusal:
         self._drop_expired(now)
         if len(self._uses) >= self.capacity and ticket.serial not in self._uses:
-            return replies.tickets_full()
+            return replies.ticket_capacity_reached()
         self._uses[ticket.serial] = _TicketUse(fingerprint, ticket.expires_at)
         return permits.Permit(
             permits.PermitKind.TICKET,
--- a/src/hoistmoor/core/once/view.py
+++ b/src/hoistmoor/core/once/view.py
@@ -32,7 +32,7 @@
     from hoistmoor.core.once import records
 
 _MAX_OWNERS = 10_000  # Maximum number of interned owners.
-DEFAULT_WINDOW = 1800.0  # Seconds; the log retains records for longer.
+DEFAULT_WINDOW_SECONDS = 1800.0  # Seconds; the log retains records for longer.
 
 
 class Status(enum.Enum):
@@ -53,7 +53,7 @@
 
 
 @attrs.frozen
-class Settled:
+class DecidedClaim:
     """Claim read from the stream, with its result.
 
     Attributes:
@@ -93,7 +93,7 @@
     fingerprint: str = ""
     answer_offset: int = -1
     last_at: float = 0.0
-    spent: tuple[str, ...] = ()
+    void_claims: tuple[str, ...] = ()
 
     def is_reused(self, fingerprint: str) -> bool:
         """Returns whether the key belongs to a different request."""
@@ -103,8 +103,8 @@
 
     def void_claim(self, claim_id: str) -> None:
         """Makes a claim permanently void."""
-        if claim_id not in self.spent:
-            self.spent += (claim_id,)
+        if claim_id not in self.void_claims:
+            self.void_claims += (claim_id,)
 
 
 _FREE = KeyState()
@@ -125,7 +125,7 @@
             clock.
     """
 
-    def __init__(self, window: float = DEFAULT_WINDOW) -> None:
+    def __init__(self, window: float = DEFAULT_WINDOW_SECONDS) -> None:
         self.window = window
         self.next_offset = 0
         self.last_at = 0.0
@@ -151,7 +151,7 @@
         self._since = None if first_offset == 0 else math.inf
         self._keys.clear()
 
-    def blind_for(self, now: float) -> float:
+    def seconds_until_certain(self, now: float) -> float:
         """Returns the seconds until this reader can recognize a free key.
 
         Args:
@@ -175,7 +175,7 @@
 
     def apply(
         self, offset: int, at: float, batch: records.ClaimBatch
-    ) -> list[Settled]:
+    ) -> list[DecidedClaim]:
         """Applies the next record.
 
         Args:
@@ -226,12 +226,12 @@
 
     def _claim(
         self, batch: records.ClaimBatch, claim: records.Claim
-    ) -> Settled | None:
+    ) -> DecidedClaim | None:
         claim_id = batch.claim_id(claim.serial)
         state = self._touch(claim.key)
         if claim_id == state.holder:
             return None  # A duplicate, appended again after a lost reply.
-        verdict = self._judge(state, claim_id)
+        verdict = self._decide(state, claim_id)
         if verdict is Verdict.WON:
             state.status = Status.HELD
             state.holder = claim_id
@@ -239,10 +239,12 @@
             state.fingerprint = claim.fingerprint
         else:
             state.void_claim(claim_id)
-        return Settled(self._owner(batch)[0], claim.serial, claim.key, verdict)
+        return DecidedClaim(
+            self._owner(batch)[0], claim.serial, claim.key, verdict
+        )
 
-    def _judge(self, state: KeyState, claim_id: str) -> Verdict:
-        if claim_id in state.spent or state.status is not Status.FREE:
+    def _decide(self, state: KeyState, claim_id: str) -> Verdict:
+        if claim_id in state.void_claims or state.status is not Status.FREE:
             return Verdict.VOID
         return Verdict.WON if state.certain else Verdict.UNCERTAIN
 
--- a/src/hoistmoor/entry/claim_reader.py
+++ b/src/hoistmoor/entry/claim_reader.py
@@ -110,7 +110,7 @@
     @property
     def is_needed(self) -> bool:
         """Returns whether a claim of this host's is to be read back."""
-        return self._claimant.is_claiming
+        return self._claimant.has_unread_claim
 
     def on_start(self, bounds: log_client.LogBounds) -> None:
         """Starts at the oldest record."""
@@ -155,7 +155,7 @@
         Where every record has expired, time begins with one of its own.
         """
         view = self._claimant.view
-        blind = view.blind_for(self._clock())
+        blind = view.seconds_until_certain(self._clock())
         if blind == math.inf:
             await self._append_empty()
             blind = view.window
--- a/src/hoistmoor/entry/claims.py
+++ b/src/hoistmoor/entry/claims.py
@@ -65,7 +65,7 @@
         is_alive: Callable[[identity.Incarnation], bool],
         metrics: metrics_lib.Metrics | None = None,
         clock: Callable[[], float] = time.time,
-        window: float = view.DEFAULT_WINDOW,
+        window: float = view.DEFAULT_WINDOW_SECONDS,
         eldest: Callable[[], str] = lambda: "",
         serials: Iterator[int] | None = None,
         stream: str = streams.CLAIMS,
@@ -134,14 +134,14 @@
         return len(self.claimant.outbox)
 
     def _is_log_down(self) -> bool:
-        return self.claimant.outbox.is_closed(self._clock())
+        return self.claimant.outbox.is_suspended(self._clock())
 
     async def _hand_over(self, hand_over: HandOver) -> None:
-        for batch in self.claimant.outbox.last_batches():
+        for batch in self.claimant.outbox.final_batches():
             name = f"{batch.owner}.{self._stream}.{batch.ended[0].serial:x}"
             held = records.HeldClaims(name, self._stream, batch)
             if await hand_over(held):
-                self.claimant.appended(batch)
+                self.claimant.on_append_stored(batch)
 
     async def begin(
         self, request: messages.KeyedRequest, deadline: float
@@ -182,7 +182,7 @@
 
     async def _judge(self, request: messages.KeyedRequest) -> messages.Result:
         """Asks the claimant; on a key held elsewhere, with all there is."""
-        if self.claimant.is_held(request):
+        if self.claimant.is_held_elsewhere(request):
             await self._reader.catch_up(_CATCH_UP)
         return self.claimant.begin(request, self._clock())
 
@@ -211,12 +211,12 @@
     def _leave(
         self, wait: messages.Wait, request: messages.KeyedRequest
     ) -> None:
-        self.claimant.leave(wait, request.request_id)
+        self.claimant.stop_waiting(wait, request.request_id)
         self._work.set()
         self._wake()
 
     def _wake(self) -> None:
-        for claim_id, change in self.claimant.take_changed().items():
+        for claim_id, change in self.claimant.pop_changes().items():
             waking = self._wakings.pop(claim_id, None)
             if waking is not None:
                 waking.change = change
@@ -252,12 +252,12 @@
         try:
             await self._log.append(self._stream, codec.encode(batch))
         except errors.LogOutcomeUnknownError:
-            self.claimant.append_lost(batch, self._clock())
+            self.claimant.on_append_lost(batch, self._clock())
         except errors.PlatformError:
-            self.claimant.append_refused(batch, self._clock())
+            self.claimant.on_append_refused(batch, self._clock())
             self._wake()
         else:
-            self.claimant.appended(batch)
+            self.claimant.on_append_stored(batch)
             self._metrics.count("once.claim", len(batch.claims))
             self._metrics.timing(
                 "log.append_time", (self._clock() - began) * 1000
--- a/src/hoistmoor/entry/limits.py
+++ b/src/hoistmoor/entry/limits.py
@@ -11,7 +11,7 @@
 from hoistmoor.core import outcomes
 from hoistmoor.core import refusals
 from hoistmoor.core.limits import accounts
-from hoistmoor.core.limits import book
+from hoistmoor.core.limits import ledger
 from hoistmoor.core.limits import pools
 from hoistmoor.core.limits import queue
 from hoistmoor.core.limits import records
@@ -36,9 +36,9 @@
 Result = pools.Result
 
 _SPEND_DETAILS = {
-    book.Verdict.EXHAUSTED: "The account's spend limit of the day is used up.",
-    book.Verdict.WAIT: "No share of the spend limit could be had in time.",
-    book.Verdict.UNKNOWN: "The spend so far is not known to this host yet.",
+    ledger.ReserveResult.EXHAUSTED: "The account's spend limit of the day is used up.",
+    ledger.ReserveResult.WAIT: "No share of the spend limit could be had in time.",
+    ledger.ReserveResult.UNKNOWN: "The spend so far is not known to this host yet.",
 }
 
 
@@ -126,7 +126,7 @@
         now = self._clock()
         shares = self.accounts.shares
         shares.on_hosts([host.name for host in hosts], now)
-        count = shares.count(now)
+        count = shares.host_count(now)
         self.keeper.book.hosts = count
         self.slots.resize(self.in_force.table, count)
 
@@ -185,14 +185,14 @@
             return
         admitted.released = True
         self.present -= 1
-        self.accounts.leave(admitted.account)
+        self.accounts.release(admitted.account)
         self._settle(admitted, actual_cost)
         seconds = self._clock() - admitted.started_at
         self.slots.free(admitted.pool, admitted.priority, seconds, result)
 
     def retry_allowed(self, pool: str = "") -> bool:
         """Returns whether another attempt is within the pool's budget."""
-        return self.slots.pool(pool).budget.take(self._clock())
+        return self.slots.pool(pool).budget.try_take(self._clock())
 
     def _enter(
         self, account: str, priority: model.Priority
@@ -201,11 +201,11 @@
         if row is None:
             return _refuse(refusals.Reason.NOT_GRANTED, "No such account.")
         if self.present >= self._room(priority):
-            wait = retries.spread_wait(1.0, next(self._serials))
+            wait = retries.jittered_wait(1.0, next(self._serials))
             return _refuse(
                 refusals.Reason.OVERLOADED, "This host is full.", wait
             )
-        refusal = self.accounts.enter(row, self._clock())
+        refusal = self.accounts.admit(row, self._clock())
         if refusal is None:
             self.present += 1
         return refusal
@@ -229,16 +229,16 @@
             until,
             admitted.priority is model.Priority.URGENT,
         )
-        if verdict is not book.Verdict.RESERVED:
+        if verdict is not ledger.ReserveResult.RESERVED:
             return self._spend_refusal(verdict, admitted.serial)
         admitted.reserved = cost
         return None
 
     def _spend_refusal(
-        self, verdict: book.Verdict, serial: int
+        self, verdict: ledger.ReserveResult, serial: int
     ) -> refusals.Refusal:
-        wait = retries.spread_wait(2.0, serial)
-        if verdict is book.Verdict.EXHAUSTED:
+        wait = retries.jittered_wait(2.0, serial)
+        if verdict is ledger.ReserveResult.EXHAUSTED:
             # Other hosts may give shares back before the day is over.
             left = -self._clock() % records.SECONDS_PER_DAY
             wait = min(_MAX_WAIT, int(left) + wait)
@@ -247,13 +247,13 @@
 
     def _settle(self, admitted: Admitted, cost: int) -> None:
         if admitted.reserved or cost:
-            self.keeper.book.wallet.settle(
+            self.keeper.book.local_shares.settle(
                 admitted.account, admitted.day, admitted.reserved, cost
             )
 
     def _undo(self, admitted: Admitted) -> None:
         self.present -= 1
-        self.accounts.undo(admitted.account)
+        self.accounts.revert(admitted.account)
         self._settle(admitted, 0)
 
 
--- a/src/hoistmoor/entry/limits_status.py
+++ b/src/hoistmoor/entry/limits_status.py
@@ -101,12 +101,12 @@
 ) -> AccountStatus:
     day = records.day_of(now)
     book = gate.keeper.book
-    share = book.wallet.share(row.account, day)
-    use = gate.accounts.uses.get(row.account)
+    share = book.local_shares.share(row.account, day)
+    use = gate.accounts.usage.get(row.account)
     return AccountStatus(
         row.account,
         use.in_flight if use else 0,
-        gate.accounts.shares.part(row.account, now),
+        gate.accounts.shares.fraction(row.account, now),
         row.spend_limit,
         book.terms(row.account, day).granted,
         share.granted,
@@ -125,6 +125,9 @@
         pool.slots.slots,
         pool.slots.ceiling,
         pool.admission.in_use,
-        {str(key): count for key, count in pool.admission.counts.items()},
+        {
+            str(key): count
+            for key, count in pool.admission.waiting_counts.items()
+        },
         pool.budget.saved,
     )
--- a/src/hoistmoor/entry/once.py
+++ b/src/hoistmoor/entry/once.py
@@ -41,7 +41,7 @@
         is_alive: Callable[[identity.Incarnation], bool],
         metrics: metrics_lib.Metrics | None = None,
         clock: Callable[[], float] = time.time,
-        window: float = view.DEFAULT_WINDOW,
+        window: float = view.DEFAULT_WINDOW_SECONDS,
         eldest: Callable[[], str] = lambda: "",
         shards: int = 1,
         live_hosts: Callable[[], Mapping[str, str]] = dict,
--- a/src/hoistmoor/entry/share_keeper.py
+++ b/src/hoistmoor/entry/share_keeper.py
@@ -8,7 +8,7 @@
 
 from hoistmoor.core import codec
 from hoistmoor.core import errors
-from hoistmoor.core.limits import book as book_lib
+from hoistmoor.core.limits import ledger as book_lib
 from hoistmoor.core.limits import records
 from hoistmoor.entry import share_peers
 from hoistmoor.utils import logs
@@ -49,7 +49,7 @@
         clock: Callable[[], float] = time.time,
         neighbours: share_peers.Neighbours | None = None,
     ) -> None:
-        self.book = book_lib.ShareBook(incarnation)
+        self.book = book_lib.ShareLedger(incarnation)
         self.shares = shares
         self.peers = share_peers.SharePeers(
             self.book, neighbours or share_peers.NoNeighbours(), clock
@@ -93,7 +93,7 @@
         No share is asked for from then on.
         """
         self._draining = True
-        for request in self.book.give_back(self._clock()):
+        for request in self.book.release_all(self._clock()):
             await self._append(request)
         if not self.log_is_up:
             await self.peers.leave_shares()
@@ -105,7 +105,7 @@
         day: int,
         deadline: float,
         urgent: bool = True,
-    ) -> book_lib.Verdict:
+    ) -> book_lib.ReserveResult:
         """Sets a cost aside; asks for a share and waits if it must.
 
         The log is asked first. Where it is down, slow, or does not tell what
@@ -136,20 +136,20 @@
 
     async def _ask_log(
         self, account: str, cost: int, day: int, until: float, urgent: bool
-    ) -> book_lib.Verdict:
+    ) -> book_lib.ReserveResult:
         self._needs[account] = self._needs.get(account, 0) + cost
         self._work.set()
         try:
             async with asyncio.timeout(until - self._clock()):
                 return await self._wait(account, cost, day, urgent)
         except TimeoutError:
-            return book_lib.Verdict.WAIT
+            return book_lib.ReserveResult.WAIT
         finally:
             self._needs[account] -= cost
 
     async def _wait(
         self, account: str, cost: int, day: int, urgent: bool
-    ) -> book_lib.Verdict:
+    ) -> book_lib.ReserveResult:
         async with self._changed:
             while True:
                 now = self._clock()
@@ -158,13 +158,13 @@
                     return verdict
                 await self._changed.wait()
 
-    def _may_change(self, verdict: book_lib.Verdict) -> bool:
+    def _may_change(self, verdict: book_lib.ReserveResult) -> bool:
         """Returns whether it is worth waiting for another verdict."""
         if not self.log_is_up or self._draining:
             return False
-        if verdict is book_lib.Verdict.UNKNOWN:
+        if verdict is book_lib.ReserveResult.UNKNOWN:
             return not self._begun
-        return verdict is book_lib.Verdict.WAIT
+        return verdict is book_lib.ReserveResult.WAIT
 
     async def _write_on(self) -> None:
         while True:
@@ -191,7 +191,7 @@
         limits = {row.account: row.rate_limit for row in accounts.values()}
         report = self.shares.report_due(limits, now)
         if report and not await self._append(report):
-            self.shares.not_stored()
+            self.shares.on_append_failed()
         if self.log_is_up and self.book.is_snapshot_due(now):
             await self._append(self.book.fold.snapshot())
 
@@ -200,7 +200,7 @@
             await self._log.append(records.STREAM, codec.encode(record))
         except errors.LogUnavailableError:
             if isinstance(record, records.ShareRequest):
-                self.book.not_stored(record)
+                self.book.revert(record)
             await self._note(log_is_up=False)
             return False
         except errors.PlatformError as error:
@@ -236,7 +236,7 @@
     async def _begin(self) -> None:
         """Starts at the oldest record that can be read."""
         bounds = await self._log.bounds(records.STREAM)
-        self.book.fold.begin_at(bounds.first)
+        self.book.fold.restart(bounds.first)
         self._begun = True
         self._work.set()
         if bounds.first == bounds.next and bounds.first > 0:
--- a/src/hoistmoor/entry/share_peers.py
+++ b/src/hoistmoor/entry/share_peers.py
@@ -10,8 +10,8 @@
 
 from hoistmoor.core import codec
 from hoistmoor.core import errors
-from hoistmoor.core.limits import book as book_lib
-from hoistmoor.core.limits import gifts
+from hoistmoor.core.limits import handoffs
+from hoistmoor.core.limits import ledger as book_lib
 from hoistmoor.core.limits import records
 from hoistmoor.core.limits import transfers
 from hoistmoor.utils import logs
@@ -27,7 +27,7 @@
 MOST_QUIET_SECONDS = 30.0  # much.
 
 # Neither the log nor a peer could change these.
-DECIDED = (book_lib.Verdict.RESERVED, book_lib.Verdict.EXHAUSTED)
+DECIDED = (book_lib.ReserveResult.RESERVED, book_lib.ReserveResult.EXHAUSTED)
 
 _log = logs.PartLogger("limits")
 
@@ -96,7 +96,7 @@
 
     def __init__(
         self,
-        book: book_lib.ShareBook,
+        book: book_lib.ShareLedger,
         neighbours: Neighbours,
         clock: Callable[[], float],
     ) -> None:
@@ -107,7 +107,7 @@
 
     async def reserve(
         self, account: str, cost: int, day: int, urgent: bool
-    ) -> book_lib.Verdict:
+    ) -> book_lib.ReserveResult:
         """Sets a cost aside, with the help of peers if it must.
 
         Args:
@@ -142,7 +142,7 @@
         sent = [
             self._leave(
                 heir,
-                self.book.gifts.part_with(
+                self.book.handoffs.prepare(
                     heir.incarnation, today, len(heirs) - number
                 ),
             )
@@ -150,13 +150,13 @@
         ]
         await asyncio.gather(*sent)
 
-    async def _leave(self, heir: Giver, gift: gifts.Gift) -> None:
+    async def _leave(self, heir: Giver, gift: handoffs.Handoff) -> None:
         if not gift.items:
             return
         try:
             async with asyncio.timeout(PEER_TIMEOUT):
                 receipt = await heir.peer.shares(codec.encode(gift))
-            if codec.decode(receipt) == gifts.Receipt(counted=True):
+            if codec.decode(receipt) == handoffs.HandoffReceipt(counted=True):
                 return
         except (TimeoutError, errors.HoistmoorError) as error:
             _log.warning("Host %s did not answer: %r", heir.name, error)
@@ -174,21 +174,21 @@
         )
 
     @_answer.register
-    def _answer_ask(self, ask: transfers.TransferAsk) -> object:
-        return self.book.give_peer(ask, self._clock())
+    def _answer_ask(self, ask: transfers.TransferRequest) -> object:
+        return self.book.grant_transfer(ask, self._clock())
 
     @_answer.register
-    def _answer_gift(self, gift: gifts.Gift) -> object:
-        return self.book.gifts.receive(gift)
+    def _answer_gift(self, gift: handoffs.Handoff) -> object:
+        return self.book.handoffs.receive(gift)
 
     async def _reserve(
         self, known: _Round, account: str, cost: int, day: int, urgent: bool
-    ) -> book_lib.Verdict:
+    ) -> book_lib.ReserveResult:
         verdict = self._try(account, cost, day, urgent)
         if verdict in DECIDED or self._clock() < known.quiet_until:
             return verdict
         for giver in self.neighbours.givers()[:MOST_ASKED]:
-            ask = self.book.ask_peer(
+            ask = self.book.request_transfer(
                 giver.name, account, known.waiting, day, urgent
             )
             await self._ask(giver, ask)
@@ -200,10 +200,10 @@
 
     def _try(
         self, account: str, cost: int, day: int, urgent: bool
-    ) -> book_lib.Verdict:
+    ) -> book_lib.ReserveResult:
         return self.book.reserve(account, cost, day, self._clock(), urgent)
 
-    async def _ask(self, giver: Giver, ask: transfers.TransferAsk) -> None:
+    async def _ask(self, giver: Giver, ask: transfers.TransferRequest) -> None:
         """Asks one peer; the ask stays open if no answer comes."""
         try:
             async with asyncio.timeout(PEER_TIMEOUT):
@@ -215,10 +215,10 @@
             _log.info("Host %s gave no share: %s", giver.name, error)
             return
         if isinstance(answer, transfers.TransferAnswer):
-            self.book.transfers.take(answer)
+            self.book.transfers.accept(answer)
 
-    def _note(self, known: _Round, verdict: book_lib.Verdict) -> None:
-        if verdict is book_lib.Verdict.RESERVED:
+    def _note(self, known: _Round, verdict: book_lib.ReserveResult) -> None:
+        if verdict is book_lib.ReserveResult.RESERVED:
             known.failures = 0
             return
         pause = QUIET_SECONDS * 2.0 ** min(known.failures, 10)
--- a/src/hoistmoor/entry/tickets.py
+++ b/src/hoistmoor/entry/tickets.py
@@ -8,7 +8,7 @@
 
 from hoistmoor.core.once import permits
 from hoistmoor.core.once import replies
-from hoistmoor.core.once import ticket_book
+from hoistmoor.core.once import ticket_registry
 from hoistmoor.core.once import tickets
 
 if TYPE_CHECKING:
@@ -33,7 +33,9 @@
         is_alive: Callable[[identity.Incarnation], bool],
         clock: Callable[[], float] = time.time,
     ) -> None:
-        self.book = ticket_book.TicketBook(incarnation, address, secrets)
+        self.book = ticket_registry.TicketRegistry(
+            incarnation, address, secrets
+        )
         self._is_alive = is_alive
         self._clock = clock
         self._ended: dict[str, asyncio.Event] = {}
@@ -66,7 +68,7 @@
             return self._send_on(ticket, forwarded)
         while True:
             result = self.book.begin(ticket, text, fingerprint, self._clock())
-            if not isinstance(result, ticket_book.Running):
+            if not isinstance(result, ticket_registry.Running):
                 return result
             if not await self._wait(result.permit_id, deadline):
                 return replies.in_progress("the run of this ticket goes on")
--- a/tests/core/limits/queue_model.py
+++ b/tests/core/limits/queue_model.py
@@ -51,11 +51,11 @@
 
     def more_urgent_than(self, entry: queue.Entry) -> list[queue.Entry]:
         """Returns the requests that should have started before ``entry``."""
-        position = queue.ORDER.index(entry.priority)
+        position = queue.PRIORITY_ORDER.index(entry.priority)
         return [
             other
             for other in self.open.values()
-            if queue.ORDER.index(other.priority) < position
+            if queue.PRIORITY_ORDER.index(other.priority) < position
         ]
 
     @stateful.rule(priority=PRIORITIES, patience=st.integers(-1, 20))
--- a/tests/core/limits/share_model.py
+++ b/tests/core/limits/share_model.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from hoistmoor.core import identity
-from hoistmoor.core.limits import book as ledger_lib
-from hoistmoor.core.limits import gifts
+from hoistmoor.core.limits import handoffs
+from hoistmoor.core.limits import ledger as ledger_lib
 from hoistmoor.core.limits import records
 from hoistmoor.core.limits import shares
 from hoistmoor.core.limits import transfers
@@ -43,7 +43,7 @@
 class ShareMachine(stateful.RuleBasedStateMachine):
     """Three hosts share one account's limit, and any may be replaced."""
 
-    make_ledger = ledger_lib.ShareBook
+    make_ledger = ledger_lib.ShareLedger
 
     def __init__(self) -> None:
         super().__init__()
@@ -51,20 +51,20 @@
         self.log: list[tuple[float, object]] = []
         self.first = 0
         self.started = 0
-        self.dead: list[ledger_lib.ShareBook] = []
+        self.dead: list[ledger_lib.ShareLedger] = []
         self.late: list[object] = []
-        self.runs: list[tuple[ledger_lib.ShareBook, int, int]] = []
+        self.runs: list[tuple[ledger_lib.ShareLedger, int, int]] = []
         self.truth = shares.ShareFold()
         self.ledgers = [self.start(index) for index in range(3)]
 
-    def start(self, index: int) -> ledger_lib.ShareBook:
+    def start(self, index: int) -> ledger_lib.ShareLedger:
         """Starts a new process on a host."""
         self.started += 1
         incarnation = identity.Incarnation(f"h{index}", self.started)
         ledger = self.make_ledger(incarnation)
         ledger.hosts = 3
         ledger.in_force = table_of(LIMIT)
-        ledger.fold.begin_at(self.first)
+        ledger.fold.restart(self.first)
         return ledger
 
     def store(self, record: object) -> None:
@@ -91,7 +91,7 @@
         ledger = self.ledgers[host]
         day = records.day_of(self.now)
         verdict = ledger.reserve(ACCOUNT, cost, day, self.now)
-        if verdict is not ledger_lib.Verdict.RESERVED:
+        if verdict is not ledger_lib.ReserveResult.RESERVED:
             return False
         self.runs.append((ledger, cost, day))
         return True
@@ -105,13 +105,13 @@
 
     def send(
         self,
-        ledger: ledger_lib.ShareBook,
+        ledger: ledger_lib.ShareLedger,
         request: records.ShareRequest,
         fate: str,
     ) -> None:
         """Appends a request; ``fate`` selects the result of the append."""
         if fate == "refused":
-            ledger.not_stored(request)
+            ledger.revert(request)
         elif fate == "lost":
             pass  # Not stored, and the host gets no reply.
         elif fate == "late":
@@ -130,7 +130,7 @@
         """Reads the log to its end at one host."""
         ledger = self.ledgers[host]
         if ledger.fold.next_offset < self.first:
-            ledger.fold.begin_at(self.first)
+            ledger.fold.restart(self.first)
         for offset in range(ledger.fold.next_offset, len(self.log)):
             at, record = self.log[offset]
             ledger.apply(offset, at, record, self.now)
@@ -140,7 +140,7 @@
         """Ends a request at the given number of quarters of its estimate."""
         if self.runs:
             ledger, cost, day = self.runs.pop()
-            ledger.wallet.settle(ACCOUNT, day, cost, cost * share // 4)
+            ledger.local_shares.settle(ACCOUNT, day, cost, cost * share // 4)
 
     @stateful.rule()
     def fall_idle(self) -> None:
@@ -156,7 +156,7 @@
         """Replaces a process that stops or crashes."""
         ledger = self.ledgers[host]
         if graceful:
-            for request in ledger.give_back(self.now):
+            for request in ledger.release_all(self.now):
                 self.store(request)
         self.dead.append(ledger)
         self.ledgers[host] = self.start(host)
@@ -183,7 +183,7 @@
         """The shares of a day, including dead processes, stay in the limit."""
         totals: dict[int, list[int]] = {}
         for ledger in (*self.ledgers, *self.dead):
-            for (_, day), share in ledger.wallet.shares.items():
+            for (_, day), share in ledger.local_shares.shares.items():
                 total = totals.setdefault(day, [0, 0])
                 total[0] += share.granted
                 total[1] += share.spent + share.reserved
@@ -198,9 +198,9 @@
         today = records.day_of(self.now)
         for day in (today, today + 1):
             held = sum(
-                ledger.wallet.shares[ACCOUNT, day].granted
+                ledger.local_shares.shares[ACCOUNT, day].granted
                 for ledger in (*self.ledgers, *self.dead)
-                if (ACCOUNT, day) in ledger.wallet.shares
+                if (ACCOUNT, day) in ledger.local_shares.shares
             )
             day_sum = self.truth.sum_for(ACCOUNT, day)
             assert held <= (day_sum.granted if day_sum else 0)
@@ -213,7 +213,7 @@
     """
 
     def __init__(self) -> None:
-        self.asks: list[tuple[int, transfers.TransferAsk]] = []
+        self.asks: list[tuple[int, transfers.TransferRequest]] = []
         self.answers: list[transfers.TransferAnswer] = []
         super().__init__()
 
@@ -221,7 +221,7 @@
     def ask_peer(self, recipient: int, donor: int, cost: int) -> None:
         """Sends a transfer request to a peer; it may be a retry."""
         day = records.day_of(self.now)
-        ask = self.ledgers[recipient].ask_peer(
+        ask = self.ledgers[recipient].request_transfer(
             f"h{donor}", ACCOUNT, cost * 50, day, urgent=True
         )
         self.asks.append((donor, ask))
@@ -234,7 +234,7 @@
         donor, ask = self.asks.pop(-1 if newest else 0)
         if again:
             self.asks.append((donor, ask))
-        self.answers.append(self.ledgers[donor].give_peer(ask, self.now))
+        self.answers.append(self.ledgers[donor].grant_transfer(ask, self.now))
 
     @stateful.rule(newest=st.booleans(), again=st.booleans())
     def deliver_answer(self, newest: bool, again: bool) -> None:
@@ -245,7 +245,7 @@
         if again:
             self.answers.append(answer)
         recipient = self.ledgers[int(answer.host[1:])]
-        recipient.transfers.take(answer)
+        recipient.transfers.accept(answer)
 
     @stateful.rule()
     def lose_answers(self) -> None:
@@ -275,13 +275,13 @@
     """Adds handoffs by hosts that stop during an outage of the log."""
 
     def __init__(self) -> None:
-        self.handoffs: list[tuple[int, gifts.Gift]] = []
+        self.handoffs: list[tuple[int, handoffs.Handoff]] = []
         super().__init__()
 
     @stateful.rule(donor=HOSTS, receiver=HOSTS, peers=st.integers(1, 3))
     def leave(self, donor: int, receiver: int, peers: int) -> None:
         """Sends a handoff from a stopping host to a peer."""
-        handoff = self.ledgers[donor].gifts.part_with(
+        handoff = self.ledgers[donor].handoffs.prepare(
             self.ledgers[receiver].incarnation.number,
             records.day_of(self.now),
             peers,
@@ -296,7 +296,7 @@
         receiver, handoff = self.handoffs.pop(-1 if newest else 0)
         if again:
             self.handoffs.append((receiver, handoff))
-        self.ledgers[receiver].gifts.receive(handoff)
+        self.ledgers[receiver].handoffs.receive(handoff)
 
     @stateful.rule(donor=HOSTS, receiver=HOSTS, renewed=st.booleans())
     def leave_and_repeat(
--- a/tests/core/limits/test_limits_queue.py
+++ b/tests/core/limits/test_limits_queue.py
@@ -14,7 +14,7 @@
 from hoistmoor.core.limits import retries
 from hoistmoor.core.table import model
 
-URGENT, NORMAL, DEFERRABLE = queue.ORDER
+URGENT, NORMAL, DEFERRABLE = queue.PRIORITY_ORDER
 
 
 def test_each_request_gets_one_final_answer_in_time_and_in_order() -> None:
@@ -26,11 +26,11 @@
 class IgnoresPriority(queue.AdmissionQueue):
     """Ignores the priority order of waiting requests."""
 
-    def _fill(self) -> tuple[queue.Effect, ...]:
+    def _fill_slots(self) -> tuple[queue.Effect, ...]:
         effects: list[queue.Effect] = []
         for entry in sorted(self.waiting.values(), key=lambda e: e.serial):
             if self._has_slot(entry.priority):
-                self._forget(entry)
+                self._remove(entry)
                 effects.append(self._start(entry))
         return tuple(effects)
 
@@ -98,22 +98,22 @@
         if serial:
             pool.cancel(serial)
     assertions.assert_that(len(pool._expiries), matchers.LessThan(100))
-    assertions.assert_that(len(pool._lines[NORMAL]), matchers.LessThan(100))
+    assertions.assert_that(len(pool._queues[NORMAL]), matchers.LessThan(100))
 
 
 def test_retries_stay_a_share_of_successes_when_a_pool_returns() -> None:
     budget = retries.RetryBudget(at=0.0)
-    outage = sum(budget.take(second / 10) for second in range(600))
+    outage = sum(budget.try_take(second / 10) for second in range(600))
     for _ in range(100):
         budget.on_success()
-    returned = sum(budget.take(60.0) for _ in range(100))
+    returned = sum(budget.try_take(60.0) for _ in range(100))
     # Initially 5 retries and one more per 10 s; then a tenth of the successes.
     assertions.assert_that(outage, matchers.LessThan(12))
     assertions.assert_that(returned, matchers.LessThan(12))
 
 
 def test_waits_told_in_one_moment_are_spread() -> None:
-    waits = {retries.spread_wait(20.0, seed) for seed in range(1_000)}
+    waits = {retries.jittered_wait(20.0, seed) for seed in range(1_000)}
     assertions.assert_that(min(waits), matchers.GreaterThan(19))
     assertions.assert_that(len(waits), matchers.GreaterThan(15))
 
@@ -131,5 +131,5 @@
 
 def test_priorities_of_the_table_all_have_a_place() -> None:
     assertions.assert_that(
-        set(queue.ORDER), matchers.Equals(set(model.Priority))
+        set(queue.PRIORITY_ORDER), matchers.Equals(set(model.Priority))
     )
--- a/tests/core/limits/test_limits_rates.py
+++ b/tests/core/limits/test_limits_rates.py
@@ -57,7 +57,7 @@
             for reader, delay in zip(shares, delays, strict=True):
                 if 10 * number + delay == second:
                     reader.on_report(report_of(name, weight), now)
-        total = sum(reader.part("a", now) for reader in shares)
+        total = sum(reader.fraction("a", now) for reader in shares)
         largest = max(largest, total)
     return largest
 
@@ -81,12 +81,12 @@
 def test_host_with_the_demand_gets_the_larger_part() -> None:
     shares = share_of("h0")
     for tick in range(600):
-        shares.note_request("a", START + tick / 10)
+        shares.record_request("a", START + tick / 10)
     now = START + 60.0
     report = shares.report_due({"a": 10.0}, now)
     shares.on_report(report, now)
-    initial = shares.part("a", now)
-    settled = shares.part("a", now + rates.SETTLE_SECONDS + 1.0)
+    initial = shares.fraction("a", now)
+    settled = shares.fraction("a", now + rates.SETTLE_SECONDS + 1.0)
     assertions.assert_that(initial, matchers.Equals(0.25))
     assertions.assert_that(settled, matchers.GreaterThan(0.6))
 
@@ -94,8 +94,8 @@
 def test_lost_host_keeps_its_part_for_a_while() -> None:
     shares = share_of("h0")
     shares.on_hosts(["h0"], START + 1.0)
-    before = shares.part("a", START + 20.0)
-    after = shares.part("a", START + 40.0)
+    before = shares.fraction("a", START + 20.0)
+    after = shares.fraction("a", START + 40.0)
     assertions.assert_that((before, after), matchers.Equals((0.25, 1.0)))
 
 
@@ -109,9 +109,9 @@
         limiter.shares.on_hosts(NAMES, START)
     for tick in range(3_000):
         limiter = limiters[tick % len(NAMES)]
-        refusal = limiter.enter(row, START + tick / 100)
+        refusal = limiter.admit(row, START + tick / 100)
         if refusal is None:
-            limiter.leave("a")
+            limiter.release("a")
             entered += 1
         else:
             assert refusal.reason is refusals.Reason.RATE_LIMITED
--- a/tests/core/limits/test_limits_shares.py
+++ b/tests/core/limits/test_limits_shares.py
@@ -16,12 +16,12 @@
 
 from hoistmoor.core import codec
 from hoistmoor.core import identity
-from hoistmoor.core.limits import book as ledger_lib
-from hoistmoor.core.limits import gifts
+from hoistmoor.core.limits import handoffs
+from hoistmoor.core.limits import ledger as ledger_lib
+from hoistmoor.core.limits import local_shares
 from hoistmoor.core.limits import records
 from hoistmoor.core.limits import shares
 from hoistmoor.core.limits import transfers
-from hoistmoor.core.limits import wallet
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -39,7 +39,7 @@
 
 def grant_all(*requests: records.ShareRequest) -> list[int]:
     fold = shares.ShareFold()
-    fold.begin_at(0)
+    fold.restart(0)
     return [
         grant.amount
         for offset, request in enumerate(requests)
@@ -61,7 +61,7 @@
     stateful.run_state_machine_as_test(machine, settings=share_model.SETTINGS)
 
 
-class SpendsBeforeReadingBack(ledger_lib.ShareBook):
+class SpendsBeforeReadingBack(ledger_lib.ShareLedger):
     """Credits a share when requesting it, before reading it back."""
 
     def plan(
@@ -71,13 +71,13 @@
         requests = super().plan(now, needs)
         for request in requests:
             for item in request.asks:
-                self.wallet.credit(
+                self.local_shares.credit(
                     item.account, request.day, 0, item.amount, now
                 )
         return requests
 
 
-class KeepsReturnedAmounts(ledger_lib.ShareBook):
+class KeepsReturnedAmounts(ledger_lib.ShareLedger):
     """Keeps returned amounts, as if a missing reply meant not stored."""
 
     def plan(
@@ -87,26 +87,26 @@
         requests = super().plan(now, needs)
         for request in requests:
             for item in request.returns:
-                share = self.wallet.share(item.account, request.day)
+                share = self.local_shares.share(item.account, request.day)
                 share.granted += item.amount
         return requests
 
 
-class IgnoresMissingRecords(ledger_lib.ShareBook):
+class IgnoresMissingRecords(ledger_lib.ShareLedger):
     """Treats the first readable record as the beginning of the stream."""
 
     def __init__(self, incarnation: identity.Incarnation) -> None:
         super().__init__(incarnation)
-        begin_at = self.fold.begin_at
+        begin_at = self.fold.restart
 
         def begin(first_offset: int) -> None:
             begin_at(first_offset)
             self.fold._end_replay()
 
-        self.fold.begin_at = begin
+        self.fold.restart = begin
 
 
-class IgnoresOtherHosts(ledger_lib.ShareBook):
+class IgnoresOtherHosts(ledger_lib.ShareLedger):
     """Applies only its own records."""
 
     def apply(self, offset: int, at: float, record: object, now: float) -> bool:
@@ -115,20 +115,20 @@
         return super().apply(offset, at, None if other else record, now)
 
 
-class DeductsAfterAnswering(ledger_lib.ShareBook):
+class DeductsAfterAnswering(ledger_lib.ShareLedger):
     """Deducts a transfer only at the next plan, after answering."""
 
     def __init__(self, incarnation: identity.Incarnation) -> None:
         super().__init__(incarnation)
-        self.deferred: list[tuple[wallet.Share, int]] = []
+        self.deferred: list[tuple[local_shares.Share, int]] = []
 
-    def give_peer(
-        self, request: transfers.TransferAsk, now: float
+    def grant_transfer(
+        self, request: transfers.TransferRequest, now: float
     ) -> transfers.TransferAnswer:
         """Answers a request, and postpones the deduction."""
-        share = self.wallet.share(request.account, request.day)
+        share = self.local_shares.share(request.account, request.day)
         before = share.granted
-        answer = super().give_peer(request, now)
+        answer = super().grant_transfer(request, now)
         self.deferred.append((share, before - share.granted))
         share.granted = before
         return answer
@@ -144,67 +144,73 @@
 
 
 class _CreditsTwice(transfers.Transfers):
-    def take(self, answer: transfers.TransferAnswer) -> int:
+    def accept(self, answer: transfers.TransferAnswer) -> int:
         """Credits a duplicate answer again."""
-        pending = dict(self._open)
-        amount = super().take(answer)
-        self._open = pending
+        pending = dict(self._pending)
+        amount = super().accept(answer)
+        self._pending = pending
         return amount
 
 
 class _CreditsForAnyProcess(transfers.Transfers):
-    def _answers(
-        self, answer: transfers.TransferAnswer, request: transfers.TransferAsk
+    def _matches(
+        self,
+        answer: transfers.TransferAnswer,
+        request: transfers.TransferRequest,
     ) -> bool:
         return answer.serial == request.serial
 
 
-class CreditsAnswersTwice(ledger_lib.ShareBook):
+class CreditsAnswersTwice(ledger_lib.ShareLedger):
     """Credits an answer every time it is delivered."""
 
     def __init__(self, incarnation: identity.Incarnation) -> None:
         super().__init__(incarnation)
-        self.transfers = _CreditsTwice(incarnation, self.wallet)
+        self.transfers = _CreditsTwice(incarnation, self.local_shares)
 
 
-class CreditsAnswersToDeadProcess(ledger_lib.ShareBook):
+class CreditsAnswersToDeadProcess(ledger_lib.ShareLedger):
     """Credits an answer that an earlier process may have credited."""
 
     def __init__(self, incarnation: identity.Incarnation) -> None:
         super().__init__(incarnation)
-        self.transfers = _CreditsForAnyProcess(incarnation, self.wallet)
+        self.transfers = _CreditsForAnyProcess(incarnation, self.local_shares)
 
 
-class _CreditsHandoffsTwice(gifts.Gifts):
-    def receive(self, handoff: gifts.Gift) -> gifts.Receipt:
+class _CreditsHandoffsTwice(handoffs.Handoffs):
+    def receive(self, handoff: handoffs.Handoff) -> handoffs.HandoffReceipt:
         """Forgets which handoffs were credited."""
         self._seen.clear()
         return super().receive(handoff)
 
 
-class _CreditsHandoffsForOthers(gifts.Gifts):
-    def receive(self, handoff: gifts.Gift) -> gifts.Receipt:
+class _CreditsHandoffsForOthers(handoffs.Handoffs):
+    def receive(self, handoff: handoffs.Handoff) -> handoffs.HandoffReceipt:
         """Credits a handoff that is addressed to another process."""
         handoff = attrs.evolve(handoff, to=self.incarnation.number)
         return super().receive(handoff)
 
 
-class _KeepsHandoffs(gifts.Gifts):
-    def part_with(self, to: int, today: int, peers: int) -> gifts.Gift:
+class _KeepsHandoffs(handoffs.Handoffs):
+    def prepare(self, to: int, today: int, peers: int) -> handoffs.Handoff:
         """Hands off amounts without deducting them."""
-        handoff = super().part_with(to, today, peers)
+        handoff = super().prepare(to, today, peers)
         for item in handoff.items:
-            self.wallet.share(item.account, item.day).granted += item.amount
+            self.local_shares.share(
+                item.account, item.day
+            ).granted += item.amount
         return handoff
 
 
-def _with_handoffs(broken: type[gifts.Gifts]) -> type[ledger_lib.ShareBook]:
+def _with_handoffs(
+    broken: type[handoffs.Handoffs],
+) -> type[ledger_lib.ShareLedger]:
     """Returns a class whose handoff implementation is broken."""
 
-    class Ledger(ledger_lib.ShareBook):
+    class Ledger(ledger_lib.ShareLedger):
         def __init__(self, incarnation: identity.Incarnation) -> None:
             super().__init__(incarnation)
-            self.gifts = broken(incarnation, self.wallet)
+            self.gifts = broken(incarnation, self.local_shares)
 
     return Ledger
 
@@ -225,7 +231,7 @@
     ],
 )
 def test_limit_breaks_without_each_mechanism(
-    mutant: type[ledger_lib.ShareBook],
+    mutant: type[ledger_lib.ShareLedger],
     machine: type[share_model.ShareMachine],
 ) -> None:
     class Mutated(machine):
@@ -254,16 +260,16 @@
 
 def test_ask_for_a_day_long_past_or_far_ahead_is_ignored() -> None:
     fold = shares.ShareFold()
-    fold.begin_at(0)
+    fold.restart(0)
     late = fold.apply(0, AT + records.SECONDS_PER_DAY, ask("h1", 70))
-    early = fold.apply(1, AT - 3 * shares.ASK_AHEAD, ask("h1", 70))
+    early = fold.apply(1, AT - 3 * shares.ASK_AHEAD_SECONDS, ask("h1", 70))
     assertions.assert_that(late + early, matchers.Equals(()))
     assertions.assert_that(fold.ignored, matchers.Equals(2))
 
 
 def test_cut_limit_scales_what_each_host_may_still_spend() -> None:
-    ledger = ledger_lib.ShareBook(identity.Incarnation("h1", 1))
-    ledger.fold.begin_at(0)
+    ledger = ledger_lib.ShareLedger(identity.Incarnation("h1", 1))
+    ledger.fold.restart(0)
     ledger.in_force = share_model.table_of(1_000)
     for offset, host in enumerate(("h1", "h2")):
         item = records.ShareAsk(share_model.ACCOUNT, 400, 1_000, 1)
@@ -274,18 +280,20 @@
     verdicts = [ledger.reserve(account, 100, DAY, AT) for _ in range(2)]
     assertions.assert_that(
         verdicts,
-        matchers.Equals([ledger_lib.Verdict.RESERVED, ledger_lib.Verdict.WAIT]),
+        matchers.Equals(
+            [ledger_lib.ReserveResult.RESERVED, ledger_lib.ReserveResult.WAIT]
+        ),
     )
 
 
 def test_share_comes_back_from_an_idle_host_to_a_starved_one() -> None:
     ledgers = [
-        ledger_lib.ShareBook(identity.Incarnation(f"h{n}", 1)) for n in (1, 2)
+        ledger_lib.ShareLedger(identity.Incarnation(f"h{n}", 1)) for n in (1, 2)
     ]
     log: list[object] = []
     account = share_model.ACCOUNT
     for ledger in ledgers:
-        ledger.fold.begin_at(0)
+        ledger.fold.restart(0)
         ledger.hosts = 2
         ledger.in_force = share_model.table_of(1_000)
     now = AT
@@ -299,7 +307,7 @@
                 ledger.apply(offset, now, log[offset], now)
         while (
             ledgers[1].reserve(account, 50, DAY, now)
-            is ledger_lib.Verdict.RESERVED
+            is ledger_lib.ReserveResult.RESERVED
         ):
             covered += 50
     # The idle host was granted shares for 400 and needs none of them.
@@ -308,7 +316,7 @@
 
 def test_records_survive_the_codec() -> None:
     fold = shares.ShareFold()
-    fold.begin_at(0)
+    fold.restart(0)
     fold.apply(0, AT, ask("h1", 70))
     fold.apply(
         1,
@@ -322,8 +330,8 @@
 
 
 def test_outage_over_midnight_finds_shares_of_the_new_day() -> None:
-    ledger = ledger_lib.ShareBook(identity.Incarnation("h1", 1))
-    ledger.fold.begin_at(0)
+    ledger = ledger_lib.ShareLedger(identity.Incarnation("h1", 1))
+    ledger.fold.restart(0)
     ledger.hosts = 9
     ledger.in_force = share_model.table_of(1_000_000)
     midnight = (DAY + 1) * float(records.SECONDS_PER_DAY)
@@ -336,7 +344,7 @@
     ledger.log_is_up = False
     verdict = ledger.reserve(share_model.ACCOUNT, 10_000, DAY + 1, midnight + 1)
     assertions.assert_that(
-        verdict, matchers.Equals(ledger_lib.Verdict.RESERVED)
+        verdict, matchers.Equals(ledger_lib.ReserveResult.RESERVED)
     )
 
 
@@ -344,10 +352,10 @@
     None
 ):
     fold = shares.ShareFold()
-    fold.begin_at(0)
-    for offset in range(wallet.MOST_HOSTS):
-        ledger = ledger_lib.ShareBook(identity.Incarnation(f"h{offset}", 1))
-        ledger.fold.begin_at(0)
+    fold.restart(0)
+    for offset in range(local_shares.MIN_ASSUMED_HOSTS):
+        ledger = ledger_lib.ShareLedger(identity.Incarnation(f"h{offset}", 1))
+        ledger.fold.restart(0)
         ledger.in_force = share_model.table_of(1_000_000)
         (request,) = ledger.plan(AT, {})
         fold.apply(offset, AT, request)
--- a/tests/core/once/once_cluster.py
+++ b/tests/core/once/once_cluster.py
@@ -119,12 +119,12 @@
         """Lets the deadline of the longest waiting caller expire."""
         for request_id, (_, wait) in tuple(host.waiting.items())[:1]:
             del host.waiting[request_id]
-            host.claimant.leave(wait, request_id)
+            host.claimant.stop_waiting(wait, request_id)
             self.refused.add(request_id)
         self._wake(host)
 
     def _wake(self, host: Host) -> None:
-        changed = host.claimant.take_changed()
+        changed = host.claimant.pop_changes()
         for request, wait in tuple(host.waiting.values()):
             change = changed.get(wait.claim_id)
             if change is messages.Change.GIVEN_UP:
@@ -154,9 +154,9 @@
         if batch is None:
             return
         if host.stored:
-            host.claimant.appended(batch)
+            host.claimant.on_append_stored(batch)
         else:
-            host.claimant.append_refused(batch, self.now)
+            host.claimant.on_append_refused(batch, self.now)
         self._wake(host)
 
     def lose_reply(self, host: Host) -> None:
@@ -166,7 +166,7 @@
             return
         if not host.stored:
             self.delayed.append(batch)
-        host.claimant.append_lost(batch, self.now)
+        host.claimant.on_append_lost(batch, self.now)
 
     def land_late(self, index: int) -> None:
         """Stores a delayed batch that its sender no longer waits for."""
--- a/tests/core/once/test_core_once_stateful.py
+++ b/tests/core/once/test_core_once_stateful.py
@@ -147,8 +147,8 @@
 class StartsOnReply(claimant_lib.Claimant):
     """Starts a run on the append's reply, without reading the claim back."""
 
-    def appended(self, batch: records.ClaimBatch) -> None:
-        super().appended(batch)
+    def on_append_stored(self, batch: records.ClaimBatch) -> None:
+        super().on_append_stored(batch)
         for claim in batch.claims:
             run = self._runs.get(claim.key)
             if run and run.claim == claim and run.stage.name == "CLAIMING":
@@ -199,12 +199,12 @@
 class LatestClaimWins(MutantView):
     """Gives a held key to the latest claim."""
 
-    def _judge(
+    def _decide(
         self, state: view_lib.KeyState, claim_id: str
     ) -> view_lib.Verdict:
         if state.status is view_lib.Status.HELD:
             return view_lib.Verdict.WON
-        return super()._judge(state, claim_id)
+        return super()._decide(state, claim_id)
 
 
 class NeverClosesKeys(MutantView):
@@ -223,18 +223,18 @@
     def _sees_window(self) -> bool:
         return True
 
-    def blind_for(self, now: float) -> float:
+    def seconds_until_certain(self, now: float) -> float:
         return 0.0
 
 
 class ForgetsVoidClaims(MutantView):
     """Lets a released claim win if it is stored after its release."""
 
-    def _judge(
+    def _decide(
         self, state: view_lib.KeyState, claim_id: str
     ) -> view_lib.Verdict:
-        state.spent = ()
-        return super()._judge(state, claim_id)
+        state.void_claims = ()
+        return super()._decide(state, claim_id)
 
 
 def with_view(view: type[view_lib.KeyView]) -> type[claimant_lib.Claimant]:
--- a/tests/entry/limits/conftest.py
+++ b/tests/entry/limits/conftest.py
@@ -48,6 +48,6 @@
 
 async def _await_share(gate: limits.Gate, amount: int) -> None:
     day = records.day_of(limits_rows.clock())
-    wallet = gate.keeper.book.wallet
+    wallet = gate.keeper.book.local_shares
     while wallet.share(limits_rows.ACCOUNT, day).granted < amount:
         await asyncio.sleep(0)
--- a/tests/entry/limits/test_entry_limits.py
+++ b/tests/entry/limits/test_entry_limits.py
@@ -66,7 +66,7 @@
     admitted = await waiting
     idle_gate.release(admitted, 200)
     idle_gate.release(admitted, 200)
-    share = idle_gate.keeper.book.wallet.share(
+    share = idle_gate.keeper.book.local_shares.share(
         limits_rows.ACCOUNT, admitted.day
     )
     assertions.assert_that(
@@ -223,13 +223,13 @@
     for admitted in held:
         gate.release(admitted, 0)
     await asyncio.gather(*gone, return_exceptions=True)
-    use = gate.accounts.uses[limits_rows.ACCOUNT]
+    use = gate.accounts.usage[limits_rows.ACCOUNT]
     assertions.assert_that(
         (gate.present, pool.admission.in_use, use.in_flight),
         matchers.Equals((0, 0, 0)),
     )
     day = held[0].day
-    share = gate.keeper.book.wallet.share(limits_rows.ACCOUNT, day)
+    share = gate.keeper.book.local_shares.share(limits_rows.ACCOUNT, day)
     assertions.assert_that(share.reserved, matchers.Equals(0))
 
 
--- a/tests/entry/limits/test_entry_share_peers.py
+++ b/tests/entry/limits/test_entry_share_peers.py
@@ -15,9 +15,9 @@
 from hoistmoor.core import errors
 from hoistmoor.core import identity
 from hoistmoor.core import refusals
-from hoistmoor.core.limits import book
+from hoistmoor.core.limits import ledger
+from hoistmoor.core.limits import local_shares
 from hoistmoor.core.limits import records
-from hoistmoor.core.limits import wallet
 from hoistmoor.core.table import model
 from hoistmoor.entry import limits
 from hoistmoor.entry import share_peers
@@ -93,9 +93,9 @@
     )
 
 
-def share_of(gate: limits.Gate) -> wallet.Share:
+def share_of(gate: limits.Gate) -> local_shares.Share:
     day = records.day_of(limits_rows.clock())
-    return gate.keeper.book.wallet.share(limits_rows.ACCOUNT, day)
+    return gate.keeper.book.local_shares.share(limits_rows.ACCOUNT, day)
 
 
 def assert_refused(found: object) -> None:
@@ -131,7 +131,9 @@
             for _ in range(20)
         )
     )
-    assertions.assert_that(set(found), matchers.Equals({book.Verdict.RESERVED}))
+    assertions.assert_that(
+        set(found), matchers.Equals({ledger.ReserveResult.RESERVED})
+    )
     # One for the first request, and one for all that came meanwhile.
     assertions.assert_that(peer.calls, matchers.Equals(2))
 
@@ -160,7 +162,7 @@
 ) -> None:
     share = share_of(gate)
     rest = share.granted // 5
-    gate.keeper.book.wallet.settle(
+    gate.keeper.book.local_shares.settle(
         limits_rows.ACCOUNT,
         records.day_of(limits_rows.clock()),
         0,
@@ -222,14 +224,18 @@
 ) -> None:
     giver, taker = gate.keeper.book, newcomer.keeper.book
     day = records.day_of(limits_rows.clock())
-    first = taker.ask_peer("h1", limits_rows.ACCOUNT, 500, day, urgent=True)
-    answer = giver.give_peer(first, limits_rows.clock())
-    taker.ask_peer("h1", "other", 500, day, urgent=True)
-    again = taker.ask_peer("h1", limits_rows.ACCOUNT, 900, day, urgent=True)
+    first = taker.request_transfer(
+        "h1", limits_rows.ACCOUNT, 500, day, urgent=True
+    )
+    answer = giver.grant_transfer(first, limits_rows.clock())
+    taker.request_transfer("h1", "other", 500, day, urgent=True)
+    again = taker.request_transfer(
+        "h1", limits_rows.ACCOUNT, 900, day, urgent=True
+    )
     assertions.assert_that(again, matchers.Equals(first))
-    repeated = giver.give_peer(again, limits_rows.clock())
+    repeated = giver.grant_transfer(again, limits_rows.clock())
     assertions.assert_that(repeated, matchers.Equals(answer))
-    taken = [taker.transfers.take(answer) for _ in range(2)]
+    taken = [taker.transfers.accept(answer) for _ in range(2)]
     assertions.assert_that(taken, matchers.Equals([answer.amount, 0]))
 
 
--- a/tests/entry/once/test_entry_once.py
+++ b/tests/entry/once/test_entry_once.py
@@ -270,7 +270,7 @@
     log.down = True  # The reader's long poll ends.
     log.grown.set()
     async with asyncio.timeout(20):
-        while not reader.outbox.is_closed(time.time()):
+        while not reader.outbox.is_suspended(time.time()):
             await begin(hosts[1], "b")
     log.first = len(log.records["claims"])
     log.down = False
