--- a/benchmarks/capacity/memory.py
+++ b/benchmarks/capacity/memory.py
@@ -81,7 +81,7 @@
 
 def make_claims(count: int) -> object:
     """Keeps exposure claims that were settled."""
-    fold = exposure.ExposureFold()
+    fold = exposure.ExposureLedger()
     for n in range(count):
         fold.on_claim(
             n,
--- a/benchmarks/capacity/tree.py
+++ b/benchmarks/capacity/tree.py
@@ -62,7 +62,7 @@
         log=event_log.EventLog("h", clock, nowhere),
         counters=metrics.RelayMetrics(),
         router=router_lib.Router(
-            "z", bounds_lib.Bounds(), hashing.Draws.seeded(1)
+            "z", bounds_lib.Bounds(), hashing.RandomGenerator.from_seed(1)
         ),
         lease=configuration_lease.ConfigurationLease(5.0),
         outstanding=outstanding.OutstandingWork(),
--- a/benchmarks/ratings.py
+++ b/benchmarks/ratings.py
@@ -17,8 +17,8 @@
 import attrs
 import orjson
 
-from hoistmoor.core.routing import evidence
 from hoistmoor.core.routing import messages
+from hoistmoor.core.routing import quality_estimates
 from hoistmoor.core.table import model
 
 VERSIONS = 12
@@ -39,7 +39,7 @@
         attempt = f"host-{source.randrange(HOSTS)}.18f2a3b4c.{number:x}.1"
         found.append(
             messages.Rating(
-                evidence.tag_answer(
+                quality_estimates.make_answer_id(
                     attempt,
                     source.betavariate(5, 1.5),
                     escalated=source.random() < 0.2,
@@ -66,7 +66,7 @@
         collections.defaultdict(lambda: [0, 0])
     )
     for rating in ratings:
-        bucket, escalated = evidence.read_tag(rating.answer_id)
+        bucket, escalated = quality_estimates.parse_answer_id(rating.answer_id)
         version = f"{rating.model}@{rating.version}"
         cell = cells[version, rating.kind, bucket, escalated]
         cell[not rating.good] += 1
@@ -97,7 +97,7 @@
         )
         for r in ratings
     }
-    known = evidence.Evidence()
+    known = quality_estimates.QualityEstimates()
     start = time.process_time()
     for rating in ratings:
         row = rows[f"{rating.model}@{rating.version}"]
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -15,8 +15,8 @@
 import attrs
 import orjson
 
-from hoistmoor.core.routing import evidence
 from hoistmoor.core.routing import messages
+from hoistmoor.core.routing import quality_estimates
 from hoistmoor.core.routing import router as router_lib
 from hoistmoor.core.table import model
 
@@ -196,7 +196,9 @@
 
     def rate() -> None:
         number = next(turn)
-        tag = evidence.tag_answer(f"a{number}", 0.9, escalated=False)
+        tag = quality_estimates.make_answer_id(
+            f"a{number}", 0.9, escalated=False
+        )
         router.on_rating(
             messages.Rating(
                 tag, "model-1", "v1", "answer", number % 10 > 0, float(number)
@@ -205,8 +207,8 @@
         )
 
     def plan_anew() -> None:
-        router.catalog.menus.kept.clear()
-        router.catalog.for_auto("big", "answer", 0.0)
+        router.catalog.policies.entries.clear()
+        router.catalog.auto_options("big", "answer", 0.0)
 
     in_force = model.TableInForce(2, table)
     return {
@@ -214,7 +216,7 @@
         "rating": time_per_call(rate, CALLS),
         "plan": time_per_call(plan_anew, SCANS),
         "plan of a shared menu": time_per_call(
-            lambda: router.catalog.for_auto("big", "answer", 0.0), SCANS
+            lambda: router.catalog.auto_options("big", "answer", 0.0), SCANS
         ),
         "table edit": time_per_call(lambda: router.on_table(in_force), 5),
     }
@@ -262,7 +264,7 @@
 
 def rate(router: router_lib.Router, number: int, now: float) -> None:
     """Hands the router a rating of one version and kind in turn."""
-    tag = evidence.tag_answer(f"a{number}", 0.9, escalated=False)
+    tag = quality_estimates.make_answer_id(f"a{number}", 0.9, escalated=False)
     router.on_rating(
         messages.Rating(
             tag,
--- a/benchmarks/security.py
+++ b/benchmarks/security.py
@@ -227,12 +227,12 @@
             signed = signer.sign("/p/Ping", "10.0.0.1:1", body, time.time())
             between = time.process_time_ns()
             call = verifier.verify("/p/Ping", signed.header, time.time())
-            assert isinstance(call, calls.Genuine)
-            assert call.is_body(body)
-            header = call.reply_header(body)
+            assert isinstance(call, calls.AuthenticatedCall)
+            assert call.matches_body(body)
+            header = call.sign_reply(body)
             spent["judge"] += time.process_time_ns() - between
             spent["sign"] += between - at
-            assert signer.is_reply(signed, header, body)
+            assert signer.verify_reply(signed, header, body)
         sign, judge = spent["sign"] / 5e6, spent["judge"] / 5e6
         say(
             f"by the callee's {what} secret: sign {sign:.1f} us, "
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -13,8 +13,8 @@
 
 import attrs
 
-from hoistmoor.core.routing import evidence
 from hoistmoor.core.routing import messages
+from hoistmoor.core.routing import quality_estimates
 from hoistmoor.core.routing import router as router_lib
 from hoistmoor.core.routing import sequential
 from hoistmoor.core.table import limits
@@ -80,7 +80,9 @@
         if self.kind in ("", kind):
             chance *= 1.0 - (1.0 - self.turned) * depth
         return messages.Rating(
-            evidence.tag_answer(f"a{number}", confidence, escalated=False),
+            quality_estimates.make_answer_id(
+                f"a{number}", confidence, escalated=False
+            ),
             "watched",
             "1",
             kind,
@@ -94,7 +96,7 @@
     router = make_router(confidence)
     for number in range(RATINGS):
         router.on_rating(stream.rating(number), 5.0 * number)
-        if router.take_effects():
+        if router.drain_effects():
             return number
     return None
 
@@ -131,7 +133,9 @@
             found = until_withdrawn(stream, confidence)
             if found is None or found >= TURN_AT:
                 delays.append((found or RATINGS) - TURN_AT)
-        limit = sequential.detection_limit(PRIOR, PRIOR * turned, confidence)
+        limit = sequential.min_detection_delay(
+            PRIOR, PRIOR * turned, confidence
+        )
         limit *= len(KINDS) if kind else 1
         sys.stdout.write(
             f"  {name}: median {statistics.median(delays):.0f}, most "
--- a/src/hoistmoor/config/checks.py
+++ b/src/hoistmoor/config/checks.py
@@ -69,7 +69,7 @@
 
 def _check_operator_keys(value: str) -> None:
     for part in filter(None, value.split(",")):
-        if not operators.is_hash(part):
+        if not operators.is_key_hash(part):
             raise errors.ConfigurationError(
                 "a part is not a SHA-256 in hex",
                 "Give hashes, not keys, parted by commas; see "
--- a/src/hoistmoor/core/relay/placement/placement.py
+++ b/src/hoistmoor/core/relay/placement/placement.py
@@ -54,7 +54,7 @@
     ready: list[server_lib.ServerState],
     zone: str,
     now: float,
-    draws: hashing.Draws,
+    draws: hashing.RandomGenerator,
 ) -> server_lib.ServerState | None:
     """Returns the server for a plain request, or None if there is none.
 
@@ -76,7 +76,7 @@
     zone: str,
     distances: dict[str, float],
     mean_work: float,
-    draws: hashing.Draws,
+    draws: hashing.RandomGenerator,
     now: float,
 ) -> server_lib.ServerState | None:
     """Returns the engine for a model request, or None if there is none.
@@ -116,7 +116,11 @@
             1.0 + CLASS_DISTANCE_FACTOR * distances[server.entry.identity]
         )
         domain_factor = REMOTE_FACTOR if server.entry.zone != zone else 1.0
-        slowdown = class_factor * domain_factor * max(1.0, server.health.pace)
+        slowdown = (
+            class_factor
+            * domain_factor
+            * max(1.0, server.health.relative_duration)
+        )
         queueing = 1.0 + math.pow(server.occupancy(now), OCCUPANCY_EXPONENT)
         return (outstanding + own) * slowdown * queueing
 
@@ -126,7 +130,7 @@
 def _sample(
     ready: list[server_lib.ServerState],
     proximity: dict[str, float],
-    draws: hashing.Draws,
+    draws: hashing.RandomGenerator,
 ) -> list[server_lib.ServerState]:
     """Returns a random sample of servers, weighted by proximity."""
     if len(ready) <= SAMPLE_SIZE:
@@ -136,7 +140,7 @@
     limited = [server for server in ready if server.limit.rate is not None]
 
     def sort_key(server: server_lib.ServerState) -> float:
-        uniform = (draws.below(_DRAW_RANGE) + 1) / _DRAW_RANGE
+        uniform = (draws.randbelow(_DRAW_RANGE) + 1) / _DRAW_RANGE
         return -math.log(uniform) / proximity[server.entry.identity]
 
     return heapq.nsmallest(SAMPLE_SIZE, ready, key=sort_key) + limited
@@ -150,14 +154,17 @@
         (server.entry.identity, proximity[server.entry.identity])
         for server in ready
     )
-    identity = hashing.weighted_pick(key, weights)
+    identity = hashing.weighted_rendezvous(key, weights)
     return next(server for server in ready if server.entry.identity == identity)
 
 
 def _cost(
-    server: server_lib.ServerState, zone: str, now: float, draws: hashing.Draws
+    server: server_lib.ServerState,
+    zone: str,
+    now: float,
+    draws: hashing.RandomGenerator,
 ) -> float:
     bias = REMOTE_BIAS if server.entry.zone != zone else 0.0
-    noise = TIE_NOISE * draws.below(_DRAW_RANGE) / _DRAW_RANGE
-    pace = max(1.0, server.health.pace)
+    noise = TIE_NOISE * draws.randbelow(_DRAW_RANGE) / _DRAW_RANGE
+    pace = max(1.0, server.health.relative_duration)
     return server.reported_occupancy(now) * pace + bias + noise
--- a/src/hoistmoor/core/relay/placement/router.py
+++ b/src/hoistmoor/core/relay/placement/router.py
@@ -52,7 +52,7 @@
         self,
         zone: str,
         bounds: bounds_lib.Bounds,
-        draws: hashing.Draws,
+        draws: hashing.RandomGenerator,
         host_name: str = "",
     ) -> None:
         """Creates a router without servers.
@@ -155,7 +155,7 @@
             now,
         )
         ready = self.fleet.ready(
-            usable, allowed, excluded, now, self._draws.unit()
+            usable, allowed, excluded, now, self._draws.random()
         )
         self._service(service).record_readiness(bool(ready), now)
         if request.prompt is None:
@@ -192,13 +192,13 @@
         """
         if outlook.reason is eligibility.IneligibilityReason.RESTING:
             return retry_after.delay_during_rest(
-                outlook.wait, self._draws.unit()
+                outlook.wait, self._draws.random()
             )
         if outlook.wait < eligibility.INDEFINITE:
             return max(outlook.wait, retry_after.CAPACITY_DELAY)
         since = self._service(request.service).unavailable_since
         outage = 0.0 if since is None else now - since
-        return retry_after.delay_without_servers(outage, self._draws.unit())
+        return retry_after.delay_without_servers(outage, self._draws.random())
 
     def class_of(
         self, request: requests.RelayRequest, model: str
@@ -302,14 +302,14 @@
     def _note_health(
         self, health: health_lib.Health, now: float, *, is_success: bool
     ) -> None:
-        health.note(is_success, 1.0)
+        health.record(is_success, 1.0)
         if health.is_outlier():
             health.eject(now)
 
     def _note_full(
         self, request: requests.RelayRequest, send: messages.Send, now: float
     ) -> None:
-        send.server.health.full_until = now + fleet_lib.FULL_REST_SECONDS
+        send.server.health.at_capacity_until = now + fleet_lib.FULL_REST_SECONDS
 
     def _note_replaced(
         self, request: requests.RelayRequest, send: messages.Send, now: float
@@ -323,7 +323,7 @@
     ) -> None:
         if send.is_retry:
             self._service(request.service).budget.cancel_retry(now)
-        self.fleet.record_unreachable(send.server, now, self._draws.unit())
+        self.fleet.record_unreachable(send.server, now, self._draws.random())
         send.server.health.rest_unreachable(
             now,
             fleet_lib.UNREACHABLE_REST_SECONDS,
--- a/src/hoistmoor/core/relay/servers/fleet.py
+++ b/src/hoistmoor/core/relay/servers/fleet.py
@@ -372,7 +372,7 @@
         ]
         pool = preferred or pool
         for server in pool:
-            server.health.wake(now)
+            server.health.end_rests(now)
         healthy = [server for server in pool if not server.health.is_resting]
         return (
             healthy
--- a/src/hoistmoor/core/relay/servers/shares.py
+++ b/src/hoistmoor/core/relay/servers/shares.py
@@ -99,7 +99,7 @@
         selected = heapq.nsmallest(
             count,
             self._hosts,
-            key=lambda host: hashing.unit(f"{key} {host}", _HASH_SEED),
+            key=lambda host: hashing.uniform(f"{key} {host}", _HASH_SEED),
         )
         own = per_host if self.host_name in selected else 0
         return Quota(own, per_host * count)
--- a/src/hoistmoor/core/requests/routes.py
+++ b/src/hoistmoor/core/requests/routes.py
@@ -79,7 +79,7 @@
         now: float,
     ) -> tuple[str, ...]:
         """Returns a few servers if the load reports of the pool are stale."""
-        return router.to_probe(choice, excluded, now)
+        return router.servers_to_probe(choice, excluded, now)
 
     def judge(
         self,
--- a/src/hoistmoor/core/routing/affinity.py
+++ b/src/hoistmoor/core/routing/affinity.py
@@ -15,7 +15,7 @@
     from hoistmoor.core.routing import messages
 
 MAX_BLOCKS = 50_000  # Blocks indexed; the least recently stored is evicted.
-ENTRY_LIFE_S = 120.0
+ENTRY_TTL_S = 120.0
 MAX_HOLDERS = 4  # Servers indexed per block.
 
 
@@ -36,11 +36,11 @@
     """
 
     holders: dict[int, dict[str, tuple[int, float]]] = attrs.field(factory=dict)
-    followers: dict[str, _EventCursor] = attrs.field(factory=dict)
+    cursors: dict[str, _EventCursor] = attrs.field(factory=dict)
 
     def on_event(self, event: messages.CacheEvent, now: float) -> None:
         """Applies an event; a sequence gap invalidates the server's entries."""
-        cursor = self.followers.setdefault(event.server, _EventCursor())
+        cursor = self.cursors.setdefault(event.server, _EventCursor())
         if event.sequence <= cursor.sequence:
             return
         if cursor.sequence >= 0 and event.sequence > cursor.sequence + 1:
@@ -52,7 +52,7 @@
 
     def store(self, server: str, blocks: tuple[int, ...], now: float) -> None:
         """Records that ``server`` caches ``blocks`` or is about to."""
-        cursor = self.followers.setdefault(server, _EventCursor())
+        cursor = self.cursors.setdefault(server, _EventCursor())
         for block in blocks:
             entry = self.holders.pop(block, {})
             entry.pop(server, None)
@@ -63,7 +63,7 @@
         while len(self.holders) > MAX_BLOCKS:
             del self.holders[next(iter(self.holders))]
 
-    def find(
+    def find_longest(
         self, prefix: tuple[int, ...], now: float
     ) -> tuple[float, tuple[str, ...]]:
         """Returns the servers that cache the longest prefix of a prompt.
@@ -93,9 +93,9 @@
         entry = self.holders.get(block)
         if not entry:
             return ()
-        oldest = now - ENTRY_LIFE_S
+        oldest = now - ENTRY_TTL_S
         return tuple(
             server
             for server, (epoch, at) in entry.items()
-            if at >= oldest and epoch == self.followers[server].epoch
+            if at >= oldest and epoch == self.cursors[server].epoch
         )
--- a/src/hoistmoor/core/routing/cascade.py
+++ b/src/hoistmoor/core/routing/cascade.py
@@ -18,16 +18,16 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from hoistmoor.core.routing import evidence
+    from hoistmoor.core.routing import quality_estimates
     from hoistmoor.core.table import model
 
 ACCEPT_ALL = 0  # Threshold of a policy that never escalates.
 # Standard deviations that the exploration plan adds to expected quality.
-EXPLORE_Z = 2.0
+EXPLORATION_Z = 2.0
 # Change of one version's log odds of a good answer per unit of change in
 # another's, for requests in the same confidence bucket.
-SHARED_HARDNESS = 0.8
-EXPLORE_SHARE = 0.1  # Share of requests that follow the exploration plan.
+SHARED_DIFFICULTY = 0.8
+EXPLORATION_SHARE = 0.1  # Share of requests that follow the exploration plan.
 
 
 @attrs.frozen
@@ -108,13 +108,13 @@
     key: str
     cost: float
     quality: float
-    shares: tuple[float, ...]
-    by_bucket: tuple[float, ...]
-    is_silent: bool = False
+    bucket_shares: tuple[float, ...]
+    bucket_qualities: tuple[float, ...]
+    lacks_confidence: bool = False
 
 
-def profiles(
-    known: evidence.Evidence,
+def make_profiles(
+    estimates: quality_estimates.QualityEstimates,
     row: model.Version,
     kind: str,
     tokens: tuple[float, float],
@@ -130,13 +130,15 @@
         deviations: Standard deviations added to the expected quality; a
             negative value gives a pessimistic profile.
     """
-    shares = known.bucket_shares(row, kind)
-    means = [estimate.mean for estimate in known.of_buckets(row, kind)]
+    shares = estimates.bucket_shares(row, kind)
+    means = [
+        estimate.mean for estimate in estimates.bucket_estimates(row, kind)
+    ]
     mean = _dot(shares, means)
-    overall = known.of_kind(row, kind)
+    overall = estimates.kind_estimate(row, kind)
     # Only answers above the escalation threshold are delivered and rated, so
     # the kind's own ratings are biased upwards. Those of the buckets are not.
-    offset = 0.0 if known.has_buckets(row, kind) else overall.mean - mean
+    offset = 0.0 if estimates.has_confidence(row, kind) else overall.mean - mean
     found = []
     for z in deviations:
         # The errors of the buckets are independent, and that of their sum is
@@ -146,11 +148,11 @@
         found.append(
             Profile(
                 row.key,
-                cost(row, tokens),
+                expected_cost(row, tokens),
                 _clamp(mean + offset + shift),
                 tuple(shares),
                 tuple(_clamp(value + offset) for value in by_bucket),
-                row.key in known.silent,
+                row.key in estimates.without_confidence,
             )
         )
     return found
@@ -178,22 +180,22 @@
     ]
 
 
-def cost(row: model.Version, tokens: tuple[float, float]) -> float:
+def expected_cost(row: model.Version, tokens: tuple[float, float]) -> float:
     """Returns the expected micros per answer."""
     prompt, output = tokens
     return (prompt * row.input_price + output * row.output_price) / 1000.0
 
 
-def singles(profiles: Sequence[Profile]) -> list[Policy]:
+def single_version_policies(profiles: Sequence[Profile]) -> list[Policy]:
     """Returns the policies that accept any answer of a single version."""
     return [Policy(p.key, ACCEPT_ALL, "", p.cost, p.quality) for p in profiles]
 
 
-def policies(profiles: Sequence[Profile]) -> list[Policy]:
+def all_policies(profiles: Sequence[Profile]) -> list[Policy]:
     """Returns all policies with one or two versions."""
-    found = singles(profiles)
+    found = single_version_policies(profiles)
     for first in profiles:
-        if first.is_silent:
+        if first.lacks_confidence:
             continue
         difficulty_factors = _difficulty_factors(first)
         for second in profiles:
@@ -208,14 +210,16 @@
     first: Profile, second: Profile, difficulty_factors: list[float]
 ) -> list[Policy]:
     quality_after = _quality_after_escalation(first, second, difficulty_factors)
-    quality = _dot(first.shares, first.by_bucket)
+    quality = _dot(first.bucket_shares, first.bucket_qualities)
     found = []
     escalated = 0.0
-    for threshold in range(1, len(first.shares)):
+    for threshold in range(1, len(first.bucket_shares)):
         bucket = threshold - 1
-        share = first.shares[bucket]
+        share = first.bucket_shares[bucket]
         escalated += share
-        quality += share * (quality_after[bucket] - first.by_bucket[bucket])
+        quality += share * (
+            quality_after[bucket] - first.bucket_qualities[bucket]
+        )
         cost = first.cost + escalated * second.cost
         found.append(Policy(first.key, threshold, second.key, cost, quality))
     return found
@@ -227,10 +231,10 @@
     Requests that are difficult for one version are mostly difficult for
     others too.
     """
-    mean = _log_odds(_dot(first.shares, first.by_bucket))
+    mean = _log_odds(_dot(first.bucket_shares, first.bucket_qualities))
     return [
-        math.exp(SHARED_HARDNESS * (_log_odds(quality) - mean))
-        for quality in first.by_bucket
+        math.exp(SHARED_DIFFICULTY * (_log_odds(quality) - mean))
+        for quality in first.bucket_qualities
     ]
 
 
@@ -244,7 +248,7 @@
     """
     odds = math.exp(_log_odds(second.quality))
     bad = [1.0 / (1.0 + odds * factor) for factor in difficulty_factors]
-    scale = (1.0 - second.quality) / max(1e-9, _dot(first.shares, bad))
+    scale = (1.0 - second.quality) / max(1e-9, _dot(first.bucket_shares, bad))
     return [1.0 - min(1.0, scale * share) for share in bad]
 
 
@@ -257,7 +261,7 @@
     return sum(a * b for a, b in zip(left, right, strict=True))
 
 
-def plan(candidates: Sequence[Policy], target: float) -> Plan:
+def make_plan(candidates: Sequence[Policy], target: float) -> Plan:
     """Returns the cheapest mix of policies that meets ``target``.
 
     Args:
@@ -267,10 +271,10 @@
     Returns:
         The plan, or that of the highest quality if none meets the target.
     """
-    return plan_on(hull(candidates), target)
+    return plan_from_hull(lower_hull(candidates), target)
 
 
-def plan_on(options: Sequence[Policy], target: float) -> Plan:
+def plan_from_hull(options: Sequence[Policy], target: float) -> Plan:
     """Returns the cheapest plan for ``target`` from a precomputed hull."""
     best = options[-1]
     if best.quality < target:
@@ -283,7 +287,7 @@
     return Plan(below, above, share, meets_target=True)
 
 
-def made_up(
+def offset_exploration(
     target: float, exploring: Plan, expected: Sequence[Policy]
 ) -> float:
     """Returns the target that offsets the quality lost to exploration.
@@ -302,10 +306,10 @@
     reached = share * quality_of(exploring.better)
     reached += (1.0 - share) * quality_of(exploring.cheaper)
     shortfall = max(0.0, target - reached)
-    return target + shortfall * EXPLORE_SHARE / (1.0 - EXPLORE_SHARE)
+    return target + shortfall * EXPLORATION_SHARE / (1.0 - EXPLORATION_SHARE)
 
 
-def hull(candidates: Sequence[Policy]) -> list[Policy]:
+def lower_hull(candidates: Sequence[Policy]) -> list[Policy]:
     """Returns the lower convex hull of cost over quality, cheapest first."""
     ordered = sorted(candidates, key=lambda p: (p.cost, -p.quality))
     found: list[Policy] = []
--- a/src/hoistmoor/core/routing/turns.py
+++ b/src/hoistmoor/core/routing/degradation.py
@@ -10,9 +10,9 @@
 
 import attrs
 
-from hoistmoor.core.routing import evidence
 from hoistmoor.core.routing import exposure
 from hoistmoor.core.routing import messages
+from hoistmoor.core.routing import quality_estimates
 from hoistmoor.core.routing import sequential
 from hoistmoor.core.table import limits
 
@@ -25,12 +25,16 @@
 TOLERANCE = 0.02
 TOLERANCE_Z = 1.0  # Uncertainty of the baseline, in standard deviations.
 ESCALATED_Z = 2.5  # The same for answers after an escalation.
-FIRST_LEVELS_AT = 10  # Ratings before the baselines are first estimated anew.
-QUIET = 20.0  # Statistic from which the baselines are not estimated anew.
+MIN_BASELINE_RATINGS = (
+    10  # Ratings before the baselines are first estimated anew.
+)
+MAX_REESTIMATION_STATISTIC = (
+    20.0  # Statistic from which the baselines are not estimated anew.
+)
 
 
 @attrs.define
-class Watch:
+class DegradationTest:
     """The test of one version for one kind of request.
 
     Attributes:
@@ -40,15 +44,15 @@
         relearn_at: Number of ratings at which the levels are estimated anew.
     """
 
-    levels: tuple[float, ...]
-    detector: sequential.TurnDetector = attrs.field(
-        factory=sequential.TurnDetector
+    baselines: tuple[float, ...]
+    detector: sequential.DegradationDetector = attrs.field(
+        factory=sequential.DegradationDetector
     )
-    relearn_at: int = FIRST_LEVELS_AT
+    next_estimation_at: int = MIN_BASELINE_RATINGS
 
 
 @attrs.define
-class TurnWatch:
+class DegradationMonitor:
     """Tests of all versions, and the withdrawals by this and other hosts.
 
     Attributes:
@@ -61,7 +65,9 @@
     """
 
     host: str
-    watches: dict[tuple[str, str, bool], Watch] = attrs.field(factory=dict)
+    tests: dict[tuple[str, str, bool], DegradationTest] = attrs.field(
+        factory=dict
+    )
     withdrawn: dict[tuple[str, str], messages.Withdrawal] = attrs.field(
         factory=dict
     )
@@ -80,9 +86,9 @@
             key: exposure.row_digest(row) for key, row in table.versions.items()
         }
         edited = {k for k in before if self.digests.get(k) != before[k]}
-        self.watches = {
+        self.tests = {
             key: watch
-            for key, watch in self.watches.items()
+            for key, watch in self.tests.items()
             if key[0] not in edited
         }
         # A withdrawal may be read before the table that it was decided on.
@@ -114,7 +120,7 @@
         self,
         rating: messages.Rating,
         row: model.Version,
-        known: evidence.Evidence,
+        estimates: quality_estimates.QualityEstimates,
         now: float,
     ) -> messages.Withdrawal | None:
         """Tests a rating that ``known`` does not include yet.
@@ -122,49 +128,53 @@
         Returns:
             The record for the log if the version must be withdrawn.
         """
-        bucket, escalated = evidence.read_tag(rating.answer_id)
+        bucket, escalated = quality_estimates.parse_answer_id(rating.answer_id)
         kinds = (rating.kind,) if escalated else (rating.kind, ALL_KINDS)
         for kind in kinds:
             if self.is_withdrawn(row.key, kind):
                 continue
-            watch = self._watch(row, kind, rating.kind, escalated, known)
-            watch.detector.add(rating.good, watch.levels[bucket])
-            if watch.detector.value >= self.threshold:
+            watch = self._get_test(row, kind, rating.kind, escalated, estimates)
+            watch.detector.add(rating.good, watch.baselines[bucket])
+            if watch.detector.statistic >= self.threshold:
                 return self._withdraw(row, kind, watch, now)
         return None
 
-    def _watch(
+    def _get_test(
         self,
         row: model.Version,
         kind: str,
         rated_kind: str,
         escalated: bool,
-        known: evidence.Evidence,
-    ) -> Watch:
+        estimates: quality_estimates.QualityEstimates,
+    ) -> DegradationTest:
         key = (row.key, kind, escalated)
-        watch = self.watches.get(key)
+        watch = self.tests.get(key)
         if watch is None:
-            watch = Watch(_estimate_levels(row, rated_kind, escalated, known))
-            self.watches[key] = watch
+            watch = DegradationTest(
+                _estimate_baselines(row, rated_kind, escalated, estimates)
+            )
+            self.tests[key] = watch
         elif kind == ALL_KINDS:
             # Kinds differ in quality, so each rating is compared with the
             # baseline of its own kind.
-            of_kind = self.watches.get((row.key, rated_kind, escalated))
-            watch.levels = of_kind.levels if of_kind else watch.levels
+            of_kind = self.tests.get((row.key, rated_kind, escalated))
+            watch.baselines = of_kind.baselines if of_kind else watch.baselines
         elif (
-            watch.detector.ratings >= watch.relearn_at
-            and watch.detector.value < QUIET
+            watch.detector.ratings >= watch.next_estimation_at
+            and watch.detector.statistic < MAX_REESTIMATION_STATISTIC
         ):
             # The intervals double, so that slow degradation does not become
             # part of the baseline.
-            watch.levels = _estimate_levels(row, kind, escalated, known)
-            watch.relearn_at *= 2
+            watch.baselines = _estimate_baselines(
+                row, kind, escalated, estimates
+            )
+            watch.next_estimation_at *= 2
         return watch
 
     def _withdraw(
-        self, row: model.Version, kind: str, watch: Watch, now: float
+        self, row: model.Version, kind: str, watch: DegradationTest, now: float
     ) -> messages.Withdrawal:
-        value = watch.detector.value
+        value = watch.detector.statistic
         record = messages.Withdrawal(
             version=row.key,
             kind=kind,
@@ -174,31 +184,38 @@
             evidence=f"{value:.0f} >= {self.threshold:.0f} after "
             f"{watch.detector.ratings} ratings",
         )
-        watch.detector = sequential.TurnDetector()
+        watch.detector = sequential.DegradationDetector()
         return record
 
 
-def _estimate_levels(
+def _estimate_baselines(
     row: model.Version,
     kind: str,
     escalated: bool,
-    known: evidence.Evidence,
+    estimates: quality_estimates.QualityEstimates,
 ) -> tuple[float, ...]:
     if escalated:
         # The difficulty of escalated requests changes with the plan, so there
         # is one baseline for all buckets and it has a wider margin.
-        level = evidence.lowered(known.after_escalation(row, kind), ESCALATED_Z)
-        return (level - TOLERANCE,) * (evidence.BUCKETS + 1)
-    by_bucket = (*known.of_buckets(row, kind), known.of_kind(row, kind))
-    kind_level = evidence.lowered(known.of_kind(row, kind), TOLERANCE_Z)
+        level = quality_estimates.lower_bound(
+            estimates.escalation_estimate(row, kind), ESCALATED_Z
+        )
+        return (level - TOLERANCE,) * (quality_estimates.BUCKET_COUNT + 1)
+    by_bucket = (
+        *estimates.bucket_estimates(row, kind),
+        estimates.kind_estimate(row, kind),
+    )
+    kind_level = quality_estimates.lower_bound(
+        estimates.kind_estimate(row, kind), TOLERANCE_Z
+    )
     return tuple(
         _level(estimate, kind_level) - TOLERANCE for estimate in by_bucket
     )
 
 
-def _level(estimate: evidence.Estimate, kind_level: float) -> float:
-    level = evidence.lowered(estimate, TOLERANCE_Z)
-    if estimate.count < FIRST_LEVELS_AT:
+def _level(estimate: quality_estimates.Estimate, kind_level: float) -> float:
+    level = quality_estimates.lower_bound(estimate, TOLERANCE_Z)
+    if estimate.count < MIN_BASELINE_RATINGS:
         # Too few ratings to show that the bucket is better than its kind.
         return min(level, kind_level)
     return level
--- a/src/hoistmoor/core/routing/exposure.py
+++ b/src/hoistmoor/core/routing/exposure.py
@@ -21,8 +21,8 @@
 if TYPE_CHECKING:
     from hoistmoor.core.table import model
 
-MAX_OPEN_CLAIM_S = 3.0  # Seconds before an unsettled claim is repeated.
-REMINDER_PERIOD_S = 1800.0  # Must be well below the log's retention.
+CLAIM_TIMEOUT_S = 3.0  # Seconds before an unsettled claim is repeated.
+REPETITION_PERIOD_S = 1800.0  # Must be well below the log's retention.
 SLICES_PER_HOST = 4  # Slices per host in an even division of the cap.
 
 
@@ -37,7 +37,7 @@
 
 
 @attrs.define
-class ExposureFold:
+class ExposureLedger:
     """Grants claims in log order, with the same result at every reader.
 
     A reader that starts after the first record of the stream does not know
@@ -53,18 +53,18 @@
     """
 
     granted: dict[str, int] = attrs.field(factory=dict)
-    settled: dict[str, int] = attrs.field(factory=dict)
+    granted_by_claim: dict[str, int] = attrs.field(factory=dict)
     is_complete: bool = True
-    waiting: list[tuple[int, messages.ExposureClaim]] = attrs.field(
+    deferred: list[tuple[int, messages.ExposureClaim]] = attrs.field(
         factory=list
     )
-    first: int = 0
+    first_offset: int = 0
 
     def on_gap(self, first: int) -> None:
         """Handles the loss of all records before offset ``first``."""
         self.is_complete = False
-        self.first = first
-        self.waiting.clear()
+        self.first_offset = first
+        self.deferred.clear()
 
     def on_claim(self, offset: int, claim: messages.ExposureClaim) -> int:
         """Applies a claim and returns the amount granted.
@@ -72,29 +72,29 @@
         A repeated claim is counted once.
         """
         if not self.is_complete:
-            self.waiting.append((offset, claim))
+            self.deferred.append((offset, claim))
             return 0
         return self._grant(claim)
 
     def _grant(self, claim: messages.ExposureClaim) -> int:
-        if claim.claim_id in self.settled:
-            return self.settled[claim.claim_id]
+        if claim.claim_id in self.granted_by_claim:
+            return self.granted_by_claim[claim.claim_id]
         granted = self.granted.get(claim.row_digest, 0)
         amount = max(0, min(claim.amount, claim.cap - granted))
         self.granted[claim.row_digest] = granted + amount
-        self.settled[claim.claim_id] = amount
+        self.granted_by_claim[claim.claim_id] = amount
         return amount
 
     def on_tally(self, tally: messages.ExposureTally) -> None:
         """Applies a tally if all claims that follow it have been read."""
-        if self.is_complete or tally.as_of < self.first:
+        if self.is_complete or tally.as_of < self.first_offset:
             return
         self.granted = dict(tally.granted)
         self.is_complete = True
-        for offset, claim in self.waiting:
+        for offset, claim in self.deferred:
             if offset >= tally.as_of:
                 self._grant(claim)
-        self.waiting.clear()
+        self.deferred.clear()
 
 
 @attrs.define
@@ -111,32 +111,32 @@
     """
 
     holder: str
-    fold: ExposureFold = attrs.field(factory=ExposureFold)
-    left: dict[str, int] = attrs.field(factory=dict)
-    open_claims: dict[str, tuple[messages.ExposureClaim, float]] = attrs.field(
-        factory=dict
+    ledger: ExposureLedger = attrs.field(factory=ExposureLedger)
+    remaining: dict[str, int] = attrs.field(factory=dict)
+    unsettled_claims: dict[str, tuple[messages.ExposureClaim, float]] = (
+        attrs.field(factory=dict)
     )
     serial: int = 0
 
     def on_claim(self, offset: int, claim: messages.ExposureClaim) -> None:
         """Applies a claim read from the log, of this or another host."""
-        is_first = claim.claim_id not in self.fold.settled
-        amount = self.fold.on_claim(offset, claim)
+        is_first = claim.claim_id not in self.ledger.granted_by_claim
+        amount = self.ledger.on_claim(offset, claim)
         if claim.holder != self.holder or not is_first:
             return
-        self.open_claims.pop(claim.row_digest, None)
+        self.unsettled_claims.pop(claim.row_digest, None)
         digest = claim.row_digest
-        self.left[digest] = self.left.get(digest, 0) + amount
+        self.remaining[digest] = self.remaining.get(digest, 0) + amount
 
-    def spend(self, digest: str) -> bool:
+    def try_consume(self, digest: str) -> bool:
         """Consumes one unproven answer; returns False if none is left."""
-        left = self.left.get(digest, 0)
+        left = self.remaining.get(digest, 0)
         if left <= 0:
             return False
-        self.left[digest] = left - 1
+        self.remaining[digest] = left - 1
         return True
 
-    def claim_if_low(
+    def claim_if_exhausted(
         self, row: model.Version, digest: str, hosts: int, now: float
     ) -> messages.ExposureClaim | None:
         """Returns a claim to append to the log, if one is due.
@@ -147,16 +147,16 @@
             hosts: Number of known hosts; affects only the size of the slice.
             now: Current time.
         """
-        if self.left.get(digest, 0) > 0 or not self.fold.is_complete:
+        if self.remaining.get(digest, 0) > 0 or not self.ledger.is_complete:
             return None
-        if self.fold.granted.get(digest, 0) >= row.exposure_cap:
+        if self.ledger.granted.get(digest, 0) >= row.exposure_cap:
             return None
-        claim, made_at = self.open_claims.get(digest, (None, 0.0))
-        if claim is not None and now < made_at + MAX_OPEN_CLAIM_S:
+        claim, made_at = self.unsettled_claims.get(digest, (None, 0.0))
+        if claim is not None and now < made_at + CLAIM_TIMEOUT_S:
             return None
         # An unsettled claim is repeated under the same id, so it counts once.
         claim = claim or self._new_claim(row, digest, hosts)
-        self.open_claims[digest] = (claim, now)
+        self.unsettled_claims[digest] = (claim, now)
         return claim
 
     def _new_claim(
@@ -175,7 +175,7 @@
 
 
 @attrs.define
-class Reminder:
+class RepetitionSchedule:
     """Schedules the repetition of records before log retention removes them.
 
     Hosts are scheduled at pseudo-random times within the period. A host that
@@ -192,20 +192,20 @@
     holder: str
     next_offset: int = 0
     due_at: float = 0.0
-    was_reminded: bool = False
+    was_repeated: bool = False
 
     def on_record(self, offset: int, record: object) -> None:
         """Handles any record of the stream."""
         self.next_offset = offset + 1
         if isinstance(record, messages.ExposureTally):
-            self.was_reminded = True
+            self.was_repeated = True
 
     def is_due(self, now: float) -> bool:
         """Returns whether to repeat the records now, and reschedules."""
-        if self.due_at and not self.was_reminded and now < self.due_at:
+        if self.due_at and not self.was_repeated and now < self.due_at:
             return False
-        is_due = self.due_at > 0.0 and not self.was_reminded
-        self.was_reminded = False
-        jitter = hashing.unit(self.holder, round(self.due_at))
-        self.due_at = now + REMINDER_PERIOD_S * (0.5 + jitter)
+        is_due = self.due_at > 0.0 and not self.was_repeated
+        self.was_repeated = False
+        jitter = hashing.uniform(self.holder, round(self.due_at))
+        self.due_at = now + REPETITION_PERIOD_S * (0.5 + jitter)
         return is_due
--- a/src/hoistmoor/core/routing/fleet.py
+++ b/src/hoistmoor/core/routing/fleet.py
@@ -15,10 +15,10 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-REPORT_LIFE_S = 15.0  # Age at which the load of a report is discarded.
+REPORT_TTL_S = 15.0  # Age at which the load of a report is discarded.
 # Bounds of the rest of a server that declined a call for lack of capacity.
-SHORTEST_FULL_S = 0.01
-LONGEST_FULL_S = 1.0
+MIN_CAPACITY_REST_S = 0.01
+MAX_CAPACITY_REST_S = 1.0
 _AVERAGE_WEIGHT = 0.02  # Weight of the latest attempt in the usual duration.
 
 
@@ -43,7 +43,7 @@
     by_name: dict[str, servers.ServerState] = attrs.field(factory=dict)
     by_address: dict[str, servers.ServerState] = attrs.field(factory=dict)
     pools: dict[str, servers.Pool] = attrs.field(factory=dict)
-    usual_pace: dict[str, float] = attrs.field(factory=dict)
+    average_durations: dict[str, float] = attrs.field(factory=dict)
     rests: list[tuple[float, str]] = attrs.field(factory=list)
     keys_by_service: dict[str, tuple[str, ...]] = attrs.field(factory=dict)
 
@@ -60,7 +60,7 @@
         bias = limits.value(table, "local_domain_bias")
         for row in table.servers.values():
             server = self._reuse_state(row, known)
-            server.far_bias = 0.0 if server.is_near else bias
+            server.remote_penalty = 0.0 if server.is_local else bias
             server.fair_share = max(1, row.concurrency // self.hosts)
             self.by_name[row.server] = server
         self.by_address = {s.row.address: s for s in self.by_name.values()}
@@ -76,7 +76,7 @@
         if server is None or server.row.address != row.address:
             return servers.ServerState(row, is_near)
         server.row = row
-        server.is_near = is_near
+        server.is_local = is_near
         server.pools = ()
         return server
 
@@ -86,7 +86,7 @@
         """Updates the pools of ``server`` and returns the previous ones."""
         previous = server.pools
         for pool in previous:
-            pool.drop(server)
+            pool.remove(server)
         keys = self.keys_by_service.get(server.row.service, ())
         if server.is_leaving:
             keys = ()
@@ -112,7 +112,7 @@
         if server is None or _is_older(report, server.report):
             return
         previous = server.report
-        server.take_report(report)
+        server.apply_report(report)
         was_leaving = server.is_leaving
         if previous and report.incarnation > previous.incarnation:
             server.is_leaving = False
@@ -135,7 +135,7 @@
         """Counts a call dispatched by this host."""
         server = self.by_name.get(name)
         if server is not None:
-            server.note(now, 1)
+            server.record_change(now, 1)
             self.refresh(server)
 
     def on_hosts(self, hosts: int) -> None:
@@ -156,15 +156,15 @@
         server = self.by_name.get(name)
         if server is None:
             return
-        server.note(now, -1)
+        server.record_change(now, -1)
         if result.declined:
             self._rest_at_capacity(server, now)
         elif not result.cancelled:
             key = version or server.row.service
             pace = self._relative_duration(key, result)
-            server.health.note(result.ok, pace)
+            server.health.record(result.ok, pace)
             if result.ok:
-                server.note_seconds(result.seconds)
+                server.record_duration(result.seconds)
             self._eject_if_due(server, now)
         self.refresh(server)
 
@@ -172,23 +172,25 @@
         self, server: servers.ServerState, now: float
     ) -> None:
         """Starts a rest of about the time until one call of the server ends."""
-        wait = server.seconds / max(1, server.row.concurrency)
-        server.health.full_until = now + min(
-            LONGEST_FULL_S, max(SHORTEST_FULL_S, wait)
+        wait = server.mean_duration / max(1, server.row.concurrency)
+        server.health.at_capacity_until = now + min(
+            MAX_CAPACITY_REST_S, max(MIN_CAPACITY_REST_S, wait)
+        )
+        heapq.heappush(
+            self.rests, (server.health.at_capacity_until, server.name)
         )
-        heapq.heappush(self.rests, (server.health.full_until, server.name))
 
     def _relative_duration(
         self, key: str, result: messages.AttemptResult
     ) -> float:
         """Returns the duration of a call as a multiple of the usual one."""
         pace = result.seconds / max(1, result.tokens)
-        average = self.usual_pace.get(key, pace)
+        average = self.average_durations.get(key, pace)
         if result.ok:
             # Caps the sample, so that a slow server does not raise the average
             # that it is compared with.
             capped = min(pace, 2.0 * average)
-            self.usual_pace[key] = average + _AVERAGE_WEIGHT * (
+            self.average_durations[key] = average + _AVERAGE_WEIGHT * (
                 capped - average
             )
         return pace / max(1e-9, average)
@@ -215,21 +217,21 @@
                     (s for s in pool.servers.values() if s.health.is_ejected),
                     key=lambda s: s.health.ejected_until,
                 )
-                ejected.health.put_back()
+                ejected.health.readmit()
                 self.refresh(ejected)
 
-    def wake(self, now: float) -> None:
+    def end_rests(self, now: float) -> None:
         """Ends the rests that are over by ``now``."""
         while self.rests and self.rests[0][0] <= now:
             server = self.by_name.get(heapq.heappop(self.rests)[1])
             if server is not None:
-                server.health.wake(now)
+                server.health.end_rests(now)
                 self.refresh(server)
 
     def expire_reports(self, pool: servers.Pool, now: float) -> None:
         """Discards the reported loads of servers that stopped reporting."""
         for server in _without_recent_report(pool, now):
-            server.forget_report()
+            server.discard_load()
             self.refresh(server)
 
 
@@ -237,7 +239,7 @@
     pool: servers.Pool, now: float
 ) -> Iterator[servers.ServerState]:
     for server in pool.servers.values():
-        if server.report and server.report.at < now - REPORT_LIFE_S:
+        if server.report and server.report.at < now - REPORT_TTL_S:
             yield server
 
 
--- a/src/hoistmoor/core/routing/hashing.py
+++ b/src/hoistmoor/core/routing/hashing.py
@@ -10,12 +10,14 @@
 _TWO_64 = float(1 << 64)
 
 
-def unit(key: str, seed: int) -> float:
+def uniform(key: str, seed: int) -> float:
     """Returns a uniform number in [0, 1) derived from ``key`` and ``seed``."""
     return xxhash.xxh3_64_intdigest(key.encode(), seed) / _TWO_64
 
 
-def weighted_pick(key: str, weights: tuple[tuple[str, float], ...]) -> str:
+def weighted_rendezvous(
+    key: str, weights: tuple[tuple[str, float], ...]
+) -> str:
     """Picks a name by weighted rendezvous hashing.
 
     A change to the weight of one name moves keys only to or from that name.
@@ -48,7 +50,7 @@
 
 
 @attrs.define
-class Draws:
+class RandomGenerator:
     """A pseudo-random number generator, faster than a hash per number.
 
     Attributes:
@@ -58,17 +60,17 @@
     state: int
 
     @classmethod
-    def seeded(cls, seed: int) -> Draws:
+    def from_seed(cls, seed: int) -> RandomGenerator:
         """Returns a generator whose state is a hash of ``seed``."""
         return cls(xxhash.xxh3_64_intdigest(str(seed).encode()))
 
-    def below(self, limit: int) -> int:
+    def randbelow(self, limit: int) -> int:
         """Returns the next integer in [0, ``limit``)."""
         self.state = (
             self.state * 6364136223846793005 + 1442695040888963407
         ) & 0xFFFFFFFFFFFFFFFF
         return ((self.state >> 33) * limit) >> 31
 
-    def unit(self) -> float:
+    def random(self) -> float:
         """Returns the next number in [0, 1)."""
-        return self.below(_UNIT_STEPS) / _UNIT_STEPS
+        return self.randbelow(_UNIT_STEPS) / _UNIT_STEPS
--- a/src/hoistmoor/core/routing/health.py
+++ b/src/hoistmoor/core/routing/health.py
@@ -7,14 +7,16 @@
 
 import attrs
 
-FAILURES_IN_A_ROW = 3
-FAILURE_RATE = 0.5
-FAILURE_STEP = 0.15  # Weight of the latest attempt in the failure rate.
-PACE_STEP = 0.1  # Weight of the latest attempt in the relative duration.
-SLOW_FACTOR = 3.0  # Relative duration above which a server is an outlier.
+MAX_CONSECUTIVE_FAILURES = 3
+MAX_FAILURE_RATE = 0.5
+FAILURE_WEIGHT = 0.15  # Weight of the latest attempt in the failure rate.
+DURATION_WEIGHT = 0.1  # Weight of the latest attempt in the relative duration.
+MAX_RELATIVE_DURATION = (
+    3.0  # Relative duration above which a server is an outlier.
+)
 MIN_ATTEMPTS = 8  # Attempts before rates and durations are evaluated.
 FIRST_REST_S = 5.0
-LONGEST_REST_S = 60.0
+MAX_REST_S = 60.0
 
 
 @attrs.define
@@ -33,13 +35,13 @@
             of capacity; 0 if there is none.
     """
 
-    failures: int = 0
+    consecutive_failures: int = 0
     failure_rate: float = 0.0
-    pace: float = 0.0
+    relative_duration: float = 0.0
     attempts: int = 0
     ejections: int = 0
     ejected_until: float = 0.0
-    full_until: float = 0.0
+    at_capacity_until: float = 0.0
 
     @property
     def is_ejected(self) -> bool:
@@ -49,9 +51,9 @@
     @property
     def is_resting(self) -> bool:
         """Whether the server is ejected or at capacity."""
-        return self.ejected_until > 0.0 or self.full_until > 0.0
+        return self.ejected_until > 0.0 or self.at_capacity_until > 0.0
 
-    def note(self, ok: bool, pace: float) -> None:
+    def record(self, ok: bool, relative_duration: float) -> None:
         """Counts one attempt.
 
         Args:
@@ -60,31 +62,33 @@
                 failed attempt.
         """
         self.attempts += 1
-        self.failures = 0 if ok else self.failures + 1
-        self.failure_rate += FAILURE_STEP * ((not ok) - self.failure_rate)
+        self.consecutive_failures = 0 if ok else self.consecutive_failures + 1
+        self.failure_rate += FAILURE_WEIGHT * ((not ok) - self.failure_rate)
         if not ok:
             return
-        weight = PACE_STEP if self.pace else 1.0
-        self.pace += weight * (pace - self.pace)
+        weight = DURATION_WEIGHT if self.relative_duration else 1.0
+        self.relative_duration += weight * (
+            relative_duration - self.relative_duration
+        )
         if self.attempts >= MIN_ATTEMPTS:
             self.ejections = 0
 
     def is_outlier(self) -> bool:
         """Returns whether the server should be ejected."""
-        if self.failures >= FAILURES_IN_A_ROW:
+        if self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES:
             return True
         if self.attempts < MIN_ATTEMPTS:
             return False
-        if self.failure_rate >= FAILURE_RATE:
+        if self.failure_rate >= MAX_FAILURE_RATE:
             return True
-        return self.pace > SLOW_FACTOR
+        return self.relative_duration > MAX_RELATIVE_DURATION
 
     def eject(self, now: float) -> None:
         """Starts a rest twice as long as the previous one."""
-        self._rest(now, FIRST_REST_S, LONGEST_REST_S)
+        self._rest(now, FIRST_REST_S, MAX_REST_S)
 
     def rest_unreachable(
-        self, now: float, first: float, longest: float
+        self, now: float, first: float, max_rest: float
     ) -> None:
         """Starts a rest after a failed connection attempt.
 
@@ -97,24 +101,26 @@
             longest: Maximum seconds of a rest.
         """
         if now >= self.ejected_until:
-            self._rest(now, first, longest)
+            self._rest(now, first, max_rest)
 
     def _rest(self, now: float, first: float, longest: float) -> None:
         rest = first * 2.0 ** min(self.ejections, 10)
         self.ejected_until = now + min(rest, longest)
         self.ejections += 1
 
-    def wake(self, now: float) -> None:
+    def end_rests(self, now: float) -> None:
         """Ends the rests that are over by ``now``."""
-        if self.full_until <= now:
-            self.full_until = 0.0
+        if self.at_capacity_until <= now:
+            self.at_capacity_until = 0.0
         if self.is_ejected and self.ejected_until <= now:
-            self.put_back()
+            self.readmit()
 
-    def put_back(self) -> None:
+    def readmit(self) -> None:
         """Ends the ejection and resets all statistics but ``ejections``."""
         self.ejected_until = 0.0
-        self.failures = FAILURES_IN_A_ROW - 1  # The next failure ejects again.
+        self.consecutive_failures = (
+            MAX_CONSECUTIVE_FAILURES - 1
+        )  # The next failure ejects again.
         self.failure_rate = 0.0
-        self.pace = 0.0
+        self.relative_duration = 0.0
         self.attempts = 0
--- a/src/hoistmoor/core/routing/options.py
+++ b/src/hoistmoor/core/routing/options.py
@@ -13,16 +13,16 @@
 import attrs
 
 from hoistmoor.core.routing import cascade
-from hoistmoor.core.routing import evidence
-from hoistmoor.core.routing import menus as menus_lib
+from hoistmoor.core.routing import degradation
 from hoistmoor.core.routing import messages
+from hoistmoor.core.routing import policy_cache as menus_lib
+from hoistmoor.core.routing import quality_estimates
 from hoistmoor.core.routing import rollout
-from hoistmoor.core.routing import turns
 from hoistmoor.core.table import limits
 from hoistmoor.core.table import model
 
 NEW_WORK_STAGES = frozenset({model.Stage.ACTIVE, model.Stage.CANDIDATE})
-PLAN_LIFE_S = 5.0  # Maximum delay before new estimates affect a plan.
+PLAN_TTL_S = 5.0  # Maximum delay before new estimates affect a plan.
 _STAGE_VERDICTS = {
     model.Stage.DRAINING: "draining: its sessions only",
     model.Stage.WITHDRAWN: "withdrawn by the operators",
@@ -60,16 +60,16 @@
         notes: Why each version is included or excluded.
     """
 
-    cautious: cascade.Plan
-    exploring: cascade.Plan
-    steady: cascade.Plan
+    default_plan: cascade.Plan
+    exploration_plan: cascade.Plan
+    session_plan: cascade.Plan
     fallbacks: tuple[str, ...]
     candidates: dict[str, tuple[str, float]]
     notes: tuple[messages.CandidateNote, ...]
 
 
 @attrs.define
-class Catalog:
+class OptionsCatalog:
     """Computes the options of each account from the table in force.
 
     Attributes:
@@ -82,43 +82,45 @@
     """
 
     table: model.Table
-    known: evidence.Evidence
-    watch: turns.TurnWatch
-    progress: rollout.Progress
+    estimates: quality_estimates.QualityEstimates
+    monitor: degradation.DegradationMonitor
+    progress: rollout.RolloutProgress
     tokens: dict[str, tuple[float, float]] = attrs.field(factory=dict)
-    menus: menus_lib.Menus = attrs.field(init=False)
+    policies: menus_lib.PolicyCache = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Creates an empty policy cache."""
-        self.menus = menus_lib.Menus(self.known)
+        self.policies = menus_lib.PolicyCache(self.estimates)
 
     @property
-    def caution(self) -> float:
+    def margin_z(self) -> float:
         """Standard deviations of quality included in the margin of a plan."""
         confidence = limits.value(self.table, "quality_confidence")
         return statistics.NormalDist().inv_cdf(confidence)
 
-    def verdict(self, account: str, row: model.Version, kind: str) -> str:
+    def exclusion_reason(
+        self, account: str, row: model.Version, kind: str
+    ) -> str:
         """Returns why ``row`` is excluded from new work; empty if it is not."""
         if self.table.grant_for(account, row) is None:
             return "not granted"
         if row.stage not in NEW_WORK_STAGES:
             return _STAGE_VERDICTS[row.stage]
-        if self.watch.is_withdrawn(row.key, kind):
+        if self.monitor.is_withdrawn(row.key, kind):
             return "withdrawn on evidence"
         return ""
 
-    def may_keep(self, account: str, key: str, kind: str) -> bool:
+    def can_keep(self, account: str, key: str, kind: str) -> bool:
         """Returns whether a session may stay on version ``key``."""
         row = self.table.versions.get(key)
         return (
             row is not None
             and row.stage is not model.Stage.WITHDRAWN
             and self.table.grant_for(account, row) is not None
-            and not self.watch.is_withdrawn(key, kind)
+            and not self.monitor.is_withdrawn(key, kind)
         )
 
-    def for_model(self, account: str, name: str, kind: str) -> ModelOptions:
+    def model_options(self, account: str, name: str, kind: str) -> ModelOptions:
         """Returns the options for requests that name a model.
 
         Args:
@@ -130,7 +132,7 @@
         notes = []
         weights = []
         for row in rows:
-            verdict = self.verdict(account, row, kind)
+            verdict = self.exclusion_reason(account, row, kind)
             if not verdict:
                 weights.append((row.key, self._weight(row, rows)))
             text = verdict or "weighed by its share"
@@ -146,15 +148,15 @@
         others = sum(r.weight for r in rows if r.stage is model.Stage.ACTIVE)
         if not others:
             return row.weight
-        share = self.progress.share(row, others, self.known)
+        share = self.progress.share(row, others, self.estimates)
         return others * share / max(1e-9, 1.0 - share)
 
-    def for_auto(
+    def auto_options(
         self, account: str, kind: str, now: float
     ) -> AutoOptions | None:
         """Returns the options for ``auto``; None if no version is allowed."""
         verdicts = {
-            key: self.verdict(account, row, kind)
+            key: self.exclusion_reason(account, row, kind)
             for key, row in self.table.versions.items()
         }
         usable = [
@@ -167,14 +169,16 @@
             return None
         tokens = self.tokens.get(kind, (200.0, 150.0))
         target = self.target(account)
-        menu = self.menus.of(tuple(plannable), kind, tokens, now)
-        safe_target = target + self.known.margin(kind, target, self.caution)
-        exploring = menu.exploring(target)
-        cautious = menu.cautious(safe_target, exploring)
+        menu = self.policies.get(tuple(plannable), kind, tokens, now)
+        safe_target = target + self.estimates.margin(
+            kind, target, self.margin_z
+        )
+        exploring = menu.exploration_plan(target)
+        cautious = menu.default_plan(safe_target, exploring)
         return AutoOptions(
             cautious,
             exploring,
-            menu.steady(safe_target),
+            menu.session_plan(safe_target),
             _fallbacks(plannable, menu, target, tokens),
             self._candidates(usable, plannable),
             self._notes(verdicts, kind, tokens, menu, cautious),
@@ -194,7 +198,7 @@
     def _is_unproven(self, row: model.Version) -> bool:
         return (
             row.stage is model.Stage.CANDIDATE
-            and not self.progress.is_proved(row, self.known)
+            and not self.progress.is_proven(row, self.estimates)
         )
 
     def _candidates(
@@ -207,7 +211,7 @@
                 continue
             siblings = [r for r in plannable if r.model == row.model]
             others = sum(r.weight for r in siblings)
-            share = self.progress.share(row, others, self.known)
+            share = self.progress.share(row, others, self.estimates)
             for sibling in siblings or plannable:
                 found[sibling.key] = (row.key, share)
         return found
@@ -217,7 +221,7 @@
         verdicts: dict[str, str],
         kind: str,
         tokens: tuple[float, float],
-        menu: menus_lib.Menu,
+        menu: menus_lib.PolicySet,
         plan: cascade.Plan,
     ) -> tuple[messages.CandidateNote, ...]:
         planned = {
@@ -231,17 +235,17 @@
             if not verdict:
                 quality = menu.qualities.get(key)
                 if quality is None:
-                    quality = self.known.of_kind(row, kind).mean
+                    quality = self.estimates.kind_estimate(row, kind).mean
                 text = planned.get(key, "dearer, or short of the target")
                 text = f"{text}; quality {quality:.3f}"
-            price = cascade.cost(row, tokens)
+            price = cascade.expected_cost(row, tokens)
             notes.append(messages.CandidateNote(key, "", text, price))
         return tuple(notes)
 
 
 def _fallbacks(
     rows: list[model.Version],
-    menu: menus_lib.Menu,
+    menu: menus_lib.PolicySet,
     target: float,
     tokens: tuple[float, float],
 ) -> tuple[str, ...]:
@@ -254,7 +258,7 @@
     def sort_key(row: model.Version) -> tuple[bool, float]:
         quality = menu.qualities[row.key]
         if quality >= target:
-            return False, cascade.cost(row, tokens)
+            return False, cascade.expected_cost(row, tokens)
         return True, -quality
 
     return tuple(row.key for row in sorted(rows, key=sort_key))
--- a/src/hoistmoor/core/routing/placement.py
+++ b/src/hoistmoor/core/routing/placement.py
@@ -14,12 +14,12 @@
     from hoistmoor.core.routing import hashing
     from hoistmoor.core.routing import servers
 
-BUSY_SHARE = 0.75  # Load at which servers of other domains are considered.
-PROBES = 3  # Maximum number of servers probed for their load before a call.
-KNOWN_S = 5.0  # Age up to which a load report makes a probe unnecessary.
-AFFINITY_GAIN = 0.5  # Bonus for a fully cached prompt, in shares of capacity.
+BUSY_LOAD = 0.75  # Load at which servers of other domains are considered.
+MAX_PROBES = 3  # Maximum number of servers probed for their load before a call.
+FRESH_REPORT_S = 5.0  # Age up to which a load report makes a probe unnecessary.
+AFFINITY_BONUS = 0.5  # Bonus for a fully cached prompt, in shares of capacity.
 
-Weighed = tuple[tuple[str, float], ...]
+Scores = tuple[tuple[str, float], ...]
 
 
 def score(server: servers.ServerState) -> float:
@@ -27,12 +27,12 @@
 
     Servers of other failure domains are charged a penalty. Lower is better.
     """
-    return (server.load + 1) / server.row.concurrency + server.far_bias
+    return (server.load + 1) / server.row.concurrency + server.remote_penalty
 
 
-def pick(
-    pool: servers.Pool, excluded: frozenset[str], draws: hashing.Draws
-) -> tuple[servers.ServerState | None, Weighed]:
+def pick_server(
+    pool: servers.Pool, excluded: frozenset[str], rng: hashing.RandomGenerator
+) -> tuple[servers.ServerState | None, Scores]:
     """Draws two ready servers and returns the better one.
 
     Args:
@@ -46,13 +46,13 @@
     """
     if excluded:
         return _pick_by_scan(pool, excluded)
-    near, far = pool.near.members, pool.far.members
+    near, far = pool.local.members, pool.remote.members
     if not near:
-        return _better_of_two(far, draws)
-    server, weighed = _better_of_two(near, draws)
-    if weighed[0][1] < BUSY_SHARE or not far:
+        return _better_of_two(far, rng)
+    server, weighed = _better_of_two(near, rng)
+    if weighed[0][1] < BUSY_LOAD or not far:
         return server, weighed
-    other, other_weighed = _better_of_two(far, draws)
+    other, other_weighed = _better_of_two(far, rng)
     weighed = weighed + other_weighed
     if server is None or other is None:
         return server or other, weighed
@@ -60,16 +60,16 @@
 
 
 def _better_of_two(
-    ready: list[servers.ServerState], draws: hashing.Draws
-) -> tuple[servers.ServerState | None, Weighed]:
+    ready: list[servers.ServerState], draws: hashing.RandomGenerator
+) -> tuple[servers.ServerState | None, Scores]:
     size = len(ready)
     if size == 0:
         return None, ()
-    first = ready[draws.below(size)]
+    first = ready[draws.randbelow(size)]
     first_score = score(first)
     if size == 1:
         return first, ((first.name, first_score),)
-    index = draws.below(size - 1)
+    index = draws.randbelow(size - 1)
     second = ready[index]
     if second is first:
         second = ready[-1]
@@ -82,11 +82,11 @@
 
 def _pick_by_scan(
     pool: servers.Pool, excluded: frozenset[str]
-) -> tuple[servers.ServerState | None, Weighed]:
+) -> tuple[servers.ServerState | None, Scores]:
     """Selects the best server by a full scan, used only for rare retries."""
     ready = [
         server
-        for server in (*pool.near.members, *pool.far.members)
+        for server in (*pool.local.members, *pool.remote.members)
         if server.name not in excluded
     ]
     if not ready:
@@ -95,11 +95,11 @@
     return best, ((best.name, score(best)),)
 
 
-def prefer_holder(
+def prefer_cached(
     pool: servers.Pool,
     holders: tuple[str, ...],
     held_share: float,
-    rival: servers.ServerState,
+    least_loaded: servers.ServerState,
     excluded: frozenset[str],
 ) -> servers.ServerState:
     """Returns a server with a cached prefix if its score is best.
@@ -111,24 +111,24 @@
         rival: Best server by load; returned unless a holder is better.
         excluded: Names of servers that must not be selected.
     """
-    best, best_score = rival, score(rival)
-    if rival.name in holders:
-        best_score -= AFFINITY_GAIN * held_share
+    best, best_score = least_loaded, score(least_loaded)
+    if least_loaded.name in holders:
+        best_score -= AFFINITY_BONUS * held_share
     for name in holders:
         server = pool.servers.get(name)
         if server is None or name in excluded or not server.is_ready:
             continue
-        holder_score = score(server) - AFFINITY_GAIN * held_share
+        holder_score = score(server) - AFFINITY_BONUS * held_share
         if holder_score < best_score:
             best, best_score = server, holder_score
     return best
 
 
-def to_probe(
+def servers_to_probe(
     pool: servers.Pool,
     chosen: servers.ServerState,
     excluded: frozenset[str],
-    draws: hashing.Draws,
+    rng: hashing.RandomGenerator,
     now: float,
 ) -> tuple[str, ...]:
     """Returns the servers to probe for their load before a call.
@@ -145,20 +145,20 @@
         of ``chosen`` is known, or if its calls are too short for a report of
         them to arrive in time.
     """
-    if chosen.is_short:
+    if chosen.has_short_calls:
         return ()
-    if chosen.report is not None and chosen.report.at >= now - KNOWN_S:
+    if chosen.report is not None and chosen.report.at >= now - FRESH_REPORT_S:
         return ()
     names = {chosen.name: None}
-    for _ in range(PROBES - 1):
-        members = pool.near.members or pool.far.members
+    for _ in range(MAX_PROBES - 1):
+        members = pool.local.members or pool.remote.members
         if members:
-            name = members[draws.below(len(members))].name
+            name = members[rng.randbelow(len(members))].name
             names[name] = None
     return tuple(name for name in names if name not in excluded)
 
 
-def best_of(
+def pick_least_loaded(
     pool: servers.Pool, names: tuple[str, ...]
 ) -> servers.ServerState | None:
     """Returns the ready server of ``names`` with the lowest score, if any."""
--- a/src/hoistmoor/core/routing/menus.py
+++ b/src/hoistmoor/core/routing/policy_cache.py
@@ -12,21 +12,23 @@
 import attrs
 
 from hoistmoor.core.routing import cascade
-from hoistmoor.core.routing import evidence
+from hoistmoor.core.routing import quality_estimates
 from hoistmoor.core.table import model
 
-SHORTEST_LIFE_S = 5.0  # Minimum age before changed estimates are applied.
-LONGEST_LIFE_S = 60.0  # Maximum age, regardless of changes.
-LEAST_GAP_S = 0.25  # Minimum interval between refreshes over all entries.
+MIN_AGE_S = 5.0  # Minimum age before changed estimates are applied.
+MAX_AGE_S = 60.0  # Maximum age, regardless of changes.
+MIN_REFRESH_INTERVAL_S = (
+    0.25  # Minimum interval between refreshes over all entries.
+)
 # New ratings that cause a refresh, as a share of the weight of all ratings.
-MOVED_RATINGS = 0.005
+CHANGED_RATINGS = 0.005
 # New answers that cause a refresh, as a share of those at the last refresh.
-MOVED_ANSWERS = 0.1
-MOST_KEPT = 256  # Bounds the entries, because callers choose kinds freely.
+CHANGED_ANSWERS = 0.1
+MAX_ENTRIES = 256  # Bounds the entries, because callers choose kinds freely.
 
 
 @attrs.frozen
-class Menu:
+class PolicySet:
     """Lower hulls of cost over quality, cheapest policy first.
 
     Attributes:
@@ -39,35 +41,39 @@
     """
 
     expected: tuple[cascade.Policy, ...]
-    hopeful: tuple[cascade.Policy, ...]
+    optimistic: tuple[cascade.Policy, ...]
     singles: tuple[cascade.Policy, ...]
-    explored: tuple[cascade.Policy, ...]
+    optimistic_as_expected: tuple[cascade.Policy, ...]
     qualities: dict[str, float]
 
-    def exploring(self, target: float) -> cascade.Plan:
+    def exploration_plan(self, target: float) -> cascade.Plan:
         """Returns the plan of the requests that explore."""
-        return cascade.plan_on(self.hopeful, target)
+        return cascade.plan_from_hull(self.optimistic, target)
 
-    def cautious(self, wanted: float, exploring: cascade.Plan) -> cascade.Plan:
+    def default_plan(
+        self, safe_target: float, exploration: cascade.Plan
+    ) -> cascade.Plan:
         """Returns the plan of the other requests.
 
         Args:
             wanted: Target share of good answers, margin included.
             exploring: The exploration plan, whose quality loss is offset.
         """
-        target = cascade.made_up(wanted, exploring, self.explored)
-        return cascade.plan_on(self.expected, target)
+        target = cascade.offset_exploration(
+            safe_target, exploration, self.optimistic_as_expected
+        )
+        return cascade.plan_from_hull(self.expected, target)
 
-    def steady(self, wanted: float) -> cascade.Plan:
+    def session_plan(self, safe_target: float) -> cascade.Plan:
         """Returns the plan of sessions, which cannot escalate."""
-        return cascade.plan_on(self.singles, wanted)
+        return cascade.plan_from_hull(self.singles, safe_target)
 
 
 @attrs.frozen
 class _Entry:
     """A cache entry and the state of its inputs."""
 
-    menu: Menu
+    menu: PolicySet
     rows: tuple[model.Version, ...]
     made_at: float
     ratings: int
@@ -76,7 +82,7 @@
 
 
 @attrs.define(eq=False)
-class Menus:
+class PolicyCache:
     """Cache of policy hulls.
 
     Attributes:
@@ -86,18 +92,20 @@
         next_at: Earliest time of the next refresh of any entry.
     """
 
-    known: evidence.Evidence
-    kept: dict[tuple[str, tuple[str, ...]], _Entry] = attrs.field(factory=dict)
-    made: int = 0
-    next_at: float = 0.0
+    estimates: quality_estimates.QualityEstimates
+    entries: dict[tuple[str, tuple[str, ...]], _Entry] = attrs.field(
+        factory=dict
+    )
+    computed: int = 0
+    next_refresh_at: float = 0.0
 
-    def of(
+    def get(
         self,
         rows: tuple[model.Version, ...],
         kind: str,
         tokens: tuple[float, float],
         now: float,
-    ) -> Menu:
+    ) -> PolicySet:
         """Returns the policies for a kind of request.
 
         Args:
@@ -107,59 +115,62 @@
             now: Current time.
         """
         key = (kind, tuple(row.key for row in rows))
-        entry = self.kept.get(key)
+        entry = self.entries.get(key)
         if entry is not None and entry.rows == rows:
             if not self._needs_refresh(entry, now):
                 return entry.menu
-            self.next_at = now + LEAST_GAP_S
-        if len(self.kept) >= MOST_KEPT:
-            self.kept.clear()
-        self.made += 1
-        menu = make_menu(self.known, rows, kind, tokens)
-        self.kept[key] = _Entry(
+            self.next_refresh_at = now + MIN_REFRESH_INTERVAL_S
+        if len(self.entries) >= MAX_ENTRIES:
+            self.entries.clear()
+        self.computed += 1
+        menu = compute_policies(self.estimates, rows, kind, tokens)
+        self.entries[key] = _Entry(
             menu,
             rows,
             now,
-            self.known.revision,
-            self.known.answers,
-            frozenset(self.known.silent),
+            self.estimates.rating_count,
+            self.estimates.answer_count,
+            frozenset(self.estimates.without_confidence),
         )
         return menu
 
     def _needs_refresh(self, entry: _Entry, now: float) -> bool:
-        if now < self.next_at or now < entry.made_at + SHORTEST_LIFE_S:
+        if now < self.next_refresh_at or now < entry.made_at + MIN_AGE_S:
             return False
-        return now >= entry.made_at + LONGEST_LIFE_S or self._has_changed(entry)
+        return now >= entry.made_at + MAX_AGE_S or self._has_changed(entry)
 
     def _has_changed(self, entry: _Entry) -> bool:
-        ratings = self.known.revision - entry.ratings
-        answers = self.known.answers - entry.answers
+        ratings = self.estimates.rating_count - entry.ratings
+        answers = self.estimates.answer_count - entry.answers
         return (
-            ratings >= max(1.0, MOVED_RATINGS * self.known.weight)
-            or answers > MOVED_ANSWERS * entry.answers
-            or entry.silent != self.known.silent
+            ratings >= max(1.0, CHANGED_RATINGS * self.estimates.weight)
+            or answers > CHANGED_ANSWERS * entry.answers
+            or entry.silent != self.estimates.without_confidence
         )
 
 
-def make_menu(
-    known: evidence.Evidence,
+def compute_policies(
+    estimates: quality_estimates.QualityEstimates,
     rows: tuple[model.Version, ...],
     kind: str,
     tokens: tuple[float, float],
-) -> Menu:
+) -> PolicySet:
     """Computes the policies from the current quality estimates."""
-    deviations = (0.0, cascade.EXPLORE_Z)
+    deviations = (0.0, cascade.EXPLORATION_Z)
     pairs = [
-        cascade.profiles(known, row, kind, tokens, deviations) for row in rows
+        cascade.make_profiles(estimates, row, kind, tokens, deviations)
+        for row in rows
     ]
     means = [mean for mean, _ in pairs]
-    expected = cascade.policies(means)
-    optimistic = cascade.hull(cascade.policies([raised for _, raised in pairs]))
+    expected = cascade.all_policies(means)
+    optimistic = cascade.lower_hull(
+        cascade.all_policies([raised for _, raised in pairs])
+    )
     explored = {policy.steps for policy in optimistic}
-    return Menu(
-        tuple(cascade.hull(expected)),
+    return PolicySet(
+        tuple(cascade.lower_hull(expected)),
         tuple(optimistic),
-        tuple(cascade.hull(cascade.singles(means))),
+        tuple(cascade.lower_hull(cascade.single_version_policies(means))),
         tuple(policy for policy in expected if policy.steps in explored),
-        {row.key: known.of_kind(row, kind).mean for row in rows},
+        {row.key: estimates.kind_estimate(row, kind).mean for row in rows},
     )
--- a/src/hoistmoor/core/routing/evidence.py
+++ b/src/hoistmoor/core/routing/quality_estimates.py
@@ -23,7 +23,7 @@
 
 # Upper edges of the confidence buckets; the last bucket has none.
 BUCKET_EDGES = (0.3, 0.45, 0.55, 0.65, 0.72, 0.79, 0.85, 0.9, 0.95)
-BUCKETS = len(BUCKET_EDGES) + 1
+BUCKET_COUNT = len(BUCKET_EDGES) + 1
 _BUCKET_MIDPOINTS = tuple(
     (low + high) / 2.0
     for low, high in itertools.pairwise((0.0, *BUCKET_EDGES, 1.0))
@@ -35,15 +35,15 @@
 # estimates.
 PRIOR_STRENGTH = 20.0
 KIND_STRENGTH = 8.0
-MISS_STRENGTH = 100.0
+ERROR_STRENGTH = 100.0
 # Standard deviation of one answer's quality from its expectation.
 _QUALITY_DEVIATION = 0.4
 BUCKET_STRENGTH = 5.0  # Prior strength of the kind's estimate, in ratings.
 # Standard deviation of a kind's log odds of a good answer from its version's.
-KIND_SPREAD = 0.7
+KIND_DEVIATION = 0.7
 # Prior factor on the odds of a good answer after an escalation. Only the
 # difficult requests are escalated.
-ESCALATED_ODDS = 0.25
+ESCALATED_ODDS_FACTOR = 0.25
 # Prior increase of the log odds of a good answer per unit of confidence.
 # Confidence is rarely uninformative and rarely as informative as this.
 CONFIDENCE_SLOPE = 6.0
@@ -59,7 +59,7 @@
     return bisect.bisect_right(BUCKET_EDGES, confidence)
 
 
-def tag_answer(
+def make_answer_id(
     attempt_id: str, confidence: float | None, escalated: bool
 ) -> str:
     """Returns the id under which an answer is submitted for rating.
@@ -72,7 +72,7 @@
     return f"{attempt_id}{_TAG_SEPARATOR}{bucket_of(confidence)}{suffix}"
 
 
-def read_tag(answer_id: str) -> tuple[int, bool]:
+def parse_answer_id(answer_id: str) -> tuple[int, bool]:
     """Parses an answer id.
 
     Returns:
@@ -80,13 +80,13 @@
     """
     _, found, tag = answer_id.rpartition(_TAG_SEPARATOR)
     number = tag.removesuffix(_ESCALATED_SUFFIX)
-    if not found or not number.isdecimal() or int(number) >= BUCKETS:
+    if not found or not number.isdecimal() or int(number) >= BUCKET_COUNT:
         return NO_BUCKET, tag == f"{NO_BUCKET}{_ESCALATED_SUFFIX}"
     return int(number), tag.endswith(_ESCALATED_SUFFIX)
 
 
 @attrs.define
-class Tally:
+class DecayingCounts:
     """Exponentially decayed counts of good and bad answers.
 
     Attributes:
@@ -106,11 +106,11 @@
 
     def add(self, good: bool, now: float) -> None:
         """Counts one rating."""
-        self.fade(now)
+        self.decay(now)
         self.good += good
         self.bad += not good
 
-    def fade(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         """Decays the weights up to ``now``."""
         if now > self.at:
             factor = 0.5 ** ((now - self.at) / HALF_LIFE_S)
@@ -120,7 +120,7 @@
 
 
 @attrs.define
-class Miss:
+class CalibrationError:
     """Decayed sum of the differences between expected and rated quality.
 
     Attributes:
@@ -133,7 +133,7 @@
     count: float = 0.0
     at: float = 0.0
 
-    def add(self, missing: float, now: float) -> None:
+    def add(self, error: float, now: float) -> None:
         """Counts one answer.
 
         Args:
@@ -141,7 +141,7 @@
             now: Current time.
         """
         factor = 0.5 ** (max(0.0, now - self.at) / HALF_LIFE_S)
-        self.total = self.total * factor + missing
+        self.total = self.total * factor + error
         self.count = self.count * factor + 1.0
         self.at = max(self.at, now)
 
@@ -165,7 +165,9 @@
         return min(1.0, max(0.0, self.mean + z * math.sqrt(self.variance)))
 
 
-def _posterior(tally: Tally | None, mean: float, strength: float) -> Estimate:
+def _posterior(
+    tally: DecayingCounts | None, mean: float, strength: float
+) -> Estimate:
     mean = min(_MAX_SHARE, max(_MIN_SHARE, mean))
     good = mean * strength + (tally.good if tally else 0.0)
     total = strength + (tally.count if tally else 0.0)
@@ -173,7 +175,7 @@
     return Estimate(share, share * (1 - share) / (total + 1), total - strength)
 
 
-def lowered(estimate: Estimate, deviations: float) -> float:
+def lower_bound(estimate: Estimate, deviations: float) -> float:
     """Returns a lower bound of an estimate, computed on the log odds scale.
 
     The deviation of a kind of request from its version's mean is assumed to
@@ -184,7 +186,7 @@
         deviations: Standard deviations by which to lower it.
     """
     mean = min(_MAX_SHARE, max(_MIN_SHARE, estimate.mean))
-    precision = KIND_SPREAD**-2 + estimate.count * mean * (1.0 - mean)
+    precision = KIND_DEVIATION**-2 + estimate.count * mean * (1.0 - mean)
     factor = math.exp(-deviations / math.sqrt(precision))
     return _share(factor * _odds(mean))
 
@@ -200,11 +202,11 @@
 
 _Cell = tuple[str, str, int]
 _ALL_KINDS = "*"
-_AFTER_ESCALATION = BUCKETS  # Cell index for answers after an escalation.
+_AFTER_ESCALATION = BUCKET_COUNT  # Cell index for answers after an escalation.
 
 
 @attrs.define
-class Evidence:
+class QualityEstimates:
     """Quality estimates of all versions from the ratings read by this host.
 
     Attributes:
@@ -216,17 +218,19 @@
         answers: Number of answers counted in ``buckets``.
     """
 
-    tallies: dict[_Cell, Tally] = attrs.field(factory=dict)
-    buckets: dict[tuple[str, str], list[float]] = attrs.field(factory=dict)
-    misses: dict[str, Miss] = attrs.field(factory=dict)
-    silent: set[str] = attrs.field(factory=set)
-    revision: int = 0
-    answers: int = 0
+    counts: dict[_Cell, DecayingCounts] = attrs.field(factory=dict)
+    bucket_counts: dict[tuple[str, str], list[float]] = attrs.field(
+        factory=dict
+    )
+    errors: dict[str, CalibrationError] = attrs.field(factory=dict)
+    without_confidence: set[str] = attrs.field(factory=set)
+    rating_count: int = 0
+    answer_count: int = 0
 
     @property
     def weight(self) -> float:
         """Weight of all ratings, decayed up to the last one of each kind."""
-        return sum(miss.count for miss in self.misses.values())
+        return sum(miss.count for miss in self.errors.values())
 
     def on_rating(
         self, rating: messages.Rating, row: model.Version | None, now: float
@@ -239,7 +243,7 @@
             now: Current time.
         """
         version = f"{rating.model}@{rating.version}"
-        bucket, escalated = read_tag(rating.answer_id)
+        bucket, escalated = parse_answer_id(rating.answer_id)
         if row is not None:
             self._record_error(rating, row, now)
         if escalated:
@@ -255,20 +259,22 @@
             if bucket != NO_BUCKET:
                 cells += [(version, kind, bucket) for kind in kinds]
         for cell in cells:
-            self.tallies.setdefault(cell, Tally(at=now)).add(rating.good, now)
-        self.revision += 1
+            self.counts.setdefault(cell, DecayingCounts(at=now)).add(
+                rating.good, now
+            )
+        self.rating_count += 1
 
     def _record_error(
         self, rating: messages.Rating, row: model.Version, now: float
     ) -> None:
         """Records the difference between the expected and the rated quality."""
-        bucket, escalated = read_tag(rating.answer_id)
+        bucket, escalated = parse_answer_id(rating.answer_id)
         expected = (
-            self.after_escalation(row, rating.kind)
+            self.escalation_estimate(row, rating.kind)
             if escalated
-            else self.of_bucket(row, rating.kind, bucket)
+            else self.bucket_estimate(row, rating.kind, bucket)
         )
-        miss = self.misses.setdefault(rating.kind, Miss(at=now))
+        miss = self.errors.setdefault(rating.kind, CalibrationError(at=now))
         miss.add(expected.mean - rating.good, now)
 
     def margin(self, kind: str, target: float, z: float) -> float:
@@ -285,8 +291,8 @@
             target: Target share of good answers.
             z: Standard deviations to add.
         """
-        miss = self.misses.get(kind, Miss())
-        count = miss.count + MISS_STRENGTH
+        miss = self.errors.get(kind, CalibrationError())
+        count = miss.count + ERROR_STRENGTH
         deviation = math.sqrt(target * (1.0 - target))
         bias = miss.total / count * deviation / _QUALITY_DEVIATION
         return bias + z * self._deviation_factor() * deviation / math.sqrt(
@@ -295,7 +301,7 @@
 
     def _deviation_factor(self) -> float:
         """Returns the factor on the deviation of a mean over all kinds."""
-        counts = [miss.count for miss in self.misses.values()]
+        counts = [miss.count for miss in self.errors.values()]
         total = sum(counts)
         if not total:
             return 1.0
@@ -307,51 +313,55 @@
         """Counts an answer, rated or not, in its confidence bucket."""
         bucket = bucket_of(confidence)
         if bucket == NO_BUCKET:
-            self.silent.add(version)
+            self.without_confidence.add(version)
             return
-        self.silent.discard(version)
-        counts = self.buckets.setdefault((version, kind), [0.0] * BUCKETS)
+        self.without_confidence.discard(version)
+        counts = self.bucket_counts.setdefault(
+            (version, kind), [0.0] * BUCKET_COUNT
+        )
         counts[bucket] += 1.0
-        self.answers += 1
+        self.answer_count += 1
 
-    def of_version(self, row: model.Version) -> Estimate:
+    def version_estimate(self, row: model.Version) -> Estimate:
         """Returns the estimate over all kinds of requests."""
-        tally = self.tallies.get((row.key, _ALL_KINDS, NO_BUCKET))
+        tally = self.counts.get((row.key, _ALL_KINDS, NO_BUCKET))
         return _posterior(tally, row.prior_quality, PRIOR_STRENGTH)
 
-    def of_kind(self, row: model.Version, kind: str) -> Estimate:
+    def kind_estimate(self, row: model.Version, kind: str) -> Estimate:
         """Returns the estimate for one kind of request."""
-        tally = self.tallies.get((row.key, kind, NO_BUCKET))
-        return _posterior(tally, self.of_version(row).mean, KIND_STRENGTH)
+        tally = self.counts.get((row.key, kind, NO_BUCKET))
+        return _posterior(tally, self.version_estimate(row).mean, KIND_STRENGTH)
 
-    def after_escalation(self, row: model.Version, kind: str) -> Estimate:
+    def escalation_estimate(self, row: model.Version, kind: str) -> Estimate:
         """Returns the estimate for requests escalated from other versions."""
-        overall = self.of_version(row).mean
+        overall = self.version_estimate(row).mean
         pooled = _posterior(
-            self.tallies.get((row.key, _ALL_KINDS, _AFTER_ESCALATION)),
-            _share(ESCALATED_ODDS * _odds(overall)),
+            self.counts.get((row.key, _ALL_KINDS, _AFTER_ESCALATION)),
+            _share(ESCALATED_ODDS_FACTOR * _odds(overall)),
             KIND_STRENGTH,
         )
         difficulty = _odds(pooled.mean) / _odds(overall)
-        mean = _share(difficulty * _odds(self.of_kind(row, kind).mean))
-        tally = self.tallies.get((row.key, kind, _AFTER_ESCALATION))
+        mean = _share(difficulty * _odds(self.kind_estimate(row, kind).mean))
+        tally = self.counts.get((row.key, kind, _AFTER_ESCALATION))
         return _posterior(tally, mean, KIND_STRENGTH)
 
-    def of_bucket(self, row: model.Version, kind: str, bucket: int) -> Estimate:
+    def bucket_estimate(
+        self, row: model.Version, kind: str, bucket: int
+    ) -> Estimate:
         """Returns the estimate for one kind and one confidence bucket."""
         if bucket == NO_BUCKET:
-            return self.of_kind(row, kind)
+            return self.kind_estimate(row, kind)
         return self._estimate_buckets(row, kind, (bucket,))[0]
 
-    def of_buckets(self, row: model.Version, kind: str) -> list[Estimate]:
+    def bucket_estimates(self, row: model.Version, kind: str) -> list[Estimate]:
         """Returns the estimates for one kind by confidence bucket."""
-        return self._estimate_buckets(row, kind, range(BUCKETS))
+        return self._estimate_buckets(row, kind, range(BUCKET_COUNT))
 
     def _estimate_buckets(
         self, row: model.Version, kind: str, buckets: Iterable[int]
     ) -> list[Estimate]:
-        overall = _odds(self.of_version(row).mean)
-        kind_factor = _odds(self.of_kind(row, kind).mean) / overall
+        overall = _odds(self.version_estimate(row).mean)
+        kind_factor = _odds(self.kind_estimate(row, kind).mean) / overall
         mean_confidence = self._mean_confidence(row, kind)
         found = []
         for bucket in buckets:
@@ -359,12 +369,12 @@
                 CONFIDENCE_SLOPE * (_BUCKET_MIDPOINTS[bucket] - mean_confidence)
             )
             pooled = _posterior(
-                self.tallies.get((row.key, _ALL_KINDS, bucket)),
+                self.counts.get((row.key, _ALL_KINDS, bucket)),
                 _share(slope * overall),
                 BUCKET_STRENGTH,
             )
             own = _posterior(
-                self.tallies.get((row.key, kind, bucket)),
+                self.counts.get((row.key, kind, bucket)),
                 _share(_odds(pooled.mean) * kind_factor),
                 BUCKET_STRENGTH,
             )
@@ -377,12 +387,12 @@
             s * m for s, m in zip(shares, _BUCKET_MIDPOINTS, strict=True)
         )
 
-    def has_buckets(self, row: model.Version, kind: str) -> bool:
+    def has_confidence(self, row: model.Version, kind: str) -> bool:
         """Returns whether any answer of this kind came with a confidence."""
-        return (row.key, kind) in self.buckets
+        return (row.key, kind) in self.bucket_counts
 
     def bucket_shares(self, row: model.Version, kind: str) -> list[float]:
         """Returns the share of the version's answers in each bucket."""
-        counts = self.buckets.get((row.key, kind), [0.0] * BUCKETS)
-        total = sum(counts) + BUCKETS * 0.5
+        counts = self.bucket_counts.get((row.key, kind), [0.0] * BUCKET_COUNT)
+        total = sum(counts) + BUCKET_COUNT * 0.5
         return [(count + 0.5) / total for count in counts]
--- a/src/hoistmoor/core/routing/retry.py
+++ b/src/hoistmoor/core/routing/retry.py
@@ -8,8 +8,8 @@
 
 from hoistmoor.core.routing import hashing
 
-FIRST_S = 1.0
-LONGEST_S = 60.0
+MIN_WAIT_S = 1.0
+MAX_WAIT_S = 60.0
 _INTERVAL_WEIGHT = 0.05  # Weight of the latest interval in the mean interval.
 _INITIAL_RATE = 5.0  # Assumed calls per second before any has ended.
 
@@ -27,7 +27,7 @@
         last_end: When the latest call ended.
     """
 
-    next_place: float = 0.0
+    next_slot: float = 0.0
     rate: float = _INITIAL_RATE
     last_end: float = 0.0
 
@@ -51,8 +51,8 @@
             seed: Random seed of this host.
             now: Current time.
         """
-        slot = max(now + FIRST_S, self.next_place)
-        slot = min(slot, now + LONGEST_S)
-        self.next_place = slot + 1.0 / self.rate
-        jitter = hashing.unit(key, seed) * max(1.0, 0.5 * (slot - now))
-        return math.ceil(min(LONGEST_S, slot - now + jitter))
+        slot = max(now + MIN_WAIT_S, self.next_slot)
+        slot = min(slot, now + MAX_WAIT_S)
+        self.next_slot = slot + 1.0 / self.rate
+        jitter = hashing.uniform(key, seed) * max(1.0, 0.5 * (slot - now))
+        return math.ceil(min(MAX_WAIT_S, slot - now + jitter))
--- a/src/hoistmoor/core/routing/rollout.py
+++ b/src/hoistmoor/core/routing/rollout.py
@@ -6,8 +6,8 @@
 
 import attrs
 
-from hoistmoor.core.routing import evidence
 from hoistmoor.core.routing import exposure
+from hoistmoor.core.routing import quality_estimates
 
 if TYPE_CHECKING:
     from hoistmoor.core.table import model
@@ -17,12 +17,12 @@
 # that passes by chance is still monitored by the sequential test.
 PROOF_RATINGS = 15.0
 PROOF_Z = 0.84  # One-sided confidence of 0.8.
-SHORTFALL = 0.05  # Tolerated shortfall from the prior quality.
-FIRST_SHARE = 0.05  # Share of the model's traffic before any rating.
+MAX_SHORTFALL = 0.05  # Tolerated shortfall from the prior quality.
+INITIAL_SHARE = 0.05  # Share of the model's traffic before any rating.
 
 
 @attrs.define
-class Progress:
+class RolloutProgress:
     """Tracks which candidates are proven; a proven candidate stays proven.
 
     Attributes:
@@ -31,22 +31,27 @@
 
     proved: set[str] = attrs.field(factory=set)
 
-    def is_proved(self, row: model.Version, known: evidence.Evidence) -> bool:
+    def is_proven(
+        self, row: model.Version, estimates: quality_estimates.QualityEstimates
+    ) -> bool:
         """Returns whether the ratings of a candidate prove its quality."""
         digest = exposure.row_digest(row)
         if digest in self.proved:
             return True
-        estimate = known.of_version(row)
+        estimate = estimates.version_estimate(row)
         is_proven = (
             estimate.count >= PROOF_RATINGS
-            and estimate.bound(-PROOF_Z) >= row.prior_quality - SHORTFALL
+            and estimate.bound(-PROOF_Z) >= row.prior_quality - MAX_SHORTFALL
         )
         if is_proven:
             self.proved.add(digest)
         return is_proven
 
     def share(
-        self, row: model.Version, others: float, known: evidence.Evidence
+        self,
+        row: model.Version,
+        others: float,
+        estimates: quality_estimates.QualityEstimates,
     ) -> float:
         """Returns a candidate's share of its model's traffic, 0 to 1.
 
@@ -56,13 +61,13 @@
             known: Quality estimates from ratings.
         """
         full_share = row.weight / max(1e-9, row.weight + others)
-        if self.is_proved(row, known):
+        if self.is_proven(row, estimates):
             return full_share
-        estimate = known.of_version(row)
+        estimate = estimates.version_estimate(row)
         progress = min(1.0, estimate.count / PROOF_RATINGS)
-        if estimate.mean < row.prior_quality - SHORTFALL:
+        if estimate.mean < row.prior_quality - MAX_SHORTFALL:
             progress = 0.0
         return min(
             full_share,
-            FIRST_SHARE + (full_share - FIRST_SHARE) * 0.5 * progress,
+            INITIAL_SHARE + (full_share - INITIAL_SHARE) * 0.5 * progress,
         )
--- a/src/hoistmoor/core/routing/router.py
+++ b/src/hoistmoor/core/routing/router.py
@@ -10,12 +10,12 @@
 from hoistmoor.core import outcomes
 from hoistmoor.core import refusals
 from hoistmoor.core.routing import cascade
-from hoistmoor.core.routing import evidence
 from hoistmoor.core.routing import hashing
-from hoistmoor.core.routing import knowledge
 from hoistmoor.core.routing import messages
 from hoistmoor.core.routing import options
 from hoistmoor.core.routing import placement
+from hoistmoor.core.routing import quality_estimates
+from hoistmoor.core.routing import routing_state
 from hoistmoor.core.table import model
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
     policy: cascade.Policy | None = None
 
 
-class Router(knowledge.Knowledge):
+class Router(routing_state.RoutingState):
     """Makes the routing decisions of one host from its local state."""
 
     def choose(
@@ -56,10 +56,10 @@
             now: Current time.
         """
         if self.fleet.rests and self.fleet.rests[0][0] <= now:
-            self.fleet.wake(now)
+            self.fleet.end_rests(now)
         reason_prefix = ""
         if query.pin:
-            if self.catalog.may_keep(query.account, query.pin, query.kind):
+            if self.catalog.can_keep(query.account, query.pin, query.kind):
                 attempt = _Attempt(query.pin, "the session's version")
                 return self._place(query, attempt, (), excluded, now)
             reason_prefix = f"moved from {query.pin}: "
@@ -79,7 +79,7 @@
         row = self.catalog.table.versions.get(query.model)
         if row is None:
             return _refuse(refusals.Reason.UNKNOWN_MODEL, query.model)
-        verdict = self.catalog.verdict(query.account, row, query.kind)
+        verdict = self.catalog.exclusion_reason(query.account, row, query.kind)
         if verdict:
             reason = _REASON_BY_VERDICT.get(
                 verdict, refusals.Reason.VERSION_WITHDRAWN
@@ -169,19 +169,19 @@
     ) -> Iterator[_Attempt]:
         """Yields the versions to try: candidate, planned one, fallbacks."""
         key = query.request_id
-        plan = found.cautious
+        plan = found.default_plan
         if query.session:
             # Draws by the session, so that concurrent first requests of it get
             # the same version at all hosts.
-            plan, key = found.steady, query.session
-        elif hashing.unit(key, _EXPLORE_SEED) < cascade.EXPLORE_SHARE:
-            plan = found.exploring
-        policy = plan.policy(hashing.unit(key, _PLAN_SEED))
+            plan, key = found.session_plan, query.session
+        elif hashing.uniform(key, _EXPLORE_SEED) < cascade.EXPLORATION_SHARE:
+            plan = found.exploration_plan
+        policy = plan.policy(hashing.uniform(key, _PLAN_SEED))
         candidate = found.candidates.get(policy.start)
         if candidate and not query.session:
             name, share = candidate
             row = self.catalog.table.versions[name]
-            is_drawn = hashing.unit(key, _CANDIDATE_SEED) < share
+            is_drawn = hashing.uniform(key, _CANDIDATE_SEED) < share
             if is_drawn and self._may_expose(row, now):
                 yield _Attempt(name, f"{reason_prefix}gathers evidence", policy)
         yield _Attempt(policy.start, f"{reason_prefix}cheapest plan", policy)
@@ -208,8 +208,8 @@
         """
         if not choice.hold_answer:
             return messages.Accept("not a step of a cascade")
-        bucket = evidence.bucket_of(answer.confidence)
-        if bucket == evidence.NO_BUCKET:
+        bucket = quality_estimates.bucket_of(answer.confidence)
+        if bucket == quality_estimates.NO_BUCKET:
             return messages.Accept("the engine gave no confidence")
         if bucket >= choice.threshold:
             return messages.Accept(f"bucket {bucket} is confident enough")
@@ -233,7 +233,7 @@
         """
         versions = self.catalog.table.versions
         planned = versions.get(choice.then)
-        if planned and not self.catalog.verdict(
+        if planned and not self.catalog.exclusion_reason(
             query.account, planned, query.kind
         ):
             yield planned.key
@@ -258,7 +258,7 @@
             excluded: Names of servers that must not be chosen.
             now: Current time.
         """
-        self.fleet.wake(now)
+        self.fleet.end_rests(now)
         query = messages.RouteQuery(f"{service}/{now}", "", service)
         if service not in self.fleet.pools:
             return _refuse(refusals.Reason.UNKNOWN_SERVICE, service)
@@ -268,7 +268,7 @@
             return choice
         return attrs.evolve(choice, version="")
 
-    def to_probe(
+    def servers_to_probe(
         self, choice: messages.Choice, excluded: frozenset[str], now: float
     ) -> tuple[str, ...]:
         """Returns the servers to probe for their load before a dispatch.
@@ -286,9 +286,9 @@
         pool = self.fleet.pools.get(choice.version)
         if server is None or pool is None:
             return ()
-        return placement.to_probe(pool, server, excluded, self.draws, now)
+        return placement.servers_to_probe(pool, server, excluded, self.rng, now)
 
-    def best_probed(
+    def choose_probed(
         self, choice: messages.Choice, names: tuple[str, ...]
     ) -> messages.Choice:
         """Returns ``choice`` with the least loaded of the probed servers.
@@ -297,7 +297,7 @@
         ``choice`` is returned unchanged.
         """
         pool = self.fleet.pools.get(choice.version)
-        server = placement.best_of(pool, names) if pool else None
+        server = placement.pick_least_loaded(pool, names) if pool else None
         if server is None or server.name == choice.server:
             return choice
         return attrs.evolve(
@@ -316,16 +316,16 @@
         if not pool.is_ready and now >= self.next_expiry:
             self.next_expiry = now + _EXPIRE_EVERY_S
             self.fleet.expire_reports(pool, now)
-        server, weighed = placement.pick(pool, excluded, self.draws)
+        server, weighed = placement.pick_server(pool, excluded, self.rng)
         if server is None:
             return self._no_capacity(query, attempt.version, now)
         if query.prefix:
-            share, holders = self.prefixes.find(query.prefix, now)
+            share, holders = self.prefix_index.find_longest(query.prefix, now)
             if holders:
-                server = placement.prefer_holder(
+                server = placement.prefer_cached(
                     pool, holders, share, server, excluded
                 )
-            self.prefixes.store(server.name, query.prefix, now)
+            self.prefix_index.store(server.name, query.prefix, now)
         policy = attempt.policy
         threshold = policy.threshold if policy else cascade.ACCEPT_ALL
         return messages.Choice(
@@ -347,15 +347,17 @@
         """Returns whether ``row`` may get a request, and counts it if so."""
         if row.stage is not model.Stage.CANDIDATE:
             return True
-        if self.catalog.progress.is_proved(row, self.evidence):
+        if self.catalog.progress.is_proven(row, self.estimates):
             return True
         if session or not self.budget.holder:
             # A session must be able to stay on its version, even if the cap
             # is exhausted, so it never starts on an unproven one.
             return False
-        digest = self.watch.digests[row.key]
-        is_allowed = self.budget.spend(digest)
-        claim = self.budget.claim_if_low(row, digest, self.fleet.hosts, now)
+        digest = self.monitor.digests[row.key]
+        is_allowed = self.budget.try_consume(digest)
+        claim = self.budget.claim_if_exhausted(
+            row, digest, self.fleet.hosts, now
+        )
         if claim is not None:
             self.effects.append(claim)
         return is_allowed
@@ -397,8 +399,8 @@
     found: options.ModelOptions, query: messages.RouteQuery, seed: int
 ) -> str:
     if query.session:
-        return hashing.weighted_pick(query.session, found.weights)
+        return hashing.weighted_rendezvous(query.session, found.weights)
     total = found.totals[-1]
-    point = hashing.unit(query.request_id, seed) * total
+    point = hashing.uniform(query.request_id, seed) * total
     index = bisect.bisect_right(found.totals, point)
     return found.weights[min(index, len(found.weights) - 1)][0]
--- a/src/hoistmoor/core/routing/knowledge.py
+++ b/src/hoistmoor/core/routing/routing_state.py
@@ -5,22 +5,22 @@
 import attrs
 
 from hoistmoor.core.routing import affinity
-from hoistmoor.core.routing import evidence
+from hoistmoor.core.routing import degradation
 from hoistmoor.core.routing import exposure
 from hoistmoor.core.routing import fleet
 from hoistmoor.core.routing import hashing
 from hoistmoor.core.routing import messages
 from hoistmoor.core.routing import options
+from hoistmoor.core.routing import quality_estimates
 from hoistmoor.core.routing import retry
 from hoistmoor.core.routing import rollout
-from hoistmoor.core.routing import turns
 from hoistmoor.core.table import model
 
 _TOKEN_WEIGHT = 0.05  # Weight of the latest answer in a kind's average tokens.
 
 
 @attrs.define(eq=False)
-class Cached:
+class CachedOptions:
     """A cache entry of options.
 
     Attributes:
@@ -30,11 +30,11 @@
     """
 
     epoch: int
-    until: float
+    expires_at: float
     value: options.ModelOptions | options.AutoOptions | None
 
 
-class Knowledge:
+class RoutingState:
     """Routing state of one host, updated by events.
 
     Attributes:
@@ -67,20 +67,23 @@
         self.seed = seed
         self.revision = -1
         self.fleet = fleet.Fleet(local_domain)
-        self.evidence = evidence.Evidence()
-        self.watch = turns.TurnWatch(holder)
+        self.estimates = quality_estimates.QualityEstimates()
+        self.monitor = degradation.DegradationMonitor(holder)
         self.budget = exposure.ExposureBudget(holder)
-        self.prefixes = affinity.PrefixIndex()
-        self.catalog = options.Catalog(
-            model.Table(), self.evidence, self.watch, rollout.Progress()
+        self.prefix_index = affinity.PrefixIndex()
+        self.catalog = options.OptionsCatalog(
+            model.Table(),
+            self.estimates,
+            self.monitor,
+            rollout.RolloutProgress(),
         )
-        self.retries: dict[str, retry.RetrySchedule] = {}
+        self.retry_schedules: dict[str, retry.RetrySchedule] = {}
         self.effects: list[messages.Effect] = []
-        self.draws = hashing.Draws.seeded(seed)
-        self.cache: dict[tuple[str, str, str], Cached] = {}
+        self.rng = hashing.RandomGenerator.from_seed(seed)
+        self.options_cache: dict[tuple[str, str, str], CachedOptions] = {}
         self.epoch = 0
         self.next_expiry = 0.0
-        self.reminder = exposure.Reminder(holder)
+        self.repetition = exposure.RepetitionSchedule(holder)
 
     @property
     def hosts(self) -> int:
@@ -98,14 +101,14 @@
         self.revision = in_force.revision
         self.catalog.table = in_force.table
         self.fleet.on_table(in_force.table)
-        self.watch.on_table(in_force.table)
-        self.forget_options()
+        self.monitor.on_table(in_force.table)
+        self.invalidate_options()
 
     def on_load(self, report: messages.LoadReport, now: float) -> None:
         """Applies the load report of a backend server."""
-        self.fleet.wake(now)
+        self.fleet.end_rests(now)
         self.fleet.on_load(report)
-        if self.reminder.is_due(now):
+        if self.repetition.is_due(now):
             self._repeat_records()
 
     def _repeat_records(self) -> None:
@@ -113,13 +116,13 @@
 
         Log retention may have removed the original records by then.
         """
-        fold = self.budget.fold
+        fold = self.budget.ledger
         if fold.is_complete and fold.granted:
             tally = messages.ExposureTally(
-                self.reminder.next_offset, dict(fold.granted)
+                self.repetition.next_offset, dict(fold.granted)
             )
             self.effects.append(tally)
-        self.effects.extend(self.watch.withdrawn.values())
+        self.effects.extend(self.monitor.withdrawn.values())
 
     def on_rating(self, rating: messages.Rating, now: float) -> None:
         """Applies a rating.
@@ -132,11 +135,11 @@
             f"{rating.model}@{rating.version}"
         )
         if row is not None:
-            record = self.watch.on_rating(rating, row, self.evidence, now)
+            record = self.monitor.on_rating(rating, row, self.estimates, now)
             if record is not None and self._has_alternative(row):
                 self._withdraw(record)
                 self.effects.append(record)
-        self.evidence.on_rating(rating, row, now)
+        self.estimates.on_rating(rating, row, now)
 
     def _has_alternative(self, row: model.Version) -> bool:
         """Returns whether another active version is left.
@@ -146,27 +149,27 @@
         return any(
             other.key != row.key
             and other.stage is model.Stage.ACTIVE
-            and not self.watch.is_withdrawn(other.key, turns.ALL_KINDS)
+            and not self.monitor.is_withdrawn(other.key, degradation.ALL_KINDS)
             for other in self.catalog.table.versions.values()
         )
 
     def _withdraw(self, record: messages.Withdrawal) -> None:
-        self.watch.on_withdrawal(record)
-        self.forget_options()
+        self.monitor.on_withdrawal(record)
+        self.invalidate_options()
 
     def on_evidence(self, offset: int, record: object) -> None:
         """Applies a record of the evidence stream; ignores unknown types."""
-        self.reminder.on_record(offset, record)
+        self.repetition.on_record(offset, record)
         if isinstance(record, messages.Withdrawal):
             self._withdraw(record)
         elif isinstance(record, messages.ExposureClaim):
             self.budget.on_claim(offset, record)
         elif isinstance(record, messages.ExposureTally):
-            self.budget.fold.on_tally(record)
+            self.budget.ledger.on_tally(record)
 
     def on_evidence_gap(self, first: int) -> None:
         """Handles the loss of evidence records before offset ``first``."""
-        self.budget.fold.on_gap(first)
+        self.budget.ledger.on_gap(first)
 
     def on_hosts(self, hosts: int) -> None:
         """Sets the number of known entry hosts.
@@ -178,7 +181,7 @@
 
     def on_cache_event(self, event: messages.CacheEvent, now: float) -> None:
         """Applies a change of a backend server's prefix cache."""
-        self.prefixes.on_event(event, now)
+        self.prefix_index.on_event(event, now)
 
     def on_leaving(self, address: str) -> None:
         """Stops new work to the backend server at ``address``."""
@@ -207,7 +210,7 @@
             return
         self._update_tokens(result)
         if not result.escalated:
-            self.evidence.on_answer(version, result.kind, result.confidence)
+            self.estimates.on_answer(version, result.kind, result.confidence)
 
     def _update_tokens(self, result: messages.AttemptResult) -> None:
         latest = (float(result.prompt_tokens), float(result.tokens))
@@ -217,7 +220,7 @@
             output + _TOKEN_WEIGHT * (latest[1] - output),
         )
 
-    def take_effects(self) -> list[messages.Effect]:
+    def drain_effects(self) -> list[messages.Effect]:
         """Removes and returns the records for the evidence stream."""
         effects, self.effects = self.effects, []
         return effects
@@ -227,22 +230,22 @@
     ) -> options.ModelOptions | options.AutoOptions | None:
         """Returns the options of an account for a model, cached if possible."""
         key = (account, name, kind)
-        cached = self.cache.get(key)
-        if cached and cached.epoch == self.epoch and now < cached.until:
+        cached = self.options_cache.get(key)
+        if cached and cached.epoch == self.epoch and now < cached.expires_at:
             return cached.value
         value = (
-            self.catalog.for_auto(account, kind, now)
+            self.catalog.auto_options(account, kind, now)
             if name == model.AUTO_MODEL
-            else self.catalog.for_model(account, name, kind)
+            else self.catalog.model_options(account, name, kind)
         )
-        until = now + options.PLAN_LIFE_S
-        self.cache[key] = Cached(self.epoch, until, value)
+        until = now + options.PLAN_TTL_S
+        self.options_cache[key] = CachedOptions(self.epoch, until, value)
         return value
 
-    def forget_options(self) -> None:
+    def invalidate_options(self) -> None:
         """Invalidates the cached options."""
         self.epoch += 1
-        self.cache.clear()
+        self.options_cache.clear()
 
     def retry_schedule(self, key: str) -> retry.RetrySchedule:
         """Returns the retry schedule for callers refused by ``key``.
@@ -250,7 +253,7 @@
         Args:
             key: Key of a version, or name of a model or service.
         """
-        schedule = self.retries.get(key)
+        schedule = self.retry_schedules.get(key)
         if schedule is None:
-            schedule = self.retries[key] = retry.RetrySchedule()
+            schedule = self.retry_schedules[key] = retry.RetrySchedule()
         return schedule
--- a/src/hoistmoor/core/routing/sequential.py
+++ b/src/hoistmoor/core/routing/sequential.py
@@ -25,7 +25,7 @@
 
 
 @attrs.define
-class TurnDetector:
+class DegradationDetector:
     """Tests one version, for one kind of request or for all kinds.
 
     Attributes:
@@ -37,7 +37,7 @@
     ratings: int = 0
 
     @property
-    def value(self) -> float:
+    def statistic(self) -> float:
         """The test statistic, to be compared with the threshold."""
         return sum(self.sums) / len(self.sums)
 
@@ -81,7 +81,9 @@
     return _RATINGS_PER_FALSE_ALARM / (1.0 - confidence)
 
 
-def detection_limit(baseline: float, turned: float, confidence: float) -> float:
+def min_detection_delay(
+    baseline: float, degraded: float, confidence: float
+) -> float:
     """Returns a lower bound of the mean detection delay, in ratings.
 
     The bound holds for any test with this false alarm rate. It is the
@@ -93,7 +95,7 @@
         turned: Share of good answers after the change; below ``baseline``.
         confidence: The limit ``withdraw_confidence`` of the table.
     """
-    divergence = turned * math.log(turned / baseline) + (
-        1.0 - turned
-    ) * math.log((1.0 - turned) / (1.0 - baseline))
+    divergence = degraded * math.log(degraded / baseline) + (
+        1.0 - degraded
+    ) * math.log((1.0 - degraded) / (1.0 - baseline))
     return math.log(threshold(confidence)) / divergence
--- a/src/hoistmoor/core/routing/servers.py
+++ b/src/hoistmoor/core/routing/servers.py
@@ -15,7 +15,7 @@
 REPORT_AGE_S = 1.0
 # Load, as a share of the concurrency, above which a host may use only its fair
 # share of a server with short calls.
-SHORT_ROOM = 0.85
+SHORT_CALL_LOAD = 0.85
 # Minimum weight of the latest report in the estimate, for short calls.
 _MIN_REPORT_WEIGHT = 0.15
 _DURATION_WEIGHT = 0.1  # Weight of the latest call in the mean duration.
@@ -31,12 +31,12 @@
     """
 
     members: list[ServerState] = attrs.field(factory=list)
-    places: dict[str, int] = attrs.field(factory=dict)
+    indexes: dict[str, int] = attrs.field(factory=dict)
 
     def add(self, server: ServerState) -> None:
         """Adds ``server`` unless it is a member."""
-        if server.name not in self.places:
-            self.places[server.name] = len(self.members)
+        if server.name not in self.indexes:
+            self.indexes[server.name] = len(self.members)
             self.members.append(server)
 
     def remove(self, server: ServerState) -> None:
@@ -44,13 +44,13 @@
 
         The last member is moved to its index.
         """
-        index = self.places.pop(server.name, None)
+        index = self.indexes.pop(server.name, None)
         if index is None:
             return
         last = self.members.pop()
         if last is not server:
             self.members[index] = last
-            self.places[last.name] = index
+            self.indexes[last.name] = index
 
 
 @attrs.define(eq=False)
@@ -66,19 +66,19 @@
 
     key: str
     servers: dict[str, ServerState] = attrs.field(factory=dict)
-    near: ReadySet = attrs.field(factory=ReadySet)
-    far: ReadySet = attrs.field(factory=ReadySet)
+    local: ReadySet = attrs.field(factory=ReadySet)
+    remote: ReadySet = attrs.field(factory=ReadySet)
 
     @property
     def is_ready(self) -> bool:
         """Whether any member may get new work."""
-        return bool(self.near.members or self.far.members)
+        return bool(self.local.members or self.remote.members)
 
     def ready_set(self, server: ServerState) -> ReadySet:
         """Returns the ready set for the failure domain of ``server``."""
-        return self.near if server.is_near else self.far
+        return self.local if server.is_local else self.remote
 
-    def drop(self, server: ServerState) -> None:
+    def remove(self, server: ServerState) -> None:
         """Removes ``server`` from the pool."""
         self.servers.pop(server.name, None)
         self.ready_set(server).remove(server)
@@ -109,17 +109,17 @@
     """
 
     row: model.Server
-    is_near: bool
-    far_bias: float = 0.0
+    is_local: bool
+    remote_penalty: float = 0.0
     report: messages.LoadReport | None = None
     is_leaving: bool = False
-    own: int = 0
-    recent: collections.deque[tuple[float, int]] = attrs.field(
+    own_calls: int = 0
+    recent_changes: collections.deque[tuple[float, int]] = attrs.field(
         factory=collections.deque
     )
     correction: int = 0
-    seconds: float = 0.0
-    others: float = 0.0
+    mean_duration: float = 0.0
+    other_calls: float = 0.0
     fair_share: int = 1
     load: int = 0
     health: health.Health = attrs.field(factory=health.Health)
@@ -135,53 +135,57 @@
         """Whether the server may get new work."""
         if self.is_leaving or self.health.is_resting:
             return False
-        if not self.is_short:
+        if not self.has_short_calls:
             return self.load < self.row.concurrency
         # Reports of short calls are outdated on arrival. When the server is
         # nearly full, each host is limited to its share, which fills the
         # server without a queue.
-        threshold = SHORT_ROOM * self.row.concurrency
-        return self.load < threshold or self.own < self.fair_share
+        threshold = SHORT_CALL_LOAD * self.row.concurrency
+        return self.load < threshold or self.own_calls < self.fair_share
 
     @property
-    def is_short(self) -> bool:
+    def has_short_calls(self) -> bool:
         """Whether calls end before a report that includes them arrives."""
-        return 0.0 < self.seconds < REPORT_AGE_S
+        return 0.0 < self.mean_duration < REPORT_AGE_S
 
-    def note_seconds(self, seconds: float) -> None:
+    def record_duration(self, seconds: float) -> None:
         """Updates the mean duration of a call."""
-        weight = _DURATION_WEIGHT if self.seconds else 1.0
-        self.seconds += weight * (seconds - self.seconds)
+        weight = _DURATION_WEIGHT if self.mean_duration else 1.0
+        self.mean_duration += weight * (seconds - self.mean_duration)
 
-    def note(self, now: float, delta: int) -> None:
+    def record_change(self, now: float, delta: int) -> None:
         """Counts the start (+1) or end (-1) of a call of this host."""
-        self.own = max(0, self.own + delta)
-        self.recent.append((now, delta))
+        self.own_calls = max(0, self.own_calls + delta)
+        self.recent_changes.append((now, delta))
         self.correction += delta
-        self.estimate()
+        self.update_load()
 
-    def take_report(self, report: messages.LoadReport) -> None:
+    def apply_report(self, report: messages.LoadReport) -> None:
         """Replaces the report and drops the changes that it includes."""
         is_first = self.report is None
         self.report = report
-        while self.recent and self.recent[0][0] <= report.at:
-            self.correction -= self.recent.popleft()[1]
-        own_at_report = self.own - self.correction
+        while self.recent_changes and self.recent_changes[0][0] <= report.at:
+            self.correction -= self.recent_changes.popleft()[1]
+        own_at_report = self.own_calls - self.correction
         others = max(0, report.running + report.queued - own_at_report)
         # A single report of short calls has a high variance, so reports are
         # averaged.
-        weight = 1.0 if is_first or not self.is_short else self.seconds
-        self.others += max(_MIN_REPORT_WEIGHT, weight) * (others - self.others)
-        self.estimate()
-
-    def forget_report(self) -> None:
+        weight = (
+            1.0 if is_first or not self.has_short_calls else self.mean_duration
+        )
+        self.other_calls += max(_MIN_REPORT_WEIGHT, weight) * (
+            others - self.other_calls
+        )
+        self.update_load()
+
+    def discard_load(self) -> None:
         """Discards an outdated load; the list of loaded versions is kept."""
-        self.others = 0.0
-        self.estimate()
+        self.other_calls = 0.0
+        self.update_load()
 
-    def estimate(self) -> None:
+    def update_load(self) -> None:
         """Updates ``load`` from the calls of this host and of others."""
-        self.load = self.own + round(self.others)
+        self.load = self.own_calls + round(self.other_calls)
 
     def can_serve(self, key: str) -> bool:
         """Returns whether version ``key`` is loaded; True if unknown."""
--- a/src/hoistmoor/core/security/calls.py
+++ b/src/hoistmoor/core/security/calls.py
@@ -26,7 +26,9 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-TOLERANCE = 10.0  # Maximum difference from the callee's clock, in seconds.
+CLOCK_TOLERANCE_SECONDS = (
+    10.0  # Maximum difference from the callee's clock, in seconds.
+)
 _PURPOSE = "hoistmoor peer call 1"
 _MS_PER_SECOND = 1000
 _MAX_HEADER_CHARS = 512
@@ -36,7 +38,7 @@
 _TIME_PREFIX = b"time\n"
 
 
-class Why(enum.StrEnum):
+class RejectionReason(enum.StrEnum):
     """Reason for the rejection of a call."""
 
     UNSIGNED = "unsigned"
@@ -49,7 +51,7 @@
 
 
 @attrs.frozen
-class Stamp:
+class SignatureParameters:
     """The signed parameters of a call.
 
     Attributes:
@@ -82,7 +84,7 @@
 
 
 @attrs.frozen
-class Signed:
+class SignedCall:
     """The signature of an outgoing call.
 
     Attributes:
@@ -95,7 +97,7 @@
 
 
 @attrs.frozen
-class Genuine:
+class AuthenticatedCall:
     """An authenticated call that is not a replay.
 
     Attributes:
@@ -104,21 +106,21 @@
         key: Key that signed the call; the reply is signed with it too.
     """
 
-    stamp: Stamp
+    parameters: SignatureParameters
     mac: bytes
     key: bytes = attrs.field(repr=False)
 
-    def is_body(self, body: bytes) -> bool:
+    def matches_body(self, body: bytes) -> bool:
         """Returns whether ``body`` matches the signed digest."""
-        return hmac.compare_digest(self.stamp.digest, _digest(body))
+        return hmac.compare_digest(self.parameters.digest, _digest(body))
 
-    def reply_header(self, body: bytes) -> str:
+    def sign_reply(self, body: bytes) -> str:
         """Returns the header value to send with the reply ``body``."""
-        return keys.sign(self.key, _REPLY_PREFIX + self.mac + body).hex()
+        return keys.compute_mac(self.key, _REPLY_PREFIX + self.mac + body).hex()
 
 
 @attrs.frozen
-class Refused:
+class RejectedCall:
     """A rejected call.
 
     Attributes:
@@ -127,7 +129,7 @@
         time_header: Header value with this host's signed time, or empty.
     """
 
-    why: Why
+    reason: RejectionReason
     caller: str = ""
     time_header: str = ""
 
@@ -143,7 +145,9 @@
         self._key_ring = keys.KeyRing.derive(secrets, _PURPOSE)
         self._serials = itertools.count(1)
 
-    def sign(self, method: str, callee: str, body: bytes, now: float) -> Signed:
+    def sign(
+        self, method: str, callee: str, body: bytes, now: float
+    ) -> SignedCall:
         """Returns the signature of a call.
 
         Args:
@@ -152,7 +156,7 @@
             body: The encoded message.
             now: The callee's time in seconds since the epoch.
         """
-        stamp = Stamp(
+        stamp = SignatureParameters(
             self._host,
             self._incarnation,
             next(self._serials),
@@ -161,16 +165,20 @@
             _digest(body),
         )
         text = str(stamp)
-        mac = keys.sign(self._key_ring.keys[0], _signed_text(method, text))
-        return Signed(f"{text} {mac.hex()}", mac)
+        mac = keys.compute_mac(
+            self._key_ring.keys[0], _signed_text(method, text)
+        )
+        return SignedCall(f"{text} {mac.hex()}", mac)
 
-    def is_reply(self, signed: Signed, header: str | None, body: bytes) -> bool:
+    def verify_reply(
+        self, signed: SignedCall, header: str | None, body: bytes
+    ) -> bool:
         """Returns whether ``header`` authenticates a reply to ``signed``."""
         mac = _from_hex(header or "")
         text = _REPLY_PREFIX + signed.mac + body
-        return self._key_ring.signer_of(text, mac) is not None
+        return self._key_ring.find_key(text, mac) is not None
 
-    def time_of(self, signed: Signed, header: str | None) -> float | None:
+    def read_time(self, signed: SignedCall, header: str | None) -> float | None:
         """Returns the callee's time from a rejection.
 
         Returns:
@@ -179,7 +187,7 @@
         """
         at_ms, _, mac = (header or "").partition(" ")
         text = _TIME_PREFIX + signed.mac + at_ms.encode()
-        if self._key_ring.signer_of(text, _from_hex(mac)) is None:
+        if self._key_ring.find_key(text, _from_hex(mac)) is None:
             return None
         return int(at_ms) / _MS_PER_SECOND
 
@@ -196,16 +204,16 @@
     """
 
     def __init__(
-        self, callee: str, secrets: Sequence[str], started: float
+        self, callee: str, secrets: Sequence[str], started_at: float
     ) -> None:
         self.callee = callee
         self._key_ring = keys.KeyRing.derive(secrets, _PURPOSE)
-        self._started_ms = int(started * _MS_PER_SECOND)
-        self._replays = replays.ReplayWindows(3 * TOLERANCE)
+        self._started_ms = int(started_at * _MS_PER_SECOND)
+        self._replays = replays.ReplayWindows(3 * CLOCK_TOLERANCE_SECONDS)
 
     def verify(
         self, method: str, header: str | None, now: float
-    ) -> Genuine | Refused:
+    ) -> AuthenticatedCall | RejectedCall:
         """Authenticates a call by its header.
 
         The caller of this method must still compare the body with the signed
@@ -217,28 +225,34 @@
             now: Seconds since the epoch.
         """
         if not header:
-            return Refused(Why.UNSIGNED)
+            return RejectedCall(RejectionReason.UNSIGNED)
         text, _, mac_text = header.rpartition(" ")
         stamp = _parse(text)
         if stamp is None:
-            return Refused(Why.MALFORMED)
+            return RejectedCall(RejectionReason.MALFORMED)
         mac = _from_hex(mac_text)
         # Verifies the text as received: parsing and formatting it again could
         # yield bytes that were never signed.
-        key = self._key_ring.signer_of(_signed_text(method, text), mac)
+        key = self._key_ring.find_key(_signed_text(method, text), mac)
         if key is None:
-            return Refused(Why.WRONG_SIGNATURE, stamp.caller)
-        return self._check_parameters(Genuine(stamp, mac, key), now)
+            return RejectedCall(RejectionReason.WRONG_SIGNATURE, stamp.caller)
+        return self._check_parameters(AuthenticatedCall(stamp, mac, key), now)
 
-    def _check_parameters(self, call: Genuine, now: float) -> Genuine | Refused:
-        stamp = call.stamp
+    def _check_parameters(
+        self, call: AuthenticatedCall, now: float
+    ) -> AuthenticatedCall | RejectedCall:
+        stamp = call.parameters
         if stamp.callee != self.callee:
-            return Refused(Why.MISDIRECTED, stamp.caller)
-        is_skewed = abs(stamp.at_ms / _MS_PER_SECOND - now) > TOLERANCE
+            return RejectedCall(RejectionReason.MISDIRECTED, stamp.caller)
+        is_skewed = (
+            abs(stamp.at_ms / _MS_PER_SECOND - now) > CLOCK_TOLERANCE_SECONDS
+        )
         if is_skewed or stamp.at_ms < self._started_ms:
-            return Refused(Why.SKEWED, stamp.caller, _time_header(call, now))
-        if not self._replays.is_new(stamp.caller, stamp.serial, now):
-            return Refused(Why.REPLAYED, stamp.caller)
+            return RejectedCall(
+                RejectionReason.SKEWED, stamp.caller, _time_header(call, now)
+            )
+        if not self._replays.record(stamp.caller, stamp.serial, now):
+            return RejectedCall(RejectionReason.REPLAYED, stamp.caller)
         return call
 
 
@@ -250,19 +264,19 @@
     return hashlib.sha256(body).digest()[:_DIGEST_BYTES].hex()
 
 
-def _time_header(call: Genuine, now: float) -> str:
+def _time_header(call: AuthenticatedCall, now: float) -> str:
     at_ms = str(int(now * _MS_PER_SECOND))
-    mac = keys.sign(call.key, _TIME_PREFIX + call.mac + at_ms.encode())
+    mac = keys.compute_mac(call.key, _TIME_PREFIX + call.mac + at_ms.encode())
     return f"{at_ms} {mac.hex()}"
 
 
-def _parse(text: str) -> Stamp | None:
+def _parse(text: str) -> SignatureParameters | None:
     fields = text.split(" ")
     if len(text) > _MAX_HEADER_CHARS or len(fields) != _STAMP_FIELDS:
         return None
     host, incarnation, serial, at_ms, callee, digest = fields
     try:
-        return Stamp(
+        return SignatureParameters(
             host, int(incarnation), int(serial), int(at_ms), callee, digest
         )
     except ValueError:
--- a/src/hoistmoor/core/security/keys.py
+++ b/src/hoistmoor/core/security/keys.py
@@ -38,15 +38,15 @@
             )
         )
 
-    def signer_of(self, text: bytes, mac: bytes) -> bytes | None:
+    def find_key(self, text: bytes, mac: bytes) -> bytes | None:
         """Returns the key for which ``mac`` authenticates ``text``, or None."""
         for key in self.keys:
-            if hmac.compare_digest(mac, sign(key, text)):
+            if hmac.compare_digest(mac, compute_mac(key, text)):
                 return key
         return None
 
 
-def sign(key: bytes, text: bytes) -> bytes:
+def compute_mac(key: bytes, text: bytes) -> bytes:
     """Returns the message authentication code of ``text``."""
     return hmac.digest(key, text, _HASH)[:MAC_BYTES]
 
--- a/src/hoistmoor/core/security/operators.py
+++ b/src/hoistmoor/core/security/operators.py
@@ -14,7 +14,7 @@
 _SHA256_HEX = re.compile(r"[0-9a-f]{64}")
 
 
-def is_hash(text: str) -> bool:
+def is_key_hash(text: str) -> bool:
     """Returns whether ``text`` is formatted as a SHA-256 in hexadecimal."""
     return _SHA256_HEX.fullmatch(text) is not None
 
--- a/src/hoistmoor/core/security/replays.py
+++ b/src/hoistmoor/core/security/replays.py
@@ -6,8 +6,8 @@
 
 import attrs
 
-WIDTH = 4096  # Serials tracked per caller.
-_MASK = (1 << WIDTH) - 1
+WINDOW_SIZE = 4096  # Serials tracked per caller.
+_MASK = (1 << WINDOW_SIZE) - 1
 
 
 @attrs.define
@@ -21,11 +21,11 @@
     def is_new(self, serial: int) -> bool:
         ahead = serial - self.highest
         if ahead > 0:
-            shifted = self.seen << ahead if ahead < WIDTH else 0
+            shifted = self.seen << ahead if ahead < WINDOW_SIZE else 0
             self.seen = (shifted | 1) & _MASK
             self.highest = serial
             return True
-        if -ahead >= WIDTH or self.seen & (1 << -ahead):
+        if -ahead >= WINDOW_SIZE or self.seen & (1 << -ahead):
             return False
         self.seen |= 1 << -ahead
         return True
@@ -53,7 +53,7 @@
         """Returns the number of tracked callers."""
         return len(self._windows)
 
-    def is_new(self, caller: str, serial: int, now: float) -> bool:
+    def record(self, caller: str, serial: int, now: float) -> bool:
         """Records an authenticated call; returns whether it is not a replay."""
         self._remove_expired(now)
         window = self._windows.setdefault(caller, _Window())
--- a/src/hoistmoor/entry/attempt_reports.py
+++ b/src/hoistmoor/entry/attempt_reports.py
@@ -9,7 +9,7 @@
 from hoistmoor.core.requests import chunks
 from hoistmoor.core.requests import kinds
 from hoistmoor.core.requests import routes
-from hoistmoor.core.routing import evidence
+from hoistmoor.core.routing import quality_estimates
 
 if TYPE_CHECKING:
     from hoistmoor.core.requests import messages
@@ -99,7 +99,7 @@
             return  # A held answer that went out after all.
         self._handed_in.append(choice)
         model_name, _, version = choice.version.partition("@")
-        tag = evidence.tag_answer(
+        tag = quality_estimates.make_answer_id(
             f"{request.envelope.request_id}.{len(self._handed_in):x}",
             facts.confidence,
             choice.escalated,
--- a/src/hoistmoor/entry/evidence_task.py
+++ b/src/hoistmoor/entry/evidence_task.py
@@ -104,7 +104,7 @@
 
     async def flush(self) -> None:
         """Appends what the router concluded; a repeat does no harm."""
-        self._unsent += self._router.take_effects()
+        self._unsent += self._router.drain_effects()
         while self._unsent:
             payload = codec.encode(self._unsent[0])
             try:
--- a/src/hoistmoor/entry/request_task.py
+++ b/src/hoistmoor/entry/request_task.py
@@ -203,7 +203,7 @@
         if not names:
             return choice
         await self._parts.poller.probe(names)
-        return router.best_probed(choice, names)
+        return router.choose_probed(choice, names)
 
     @_do.register
     async def _(self, effect: messages.Dispatch) -> None:
--- a/src/hoistmoor/load/experiment/hoistmoor_policy.py
+++ b/src/hoistmoor/load/experiment/hoistmoor_policy.py
@@ -112,19 +112,19 @@
     ) -> tuple[str, ...]:
         """Returns whom to ask for its load before ``pick`` is sent."""
         router = self.routers[ask.arrival.host]
-        return router.to_probe(pick.detail, ask.excluded, now)
+        return router.servers_to_probe(pick.detail, ask.excluded, now)
 
     def best_probed(
         self, ask: policies.Ask, pick: policies.Pick, names: tuple[str, ...]
     ) -> policies.Pick:
         """Returns ``pick`` at the least loaded server asked."""
         router = self.routers[ask.arrival.host]
-        found = _pick(router.best_probed(pick.detail, names))
+        found = _pick(router.choose_probed(pick.detail, names))
         return found if isinstance(found, policies.Pick) else pick
 
     def take_effects(self) -> list[messages.Effect]:
         """Returns the records of all hosts."""
-        return [e for router in self.routers for e in router.take_effects()]
+        return [e for router in self.routers for e in router.drain_effects()]
 
     def on_evidence(self, offset: int, record: messages.Effect) -> None:
         """Takes a record of the log at each host."""
--- a/src/hoistmoor/load/experiment/oracle.py
+++ b/src/hoistmoor/load/experiment/oracle.py
@@ -15,8 +15,8 @@
 import numpy as np
 
 from hoistmoor.core.routing import cascade
-from hoistmoor.core.routing import evidence
 from hoistmoor.core.routing import hashing
+from hoistmoor.core.routing import quality_estimates
 from hoistmoor.core.table import model
 from hoistmoor.load.experiment import deployment as deployment_lib
 from hoistmoor.load.experiment import engine as engine_lib
@@ -76,7 +76,7 @@
             return self._pick(str(ask.pin), ask, None) or policies.Refused()
         plan = self._plan(ask, usable, now)
         key = ask.arrival.session or f"{ask.arrival.number:x}"
-        policy = plan.policy(hashing.unit(key, 3))
+        policy = plan.policy(hashing.uniform(key, 3))
         others = sorted(usable, key=lambda row: -row.prior_quality)
         return (
             self._pick(policy.start, ask, policy)
@@ -132,7 +132,7 @@
         """Escalates as planned."""
         del now
         policy: cascade.Policy = pick.detail
-        if evidence.bucket_of(confidence) >= policy.threshold:
+        if quality_estimates.bucket_of(confidence) >= policy.threshold:
             return None
         fresh = attrs.evolve(ask, excluded=frozenset())
         return self._pick(policy.then, fresh, None)
@@ -176,7 +176,7 @@
             found = self._true_policies(
                 usable, kind, now, bool(ask.arrival.session)
             )
-            self.plans[key] = cascade.plan(found, target)
+            self.plans[key] = cascade.make_plan(found, target)
         return self.plans[key]
 
     def _true_policies(
@@ -189,7 +189,9 @@
             )
             for row in usable
         }
-        price = {r.key: cascade.cost(r, self.tokens[kind]) for r in usable}
+        price = {
+            r.key: cascade.expected_cost(r, self.tokens[kind]) for r in usable
+        }
         found = [
             cascade.Policy(key, 0, "", price[key], float(chance.mean()))
             for key, chance in chances.items()
@@ -208,7 +210,7 @@
         noise = _normal_grid(_NOISE_GRID) * world_lib.CONFIDENCE_NOISE
         confidence = np.clip(healthy[:, None] + noise[None, :], 0.0, 1.0)
         return np.searchsorted(
-            np.array(evidence.BUCKET_EDGES), confidence, side="right"
+            np.array(quality_estimates.BUCKET_EDGES), confidence, side="right"
         )
 
 
@@ -220,7 +222,7 @@
     buckets: np.ndarray,
 ) -> list[cascade.Policy]:
     found = []
-    for threshold in range(1, evidence.BUCKETS):
+    for threshold in range(1, quality_estimates.BUCKET_COUNT):
         escalated = (buckets < threshold).mean(axis=1)
         quality = chances[first] * (1 - escalated)
         quality = quality + chances[second] * escalated
--- a/src/hoistmoor/load/experiment/simulation.py
+++ b/src/hoistmoor/load/experiment/simulation.py
@@ -6,8 +6,8 @@
 
 import attrs
 
-from hoistmoor.core.routing import evidence
 from hoistmoor.core.routing import messages
+from hoistmoor.core.routing import quality_estimates
 from hoistmoor.core.routing import sequential
 from hoistmoor.core.table import limits
 from hoistmoor.core.table import model
@@ -139,7 +139,9 @@
         turn = turns[0]
         before = self._quality_before(turn)
         confidence = limits.value(self.table, "withdraw_confidence")
-        ratings = sequential.detection_limit(before, turn.quality, confidence)
+        ratings = sequential.min_detection_delay(
+            before, turn.quality, confidence
+        )
         waiting = self.measures.turned_flow * world_lib.RATING_DELAY_S
         answers = ratings / world_lib.RATED_SHARE + waiting
         return (1.0 - turn.quality) * answers
@@ -256,7 +258,9 @@
         model_name, _, version = pick.version.partition("@")
         delay = self.source.expovariate(1.0 / world_lib.RATING_DELAY_S)
         rating = messages.Rating(
-            evidence.tag_answer(name, confidence, request.escalated),
+            quality_estimates.make_answer_id(
+                name, confidence, request.escalated
+            ),
             model_name,
             version,
             request.arrival.kind,
--- a/src/hoistmoor/peers/guard.py
+++ b/src/hoistmoor/peers/guard.py
@@ -53,38 +53,40 @@
     async def _take(self, path: str, handler: Any, stream: Any) -> None:
         header = (stream.metadata or {}).get(signing.CALL_HEADER)
         verdict = self.verifier.verify(path, header, self._clock())
-        if isinstance(verdict, calls.Refused):
+        if isinstance(verdict, calls.RejectedCall):
             await self._refuse(stream, verdict, path)
             return
         body = await stream.recv_message()
-        if body is None or not verdict.is_body(body):
-            altered = calls.Refused(calls.Why.ALTERED, verdict.stamp.caller)
+        if body is None or not verdict.matches_body(body):
+            altered = calls.RejectedCall(
+                calls.RejectionReason.ALTERED, verdict.parameters.caller
+            )
             await self._refuse(stream, altered, path)
             return
         message = handler.request_type.FromString(body)
         await handler.func(_Exchange(stream, message, verdict))
 
     async def _refuse(
-        self, stream: Any, refused: calls.Refused, path: str
+        self, stream: Any, refused: calls.RejectedCall, path: str
     ) -> None:
-        self._metrics.peer_refusal(refused.why)
+        self._metrics.peer_refusal(refused.reason)
         self._log(refused, path, stream)
         times = {signing.TIME_HEADER: refused.time_header}
         await stream.send_trailing_metadata(
             status=const.Status.UNAUTHENTICATED,
-            status_message=str(refused.why),
+            status_message=str(refused.reason),
             metadata=times if refused.time_header else None,
         )
 
-    def _log(self, refused: calls.Refused, path: str, stream: Any) -> None:
+    def _log(self, refused: calls.RejectedCall, path: str, stream: Any) -> None:
         address = stream.peer.addr() if stream.peer else None
         self._refusals.warning(
-            refused.why,
+            refused.reason,
             "Refused %s from %s, which says it is %r: %s",
             path.rpartition("/")[2],
             address[0] if address else "an unknown address",
             refused.caller[:_SHOWN_CHARS],
-            str(refused.why),
+            str(refused.reason),
         )
 
 
@@ -108,7 +110,7 @@
     """A checked call, as the generated handlers see a stream."""
 
     def __init__(
-        self, stream: Any, message: Any, call: calls.Genuine | None
+        self, stream: Any, message: Any, call: calls.AuthenticatedCall | None
     ) -> None:
         self._stream = stream
         self._message = message
@@ -120,7 +122,7 @@
     async def send_message(self, reply: Any) -> None:
         body = reply.SerializeToString()
         if self._call is not None:
-            header = self._call.reply_header(body)
+            header = self._call.sign_reply(body)
             await self._stream.send_initial_metadata(
                 metadata={signing.REPLY_HEADER: header}
             )
--- a/src/hoistmoor/peers/signing.py
+++ b/src/hoistmoor/peers/signing.py
@@ -18,7 +18,7 @@
 TIME_HEADER = "hm-time"
 
 _NOT_SIGNED = "its reply is not signed"
-_REASONS = frozenset({*map(str, calls.Why), _NOT_SIGNED})
+_REASONS = frozenset({*map(str, calls.RejectionReason), _NOT_SIGNED})
 
 _LOG = logs.PartLogger("security")
 
@@ -91,7 +91,7 @@
 
 
 class _Call:
-    def __init__(self, peer: _Peer, signed: calls.Signed) -> None:
+    def __init__(self, peer: _Peer, signed: calls.SignedCall) -> None:
         self._peer = peer
         self._signed = signed
         self.metadata = {CALL_HEADER: signed.header}
@@ -110,7 +110,7 @@
     def learn_time(self, metadata: Mapping[str, str] | None) -> bool:
         header = metadata.get(TIME_HEADER) if metadata else None
         peer = self._peer
-        time = peer.signer.time_of(self._signed, header)
+        time = peer.signer.read_time(self._signed, header)
         if time is None:
             return False
         peer.ahead = time - peer.clock()
@@ -125,7 +125,7 @@
         self, metadata: Mapping[str, str] | None, body: bytes
     ) -> None:
         header = metadata.get(REPLY_HEADER) if metadata else None
-        if not self._peer.signer.is_reply(self._signed, header, body):
+        if not self._peer.signer.verify_reply(self._signed, header, body):
             self.note_refusal(_NOT_SIGNED)
             raise errors.PeerNotGenuineError(
                 f"the reply of {self._peer.address} is not signed by a host "
--- a/src/hoistmoor/relay/application.py
+++ b/src/hoistmoor/relay/application.py
@@ -89,7 +89,7 @@
         """
         self.settings = settings
         seed = int.from_bytes(os.urandom(8), "big")
-        draws = hashing.Draws.seeded(seed)
+        draws = hashing.RandomGenerator.from_seed(seed)
         self.state = state_lib.RelayState(
             clock=clock,
             log=event_log.EventLog(settings.host, clock, LOG_DESCRIPTOR),
--- a/src/hoistmoor/relay/front/admission.py
+++ b/src/hoistmoor/relay/front/admission.py
@@ -53,7 +53,7 @@
         self,
         state: state_lib.RelayState,
         names: header_names.HeaderNames,
-        draws: hashing.Draws,
+        draws: hashing.RandomGenerator,
     ) -> None:
         self._state = state
         self._names = names
@@ -156,7 +156,7 @@
 
     def _draw_service(self, route: configuration_lib.Route) -> str:
         total = sum(share.weight for share in route.shares)
-        point = self._draws.unit() * total
+        point = self._draws.random() * total
         for share in route.shares:
             point -= share.weight
             if point < 0:
--- a/src/hoistmoor/relay/front/http_handlers.py
+++ b/src/hoistmoor/relay/front/http_handlers.py
@@ -38,7 +38,7 @@
         state: state_lib.RelayState,
         admission: admission_lib.Admission,
         links: links_lib.BackendConnector,
-        draws: hashing.Draws,
+        draws: hashing.RandomGenerator,
     ) -> None:
         self.running: set[asyncio.Task[Any]] = set()
         self._state = state
@@ -114,7 +114,7 @@
 
     def _wait_for(self, reason: refusals.Reason) -> float:
         return retry_after.delay_for_reason(
-            reason, self._state.unavailable_duration(), self._draws.unit()
+            reason, self._state.unavailable_duration(), self._draws.random()
         )
 
     async def _skip_body(self, request: web.BaseRequest) -> None:
--- a/src/hoistmoor/steward/evidence_keeper.py
+++ b/src/hoistmoor/steward/evidence_keeper.py
@@ -51,7 +51,7 @@
 
     def reset(self) -> None:
         """Forgets everything read."""
-        self.fold = exposure.ExposureFold()
+        self.fold = exposure.ExposureLedger()
         self.withdrawals: dict[tuple[str, str], messages.Withdrawal] = {}
         self.tally_as_of = 0
         self.next_offset: int | None = None
--- a/src/hoistmoor/utils/metrics.py
+++ b/src/hoistmoor/utils/metrics.py
@@ -83,7 +83,7 @@
 
 _PEERS = tuple(
     Metric(f"peer.refused.{why}", Kind.COUNTER, f"Peers' calls refused: {why}.")
-    for why in calls.Why
+    for why in calls.RejectionReason
 )
 
 METRICS = {
@@ -132,7 +132,7 @@
         """Counts a repeated attempt under its reason."""
         self.count(f"retry.{reason}")
 
-    def peer_refusal(self, why: calls.Why) -> None:
+    def peer_refusal(self, why: calls.RejectionReason) -> None:
         """Counts a peer's call that was refused under its reason."""
         self.count(f"peer.refused.{why}")
 
--- a/tests/core/relay/conftest.py
+++ b/tests/core/relay/conftest.py
@@ -14,7 +14,7 @@
 def router() -> router_lib.Router:
     """A router with three servers of one service in three failure domains."""
     made = router_lib.Router(
-        "north", bounds_lib.Bounds(), hashing.Draws.seeded(1)
+        "north", bounds_lib.Bounds(), hashing.RandomGenerator.from_seed(1)
     )
     for number in range(3):
         made.fleet.put(relay_parts.make_entry(f"s{number}", zone=f"z{number}"))
--- a/tests/core/relay/course/test_relay_budget.py
+++ b/tests/core/relay/course/test_relay_budget.py
@@ -24,7 +24,7 @@
     made = router_lib.Router(
         "north",
         bounds_lib.Bounds(repeat_slack=slack),
-        hashing.Draws.seeded(1),
+        hashing.RandomGenerator.from_seed(1),
         own,
     )
     made.fleet.shares.set_hosts(hosts)
--- a/tests/core/relay/placement/test_relay_placement.py
+++ b/tests/core/relay/placement/test_relay_placement.py
@@ -21,7 +21,7 @@
 from hoistmoor.core.routing import hashing
 
 NOW = 100.0
-DRAWS = hashing.Draws.seeded(3)
+DRAWS = hashing.RandomGenerator.from_seed(3)
 
 
 def engines(count: int) -> list[server_lib.ServerState]:
--- a/tests/core/relay/servers/test_relay_fleet.py
+++ b/tests/core/relay/servers/test_relay_fleet.py
@@ -62,7 +62,7 @@
     fleet: fleet_lib.Fleet,
 ) -> None:
     failed = frozenset({fleet.servers["a"].entry.identity})
-    fleet.servers["a"].health.put_back()
+    fleet.servers["a"].health.readmit()
     ready = relay_parts.ready_servers(fleet, "desk", {"v1"}, failed, NOW)
     assertions.assert_that(ready, matchers.HasLength(0))
     fleet.put(entry(born=2000))
--- a/tests/core/relay/servers/test_relay_outstanding.py
+++ b/tests/core/relay/servers/test_relay_outstanding.py
@@ -93,7 +93,7 @@
             "",
             partition.distances(work_class, ready),
             1000.0,
-            hashing.Draws.seeded(host),
+            hashing.RandomGenerator.from_seed(host),
             NOW,
         )
         assert found is not None
--- a/tests/core/relay/servers/test_relay_warmup.py
+++ b/tests/core/relay/servers/test_relay_warmup.py
@@ -173,7 +173,7 @@
     router = router_lib.Router(
         "north",
         bounds_lib.Bounds(rate_tolerance=EXCESS),
-        hashing.Draws.seeded(1),
+        hashing.RandomGenerator.from_seed(1),
         "h1",
     )
     router.fleet.warmups.set_services({"llm": LLM})
--- a/tests/core/routing/test_routing_evidence.py
+++ b/tests/core/routing/test_routing_evidence.py
@@ -14,7 +14,7 @@
 from testtools import matchers
 
 from hoistmoor.core.routing import cascade
-from hoistmoor.core.routing import evidence
+from hoistmoor.core.routing import quality_estimates
 from hoistmoor.core.routing import sequential
 
 if TYPE_CHECKING:
@@ -36,29 +36,32 @@
 def test_answer_id_encodes_bucket_and_escalation(
     confidence: float | None, escalated: bool, expected: tuple[int, bool]
 ) -> None:
-    tagged = evidence.tag_answer("h.1.2~x", confidence, escalated)
-    assertions.assert_that(evidence.read_tag(tagged), matchers.Equals(expected))
+    tagged = quality_estimates.make_answer_id("h.1.2~x", confidence, escalated)
     assertions.assert_that(
-        evidence.read_tag("foreign~99"), matchers.Equals((-1, False))
+        quality_estimates.parse_answer_id(tagged), matchers.Equals(expected)
+    )
+    assertions.assert_that(
+        quality_estimates.parse_answer_id("foreign~99"),
+        matchers.Equals((-1, False)),
     )
 
 
 def test_estimates_start_at_prior_follow_ratings_and_decay() -> None:
-    estimates = evidence.Evidence()
-    first = estimates.of_kind(SMALL, "answer")
+    estimates = quality_estimates.QualityEstimates()
+    first = estimates.kind_estimate(SMALL, "answer")
     assertions.assert_that(first.mean, matchers.Equals(0.8))
     for _ in range(200):
         bad = routing_rows.rating(SMALL.key, good=False)
         estimates.on_rating(bad, SMALL, 0.0)
-    posterior = estimates.of_kind(SMALL, "answer")
+    posterior = estimates.kind_estimate(SMALL, "answer")
     assert posterior.mean < 0.1
     assert posterior.variance < first.variance
     estimates.on_rating(
         routing_rows.rating(SMALL.key, good=True),
         SMALL,
-        50 * evidence.HALF_LIFE_S,
+        50 * quality_estimates.HALF_LIFE_S,
     )
-    assert estimates.of_kind(SMALL, "answer").mean > 0.7
+    assert estimates.kind_estimate(SMALL, "answer").mean > 0.7
 
 
 policy_lists = strategies.lists(
@@ -80,7 +83,7 @@
 def test_plan_meets_target_and_no_single_policy_is_cheaper(
     policies: list[cascade.Policy], target: float
 ) -> None:
-    plan = cascade.plan(policies, target)
+    plan = cascade.make_plan(policies, target)
     share = plan.better_share
     quality = share * plan.better.quality + (1 - share) * plan.cheaper.quality
     meeting = [p for p in policies if p.quality >= target]
@@ -93,18 +96,20 @@
 
 
 def test_cascade_is_planned_once_confidence_predicts_quality() -> None:
-    estimates = evidence.Evidence()
+    estimates = quality_estimates.QualityEstimates()
     for number in range(600):
         is_confident = number % 4 > 0
         confidence = 0.97 if is_confident else 0.2
-        answer = evidence.tag_answer(f"r{number}", confidence, False)
+        answer = quality_estimates.make_answer_id(
+            f"r{number}", confidence, False
+        )
         estimates.on_answer(SMALL.key, "answer", confidence)
         estimates.on_rating(
             routing_rows.rating(SMALL.key, good=is_confident, answer=answer),
             SMALL,
             0.0,
         )
-        escalated = evidence.tag_answer(f"e{number}", 0.9, True)
+        escalated = quality_estimates.make_answer_id(f"e{number}", 0.9, True)
         estimates.on_rating(
             routing_rows.rating(
                 LARGE.key, good=number % 10 > 0, answer=escalated
@@ -113,23 +118,25 @@
             0.0,
         )
     profiles = [
-        cascade.profiles(estimates, row, "answer", (100.0, 100.0), (-1.0,))[0]
+        cascade.make_profiles(
+            estimates, row, "answer", (100.0, 100.0), (-1.0,)
+        )[0]
         for row in (SMALL, LARGE)
     ]
-    plan = cascade.plan(cascade.policies(profiles), 0.9)
+    plan = cascade.make_plan(cascade.all_policies(profiles), 0.9)
     assertions.assert_that(plan.cheaper.start, matchers.Equals(SMALL.key))
     assertions.assert_that(plan.better.then, matchers.Equals(LARGE.key))
-    assert plan.cost < 0.6 * cascade.cost(LARGE, (100.0, 100.0))
+    assert plan.cost < 0.6 * cascade.expected_cost(LARGE, (100.0, 100.0))
 
 
 def _ratings_until_alarm(
     quality: float, baseline: float, limit: float, seed: int, max_ratings: int
 ) -> int:
     source = random.Random(f"detector {seed}")
-    detector = sequential.TurnDetector()
+    detector = sequential.DegradationDetector()
     for number in range(1, max_ratings + 1):
         detector.add(source.random() < quality, baseline)
-        if detector.value >= limit:
+        if detector.statistic >= limit:
             return number
     return max_ratings
 
@@ -140,7 +147,7 @@
     assert sum(runs) / len(runs) >= 100.0
     limit = sequential.threshold(0.99)
     delays = [_ratings_until_alarm(0.4, 0.9, limit, i, 500) for i in range(60)]
-    bound = sequential.detection_limit(0.9, 0.4, 0.99)
+    bound = sequential.min_detection_delay(0.9, 0.4, 0.99)
     assert sum(delays) / len(delays) <= 1.5 * bound
 
 
@@ -176,7 +183,7 @@
 
 
 def test_margin_covers_calibration_error_and_shrinks_with_ratings() -> None:
-    estimates = evidence.Evidence()
+    estimates = quality_estimates.QualityEstimates()
     first = estimates.margin("answer", 0.8, 1.28)
     for number in range(400):
         rating = routing_rows.rating(SMALL.key, good=number % 5 > 0)
@@ -189,16 +196,16 @@
 
 
 def test_no_cascade_starts_with_a_version_without_confidence() -> None:
-    estimates = evidence.Evidence()
+    estimates = quality_estimates.QualityEstimates()
 
     def starts() -> set[str]:
         profiles = [
-            cascade.profiles(estimates, row, "answer", (100.0, 100.0), (0.0,))[
-                0
-            ]
+            cascade.make_profiles(
+                estimates, row, "answer", (100.0, 100.0), (0.0,)
+            )[0]
             for row in (SMALL, LARGE)
         ]
-        return {p.start for p in cascade.policies(profiles) if p.then}
+        return {p.start for p in cascade.all_policies(profiles) if p.then}
 
     assertions.assert_that(starts(), matchers.Equals({SMALL.key}))
     estimates.on_answer(SMALL.key, "answer", None)
--- a/tests/core/routing/test_routing_exposure.py
+++ b/tests/core/routing/test_routing_exposure.py
@@ -31,7 +31,7 @@
 class Fleet:
     """Simulated hosts that read a log with lost and repeated appends late."""
 
-    def __init__(self, fold: type[exposure.ExposureFold]) -> None:
+    def __init__(self, fold: type[exposure.ExposureLedger]) -> None:
         self.fold = fold
         self.log: list[messages.ExposureClaim] = []
         self.budgets: list[exposure.ExposureBudget] = []
@@ -48,8 +48,8 @@
     def use(self, host: int, now: float, views: int, repeats: int) -> None:
         """Uses the budget of a host and appends its claim ``repeats`` times."""
         budget = self.budgets[host % len(self.budgets)]
-        self.spent += budget.spend(DIGEST)
-        claim = budget.claim_if_low(ROW, DIGEST, views, now)
+        self.spent += budget.try_consume(DIGEST)
+        claim = budget.claim_if_exhausted(ROW, DIGEST, views, now)
         if claim is not None:
             self.log += [claim] * repeats
 
@@ -82,7 +82,7 @@
 )
 
 
-def _run(fold: type[exposure.ExposureFold], actions: list) -> int:
+def _run(fold: type[exposure.ExposureLedger], actions: list) -> int:
     fleet = Fleet(fold)
     fleet.start()
     now = 0.0
@@ -96,7 +96,7 @@
             fleet.catch_up(action[1], action[2])
     for host in range(len(fleet.budgets)):
         fleet.catch_up(host, len(fleet.log))
-        while fleet.budgets[host].spend(DIGEST):
+        while fleet.budgets[host].try_consume(DIGEST):
             fleet.spent += 1
     return fleet.spent
 
@@ -104,15 +104,15 @@
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(actions=actions)
 def test_cap_is_never_exceeded(actions: list) -> None:
-    assert _run(exposure.ExposureFold, actions) <= CAP
+    assert _run(exposure.ExposureLedger, actions) <= CAP
 
 
 def test_cap_is_exceeded_without_the_fold() -> None:
     """Checks that the cap is exceeded if claims are granted unconditionally."""
 
-    class Unlimited(exposure.ExposureFold):
+    class Unlimited(exposure.ExposureLedger):
         def _grant(self, claim: messages.ExposureClaim) -> int:
-            self.settled[claim.claim_id] = claim.amount
+            self.granted_by_claim[claim.claim_id] = claim.amount
             return claim.amount
 
     actions: list = []
@@ -129,17 +129,17 @@
 
 def test_late_reader_grants_nothing_before_a_tally() -> None:
     budget = exposure.ExposureBudget("h")
-    budget.fold.on_gap(2)
+    budget.ledger.on_gap(2)
     budget.on_claim(2, _claim(2))
-    assertions.assert_that(budget.spend(DIGEST), matchers.Equals(False))
-    assert budget.claim_if_low(ROW, DIGEST, 1, 0.0) is None
+    assertions.assert_that(budget.try_consume(DIGEST), matchers.Equals(False))
+    assert budget.claim_if_exhausted(ROW, DIGEST, 1, 0.0) is None
     # With two claims of 8 before the gap, 4 of 20 are left for the third one.
-    budget.fold.on_tally(messages.ExposureTally(1, {DIGEST: 8}))
-    assertions.assert_that(budget.fold.is_complete, matchers.Equals(False))
-    budget.fold.on_tally(messages.ExposureTally(2, {DIGEST: 16}))
-    assertions.assert_that(budget.fold.is_complete, matchers.Equals(True))
-    assertions.assert_that(budget.fold.granted[DIGEST], matchers.Equals(CAP))
-    assert budget.claim_if_low(ROW, DIGEST, 1, 0.0) is None
+    budget.ledger.on_tally(messages.ExposureTally(1, {DIGEST: 8}))
+    assertions.assert_that(budget.ledger.is_complete, matchers.Equals(False))
+    budget.ledger.on_tally(messages.ExposureTally(2, {DIGEST: 16}))
+    assertions.assert_that(budget.ledger.is_complete, matchers.Equals(True))
+    assertions.assert_that(budget.ledger.granted[DIGEST], matchers.Equals(CAP))
+    assert budget.claim_if_exhausted(ROW, DIGEST, 1, 0.0) is None
 
 
 def test_unproven_candidate_needs_a_slice_and_gets_no_session(
--- a/tests/core/routing/test_routing_golden.py
+++ b/tests/core/routing/test_routing_golden.py
@@ -13,8 +13,8 @@
 from testtools import assertions
 from testtools import matchers
 
-from hoistmoor.core.routing import evidence
 from hoistmoor.core.routing import messages
+from hoistmoor.core.routing import quality_estimates
 from hoistmoor.core.table import model
 
 if TYPE_CHECKING:
@@ -47,10 +47,12 @@
             prompt_tokens=100,
         )
         router.on_finished("llm-0", SMALL.key, done, 1.0)
-        answer = evidence.tag_answer(f"r{number}", confidence, False)
+        answer = quality_estimates.make_answer_id(
+            f"r{number}", confidence, False
+        )
         good = is_confident or number % 8 == 0
         router.on_rating(routing_rows.rating(SMALL.key, good, answer), 1.0)
-        confident = evidence.tag_answer(f"l{number}", 0.97, False)
+        confident = quality_estimates.make_answer_id(f"l{number}", 0.97, False)
         router.on_rating(
             routing_rows.rating(LARGE.key, number % 50 > 0, confident), 1.0
         )
--- a/tests/core/routing/test_routing_menus.py
+++ b/tests/core/routing/test_routing_menus.py
@@ -8,10 +8,10 @@
 from testtools import assertions
 from testtools import matchers
 
-from hoistmoor.core.routing import evidence
-from hoistmoor.core.routing import menus
 from hoistmoor.core.routing import messages
 from hoistmoor.core.routing import options
+from hoistmoor.core.routing import policy_cache
+from hoistmoor.core.routing import quality_estimates
 from hoistmoor.core.routing import router as router_lib
 from hoistmoor.core.table import model
 
@@ -19,68 +19,72 @@
 TOKENS = (100.0, 100.0)
 
 
-def rate(estimates: evidence.Evidence, ratings: int, now: float) -> None:
+def rate(
+    estimates: quality_estimates.QualityEstimates, ratings: int, now: float
+) -> None:
     for number in range(ratings):
         rating = routing_rows.rating(ROWS[0].key, good=number % 5 > 0)
         estimates.on_rating(rating, ROWS[0], now)
 
 
 @pytest.fixture
-def cache() -> menus.Menus:
-    return menus.Menus(evidence.Evidence())
+def cache() -> policy_cache.PolicyCache:
+    return policy_cache.PolicyCache(quality_estimates.QualityEstimates())
 
 
 def test_entry_is_reused_until_estimates_change_enough(
-    cache: menus.Menus,
+    cache: policy_cache.PolicyCache,
 ) -> None:
-    rate(cache.known, 1000, 0.0)
-    first = cache.of(ROWS, "answer", TOKENS, 1.0)
-    rate(cache.known, 3, 2.0)
-    assert cache.of(ROWS, "answer", TOKENS, 30.0) is first
-    rate(cache.known, 3, 31.0)
-    second = cache.of(ROWS, "answer", TOKENS, 32.0)
+    rate(cache.estimates, 1000, 0.0)
+    first = cache.get(ROWS, "answer", TOKENS, 1.0)
+    rate(cache.estimates, 3, 2.0)
+    assert cache.get(ROWS, "answer", TOKENS, 30.0) is first
+    rate(cache.estimates, 3, 31.0)
+    second = cache.get(ROWS, "answer", TOKENS, 32.0)
     assert second is not first
-    rate(cache.known, 500, 33.0)
-    assert cache.of(ROWS, "answer", TOKENS, 34.0) is second
-    third = cache.of(ROWS, "answer", TOKENS, 38.0)
+    rate(cache.estimates, 500, 33.0)
+    assert cache.get(ROWS, "answer", TOKENS, 34.0) is second
+    third = cache.get(ROWS, "answer", TOKENS, 38.0)
     assert third is not second
-    late = 38.0 + menus.LONGEST_LIFE_S
-    assert cache.of(ROWS, "answer", TOKENS, late) is not third
+    late = 38.0 + policy_cache.MAX_AGE_S
+    assert cache.get(ROWS, "answer", TOKENS, late) is not third
 
 
-def test_edited_row_refreshes_an_entry_at_once(cache: menus.Menus) -> None:
-    first = cache.of(ROWS, "answer", TOKENS, 1.0)
+def test_edited_row_refreshes_an_entry_at_once(
+    cache: policy_cache.PolicyCache,
+) -> None:
+    first = cache.get(ROWS, "answer", TOKENS, 1.0)
     edited = (attrs.evolve(ROWS[0], output_price=900), *ROWS[1:])
-    second = cache.of(edited, "answer", TOKENS, 1.0)
+    second = cache.get(edited, "answer", TOKENS, 1.0)
     assertions.assert_that(second, matchers.Not(matchers.Equals(first)))
-    assert cache.of(edited, "answer", TOKENS, 1.0) is second
+    assert cache.get(edited, "answer", TOKENS, 1.0) is second
 
 
 def test_refresh_rate_is_limited(
-    cache: menus.Menus,
+    cache: policy_cache.PolicyCache,
 ) -> None:
     kinds = [f"kind-{i}" for i in range(40)]
     for kind in kinds:
-        cache.of(ROWS, kind, TOKENS, 0.0)
-    made_before = cache.made
+        cache.get(ROWS, kind, TOKENS, 0.0)
+    made_before = cache.computed
     for tick in range(100):
         now = 100.0 + tick / 10.0
-        rate(cache.known, 10, now)
+        rate(cache.estimates, 10, now)
         for kind in kinds:
-            cache.of(ROWS, kind, TOKENS, now)
-    limit = 10.0 / menus.LEAST_GAP_S + 1
+            cache.get(ROWS, kind, TOKENS, now)
+    limit = 10.0 / policy_cache.MIN_REFRESH_INTERVAL_S + 1
     assertions.assert_that(
-        cache.made - made_before, matchers.LessThan(limit + 1)
+        cache.computed - made_before, matchers.LessThan(limit + 1)
     )
     assertions.assert_that(
-        cache.made - made_before, matchers.GreaterThan(limit / 2)
+        cache.computed - made_before, matchers.GreaterThan(limit / 2)
     )
 
 
-def test_number_of_entries_is_limited(cache: menus.Menus) -> None:
-    for number in range(2 * menus.MOST_KEPT):
-        cache.of(ROWS[:1], f"kind-{number}", TOKENS, 0.0)
-    assert len(cache.kept) <= menus.MOST_KEPT
+def test_number_of_entries_is_limited(cache: policy_cache.PolicyCache) -> None:
+    for number in range(2 * policy_cache.MAX_ENTRIES):
+        cache.get(ROWS[:1], f"kind-{number}", TOKENS, 0.0)
+    assert len(cache.entries) <= policy_cache.MAX_ENTRIES
 
 
 @pytest.fixture
@@ -110,14 +114,14 @@
 ) -> None:
     low = auto(two_accounts, "agents", 1.0)
     high = auto(two_accounts, "shops", 1.0)
-    assert two_accounts.catalog.menus.made == 1
-    assert low.cautious.cost < high.cautious.cost
+    assert two_accounts.catalog.policies.computed == 1
+    assert low.default_plan.cost < high.default_plan.cost
 
 
 def test_withdrawal_invalidates_a_shared_plan_at_once(
     two_accounts: router_lib.Router,
 ) -> None:
-    planned = auto(two_accounts, "shops", 1.0).cautious.better.start
+    planned = auto(two_accounts, "shops", 1.0).default_plan.better.start
     row = two_accounts.catalog.table.versions[planned]
     two_accounts.on_evidence(
         1,
@@ -129,7 +133,11 @@
         found = auto(two_accounts, account, 1.01)
         steps = {
             key
-            for plan in (found.cautious, found.exploring, found.steady)
+            for plan in (
+                found.default_plan,
+                found.exploration_plan,
+                found.session_plan,
+            )
             for policy in (plan.cheaper, plan.better)
             for key in (policy.start, policy.then)
         }
--- a/tests/core/routing/test_routing_placement.py
+++ b/tests/core/routing/test_routing_placement.py
@@ -37,7 +37,9 @@
     backends: fleet.Fleet, excluded: frozenset[str] = NO_SERVERS
 ) -> str | None:
     pool = backends.pools[POOL]
-    server, _ = placement.pick(pool, excluded, hashing.Draws.seeded(9))
+    server, _ = placement.pick_server(
+        pool, excluded, hashing.RandomGenerator.from_seed(9)
+    )
     return server.name if server else None
 
 
@@ -75,7 +77,7 @@
             )
         else:
             backends.set_leaving(address, is_leaving=action == "leave")
-        backends.wake(now)
+        backends.end_rests(now)
         _check_pools(backends)
 
 
@@ -84,7 +86,7 @@
         states = list(pool.servers.values())
         ejected = [s for s in states if s.health.is_ejected]
         assert len(ejected) <= len(states) // 2
-        ready = {s.name for s in (*pool.near.members, *pool.far.members)}
+        ready = {s.name for s in (*pool.local.members, *pool.remote.members)}
         assert ready == {s.name for s in states if s.is_ready}
         assert not any(s.is_leaving for s in states)
 
@@ -95,9 +97,9 @@
         backends.on_finished("llm-0", POOL, FAILED, 10.0)
     drawn = {_pick_server(backends, frozenset({"llm-1"})) for _ in range(50)}
     assertions.assert_that(drawn, matchers.Not(matchers.Contains("llm-0")))
-    backends.wake(14.9)
+    backends.end_rests(14.9)
     assert backends.by_name["llm-0"].health.is_ejected
-    backends.wake(15.1)
+    backends.end_rests(15.1)
     assert not backends.by_name["llm-0"].health.is_ejected
     backends.on_finished("llm-0", POOL, FAILED, 16.0)
     assertions.assert_that(
@@ -139,7 +141,9 @@
             load = 0 if i == 0 else 1
             backends.on_load(routing_rows.report(f"llm-{i}", 1.0, running=load))
         pool = backends.pools[POOL]
-        server, _ = placement.pick(pool, NO_SERVERS, hashing.Draws.seeded(host))
+        server, _ = placement.pick_server(
+            pool, NO_SERVERS, hashing.RandomGenerator.from_seed(host)
+        )
         sent[server.name if server else None] += 1
     assertions.assert_that(max(sent.values()), matchers.LessThan(15))
 
@@ -163,13 +167,15 @@
     index = affinity.PrefixIndex()
     index.on_event(messages.CacheEvent("a", 0, stored=(1, 2, 3)), 0.0)
     assertions.assert_that(
-        index.find((1, 2, 3, 4), 1.0), matchers.Equals((0.75, ("a",)))
+        index.find_longest((1, 2, 3, 4), 1.0), matchers.Equals((0.75, ("a",)))
     )
     index.on_event(messages.CacheEvent("a", 2, stored=(9,)), 1.0)
     assertions.assert_that(
-        index.find((1, 2, 3, 4), 1.0), matchers.Equals((0.0, ()))
+        index.find_longest((1, 2, 3, 4), 1.0), matchers.Equals((0.0, ()))
+    )
+    assertions.assert_that(
+        index.find_longest((9,), 1.0), matchers.Equals((1.0, ("a",)))
     )
     assertions.assert_that(
-        index.find((9,), 1.0), matchers.Equals((1.0, ("a",)))
+        index.find_longest((9,), 500.0)[1], matchers.Equals(())
     )
-    assertions.assert_that(index.find((9,), 500.0)[1], matchers.Equals(()))
--- a/tests/core/routing/test_routing_probes.py
+++ b/tests/core/routing/test_routing_probes.py
@@ -43,12 +43,12 @@
     router: router_lib.Router,
 ) -> None:
     choice = choose(router)
-    names = router.to_probe(choice, NO_SERVERS, NOW)
+    names = router.servers_to_probe(choice, NO_SERVERS, NOW)
     assertions.assert_that(names, matchers.Contains(choice.server))
-    assert 2 <= len(names) <= placement.PROBES
+    assert 2 <= len(names) <= placement.MAX_PROBES
     for name in names:
         report(router, name, 7 if name == choice.server else 2)
-    best = router.best_probed(choice, names)
+    best = router.choose_probed(choice, names)
     assert best.server in set(names) - {choice.server}
     assertions.assert_that(best.version, matchers.Equals(choice.version))
     row = router.fleet.by_name[best.server].row
@@ -61,10 +61,11 @@
     choice = choose(router)
     report(router, choice.server, 1)
     assertions.assert_that(
-        router.to_probe(choice, NO_SERVERS, NOW + 1.0), matchers.Equals(())
+        router.servers_to_probe(choice, NO_SERVERS, NOW + 1.0),
+        matchers.Equals(()),
     )
-    expired = NOW + placement.KNOWN_S + 1.0
-    assert router.to_probe(choice, NO_SERVERS, expired)
+    expired = NOW + placement.FRESH_REPORT_S + 1.0
+    assert router.servers_to_probe(choice, NO_SERVERS, expired)
 
 
 def test_no_server_is_probed_for_short_calls(
@@ -76,7 +77,7 @@
         done = messages.AttemptResult(ok=True, seconds=0.1)
         router.on_finished(choice.server, choice.version, done, NOW)
     assertions.assert_that(
-        router.to_probe(choice, NO_SERVERS, NOW), matchers.Equals(())
+        router.servers_to_probe(choice, NO_SERVERS, NOW), matchers.Equals(())
     )
 
 
@@ -84,19 +85,20 @@
     router: router_lib.Router,
 ) -> None:
     choice = choose(router)
-    names = router.to_probe(choice, NO_SERVERS, NOW)
+    names = router.servers_to_probe(choice, NO_SERVERS, NOW)
     others = frozenset(names) - {choice.server}
-    probed = router.to_probe(choice, others, NOW)
+    probed = router.servers_to_probe(choice, others, NOW)
     assert not others & set(probed)
     for name in others:
         router.on_leaving(router.fleet.by_name[name].row.address)
     report(router, choice.server, 7)
     assertions.assert_that(
-        router.best_probed(choice, names).server, matchers.Equals(choice.server)
+        router.choose_probed(choice, names).server,
+        matchers.Equals(choice.server),
     )
     report(router, choice.server, 8)
     # No probed server is ready, so the choice is kept although the server may
     # decline the call.
     assertions.assert_that(
-        router.best_probed(choice, names), matchers.Equals(choice)
+        router.choose_probed(choice, names), matchers.Equals(choice)
     )
--- a/tests/core/routing/test_routing_router.py
+++ b/tests/core/routing/test_routing_router.py
@@ -15,10 +15,10 @@
 
 from hoistmoor.core import outcomes
 from hoistmoor.core import refusals
+from hoistmoor.core.routing import degradation
 from hoistmoor.core.routing import messages
 from hoistmoor.core.routing import options
 from hoistmoor.core.routing import router as router_lib
-from hoistmoor.core.routing import turns
 from hoistmoor.core.table import model
 
 if TYPE_CHECKING:
@@ -117,7 +117,7 @@
 def test_interleaving_detects_a_missing_check(
     monkeypatch: pytest.MonkeyPatch, step: tuple
 ) -> None:
-    monkeypatch.setattr(options.Catalog, "verdict", lambda *_: "")
+    monkeypatch.setattr(options.OptionsCatalog, "verdict", lambda *_: "")
     router = router_lib.Router("bangna", 7, "bangna-1")
     asks = [("ask", "small@v1", None, n, 0.1) for n in range(3)]
     with pytest.raises(AssertionError):
@@ -163,7 +163,7 @@
     assert row.stage is not model.Stage.WITHDRAWN
     if row.stage is model.Stage.DRAINING:
         assert query.pin == row.key
-    assert not router.watch.is_withdrawn(row.key, query.kind)
+    assert not router.monitor.is_withdrawn(row.key, query.kind)
 
 
 def test_session_keeps_its_draining_version(
@@ -263,7 +263,7 @@
     left = [
         name
         for name in NAMES
-        if not router.watch.is_withdrawn(name, turns.ALL_KINDS)
+        if not router.watch.is_withdrawn(name, degradation.ALL_KINDS)
     ]
     assertions.assert_that(left, matchers.HasLength(1))
 
--- a/tests/core/security/test_security_calls.py
+++ b/tests/core/security/test_security_calls.py
@@ -29,37 +29,46 @@
     return calls.Verifier(CALLEE, secrets or (OLD,), started)
 
 
-def _why(verdict: calls.Genuine | calls.Refused) -> calls.Why | None:
-    return verdict.why if isinstance(verdict, calls.Refused) else None
+def _why(
+    verdict: calls.AuthenticatedCall | calls.RejectedCall,
+) -> calls.RejectionReason | None:
+    return verdict.reason if isinstance(verdict, calls.RejectedCall) else None
 
 
 def test_call_and_reply_are_accepted_once() -> None:
     signer, verifier = _signer(), _verifier()
     signed = signer.sign(METHOD, CALLEE, BODY, NOW)
     call = verifier.verify(METHOD, signed.header, NOW + 1)
-    assert isinstance(call, calls.Genuine)
-    assert call.is_body(BODY)
-    assert not call.is_body(BODY + b"x")
-    header = call.reply_header(b"reply")
-    assert signer.is_reply(signed, header, b"reply")
-    assert not signer.is_reply(signed, header, b"other")
-    assert not signer.is_reply(signed, None, b"reply")
+    assert isinstance(call, calls.AuthenticatedCall)
+    assert call.matches_body(BODY)
+    assert not call.matches_body(BODY + b"x")
+    header = call.sign_reply(b"reply")
+    assert signer.verify_reply(signed, header, b"reply")
+    assert not signer.verify_reply(signed, header, b"other")
+    assert not signer.verify_reply(signed, None, b"reply")
     other = signer.sign(METHOD, CALLEE, BODY, NOW)
-    assert not signer.is_reply(other, header, b"reply")
+    assert not signer.verify_reply(other, header, b"reply")
     again = verifier.verify(METHOD, signed.header, NOW + 1)
-    assertions.assert_that(_why(again), matchers.Equals(calls.Why.REPLAYED))
+    assertions.assert_that(
+        _why(again), matchers.Equals(calls.RejectionReason.REPLAYED)
+    )
 
 
 @pytest.mark.parametrize(
     ("secret", "callee", "method", "reason"),
     [
-        (NEW, CALLEE, METHOD, calls.Why.WRONG_SIGNATURE),
-        (OLD, "10.0.0.3:7001", METHOD, calls.Why.MISDIRECTED),
-        (OLD, CALLEE, "/hoistmoor.Peer/Ping", calls.Why.WRONG_SIGNATURE),
+        (NEW, CALLEE, METHOD, calls.RejectionReason.WRONG_SIGNATURE),
+        (OLD, "10.0.0.3:7001", METHOD, calls.RejectionReason.MISDIRECTED),
+        (
+            OLD,
+            CALLEE,
+            "/hoistmoor.Peer/Ping",
+            calls.RejectionReason.WRONG_SIGNATURE,
+        ),
     ],
 )
 def test_call_with_other_secret_callee_or_method_is_rejected(
-    secret: str, callee: str, method: str, reason: calls.Why
+    secret: str, callee: str, method: str, reason: calls.RejectionReason
 ) -> None:
     signed = _signer(secret).sign(method, callee, BODY, NOW)
     verdict = _verifier().verify(METHOD, signed.header, NOW)
@@ -76,12 +85,14 @@
     verdict = _verifier().verify(METHOD, changed, NOW)
     # The signature's hexadecimal digits may be in upper case.
     is_same = changed.lower() == header.lower()
-    assert isinstance(verdict, calls.Refused) != is_same
+    assert isinstance(verdict, calls.RejectedCall) != is_same
 
 
 @pytest.mark.parametrize("header", ["", None, "x", "a b c d e f g", "é" * 900])
 def test_malformed_header_is_rejected(header: str | None) -> None:
-    assert isinstance(_verifier().verify(METHOD, header, NOW), calls.Refused)
+    assert isinstance(
+        _verifier().verify(METHOD, header, NOW), calls.RejectedCall
+    )
 
 
 @pytest.mark.parametrize("skew", [-3600.0, -10.5, 10.5, 86_400.0])
@@ -89,30 +100,36 @@
     signer, verifier = _signer(), _verifier()
     signed = signer.sign(METHOD, CALLEE, BODY, NOW + skew)
     refused = verifier.verify(METHOD, signed.header, NOW)
-    assert isinstance(refused, calls.Refused)
-    assertions.assert_that(refused.why, matchers.Equals(calls.Why.SKEWED))
-    time = signer.time_of(signed, refused.time_header)
+    assert isinstance(refused, calls.RejectedCall)
+    assertions.assert_that(
+        refused.reason, matchers.Equals(calls.RejectionReason.SKEWED)
+    )
+    time = signer.read_time(signed, refused.time_header)
     assertions.assert_that(time, matchers.Equals(NOW))
     again = signer.sign(METHOD, CALLEE, BODY, NOW)
-    assert isinstance(verifier.verify(METHOD, again.header, NOW), calls.Genuine)
+    assert isinstance(
+        verifier.verify(METHOD, again.header, NOW), calls.AuthenticatedCall
+    )
     # The time is bound to one call and can't be forged without the secret.
-    assert signer.time_of(again, refused.time_header) is None
+    assert signer.read_time(again, refused.time_header) is None
     forged = f"{int(NOW * 1000)} {'0' * 32}"
-    assert signer.time_of(signed, forged) is None
+    assert signer.read_time(signed, forged) is None
 
 
 @pytest.mark.parametrize("skew", [-9.9, 9.9])
 def test_call_within_tolerance_is_accepted(skew: float) -> None:
     signed = _signer().sign(METHOD, CALLEE, BODY, NOW + skew)
     verdict = _verifier().verify(METHOD, signed.header, NOW)
-    assert isinstance(verdict, calls.Genuine)
+    assert isinstance(verdict, calls.AuthenticatedCall)
 
 
 def test_call_sent_before_callee_start_is_rejected() -> None:
     signed = _signer().sign(METHOD, CALLEE, BODY, NOW)
     successor = _verifier(started=NOW + 1)
     verdict = successor.verify(METHOD, signed.header, NOW + 2)
-    assertions.assert_that(_why(verdict), matchers.Equals(calls.Why.SKEWED))
+    assertions.assert_that(
+        _why(verdict), matchers.Equals(calls.RejectionReason.SKEWED)
+    )
 
 
 def test_consecutive_rotation_steps_interoperate() -> None:
@@ -122,20 +139,20 @@
             signer = _signer(*caller)
             signed = signer.sign(METHOD, CALLEE, BODY, NOW)
             call = _verifier(*callee).verify(METHOD, signed.header, NOW)
-            assert isinstance(call, calls.Genuine), (caller, callee)
-            assert signer.is_reply(signed, call.reply_header(b"r"), b"r")
+            assert isinstance(call, calls.AuthenticatedCall), (caller, callee)
+            assert signer.verify_reply(signed, call.sign_reply(b"r"), b"r")
     # Skips the intermediate steps of the rotation.
     signed = _signer(OLD).sign(METHOD, CALLEE, BODY, NOW)
     verdict = _verifier(NEW).verify(METHOD, signed.header, NOW)
     assertions.assert_that(
-        _why(verdict), matchers.Equals(calls.Why.WRONG_SIGNATURE)
+        _why(verdict), matchers.Equals(calls.RejectionReason.WRONG_SIGNATURE)
     )
 
 
 def test_repr_contains_no_secrets() -> None:
     signed = _signer().sign(METHOD, CALLEE, BODY, NOW)
     call = _verifier().verify(METHOD, signed.header, NOW)
-    assert isinstance(call, calls.Genuine)
+    assert isinstance(call, calls.AuthenticatedCall)
     for text in (repr(call), repr(signed)):
         assert OLD not in text
         assert repr(call.key) not in text
@@ -148,9 +165,9 @@
     seen: set[int] = set()
     highest = 0
     for serial in serials:
-        is_new = windows.is_new("a.1", serial, NOW)
+        is_new = windows.record("a.1", serial, NOW)
         highest = max(highest, serial)
-        in_window = highest - serial < replays.WIDTH
+        in_window = highest - serial < replays.WINDOW_SIZE
         expected = serial not in seen and in_window
         # Serials below 1 are never sent, so they may be rejected.
         if serial > 0:
@@ -161,6 +178,6 @@
 def test_inactive_callers_are_removed() -> None:
     windows = replays.ReplayWindows(30.0)
     for number in range(100):
-        windows.is_new(f"a.{number}", 1, NOW + number)
+        windows.record(f"a.{number}", 1, NOW + number)
     assertions.assert_that(len(windows), matchers.LessThan(40))
-    assert not windows.is_new("a.99", 1, NOW + 99)
+    assert not windows.record("a.99", 1, NOW + 99)
--- a/tests/peers/test_peers_security.py
+++ b/tests/peers/test_peers_security.py
@@ -43,7 +43,7 @@
 class _Metrics:
     refused: list[str] = attrs.field(factory=list)
 
-    def peer_refusal(self, why: calls.Why) -> None:
+    def peer_refusal(self, why: calls.RejectionReason) -> None:
         self.refused.append(str(why))
 
 
--- a/tests/relay/front/test_relay_reports.py
+++ b/tests/relay/front/test_relay_reports.py
@@ -235,7 +235,9 @@
             lambda: not server.rest.remaining(harness.state.clock())
         )
         await send_request(harness)
-    assertions.assert_that(server.health.failures, matchers.Equals(0))
+    assertions.assert_that(
+        server.health.consecutive_failures, matchers.Equals(0)
+    )
     assertions.assert_that(server.health.is_ejected, matchers.Is(False))
 
 
--- a/tests/relay/test_relay_resting_server.py
+++ b/tests/relay/test_relay_resting_server.py
@@ -54,7 +54,7 @@
 
     def may_be_retried(relay: application.Relay) -> bool:
         """Whether the pause for full servers is over."""
-        return relay.state.clock() > server_at(relay).health.full_until
+        return relay.state.clock() > server_at(relay).health.at_capacity_until
 
     async with relay_cluster.open_cluster(monkeypatch, relays, 3) as cluster:
         resting = await cluster.find_preferred_engine()
--- a/tests/relay_states.py
+++ b/tests/relay_states.py
@@ -37,7 +37,7 @@
         log=event_log.EventLog("h1", clock, log_descriptor),
         counters=metrics.RelayMetrics(),
         router=router_lib.Router(
-            "north", bounds_lib.Bounds(), hashing.Draws.seeded(1)
+            "north", bounds_lib.Bounds(), hashing.RandomGenerator.from_seed(1)
         ),
         lease=configuration_lease.ConfigurationLease(5.0),
         outstanding=outstanding.OutstandingWork(),
--- a/tests/steward/test_steward_duties.py
+++ b/tests/steward/test_steward_duties.py
@@ -134,7 +134,7 @@
     await keeper.step()
     await keeper.step()
     offset = fake.first(streams.EVIDENCE)
-    late = exposure.ExposureFold()
+    late = exposure.ExposureLedger()
     late.on_gap(offset)
     withdrawn = []
     for payload in fake.rows[streams.EVIDENCE][offset:]:
--- a/tests/system/broken_entry.py
+++ b/tests/system/broken_entry.py
@@ -63,8 +63,8 @@
 
 
 def _withdrawals() -> None:
-    options.Catalog.verdict = lambda *_: ""  # type: ignore[method-assign]
-    options.Catalog.may_keep = lambda *_: True  # type: ignore[method-assign]
+    options.OptionsCatalog.exclusion_reason = lambda *_: ""  # type: ignore[method-assign]
+    options.OptionsCatalog.can_keep = lambda *_: True  # type: ignore[method-assign]
 
 
 def _sessions() -> None:
--- a/tests/utils/test_utils_metrics.py
+++ b/tests/utils/test_utils_metrics.py
@@ -51,7 +51,7 @@
             receiver.recv(512).decode(),
             matchers.Equals(f"hoistmoor.retry.{reason.value}:1|c"),
         )
-    for why in calls.Why:
+    for why in calls.RejectionReason:
         metrics.peer_refusal(why)
         assertions.assert_that(
             receiver.recv(512).decode(),
