--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -28,7 +28,7 @@
 from hoistmoor.core.membership import view
 from hoistmoor.core.routing import messages as routing
 from hoistmoor.core.routing import router as router_lib
-from hoistmoor.core.sessions import choice
+from hoistmoor.core.sessions import rendezvous
 from hoistmoor.core.table import edits
 from hoistmoor.core.table import fold as fold_lib
 from hoistmoor.core.table import model
@@ -144,7 +144,9 @@
                 functools.partial(shares._compute_fraction, "account-0", _NOW)
             ),
             "homes of a session": time_call(
-                functools.partial(choice.homes, views, "account-0", "s1")
+                functools.partial(
+                    rendezvous.home_hosts, views, "account-0", "s1"
+                )
             ),
         }
         members.clients.close()
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -26,7 +26,7 @@
 from hoistmoor.core.limits import ledger as book_lib
 from hoistmoor.core.limits import queue
 from hoistmoor.core.limits import records
-from hoistmoor.core.sessions import choice
+from hoistmoor.core.sessions import rendezvous
 from hoistmoor.core.table import model
 from hoistmoor.entry import limits
 from hoistmoor.entry import share_peers
@@ -96,7 +96,7 @@
     """Times admit and release of a request whose share is at hand."""
     gate = limits.Gate(MemoryLog(), identity.Incarnation("h0", 1))
     gate.on_table(table_of(10, 10**12))
-    gate.on_hosts([choice.HomeHost(f"h{n}", "d") for n in range(hosts)])
+    gate.on_hosts([rendezvous.HomeHost(f"h{n}", "d") for n in range(hosts)])
     gate.start()
     samples = []
     for n in range(rounds + 500):
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -11,8 +11,8 @@
 import tracemalloc
 from typing import TYPE_CHECKING
 
-from hoistmoor.core.sessions import choice
 from hoistmoor.core.sessions import pins
+from hoistmoor.core.sessions import rendezvous
 from hoistmoor.core.sessions import tokens
 
 if TYPE_CHECKING:
@@ -58,8 +58,10 @@
     say(f"token: {len(value)} characters, sign {sign:.1f} us,")
     say(f"  verify {verify:.1f} us")
     for count in (9, 90, 180, 360):
-        hosts = [choice.HomeHost(f"h{n}", f"d{n % 7}") for n in range(count)]
-        find = functools.partial(choice.homes, hosts, "agents", "s1")
+        hosts = [
+            rendezvous.HomeHost(f"h{n}", f"d{n % 7}") for n in range(count)
+        ]
+        find = functools.partial(rendezvous.home_hosts, hosts, "agents", "s1")
         each = microseconds(find, 500)
         say(f"homes: {count} hosts, {each:.0f} us")
     say(f"pins: {pin_bytes(pins.DEFAULT_CAPACITY):.0f} bytes each")
--- a/src/hoistmoor/core/requests/admission.py
+++ b/src/hoistmoor/core/requests/admission.py
@@ -15,7 +15,7 @@
 _WILDCARD = "*"
 
 
-def account_of(table: model.Table, bearer: str) -> model.Account:
+def authenticate(table: model.Table, bearer: str) -> model.Account:
     """Returns the client account that owns a bearer key.
 
     Raises:
@@ -24,7 +24,7 @@
     key_hash = hashlib.sha256(bearer.encode()).hexdigest()
     account = table.account_by_key_hash.get(key_hash)
     if account is None:
-        raise parsing.refuse(
+        raise parsing.refusal_error(
             refusals.Reason.WRONG_KEY, "no client account has this key"
         )
     return account
@@ -38,16 +38,16 @@
     """
     versions = _matching_versions(table, name)
     if not versions:
-        raise parsing.refuse(
+        raise parsing.refusal_error(
             refusals.Reason.UNKNOWN_MODEL, f"the table has no model {name!r}"
         )
     granted = [v for v in versions if table.grant_for(account, v)]
     if not granted:
-        raise parsing.refuse(
+        raise parsing.refusal_error(
             refusals.Reason.NOT_GRANTED, f"{account} may not use {name!r}"
         )
     if all(v.stage is model.Stage.WITHDRAWN for v in granted):
-        raise parsing.refuse(
+        raise parsing.refusal_error(
             refusals.Reason.VERSION_WITHDRAWN,
             f"each version of {name!r} granted to {account} is withdrawn",
         )
@@ -62,7 +62,9 @@
     return list(table.versions_by_model.get(name, ()))
 
 
-def granted_models(table: model.Table, account: str) -> Iterable[model.Version]:
+def granted_versions(
+    table: model.Table, account: str
+) -> Iterable[model.Version]:
     """Yields the versions that an account may currently use."""
     for key in sorted(table.versions):
         version = table.versions[key]
@@ -89,11 +91,11 @@
     """
     row = table.services.get(service)
     if row is None or row.kind is not model.ServiceKind.PLAIN:
-        raise parsing.refuse(
+        raise parsing.refusal_error(
             refusals.Reason.UNKNOWN_SERVICE, f"no plain service {service!r}"
         )
     if _WILDCARD not in row.accounts and account not in row.accounts:
-        raise parsing.refuse(
+        raise parsing.refusal_error(
             refusals.Reason.NOT_GRANTED, f"{account} may not call {service!r}"
         )
     for call in table.calls.values():
@@ -101,7 +103,7 @@
             continue
         if _path_matches(call.path, path):
             return call
-    raise parsing.refuse(
+    raise parsing.refusal_error(
         refusals.Reason.UNKNOWN_CALL, f"{service} has no call {method} {path}"
     )
 
--- a/src/hoistmoor/core/requests/chunks.py
+++ b/src/hoistmoor/core/requests/chunks.py
@@ -11,8 +11,8 @@
 import attrs
 import orjson
 
-from hoistmoor.core.requests import kinds
 from hoistmoor.core.requests import messages
+from hoistmoor.core.requests import request_types
 
 if TYPE_CHECKING:
     from hoistmoor.core.requests import decisions
@@ -25,18 +25,18 @@
 _JSON = "application/json"
 
 
-def event(payload: bytes) -> bytes:
+def encode_event(payload: bytes) -> bytes:
     """Encodes ``payload`` as a server-sent event."""
     return _DATA_PREFIX + payload + _EVENT_END
 
 
-def payload_of(frame: bytes) -> bytes:
+def event_payload(frame: bytes) -> bytes:
     """Returns the payload of a server-sent event."""
     return frame.removeprefix(_DATA_PREFIX).strip()
 
 
 @attrs.define
-class ChunkReader:
+class ChunkParser:
     """Collects the metadata of a streamed response.
 
     Attributes:
@@ -53,7 +53,7 @@
 
     def read(self, frame: bytes) -> None:
         """Parses one event; events that are not chunks are ignored."""
-        chunk = _parse(payload_of(frame))
+        chunk = _parse(event_payload(frame))
         self._read_usage(chunk.get("usage") or {})
         self.confidence = chunk.get("confidence", self.confidence)
         for choice in chunk.get("choices", ()):
@@ -65,14 +65,14 @@
         self.output_tokens = usage.get("completion_tokens", self.output_tokens)
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the engine has reported a finish reason."""
         return bool(self.finish_reason)
 
     @property
-    def facts(self) -> messages.AnswerFacts:
+    def metadata(self) -> messages.ResponseMetadata:
         """Metadata of the complete response."""
-        return messages.AnswerFacts(
+        return messages.ResponseMetadata(
             status=_OK,
             content_type=_SSE,
             prompt_tokens=self.prompt_tokens,
@@ -90,20 +90,20 @@
     return chunk if isinstance(chunk, dict) else {}
 
 
-def text_of(frames: list[bytes]) -> str:
+def join_text(frames: list[bytes]) -> str:
     """Returns the concatenated text of a response's chunks."""
     texts = []
     for frame in frames:
-        for choice in _parse(payload_of(frame)).get("choices", ()):
+        for choice in _parse(event_payload(frame)).get("choices", ()):
             texts.append(choice.get("delta", {}).get("content") or "")
     return "".join(texts)
 
 
-def as_sent(
-    request: kinds.Request,
+def assemble_response(
+    request: request_types.Request,
     decision: decisions.Decision,
     frames: list[bytes],
-    metadata: messages.AnswerFacts,
+    metadata: messages.ResponseMetadata,
 ) -> tuple[bytes, str]:
     """Returns the full response as sent to the caller, and its content type.
 
@@ -113,17 +113,17 @@
         frames: Frames of the response, in order.
         metadata: Metadata of the response.
     """
-    if isinstance(request, kinds.CallRequest):
+    if isinstance(request, request_types.CallRequest):
         return b"".join(frames), metadata.content_type
     if request.stream:
-        return b"".join((*frames, event(DONE))), _SSE
+        return b"".join((*frames, encode_event(DONE))), _SSE
     return _make_completion(decision, frames, metadata), _JSON
 
 
 def _make_completion(
     decision: decisions.Decision,
     frames: list[bytes],
-    metadata: messages.AnswerFacts,
+    metadata: messages.ResponseMetadata,
 ) -> bytes:
     body = {
         "id": decision.request_id,
@@ -133,7 +133,7 @@
         "choices": [
             {
                 "index": 0,
-                "message": {"role": "assistant", "content": text_of(frames)},
+                "message": {"role": "assistant", "content": join_text(frames)},
                 "finish_reason": metadata.finish_reason,
             }
         ],
--- a/src/hoistmoor/core/requests/decision_batch.py
+++ b/src/hoistmoor/core/requests/decision_batch.py
@@ -41,7 +41,7 @@
 codec.register("decisions", DecisionBatch)
 
 
-def period(hosts: int) -> float:
+def batch_interval(hosts: int) -> float:
     """Returns the seconds between two batches of a host, given ``hosts``."""
     return max(MIN_INTERVAL, hosts / APPENDS_PER_SECOND)
 
@@ -92,7 +92,7 @@
         self.dropped += 1
         (self._low_interest or self._high_interest).popleft()
 
-    def take(self, seconds: float) -> DecisionBatch | None:
+    def pop_batch(self, seconds: float) -> DecisionBatch | None:
         """Removes and returns the next batch, or None if none is pending.
 
         Args:
--- a/src/hoistmoor/core/requests/decisions.py
+++ b/src/hoistmoor/core/requests/decisions.py
@@ -64,11 +64,11 @@
     cost: int = 0
 
     @classmethod
-    def opened(cls, request_id: str, asked: str) -> Decision:
+    def unauthenticated(cls, request_id: str, asked: str) -> Decision:
         """Returns the decision for a request that is not authenticated yet."""
         return cls(request_id, "", asked, "", 0.0, NO_REVISION)
 
-    def note(self, now: float, event: str, detail: str) -> None:
+    def record_step(self, now: float, event: str, detail: str) -> None:
         """Appends a step.
 
         Args:
--- a/src/hoistmoor/core/requests/kind_book.py
+++ b/src/hoistmoor/core/requests/kind_registry.py
@@ -10,7 +10,7 @@
 OTHER_KIND = "other"
 
 
-class KindBook:
+class KindRegistry:
     """Tracks the kinds that each client account has used at this host."""
 
     def __init__(self, per_account: int = MAX_KINDS_PER_ACCOUNT) -> None:
@@ -18,7 +18,7 @@
         self._per_account = per_account
         self._kinds: dict[str, set[str]] = {}
 
-    def admit(self, account: str, kind: str) -> str:
+    def register(self, account: str, kind: str) -> str:
         """Returns ``kind``, or ``OTHER_KIND`` once the limit is reached."""
         known = self._kinds.setdefault(account, set())
         if kind in known:
--- a/src/hoistmoor/core/requests/machine.py
+++ b/src/hoistmoor/core/requests/machine.py
@@ -20,9 +20,9 @@
 from hoistmoor.core import outcomes
 from hoistmoor.core import refusals
 from hoistmoor.core.requests import decisions
-from hoistmoor.core.requests import kinds
 from hoistmoor.core.requests import messages
 from hoistmoor.core.requests import pricing
+from hoistmoor.core.requests import request_types
 from hoistmoor.core.table import limits
 
 if TYPE_CHECKING:
@@ -64,7 +64,7 @@
 
     def __init__(
         self,
-        request: kinds.Request,
+        request: request_types.Request,
         decision: decisions.Decision,
         table: model.Table,
     ) -> None:
@@ -73,7 +73,7 @@
         self.phase = Phase.ADMITTED
         self.late_frames = 0
         self._idempotent = pricing.is_idempotent(request)
-        self._meter = pricing.Meter(request, table)
+        self._meter = pricing.UsageMeter(request, table)
         self._max_attempts = limits.value(table, "max_attempts")
         self._attempt: identity.AttemptId | None = None
         self._choice: routing.Choice | None = None
@@ -81,14 +81,14 @@
         self._excluded: frozenset[str] = frozenset()
         self._held: list[bytes] = []
         self._fallback: _HeldResponse | None = None
-        self._metadata: messages.AnswerFacts | None = None
+        self._metadata: messages.ResponseMetadata | None = None
         self._forwarded = False
         # Whether the caller got its final response or has disconnected.
         self._caller_done = False
         self._may_have_run = False
 
     @property
-    def closed(self) -> bool:
+    def is_closed(self) -> bool:
         """Whether the request has ended; no further effects follow."""
         return self.phase is Phase.CLOSED
 
@@ -109,7 +109,7 @@
             event: The event.
             now: Seconds since the epoch.
         """
-        if self.closed:
+        if self.is_closed:
             return ()
         return self._on(event, now)
 
@@ -120,10 +120,10 @@
     @_on.register
     def _(self, event: messages.Started, now: float) -> Effects:
         self.phase = Phase.CHOOSING
-        return (messages.Choose(self._excluded),)
+        return (messages.ChooseServer(self._excluded),)
 
     @_on.register
-    def _(self, event: messages.Chosen, now: float) -> Effects:
+    def _(self, event: messages.ServerChosen, now: float) -> Effects:
         if self.phase is not Phase.CHOOSING:
             return ()
         return self._dispatch(event.choice, now)
@@ -141,7 +141,7 @@
         self.decision.version = choice.version
         self.decision.server = choice.server
         self.decision.choice = choice
-        self.decision.note(
+        self.decision.record_step(
             now,
             "dispatch",
             f"{choice.version} at {choice.server}: {choice.reason}",
@@ -149,7 +149,7 @@
         return (messages.Dispatch(attempt, choice),)
 
     @_on.register
-    def _(self, event: messages.NotChosen, now: float) -> Effects:
+    def _(self, event: messages.NoServerChosen, now: float) -> Effects:
         if self.phase is not Phase.CHOOSING:
             return ()
         if self._fallback is not None:
@@ -160,12 +160,12 @@
         return self._refuse(refusal, now)
 
     @_on.register
-    def _(self, event: messages.FrameArrived, now: float) -> Effects:
+    def _(self, event: messages.FrameReceived, now: float) -> Effects:
         if not self._is_current(event.attempt):
             return ()
         self._state = outcomes.ExchangeState.ANSWERING
         if self._caller_done:
-            return (messages.Keep(event.data),)
+            return (messages.RetainFrame(event.data),)
         if self._holds_response:
             self._held.append(event.data)
             return ()
@@ -173,34 +173,34 @@
         return (messages.Forward(event.data),)
 
     @_on.register
-    def _(self, event: messages.AnswerEnded, now: float) -> Effects:
+    def _(self, event: messages.ResponseCompleted, now: float) -> Effects:
         if not self._is_current(event.attempt):
             return ()
         assert self._choice is not None
         self._state = outcomes.ExchangeState.ANSWERED
         self._record_outcome(self._state)
-        self._metadata = event.facts
-        self._meter.add(self._choice.version, event.facts)
-        self.decision.note(now, "answered", f"by {self._choice.server}")
+        self._metadata = event.metadata
+        self._meter.record_response(self._choice.version, event.metadata)
+        self.decision.record_step(now, "answered", f"by {self._choice.server}")
         if self._holds_response and not self._caller_done:
             self.phase = Phase.JUDGING
-            return (messages.Judge(self._choice, event.facts),)
+            return (messages.Judge(self._choice, event.metadata),)
         return self._bill(now)
 
     @_on.register
-    def _(self, event: messages.AnswerAccepted, now: float) -> Effects:
+    def _(self, event: messages.ResponseAccepted, now: float) -> Effects:
         if self.phase is not Phase.JUDGING:
             return ()
-        self.decision.note(now, "accepted", event.reason)
+        self.decision.record_step(now, "accepted", event.reason)
         return self._forward_held(now)
 
     @_on.register
-    def _(self, event: messages.AnswerEscalated, now: float) -> Effects:
+    def _(self, event: messages.ResponseEscalated, now: float) -> Effects:
         if self.phase is not Phase.JUDGING:
             return ()
         assert self._choice is not None
         assert self._metadata is not None
-        self.decision.note(now, "escalated", event.reason)
+        self.decision.record_step(now, "escalated", event.reason)
         self._fallback = _HeldResponse(self._choice, self._metadata, self._held)
         return self._dispatch(event.choice, now)
 
@@ -213,14 +213,14 @@
         self._record_outcome(event.state)
         self._excluded |= {self._choice.server}
         reason = _REASON_BY_STATE[event.state]
-        self.decision.note(now, reason, event.detail)
+        self.decision.record_step(now, reason, event.detail)
         if self._caller_done:
             return self._close(self._outcome(), now)
         if self._fallback is not None and not self._forwarded:
             return self._deliver_fallback("the better version failed", now)
         if self._may_retry(now):
             self.phase = Phase.CHOOSING
-            return (messages.Choose(self._excluded, reason),)
+            return (messages.ChooseServer(self._excluded, reason),)
         refusal = self._refusal_of_last_attempt(event.detail)
         return self._refuse(refusal, now)
 
@@ -257,7 +257,9 @@
 
     def _deliver_fallback(self, cause: str, now: float) -> Effects:
         assert self._fallback is not None
-        self.decision.note(now, "kept", f"the held answer goes out: {cause}")
+        self.decision.record_step(
+            now, "kept", f"the held answer goes out: {cause}"
+        )
         self._choice = self._fallback.choice
         self.decision.choice = self._choice
         self._metadata = self._fallback.metadata
@@ -276,7 +278,7 @@
         self.phase = Phase.BILLING
         self.decision.version = self._choice.version
         self.decision.server = self._choice.server
-        bill = self._meter.bill(
+        bill = self._meter.make_bill(
             self._choice.version,
             self.decision.attempts,
             self.decision.revision,
@@ -289,14 +291,16 @@
     def _(self, event: messages.BillSecured, now: float) -> Effects:
         if self.phase is not Phase.BILLING:
             return ()
-        self.decision.note(now, "billed", f"{self.decision.cost} micros")
+        self.decision.record_step(now, "billed", f"{self.decision.cost} micros")
         return self._complete(now)
 
     @_on.register
     def _(self, event: messages.BillDelayed, now: float) -> Effects:
         if self.phase is not Phase.BILLING:
             return ()
-        self.decision.note(now, "bill_delayed", "kept in memory, sent later")
+        self.decision.record_step(
+            now, "bill_delayed", "kept in memory, sent later"
+        )
         return self._complete(now)
 
     def _complete(self, now: float) -> Effects:
@@ -312,7 +316,9 @@
         if self._caller_done or self.phase is Phase.BILLING:
             return ()
         if self.phase is Phase.JUDGING:
-            self.decision.note(now, "accepted", "no time to judge the answer")
+            self.decision.record_step(
+                now, "accepted", "no time to judge the answer"
+            )
             return self._forward_held(now)
         if self._fallback is not None and not self._forwarded:
             cancel = self._cancel_running()
@@ -326,7 +332,7 @@
         )
 
     @_on.register
-    def _(self, event: messages.CallerLeft, now: float) -> Effects:
+    def _(self, event: messages.CallerDisconnected, now: float) -> Effects:
         if self._caller_done or self.phase is Phase.BILLING:
             self._caller_done = True
             return ()
@@ -369,7 +375,7 @@
     ) -> messages.Refuse:
         self._caller_done = True
         self.decision.reason = refusal.reason
-        self.decision.note(now, "refused", refusal.detail)
+        self.decision.record_step(now, "refused", refusal.detail)
         return messages.Refuse(refusal, self._forwarded)
 
     def _close(self, outcome: outcomes.Outcome, now: float) -> Effects:
@@ -390,7 +396,7 @@
     def __init__(
         self,
         choice: routing.Choice,
-        metadata: messages.AnswerFacts,
+        metadata: messages.ResponseMetadata,
         frames: list[bytes],
     ) -> None:
         self.choice = choice
--- a/src/hoistmoor/core/requests/messages.py
+++ b/src/hoistmoor/core/requests/messages.py
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen
-class AnswerFacts:
+class ResponseMetadata:
     """Metadata of a complete response.
 
     Attributes:
@@ -46,21 +46,21 @@
 
 
 @attrs.frozen
-class Chosen:
+class ServerChosen:
     """The router chose a backend server."""
 
     choice: routing.Choice
 
 
 @attrs.frozen
-class NotChosen:
+class NoServerChosen:
     """No backend server is available, or the retry budget is exhausted."""
 
     refusal: refusals.Refusal
 
 
 @attrs.frozen
-class FrameArrived:
+class FrameReceived:
     """A frame of an attempt's response was received.
 
     Attributes:
@@ -73,11 +73,11 @@
 
 
 @attrs.frozen
-class AnswerEnded:
+class ResponseCompleted:
     """An attempt's response was received completely, end marker included."""
 
     attempt: identity.AttemptId
-    facts: AnswerFacts
+    metadata: ResponseMetadata
 
 
 @attrs.frozen
@@ -96,14 +96,14 @@
 
 
 @attrs.frozen
-class AnswerAccepted:
+class ResponseAccepted:
     """The held response is good enough to be delivered."""
 
     reason: str
 
 
 @attrs.frozen
-class AnswerEscalated:
+class ResponseEscalated:
     """The held response is to be replaced by one of a better version."""
 
     choice: routing.Choice
@@ -132,7 +132,7 @@
 
 
 @attrs.frozen
-class CallerLeft:
+class CallerDisconnected:
     """The caller's connection closed.
 
     Attributes:
@@ -144,17 +144,17 @@
 
 Event = (
     Started
-    | Chosen
-    | NotChosen
-    | FrameArrived
-    | AnswerEnded
+    | ServerChosen
+    | NoServerChosen
+    | FrameReceived
+    | ResponseCompleted
     | AttemptFailed
-    | AnswerAccepted
-    | AnswerEscalated
+    | ResponseAccepted
+    | ResponseEscalated
     | BillSecured
     | BillDelayed
     | DeadlineReached
-    | CallerLeft
+    | CallerDisconnected
 )
 
 
@@ -162,7 +162,7 @@
 
 
 @attrs.frozen
-class Choose:
+class ChooseServer:
     """Asks the router for a backend server.
 
     Attributes:
@@ -198,7 +198,7 @@
 
 
 @attrs.frozen
-class Keep:
+class RetainFrame:
     """Stores a frame without forwarding it.
 
     The caller already has its final response; the frames are part of the
@@ -213,7 +213,7 @@
     """Asks the router whether the held response is good enough."""
 
     choice: routing.Choice
-    facts: AnswerFacts
+    metadata: ResponseMetadata
 
 
 @attrs.frozen
@@ -227,7 +227,7 @@
 class Complete:
     """Completes the response by sending its end marker."""
 
-    facts: AnswerFacts
+    metadata: ResponseMetadata
 
 
 @attrs.frozen
@@ -241,7 +241,7 @@
     """
 
     refusal: refusals.Refusal
-    began: bool
+    response_started: bool
 
 
 @attrs.frozen
@@ -258,11 +258,11 @@
 
 
 Effect = (
-    Choose
+    ChooseServer
     | Dispatch
     | Cancel
     | Forward
-    | Keep
+    | RetainFrame
     | Judge
     | SecureBill
     | Complete
--- a/src/hoistmoor/core/requests/parsing.py
+++ b/src/hoistmoor/core/requests/parsing.py
@@ -11,7 +11,7 @@
 from hoistmoor.core import errors
 from hoistmoor.core import outcomes
 from hoistmoor.core import refusals
-from hoistmoor.core.requests import kinds
+from hoistmoor.core.requests import request_types
 from hoistmoor.core.table import model as table_model
 
 if TYPE_CHECKING:
@@ -51,7 +51,7 @@
         self.refusal = refusal
 
 
-def refuse(reason: refusals.Reason, detail: str) -> RefusedError:
+def refusal_error(reason: refusals.Reason, detail: str) -> RefusedError:
     """Returns the error for a request that was not sent to any server."""
     return RefusedError(
         refusals.Refusal(reason, outcomes.Outcome.NOT_RUN, detail)
@@ -106,7 +106,7 @@
 def _parse_bearer(headers: Mapping[str, str]) -> str:
     value = headers.get("Authorization", "")
     if not value.startswith(_BEARER_PREFIX):
-        raise refuse(refusals.Reason.NO_KEY, "no bearer key was sent")
+        raise refusal_error(refusals.Reason.NO_KEY, "no bearer key was sent")
     return value[len(_BEARER_PREFIX) :].strip()
 
 
@@ -117,7 +117,7 @@
     if value is None:
         return None
     if not value or len(value) > max_chars or not value.isprintable():
-        raise refuse(
+        raise refusal_error(
             refusals.Reason.BAD_HEADER,
             f"{name} must be 1 to {max_chars} printable characters",
         )
@@ -135,13 +135,15 @@
     relative = value.startswith("+")
     deadline = now + number if relative else number
     if not deadline < now + _MAX_DEADLINE_SECONDS:
-        raise refuse(
+        raise refusal_error(
             refusals.Reason.BAD_HEADER,
             f"{DEADLINE_HEADER} must be +SECONDS or seconds since the epoch, "
             f"at most {_MAX_DEADLINE_SECONDS:.0f} s ahead",
         )
     if deadline <= now:
-        raise refuse(refusals.Reason.DEADLINE_PAST, "the deadline has passed")
+        raise refusal_error(
+            refusals.Reason.DEADLINE_PAST, "the deadline has passed"
+        )
     return deadline
 
 
@@ -153,7 +155,7 @@
         return table_model.Priority(value)
     except ValueError:
         allowed = ", ".join(table_model.Priority)
-        raise refuse(
+        raise refusal_error(
             refusals.Reason.BAD_HEADER,
             f"{PRIORITY_HEADER} must be one of {allowed}",
         ) from None
@@ -167,7 +169,7 @@
     return digest.hexdigest()
 
 
-def envelope(
+def make_envelope(
     headers: Headers,
     request_id: identity.RequestId,
     account: str,
@@ -175,9 +177,9 @@
     now: float,
     default_timeout: float,
     default_priority: table_model.Priority,
-) -> kinds.Envelope:
+) -> request_types.Envelope:
     """Returns the envelope of an authenticated request."""
-    return kinds.Envelope(
+    return request_types.Envelope(
         request_id=request_id,
         account=account,
         arrived=now,
@@ -199,11 +201,13 @@
     try:
         parsed = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise refuse(
+        raise refusal_error(
             refusals.Reason.BAD_BODY, f"the body is not JSON: {error}"
         ) from None
     if not isinstance(parsed, dict):
-        raise refuse(refusals.Reason.BAD_BODY, "the body is not an object")
+        raise refusal_error(
+            refusals.Reason.BAD_BODY, "the body is not an object"
+        )
     _check_model(parsed)
     _check_messages(parsed)
     _check_max_tokens(parsed)
@@ -213,18 +217,18 @@
 
 def _check_model(parsed: dict[str, Any]) -> None:
     if not isinstance(parsed.get("model"), str):
-        raise refuse(refusals.Reason.BAD_BODY, "model must be a string")
+        raise refusal_error(refusals.Reason.BAD_BODY, "model must be a string")
 
 
 def _check_messages(parsed: dict[str, Any]) -> None:
     messages = parsed.get("messages")
     if not isinstance(messages, list) or not messages:
-        raise refuse(
+        raise refusal_error(
             refusals.Reason.BAD_BODY, "messages must be a list, not empty"
         )
     for message in messages:
         if not isinstance(message, dict) or "role" not in message:
-            raise refuse(
+            raise refusal_error(
                 refusals.Reason.BAD_BODY, "each message must have a role"
             )
 
@@ -233,7 +237,7 @@
     max_tokens = parsed.get("max_tokens", _DEFAULT_MAX_TOKENS)
     is_int = isinstance(max_tokens, int) and not isinstance(max_tokens, bool)
     if not is_int or not 0 < max_tokens <= _MAX_TOKENS:
-        raise refuse(
+        raise refusal_error(
             refusals.Reason.BAD_BODY,
             f"max_tokens must be a whole number from 1 to {_MAX_TOKENS}",
         )
@@ -241,12 +245,17 @@
 
 def _check_stream(parsed: dict[str, Any]) -> None:
     if not isinstance(parsed.get("stream", False), bool):
-        raise refuse(refusals.Reason.BAD_BODY, "stream must be true or false")
+        raise refusal_error(
+            refusals.Reason.BAD_BODY, "stream must be true or false"
+        )
 
 
-def chat_request(
-    envelope: kinds.Envelope, kind: str, body: dict[str, Any], raw: bytes
-) -> kinds.ChatRequest:
+def make_chat_request(
+    envelope: request_types.Envelope,
+    kind: str,
+    body: dict[str, Any],
+    raw: bytes,
+) -> request_types.ChatRequest:
     """Returns the typed request for a validated body.
 
     Args:
@@ -256,7 +265,7 @@
         raw: The body as sent.
     """
     prompt = orjson.dumps(body["messages"])
-    return kinds.ChatRequest(
+    return request_types.ChatRequest(
         envelope=envelope,
         model=body["model"],
         stream=body.get("stream", False),
--- a/src/hoistmoor/core/requests/pools.py
+++ b/src/hoistmoor/core/requests/pools.py
@@ -5,12 +5,12 @@
 from functools import singledispatch
 
 from hoistmoor.core.requests import admission
-from hoistmoor.core.requests import kinds
+from hoistmoor.core.requests import request_types
 from hoistmoor.core.table import model
 
 
 @singledispatch
-def pool_of(request: kinds.Request, table: model.Table) -> str:
+def pool_for(request: request_types.Request, table: model.Table) -> str:
     """Returns the name of the service that the request runs on.
 
     The name is empty if no granted version matches the request.
@@ -18,16 +18,16 @@
     raise NotImplementedError(type(request))
 
 
-@pool_of.register
-def _(request: kinds.ChatRequest, table: model.Table) -> str:
+@pool_for.register
+def _(request: request_types.ChatRequest, table: model.Table) -> str:
     account = request.envelope.account
-    for version in admission.granted_models(table, account):
+    for version in admission.granted_versions(table, account):
         is_match = request.model in (version.key, version.model)
         if is_match or request.model == model.AUTO_MODEL:
             return version.service
     return ""
 
 
-@pool_of.register
-def _(request: kinds.CallRequest, table: model.Table) -> str:
+@pool_for.register
+def _(request: request_types.CallRequest, table: model.Table) -> str:
     return request.call.service
--- a/src/hoistmoor/core/requests/pricing.py
+++ b/src/hoistmoor/core/requests/pricing.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from hoistmoor.core.billing import bills
-from hoistmoor.core.requests import kinds
+from hoistmoor.core.requests import request_types
 from hoistmoor.core.table import model
 
 if TYPE_CHECKING:
@@ -17,29 +17,31 @@
 
 
 @singledispatch
-def is_idempotent(request: kinds.Request) -> bool:
+def is_idempotent(request: request_types.Request) -> bool:
     """Returns whether a request may be resent after it may have run."""
     raise NotImplementedError(type(request))
 
 
 @is_idempotent.register
-def _(request: kinds.ChatRequest) -> bool:
+def _(request: request_types.ChatRequest) -> bool:
     return True
 
 
 @is_idempotent.register
-def _(request: kinds.CallRequest) -> bool:
+def _(request: request_types.CallRequest) -> bool:
     return request.call.idempotent
 
 
 @singledispatch
-def estimate(request: kinds.Request, table: model.Table) -> int:
+def estimate_max_cost(
+    request: request_types.Request, table: model.Table
+) -> int:
     """Returns the maximum cost of a first attempt, in micros."""
     raise NotImplementedError(type(request))
 
 
-@estimate.register
-def _(request: kinds.ChatRequest, table: model.Table) -> int:
+@estimate_max_cost.register
+def _(request: request_types.ChatRequest, table: model.Table) -> int:
     most_expensive = max(
         table.versions.values(), key=lambda row: row.output_price, default=None
     )
@@ -49,8 +51,8 @@
     return price(version, request.prompt_tokens, request.max_tokens)
 
 
-@estimate.register
-def _(request: kinds.CallRequest, table: model.Table) -> int:
+@estimate_max_cost.register
+def _(request: request_types.CallRequest, table: model.Table) -> int:
     return request.call.price
 
 
@@ -60,20 +62,24 @@
     return -(-micros // _TOKENS_PER_PRICE_UNIT)
 
 
-class Meter:
+class UsageMeter:
     """Accumulates the usage of all complete responses to one request.
 
     Failed attempts are not charged, as the caller received nothing from them.
     """
 
-    def __init__(self, request: kinds.Request, table: model.Table) -> None:
+    def __init__(
+        self, request: request_types.Request, table: model.Table
+    ) -> None:
         self.request = request
         self.table = table
         self.amount = 0
         self.prompt_tokens = 0
         self.output_tokens = 0
 
-    def add(self, item: str, metadata: messages.AnswerFacts) -> None:
+    def record_response(
+        self, item: str, metadata: messages.ResponseMetadata
+    ) -> None:
         """Records a complete response.
 
         Args:
@@ -84,7 +90,7 @@
         self.output_tokens += metadata.output_tokens
         if metadata.status >= _FIRST_ERROR_STATUS:
             return
-        if isinstance(self.request, kinds.CallRequest):
+        if isinstance(self.request, request_types.CallRequest):
             self.amount += self.request.call.price
             return
         version = self.table.versions[item]
@@ -92,7 +98,7 @@
             version, metadata.prompt_tokens, metadata.output_tokens
         )
 
-    def bill(
+    def make_bill(
         self, item: str, attempts: int, revision: int, now: float
     ) -> bills.Bill:
         """Returns the single bill of the request."""
--- a/src/hoistmoor/core/requests/routes.py
+++ b/src/hoistmoor/core/requests/routes.py
@@ -7,8 +7,8 @@
 
 import attrs
 
-from hoistmoor.core.requests import kinds
 from hoistmoor.core.requests import messages
+from hoistmoor.core.requests import request_types
 from hoistmoor.core.routing import messages as routing
 from hoistmoor.core.table import model
 
@@ -29,7 +29,7 @@
     ) -> routing.Choice | refusals.Refusal:
         """Returns the backend server for the next attempt."""
 
-    def to_probe(
+    def servers_to_probe(
         self,
         router: router_lib.Router,
         choice: routing.Choice,
@@ -42,7 +42,7 @@
         self,
         router: router_lib.Router,
         choice: routing.Choice,
-        metadata: messages.AnswerFacts,
+        metadata: messages.ResponseMetadata,
         now: float,
     ) -> Judgement:
         """Returns whether a held response is good enough."""
@@ -71,7 +71,7 @@
         """Returns the backend server for the next attempt."""
         return router.choose(self.query, excluded, now)
 
-    def to_probe(
+    def servers_to_probe(
         self,
         router: router_lib.Router,
         choice: routing.Choice,
@@ -85,7 +85,7 @@
         self,
         router: router_lib.Router,
         choice: routing.Choice,
-        metadata: messages.AnswerFacts,
+        metadata: messages.ResponseMetadata,
         now: float,
     ) -> Judgement:
         """Returns whether a held response is good enough."""
@@ -118,7 +118,7 @@
             return attrs.evolve(chosen, version=self.call.key)
         return chosen
 
-    def to_probe(
+    def servers_to_probe(
         self,
         router: router_lib.Router,
         choice: routing.Choice,
@@ -132,7 +132,7 @@
         self,
         router: router_lib.Router,
         choice: routing.Choice,
-        metadata: messages.AnswerFacts,
+        metadata: messages.ResponseMetadata,
         now: float,
     ) -> Judgement:
         """Accepts the response, as plain calls have no cascade."""
@@ -150,7 +150,9 @@
 
 
 @singledispatch
-def route_of(request: kinds.Request, pin: str | None, session: str) -> Route:
+def make_route(
+    request: request_types.Request, pin: str | None, session: str
+) -> Route:
     """Returns the route of a request.
 
     Args:
@@ -161,8 +163,10 @@
     raise NotImplementedError(type(request))
 
 
-@route_of.register
-def _(request: kinds.ChatRequest, pin: str | None, session: str) -> Route:
+@make_route.register
+def _(
+    request: request_types.ChatRequest, pin: str | None, session: str
+) -> Route:
     envelope = request.envelope
     query = routing.RouteQuery(
         request_id=str(envelope.request_id),
@@ -179,15 +183,17 @@
     return ChatRoute(query)
 
 
-@route_of.register
-def _(request: kinds.CallRequest, pin: str | None, session: str) -> Route:
+@make_route.register
+def _(
+    request: request_types.CallRequest, pin: str | None, session: str
+) -> Route:
     return CallRoute(request.call)
 
 
-def attempt_result(
-    request: kinds.Request,
+def make_attempt_result(
+    request: request_types.Request,
     choice: routing.Choice,
-    metadata: messages.AnswerFacts | None,
+    metadata: messages.ResponseMetadata | None,
     *,
     ok: bool,
     declined: bool,
@@ -205,7 +211,9 @@
         cancelled: Whether the attempt was cancelled by this host.
         seconds: Duration of the attempt, from dispatch to its end.
     """
-    kind = request.kind if isinstance(request, kinds.ChatRequest) else ""
+    kind = (
+        request.kind if isinstance(request, request_types.ChatRequest) else ""
+    )
     return routing.AttemptResult(
         ok=ok,
         declined=declined,
--- a/src/hoistmoor/core/requests/wire.py
+++ b/src/hoistmoor/core/requests/wire.py
@@ -9,7 +9,7 @@
 import orjson
 
 from hoistmoor.core import identity
-from hoistmoor.core.requests import kinds
+from hoistmoor.core.requests import request_types
 from hoistmoor.core.routing import messages as routing
 
 ATTEMPT_HEADER = "X-Attempt-Id"
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class BackendCall:
+class BackendRequest:
     """The HTTP request of one attempt.
 
     Attributes:
@@ -39,16 +39,16 @@
     url: str
     headers: dict[str, str]
     body: bytes
-    streams: bool
+    is_streaming: bool
 
 
 @singledispatch
-def backend_call(
-    request: kinds.Request,
+def make_backend_request(
+    request: request_types.Request,
     choice: routing.Choice,
     attempt: identity.AttemptId,
     now: float,
-) -> BackendCall:
+) -> BackendRequest:
     """Builds the HTTP request of one attempt.
 
     Args:
@@ -60,13 +60,13 @@
     raise NotImplementedError(type(request))
 
 
-@backend_call.register
+@make_backend_request.register
 def _(
-    request: kinds.ChatRequest,
+    request: request_types.ChatRequest,
     choice: routing.Choice,
     attempt: identity.AttemptId,
     now: float,
-) -> BackendCall:
+) -> BackendRequest:
     # Always requests a stream from the engine: its end marker tells a complete
     # response from a truncated one.
     body = dict(request.body)
@@ -75,38 +75,38 @@
     body["max_tokens"] = request.max_tokens
     headers = _common_headers(request.envelope, attempt, now)
     headers["Content-Type"] = JSON
-    return BackendCall(
+    return BackendRequest(
         method="POST",
         url=f"http://{choice.address}{_CHAT_PATH}",
         headers=headers,
         body=orjson.dumps(body),
-        streams=True,
+        is_streaming=True,
     )
 
 
-@backend_call.register
+@make_backend_request.register
 def _(
-    request: kinds.CallRequest,
+    request: request_types.CallRequest,
     choice: routing.Choice,
     attempt: identity.AttemptId,
     now: float,
-) -> BackendCall:
+) -> BackendRequest:
     headers = _common_headers(request.envelope, attempt, now)
     if request.content_type:
         headers["Content-Type"] = request.content_type
     if request.envelope.idempotency_key:
         headers[KEY_HEADER] = request.envelope.idempotency_key
-    return BackendCall(
+    return BackendRequest(
         method=request.call.method,
         url=f"http://{choice.address}{request.path}",
         headers=headers,
         body=request.body,
-        streams=False,
+        is_streaming=False,
     )
 
 
 def _common_headers(
-    envelope: kinds.Envelope, attempt: identity.AttemptId, now: float
+    envelope: request_types.Envelope, attempt: identity.AttemptId, now: float
 ) -> dict[str, str]:
     remaining = max(0.0, envelope.deadline - now)
     return {
--- a/src/hoistmoor/core/sessions/pins.py
+++ b/src/hoistmoor/core/sessions/pins.py
@@ -82,7 +82,7 @@
 codec.register("pin", Pin)
 
 
-def preferred(pins: Iterable[Pin]) -> Pin | None:
+def preferred_pin(pins: Iterable[Pin]) -> Pin | None:
     """Resolves a conflict between copies of a pin.
 
     The result is the same on every host and in any order of the copies. The
@@ -106,7 +106,7 @@
 
     def __init__(self, capacity: int = DEFAULT_CAPACITY) -> None:
         self.capacity = capacity
-        self.dropped = 0
+        self.evicted = 0
         self.pins: collections.OrderedDict[PinKey, Pin] = (
             collections.OrderedDict()
         )
@@ -140,7 +140,7 @@
         self.pins.move_to_end(pin.key)
         if len(self.pins) > self.capacity:
             self.pins.popitem(last=False)
-            self.dropped += 1
+            self.evicted += 1
 
 
 def _supersedes(offered: Pin, current: Pin) -> bool:
--- a/src/hoistmoor/core/sessions/choice.py
+++ b/src/hoistmoor/core/sessions/rendezvous.py
@@ -78,7 +78,7 @@
     return None
 
 
-def homes(
+def home_hosts(
     hosts: Iterable[EntryHost], account: str, session: str
 ) -> tuple[str, ...]:
     """Returns the names of the hosts that store a session's pin, at most two.
--- a/src/hoistmoor/entry/attempt_reports.py
+++ b/src/hoistmoor/entry/attempt_reports.py
@@ -7,7 +7,7 @@
 from hoistmoor.clients import ratings as ratings_client
 from hoistmoor.core import outcomes
 from hoistmoor.core.requests import chunks
-from hoistmoor.core.requests import kinds
+from hoistmoor.core.requests import request_types
 from hoistmoor.core.requests import routes
 from hoistmoor.core.routing import quality_estimates
 
@@ -22,7 +22,9 @@
 class AttemptReports:
     """Reports the attempts of one request, each of them once."""
 
-    def __init__(self, parts: parts_lib.Parts, request: kinds.Request) -> None:
+    def __init__(
+        self, parts: parts_lib.Parts, request: request_types.Request
+    ) -> None:
         self._parts = parts
         self._request = request
         self._running: routing.Choice | None = None
@@ -37,7 +39,7 @@
         self._parts.poller.on_dispatch(choice.server)
         self._parts.metrics.count("attempt.sent")
 
-    def end(self, facts: messages.AnswerFacts) -> None:
+    def end(self, facts: messages.ResponseMetadata) -> None:
         """Reports that the whole answer came."""
         self._finish(ok=True, facts=facts)
 
@@ -58,14 +60,14 @@
         ok: bool,
         declined: bool = False,
         cancelled: bool = False,
-        facts: messages.AnswerFacts | None = None,
+        facts: messages.ResponseMetadata | None = None,
     ) -> None:
         choice = self._running
         if choice is None:
             return
         self._running = None
         now = self._parts.clock()
-        result = routes.attempt_result(
+        result = routes.make_attempt_result(
             self._request,
             choice,
             facts,
@@ -82,7 +84,7 @@
     def hand_in(
         self,
         choice: routing.Choice,
-        facts: messages.AnswerFacts,
+        facts: messages.ResponseMetadata,
         frames: list[bytes],
     ) -> None:
         """Hands a chat's answer in for rating, each answer once.
@@ -93,7 +95,7 @@
             frames: The answer.
         """
         request = self._request
-        if not isinstance(request, kinds.ChatRequest):
+        if not isinstance(request, request_types.ChatRequest):
             return
         if choice in self._handed_in:
             return  # A held answer that went out after all.
@@ -106,6 +108,6 @@
         )
         self._parts.ratings.add(
             ratings_client.Answer(
-                tag, model_name, version, request.kind, chunks.text_of(frames)
+                tag, model_name, version, request.kind, chunks.join_text(frames)
             )
         )
--- a/src/hoistmoor/entry/attempts.py
+++ b/src/hoistmoor/entry/attempts.py
@@ -41,7 +41,7 @@
         self,
         session: aiohttp.ClientSession,
         attempt_id: identity.AttemptId,
-        call: wire.BackendCall,
+        call: wire.BackendRequest,
         timeout: float,
         channel: channel_lib.Channel,
         inbox: Inbox,
@@ -62,7 +62,7 @@
         self._inbox = inbox
         self._status = _OK
         self._content_type = ""
-        self._chunks = chunks.ChunkReader()
+        self._chunks = chunks.ChunkParser()
         self._exchange = exchange_lib.Exchange(
             session,
             exchange_lib.BackendRequest(
@@ -117,12 +117,12 @@
     async def _(self, part: exchange_lib.Frame) -> None:
         if self._is_engine_error:
             return
-        if self._call.streams:
-            if chunks.payload_of(part.data) == chunks.DONE:
+        if self._call.is_streaming:
+            if chunks.event_payload(part.data) == chunks.DONE:
                 return
             self._chunks.read(part.data)
         await self._channel.take_credit()
-        self._inbox.post(messages.FrameArrived(self.attempt_id, part.data))
+        self._inbox.post(messages.FrameReceived(self.attempt_id, part.data))
 
     @_take.register
     async def _(self, part: exchange_lib.End) -> None:
@@ -136,23 +136,25 @@
                 f"the engine answered {self._status}",
             )
             return
-        if self._call.streams and not self._chunks.is_whole:
+        if self._call.is_streaming and not self._chunks.is_complete:
             self._fail(
                 outcomes.ExchangeState.ANSWERING,
                 "the engine's stream ended without a finish reason",
             )
             return
-        self._inbox.post(messages.AnswerEnded(self.attempt_id, self._facts))
+        self._inbox.post(
+            messages.ResponseCompleted(self.attempt_id, self._facts)
+        )
 
     @property
     def _is_engine_error(self) -> bool:
-        return self._call.streams and self._status != _OK
+        return self._call.is_streaming and self._status != _OK
 
     @property
-    def _facts(self) -> messages.AnswerFacts:
-        if self._call.streams:
-            return self._chunks.facts
-        return messages.AnswerFacts(self._status, self._content_type)
+    def _facts(self) -> messages.ResponseMetadata:
+        if self._call.is_streaming:
+            return self._chunks.metadata
+        return messages.ResponseMetadata(self._status, self._content_type)
 
     def _fail(self, state: outcomes.ExchangeState, detail: str) -> None:
         self._inbox.post(messages.AttemptFailed(self.attempt_id, state, detail))
--- a/src/hoistmoor/entry/channel.py
+++ b/src/hoistmoor/entry/channel.py
@@ -21,7 +21,7 @@
 class Whole:
     """The answer is whole: send the end mark."""
 
-    facts: messages.AnswerFacts
+    facts: messages.ResponseMetadata
 
 
 @attrs.frozen
--- a/src/hoistmoor/entry/decision_log.py
+++ b/src/hoistmoor/entry/decision_log.py
@@ -51,7 +51,7 @@
     async def run(self) -> None:
         """Appends batches until cancelled."""
         while True:
-            pause = decision_batch.period(self._host_count())
+            pause = decision_batch.batch_interval(self._host_count())
             await asyncio.sleep(pause)
             await self.flush(pause)
 
@@ -88,7 +88,7 @@
 
     async def flush(self, seconds: float) -> None:
         """Appends one batch; decisions are not worth a second try."""
-        batch = self._buffer.take(seconds)
+        batch = self._buffer.pop_batch(seconds)
         if batch is None:
             return
         try:
--- a/src/hoistmoor/entry/delivery.py
+++ b/src/hoistmoor/entry/delivery.py
@@ -9,7 +9,7 @@
 from aiohttp import web
 
 from hoistmoor.core.requests import chunks
-from hoistmoor.core.requests import kinds
+from hoistmoor.core.requests import request_types
 from hoistmoor.core.requests import wire
 from hoistmoor.entry import channel as channel_lib
 from hoistmoor.entry import responses
@@ -64,7 +64,7 @@
     @property
     def _streams(self) -> bool:
         request = self._request
-        return isinstance(request, kinds.ChatRequest) and request.stream
+        return isinstance(request, request_types.ChatRequest) and request.stream
 
     @property
     def _id(self) -> str:
@@ -86,7 +86,7 @@
     async def _(self, item: channel_lib.Whole) -> None:
         self._ended = True
         if self._streams:
-            await self._write(chunks.event(chunks.DONE))
+            await self._write(chunks.encode_event(chunks.DONE))
             await self._finish_stream()
             return
         await self._send_whole(item.facts)
@@ -117,9 +117,9 @@
         assert self._response is not None
         await self._response.write_eof()
 
-    async def _send_whole(self, facts: messages.AnswerFacts) -> None:
+    async def _send_whole(self, facts: messages.ResponseMetadata) -> None:
         headers = await self._answer_headers()
-        body, content_type = chunks.as_sent(
+        body, content_type = chunks.assemble_response(
             self._request, self._task.machine.decision, self._pieces, facts
         )
         headers["Content-Type"] = content_type or wire.JSON
@@ -144,7 +144,7 @@
         self, pin: sessions_lib.SessionPin
     ) -> dict[str, str]:
         shared = self._request.envelope
-        assert isinstance(self._request, kinds.ChatRequest)
+        assert isinstance(self._request, request_types.ChatRequest)
         version = self._task.machine.decision.version
         sessions = self._parts.sessions
         if shared.session and version != pin.version:
--- a/src/hoistmoor/entry/forwarding.py
+++ b/src/hoistmoor/entry/forwarding.py
@@ -9,8 +9,8 @@
 
 from hoistmoor.core import outcomes
 from hoistmoor.core import refusals
-from hoistmoor.core.requests import kinds
 from hoistmoor.core.requests import parsing
+from hoistmoor.core.requests import request_types
 from hoistmoor.entry import responses
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
         self,
         http: web.Request,
         body: bytes,
-        shared: kinds.Envelope,
+        shared: request_types.Envelope,
         target: permits.ForwardTo,
         now: float,
     ) -> web.StreamResponse:
--- a/src/hoistmoor/entry/handlers.py
+++ b/src/hoistmoor/entry/handlers.py
@@ -12,8 +12,8 @@
 from hoistmoor.core.once import permits
 from hoistmoor.core.requests import admission
 from hoistmoor.core.requests import decisions
-from hoistmoor.core.requests import kinds
 from hoistmoor.core.requests import parsing
+from hoistmoor.core.requests import request_types
 from hoistmoor.entry import delivery
 from hoistmoor.entry import reception as reception_lib
 from hoistmoor.entry import responses
@@ -27,7 +27,9 @@
 
 _LOG = logs.PartLogger("entry")
 
-_Read = Callable[[web.Request, "intake_lib.Caller"], Awaitable[kinds.Request]]
+_Read = Callable[
+    [web.Request, "intake_lib.Caller"], Awaitable[request_types.Request]
+]
 
 
 class CallerHandlers:
@@ -70,7 +72,7 @@
             return self._refuse(error.refusal, request_id)
         table = caller.in_force.table
         account = caller.account.account
-        rows = admission.granted_models(table, account)
+        rows = admission.granted_versions(table, account)
         data = [
             {"id": row.key, "object": "model", "owned_by": row.service}
             for row in rows
@@ -94,7 +96,7 @@
         self._parts.metrics.count("request.accepted")
         self._reception.note_handler()
         asked = f"{http.method} {http.path}"
-        decision = decisions.Decision.opened(str(request_id), asked)
+        decision = decisions.Decision.unauthenticated(str(request_id), asked)
         try:
             caller = self._intake.identify(http, request_id)
             decision.account = caller.account.account
@@ -109,7 +111,7 @@
     async def _reply(
         self,
         http: web.Request,
-        request: kinds.Request,
+        request: request_types.Request,
         reply: reception_lib.Reply,
     ) -> web.StreamResponse:
         if isinstance(reply, reception_lib.Running):
@@ -124,7 +126,7 @@
     async def _forward(
         self,
         http: web.Request,
-        request: kinds.Request,
+        request: request_types.Request,
         target: permits.ForwardTo,
     ) -> web.StreamResponse:
         return await self._forwarder.forward(
@@ -142,8 +144,8 @@
         return responses.refusal_response(refusal, str(request_id))
 
 
-def _body_of(request: kinds.Request) -> bytes:
-    if isinstance(request, kinds.CallRequest):
+def _body_of(request: request_types.Request) -> bytes:
+    if isinstance(request, request_types.CallRequest):
         return request.body
     return request.raw
 
--- a/src/hoistmoor/entry/intake.py
+++ b/src/hoistmoor/entry/intake.py
@@ -11,9 +11,9 @@
 from hoistmoor.core import identity
 from hoistmoor.core import refusals
 from hoistmoor.core.requests import admission
-from hoistmoor.core.requests import kind_book
-from hoistmoor.core.requests import kinds
+from hoistmoor.core.requests import kind_registry
 from hoistmoor.core.requests import parsing
+from hoistmoor.core.requests import request_types
 from hoistmoor.core.table import limits
 from hoistmoor.core.table import model
 
@@ -64,7 +64,7 @@
         self._readiness = readiness
         self._clock = clock
         self._serials = itertools.count(1)
-        self._kinds = kind_book.KindBook()
+        self._kinds = kind_registry.KindRegistry()
 
     def next_id(self) -> identity.RequestId:
         """Returns the id of the next request."""
@@ -84,12 +84,12 @@
             raise parsing.RefusedError(in_force)
         now = self._clock()
         headers = parsing.parse_headers(http.headers, now)
-        account = admission.account_of(in_force.table, headers.bearer)
+        account = admission.authenticate(in_force.table, headers.bearer)
         return Caller(account, headers, in_force, request_id, now)
 
     async def read_chat(
         self, http: web.Request, caller: Caller
-    ) -> kinds.ChatRequest:
+    ) -> request_types.ChatRequest:
         """Returns the chat request that a caller sent.
 
         Raises:
@@ -106,12 +106,12 @@
             limits.value(table, "default_deadline_seconds"),
             model.Priority.NORMAL,
         )
-        kind = self._kinds.admit(caller.account.account, caller.headers.kind)
-        return parsing.chat_request(shared, kind, body, raw)
+        kind = self._kinds.register(caller.account.account, caller.headers.kind)
+        return parsing.make_chat_request(shared, kind, body, raw)
 
     async def read_call(
         self, http: web.Request, caller: Caller
-    ) -> kinds.CallRequest:
+    ) -> request_types.CallRequest:
         """Returns the call to a plain service that a caller sent.
 
         Raises:
@@ -129,7 +129,7 @@
             http, caller, raw, table.services[service].timeout, call.priority
         )
         query = f"?{http.query_string}" if http.query_string else ""
-        return kinds.CallRequest(
+        return request_types.CallRequest(
             envelope=shared,
             call=call,
             path=f"/{rest}{query}",
@@ -141,18 +141,18 @@
         most = int(limits.value(table, "body_bytes"))
         detail = f"the body may have at most {most} bytes"
         if (http.content_length or 0) > most:
-            raise parsing.refuse(refusals.Reason.BODY_TOO_LARGE, detail)
+            raise parsing.refusal_error(refusals.Reason.BODY_TOO_LARGE, detail)
         body = bytearray()
         try:
             async with asyncio.timeout(_BODY_TIMEOUT):
                 async for piece in http.content.iter_any():
                     body += piece
                     if len(body) > most:
-                        raise parsing.refuse(
+                        raise parsing.refusal_error(
                             refusals.Reason.BODY_TOO_LARGE, detail
                         )
         except TimeoutError:
-            raise parsing.refuse(
+            raise parsing.refusal_error(
                 refusals.Reason.BAD_BODY,
                 f"the body did not come whole within {_BODY_TIMEOUT:.0f} s",
             ) from None
@@ -165,8 +165,8 @@
         body: bytes,
         timeout: float,
         priority: model.Priority,
-    ) -> kinds.Envelope:
-        return parsing.envelope(
+    ) -> request_types.Envelope:
+        return parsing.make_envelope(
             caller.headers,
             caller.request_id,
             caller.account.account,
--- a/src/hoistmoor/entry/limits.py
+++ b/src/hoistmoor/entry/limits.py
@@ -26,7 +26,7 @@
     from collections.abc import Callable, Iterable
 
     from hoistmoor.core import identity
-    from hoistmoor.core.sessions import choice
+    from hoistmoor.core.sessions import rendezvous
     from hoistmoor.entry import log_port
 
 SHARE_WAIT = 1.0  # Seconds that a request waits for a spend share at most.
@@ -121,7 +121,7 @@
         self.keeper.on_table(in_force)
         self.slots.resize(in_force.table, self.slots.hosts)
 
-    def on_hosts(self, hosts: Iterable[choice.EntryHost]) -> None:
+    def on_hosts(self, hosts: Iterable[rendezvous.EntryHost]) -> None:
         """Takes the live entry hosts, this one included."""
         now = self._clock()
         shares = self.accounts.shares
--- a/src/hoistmoor/entry/reception.py
+++ b/src/hoistmoor/entry/reception.py
@@ -11,10 +11,10 @@
 from hoistmoor.core import refusals
 from hoistmoor.core.once import permits
 from hoistmoor.core.requests import decisions
-from hoistmoor.core.requests import kinds
 from hoistmoor.core.requests import machine as machine_lib
 from hoistmoor.core.requests import pools
 from hoistmoor.core.requests import pricing
+from hoistmoor.core.requests import request_types
 from hoistmoor.core.requests import routes
 from hoistmoor.entry import limits
 from hoistmoor.entry import request_task
@@ -65,7 +65,7 @@
         handler.add_done_callback(self.handling.discard)
 
     async def receive(
-        self, request: kinds.Request, in_force: model.TableInForce
+        self, request: request_types.Request, in_force: model.TableInForce
     ) -> Reply:
         """Returns what becomes of a request.
 
@@ -86,7 +86,7 @@
             await asyncio.wait(self.running | self.handling)
 
     def _open_decision(
-        self, request: kinds.Request, in_force: model.TableInForce
+        self, request: request_types.Request, in_force: model.TableInForce
     ) -> decisions.Decision:
         shared = request.envelope
         decision = decisions.Decision(
@@ -105,7 +105,7 @@
     ) -> None:
         decision.outcome = refusal.outcome
         decision.reason = refusal.reason
-        decision.note(self.parts.clock(), "refused", refusal.detail)
+        decision.record_step(self.parts.clock(), "refused", refusal.detail)
         if decision.account:  # Strangers get no room on the log.
             self.parts.decision_log.add(decision)
 
@@ -124,7 +124,7 @@
 
     async def _admit(
         self,
-        request: kinds.Request,
+        request: request_types.Request,
         in_force: model.TableInForce,
         decision: decisions.Decision,
     ) -> Reply:
@@ -139,8 +139,8 @@
             shared.account,
             shared.priority,
             shared.deadline,
-            pricing.estimate(request, in_force.table),
-            pools.pool_of(request, in_force.table),
+            pricing.estimate_max_cost(request, in_force.table),
+            pools.pool_for(request, in_force.table),
         )
         if isinstance(admitted, refusals.Refusal):
             return admitted
@@ -154,7 +154,7 @@
 
     async def _begin(
         self,
-        request: kinds.Request,
+        request: request_types.Request,
         in_force: model.TableInForce,
         decision: decisions.Decision,
         admitted: limits.Admitted,
@@ -179,9 +179,9 @@
         return self._start(request, in_force, decision, admitted, permit, pin)
 
     async def _find_pin(
-        self, request: kinds.Request
+        self, request: request_types.Request
     ) -> sessions_lib.SessionPin | refusals.Refusal | None:
-        if not isinstance(request, kinds.ChatRequest):
+        if not isinstance(request, request_types.ChatRequest):
             return None
         shared = request.envelope
         return await self.parts.sessions.pin_for(
@@ -193,7 +193,7 @@
 
     def _start(
         self,
-        request: kinds.Request,
+        request: request_types.Request,
         in_force: model.TableInForce,
         decision: decisions.Decision,
         admitted: limits.Admitted,
@@ -201,7 +201,7 @@
         pin: sessions_lib.SessionPin | None,
     ) -> Running:
         in_session = bool(pin and request.envelope.session)
-        route = routes.route_of(
+        route = routes.make_route(
             request,
             pin.version if pin else None,
             pin.session if pin and in_session else "",
@@ -218,14 +218,14 @@
         return Running(task, pin)
 
 
-def _asked(request: kinds.Request) -> str:
-    if isinstance(request, kinds.ChatRequest):
+def _asked(request: request_types.Request) -> str:
+    if isinstance(request, request_types.ChatRequest):
         return request.model
     return request.call.key
 
 
 def _tell_of_key(
-    request: kinds.Request, refusal: refusals.Refusal
+    request: request_types.Request, refusal: refusals.Refusal
 ) -> refusals.Refusal:
     """Adds that earlier attempts under the key may have run, if not known."""
     has_key = request.envelope.idempotency_key is not None
--- a/src/hoistmoor/entry/request_task.py
+++ b/src/hoistmoor/entry/request_task.py
@@ -74,7 +74,7 @@
         self._attempt: attempts.Attempt | None = None
         self._reports = attempt_reports.AttemptReports(parts, machine.request)
         self._forwarded: list[bytes] = []
-        self._answer: messages.AnswerFacts | None = None
+        self._answer: messages.ResponseMetadata | None = None
         self._background: set[asyncio.Task[None]] = set()
 
     def post(self, event: messages.Event) -> None:
@@ -83,7 +83,7 @@
 
     def caller_left(self) -> None:
         """Tells the request that nobody waits for its answer."""
-        self.post(messages.CallerLeft(self._exchange_state))
+        self.post(messages.CallerDisconnected(self._exchange_state))
 
     async def run(self) -> None:
         """Drives the machine until the matter is closed."""
@@ -100,7 +100,7 @@
             timer.cancel()
 
     async def _drive(self) -> None:
-        while not self.machine.closed:
+        while not self.machine.is_closed:
             event = self._with_state(await self._inbox.get())
             self._note(event)
             late = self.machine.late_frames
@@ -115,7 +115,9 @@
         While it waited in the inbox, the exchange may have gone on. It cannot
         until the event's effects are done, since none of them waits.
         """
-        if isinstance(event, messages.DeadlineReached | messages.CallerLeft):
+        if isinstance(
+            event, messages.DeadlineReached | messages.CallerDisconnected
+        ):
             return attrs.evolve(event, state=self._exchange_state)
         return event
 
@@ -126,7 +128,7 @@
         late_before: int,
     ) -> None:
         """Returns the credit of a frame that went no further than here."""
-        if not isinstance(event, messages.FrameArrived):
+        if not isinstance(event, messages.FrameReceived):
             return
         if self.machine.late_frames > late_before:
             self._parts.metrics.count("attempt.late_frame")
@@ -157,9 +159,9 @@
         """Tells the router how an attempt ended; most events say nothing."""
 
     @_note.register
-    def _(self, event: messages.AnswerEnded) -> None:
-        self._answer = event.facts
-        self._reports.end(event.facts)
+    def _(self, event: messages.ResponseCompleted) -> None:
+        self._answer = event.metadata
+        self._reports.end(event.metadata)
 
     @_note.register
     def _(self, event: messages.AttemptFailed) -> None:
@@ -172,26 +174,26 @@
         raise NotImplementedError(type(effect))
 
     @_do.register
-    async def _(self, effect: messages.Choose) -> None:
+    async def _(self, effect: messages.ChooseServer) -> None:
         if effect.retry_reason:
             if not self._parts.gate.retry_allowed(self._admitted.pool):
-                self.post(messages.NotChosen(_no_retry()))
+                self.post(messages.NoServerChosen(_no_retry()))
                 return
             self._parts.metrics.count(f"retry.{effect.retry_reason}")
         # Since its admission this host may have stood still for a while.
         table = self._parts.readiness.check_table()
         if isinstance(table, refusals.Refusal):
-            self.post(messages.NotChosen(table))
+            self.post(messages.NoServerChosen(table))
             return
         chosen = self._route.choose(
             self._parts.router, effect.excluded, self._parts.clock()
         )
         if isinstance(chosen, refusals.Refusal):
             self._parts.poller.on_wanted(self._admitted.pool)
-            self.post(messages.NotChosen(chosen))
+            self.post(messages.NoServerChosen(chosen))
             return
         refined = await self._refine(chosen, effect.excluded)
-        self.post(messages.Chosen(refined))
+        self.post(messages.ServerChosen(refined))
 
     async def _refine(
         self, choice: routing.Choice, excluded: frozenset[str]
@@ -199,7 +201,7 @@
         """Asks a few backend servers how they are, if old news say little."""
         router = self._parts.router
         now = self._parts.clock()
-        names = self._route.to_probe(router, choice, excluded, now)
+        names = self._route.servers_to_probe(router, choice, excluded, now)
         if not names:
             return choice
         await self._parts.poller.probe(names)
@@ -209,14 +211,16 @@
     async def _(self, effect: messages.Dispatch) -> None:
         now = self._parts.clock()
         request = self.machine.request
-        call = wire.backend_call(request, effect.choice, effect.attempt, now)
+        call = wire.make_backend_request(
+            request, effect.choice, effect.attempt, now
+        )
         self._start(effect.attempt, effect.choice, call, now)
 
     def _start(
         self,
         attempt_id: identity.AttemptId,
         choice: routing.Choice,
-        call: wire.BackendCall,
+        call: wire.BackendRequest,
         now: float,
     ) -> None:
         self._attempt = attempts.Attempt(
@@ -243,7 +247,7 @@
         self.channel.put(channel_lib.Piece(effect.data))
 
     @_do.register
-    async def _(self, effect: messages.Keep) -> None:
+    async def _(self, effect: messages.RetainFrame) -> None:
         self._forwarded.append(effect.data)
         self.channel.give_credit()
 
@@ -251,19 +255,22 @@
     async def _(self, effect: messages.Judge) -> None:
         table = self._parts.readiness.check_table()
         if isinstance(table, refusals.Refusal):
-            self.post(messages.AnswerAccepted(table.detail))
+            self.post(messages.ResponseAccepted(table.detail))
             return
         judged = self._route.judge(
-            self._parts.router, effect.choice, effect.facts, self._parts.clock()
+            self._parts.router,
+            effect.choice,
+            effect.metadata,
+            self._parts.clock(),
         )
         if isinstance(judged, routing.Escalate):
             self._parts.metrics.count("cascade.escalated")
             self._reports.hand_in(
-                effect.choice, effect.facts, self.machine.held_frames
+                effect.choice, effect.metadata, self.machine.held_frames
             )
-            self.post(messages.AnswerEscalated(judged.choice, judged.reason))
+            self.post(messages.ResponseEscalated(judged.choice, judged.reason))
             return
-        self.post(messages.AnswerAccepted(judged.reason))
+        self.post(messages.ResponseAccepted(judged.reason))
 
     @_do.register
     async def _(self, effect: messages.SecureBill) -> None:
@@ -282,12 +289,14 @@
 
     @_do.register
     async def _(self, effect: messages.Complete) -> None:
-        self.channel.put(channel_lib.Whole(effect.facts))
+        self.channel.put(channel_lib.Whole(effect.metadata))
         self._parts.metrics.count("request.served")
 
     @_do.register
     async def _(self, effect: messages.Refuse) -> None:
-        self.channel.put(channel_lib.Refused(effect.refusal, effect.began))
+        self.channel.put(
+            channel_lib.Refused(effect.refusal, effect.response_started)
+        )
 
     @_do.register
     async def _(self, effect: messages.Close) -> None:
@@ -312,16 +321,16 @@
         )
 
     def _stored_answer(
-        self, facts: messages.AnswerFacts
+        self, facts: messages.ResponseMetadata
     ) -> permits.StoredAnswer | None:
         if self._permit.kind is permits.PermitKind.NONE:
             return None
-        body, content_type = chunks.as_sent(
+        body, content_type = chunks.assemble_response(
             self.machine.request, self.machine.decision, self._forwarded, facts
         )
         return permits.StoredAnswer(facts.status, content_type, body, self._id)
 
-    def _hand_in(self, facts: messages.AnswerFacts) -> None:
+    def _hand_in(self, facts: messages.ResponseMetadata) -> None:
         choice = self.machine.decision.choice
         if choice is not None:
             self._reports.hand_in(choice, facts, self._forwarded)
--- a/src/hoistmoor/entry/responses.py
+++ b/src/hoistmoor/entry/responses.py
@@ -84,7 +84,7 @@
 def refusal_event(refusal: refusals.Refusal, request_id: str) -> bytes:
     """Returns the last event of a stream that is cut short."""
     body = refusal_body(refusal, request_id)
-    return chunks.event(orjson.dumps(body))
+    return chunks.encode_event(orjson.dumps(body))
 
 
 def bare_refusal(reason: refusals.Reason, detail: str) -> refusals.Refusal:
--- a/src/hoistmoor/entry/sessions.py
+++ b/src/hoistmoor/entry/sessions.py
@@ -13,8 +13,8 @@
 from hoistmoor.core import errors
 from hoistmoor.core import outcomes
 from hoistmoor.core import refusals
-from hoistmoor.core.sessions import choice
 from hoistmoor.core.sessions import pins
+from hoistmoor.core.sessions import rendezvous
 from hoistmoor.core.sessions import tokens
 from hoistmoor.core.table import model
 
@@ -95,7 +95,7 @@
         self.peer_timeout = peer_timeout
         self.pins = pins.PinMap(capacity)
         self.unreachable = 0
-        self.hosts: tuple[choice.EntryHost, ...] = ()
+        self.hosts: tuple[rendezvous.EntryHost, ...] = ()
         self.in_force = model.TableInForce(-1, model.Table())
 
     def on_table(self, in_force: model.TableInForce) -> None:
@@ -106,7 +106,7 @@
         """
         self.in_force = in_force
 
-    def on_hosts(self, hosts: Iterable[choice.EntryHost]) -> None:
+    def on_hosts(self, hosts: Iterable[rendezvous.EntryHost]) -> None:
         """Takes the live entry hosts, this one included."""
         self.hosts = tuple(hosts)
 
@@ -179,7 +179,7 @@
         table = self.in_force.table
         if token.model != model_name:
             return await self._pin_by_key(key, None)
-        if choice.is_usable(table, token.account, token.version):
+        if rendezvous.is_usable(table, token.account, token.version):
             return SessionPin(token.session, token.version, Verdict.KEEP)
         return await self._pin_by_key(key, token.version)
 
@@ -203,7 +203,7 @@
         if known and self._is_usable(known):
             return _as_session_pin(known, left, Verdict.KEEP)
         left = left or (known.version if known else None)
-        version = choice.choose_version(
+        version = rendezvous.choose_version(
             self.in_force.table, key.account, key.session, key.model
         )
         verdict = Verdict.MOVED if left else Verdict.NEW
@@ -220,8 +220,10 @@
         )
         usable = [pin for pin in found.values() if self._is_usable(pin)]
         if not usable:
-            return pins.preferred(found.values())
-        return await self._settle(pins.preferred(usable) or usable[0], found)
+            return pins.preferred_pin(found.values())
+        return await self._settle(
+            pins.preferred_pin(usable) or usable[0], found
+        )
 
     async def _claim(
         self, key: pins.PinKey, version: str, moves: int
@@ -235,7 +237,7 @@
             key, lambda host: self._keep_at(host, offered)
         )
         usable = [pin for pin in kept.values() if self._is_usable(pin)]
-        return await self._settle(pins.preferred(usable) or offered, kept)
+        return await self._settle(pins.preferred_pin(usable) or offered, kept)
 
     async def _settle(
         self, winner: pins.Pin, kept: dict[str, pins.Pin]
@@ -283,10 +285,12 @@
             return None
 
     def _homes(self, key: pins.PinKey) -> tuple[str, ...]:
-        return choice.homes(self.hosts, key.account, key.session)
+        return rendezvous.home_hosts(self.hosts, key.account, key.session)
 
     def _is_usable(self, pin: pins.Pin) -> bool:
-        return choice.is_usable(self.in_force.table, pin.account, pin.version)
+        return rendezvous.is_usable(
+            self.in_force.table, pin.account, pin.version
+        )
 
 
 def _as_session_pin(
--- a/tests/core/requests/test_core_requests_stateful.py
+++ b/tests/core/requests/test_core_requests_stateful.py
@@ -14,15 +14,15 @@
 from hoistmoor.core import identity
 from hoistmoor.core import outcomes
 from hoistmoor.core import refusals
-from hoistmoor.core.requests import kinds
 from hoistmoor.core.requests import machine as machine_lib
 from hoistmoor.core.requests import messages
+from hoistmoor.core.requests import request_types
 
 if TYPE_CHECKING:
     from hoistmoor.core.billing import bills
 
 State = outcomes.ExchangeState
-NOT_CHOSEN = messages.NotChosen(
+NOT_CHOSEN = messages.NoServerChosen(
     refusals.Refusal(refusals.Reason.NO_CAPACITY, outcomes.Outcome.NOT_RUN, "")
 )
 EVENTS = strategies.sampled_from(
@@ -43,7 +43,7 @@
     ]
 )
 STEPS = strategies.lists(
-    strategies.tuples(EVENTS, strategies.sampled_from(cases.CUTS)),
+    strategies.tuples(EVENTS, strategies.sampled_from(cases.FAILURE_STATES)),
     max_size=25,
 )
 
@@ -63,7 +63,7 @@
             idempotent and may have run.
     """
 
-    def __init__(self, request: kinds.Request) -> None:
+    def __init__(self, request: request_types.Request) -> None:
         self.machine = cases.make_machine(request)
         self.states: dict[identity.AttemptId, State] = {}
         self.caller: list[str] = []
@@ -111,14 +111,14 @@
         """Generates the event called ``name``."""
         attempt = self.machine.current_attempt
         if name in ("chosen", "held"):
-            choice = cases.choice("a", hold=name == "held")
-            self.handle(messages.Chosen(choice))
+            choice = cases.make_choice("a", hold=name == "held")
+            self.handle(messages.ServerChosen(choice))
         elif name == "none":
             self.handle(NOT_CHOSEN)
         elif name in ("deadline", "left"):
             kind = {
                 "deadline": messages.DeadlineReached,
-                "left": messages.CallerLeft,
+                "left": messages.CallerDisconnected,
             }[name]
             self.handle(kind(self.states.get(attempt, State.UNSENT)))
         elif name in ("accept", "escalate", "secured", "delayed"):
@@ -131,9 +131,9 @@
         if name in ("secured", "delayed") and self.bills:
             self.secured = True
         events = {
-            "accept": messages.AnswerAccepted("good"),
-            "escalate": messages.AnswerEscalated(
-                cases.choice("b", cases.DEAR.key), "weak"
+            "accept": messages.ResponseAccepted("good"),
+            "escalate": messages.ResponseEscalated(
+                cases.make_choice("b", cases.EXPENSIVE_VERSION.key), "weak"
             ),
             "secured": messages.BillSecured(),
             "delayed": messages.BillDelayed(),
@@ -153,25 +153,26 @@
             self.handle(messages.AttemptFailed(attempt, state, "cut"))
         elif name == "ended":
             self.handle(
-                messages.AnswerEnded(
-                    attempt, messages.AnswerFacts(200, "", 5, 5, "stop", 0.5)
+                messages.ResponseCompleted(
+                    attempt,
+                    messages.ResponseMetadata(200, "", 5, 5, "stop", 0.5),
                 )
             )
         else:
-            self.handle(messages.FrameArrived(attempt, b"x"))
+            self.handle(messages.FrameReceived(attempt, b"x"))
 
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=600)
 @hypothesis.given(
     kind=strategies.sampled_from(["chat", "once", "repeatable"]), steps=STEPS
 )
-def test_any_order_of_events_keeps_the_promises(
+def test_invariants_hold_for_any_order_of_events(
     kind: str, steps: list[tuple[str, State]]
 ) -> None:
     request = {
-        "chat": cases.chat_request(),
-        "once": cases.call_request(idempotent=False),
-        "repeatable": cases.call_request(idempotent=True),
+        "chat": cases.make_chat_request(),
+        "once": cases.make_call_request(idempotent=False),
+        "repeatable": cases.make_call_request(idempotent=True),
     }[kind]
     simulation = Simulation(request)
     for name, state in steps:
@@ -195,18 +196,18 @@
         assertions.assert_that(ran, matchers.Equals([]))
 
 
-def test_the_check_catches_a_machine_that_resends(
+def test_the_check_detects_unsafe_retries(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(outcomes, "may_resend", lambda *_: True)
-    simulation = Simulation(cases.call_request(idempotent=False))
+    simulation = Simulation(cases.make_call_request(idempotent=False))
     for name in ("chosen", "failed", "chosen"):
         simulation.generate(name, State.SENT)
     with pytest.raises(matchers.MismatchError):
         check_invariants(simulation)
 
 
-def test_the_check_catches_an_outcome_by_the_last_attempt_alone(
+def test_the_check_detects_an_outcome_of_the_last_attempt_only(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def record_last(self: machine_lib.RequestMachine, state: State) -> None:
@@ -216,7 +217,7 @@
     monkeypatch.setattr(
         machine_lib.RequestMachine, "_record_outcome", record_last
     )
-    simulation = Simulation(cases.call_request(idempotent=True))
+    simulation = Simulation(cases.make_call_request(idempotent=True))
     simulation.generate("chosen", State.SENT)
     simulation.generate("failed", State.SENT)
     simulation.generate("chosen", State.SENT)
--- a/tests/core/sessions/test_sessions_tokens.py
+++ b/tests/core/sessions/test_sessions_tokens.py
@@ -11,8 +11,8 @@
 from testtools import assertions
 from testtools import matchers
 
-from hoistmoor.core.sessions import choice
 from hoistmoor.core.sessions import pins
+from hoistmoor.core.sessions import rendezvous
 from hoistmoor.core.sessions import tokens
 from hoistmoor.core.table import model
 
@@ -38,12 +38,12 @@
 
 def choose_versions(table: model.Table, count: int = 4_000) -> list[str | None]:
     return [
-        choice.choose_version(table, "agents", f"s{n}", "thai")
+        rendezvous.choose_version(table, "agents", f"s{n}", "thai")
         for n in range(count)
     ]
 
 
-def test_token_passes_under_an_older_secret() -> None:
+def test_a_token_signed_with_an_older_secret_is_valid() -> None:
     value = tokens.sign(TOKEN, ["old"])
     found = tokens.verify(value, "agents", ["new", "old"])
     assertions.assert_that(found, matchers.Equals(TOKEN))
@@ -51,7 +51,7 @@
 
 @hypothesis.given(st.integers(0, 400), st.integers(1, 255))
 @SETTINGS
-def test_changed_token_never_passes(index: int, change: int) -> None:
+def test_a_modified_token_is_never_valid(index: int, change: int) -> None:
     value = tokens.sign(TOKEN, ["secret"])
     index = len(tokens.PREFIX) + index % (len(value) - len(tokens.PREFIX))
     character = chr((ord(value[index]) + change) % 256)
@@ -75,7 +75,7 @@
         tokens.verify(value, account, secrets)
 
 
-def test_sessions_spread_by_weight() -> None:
+def test_sessions_are_distributed_by_weight() -> None:
     chosen = choose_versions(make_table(a=3.0, b=1.0))
     assertions.assert_that(
         abs(chosen.count("thai@a") / len(chosen) - 0.75),
@@ -83,7 +83,7 @@
     )
 
 
-def test_changed_weight_moves_only_the_sessions_it_must() -> None:
+def test_a_weight_change_moves_as_few_sessions_as_possible() -> None:
     before = choose_versions(make_table(a=1.0, b=1.0))
     after = choose_versions(make_table(a=1.0, b=2.0))
     moved = [old for old, new in zip(before, after, strict=True) if old != new]
@@ -102,15 +102,17 @@
     assertions.assert_that(set(chosen), matchers.Equals({"thai@c"}))
 
 
-def test_one_of_two_homes_stays_when_a_host_comes_or_goes() -> None:
-    hosts = [choice.HomeHost(f"h{n}", f"d{n % 3}") for n in range(9)]
+def test_one_home_host_remains_when_a_host_joins_or_leaves() -> None:
+    hosts = [rendezvous.HomeHost(f"h{n}", f"d{n % 3}") for n in range(9)]
     for n in range(200):
-        home_hosts = choice.homes(hosts, "agents", f"s{n}")
+        home_hosts = rendezvous.home_hosts(hosts, "agents", f"s{n}")
         domains = {home_hosts[0][1:], home_hosts[1][1:]}
         assertions.assert_that(domains, matchers.HasLength(2))
         for removed in hosts:
             remaining = [host for host in hosts if host != removed]
-            remaining_homes = choice.homes(remaining, "agents", f"s{n}")
+            remaining_homes = rendezvous.home_hosts(
+                remaining, "agents", f"s{n}"
+            )
             assertions.assert_that(
                 set(home_hosts) & set(remaining_homes),
                 matchers.Not(matchers.Equals(set())),
@@ -136,11 +138,12 @@
     shuffled = list(copies)
     shuffler.shuffle(shuffled)
     assertions.assert_that(
-        pins.preferred(shuffled), matchers.Equals(pins.preferred(copies))
+        pins.preferred_pin(shuffled),
+        matchers.Equals(pins.preferred_pin(copies)),
     )
 
 
-def test_home_keeps_the_first_pin_and_drops_the_oldest_session() -> None:
+def test_pin_map_keeps_the_first_pin_and_evicts_the_oldest() -> None:
     pin_map = pins.PinMap(capacity=2)
     first = pins.Pin("agents", "s1", "thai", "thai@2", 7)
     pin_map.keep(first)
@@ -149,4 +152,4 @@
     for session in ("s2", "s3"):
         pin_map.keep(attrs.evolve(first, session=session))
     assertions.assert_that(pin_map.find(first.key), matchers.Is(None))
-    assertions.assert_that(pin_map.dropped, matchers.Equals(1))
+    assertions.assert_that(pin_map.evicted, matchers.Equals(1))
--- a/tests/entry/limits/test_entry_limits.py
+++ b/tests/entry/limits/test_entry_limits.py
@@ -18,7 +18,7 @@
 from hoistmoor.core import outcomes
 from hoistmoor.core import refusals
 from hoistmoor.core.limits import records
-from hoistmoor.core.sessions import choice
+from hoistmoor.core.sessions import rendezvous
 from hoistmoor.core.table import model
 from hoistmoor.entry import limits
 from hoistmoor.entry import limits_status
@@ -115,7 +115,7 @@
 
 
 async def test_limit_holds_over_two_gates(log: limits_log.FakeLog) -> None:
-    hosts = [choice.HomeHost("h1", "d1"), choice.HomeHost("h2", "d2")]
+    hosts = [rendezvous.HomeHost("h1", "d1"), rendezvous.HomeHost("h2", "d2")]
     gates = [
         limits.Gate(log, identity.Incarnation(host.name, 1), limits_rows.clock)
         for host in hosts
--- a/tests/entry/sessions/session_hosts.py
+++ b/tests/entry/sessions/session_hosts.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from hoistmoor.core.sessions import choice
+from hoistmoor.core.sessions import rendezvous
 from hoistmoor.core.table import model
 from hoistmoor.entry import sessions
 from hoistmoor.peers import errors
@@ -71,7 +71,7 @@
     def tell(self) -> None:
         """Tells every host which hosts live."""
         live = [
-            choice.HomeHost(name, f"domain{name[-1]}")
+            rendezvous.HomeHost(name, f"domain{name[-1]}")
             for name in sorted(self.hosts)
         ]
         for host in self.hosts.values():
--- a/tests/entry/sessions/test_entry_pin_store.py
+++ b/tests/entry/sessions/test_entry_pin_store.py
@@ -9,7 +9,7 @@
 from testtools import assertions
 from testtools import matchers
 
-from hoistmoor.core.sessions import choice
+from hoistmoor.core.sessions import rendezvous
 from hoistmoor.entry import pin_store
 from hoistmoor.entry import sessions
 from hoistmoor.peers import client
@@ -37,7 +37,7 @@
             name, ["secret"], lambda: 1.0, store, peer_timeout=PEER_TIMEOUT
         )
         host.on_table(FIRST)
-        host.on_hosts([choice.HomeHost(one, f"d{one}") for one in NAMES])
+        host.on_hosts([rendezvous.HomeHost(one, f"d{one}") for one in NAMES])
         peer = server.PeerServer(
             handlers.PeerHandlers(
                 find_session=host.find_session, keep_session=host.keep_session
@@ -75,7 +75,9 @@
     hosts: dict[str, sessions.Sessions],
 ) -> None:
     host = hosts["h1"]
-    host.on_hosts([choice.HomeHost("h8", "d1"), choice.HomeHost("h9", "d2")])
+    host.on_hosts(
+        [rendezvous.HomeHost("h8", "d1"), rendezvous.HomeHost("h9", "d2")]
+    )
     pin = await host.pin_for(
         session_hosts.ACCOUNT, "s1", session_hosts.MODEL, "new"
     )
--- a/tests/entry/sessions/test_entry_sessions.py
+++ b/tests/entry/sessions/test_entry_sessions.py
@@ -12,7 +12,7 @@
 from testtools import matchers
 
 from hoistmoor.core import refusals
-from hoistmoor.core.sessions import choice
+from hoistmoor.core.sessions import rendezvous
 from hoistmoor.core.table import model
 from hoistmoor.entry import sessions
 
@@ -93,7 +93,7 @@
         session = f"s{number}"
         before = await network.ask("h1", session)
         hosts = network.hosts["h1"].hosts
-        home, _ = choice.homes(hosts, session_hosts.ACCOUNT, session)
+        home, _ = rendezvous.home_hosts(hosts, session_hosts.ACCOUNT, session)
         # Every process but one home's dies or forgets, then an edit.
         del network.hosts[home]
         kept = network.hosts
@@ -103,7 +103,7 @@
             network.hosts[name].pins = host.pins
         network.add(home, EDITED)
         after = await network.ask(home, session)
-        chosen = choice.choose_version(
+        chosen = rendezvous.choose_version(
             EDITED.table, session_hosts.ACCOUNT, session, session_hosts.MODEL
         )
         moved += chosen != before.version
--- a/tests/entry/test_entry_request_task.py
+++ b/tests/entry/test_entry_request_task.py
@@ -14,9 +14,9 @@
 from hoistmoor.core import outcomes
 from hoistmoor.core.once import permits
 from hoistmoor.core.requests import decisions
-from hoistmoor.core.requests import kinds
 from hoistmoor.core.requests import machine as machine_lib
 from hoistmoor.core.requests import messages
+from hoistmoor.core.requests import request_types
 from hoistmoor.core.requests import routes
 from hoistmoor.core.routing import messages as routing
 from hoistmoor.core.table import model
@@ -47,10 +47,10 @@
 def task(monkeypatch: pytest.MonkeyPatch) -> request_task.RequestTask:
     monkeypatch.setattr(attempts, "Attempt", SentAttempt)
     now = time.time()
-    shared = kinds.Envelope(
+    shared = request_types.Envelope(
         REQUEST_ID, "a", now, now + 60, None, None, "f", CALL.priority
     )
-    request = kinds.CallRequest(shared, CALL, "/x", "", b"")
+    request = request_types.CallRequest(shared, CALL, "/x", "", b"")
     decision = decisions.Decision(str(REQUEST_ID), "a", "x", "", now, 1)
     parts: Any = mock.MagicMock()
     parts.clock = time.time
@@ -66,14 +66,16 @@
 
 
 @pytest.mark.parametrize(
-    "event", [messages.DeadlineReached, messages.CallerLeft]
+    "event", [messages.DeadlineReached, messages.CallerDisconnected]
 )
 async def test_what_waited_in_the_inbox_is_judged_by_the_state_of_now(
     task: request_task.RequestTask, event: type[Any]
 ) -> None:
     # Started, Chosen and then the event: it was posted before the dispatch.
     task.post(messages.Started())
-    task.post(messages.Chosen(task._parts.router.choose_server.return_value))
+    task.post(
+        messages.ServerChosen(task._parts.router.choose_server.return_value)
+    )
     task.post(event(STATES.UNSENT))
     await task._drive()
     told = await task.channel.get()
