--- a/benchmarks/steward.py
+++ b/benchmarks/steward.py
@@ -68,7 +68,7 @@
                 phase = duties.LEASE_TICK * index / self.hosts
                 now = tick * duties.LEASE_TICK + phase
                 self.look(actor, now)
-                if actor.acting(now) is None:
+                if actor.active_fencing_token(now) is None:
                     continue
                 if killed_at is not None:
                     self.outages.append(now - killed_at)
@@ -88,7 +88,7 @@
 
     def kill(self, index: int, now: float) -> None:
         """Ends one steward and starts another at the same host."""
-        self.start(self.actors[index].me.host, now)
+        self.start(self.actors[index].incarnation.host, now)
         self.actors[index] = self.actors.pop()
 
     def look(self, actor: actor_lib.Actor, now: float) -> None:
--- a/src/hoistmoor/console/commands/bill.py
+++ b/src/hoistmoor/console/commands/bill.py
@@ -72,7 +72,7 @@
             self._print(statement)
             if self.checkpoint:
                 await append_checkpoint(client, statement)
-        if statement.bad or statement.missing:
+        if statement.invalid_records or statement.missing_records:
             return exit_codes.ExitCode.FAULTS
         return exit_codes.ExitCode.DONE
 
@@ -109,9 +109,9 @@
         ConfigurationError: The totals are not whole.
         PlatformError: The append failed. To repeat it does no harm.
     """
-    if statement.missing:
+    if statement.missing_records:
         raise errors.ConfigurationError(
-            f"{statement.missing} records are missing from the totals",
+            f"{statement.missing_records} records are missing from the totals",
             "Raise the log's retention and run --checkpoint more often.",
         )
     payload = codec.encode(statement.checkpoint())
@@ -128,7 +128,7 @@
             newest = found
     if newest is None:
         return statement_lib.Statement()
-    return statement_lib.Statement.resume(newest)
+    return statement_lib.Statement.from_checkpoint(newest)
 
 
 def _checkpoint_in(
@@ -158,7 +158,7 @@
 
 def _lines(
     statement: statement_lib.Statement, account: str | None
-) -> Iterator[tuple[str, str, statement_lib.Line]]:
+) -> Iterator[tuple[str, str, statement_lib.StatementLine]]:
     for name in sorted(statement.lines):
         if account in (None, name):
             for item, line in sorted(statement.lines[name].items()):
@@ -171,7 +171,7 @@
     yield _COLUMNS.format(
         "account", "item", "requests", "prompt", "output", "amount"
     )
-    total = statement_lib.Line()
+    total = statement_lib.StatementLine()
     for name, item, line in _lines(statement, account):
         yield _row(name, item, line)
         total.merge(line)
@@ -179,7 +179,7 @@
     yield f"{statement.repeats} repeated bills were dropped"
 
 
-def _row(name: str, item: str, line: statement_lib.Line) -> str:
+def _row(name: str, item: str, line: statement_lib.StatementLine) -> str:
     units, micros = divmod(line.amount, _MICROS)
     return _COLUMNS.format(
         name,
@@ -202,20 +202,20 @@
         "lines": rows,
         "repeats": statement.repeats,
         "through": statement.next_offset - 1,
-        "missing": statement.missing,
-        "bad": [attrs.asdict(bad) for bad in statement.bad],
+        "missing": statement.missing_records,
+        "bad": [attrs.asdict(bad) for bad in statement.invalid_records],
     }
     yield orjson.dumps(shown, option=orjson.OPT_INDENT_2).decode()
 
 
 def _complaints(statement: statement_lib.Statement) -> Iterator[str]:
-    if statement.missing:
+    if statement.missing_records:
         yield (
-            f"hoistmoor: {statement.missing} records are past the log's "
+            f"hoistmoor: {statement.missing_records} records are past the log's "
             "retention and in no checkpoint: the totals are too low. Run "
             "`hoistmoor bill --checkpoint` more often."
         )
-    for bad in statement.bad:
+    for bad in statement.invalid_records:
         yield f"hoistmoor: record {bad.offset} is not counted: {bad.problem}"
 
 
--- a/src/hoistmoor/console/commands/drain.py
+++ b/src/hoistmoor/console/commands/drain.py
@@ -71,7 +71,7 @@
             )
 
     def _is_in_force(self, view: rollouts.RolloutView) -> bool:
-        return view.draining(self.server) is not self.undo
+        return view.is_draining(self.server) is not self.undo
 
 
 COMMANDS = (Drain,)
--- a/src/hoistmoor/core/billing/linger.py
+++ b/src/hoistmoor/core/billing/linger.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 MAX_APPENDS_PER_SECOND = 100.0  # Of bills, by all hosts together.
-SHORTEST = 0.005  # Seconds.
+MIN_LINGER_SECONDS = 0.005  # Seconds.
 
 
-def seconds(hosts: int) -> float:
+def linger_seconds(hosts: int) -> float:
     """Returns how long a host collects bills before an append.
 
     The wait grows with the number of hosts so that together they stay below
@@ -15,4 +15,4 @@
     Args:
         hosts: Number of hosts that are alive.
     """
-    return max(hosts / MAX_APPENDS_PER_SECOND, SHORTEST)
+    return max(hosts / MAX_APPENDS_PER_SECOND, MIN_LINGER_SECONDS)
--- a/src/hoistmoor/core/billing/book.py
+++ b/src/hoistmoor/core/billing/pending_bills.py
@@ -31,7 +31,7 @@
     batch_id: str
 
 
-class BillBook:
+class PendingBills:
     """Pending bills and the peers that hold copies of them.
 
     Attributes:
@@ -56,7 +56,7 @@
         return len(self._bills)
 
     @property
-    def unsecured(self) -> int:
+    def unsecured_count(self) -> int:
         """The number of bills neither on the log nor held by a peer."""
         return len(self._unsecured)
 
@@ -80,11 +80,11 @@
         """Returns whether a bill is on the log or held by a peer."""
         return request_id not in self._unsecured
 
-    def next_hold(self) -> bills.BillBatch | None:
+    def next_batch_to_hold(self) -> bills.BillBatch | None:
         """Returns a batch of unsecured bills for a peer, or None."""
         return self._batch(self._unsecured)
 
-    def held(
+    def record_held(
         self, batch: bills.BillBatch, holder: identity.Incarnation
     ) -> bool:
         """Records that a peer holds a copy of a batch.
@@ -100,14 +100,14 @@
             self._copies[request_id] = copy
         return bool(pending)
 
-    def holder_gone(self, holder: identity.Incarnation) -> None:
+    def record_holder_failed(self, holder: identity.Incarnation) -> None:
         """Marks the bills held by a failed peer as unsecured again."""
         for request_id, copy in tuple(self._copies.items()):
             if copy.holder == holder:
                 del self._copies[request_id]
                 self._unsecured[request_id] = self._bills[request_id]
 
-    def next_append(self) -> bills.BillBatch | None:
+    def next_batch_to_append(self) -> bills.BillBatch | None:
         """Returns the batch to append, or None if no bill is pending.
 
         The same batch is returned until its append is acknowledged.
@@ -116,7 +116,7 @@
             self._appending = self._batch(self._bills)
         return self._appending
 
-    def appended(self, batch: bills.BillBatch) -> set[HeldCopy]:
+    def record_appended(self, batch: bills.BillBatch) -> set[HeldCopy]:
         """Records that a batch is on the log.
 
         Returns:
--- a/src/hoistmoor/core/billing/statement.py
+++ b/src/hoistmoor/core/billing/statement.py
@@ -26,7 +26,7 @@
 
 
 @attrs.define
-class Line:
+class StatementLine:
     """Totals of one item of one client account.
 
     Attributes:
@@ -48,7 +48,7 @@
         self.output_tokens += bill.output_tokens
         self.amount += bill.amount
 
-    def merge(self, other: Line) -> None:
+    def merge(self, other: StatementLine) -> None:
         """Adds the totals of another line."""
         self.count += other.count
         self.prompt_tokens += other.prompt_tokens
@@ -85,7 +85,7 @@
     """
 
     through: int
-    lines: dict[str, dict[str, Line]]
+    lines: dict[str, dict[str, StatementLine]]
     repeats: int
     seen: tuple[SeenIds, ...]
 
@@ -125,15 +125,15 @@
     """
 
     def __init__(self) -> None:
-        self.lines: dict[str, dict[str, Line]] = {}
+        self.lines: dict[str, dict[str, StatementLine]] = {}
         self.next_offset = 0
         self.repeats = 0
-        self.bad: list[InvalidRecord] = []
-        self.missing = 0
+        self.invalid_records: list[InvalidRecord] = []
+        self.missing_records = 0
         self._seen: dict[identity.Incarnation, _BilledIds] = {}
 
     @classmethod
-    def resume(cls, checkpoint: BillCheckpoint) -> Statement:
+    def from_checkpoint(cls, checkpoint: BillCheckpoint) -> Statement:
         """Returns a statement that continues from ``checkpoint``."""
         statement = cls()
         statement.lines = checkpoint.lines
@@ -148,7 +148,7 @@
 
     def skip_to(self, offset: int) -> None:
         """Counts records before ``offset`` as missing and skips them."""
-        self.missing += max(offset - self.next_offset, 0)
+        self.missing_records += max(offset - self.next_offset, 0)
         self.next_offset = max(offset, self.next_offset)
 
     def apply(self, offset: int, at: float, payload: bytes) -> None:
@@ -163,7 +163,7 @@
         try:
             record = codec.decode(payload)
         except errors.CodecError as error:
-            self.bad.append(InvalidRecord(offset, error.problem))
+            self.invalid_records.append(InvalidRecord(offset, error.problem))
             return
         if isinstance(record, bills.BillBatch):
             self._apply_batch(offset, at, record)
@@ -171,7 +171,7 @@
             self._verify_checkpoint(offset, record)
         else:
             name = type(record).__name__
-            self.bad.append(
+            self.invalid_records.append(
                 InvalidRecord(
                     offset, f"unexpected {name} record on the bills stream"
                 )
@@ -185,11 +185,11 @@
                 is_new = self._is_new(bill.request_id, at)
             except ValueError:
                 problem = f"{bill.request_id!r} is not a valid request id"
-                self.bad.append(InvalidRecord(offset, problem))
+                self.invalid_records.append(InvalidRecord(offset, problem))
                 continue
             if is_new:
                 items = self.lines.setdefault(bill.account, {})
-                items.setdefault(bill.item, Line()).add(bill)
+                items.setdefault(bill.item, StatementLine()).add(bill)
             else:
                 self.repeats += 1
         self._evict_expired_ids(at)
@@ -210,11 +210,11 @@
 
     def _verify_checkpoint(self, offset: int, record: BillCheckpoint) -> None:
         """Compares a checkpoint with the totals of this reader."""
-        if self.missing or record.through != offset - 1:
+        if self.missing_records or record.through != offset - 1:
             return
         if record != self.checkpoint_through(record.through):
             problem = "the checkpoint differs from the records before it"
-            self.bad.append(InvalidRecord(offset, problem))
+            self.invalid_records.append(InvalidRecord(offset, problem))
 
     def checkpoint(self) -> BillCheckpoint:
         """Returns a checkpoint of all records applied so far."""
--- a/src/hoistmoor/core/steward/actor.py
+++ b/src/hoistmoor/core/steward/actor.py
@@ -43,14 +43,14 @@
             back as accepted had been sent.
     """
 
-    me: identity.Incarnation
+    incarnation: identity.Incarnation
     fold: fold_lib.StewardFold = attrs.field(factory=fold_lib.StewardFold)
     duration: float = lease_lib.LEASE_SECONDS
     policy: evidence.EvidencePolicy = attrs.field(
         factory=evidence.EvidencePolicy
     )
     lease_observed_at: float = float("inf")  # No record was read yet.
-    asked_at: float = float("-inf")
+    lease_record_sent_at: float = float("-inf")
     confirmed_at: float = float("-inf")
 
     @property
@@ -62,7 +62,7 @@
     def fencing(self) -> int | None:
         """The fencing token of this process's lease; None without a lease."""
         lease = self.lease
-        if lease is None or lease.released or lease.holder != self.me:
+        if lease is None or lease.released or lease.holder != self.incarnation:
             return None
         return lease.fencing
 
@@ -87,10 +87,10 @@
         if self.lease != before:
             self.lease_observed_at = now
             if self.fencing is not None:
-                self.confirmed_at = self.asked_at
+                self.confirmed_at = self.lease_record_sent_at
         return result
 
-    def acting(self, now: float) -> int | None:
+    def active_fencing_token(self, now: float) -> int | None:
         """Returns the fencing token if this steward is active, else None."""
         if not self.fold.complete or now - self.confirmed_at >= self.duration:
             return None
@@ -100,19 +100,21 @@
         """Returns the lease request or renewal to append now, or None."""
         if not self.fold.complete:
             return None
-        if now - self.asked_at < LEASE_RETRY_SECONDS:
+        if now - self.lease_record_sent_at < LEASE_RETRY_SECONDS:
             return None
         observed = lease_lib.ObservedLease(self.lease, self.lease_observed_at)
         fencing = self.fencing
         if fencing is not None:
             if now < observed.next_renewal_at(self.duration):
                 return None
-            self.asked_at = now
-            return records.LeaseRenewal(self.me, fencing, self.duration)
-        if now < observed.next_request_at(self.me.host, self.duration):
+            self.lease_record_sent_at = now
+            return records.LeaseRenewal(
+                self.incarnation, fencing, self.duration
+            )
+        if now < observed.next_request_at(self.incarnation.host, self.duration):
             return None
-        self.asked_at = now
-        return records.LeaseRequest(self.me, self.duration)
+        self.lease_record_sent_at = now
+        return records.LeaseRequest(self.incarnation, self.duration)
 
     def release_record(self) -> records.LeaseRelease | None:
         """Returns the record that releases the lease, or None without one."""
@@ -123,7 +125,7 @@
         self, table: model.Table, now: float
     ) -> tuple[Any, ...]:
         """Returns the rollout records to append now, if active."""
-        fencing = self.acting(now)
+        fencing = self.active_fencing_token(now)
         if fencing is None:
             return ()
         return progress.due_records(
@@ -145,7 +147,7 @@
             ratings_next: Offset after the last rating counted.
             now: Local time, in seconds.
         """
-        fencing = self.acting(now)
+        fencing = self.active_fencing_token(now)
         if fencing is None or ratings_next <= ratings_from:
             return None
         return records.EvidenceCounted(
@@ -159,7 +161,7 @@
             first: Oldest offset still on the log.
             now: Local time, in seconds.
         """
-        return self.acting(now) is not None and snapshots.is_due(
+        return self.active_fencing_token(now) is not None and snapshots.is_due(
             self.fold, first
         )
 
--- a/src/hoistmoor/core/steward/placement.py
+++ b/src/hoistmoor/core/steward/placement.py
@@ -35,7 +35,7 @@
     loaded: frozenset[str] = frozenset()
     loading: frozenset[str] = frozenset()
     leaving: bool = False
-    missed: int = 0
+    failed_reads: int = 0
 
     @property
     def present(self) -> frozenset[str]:
@@ -50,7 +50,7 @@
     @property
     def is_usable(self) -> bool:
         """Whether replicas on the engine count as available."""
-        return not self.leaving and self.missed < MAX_FAILED_READS
+        return not self.leaving and self.failed_reads < MAX_FAILED_READS
 
 
 Conditions = Mapping[str, EngineCondition]
@@ -62,7 +62,7 @@
     A candidate gets one replica as soon as its rollout starts, before it
     serves any request, and further replicas in proportion to its share.
     """
-    if version.stage is model.Stage.WITHDRAWN or view.withdrawn(version):
+    if version.stage is model.Stage.WITHDRAWN or view.is_withdrawn(version):
         return 0
     if version.stage is not model.Stage.CANDIDATE:
         return version.replicas
@@ -86,7 +86,7 @@
     return [
         server
         for server in servers
-        if not view.draining(server.server)
+        if not view.is_draining(server.server)
         and server.server in conditions
         and conditions[server.server].is_usable
     ]
--- a/src/hoistmoor/core/steward/planner.py
+++ b/src/hoistmoor/core/steward/planner.py
@@ -141,7 +141,7 @@
         row = table.servers.get(name)
         if row is None or not row.checks_fencing or name in ordered:
             continue
-        if condition.fencing < fencing and not condition.missed:
+        if condition.fencing < fencing and not condition.failed_reads:
             yield PlannedOrder(row, condition.wanted, frozenset())
 
 
--- a/src/hoistmoor/core/steward/rollouts.py
+++ b/src/hoistmoor/core/steward/rollouts.py
@@ -31,19 +31,19 @@
     def share(self, version: model.Version) -> float:
         """Returns the factor on a candidate's weight in the table, 0 to 1."""
         rollout = self.state.rollouts.get(version.key)
-        if not self.complete or rollout is None or self.withdrawn(version):
+        if not self.complete or rollout is None or self.is_withdrawn(version):
             return 0.0
         is_same = rollout.row_digest == exposure.row_digest(version)
         return rollout.share if is_same else 0.0
 
-    def withdrawn(self, version: model.Version) -> bool:
+    def is_withdrawn(self, version: model.Version) -> bool:
         """Returns whether the version was withdrawn for poor quality."""
         return is_withdrawn(self.state, version)
 
     def is_open(self, version: model.Version) -> bool:
         """Returns whether a rollout of exactly this row was started."""
         rollout = self.state.rollouts.get(version.key)
-        if not self.complete or rollout is None or self.withdrawn(version):
+        if not self.complete or rollout is None or self.is_withdrawn(version):
             return False
         return rollout.row_digest == exposure.row_digest(version)
 
@@ -56,7 +56,7 @@
         """Returns the number of rated responses of ``version``."""
         return self.state.counts.get(version, records.RatedCount())
 
-    def draining(self, server: str) -> bool:
+    def is_draining(self, server: str) -> bool:
         """Returns whether an operator is draining the backend server."""
         return server in self.state.draining
 
--- a/src/hoistmoor/core/steward/snapshots.py
+++ b/src/hoistmoor/core/steward/snapshots.py
@@ -20,10 +20,10 @@
     """
     if not fold.complete:
         return False
-    return is_late(fold.snapshot_as_of, fold.next_offset, first)
+    return is_summary_due(fold.snapshot_as_of, fold.next_offset, first)
 
 
-def is_late(as_of: int, next_offset: int, first: int) -> bool:
+def is_summary_due(as_of: int, next_offset: int, first: int) -> bool:
     """Returns whether a new summary of any stream is due.
 
     Args:
--- a/src/hoistmoor/core/steward/steering.py
+++ b/src/hoistmoor/core/steward/steering.py
@@ -34,7 +34,7 @@
     servers = {
         key: row
         for key, row in table.servers.items()
-        if not view.draining(row.server)
+        if not view.is_draining(row.server)
     }
     if versions == table.versions and len(servers) == len(table.servers):
         return in_force
@@ -45,7 +45,7 @@
 def _steer_version(
     row: model.Version, view: rollouts.RolloutView
 ) -> model.Version:
-    if view.withdrawn(row):
+    if view.is_withdrawn(row):
         return attrs.evolve(row, stage=model.Stage.WITHDRAWN)
     if row.stage is not model.Stage.CANDIDATE:
         return row
--- a/src/hoistmoor/entry/biller.py
+++ b/src/hoistmoor/entry/biller.py
@@ -11,9 +11,9 @@
 from hoistmoor.core import errors
 from hoistmoor.core import streams
 from hoistmoor.core.billing import bills
-from hoistmoor.core.billing import book as book_lib
 from hoistmoor.core.billing import held as held_lib
 from hoistmoor.core.billing import linger
+from hoistmoor.core.billing import pending_bills as book_lib
 from hoistmoor.entry import bill_holders
 from hoistmoor.entry import peer_batches
 from hoistmoor.entry import watched_tasks
@@ -63,7 +63,7 @@
             metrics: Where counts go.
             clock: Seconds, for back-off only.
         """
-        self.book = book_lib.BillBook(incarnation)
+        self.book = book_lib.PendingBills(incarnation)
         self._log = log
         self._peers = peers or bill_holders.NoPeers()
         self.for_peers = peer_batches.PeerBatches(log, self._peers.is_alive)
@@ -142,9 +142,9 @@
             async with asyncio.timeout(timeout), self._changed:
                 await self._changed.wait_for(self._is_handed_over)
         except TimeoutError:
-            _log.error("%d bills handed to nobody", self.book.unsecured)
+            _log.error("%d bills handed to nobody", self.book.unsecured_count)
         await self.for_peers.pass_on(self.hand_over)
-        return self.book.unsecured
+        return self.book.unsecured_count
 
     async def hand_over(self, batch: held_lib.Batch) -> bool:
         """Has a peer append a batch once its owner is gone.
@@ -164,7 +164,7 @@
     def _is_handed_over(self) -> bool:
         if not self.book:
             return True
-        return not self._log_up and not self.book.unsecured
+        return not self._log_up and not self.book.unsecured_count
 
     async def _notify(self) -> None:
         async with self._changed:
@@ -175,7 +175,7 @@
             await self._to_hold.wait()
             # Bills that come during a call make up the next one's batch.
             self._to_hold.clear()
-            batch = self.book.next_hold()
+            batch = self.book.next_batch_to_hold()
             if batch is None:
                 continue
             if await self._hold(batch):
@@ -184,14 +184,14 @@
                 self._hold_failed_until = self._clock() + _RETRY
                 self._hurry.set()
                 await asyncio.sleep(_RETRY)
-            if self.book.unsecured:
+            if self.book.unsecured_count:
                 self._to_hold.set()
 
     async def _hold(self, batch: bills.BillBatch) -> bool:
         holder = await self._holders.hold(batch.batch_id, codec.encode(batch))
         if holder is None:
             return False
-        if not self.book.held(batch, holder):
+        if not self.book.record_held(batch, holder):
             self._holders.release_later(holder, batch.batch_id)
         self._metrics.count("bill.held", len(batch.bills))
         return True
@@ -208,18 +208,18 @@
 
     async def _linger(self) -> None:
         """Waits for more bills, the longer the more hosts share the log."""
-        await asyncio.sleep(linger.SHORTEST)
+        await asyncio.sleep(linger.MIN_LINGER_SECONDS)
         if self._draining or not self._can_hold():
             return
         self._hurry.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(
-                linger.seconds(self._peers.host_count())
+                linger.linger_seconds(self._peers.host_count())
             ):
                 await self._hurry.wait()
 
     async def _append_next(self) -> None:
-        batch = self.book.next_append()
+        batch = self.book.next_batch_to_append()
         try:
             if batch is None:
                 await self._log.bounds(streams.BILLS)  # Is the log back?
@@ -232,7 +232,7 @@
         if batch is None:
             return
         self._metrics.count("bill.written", len(batch.bills))
-        for hold in self.book.appended(batch):
+        for hold in self.book.record_appended(batch):
             self._holders.release_later(hold.holder, hold.batch_id)
         await self._notify()
         await self._holders.release()
@@ -250,7 +250,7 @@
             await asyncio.sleep(_CHECK)
             for holder in self.book.holders:
                 if not self._peers.is_alive(holder):
-                    self.book.holder_gone(holder)
+                    self.book.record_holder_failed(holder)
                     self._to_hold.set()
             self._holders.forget_gone()
             await self.for_peers.append_orphans()
--- a/src/hoistmoor/steward/duties.py
+++ b/src/hoistmoor/steward/duties.py
@@ -58,7 +58,7 @@
 
     def acting(self) -> int | None:
         """Returns the fencing number to act with, or None to stand by."""
-        return self.stream.actor.acting(self.clock())
+        return self.stream.actor.active_fencing_token(self.clock())
 
     def rows(self) -> model.Table | None:
         """Returns the table in force, or None before there is one."""
--- a/src/hoistmoor/steward/engines.py
+++ b/src/hoistmoor/steward/engines.py
@@ -85,7 +85,7 @@
             state = await self.client.state(server.address)
         except errors.PlatformError:
             if known is not None:
-                missed = attrs.evolve(known, missed=known.missed + 1)
+                missed = attrs.evolve(known, missed=known.failed_reads + 1)
                 self.conditions[server.server] = missed
             return
         self.conditions[server.server] = _condition(state, leaving)
@@ -158,7 +158,7 @@
                 await self.stream.catch_up()
             except errors.PlatformError:
                 return False
-        return self.stream.actor.acting(self._clock()) == fencing
+        return self.stream.actor.active_fencing_token(self._clock()) == fencing
 
     async def _weights_allow(self, order: planner.PlannedOrder) -> bool:
         """Returns whether the weight store can serve the order's loads."""
--- a/src/hoistmoor/steward/evidence_keeper.py
+++ b/src/hoistmoor/steward/evidence_keeper.py
@@ -147,7 +147,9 @@
         next_offset = self.next_offset or 0
         if not self.fold.is_complete or next_offset == self.tally_as_of:
             return False
-        return snapshots.is_late(self.tally_as_of - 1, next_offset, self.first)
+        return snapshots.is_summary_due(
+            self.tally_as_of - 1, next_offset, self.first
+        )
 
     async def _append_tally(self) -> None:
         tally = messages.ExposureTally(
--- a/src/hoistmoor/steward/status.py
+++ b/src/hoistmoor/steward/status.py
@@ -39,8 +39,8 @@
     fold = tools.stream.fold
     lease = fold.state.lease
     return {
-        "host": tools.stream.actor.me.host,
-        "incarnation": tools.stream.actor.me.number,
+        "host": tools.stream.actor.incarnation.host,
+        "incarnation": tools.stream.actor.incarnation.number,
         "acting": tools.acting() is not None,
         "lease": codec.converter.unstructure(lease) if lease else None,
         "complete": fold.complete,
--- a/tests/core/billing/billing_cluster.py
+++ b/tests/core/billing/billing_cluster.py
@@ -12,8 +12,8 @@
 from hoistmoor.core import codec
 from hoistmoor.core import identity
 from hoistmoor.core.billing import bills
-from hoistmoor.core.billing import book as pending_lib
 from hoistmoor.core.billing import held as held_lib
+from hoistmoor.core.billing import pending_bills as pending_lib
 from hoistmoor.core.billing import statement as statement_lib
 
 AMOUNT = 100  # Price of each bill, in micros.
@@ -24,7 +24,7 @@
     """One incarnation of a host and its append in progress, if any."""
 
     incarnation: identity.Incarnation
-    pending: pending_lib.BillBook
+    pending: pending_lib.PendingBills
     held: held_lib.HeldBatches
     append: bills.BillBatch | None = None  # In progress.
     stored: bool = False  # Whether the log has stored that append.
@@ -35,7 +35,7 @@
 class Cluster:
     """Hosts, the log, and the state to check the statement against."""
 
-    make_pending: type[pending_lib.BillBook] = pending_lib.BillBook
+    make_pending: type[pending_lib.PendingBills] = pending_lib.PendingBills
     make_held: type[held_lib.HeldBatches] = held_lib.HeldBatches
     make_statement: type[statement_lib.Statement] = statement_lib.Statement
     log: list[bytes] = attrs.field(factory=list)
@@ -94,18 +94,18 @@
 
     def hold(self, host: Host, at: Host, reply: bool) -> None:
         """Has a peer hold the host's unsecured bills; its reply may be lost."""
-        batch = host.pending.next_hold()
+        batch = host.pending.next_batch_to_hold()
         if batch is None or at is host:
             return
         at.held.hold(codec.decode(codec.encode(batch)))
         if reply:
-            host.pending.held(batch, at.incarnation)
+            host.pending.record_held(batch, at.incarnation)
             self.completed |= {bill.request_id for bill in batch.bills}
 
     def start_append(self, host: Host) -> None:
         """Sends the host's next batch to the log."""
         if host.append is None:
-            host.append = host.pending.next_append()
+            host.append = host.pending.next_batch_to_append()
             host.stored = False
 
     def store(self, host: Host) -> None:
@@ -120,7 +120,7 @@
         if batch is None or not host.stored:
             return
         self.completed |= {bill.request_id for bill in batch.bills}
-        for copy in host.pending.appended(batch):
+        for copy in host.pending.record_appended(batch):
             for peer in self.hosts:
                 if released and peer.incarnation == copy.holder:
                     peer.held.release([copy.batch_id])
@@ -140,7 +140,7 @@
         """Has the host detect failed peers and handle their batches."""
         for holder in host.pending.holders:
             if not self.is_alive(holder):
-                host.pending.holder_gone(holder)
+                host.pending.record_holder_failed(holder)
         for batch in host.held.orphans(self.is_alive):
             self.log.append(codec.encode(batch))
             if reply:
@@ -166,16 +166,18 @@
         statement = self.make_statement()
         for offset, payload in enumerate(self.log):
             statement.apply(offset, 0.0, payload)
-        assert not statement.bad
+        assert not statement.invalid_records
         on_log = {id_ for payload in self.log for id_ in _ids(payload)}
         missing = self.completed - on_log - self.may_be_lost
         assert not missing, f"never billed: {missing}"
-        total = statement_lib.Line()
+        total = statement_lib.StatementLine()
         for line in statement.lines.get("acme", {}).values():
             total.merge(line)
         assert total.count == len(on_log), "billed more than once"
         assert total.amount == AMOUNT * len(on_log)
-        resumed = statement_lib.Statement.resume(statement.checkpoint())
+        resumed = statement_lib.Statement.from_checkpoint(
+            statement.checkpoint()
+        )
         for offset, payload in enumerate(self.log, len(self.log)):
             resumed.apply(offset, 0.0, payload)
         assert resumed.lines == statement.lines, "a duplicate was counted"
--- a/tests/core/billing/test_core_billing_stateful.py
+++ b/tests/core/billing/test_core_billing_stateful.py
@@ -16,8 +16,8 @@
 import random_machine
 
 from hoistmoor.core.billing import bills
-from hoistmoor.core.billing import book
 from hoistmoor.core.billing import held
+from hoistmoor.core.billing import pending_bills
 from hoistmoor.core.billing import statement
 
 if TYPE_CHECKING:
@@ -103,23 +103,23 @@
         return ()
 
 
-class DropsHeldBills(book.BillBook):
+class DropsHeldBills(pending_bills.PendingBills):
     """Drops bills once a peer holds them, instead of appending them."""
 
-    def held(
+    def record_held(
         self, batch: bills.BillBatch, holder: identity.Incarnation
     ) -> bool:
-        super().held(batch, holder)
+        super().record_held(batch, holder)
         for bill in batch.bills:
             self._bills.pop(bill.request_id, None)
             self._copies.pop(bill.request_id, None)
         return True
 
 
-class IgnoresFailedHolders(book.BillBook):
+class IgnoresFailedHolders(pending_bills.PendingBills):
     """Does not mark bills as unsecured when their holder fails."""
 
-    def holder_gone(self, holder: identity.Incarnation) -> None:
+    def record_holder_failed(self, holder: identity.Incarnation) -> None:
         held = [id_ for id_, h in self._copies.items() if h.holder == holder]
         for request_id in held:
             del self._copies[request_id]
--- a/tests/core/billing/test_core_billing_statement.py
+++ b/tests/core/billing/test_core_billing_statement.py
@@ -45,7 +45,7 @@
     totals = (line.count, line.amount, statement.repeats)
     assertions.assert_that(totals, matchers.Equals((2, 10, 1)))
     assertions.assert_that(
-        [bad.offset for bad in statement.bad], matchers.Equals([1])
+        [bad.offset for bad in statement.invalid_records], matchers.Equals([1])
     )
 
 
@@ -53,7 +53,7 @@
     whole = statement_lib.Statement()
     whole.apply(0, 0.0, payload(1, 2))
     checkpoint = codec.decode(codec.encode(whole.checkpoint()))
-    resumed = statement_lib.Statement.resume(checkpoint)
+    resumed = statement_lib.Statement.from_checkpoint(checkpoint)
     for statement in (whole, resumed):
         statement.apply(1, 0.0, payload(2, 3))
     assertions.assert_that(resumed.lines, matchers.Equals(whole.lines))
@@ -65,10 +65,10 @@
     statement.apply(0, 0.0, payload(1))
     wrong = statement_lib.Statement().checkpoint_through(0)
     statement.apply(1, 0.0, codec.encode(wrong))
-    assertions.assert_that(statement.bad, matchers.HasLength(1))
+    assertions.assert_that(statement.invalid_records, matchers.HasLength(1))
 
 
 def test_records_removed_before_a_checkpoint_are_counted() -> None:
     statement = statement_lib.Statement()
     statement.skip_to(4)
-    assertions.assert_that(statement.missing, matchers.Equals(4))
+    assertions.assert_that(statement.missing_records, matchers.Equals(4))
--- a/tests/core/steward/steward_world.py
+++ b/tests/core/steward/steward_world.py
@@ -158,7 +158,7 @@
 
     def restart(self, index: int) -> None:
         """Replaces a process by a new incarnation."""
-        host = self.stewards[index].actor.me.host
+        host = self.stewards[index].actor.incarnation.host
         self.start(host)
         self.stewards[index] = self.stewards.pop()
 
@@ -196,7 +196,7 @@
 
     def decide_orders(self, steward: Steward) -> None:
         """Adds the due orders to ``in_flight``."""
-        fencing = steward.actor.acting(self.now)
+        fencing = steward.actor.active_fencing_token(self.now)
         if fencing is not None:
             self.in_flight += [
                 (fencing, order) for order in self.plan(steward, fencing)
--- a/tests/core/steward/test_core_steward_fold.py
+++ b/tests/core/steward/test_core_steward_fold.py
@@ -116,7 +116,7 @@
     step = records.RolloutStep(worlds.NEW, 1, 0.5, 0)
     assert fold.apply(8, 108.0, step) is fold_lib.ApplyResult.REJECTED
     view = fold.view()
-    assert view.withdrawn(worlds.CANDIDATE)
+    assert view.is_withdrawn(worlds.CANDIDATE)
     assert view.share(worlds.CANDIDATE) == 0
 
 
@@ -138,7 +138,7 @@
     restart = records.RolloutStart(worlds.NEW, digest, 0)
     assert fold.apply(9, 109.0, restart) is fold_lib.ApplyResult.ACCEPTED
     view = fold.view()
-    assert not view.withdrawn(edited)
+    assert not view.is_withdrawn(edited)
     assert view.share(edited) == 0
     assert view.rated_count(worlds.NEW).rated == 0
 
@@ -147,7 +147,7 @@
     fold = fold_of(HISTORY[:7])
     old = attrs.evolve(WITHDRAWAL, row_digest="older")
     fold.apply(7, 107.0, old)
-    assert not fold.view().withdrawn(worlds.CANDIDATE)
+    assert not fold.view().is_withdrawn(worlds.CANDIDATE)
     step = records.RolloutStep(worlds.NEW, 1, 0.5, 0)
     assert fold.apply(8, 108.0, step) is fold_lib.ApplyResult.ACCEPTED
 
--- a/tests/core/steward/test_core_steward_lease.py
+++ b/tests/core/steward/test_core_steward_lease.py
@@ -67,12 +67,12 @@
 def test_frozen_holder_is_inactive_until_it_has_read() -> None:
     actor = actor_lib.Actor(A)
     actor.begin(0, 0.0)
-    actor.asked_at = 100.0
+    actor.lease_record_sent_at = 100.0
     actor.on_record(0, 100.0, records.LeaseRequest(A, 15.0), 100.0)
-    assert actor.acting(114.0) == 0
-    assert actor.acting(160.0) is None
+    assert actor.active_fencing_token(114.0) == 0
+    assert actor.active_fencing_token(160.0) is None
     actor.on_record(1, 120.0, records.LeaseRequest(B, 15.0), 160.0)
-    assert actor.acting(160.0) is None
+    assert actor.active_fencing_token(160.0) is None
     assert actor.release_record() is None
 
 
--- a/tests/core/steward/test_core_steward_stateful.py
+++ b/tests/core/steward/test_core_steward_stateful.py
@@ -236,7 +236,7 @@
         active = [
             steward
             for steward in self.world.stewards
-            if steward.actor.acting(now) is not None
+            if steward.actor.active_fencing_token(now) is not None
         ]
         assert len(active) == 1
         assert self.world.plan(active[0], active[0].actor.fencing or 0) == ()
--- a/tests/steward/test_steward_duties.py
+++ b/tests/steward/test_steward_duties.py
@@ -82,8 +82,8 @@
     await fake.append(streams.TABLE, codec.encode(edit))
     await follower.step()
     await reader.catch_up()
-    actor.asked_at = NOW
-    await tools.append(records.LeaseRequest(actor.me, 15.0))
+    actor.lease_record_sent_at = NOW
+    await tools.append(records.LeaseRequest(actor.incarnation, 15.0))
     assert tools.acting() == 0
     return tools
 
@@ -107,9 +107,9 @@
     fake: Any = FakeLog(loses_replies=True)
     record = records.ServerDrain("s0", True, "op")
     view = await operator_records.put(
-        fake, record, lambda view: view.draining("s0")
+        fake, record, lambda view: view.is_draining("s0")
     )
-    assert view.draining("s0")
+    assert view.is_draining("s0")
     with pytest.raises(errors.LogOutcomeUnknownError):
         await operator_records.put(fake, record, lambda view: False)
 
@@ -127,8 +127,8 @@
     keeper = evidence_keeper.EvidenceKeeper(tools)
     await keeper.step()
     view = tools.stream.actor.view()
-    assert view.withdrawn(table.versions[steward_rig.NEW])
-    assert not view.withdrawn(table.versions[steward_rig.OLD])
+    assert view.is_withdrawn(table.versions[steward_rig.NEW])
+    assert not view.is_withdrawn(table.versions[steward_rig.OLD])
 
     fake.kept = 20  # Retention takes the withdrawals and half the claims.
     await keeper.step()
@@ -169,7 +169,7 @@
     reader = stream.StewardStream(fake)
     await reader.catch_up()
     assert reader.fold.start > 0
-    assert reader.fold.view().draining("s0")
+    assert reader.fold.view().is_draining("s0")
     assert reader.undecodable < 2500
 
 
