--- a/src/hoistmoor/core/billing/statement.py
+++ b/src/hoistmoor/core/billing/statement.py
@@ -119,8 +119,8 @@
         lines: Totals by client account and item.
         next_offset: Offset of the next record to apply.
         repeats: Number of duplicates dropped.
-        bad: Invalid records.
-        missing: Number of records that retention removed and no checkpoint
+        invalid_records: Invalid records.
+        missing_records: Number of records that retention removed and no checkpoint
             includes.
     """
 
--- a/src/hoistmoor/core/limits/accounts.py
+++ b/src/hoistmoor/core/limits/accounts.py
@@ -39,7 +39,7 @@
 
     Attributes:
         shares: This host's fraction of each account's limits.
-        uses: Current use, by account name.
+        usage: Current use, by account name.
     """
 
     def __init__(self, incarnation: identity.Incarnation) -> None:
--- a/src/hoistmoor/core/limits/ask_schedule.py
+++ b/src/hoistmoor/core/limits/ask_schedule.py
@@ -21,7 +21,7 @@
     """Schedule of one host's share requests among the other hosts.
 
     Attributes:
-        place: Fixed position of this host among the hosts, from 0 to 1.
+        position: Fixed position of this host among the hosts, from 0 to 1.
         hosts: Number of live entry hosts.
         is_settled: Whether this host has had time to learn of the others.
     """
--- a/src/hoistmoor/core/limits/ledger.py
+++ b/src/hoistmoor/core/limits/ledger.py
@@ -39,11 +39,11 @@
     Attributes:
         incarnation: Incarnation of this process.
         fold: State of the limits stream.
-        wallet: Shares that this process holds.
+        local_shares: Shares that this process holds.
         in_force: The table in force.
         log_is_up: Whether shares can be requested from the log.
         transfers: Transfers between this host and its peers.
-        gifts: Handoffs from and to hosts that stop.
+        handoffs: Handoffs from and to hosts that stop.
     """
 
     def __init__(self, incarnation: identity.Incarnation) -> None:
--- a/src/hoistmoor/core/once/claimant.py
+++ b/src/hoistmoor/core/once/claimant.py
@@ -186,7 +186,7 @@
         """Returns the next batch to append, if any.
 
         Only one append may be in flight. Its result must be reported by one of
-        ``appended``, ``append_lost`` and ``append_refused``.
+        ``appended``, ``on_append_lost`` and ``on_append_refused``.
         """
         if not self.outbox:
             return None
--- a/src/hoistmoor/core/polling.py
+++ b/src/hoistmoor/core/polling.py
@@ -17,11 +17,11 @@
     Attributes:
         period: Minimum seconds between the starts of two polls, unless a task
             waits for a record or more records are available.
-        hold: Long-poll timeout in seconds: how long the log may delay its
+        long_poll_timeout: Long-poll timeout in seconds: how long the log may delay its
             reply while there is no new record.
         page: Maximum number of records per read.
         retry: Delay in seconds before the first retry after a failure.
-        most_retry: Maximum delay in seconds between two retries.
+        max_retry: Maximum delay in seconds between two retries.
         burst: Number of records processed before the reader yields to other
             tasks.
     """
--- a/src/hoistmoor/core/relay/course/attempt_counts.py
+++ b/src/hoistmoor/core/relay/course/attempt_counts.py
@@ -57,7 +57,7 @@
 
         Args:
             state: Final state of the exchange.
-            is_beside: Whether the server terminated, but not because of the
+            is_bystander: Whether the server terminated, but not because of the
                 request.
         """
         if state is outcomes.ExchangeState.UNSENT:
--- a/src/hoistmoor/core/relay/course/messages.py
+++ b/src/hoistmoor/core/relay/course/messages.py
@@ -73,9 +73,9 @@
         work_class: Class of work of the request.
         serial: Serial number of the attempt at this host.
         deadline: Monotonic time at which the server should give up.
-        patience: Read timeout of the attempt in seconds; None to wait until
+        read_timeout: Read timeout of the attempt in seconds; None to wait until
             the deadline.
-        is_repeat: Whether a server has already received the request.
+        is_retry: Whether a server has already received the request.
         run: Execution of the request at the server.
     """
 
--- a/src/hoistmoor/core/relay/placement/bounds.py
+++ b/src/hoistmoor/core/relay/placement/bounds.py
@@ -20,7 +20,7 @@
         repeat_slack: Repeats that all hosts together may make regardless of
             their number of requests; None if not bounded.
         session_life: Seconds from its last request until a session expires.
-        warmup_excess: Tolerance for cold servers above their services' rates.
+        rate_tolerance: Tolerance for cold servers above their services' rates.
         longest_rest: Maximum rest in seconds that a server may request from a
             host.
     """
--- a/src/hoistmoor/core/relay/placement/router.py
+++ b/src/hoistmoor/core/relay/placement/router.py
@@ -42,7 +42,7 @@
     Attributes:
         fleet: Backend servers.
         rollouts: Rollouts and versions.
-        paces: Usual durations of responses.
+        response_times: Usual durations of responses.
         suspects: Requests that may crash the servers running them.
         serials: Source of serials for changes sent to other hosts.
         zone: Failure domain of this host.
--- a/src/hoistmoor/core/relay/placement/service_state.py
+++ b/src/hoistmoor/core/relay/placement/service_state.py
@@ -22,7 +22,7 @@
         partition: Request classes.
         delays: Delays until the first response part, by class.
         mean_work: Mean work per request; 0 before the first.
-        lacking_since: Monotonic time since which no server has been ready for
+        unavailable_since: Monotonic time since which no server has been ready for
             any request; None if one was ready for the latest request.
     """
 
--- a/src/hoistmoor/core/relay/servers/limits.py
+++ b/src/hoistmoor/core/relay/servers/limits.py
@@ -59,7 +59,7 @@
 
     Attributes:
         rate: Requests a second; None if the server no longer has a limit.
-        generation: How often the set of sending hosts has changed.
+        turn: How often the set of sending hosts has changed.
         age: Seconds since the response that named the limit.
     """
 
--- a/src/hoistmoor/core/relay/servers/shares.py
+++ b/src/hoistmoor/core/relay/servers/shares.py
@@ -40,7 +40,7 @@
 
     Attributes:
         own: Requests that this host may send; 0 if it is not selected.
-        all_hosts: Requests that all selected hosts together may send.
+        total: Requests that all selected hosts together may send.
     """
 
     own: int
--- a/src/hoistmoor/core/relay/servers/suspect_state.py
+++ b/src/hoistmoor/core/relay/servers/suspect_state.py
@@ -54,9 +54,9 @@
 
     Attributes:
         fingerprint: Fingerprint of the request.
-        newest: Monotonic time of the latest end.
+        latest_end_at: Monotonic time of the latest end.
         ends: See ``Suspect.ends``.
-        learnt: Monotonic time at which this host learned of each end, by
+        learned_at: Monotonic time at which this host learned of each end, by
             server.
         cleared: See ``Suspect.cleared``.
         is_quarantined: Whether it is refused.
--- a/src/hoistmoor/core/requests/messages.py
+++ b/src/hoistmoor/core/requests/messages.py
@@ -236,7 +236,7 @@
 
     Attributes:
         refusal: Reason, outcome and detail for the caller.
-        began: Whether frames were forwarded, so that the refusal has to be
+        response_started: Whether frames were forwarded, so that the refusal has to be
             sent as the last event of the stream.
     """
 
--- a/src/hoistmoor/core/requests/wire.py
+++ b/src/hoistmoor/core/requests/wire.py
@@ -32,7 +32,7 @@
         url: Absolute URL.
         headers: Header fields.
         body: Request body.
-        streams: Whether the response consists of server-sent events.
+        is_streaming: Whether the response consists of server-sent events.
     """
 
     method: str
--- a/src/hoistmoor/core/routing/affinity.py
+++ b/src/hoistmoor/core/routing/affinity.py
@@ -32,7 +32,7 @@
     Attributes:
         holders: For each block hash, the epoch and time of the entry by
             server.
-        followers: Latest event sequence number and epoch by server.
+        cursors: Latest event sequence number and epoch by server.
     """
 
     holders: dict[int, dict[str, tuple[int, float]]] = attrs.field(factory=dict)
--- a/src/hoistmoor/core/routing/cascade.py
+++ b/src/hoistmoor/core/routing/cascade.py
@@ -100,9 +100,9 @@
         key: Key of the version.
         cost: Expected micros per answer.
         quality: Expected share of good answers over all buckets.
-        shares: Share of the version's answers in each confidence bucket.
-        by_bucket: Expected share of good answers in each bucket.
-        is_silent: Whether the version's engines report no confidence.
+        bucket_shares: Share of the version's answers in each confidence bucket.
+        bucket_qualities: Expected share of good answers in each bucket.
+        lacks_confidence: Whether the version's engines report no confidence.
     """
 
     key: str
@@ -123,7 +123,7 @@
     """Returns a version's profiles, one for each of ``deviations``.
 
     Args:
-        known: Quality estimates from ratings.
+        estimates: Quality estimates from ratings.
         row: The version.
         kind: Kind of the request.
         tokens: Average prompt and output tokens of this kind.
--- a/src/hoistmoor/core/routing/degradation.py
+++ b/src/hoistmoor/core/routing/degradation.py
@@ -38,10 +38,10 @@
     """The test of one version for one kind of request.
 
     Attributes:
-        levels: Lowest acceptable share of good answers by confidence bucket;
+        baselines: Lowest acceptable share of good answers by confidence bucket;
             the last one is for answers without a bucket.
         detector: The sequential test.
-        relearn_at: Number of ratings at which the levels are estimated anew.
+        next_estimation_at: Number of ratings at which the levels are estimated anew.
     """
 
     baselines: tuple[float, ...]
@@ -57,7 +57,7 @@
 
     Attributes:
         host: Name of this host, written to the records.
-        watches: Tests by version, kind and whether after an escalation.
+        tests: Tests by version, kind and whether after an escalation.
         withdrawn: Withdrawals in force by version and kind.
         digests: Digest of each version's row in the table in force.
         pending: Withdrawals decided on a row other than the one in force.
--- a/src/hoistmoor/core/routing/exposure.py
+++ b/src/hoistmoor/core/routing/exposure.py
@@ -46,10 +46,10 @@
 
     Attributes:
         granted: Sum of the granted slices by digest of the version's row.
-        settled: Granted amount by claim id; 0 for a denied claim.
+        granted_by_claim: Granted amount by claim id; 0 for a denied claim.
         is_complete: Whether ``granted`` covers all claims of the stream.
-        waiting: Claims read while incomplete, with their offsets.
-        first: Offset from which records were read without a gap.
+        deferred: Claims read while incomplete, with their offsets.
+        first_offset: Offset from which records were read without a gap.
     """
 
     granted: dict[str, int] = attrs.field(factory=dict)
@@ -103,9 +103,9 @@
 
     Attributes:
         holder: Id of this incarnation; no other may use its slices.
-        fold: State of the claims of all hosts.
+        ledger: State of the claims of all hosts.
         left: Remaining unproven answers by digest of the version's row.
-        open_claims: Unsettled claim and the time of its last append by
+        unsettled_claims: Unsettled claim and the time of its last append by
             digest.
         serial: Number of claims made by this incarnation.
     """
@@ -185,7 +185,7 @@
         holder: Id of this incarnation; hashed into its time in the period.
         next_offset: Offset after the last record read.
         due_at: When this host's repetition is due; 0 before the first check.
-        was_reminded: Whether another host's repetition was read since the
+        was_repeated: Whether another host's repetition was read since the
             last check.
     """
 
--- a/src/hoistmoor/core/routing/health.py
+++ b/src/hoistmoor/core/routing/health.py
@@ -24,14 +24,14 @@
     """Health of one backend server by its recent attempts.
 
     Attributes:
-        failures: Consecutive failed attempts.
+        consecutive_failures: Consecutive failed attempts.
         failure_rate: Moving average of failures, 0 to 1.
-        pace: Moving average of durations, each as a multiple of the usual one
+        relative_duration: Moving average of durations, each as a multiple of the usual one
             for its version and length; 0 before the first.
         attempts: Attempts since the server was last readmitted.
         ejections: Consecutive ejections; each one doubles the rest.
         ejected_until: End of the ejection; 0 if the server is not ejected.
-        full_until: End of the rest after the server declined a call for lack
+        at_capacity_until: End of the rest after the server declined a call for lack
             of capacity; 0 if there is none.
     """
 
@@ -58,7 +58,7 @@
 
         Args:
             ok: Whether the attempt yielded a complete answer.
-            pace: Duration as a multiple of the usual one; ignored for a
+            relative_duration: Duration as a multiple of the usual one; ignored for a
                 failed attempt.
         """
         self.attempts += 1
@@ -98,7 +98,7 @@
         Args:
             now: Monotonic time.
             first: Seconds of the first rest.
-            longest: Maximum seconds of a rest.
+            max_rest: Maximum seconds of a rest.
         """
         if now >= self.ejected_until:
             self._rest(now, first, max_rest)
--- a/src/hoistmoor/core/routing/options.py
+++ b/src/hoistmoor/core/routing/options.py
@@ -50,9 +50,9 @@
     """The plans of the model ``auto`` for one account and kind of request.
 
     Attributes:
-        cautious: Plan of most requests.
-        exploring: Plan of the requests that explore.
-        steady: Plan of sessions, which keep one version and therefore cannot
+        default_plan: Plan of most requests.
+        exploration_plan: Plan of the requests that explore.
+        session_plan: Plan of sessions, which keep one version and therefore cannot
             escalate.
         fallbacks: Versions to use if the planned one has no capacity.
         candidates: Unproven candidate and its share of the requests, by key
@@ -74,11 +74,11 @@
 
     Attributes:
         table: The table in force.
-        known: Quality estimates from ratings.
-        watch: Withdrawals of degraded versions.
+        estimates: Quality estimates from ratings.
+        monitor: Withdrawals of degraded versions.
         progress: Rollout progress of the candidates.
         tokens: Average prompt and output tokens by kind of request.
-        menus: Policies for planning, shared by the accounts.
+        policies: Policies for planning, shared by the accounts.
     """
 
     table: model.Table
--- a/src/hoistmoor/core/routing/placement.py
+++ b/src/hoistmoor/core/routing/placement.py
@@ -38,7 +38,7 @@
     Args:
         pool: Pool to select from.
         excluded: Names of servers that must not be selected.
-        draws: Random number generator.
+        rng: Random number generator.
 
     Returns:
         The server, or None if none is ready, and the scores of the servers
@@ -108,7 +108,7 @@
         pool: Pool to select from.
         holders: Names of servers that probably have the prefix cached.
         held_share: Cached share of the prompt, 0 to 1.
-        rival: Best server by load; returned unless a holder is better.
+        least_loaded: Best server by load; returned unless a holder is better.
         excluded: Names of servers that must not be selected.
     """
     best, best_score = least_loaded, score(least_loaded)
@@ -137,7 +137,7 @@
         pool: Pool of ``chosen``.
         chosen: The server selected for the call.
         excluded: Names of servers that must not be selected.
-        draws: Random number generator.
+        rng: Random number generator.
         now: Current time.
 
     Returns:
--- a/src/hoistmoor/core/routing/policy_cache.py
+++ b/src/hoistmoor/core/routing/policy_cache.py
@@ -33,10 +33,10 @@
 
     Attributes:
         expected: Hull of all policies by their expected quality.
-        hopeful: Hull of all policies by their optimistic quality, for
+        optimistic: Hull of all policies by their optimistic quality, for
             exploration.
         singles: Hull of the policies that never escalate.
-        explored: The policies of ``hopeful`` with their expected quality.
+        optimistic_as_expected: The policies of ``optimistic`` with their expected quality.
         qualities: Expected share of good answers by version.
     """
 
@@ -56,8 +56,8 @@
         """Returns the plan of the other requests.
 
         Args:
-            wanted: Target share of good answers, margin included.
-            exploring: The exploration plan, whose quality loss is offset.
+            safe_target: Target share of good answers, margin included.
+            exploration: The exploration plan, whose quality loss is offset.
         """
         target = cascade.offset_exploration(
             safe_target, exploration, self.optimistic_as_expected
@@ -86,10 +86,10 @@
     """Cache of policy hulls.
 
     Attributes:
-        known: Quality estimates from ratings.
-        kept: Cache entries by kind of request and keys of the versions.
-        made: Number of entries computed.
-        next_at: Earliest time of the next refresh of any entry.
+        estimates: Quality estimates from ratings.
+        entries: Cache entries by kind of request and keys of the versions.
+        computed: Number of entries computed.
+        next_refresh_at: Earliest time of the next refresh of any entry.
     """
 
     estimates: quality_estimates.QualityEstimates
--- a/src/hoistmoor/core/routing/quality_estimates.py
+++ b/src/hoistmoor/core/routing/quality_estimates.py
@@ -137,7 +137,7 @@
         """Counts one answer.
 
         Args:
-            missing: Expected minus rated quality.
+            error: Expected minus rated quality.
             now: Current time.
         """
         factor = 0.5 ** (max(0.0, now - self.at) / HALF_LIFE_S)
@@ -210,12 +210,12 @@
     """Quality estimates of all versions from the ratings read by this host.
 
     Attributes:
-        tallies: Ratings by version, kind (``*`` for all) and bucket.
-        buckets: Answers per bucket, rated or not, by version and kind.
-        misses: Calibration errors by kind.
-        silent: Versions whose engines report no confidence.
-        revision: Number of ratings counted.
-        answers: Number of answers counted in ``buckets``.
+        counts: Ratings by version, kind (``*`` for all) and bucket.
+        bucket_counts: Answers per bucket, rated or not, by version and kind.
+        errors: Calibration errors by kind.
+        without_confidence: Versions whose engines report no confidence.
+        rating_count: Number of ratings counted.
+        answer_count: Number of answers counted in ``buckets``.
     """
 
     counts: dict[_Cell, DecayingCounts] = attrs.field(factory=dict)
--- a/src/hoistmoor/core/routing/retry.py
+++ b/src/hoistmoor/core/routing/retry.py
@@ -22,7 +22,7 @@
     end. Jitter is added to each slot.
 
     Attributes:
-        next_place: Time of the next free slot.
+        next_slot: Time of the next free slot.
         rate: Moving average of the calls that end per second.
         last_end: When the latest call ended.
     """
--- a/src/hoistmoor/core/routing/rollout.py
+++ b/src/hoistmoor/core/routing/rollout.py
@@ -58,7 +58,7 @@
         Args:
             row: The candidate.
             others: Total weight of the model's other versions.
-            known: Quality estimates from ratings.
+            estimates: Quality estimates from ratings.
         """
         full_share = row.weight / max(1e-9, row.weight + others)
         if self.is_proven(row, estimates):
--- a/src/hoistmoor/core/routing/routing_state.py
+++ b/src/hoistmoor/core/routing/routing_state.py
@@ -25,7 +25,7 @@
 
     Attributes:
         epoch: Epoch of the state that the options were computed from.
-        until: When the entry expires.
+        expires_at: When the entry expires.
         value: The options.
     """
 
@@ -41,18 +41,18 @@
         seed: Random seed of this host.
         revision: Revision of the table in force.
         fleet: Backend servers.
-        evidence: Quality estimates.
-        watch: Tests for versions whose quality degrades.
+        estimates: Quality estimates.
+        monitor: Tests for versions whose quality degrades.
         budget: This incarnation's slices of exposure caps.
-        prefixes: Index of the prompt prefixes cached by servers.
+        prefix_index: Index of the prompt prefixes cached by servers.
         catalog: The versions that each account may use.
-        retries: Retry schedules for refused callers by version or service.
+        retry_schedules: Retry schedules for refused callers by version or service.
         effects: Records to append to the evidence stream.
-        draws: Random number generator of this host.
-        cache: Options by account, model and kind of request.
+        rng: Random number generator of this host.
+        options_cache: Options by account, model and kind of request.
         epoch: Number of invalidations of ``cache``.
         next_expiry: When the next check for outdated load reports is due.
-        reminder: When to repeat records before log retention removes them.
+        repetition: When to repeat records before log retention removes them.
     """
 
     def __init__(self, local_domain: str, seed: int, holder: str = "") -> None:
--- a/src/hoistmoor/core/routing/sequential.py
+++ b/src/hoistmoor/core/routing/sequential.py
@@ -92,7 +92,7 @@
 
     Args:
         baseline: Share of good answers before the change.
-        turned: Share of good answers after the change; below ``baseline``.
+        degraded: Share of good answers after the change; below ``baseline``.
         confidence: The limit ``withdraw_confidence`` of the table.
     """
     divergence = degraded * math.log(degraded / baseline) + (
--- a/src/hoistmoor/core/routing/servers.py
+++ b/src/hoistmoor/core/routing/servers.py
@@ -27,7 +27,7 @@
 
     Attributes:
         members: The servers, in no particular order.
-        places: Index of each server's name in ``members``.
+        indexes: Index of each server's name in ``members``.
     """
 
     members: list[ServerState] = attrs.field(factory=list)
@@ -60,8 +60,8 @@
     Attributes:
         key: Key of the version, or name of the service.
         servers: Members by name, ready or not; excludes leaving servers.
-        near: Ready members in this host's failure domain.
-        far: Ready members in other failure domains.
+        local: Ready members in this host's failure domain.
+        remote: Ready members in other failure domains.
     """
 
     key: str
@@ -90,16 +90,16 @@
 
     Attributes:
         row: The server's row in the table in force.
-        is_near: Whether the server is in this host's failure domain.
-        far_bias: Load penalty for servers of other failure domains, as a
+        is_local: Whether the server is in this host's failure domain.
+        remote_penalty: Load penalty for servers of other failure domains, as a
             share of capacity.
         report: Latest load report, if any.
         is_leaving: Whether any source says that the server is leaving.
-        own: Number of calls in flight from this host.
-        recent: Starts (+1) and ends (-1) of this host's calls after the time
+        own_calls: Number of calls in flight from this host.
+        recent_changes: Starts (+1) and ends (-1) of this host's calls after the time
             of the report, which does not include them.
-        correction: Sum of ``recent``.
-        seconds: Moving average of the duration of a call; 0 before the first.
+        correction: Sum of ``recent_changes``.
+        mean_duration: Moving average of the duration of a call; 0 before the first.
         others: Estimated calls in flight from other hosts.
         fair_share: Number of calls that this host may always have in flight,
             if calls are short.
--- a/src/hoistmoor/core/security/calls.py
+++ b/src/hoistmoor/core/security/calls.py
@@ -101,7 +101,7 @@
     """An authenticated call that is not a replay.
 
     Attributes:
-        stamp: The signed parameters.
+        parameters: The signed parameters.
         mac: Message authentication code of the call.
         key: Key that signed the call; the reply is signed with it too.
     """
@@ -124,7 +124,7 @@
     """A rejected call.
 
     Attributes:
-        why: Reason for the rejection.
+        reason: Reason for the rejection.
         caller: Claimed caller; empty if the header does not name one.
         time_header: Header value with this host's signed time, or empty.
     """
--- a/src/hoistmoor/core/sessions/pins.py
+++ b/src/hoistmoor/core/sessions/pins.py
@@ -101,7 +101,7 @@
 
     Attributes:
         capacity: Maximum number of pins.
-        dropped: Number of pins evicted so far.
+        evicted: Number of pins evicted so far.
     """
 
     def __init__(self, capacity: int = DEFAULT_CAPACITY) -> None:
--- a/src/hoistmoor/core/steward/actor.py
+++ b/src/hoistmoor/core/steward/actor.py
@@ -33,12 +33,12 @@
     """The state of one steward process.
 
     Attributes:
-        me: Incarnation of this process.
+        incarnation: Incarnation of this process.
         fold: Fold of the part of the stream read so far.
         duration: Lease duration to request, in seconds.
         policy: Evidence required to advance a rollout.
         lease_observed_at: Local time at which the last lease change was read.
-        asked_at: Local time at which the last lease record was sent.
+        lease_record_sent_at: Local time at which the last lease record was sent.
         confirmed_at: Local time at which the last lease record that was read
             back as accepted had been sent.
     """
--- a/src/hoistmoor/core/steward/placement.py
+++ b/src/hoistmoor/core/steward/placement.py
@@ -27,7 +27,7 @@
         loaded: Versions that serve requests.
         loading: Versions being loaded.
         leaving: Whether the engine accepts no new requests.
-        missed: Consecutive failed reads since that state was read.
+        failed_reads: Consecutive failed reads since that state was read.
     """
 
     fencing: int = -1
--- a/src/hoistmoor/platform/store.py
+++ b/src/hoistmoor/platform/store.py
@@ -39,7 +39,7 @@
 
     Attributes:
         topic: Name of the topic in the store.
-        history: Store history, updated with the era of each response.
+        store_era: Store history, updated with the era of each response.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
             session: Session from ``clients.sessions``; not closed here.
             address: ``ip:port`` of the store.
             topic: Name of the topic in the store.
-            history: Store history to update with the era of each response.
+            store_era: Store history to update with the era of each response.
         """
         self.topic = topic
         self.store_era = store_era
--- a/src/hoistmoor/relay/application.py
+++ b/src/hoistmoor/relay/application.py
@@ -65,7 +65,7 @@
         state: State shared by the tasks.
         front: Handles callers' requests.
         followers: Topic followers by topic name.
-        loops: Background tasks by name, run while the relay serves.
+        background_tasks: Background tasks by name, run while the relay serves.
     """
 
     def __init__(
--- a/src/hoistmoor/relay/front/attempt.py
+++ b/src/hoistmoor/relay/front/attempt.py
@@ -51,15 +51,15 @@
         exchange: HTTP exchange that carries the attempt.
         head: Head of the response; None until it has arrived.
         first: Monotonic time of a stream's first events; None until then.
-        latest: Monotonic time of the latest events.
+        latest_event_at: Monotonic time of the latest events.
         longest_pause: Longest time in seconds between two arrivals of events.
         events_before: Events of the stream that earlier attempts delivered.
         body: Parts of a response that is not streamed.
         is_dropped: Whether it was abandoned in favor of a larger model.
         is_cut: Whether the connection closed before the response was complete.
         detail: Description of the failure, for people.
-        asks_rest: Whether the server requested a back-off with the response.
-        words: The server's notices against new requests at the time of the
+        requests_rest: Whether the server requested a back-off with the response.
+        notices: The server's notices against new requests at the time of the
             attempt, by kind.
     """
 
--- a/src/hoistmoor/relay/front/backend_connector.py
+++ b/src/hoistmoor/relay/front/backend_connector.py
@@ -32,7 +32,7 @@
     therefore uses a new connection: if connecting fails, it has not run.
 
     Attributes:
-        kept: Session that reuses connections.
+        reusing: Session that reuses connections.
         fresh: Session that opens a connection for each request.
     """
 
@@ -52,7 +52,7 @@
         sessions: HTTP sessions.
         names: Header names of the platform.
         dialect: How servers identify and decline an attempt.
-        ends: Detects which servers have terminated.
+        end_detector: Detects which servers have terminated.
         deadlines: Makes timeouts account for suspensions of the machine.
     """
 
--- a/src/hoistmoor/relay/front/caller_response.py
+++ b/src/hoistmoor/relay/front/caller_response.py
@@ -34,7 +34,7 @@
         Args:
             request: Request to respond to.
             keep_open: Whether the connection may be reused.
-            wait_for: Returns the Retry-After delay in seconds for a refusal
+            retry_after_for: Returns the Retry-After delay in seconds for a refusal
                 reason.
         """
         self.response: web.StreamResponse | None = None
--- a/src/hoistmoor/relay/front/header_names.py
+++ b/src/hoistmoor/relay/front/header_names.py
@@ -49,9 +49,9 @@
         session: Session id chosen by the caller.
         last_event: Id of the last stream event that the caller has received.
         stripped: Further headers that callers may not set, in lower case.
-        word_prefixes: Prefixes of the headers in which servers report about
+        report_prefixes: Prefixes of the headers in which servers report about
             themselves, in lower case.
-        needless: Such headers that are ignored on purpose, in lower case.
+        ignored: Such headers that are ignored on purpose, in lower case.
         read: Such headers that are read or ignored on purpose, in lower case.
     """
 
--- a/src/hoistmoor/relay/metrics.py
+++ b/src/hoistmoor/relay/metrics.py
@@ -14,9 +14,9 @@
         registry: Registry that holds all metrics.
         answers: Requests by reason and outcome.
         attempts: Attempts by the final state of their exchange.
-        sends_despite: Attempts sent to servers that had announced a rate
+        sends_despite_notice: Attempts sent to servers that had announced a rate
             limit, their departure or a back-off, by kind of notice.
-        beliefs: State changes on this host, by kind.
+        state_changes: State changes on this host, by kind.
         durations: Seconds from a request to its final response.
         configuration_age: Seconds since the configuration was known current.
         store_era: Era of the store, as known to this host.
--- a/src/hoistmoor/relay/settings_reloader.py
+++ b/src/hoistmoor/relay/settings_reloader.py
@@ -23,7 +23,7 @@
 
     Attributes:
         settings: Settings in force.
-        changed: Set by a signal to request an immediate reload.
+        reload_requested: Set by a signal to request an immediate reload.
     """
 
     def __init__(
--- a/src/hoistmoor/relay/state.py
+++ b/src/hoistmoor/relay/state.py
@@ -33,7 +33,7 @@
         lease: Whether the configuration may still be used.
         outstanding: Work of other hosts at the backend servers.
         run_name: Unique name of this run of the host's process.
-        history: Era of the store, as known to this host.
+        store_era: Era of the store, as known to this host.
         evidence: Rollout counts of the hosts that read through this one.
         configuration: Configuration in force; None before the first.
         configuration_record: Record that holds the configuration; the store
@@ -46,8 +46,8 @@
             empty while it reads the store directly.
         depth: Number of hosts between this one and the store.
         started_at: Monotonic time at which this process started.
-        has_urgent_news: Set when peers should be informed immediately.
-        server_beliefs: Applies servers' reports about themselves.
+        has_urgent_changes: Set when peers should be informed immediately.
+        report_tracker: Applies servers' reports about themselves.
     """
 
     clock: Callable[[], float]
--- a/src/hoistmoor/relay/store/follower.py
+++ b/src/hoistmoor/relay/store/follower.py
@@ -28,7 +28,7 @@
             without records, the end of the requested wait.
         after_outage: Seconds since the store became available again;
             infinite if there was no outage.
-        is_return: Whether this is the first batch of a newer era of the
+        is_first_of_era: Whether this is the first batch of a newer era of the
             store, for a listener that has seen an older one.
     """
 
@@ -57,7 +57,7 @@
         place: Position of the next read; None before the first snapshot.
         current_at: Monotonic time at which the topic was last known to be
             current.
-        mirror: This host's copy of the topic.
+        replica: This host's copy of the topic.
         direct: Set while this host reads the store itself.
         known: Set once the topic was read, by this host or another one.
     """
@@ -89,9 +89,9 @@
             gate: Blocks reads during an outage of the store.
             is_probe: Whether this topic is read during an outage to detect
                 its end, and is confirmed to be current at all times.
-            is_held: Whether the first read waits until the store has
+            waits_for_store: Whether the first read waits until the store has
                 answered another call.
-            yields: Whether the topic is read only while ``direct`` is set,
+            may_use_peers: Whether the topic is read only while ``direct`` is set,
                 since another host may read it for this one.
         """
         self.name = name
@@ -185,7 +185,7 @@
         """Returns the records from a position on.
 
         Raises:
-            LogHistoryChangedError: A newer era became known during the read;
+            LogEraChangedError: A newer era became known during the read;
                 the long poll may still block although the records changed.
         """
         self._pending_read = asyncio.ensure_future(
--- a/src/hoistmoor/relay/store/followers.py
+++ b/src/hoistmoor/relay/store/followers.py
@@ -87,7 +87,7 @@
         platform: Provides the topics and their codec.
         gate: Blocks reads during an outage of the store.
         own_listeners: Listeners of the topics that relays write themselves.
-        yields: Whether other hosts may read for this one.
+        may_use_peers: Whether other hosts may read for this one.
     """
     topics, codec = platform.topics, platform.codec
     options = {
--- a/src/hoistmoor/relay/store/ports.py
+++ b/src/hoistmoor/relay/store/ports.py
@@ -35,7 +35,7 @@
         Raises:
             LogOffsetExpiredError: The records are no longer retained, or the
                 offset is beyond the end of the topic.
-            LogHistoryChangedError: The store was restored from an older copy,
+            LogEraChangedError: The store was restored from an older copy,
                 so the position belongs to an older era.
         """
 
@@ -121,7 +121,7 @@
         headers: Names of the platform's HTTP headers.
         not_run_statuses: HTTP statuses by which servers report that they did
             not run a request.
-        history: Era of the store, as reported by its responses to this relay.
+        store_era: Era of the store, as reported by its responses to this relay.
     """
 
     topics: Topics
--- a/tests/relay/conftest.py
+++ b/tests/relay/conftest.py
@@ -135,7 +135,7 @@
     """A ready relay that has loaded its configuration."""
     monkeypatch.setattr(followers, "SERVERS_PAUSE", 0.02)
     monkeypatch.setattr(followers, "OPERATOR_WAIT", 0.2)
-    monkeypatch.setattr(relay_server, "TAKE_ON", 0.1)
+    monkeypatch.setattr(relay_server, "DRAIN_SECONDS", 0.1)
     # Event lines go to /dev/null, since the file that pytest captures output
     # with cannot be made non-blocking.
     null_device = os.open(os.devnull, os.O_WRONLY)
--- a/tests/relay/engine_traffic.py
+++ b/tests/relay/engine_traffic.py
@@ -57,12 +57,12 @@
         name: Server id.
         limit: Announced limit in requests per second from all hosts; None
             for no limit.
-        named_at: Time at which the limit was first announced.
-        told: Time at which each host first received the limit, by host name.
+        limit_announced_at: Time at which the limit was first announced.
+        informed_at: Time at which each host first received the limit, by host name.
         arrived: Arrival times of all requests.
         counted: Arrival times of requests from hosts that knew the limit.
         is_leaving: Whether it announces its departure.
-        leaving_passed_on: Time at which each host first forwarded a response
+        departure_forwarded_at: Time at which each host first forwarded a response
             that announced the departure, by host name.
         after_leaving: Arrival times of requests that violated the guarantee
             for leaving servers.
--- a/tests/relay/peers/test_relay_peers.py
+++ b/tests/relay/peers/test_relay_peers.py
@@ -231,7 +231,7 @@
         hosts.append(host.name)
         await asyncio.sleep(0.2)
 
-    monkeypatch.setattr(read_policy, "OLDEST_OWN", 0.1)
+    monkeypatch.setattr(read_policy, "MAX_OWN_AGE", 0.1)
     monkeypatch.setattr(peer_client.PeerClient, "ask", hang)
     for number in range(20, 30):
         copier.relay._sources.put(
--- a/tests/relay/relay_cluster.py
+++ b/tests/relay/relay_cluster.py
@@ -51,12 +51,12 @@
         name: Name shared by all incarnations.
         address: ``ip:port`` of the server.
         starts: Number of starts.
-        ends: Number of crashes.
+        crashes: Number of crashes.
         arrived: Bodies of the complete requests to all incarnations.
         running: Bodies of the requests in progress.
-        pace: Event that lets streams proceed while it is set.
-        words: Additional header lines of each response.
-        turns_away: Whether it declines all requests as not run.
+        may_proceed: Event that lets streams proceed while it is set.
+        extra_headers: Additional header lines of each response.
+        declines: Whether it declines all requests as not run.
     """
 
     name: str
--- a/tests/relay/relay_swarm.py
+++ b/tests/relay/relay_swarm.py
@@ -93,8 +93,8 @@
 
     Attributes:
         rate: Bandwidth in bytes per second.
-        out_free: Time at which the outgoing direction becomes free.
-        in_free: Time at which the incoming direction becomes free.
+        sending_until: Time at which the outgoing direction becomes free.
+        receiving_until: Time at which the incoming direction becomes free.
     """
 
     rate: float
--- a/tests/relay/store/test_relay_store_gate.py
+++ b/tests/relay/store/test_relay_store_gate.py
@@ -60,7 +60,7 @@
 async def test_wait_ends_after_longest_hold(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(store_gate, "LONGEST_HOLD", 0.05)
+    monkeypatch.setattr(store_gate, "MAX_WAIT", 0.05)
     gate = store_gate.StoreGate()
     gate.record_failure()
     async with asyncio.timeout(TIMEOUT):
--- a/tests/relay_platform.py
+++ b/tests/relay_platform.py
@@ -35,8 +35,8 @@
     Attributes:
         records: All appended records in order.
         first_kept: First offset from which changes can be read.
-        is_away: Whether calls fail without any effect.
-        loses_answers: Whether writes take effect but report a failure.
+        is_unavailable: Whether calls fail without any effect.
+        loses_responses: Whether writes take effect but report a failure.
         era: Era of the topic; increases with each restore.
     """
 
@@ -114,7 +114,7 @@
 
     Attributes:
         topic: The topic.
-        history: Era of the store, as known to the host.
+        store_era: Era of the store, as known to the host.
     """
 
     topic: MemoryTopic
