--- a/src/hoistmoor/core/table/__init__.py
+++ b/src/hoistmoor/core/table/__init__.py
@@ -1,3 +1,3 @@
-"""The operators' table: its rows, its sheets, its edits and its history."""
+"""The operators' table: rows, CSV sheets, edits and replay of the edit log."""
 
 from __future__ import annotations
--- a/src/hoistmoor/core/table/check.py
+++ b/src/hoistmoor/core/table/check.py
@@ -1,7 +1,8 @@
-"""Checks of a table as a whole: ranges, references and uniqueness.
+"""Validation of a whole table: ranges, references and uniqueness.
 
-Hosts judge each edit by these rules, so a change of them that lets in less or
-more needs a new number in ``RULES`` and leaves the old rules as they are.
+Every host validates each edit with these rules and must come to the same
+verdict. A change that accepts more or fewer tables therefore needs a new schema
+number in ``RULES``; the rules of a published schema must not change.
 """
 
 from __future__ import annotations
@@ -33,33 +34,34 @@
 
 
 def check_table(table: model.Table) -> tuple[problems.Fault, ...]:
-    """Returns everything that is wrong with ``table``, in a fixed order."""
-    found: list[problems.Fault] = []
+    """Returns all faults of ``table`` in a deterministic order."""
+    faults: list[problems.Fault] = []
     for sheet, check_row in _ROW_CHECKS.items():
         rows = sheets.rows_of(table, sheet)
         for key in sorted(rows):
-            found.extend(check_row(table, rows[key]))
-    for check_whole in _WHOLE_CHECKS:
-        found.extend(check_whole(table))
-    return tuple(found)
+            faults.extend(check_row(table, rows[key]))
+    for check_rows in _TABLE_CHECKS:
+        faults.extend(check_rows(table))
+    return tuple(faults)
 
 
 def check_sheets(files: Mapping[str, str]) -> sheets.SheetsResult:
-    """Reads sheets and reports all their faults, of form and of content.
+    """Parses and validates sheets, and reports all faults of both steps.
 
     Args:
         files: Text of each sheet by file name.
     """
     result = sheets.parse_sheets(files)
-    unread = {
+    unparsed = {
         (fault.sheet, fault.line, fault.column) for fault in result.faults
     }
-    found = list(result.faults)
+    faults = list(result.faults)
     for fault in map(result.locate, check_table(result.table)):
-        # A cell that could not be read holds no value to find fault with.
-        if (fault.sheet, fault.line, fault.column) not in unread:
-            found.append(fault)
-    return attrs.evolve(result, faults=tuple(sorted(found)))
+        # A cell that failed to parse holds a placeholder; validation faults
+        # of that placeholder would be misleading.
+        if (fault.sheet, fault.line, fault.column) not in unparsed:
+            faults.append(fault)
+    return attrs.evolve(result, faults=tuple(sorted(faults)))
 
 
 RULES: dict[int, Callable[[model.Table], tuple[problems.Fault, ...]]] = {
@@ -68,14 +70,20 @@
 
 
 def _check_account(table: model.Table, row: model.Account) -> _Faults:
-    at = _At("accounts", row.key)
-    yield from at.name("account", row.account)
-    yield from at.number("spend_limit", row.spend_limit, 0, _MAX_INTEGER)
-    yield from at.number("rate_limit", row.rate_limit, 0, _MAX_INTEGER)
-    yield from at.number("concurrency", row.concurrency, 0, _MAX_INTEGER)
+    checker = _RowChecker("accounts", row.key)
+    yield from checker.check_name("account", row.account)
+    yield from checker.check_number(
+        "spend_limit", row.spend_limit, 0, _MAX_INTEGER
+    )
+    yield from checker.check_number(
+        "rate_limit", row.rate_limit, 0, _MAX_INTEGER
+    )
+    yield from checker.check_number(
+        "concurrency", row.concurrency, 0, _MAX_INTEGER
+    )
     for key_hash in row.key_hashes:
         if not _SHA256_HEX.fullmatch(key_hash):
-            yield at.fault(
+            yield checker.make_fault(
                 "key_hashes",
                 f"{key_hash[:8]!r}... is not a SHA-256 in hex",
                 "Write 64 hex digits in lower case, never the key itself.",
@@ -83,103 +91,127 @@
 
 
 def _check_version(table: model.Table, row: model.Version) -> _Faults:
-    at = _At("versions", row.key)
-    yield from at.name("model", row.model)
-    yield from at.name("version", row.version)
-    yield from at.reference("service", row.service, "services", table.services)
+    checker = _RowChecker("versions", row.key)
+    yield from checker.check_name("model", row.model)
+    yield from checker.check_name("version", row.version)
+    yield from checker.check_reference(
+        "service", row.service, "services", table.services
+    )
     service = table.services.get(row.service)
     if service and service.kind is not model.ServiceKind.ENGINE:
-        yield at.fault(
+        yield checker.make_fault(
             "service",
-            f"service {row.service!r} is no engine service",
-            "Name a service of kind engine.",
+            f"service {row.service!r} is not an engine service",
+            "Use a service of kind engine.",
         )
     if row.model == model.AUTO_MODEL:
-        yield at.fault(
+        yield checker.make_fault(
             "model",
-            f"{model.AUTO_MODEL!r} is kept for cascades",
+            f"{model.AUTO_MODEL!r} is reserved for cascades",
             "Give the model another name.",
         )
-    yield from at.number("weight", row.weight, 0, _MAX_INTEGER)
-    yield from at.number("input_price", row.input_price, 0, _MAX_INTEGER)
-    yield from at.number("output_price", row.output_price, 0, _MAX_INTEGER)
-    yield from at.number("prior_quality", row.prior_quality, 0, 1)
-    yield from at.number("exposure_cap", row.exposure_cap, 0, _MAX_INTEGER)
-    yield from at.number("replicas", row.replicas, 0, _MAX_INTEGER)
+    yield from checker.check_number("weight", row.weight, 0, _MAX_INTEGER)
+    yield from checker.check_number(
+        "input_price", row.input_price, 0, _MAX_INTEGER
+    )
+    yield from checker.check_number(
+        "output_price", row.output_price, 0, _MAX_INTEGER
+    )
+    yield from checker.check_number("prior_quality", row.prior_quality, 0, 1)
+    yield from checker.check_number(
+        "exposure_cap", row.exposure_cap, 0, _MAX_INTEGER
+    )
+    yield from checker.check_number("replicas", row.replicas, 0, _MAX_INTEGER)
 
 
 def _check_grant(table: model.Table, row: model.Grant) -> _Faults:
-    at = _At("grants", row.key)
-    yield from at.reference("account", row.account, "accounts", table.accounts)
-    yield from at.number("quality_target", row.quality_target, 0, 1)
+    checker = _RowChecker("grants", row.key)
+    yield from checker.check_reference(
+        "account", row.account, "accounts", table.accounts
+    )
+    yield from checker.check_number("quality_target", row.quality_target, 0, 1)
     if row.version != model.ANY_VERSION:
         pinned = f"{row.model}@{row.version}"
-        yield from at.reference("version", pinned, "versions", table.versions)
+        yield from checker.check_reference(
+            "version", pinned, "versions", table.versions
+        )
     elif row.model not in table.versions_by_model:
-        yield at.fault(
+        yield checker.make_fault(
             "model",
-            f"no version of model {row.model!r} stands in versions",
+            f"versions has no version of model {row.model!r}",
             "Add a version or correct the name.",
         )
 
 
 def _check_service(table: model.Table, row: model.Service) -> _Faults:
-    at = _At("services", row.key)
-    yield from at.name("service", row.service)
-    yield from at.number("timeout", row.timeout, 0.001, 86_400)
+    checker = _RowChecker("services", row.key)
+    yield from checker.check_name("service", row.service)
+    yield from checker.check_number("timeout", row.timeout, 0.001, 86_400)
     for account in row.accounts:
         if account != EVERYBODY:
-            yield from at.reference(
+            yield from checker.check_reference(
                 "accounts", account, "accounts", table.accounts
             )
 
 
 def _check_call(table: model.Table, row: model.Call) -> _Faults:
-    at = _At("calls", row.key)
-    yield from at.reference("service", row.service, "services", table.services)
+    checker = _RowChecker("calls", row.key)
+    yield from checker.check_reference(
+        "service", row.service, "services", table.services
+    )
     service = table.services.get(row.service)
     if service and service.kind is not model.ServiceKind.PLAIN:
-        yield at.fault(
+        yield checker.make_fault(
             "service",
-            f"service {row.service!r} is no plain service",
-            "Name a service of kind plain; engines need no calls.",
+            f"service {row.service!r} is not a plain service",
+            "Use a service of kind plain; engine services need no calls.",
         )
     if not _METHOD.fullmatch(row.method):
-        yield at.fault(
-            "method", f"{row.method!r} is no HTTP method", "Write it as POST."
+        yield checker.make_fault(
+            "method",
+            f"{row.method!r} is not an HTTP method",
+            "Write it in capitals, such as POST.",
         )
     if not row.path.startswith("/") or " " in row.path:
-        yield at.fault(
-            "path", f"{row.path!r} is no path", "Write it as /balance/*."
+        yield checker.make_fault(
+            "path",
+            f"{row.path!r} is not a path",
+            "Start it with '/' and leave out spaces, such as /balance/*.",
         )
-    yield from at.number("price", row.price, 0, _MAX_INTEGER)
+    yield from checker.check_number("price", row.price, 0, _MAX_INTEGER)
 
 
 def _check_server(table: model.Table, row: model.Server) -> _Faults:
-    at = _At("servers", row.key)
-    yield from at.name("server", row.server)
-    yield from at.name("failure_domain", row.failure_domain)
-    yield from at.reference("service", row.service, "services", table.services)
-    yield from at.number("concurrency", row.concurrency, 0, _MAX_INTEGER)
+    checker = _RowChecker("servers", row.key)
+    yield from checker.check_name("server", row.server)
+    yield from checker.check_name("failure_domain", row.failure_domain)
+    yield from checker.check_reference(
+        "service", row.service, "services", table.services
+    )
+    yield from checker.check_number(
+        "concurrency", row.concurrency, 0, _MAX_INTEGER
+    )
     if not _is_address(row.address):
-        yield at.fault(
+        yield checker.make_fault(
             "address",
-            f"{row.address!r} is no address",
+            f"{row.address!r} is not an address",
             "Write ip:port, such as 10.0.0.7:8000.",
         )
 
 
 def _check_limit(table: model.Table, row: model.Limit) -> _Faults:
-    at = _At("limits", row.key)
-    known = limits.KNOWN.get(row.name)
-    if known is None:
-        yield at.fault(
+    checker = _RowChecker("limits", row.key)
+    definition = limits.KNOWN.get(row.name)
+    if definition is None:
+        yield checker.make_fault(
             "name",
-            f"there is no limit named {row.name!r}",
+            f"{row.name!r} is not a known limit",
             f"Write one of: {', '.join(limits.KNOWN)}.",
         )
         return
-    yield from at.number("value", row.value, known.minimum, known.maximum)
+    yield from checker.check_number(
+        "value", row.value, definition.minimum, definition.maximum
+    )
 
 
 def _check_key_hashes(table: model.Table) -> _Faults:
@@ -188,10 +220,10 @@
         for key_hash in table.accounts[key].key_hashes:
             owner = owner_by_hash.setdefault(key_hash, key)
             if owner != key:
-                yield _At("accounts", key).fault(
+                yield _RowChecker("accounts", key).make_fault(
                     "key_hashes",
-                    f"{key_hash[:8]!r}... belongs to account {owner!r} too",
-                    "Give each client account keys of its own.",
+                    f"{key_hash[:8]!r}... is also a key of account {owner!r}",
+                    "Give each client account its own keys.",
                 )
 
 
@@ -201,10 +233,10 @@
         address = table.servers[key].address
         owner = owner_by_address.setdefault(address, key)
         if owner != key:
-            yield _At("servers", key).fault(
+            yield _RowChecker("servers", key).make_fault(
                 "address",
-                f"{address} is the address of server {owner!r} too",
-                "Give each backend server an address of its own.",
+                f"{address} is also the address of server {owner!r}",
+                "Give each backend server its own address.",
             )
 
 
@@ -217,7 +249,7 @@
     "servers": _check_server,
     "limits": _check_limit,
 }
-_WHOLE_CHECKS = (_check_key_hashes, _check_addresses)
+_TABLE_CHECKS = (_check_key_hashes, _check_addresses)
 
 
 def _is_address(text: str) -> bool:
@@ -228,39 +260,42 @@
     return max(octets) <= _MAX_OCTET and 0 < port <= _MAX_PORT
 
 
-class _At:
-    """Makes the faults of one row."""
+class _RowChecker:
+    """Checks cells of one row and builds its faults."""
 
     def __init__(self, sheet: str, row: str) -> None:
         self.sheet = sheet
         self.row = row
 
-    def fault(self, column: str, problem: str, remedy: str) -> problems.Fault:
+    def make_fault(
+        self, column: str, problem: str, remedy: str
+    ) -> problems.Fault:
         return problems.Fault(self.sheet, self.row, column, problem, remedy)
 
-    def name(self, column: str, text: str) -> _Faults:
+    def check_name(self, column: str, text: str) -> _Faults:
         if not _NAME.fullmatch(text):
-            yield self.fault(
+            yield self.make_fault(
                 column,
-                f"{text!r} is no name",
-                "Use letters, digits, '.', '_' and '-' only.",
+                f"{text!r} is not a valid name",
+                "Start with a letter or digit; use only letters, digits, "
+                "'.', '_' and '-'.",
             )
 
-    def number(
+    def check_number(
         self, column: str, number: float, low: float, high: float
     ) -> _Faults:
         if not low <= number <= high:
-            yield self.fault(
+            yield self.make_fault(
                 column,
                 f"{number} is out of range",
                 f"Write a number from {low} to {high}.",
             )
 
-    def reference(
+    def check_reference(
         self, column: str, key: str, sheet: str, rows: dict[str, Any]
     ) -> _Faults:
         if key not in rows:
-            yield self.fault(
+            yield self.make_fault(
                 column,
                 f"{key!r} does not stand in {sheet}",
                 f"Add it to {sheet} or correct the name.",
--- a/src/hoistmoor/core/table/columns.py
+++ b/src/hoistmoor/core/table/columns.py
@@ -1,4 +1,4 @@
-"""How the cells of a sheet are read and written."""
+"""Parsing and rendering of the cells of a sheet."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 import attrs
 
-_BOOL_BY_WORD = {"yes": True, "no": False}
-_WORD_BY_BOOL = {value: word for word, value in _BOOL_BY_WORD.items()}
+_BOOL_BY_TEXT = {"yes": True, "no": False}
+_TEXT_BY_BOOL = {value: text for text, value in _BOOL_BY_TEXT.items()}
 
 
 class CellError(ValueError):
-    """A cell does not hold what its column needs.
+    """The text of a cell is not valid for its column.
 
     Attributes:
-        remedy: What the column takes, one sentence.
+        remedy: One sentence that says what the column accepts.
     """
 
     def __init__(self, problem: str, remedy: str) -> None:
@@ -31,11 +31,11 @@
     """One column of a sheet.
 
     Attributes:
-        name: The column's name, as in the header.
-        parse: Turns a cell's text into a value; raises CellError.
-        render: Turns a value into a cell's text.
-        neutral: Stands in for a cell that could not be read, so that the
-            rest of the table can be checked.
+        name: Name in the header.
+        parse: Converts the text of a cell to a value; raises CellError.
+        render: Converts a value to the text of a cell.
+        neutral: Placeholder for a cell that fails to parse, so that the rest
+            of the table can still be validated.
     """
 
     name: str
@@ -45,14 +45,15 @@
 
 
 def columns_of(cls: type[attrs.AttrsInstance]) -> tuple[Column, ...]:
-    """Returns the columns of a row class, in the order of its attributes."""
+    """Returns the columns of a row class, in attribute order."""
     hints = get_type_hints(cls)
     return tuple(
-        _column(field.name, hints[field.name]) for field in attrs.fields(cls)
+        _make_column(field.name, hints[field.name])
+        for field in attrs.fields(cls)
     )
 
 
-def _column(name: str, hint: Any) -> Column:
+def _make_column(name: str, hint: Any) -> Column:
     if isinstance(hint, type) and issubclass(hint, enum.StrEnum):
         parse_enum = functools.partial(_parse_enum, hint)
         return Column(name, parse_enum, str, next(iter(hint)))
@@ -61,7 +62,7 @@
 
 def _parse_str(text: str) -> str:
     if not text:
-        raise CellError("the cell is empty", "Write a name.")
+        raise CellError("the cell is empty", "Write a value.")
     return text
 
 
@@ -70,7 +71,7 @@
         return int(text)
     except ValueError:
         raise CellError(
-            f"{text!r} is not a whole number", "Write a number such as 250."
+            f"{text!r} is not an integer", "Write an integer such as 250."
         ) from None
 
 
@@ -87,7 +88,7 @@
 
 def _parse_bool(text: str) -> bool:
     try:
-        return _BOOL_BY_WORD[text.lower()]
+        return _BOOL_BY_TEXT[text.lower()]
     except KeyError:
         raise CellError(
             f"{text!r} is neither yes nor no", "Write yes or no."
@@ -100,7 +101,7 @@
     except ValueError:
         choices = ", ".join(cls)
         raise CellError(
-            f"{text!r} is not a known word", f"Write one of: {choices}."
+            f"{text!r} is not a known value", f"Write one of: {choices}."
         ) from None
 
 
@@ -112,6 +113,6 @@
     str: (_parse_str, str, ""),
     int: (_parse_int, str, 1),
     float: (_parse_float, repr, 1.0),
-    bool: (_parse_bool, _WORD_BY_BOOL.__getitem__, False),
+    bool: (_parse_bool, _TEXT_BY_BOOL.__getitem__, False),
     tuple[str, ...]: (_parse_words, " ".join, ()),
 }
--- a/src/hoistmoor/core/table/edits.py
+++ b/src/hoistmoor/core/table/edits.py
@@ -1,4 +1,8 @@
-"""Records that change the table, as they stand on the log."""
+"""Log records that edit the table, and snapshots of it.
+
+The structure and unstructure hooks for these records are registered with the
+codec when this module is imported.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +19,7 @@
 
 @attrs.frozen
 class RowSet:
-    """Adds a row or replaces the one with the same key.
+    """Inserts a row, or replaces the row with the same key.
 
     Attributes:
         sheet: Name of the sheet.
@@ -29,13 +33,13 @@
 
     @property
     def name(self) -> sheets.RowName:
-        """Names the row that changes."""
+        """Returns the name of the changed row."""
         return sheets.RowName(self.sheet, self.key)
 
 
 @attrs.frozen
 class RowDelete:
-    """Removes a row.
+    """Deletes a row.
 
     Attributes:
         sheet: Name of the sheet.
@@ -47,7 +51,7 @@
 
     @property
     def name(self) -> sheets.RowName:
-        """Names the row that changes."""
+        """Returns the name of the changed row."""
         return sheets.RowName(self.sheet, self.key)
 
 
@@ -56,16 +60,17 @@
 
 @attrs.frozen
 class TableEdit:
-    """One edit: it is accepted whole or not at all.
+    """An atomic edit: either all of its changes are applied or none.
 
     Attributes:
-        edit_id: Unique to the edit; settles an append whose reply was lost.
-        base_revision: Offset of the last record that the editor had seen. The
-            edit is rejected if one of its rows changed later.
-        author: Who made it, for the history.
-        at: When it was made, seconds since the epoch, for the history.
-        changes: The rows that change, each once.
-        schema: Number of the rules by which hosts judge it.
+        edit_id: Unique ID. It makes retries idempotent when the response to an
+            append was lost.
+        base_revision: Offset of the last record that the author had read. The
+            edit is rejected if any of its rows has changed since.
+        author: Author shown in the history.
+        at: Creation time shown in the history, in seconds since the epoch.
+        changes: The row changes, at most one per row.
+        schema: Number of the validation rules that hosts apply to it.
     """
 
     edit_id: str
@@ -78,11 +83,11 @@
 
 @attrs.frozen
 class RowMark:
-    """Who changed a row last.
+    """The last change of a row.
 
     Attributes:
         revision: Offset of the edit.
-        author: Who made it.
+        author: Author of the edit.
     """
 
     revision: int
@@ -91,16 +96,16 @@
 
 @attrs.frozen
 class TableSnapshot:
-    """The whole state of the fold after one record of the log.
+    """The complete state of the fold after a given record of the log.
 
     Attributes:
-        as_of: Offset of the last record folded in.
-        revision: Offset of the newest accepted edit.
-        table: The table in force.
-        marks: Last change of each row by sheet and key, rows removed lately
-            included.
-        recent_edits: Offset of each recent edit by its id.
-        schema: Number of the rules by which it was folded.
+        as_of: Offset of the last record applied.
+        revision: Offset of the latest accepted edit.
+        table: The active table.
+        marks: Last change of each row by sheet and key, including recently
+            deleted rows.
+        recent_edits: Offset of each recent edit by its ID.
+        schema: Number of the validation rules that were applied.
     """
 
     as_of: int
@@ -112,7 +117,7 @@
 
 
 def diff(old: model.Table, new: model.Table) -> tuple[Change, ...]:
-    """Returns the changes that turn ``old`` into ``new``."""
+    """Returns the changes that transform ``old`` into ``new``."""
     changes: list[Change] = []
     for sheet in sheets.SHEETS:
         before = sheets.rows_of(old, sheet)
@@ -129,9 +134,11 @@
 
 
 def apply(table: model.Table, changes: tuple[Change, ...]) -> model.Table:
-    """Returns ``table`` with ``changes`` made to it."""
-    touched = {change.sheet for change in changes}
-    copies = {sheet: dict(sheets.rows_of(table, sheet)) for sheet in touched}
+    """Returns a copy of ``table`` with ``changes`` applied."""
+    changed_sheets = {change.sheet for change in changes}
+    copies = {
+        sheet: dict(sheets.rows_of(table, sheet)) for sheet in changed_sheets
+    }
     for change in changes:
         rows = copies[change.sheet]
         if isinstance(change, RowSet):
@@ -142,10 +149,11 @@
 
 
 def _structure_row_set(fields: dict[str, Any], _: type[RowSet]) -> RowSet:
-    """Reads the row by its sheet, and its key from the row itself."""
+    """Structures the row by its sheet and derives the key from the row."""
     row_class = sheets.SHEETS[fields["sheet"]].row_class
     row = codec.converter.structure(fields["row"], row_class)
-    # The converter would read "no" as true; a row must stand there exactly.
+    # The converter coerces types, such as the string "no" to True. Comparing
+    # the round trip with the input rejects every row that needs coercion.
     if codec.converter.unstructure(row) != fields["row"]:
         raise ValueError(f"row {row.key!r} has a cell of a wrong type")
     return RowSet(fields["sheet"], row.key, row)
--- a/src/hoistmoor/core/table/fold.py
+++ b/src/hoistmoor/core/table/fold.py
@@ -1,9 +1,10 @@
-"""Turns the records of the table's stream into the table in force.
+"""Folds the records of the table's stream into the active table.
 
-The fold is a pure function of the records in the order of the log, so all
-hosts that have read up to the same offset hold the same table. An edit names
-the last record that its author had seen. It is rejected if one of its rows
-changed after that, or if the table that it makes fails the checks.
+The fold is a pure function of the records in log order, so all hosts that have
+read up to the same offset hold the same table. Concurrency control is
+optimistic: an edit names the last record that its author had read. It is
+rejected if any of its rows changed after that record, or if the resulting
+table fails validation.
 """
 
 from __future__ import annotations
@@ -28,28 +29,28 @@
 
 
 class Why(enum.StrEnum):
-    """Why a record changed nothing."""
-
-    ROW_CHANGED = "row_changed"  # Somebody changed a row of it first.
-    CHECK_FAILED = "check_failed"  # The table would not be sound.
-    BASE_TOO_OLD = "base_too_old"  # Its base is out of memory.
-    BASE_IN_FUTURE = "base_in_future"  # Its base is not below its offset.
-    EMPTY = "empty"  # It changes no row.
-    REPEATED_ROW = "repeated_row"  # It changes a row twice.
-    REPEAT = "repeat"  # Another copy of an edit judged before.
-    SNAPSHOT = "snapshot"  # Nothing to do for a host that has a table.
-    SNAPSHOT_DIFFERS = "snapshot_differs"  # Its writer folds otherwise.
-    UNKNOWN_SCHEMA = "unknown_schema"  # Written by a newer program.
-    UNDECODABLE = "undecodable"  # Not a record that this program knows.
-    ALREADY_APPLIED = "already_applied"  # Read twice.
+    """The reason why a record did not change the table."""
+
+    ROW_CHANGED = "row_changed"  # A row changed after the base.
+    CHECK_FAILED = "check_failed"  # The resulting table is invalid.
+    BASE_TOO_OLD = "base_too_old"  # Conflicts can no longer be detected.
+    BASE_IN_FUTURE = "base_in_future"  # The base is not a preceding offset.
+    EMPTY = "empty"  # The edit has no changes.
+    REPEATED_ROW = "repeated_row"  # The edit changes a row twice.
+    REPEAT = "repeat"  # The edit ID was already processed.
+    SNAPSHOT = "snapshot"  # Not needed by a host that has a table.
+    SNAPSHOT_DIFFERS = "snapshot_differs"  # Writer and host have diverged.
+    UNKNOWN_SCHEMA = "unknown_schema"  # Written by a newer release.
+    UNDECODABLE = "undecodable"  # Malformed or of an unknown type.
+    ALREADY_APPLIED = "already_applied"  # The offset was already read.
 
 
 @attrs.frozen
 class Undecodable:
-    """Stands for a record that does not parse.
+    """Placeholder for a record that cannot be decoded.
 
     Attributes:
-        problem: What the decoder said.
+        problem: Error message of the decoder.
     """
 
     problem: str
@@ -57,12 +58,12 @@
 
 @attrs.frozen
 class Clash:
-    """A row for which another edit came first.
+    """A row that a preceding edit changed after the base of this edit.
 
     Attributes:
-        row: The row.
-        by: Author of the edit that came first.
-        at_revision: Offset of that edit.
+        row: Name of the row.
+        by: Author of the preceding edit.
+        at_revision: Offset of the preceding edit.
     """
 
     row: sheets.RowName
@@ -70,16 +71,16 @@
     at_revision: int
 
     def __str__(self) -> str:
-        """Returns the form used in messages."""
+        """Returns the text for messages."""
         return f"{self.row} was changed by {self.by} at {self.at_revision}"
 
 
 @attrs.frozen
 class Accepted:
-    """The edit is in force from this offset on.
+    """The edit was applied.
 
     Attributes:
-        offset: Offset of the edit, which is the table's new revision.
+        offset: Offset of the edit, which is the new revision of the table.
         edit: The edit.
     """
 
@@ -89,14 +90,14 @@
 
 @attrs.frozen
 class Rejected:
-    """The edit changed nothing.
+    """The edit was rejected and left the table unchanged.
 
     Attributes:
         offset: Offset of the edit.
         edit: The edit.
-        why: The kind of reason.
-        clashes: The rows for which another edit came first.
-        faults: What would have been wrong with the table.
+        why: Reason for the rejection.
+        clashes: Conflicts with preceding edits.
+        faults: Validation faults of the table that would have resulted.
     """
 
     offset: int
@@ -108,12 +109,12 @@
 
 @attrs.frozen
 class Ignored:
-    """The record is no edit to judge.
+    """The record needs no verdict on an edit and left the table unchanged.
 
     Attributes:
         offset: Offset of the record.
-        why: The kind of reason.
-        detail: More about it; may be empty.
+        why: Reason for ignoring it.
+        detail: Further details; may be empty.
     """
 
     offset: int
@@ -122,27 +123,27 @@
 
     @property
     def is_suspect(self) -> bool:
-        """Whether somebody should look at the record and its writer."""
-        return self.why in _SUSPECT
+        """Whether an operator should inspect the record and its writer."""
+        return self.why in _SUSPECT_REASONS
 
 
-_SUSPECT = (Why.UNDECODABLE, Why.UNKNOWN_SCHEMA, Why.SNAPSHOT_DIFFERS)
+_SUSPECT_REASONS = (Why.UNDECODABLE, Why.UNKNOWN_SCHEMA, Why.SNAPSHOT_DIFFERS)
 
 Verdict = Accepted | Rejected | Ignored
 
 
 class TableGapError(errors.HoistmoorError):
-    """A record of the table's stream is missing in between."""
+    """One or more records of the table's stream were left out."""
 
-    def __init__(self, wanted: int, offset: int) -> None:
+    def __init__(self, expected: int, offset: int) -> None:
         super().__init__(
-            f"table record {offset} came where {wanted} was due",
-            f"Read the stream again from offset {wanted}.",
+            f"received table record {offset} instead of {expected}",
+            f"Read the stream again from offset {expected}.",
         )
 
 
 def read_record(payload: bytes) -> object:
-    """Returns the record in ``payload``, or an ``Undecodable``."""
+    """Decodes ``payload``; returns ``Undecodable`` if that fails."""
     try:
         return codec.decode(payload)
     except errors.CodecError as error:
@@ -150,12 +151,12 @@
 
 
 class TableFold:
-    """The table after each record of its stream.
+    """State machine that applies the records of the table's stream.
 
     Attributes:
         as_of: Offset of the last record applied; -1 before the first.
-        in_force: The table and its revision.
-        memory: What is remembered of past edits.
+        in_force: The active table and its revision.
+        memory: Recent edits, for conflict detection and deduplication.
     """
 
     def __init__(self) -> None:
@@ -165,7 +166,7 @@
 
     @classmethod
     def from_snapshot(cls, snapshot: edits.TableSnapshot) -> TableFold:
-        """Returns the fold as it was after record ``snapshot.as_of``."""
+        """Restores the fold to its state after record ``snapshot.as_of``."""
         fold = cls()
         fold.as_of = snapshot.as_of
         fold.in_force = model.TableInForce(snapshot.revision, snapshot.table)
@@ -173,7 +174,7 @@
         return fold
 
     def snapshot(self) -> edits.TableSnapshot:
-        """Returns the whole state, equal on all hosts at the same offset."""
+        """Returns the complete state, identical on all hosts at an offset."""
         return edits.TableSnapshot(
             self.as_of,
             self.in_force.revision,
@@ -183,14 +184,14 @@
         )
 
     def apply(self, offset: int, record: object) -> Verdict:
-        """Judges the next record and changes the table accordingly.
+        """Applies the next record and returns the verdict on it.
 
         Args:
-            offset: The record's offset.
-            record: What ``read_record`` made of it.
+            offset: Offset of the record.
+            record: The record as returned by ``read_record``.
 
         Raises:
-            TableGapError: The record before it has not been applied.
+            TableGapError: The preceding record has not been applied.
         """
         if offset <= self.as_of:
             return Ignored(offset, Why.ALREADY_APPLIED)
@@ -198,44 +199,46 @@
             raise TableGapError(self.as_of + 1, offset)
         self.as_of = offset
         self.memory.forget_ids(offset)
-        return self._judge(record, offset)
+        return self._apply_record(record, offset)
 
     @functools.singledispatchmethod
-    def _judge(self, record: object, offset: int) -> Verdict:
+    def _apply_record(self, record: object, offset: int) -> Verdict:
         return Ignored(offset, Why.UNDECODABLE, type(record).__name__)
 
-    @_judge.register
+    @_apply_record.register
     def _(self, record: Undecodable, offset: int) -> Verdict:
         return Ignored(offset, Why.UNDECODABLE, record.problem)
 
-    @_judge.register
+    @_apply_record.register
     def _(self, record: edits.TableSnapshot, offset: int) -> Verdict:
         why = Why.SNAPSHOT
-        if record.as_of == offset - 1 and not self._is_alike(record):
+        if record.as_of == offset - 1 and not self._matches(record):
             why = Why.SNAPSHOT_DIFFERS
         return Ignored(offset, why, f"as of {record.as_of}")
 
-    @_judge.register
+    @_apply_record.register
     def _(self, record: edits.TableEdit, offset: int) -> Verdict:
         if record.schema not in check.RULES:
             return Ignored(offset, Why.UNKNOWN_SCHEMA, str(record.schema))
-        first = self.memory.first_copy(record.edit_id)
-        if first is not None:
-            return Ignored(offset, Why.REPEAT, f"of the edit at {first}")
+        first_offset = self.memory.first_copy(record.edit_id)
+        if first_offset is not None:
+            return Ignored(offset, Why.REPEAT, f"of the edit at {first_offset}")
         self.memory.remember_id(record.edit_id, offset)
-        why = _fault_of_form(record, offset)
+        why = _find_format_error(record, offset)
         if why is not None:
             return Rejected(offset, record, why)
-        clashes = tuple(self._clashes(record))
-        if clashes:
-            return Rejected(offset, record, Why.ROW_CHANGED, clashes)
-        return self._check(record, offset)
-
-    def _check(self, edit: edits.TableEdit, offset: int) -> Verdict:
+        conflicts = tuple(self._find_conflicts(record))
+        if conflicts:
+            return Rejected(offset, record, Why.ROW_CHANGED, conflicts)
+        return self._validate_and_apply(record, offset)
+
+    def _validate_and_apply(
+        self, edit: edits.TableEdit, offset: int
+    ) -> Verdict:
         table = edits.apply(self.in_force.table, edit.changes)
-        found = check.RULES[edit.schema](table)
-        if found:
-            return Rejected(offset, edit, Why.CHECK_FAILED, faults=found)
+        faults = check.RULES[edit.schema](table)
+        if faults:
+            return Rejected(offset, edit, Why.CHECK_FAILED, faults=faults)
         mark = edits.RowMark(offset, edit.author)
         for change in edit.changes:
             before = sheets.rows_of(self.in_force.table, change.sheet)
@@ -243,22 +246,22 @@
         self.in_force = model.TableInForce(offset, table)
         return Accepted(offset, edit)
 
-    def _clashes(self, edit: edits.TableEdit) -> Iterator[Clash]:
+    def _find_conflicts(self, edit: edits.TableEdit) -> Iterator[Clash]:
         for change in edit.changes:
             mark = self.memory.newer_mark(change.name, edit.base_revision)
             if mark is not None:
                 yield Clash(change.name, mark.author, mark.revision)
 
-    def _is_alike(self, snapshot: edits.TableSnapshot) -> bool:
-        mine = self.in_force
+    def _matches(self, snapshot: edits.TableSnapshot) -> bool:
+        own = self.in_force
         return (snapshot.revision, snapshot.table) == (
-            mine.revision,
-            mine.table,
+            own.revision,
+            own.table,
         )
 
 
-def _fault_of_form(edit: edits.TableEdit, offset: int) -> Why | None:
-    """Returns what is wrong with an edit whatever the table holds."""
+def _find_format_error(edit: edits.TableEdit, offset: int) -> Why | None:
+    """Returns why an edit is invalid regardless of the table, if it is."""
     rows = {change.name for change in edit.changes}
     if not rows:
         return Why.EMPTY
--- a/src/hoistmoor/core/table/limits.py
+++ b/src/hoistmoor/core/table/limits.py
@@ -1,4 +1,4 @@
-"""Names of the limits that hold for a whole deployment."""
+"""Definitions of the limits that apply to the whole deployment."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @attrs.frozen
 class KnownLimit:
-    """One name of the ``limits`` sheet.
+    """Definition of a limit that the ``limits`` sheet can set.
 
     Attributes:
-        name: The name.
-        default: Value in force where the sheet has no such row.
-        minimum: Smallest value that is accepted.
-        maximum: Largest value that is accepted.
-        doc: What it does, one sentence.
+        name: Name of the limit.
+        default: Value that applies if the sheet does not set the limit.
+        minimum: Smallest accepted value.
+        maximum: Largest accepted value.
+        doc: One-sentence description, also shown in the operators' manual.
     """
 
     name: str
@@ -30,7 +30,7 @@
 
 
 _MIB = 1 << 20
-_DAY = 86_400.0
+_DAY_SECONDS = 86_400.0
 
 KNOWN: dict[str, KnownLimit] = {
     limit.name: limit
@@ -81,7 +81,7 @@
             "table_snapshot_seconds",
             600,
             10,
-            _DAY,
+            _DAY_SECONDS,
             "Seconds between snapshots of the table on the log.",
         ),
         KnownLimit(
@@ -110,5 +110,5 @@
 
 
 def value(table: model.Table, name: str) -> float:
-    """Returns the value in force of a known limit."""
+    """Returns the value that ``table`` sets for a limit, or its default."""
     return table.limit(name, KNOWN[name].default)
--- a/src/hoistmoor/core/table/model.py
+++ b/src/hoistmoor/core/table/model.py
@@ -1,7 +1,8 @@
-"""Rows of the operators' table and the immutable table itself.
+"""Row classes of the operators' table, and the immutable table itself.
 
-Money is in micros (millionths of the deployment's currency unit), time in
-seconds. Each row class is one sheet; ``key`` names the row within its sheet.
+Amounts of money are in micros (millionths of the deployment's currency unit),
+times in seconds. Each row class defines one sheet; its ``key`` property is the
+primary key within that sheet.
 """
 
 from __future__ import annotations
@@ -16,26 +17,26 @@
 
 
 class Stage(enum.StrEnum):
-    """How far a version is in its life."""
+    """Lifecycle stage of a version."""
 
-    CANDIDATE = "candidate"  # New: its share grows only with evidence.
+    CANDIDATE = "candidate"  # Traffic share grows only with evidence.
     ACTIVE = "active"
-    DRAINING = "draining"  # Sessions stay; no new sessions.
-    WITHDRAWN = "withdrawn"  # No new work at all.
+    DRAINING = "draining"  # Keeps its sessions, gets no new ones.
+    WITHDRAWN = "withdrawn"  # Gets no new work.
 
 
 class Priority(enum.StrEnum):
-    """How long a call can wait."""
+    """Scheduling priority of a call."""
 
-    URGENT = "urgent"  # Confirms, bookings, balance checks.
+    URGENT = "urgent"  # Such as confirmations, bookings, balance checks.
     NORMAL = "normal"
-    DEFERRABLE = "deferrable"  # Reconciliation, summaries.
+    DEFERRABLE = "deferrable"  # Such as reconciliation, summaries.
 
 
 class ServiceKind(enum.StrEnum):
-    """What stands behind a service's backend servers."""
+    """Type of a service's backend servers."""
 
-    ENGINE = "engine"  # Model engines.
+    ENGINE = "engine"  # Inference engines.
     PLAIN = "plain"  # Ordinary HTTP services.
 
 
@@ -45,10 +46,10 @@
 
     Attributes:
         account: Name of the client account.
-        key_hashes: SHA-256, in hex, of each bearer key in use.
-        spend_limit: Micros per UTC day; 0 means no spend at all.
-        rate_limit: Requests per second over all hosts.
-        concurrency: Requests in flight over all hosts.
+        key_hashes: SHA-256 of each valid bearer key, in lower-case hex.
+        spend_limit: Micros per UTC day; 0 allows no spending.
+        rate_limit: Requests per second across all hosts.
+        concurrency: Maximum number of requests in flight across all hosts.
     """
 
     account: str
@@ -59,7 +60,7 @@
 
     @property
     def key(self) -> str:
-        """Returns the row's key."""
+        """Returns the primary key of the row."""
         return self.account
 
 
@@ -70,14 +71,15 @@
     Attributes:
         model: Name of the model.
         version: Name of the version, unique within the model.
-        service: The engine service that serves it.
-        stage: How far the version is in its life.
-        weight: Share of the model's traffic, relative to its other versions.
+        service: Name of the engine service that serves it.
+        stage: Lifecycle stage.
+        weight: Traffic weight relative to the other versions of the model.
         input_price: Micros per 1,000 prompt tokens.
         output_price: Micros per 1,000 generated tokens.
-        prior_quality: Expected share of good answers before any evidence.
-        exposure_cap: Unproved answers that a candidate may give at most.
-        replicas: Backend servers that should have it loaded.
+        prior_quality: Prior expectation of the share of good responses.
+        exposure_cap: Maximum number of responses that a candidate may give
+            before they are rated.
+        replicas: Number of backend servers that should have it loaded.
     """
 
     model: str
@@ -93,19 +95,19 @@
 
     @property
     def key(self) -> str:
-        """Returns the row's key, also the pinned name callers may use."""
+        """Returns the primary key, also the name by which callers pin it."""
         return f"{self.model}@{self.version}"
 
 
 @attrs.frozen
 class Grant:
-    """What one client account may use, and what it must get.
+    """Permission of a client account to use a model, with a quality target.
 
     Attributes:
         account: Name of the client account.
         model: Name of a model.
-        version: Name of a version, or ``*`` for each version of the model.
-        quality_target: Share of answers that must be good, for model ``auto``.
+        version: Name of a version, or ``*`` for all versions of the model.
+        quality_target: Minimum share of good responses, for model ``auto``.
     """
 
     account: str
@@ -115,7 +117,7 @@
 
     @property
     def key(self) -> str:
-        """Returns the row's key."""
+        """Returns the primary key of the row."""
         return f"{self.account}/{self.model}@{self.version}"
 
 
@@ -125,10 +127,10 @@
 
     Attributes:
         service: Name of the service.
-        kind: What its backend servers are.
-        timeout: Seconds allowed to a call with no deadline of its own.
-        accounts: Client accounts that may call a plain service; ``*`` for
-            all. Engines are granted per version instead.
+        kind: Type of its backend servers.
+        timeout: Default timeout in seconds of calls without a deadline.
+        accounts: Client accounts that may call a plain service; ``*`` allows
+            all. Access to engine services is granted per version instead.
     """
 
     service: str
@@ -138,21 +140,21 @@
 
     @property
     def key(self) -> str:
-        """Returns the row's key."""
+        """Returns the primary key of the row."""
         return self.service
 
 
 @attrs.frozen
 class Call:
-    """One kind of call to a plain service.
+    """A type of call to a plain service.
 
     Attributes:
         service: Name of the service.
         method: HTTP method in capitals.
         path: Path below the service; a segment ``*`` matches any one segment.
-        idempotent: Whether the call may be repeated.
-        priority: How long the call can wait.
-        price: Micros per call done.
+        idempotent: Whether the call may be retried.
+        priority: Scheduling priority.
+        price: Micros per completed call.
     """
 
     service: str
@@ -164,7 +166,7 @@
 
     @property
     def key(self) -> str:
-        """Returns the row's key."""
+        """Returns the primary key of the row."""
         return f"{self.service} {self.method} {self.path}"
 
 
@@ -176,9 +178,9 @@
         server: Name of the backend server.
         service: Name of the service it belongs to.
         address: ``ip:port``.
-        failure_domain: Where it stands.
-        concurrency: Calls in flight that it takes at most.
-        checks_fencing: Whether it refuses orders with an old fencing number.
+        failure_domain: Name of the failure domain that it belongs to.
+        concurrency: Maximum number of calls in flight.
+        checks_fencing: Whether it refuses orders with a stale fencing token.
     """
 
     server: str
@@ -190,17 +192,17 @@
 
     @property
     def key(self) -> str:
-        """Returns the row's key."""
+        """Returns the primary key of the row."""
         return self.server
 
 
 @attrs.frozen
 class Limit:
-    """A named number that holds for the whole deployment.
+    """A limit that applies to the whole deployment.
 
     Attributes:
         name: One of the names in ``limits.KNOWN``.
-        value: The number, in the unit that the name ends in.
+        value: Value of the limit, in the unit that its name ends in, if any.
     """
 
     name: str
@@ -208,7 +210,7 @@
 
     @property
     def key(self) -> str:
-        """Returns the row's key."""
+        """Returns the primary key of the row."""
         return self.name
 
 
@@ -217,10 +219,11 @@
 
 @attrs.frozen(slots=False)
 class Table:
-    """All sheets, as one immutable value.
+    """An immutable table: the rows of all sheets by primary key.
 
     Attributes:
-        accounts: Client accounts by key; likewise the other sheets.
+        accounts: Client accounts by key. The other attributes hold the rows
+            of the other sheets in the same way.
     """
 
     accounts: dict[str, Account] = attrs.field(factory=dict)
@@ -233,7 +236,7 @@
 
     @cached_property
     def account_by_key_hash(self) -> dict[str, Account]:
-        """Client accounts by the SHA-256 of each of their keys."""
+        """Client accounts by the SHA-256 of each of their bearer keys."""
         return {
             key_hash: account
             for account in self.accounts.values()
@@ -242,7 +245,7 @@
 
     @cached_property
     def versions_by_model(self) -> dict[str, tuple[Version, ...]]:
-        """Each model's versions, in the order of their names."""
+        """Versions of each model, sorted by key."""
         grouped: dict[str, list[Version]] = {}
         for key in sorted(self.versions):
             version = self.versions[key]
@@ -251,7 +254,7 @@
 
     @cached_property
     def servers_by_service(self) -> dict[str, tuple[Server, ...]]:
-        """Each service's backend servers, in the order of their names."""
+        """Backend servers of each service, sorted by name."""
         grouped: dict[str, list[Server]] = {}
         for key in sorted(self.servers):
             server = self.servers[key]
@@ -259,24 +262,28 @@
         return {service: tuple(rows) for service, rows in grouped.items()}
 
     def grant_for(self, account: str, version: Version) -> Grant | None:
-        """Returns the grant that lets ``account`` use ``version``, if any."""
+        """Returns the grant of ``version`` to ``account``, if there is one.
+
+        A grant of the exact version takes precedence over one of the whole
+        model.
+        """
         exact = f"{account}/{version.model}@{version.version}"
-        whole_model = f"{account}/{version.model}@{ANY_VERSION}"
-        return self.grants.get(exact) or self.grants.get(whole_model)
+        all_versions = f"{account}/{version.model}@{ANY_VERSION}"
+        return self.grants.get(exact) or self.grants.get(all_versions)
 
     def limit(self, name: str, default: float) -> float:
-        """Returns the value of a named limit, or ``default``."""
+        """Returns the value of a limit, or ``default`` if it is not set."""
         row = self.limits.get(name)
         return row.value if row else default
 
 
 @attrs.frozen
 class TableInForce:
-    """A table together with the offset of the edit that made it.
+    """The active table and its revision.
 
     Attributes:
-        revision: Offset of the newest accepted edit; -1 before the first.
-        table: The rows.
+        revision: Offset of the latest accepted edit; -1 before the first.
+        table: The active table.
     """
 
     revision: int
--- a/src/hoistmoor/core/table/problems.py
+++ b/src/hoistmoor/core/table/problems.py
@@ -1,4 +1,4 @@
-"""What is wrong with a table, said so that an operator can mend it."""
+"""Faults of a table, described so that an operator can fix them."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 @attrs.frozen(order=True)
 class Fault:
-    """One thing that keeps a table from being accepted.
+    """A fault because of which a table is rejected.
 
     Attributes:
         sheet: Name of the sheet.
-        row: Key of the row; empty where the whole sheet is meant or the row
-            could not be read.
-        column: Name of the column; empty where the whole row is meant.
-        problem: What is wrong, one sentence without a full stop.
-        remedy: What to do about it, one sentence.
-        line: Line of the CSV file, the header being 1; 0 where unknown.
+        row: Key of the row; empty if the fault concerns the whole sheet or
+            the row could not be parsed.
+        column: Name of the column; empty if the fault concerns the whole row.
+        problem: Description of the fault, one sentence without a full stop.
+        remedy: How to fix it, one sentence.
+        line: Line number in the CSV file, counted from 1; 0 if unknown.
     """
 
     sheet: str
@@ -30,12 +30,12 @@
     line: int = 0
 
     def __str__(self) -> str:
-        """Returns the fault as one line."""
-        place = [f"{self.sheet}.csv"]
+        """Returns the fault as one line of text."""
+        location = [f"{self.sheet}.csv"]
         if self.line:
-            place.append(f"line {self.line}")
+            location.append(f"line {self.line}")
         if self.row:
-            place.append(f"row {self.row!r}")
+            location.append(f"row {self.row!r}")
         if self.column:
-            place.append(f"column {self.column}")
-        return f"{', '.join(place)}: {self.problem}. {self.remedy}"
+            location.append(f"column {self.column}")
+        return f"{', '.join(location)}: {self.problem}. {self.remedy}"
--- a/src/hoistmoor/core/table/replay.py
+++ b/src/hoistmoor/core/table/replay.py
@@ -1,9 +1,10 @@
-"""How a host comes to the table in force, and stays there.
+"""Replay of the table's stream, from the start of a host onwards.
 
-A host that starts reads the retained records of the table's stream. Where
-retention has taken the beginning, it needs a snapshot that stands for all
-records taken: one with every record after its ``as_of`` still there. From
-then on snapshots mean nothing to it, so that a late one cannot revert it.
+A starting host reads the retained records of the table's stream. If retention
+has deleted the first records, the host needs a snapshot that covers all deleted
+records: every record after its ``as_of`` must still be retained. Once the host
+has a table, it ignores snapshots on the log, so that a delayed snapshot cannot
+revert the table.
 """
 
 from __future__ import annotations
@@ -18,33 +19,33 @@
 from hoistmoor.core.table import model
 from hoistmoor.core.table import snapshots
 
-_KEPT_SKIPS = 20
+_MAX_RECENT_SKIPS = 20
 
 
 class TableHistoryLostError(errors.HoistmoorError):
-    """The log holds no snapshot from which a host can start.
+    """The log holds no snapshot that covers the deleted records.
 
     Attributes:
-        first: The oldest offset that can still be read.
+        first: Lowest offset that is still retained.
     """
 
     def __init__(self, first: int) -> None:
         super().__init__(
-            f"the log's first table record is {first} and no snapshot there "
-            "stands for those before it",
-            "Let a host that has the table give it, or publish all sheets "
-            "anew to a new log.",
+            f"the first retained table record is {first} and no snapshot on "
+            "the log covers the records before it",
+            "Connect the host to a peer that has the table, or publish all "
+            "sheets to a new log.",
         )
         self.first = first
 
 
 @attrs.frozen
 class Skipped:
-    """A record that somebody should look at.
+    """A skipped record that an operator should inspect.
 
     Attributes:
-        offset: Its offset.
-        problem: Why.
+        offset: Offset of the record.
+        problem: Why it was skipped.
     """
 
     offset: int
@@ -52,100 +53,107 @@
 
 
 class TableReplay:
-    """Follows the table's stream from any start.
+    """Replays the table's stream from any retained offset.
 
     Attributes:
-        fold: The table as far as it is known; None before a start is found.
-        skipped: How many records could not be read or are wrong.
-        last_skipped: The latest of them.
+        fold: State after the records applied so far; None until the replay
+            has the first record or a usable snapshot.
+        skipped: Number of records that were skipped as suspect.
+        last_skipped: The most recently skipped records.
     """
 
     def __init__(self) -> None:
         self.fold: fold.TableFold | None = None
         self.skipped = 0
         self.last_skipped: collections.deque[Skipped] = collections.deque(
-            maxlen=_KEPT_SKIPS
+            maxlen=_MAX_RECENT_SKIPS
         )
         self._first = 0
-        self._seeking = True
-        self._pending: list[tuple[int, object]] = []
+        self._needs_snapshot = True
+        self._buffered: list[tuple[int, object]] = []
 
     @property
     def in_force(self) -> model.TableInForce | None:
-        """Returns the table in force, if any edit is known."""
+        """Returns the active table, or None before the first edit."""
         if self.fold is None or self.fold.in_force.revision < 0:
             return None
         return self.fold.in_force
 
     @property
     def next_offset(self) -> int:
-        """Returns the offset from which to read on."""
-        if self._pending:
-            return self._pending[-1][0] + 1
-        if self._seeking or self.fold is None:
+        """Returns the offset of the next record to read."""
+        if self._buffered:
+            return self._buffered[-1][0] + 1
+        if self._needs_snapshot or self.fold is None:
             return self._first
         return self.fold.as_of + 1
 
     @property
     def problem(self) -> TableHistoryLostError | None:
-        """Returns why no newer table can be had from the records read."""
-        if self._seeking and self._first > 0:
+        """Returns the error while the replay waits for a usable snapshot."""
+        if self._needs_snapshot and self._first > 0:
             return TableHistoryLostError(self._first)
         return None
 
     def begin(self, first: int) -> None:
-        """Starts, or starts over because retention overtook the reader.
+        """Starts, or restarts after retention has overtaken the reader.
 
         Args:
-            first: The oldest offset that can still be read.
+            first: Lowest offset that is still retained.
         """
         self._first = first
-        self._pending = []
+        self._buffered = []
         if self.fold is None and first == 0:
             self.fold = fold.TableFold()
-        # A fold that the retained records continue needs no snapshot.
-        self._seeking = self.fold is None or self.fold.as_of + 1 < first
+        # No snapshot is needed if the retained records continue the fold.
+        self._needs_snapshot = self.fold is None or self.fold.as_of + 1 < first
 
     def feed(self, offset: int, payload: bytes) -> tuple[fold.Verdict, ...]:
-        """Takes the next record of the stream.
+        """Applies the next record of the stream, or buffers it.
+
+        Records are buffered until a usable snapshot arrives.
 
         Returns:
-            What became of it and of records that waited for a start.
+            The verdicts on the record and on the buffered records that were
+            applied with it.
 
         Raises:
-            TableGapError: Records between are missing; read them first.
+            TableGapError: Preceding records are missing and must be read
+                first.
         """
         record = fold.read_record(payload)
-        if not self._seeking and self.fold is not None:
+        if not self._needs_snapshot and self.fold is not None:
             return (self._apply(self.fold, offset, record),)
-        self._pending.append((offset, record))
+        self._buffered.append((offset, record))
         if not isinstance(record, edits.TableSnapshot):
             return ()
         if not snapshots.is_usable(record, offset, self._first):
             return ()
-        return self._adopt(record)
+        return self._resume_from(record)
 
     def offer(self, snapshot: edits.TableSnapshot) -> bool:
-        """Takes a table from a peer if it is newer than this host's.
+        """Adopts a snapshot from a peer if it is newer than the own state.
 
         Returns:
-            Whether it was newer.
+            Whether the snapshot was newer.
         """
         if self.fold is not None and not _is_newer(snapshot, self.fold):
             return False
-        self._adopt(snapshot)
+        self._resume_from(snapshot)
         return True
 
-    def _adopt(self, snapshot: edits.TableSnapshot) -> tuple[fold.Verdict, ...]:
-        """Starts from ``snapshot`` unless this host knows more already."""
+    def _resume_from(
+        self, snapshot: edits.TableSnapshot
+    ) -> tuple[fold.Verdict, ...]:
+        """Resumes from the newer of ``snapshot`` and the own state."""
         if self.fold is None or _is_newer(snapshot, self.fold):
             self.fold = fold.TableFold.from_snapshot(snapshot)
         current = self.fold
-        pending = [item for item in self._pending if item[0] > current.as_of]
+        pending = [item for item in self._buffered if item[0] > current.as_of]
         if pending and pending[0][0] > current.as_of + 1:
             return ()
-        self._pending = []
-        self._seeking = current.as_of + 1 < self._first
+        self._buffered = []
+        self._needs_snapshot = current.as_of + 1 < self._first
         return tuple(
             self._apply(current, offset, record) for offset, record in pending
         )
@@ -161,7 +169,7 @@
 
 
 def _is_newer(snapshot: edits.TableSnapshot, current: fold.TableFold) -> bool:
-    """Returns whether ``snapshot`` knows more, and takes nothing back."""
+    """Returns whether ``snapshot`` is ahead and reverts no accepted edit."""
     return (
         snapshot.as_of > current.as_of
         and snapshot.revision >= current.in_force.revision
--- a/src/hoistmoor/core/table/sheets.py
+++ b/src/hoistmoor/core/table/sheets.py
@@ -1,7 +1,7 @@
-"""The table as CSV sheets, which a spreadsheet opens.
+"""Parsing and rendering of the table as CSV sheets.
 
-Each sheet is one row class of ``model``; its columns are the class's
-attributes. A cell with several words separates them by spaces.
+Each sheet corresponds to a row class of ``model`` and has a column for each
+attribute of that class. Lists in a cell are separated by spaces.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
     """One sheet of the table.
 
     Attributes:
-        name: Its name, also the attribute of ``model.Table`` that holds it.
-        row_class: The class of its rows.
-        columns: Its columns, in the order of the header.
+        name: Name of the sheet and of its attribute in ``model.Table``.
+        row_class: Class of its rows.
+        columns: Columns in the order of the header.
     """
 
     name: str
@@ -40,27 +40,27 @@
         return [column.name for column in self.columns]
 
 
-def _sheet(name: str, row_class: type[Any]) -> Sheet:
+def _make_sheet(name: str, row_class: type[Any]) -> Sheet:
     return Sheet(name, row_class, columns.columns_of(row_class))
 
 
 SHEETS: dict[str, Sheet] = {
     sheet.name: sheet
     for sheet in (
-        _sheet("accounts", model.Account),
-        _sheet("versions", model.Version),
-        _sheet("grants", model.Grant),
-        _sheet("services", model.Service),
-        _sheet("calls", model.Call),
-        _sheet("servers", model.Server),
-        _sheet("limits", model.Limit),
+        _make_sheet("accounts", model.Account),
+        _make_sheet("versions", model.Version),
+        _make_sheet("grants", model.Grant),
+        _make_sheet("services", model.Service),
+        _make_sheet("calls", model.Call),
+        _make_sheet("servers", model.Server),
+        _make_sheet("limits", model.Limit),
     )
 }
 
 
 @attrs.frozen(order=True)
 class RowName:
-    """Names one row of the table.
+    """Identifies a row of the table.
 
     Attributes:
         sheet: Name of the sheet.
@@ -71,19 +71,19 @@
     key: str
 
     def __str__(self) -> str:
-        """Returns the form used in messages."""
+        """Returns the text for messages."""
         return f"{self.sheet} row {self.key!r}"
 
 
 @attrs.frozen
 class SheetsResult:
-    """What a directory of sheets holds.
+    """Result of parsing the sheets of a table.
 
     Attributes:
-        table: The rows. Cells that could not be read hold neutral values,
-            so it is fit for use only where there are no faults.
-        faults: Everything that is wrong.
-        lines: Where each row stands in its sheet, the header being line 1.
+        table: The parsed rows. Cells that failed to parse hold placeholders,
+            so the table must be used only if there are no faults.
+        faults: All faults found.
+        lines: Line number of each row in its sheet, counted from 1.
     """
 
     table: model.Table
@@ -91,7 +91,7 @@
     lines: Mapping[RowName, int]
 
     def locate(self, fault: problems.Fault) -> problems.Fault:
-        """Returns ``fault`` with the line of its row filled in."""
+        """Returns ``fault`` with the line number of its row."""
         line = self.lines.get(RowName(fault.sheet, fault.row), fault.line)
         return attrs.evolve(fault, line=line)
 
@@ -103,27 +103,27 @@
 
 
 def parse_sheets(files: Mapping[str, str]) -> SheetsResult:
-    """Reads a table from the text of its sheets.
+    """Parses a table from the text of its sheets.
 
     Args:
         files: Text of each sheet by file name, such as ``accounts.csv``.
 
     Returns:
-        The rows read and every fault of form. References between rows are
-        for ``check.check_table``.
+        The parsed rows and all parse faults. References between rows are
+        validated by ``check.check_table``.
     """
-    reader = _Reader()
+    parser = _Parser()
     for unknown in sorted(set(files) - {name + SUFFIX for name in SHEETS}):
-        reader.report_file(unknown)
+        parser.report_unknown_file(unknown)
     for sheet in SHEETS.values():
-        reader.read_sheet(sheet, files.get(sheet.name + SUFFIX))
+        parser.parse_sheet(sheet, files.get(sheet.name + SUFFIX))
     return SheetsResult(
-        model.Table(**reader.rows), tuple(reader.faults), reader.lines
+        model.Table(**parser.rows), tuple(parser.faults), parser.lines
     )
 
 
 def render_sheets(table: model.Table) -> dict[str, str]:
-    """Returns the text of each sheet by file name, rows in key order."""
+    """Returns the text of each sheet by file name, rows sorted by key."""
     return {
         sheet.name + SUFFIX: _render(sheet, rows_of(table, sheet.name))
         for sheet in SHEETS.values()
@@ -143,26 +143,26 @@
 
 
 @attrs.define
-class _Reader:
-    """Collects rows and faults over all sheets."""
+class _Parser:
+    """Parser that accumulates rows and faults across sheets."""
 
     rows: dict[str, dict[str, Any]] = attrs.field(factory=dict)
     faults: list[problems.Fault] = attrs.field(factory=list)
     lines: dict[RowName, int] = attrs.field(factory=dict)
 
-    def report_file(self, file_name: str) -> None:
+    def report_unknown_file(self, file_name: str) -> None:
         sheet = file_name.removesuffix(SUFFIX)
         self.faults.append(
             problems.Fault(
                 sheet,
                 problems.WHOLE_SHEET,
                 problems.WHOLE_ROW,
-                "there is no sheet of that name",
-                f"Remove the file; the sheets are {', '.join(SHEETS)}.",
+                "there is no sheet with this name",
+                f"Remove the file; the known sheets are {', '.join(SHEETS)}.",
             )
         )
 
-    def read_sheet(self, sheet: Sheet, text: str | None) -> None:
+    def parse_sheet(self, sheet: Sheet, text: str | None) -> None:
         self.rows[sheet.name] = {}
         header = ",".join(sheet.header)
         if text is None:
@@ -177,33 +177,33 @@
             self._report(sheet, 1, "", problem, f"Write the header {header}.")
             return
         for cells in self._records(sheet, lines):
-            self._read_row(sheet, lines.line_num, cells)
+            self._parse_row(sheet, lines.line_num, cells)
 
     def _records(self, sheet: Sheet, lines: Any) -> Iterator[list[str]]:
-        """Yields the rows that are not blank, up to unreadable CSV."""
+        """Yields the rows that are not blank, up to the first CSV error."""
         try:
             for cells in lines:
                 if any(cell.strip() for cell in cells):
                     yield cells
         except csv.Error as error:
-            problem = f"the rest of the sheet is not CSV ({error})"
+            problem = f"the rest of the sheet is not valid CSV ({error})"
             remedy = "Save the sheet again as CSV."
             self._report(sheet, lines.line_num, "", problem, remedy)
 
-    def _read_row(self, sheet: Sheet, line: int, cells: list[str]) -> None:
-        wanted = len(sheet.columns)
-        if len(cells) != wanted:
-            problem = f"the row has {len(cells)} cells instead of {wanted}"
-            remedy = "Give each column one cell; quote a cell with a comma."
+    def _parse_row(self, sheet: Sheet, line: int, cells: list[str]) -> None:
+        expected = len(sheet.columns)
+        if len(cells) != expected:
+            problem = f"the row has {len(cells)} cells instead of {expected}"
+            remedy = "Write one cell per column; quote a cell that has a comma."
             self._report(sheet, line, "", problem, remedy)
             return
-        values = self._read_cells(sheet, line, cells)
+        values = self._parse_cells(sheet, line, cells)
         self._add_row(sheet, line, sheet.row_class(**values))
 
-    def _read_cells(
+    def _parse_cells(
         self, sheet: Sheet, line: int, cells: list[str]
     ) -> dict[str, Any]:
-        """Returns the row's values, with neutral ones for bad cells."""
+        """Returns the cell values, with placeholders for invalid cells."""
         values: dict[str, Any] = {}
         for column, cell in zip(sheet.columns, cells, strict=True):
             try:
@@ -216,8 +216,10 @@
     def _add_row(self, sheet: Sheet, line: int, row: Any) -> None:
         name = RowName(sheet.name, row.key)
         if name in self.lines:
-            problem = f"the row stands already on line {self.lines[name]}"
-            self._report(sheet, line, "", problem, "Remove one.", row.key)
+            problem = f"the row is already on line {self.lines[name]}"
+            self._report(
+                sheet, line, "", problem, "Remove one of them.", row.key
+            )
             return
         self.lines[name] = line
         self.rows[sheet.name][row.key] = row
--- a/src/hoistmoor/core/table/snapshots.py
+++ b/src/hoistmoor/core/table/snapshots.py
@@ -1,8 +1,8 @@
-"""When the table's snapshot is appended to the log again.
+"""Schedule for appending snapshots of the table to the log.
 
-Retention takes old records, and with them the edits that made the table. A
-snapshot stands for them. It must be renewed while the last one can still be
-used, on an idle log too.
+Retention deletes old records, including the edits that produced the table. A
+snapshot replaces them. A new one must be appended while the previous one is
+still usable, even if the log is idle.
 """
 
 from __future__ import annotations
@@ -14,20 +14,22 @@
 from hoistmoor.core.table import fold
 from hoistmoor.core.table import limits
 
-# Replaying this many edits of a table of 2,000 rows takes about a second.
+# Replaying 200 edits of a table of 2,000 rows takes about a second.
 MAX_RECORDS_BETWEEN = 200
-MIN_SECONDS_BETWEEN = 10.0  # Even where retention is close.
+MIN_SECONDS_BETWEEN = (
+    10.0  # Holds even if retention is about to delete the last one.
+)
 
 
 @attrs.frozen
 class LogState:
-    """What is known of the table's stream.
+    """State of the table's stream as known to the steward.
 
     Attributes:
-        first: The oldest offset that can still be read.
-        next: The offset that the next record will get.
-        snapshot_as_of: ``as_of`` of the newest snapshot seen; -1 for none.
-        snapshot_at: When that snapshot was appended, seconds since the epoch.
+        first: Lowest offset that is still retained.
+        next: Offset of the next record to be appended.
+        snapshot_as_of: ``as_of`` of the latest snapshot read; -1 if none.
+        snapshot_at: When it was appended, in seconds since the epoch.
     """
 
     first: int
@@ -37,12 +39,12 @@
 
 
 def is_usable(snapshot: edits.TableSnapshot, offset: int, first: int) -> bool:
-    """Returns whether a host can start from a snapshot on the log.
+    """Returns whether a starting host can use a snapshot on the log.
 
     Args:
         snapshot: The snapshot.
-        offset: Its own offset.
-        first: The oldest offset that can still be read.
+        offset: Offset of the snapshot record itself.
+        first: Lowest offset that is still retained.
     """
     return first - 1 <= snapshot.as_of < offset
 
@@ -51,8 +53,8 @@
     """Returns whether the steward should append a snapshot now.
 
     Args:
-        current: The steward's own fold.
-        log: What it knows of the stream.
+        current: The steward's fold.
+        log: State of the stream.
         now: Seconds since the epoch.
     """
     if current.in_force.revision < 0:
@@ -64,16 +66,16 @@
         return True
     if current.as_of - log.snapshot_as_of >= MAX_RECORDS_BETWEEN:
         return True
-    return _is_in_older_half(log)
+    return _is_retention_close(log)
 
 
-def _is_in_older_half(log: LogState) -> bool:
-    """Returns whether retention has come half-way to the snapshot's end."""
+def _is_retention_close(log: LogState) -> bool:
+    """Returns whether the snapshot is in the older half of the log."""
     if log.first == 0:
         return False
     return log.snapshot_as_of - log.first < log.next - log.snapshot_as_of
 
 
 def make(current: fold.TableFold) -> bytes:
-    """Returns the payload of a snapshot of ``current``."""
+    """Returns the encoded snapshot of ``current``."""
     return codec.encode(current.snapshot())
