--- a/tests/core/table/conftest.py
+++ b/tests/core/table/conftest.py
@@ -1,4 +1,4 @@
-"""A small sound table and edits of it."""
+"""Fixtures: a small valid table and a fold that holds it."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 @pytest.fixture
 def started(table: model.Table) -> fold.TableFold:
-    """A fold whose record 0 made ``table``."""
+    """A fold at offset 0, whose active table is ``table``."""
     current = fold.TableFold()
-    whole = edits.diff(model.Table(), table)
+    changes = edits.diff(model.Table(), table)
     assert isinstance(
-        current.apply(0, table_cases.edit("0", -1, *whole)), fold.Accepted
+        current.apply(0, table_cases.edit("0", -1, *changes)), fold.Accepted
     )
     return current
--- a/tests/core/table/table_cases.py
+++ b/tests/core/table/table_cases.py
@@ -1,4 +1,4 @@
-"""Rows and edits that the tests of the table use."""
+"""Builders of rows, edits and tables for the table tests."""
 
 from __future__ import annotations
 
--- a/tests/core/table/table_history.py
+++ b/tests/core/table/table_history.py
@@ -1,8 +1,8 @@
 # ruff: noqa: D102
-"""A log, hosts, operators and a steward in one process, and their checker.
+"""In-process model of the log and the hosts, with an invariant checker.
 
-The checker knows nothing of the fold's rules. It reads what each host said of
-each offset and decides what must always hold of the table.
+The checker is independent of the fold's rules. It compares the verdicts and
+states of all hosts at each offset and raises if an invariant is violated.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 
 class BrokenPromiseError(AssertionError):
-    """Something that must always hold of the table did not."""
+    """An invariant of the table was violated."""
 
 
 @attrs.define
 class Log:
-    """The table's stream, with retention."""
+    """The table's stream. Records before ``first`` are deleted."""
 
     payloads: list[bytes] = attrs.field(factory=list)
     first: int = 0
@@ -37,7 +37,7 @@
 
 @attrs.define
 class History:
-    """What hosts and operators saw, and what must hold of it."""
+    """Observations of all hosts, checked against the invariants."""
 
     verdict_by_offset: dict[int, fold.Verdict] = attrs.field(factory=dict)
     table_by_revision: dict[int, model.Table] = attrs.field(factory=dict)
@@ -46,48 +46,68 @@
     changed_at: dict[sheets.RowName, list[int]] = attrs.field(factory=dict)
 
     def see_verdict(self, verdict: fold.Verdict) -> None:
-        """Hosts agree; an edit's first copy decides; a race has one winner."""
+        """Checks a verdict.
+
+        All hosts agree on it, only the first copy of an edit can be accepted,
+        and an accepted edit overwrites no change that its author had not read.
+        """
         known = self.verdict_by_offset.setdefault(verdict.offset, verdict)
         if known != verdict:
-            raise BrokenPromiseError(f"two verdicts: {known} and {verdict}")
+            raise BrokenPromiseError(f"verdicts differ: {known} and {verdict}")
         if known is not verdict or isinstance(verdict, fold.Ignored):
             return
         first = self.judged.setdefault(verdict.edit.edit_id, verdict.offset)
         if isinstance(verdict, fold.Accepted):
             if first != verdict.offset:
-                raise BrokenPromiseError(f"judged at {first}, but {verdict}")
-            self._see_accepted(verdict)
+                raise BrokenPromiseError(
+                    f"first processed at {first}, but {verdict}"
+                )
+            self._check_accepted(verdict)
 
-    def _see_accepted(self, verdict: fold.Accepted) -> None:
+    def _check_accepted(self, verdict: fold.Accepted) -> None:
         for change in verdict.edit.changes:
-            before = self.changed_at.setdefault(change.name, [])
-            unseen = [at for at in before if at > verdict.edit.base_revision]
-            if unseen:
-                raise BrokenPromiseError(f"{verdict} undoes unseen {unseen}")
-            before.append(verdict.offset)
+            previous = self.changed_at.setdefault(change.name, [])
+            unread = [
+                offset
+                for offset in previous
+                if offset > verdict.edit.base_revision
+            ]
+            if unread:
+                raise BrokenPromiseError(
+                    f"{verdict} overwrites unread changes {unread}"
+                )
+            previous.append(verdict.offset)
 
     def see_state(self, before: int, current: fold.TableFold) -> None:
-        """Hosts at one offset hold one state; revisions never go down."""
+        """Checks the state of a host.
+
+        The revision never decreases, the active table is valid, and all hosts
+        at the same offset have the same state.
+        """
         revision = current.in_force.revision
         if revision < before:
-            raise BrokenPromiseError(f"{before} was reverted to {revision}")
+            raise BrokenPromiseError(
+                f"revision {before} was reverted to {revision}"
+            )
         if revision not in self.table_by_revision:
             faults = check.check_table(current.in_force.table)
             if faults:
-                raise BrokenPromiseError(f"unsound in force: {faults}")
+                raise BrokenPromiseError(
+                    f"the active table is invalid: {faults}"
+                )
         table = self.table_by_revision.setdefault(
             revision, current.in_force.table
         )
         if table != current.in_force.table:
-            raise BrokenPromiseError(f"two tables at revision {revision}")
+            raise BrokenPromiseError(f"tables differ at revision {revision}")
         state = codec.encode(current.snapshot())
         if self.state_by_as_of.setdefault(current.as_of, state) != state:
-            raise BrokenPromiseError(f"two states at offset {current.as_of}")
+            raise BrokenPromiseError(f"states differ at offset {current.as_of}")
 
 
 @attrs.define
 class Host:
-    """One entry host; a restart forgets all."""
+    """An entry host. A restart discards its state."""
 
     history: History
     replay: replay.TableReplay = attrs.field(factory=replay.TableReplay)
@@ -100,7 +120,7 @@
         self.revision = -1
 
     def read(self, log: Log, count: int) -> None:
-        """Reads up to ``count`` records, as the follower does."""
+        """Reads up to ``count`` records in the way of the table follower."""
         if not self.begun or self.replay.next_offset < log.first:
             self.replay.begin(log.first)
             self.begun = True
@@ -110,15 +130,17 @@
             payload = log.payloads[offset]
             for verdict in self.replay.feed(offset, payload):
                 self.history.see_verdict(verdict)
-            self._note()
+            self._check_state()
         current = self.replay.fold
         if not is_starting or current is None:
             return
         if current.as_of + 1 < log.first:
-            raise BrokenPromiseError("started from a table out of reach")
+            raise BrokenPromiseError(
+                "started from a snapshot that the log does not continue"
+            )
 
     def take_from(self, peer: Host) -> None:
-        """Takes the table of another host, as it was offered."""
+        """Receives a snapshot of the current table of another host."""
         if peer.replay.fold is None:
             return
         offer = codec.decode(snapshots.make(peer.replay.fold))
@@ -126,9 +148,9 @@
 
     def take(self, offer: edits.TableSnapshot) -> None:
         self.replay.offer(offer)
-        self._note()
+        self._check_state()
 
-    def _note(self) -> None:
+    def _check_state(self) -> None:
         if self.replay.fold is not None:
             self.history.see_state(self.revision, self.replay.fold)
             self.revision = self.replay.fold.in_force.revision
--- a/tests/core/table/test_table_fold.py
+++ b/tests/core/table/test_table_fold.py
@@ -1,4 +1,4 @@
-"""Which edits the fold accepts, one hard case a test."""
+"""Tests of the fold: one edge case of accepting or rejecting an edit each."""
 
 from __future__ import annotations
 
@@ -27,16 +27,18 @@
 def test_a_race_has_one_winner_and_the_loser_learns_who_and_where(
     started: fold.TableFold,
 ) -> None:
-    won = make.edit("a", 0, make.add_account("ann", 5), author="ann")
-    lost = make.edit("b", 0, make.add_account("ann", 7), author="bo")
+    first = make.edit("a", 0, make.add_account("ann", 5), author="ann")
+    second = make.edit("b", 0, make.add_account("ann", 7), author="bo")
 
-    started.apply(1, won)
-    verdict = started.apply(2, lost)
+    started.apply(1, first)
+    verdict = started.apply(2, second)
 
-    clash = fold.Clash(sheets.RowName("accounts", "ann"), "ann", 1)
+    conflict = fold.Clash(sheets.RowName("accounts", "ann"), "ann", 1)
     assertions.assert_that(
         verdict,
-        matchers.Equals(fold.Rejected(2, lost, fold.Why.ROW_CHANGED, (clash,))),
+        matchers.Equals(
+            fold.Rejected(2, second, fold.Why.ROW_CHANGED, (conflict,))
+        ),
     )
     assert started.in_force.revision == 1
     assert started.in_force.table.accounts["ann"].spend_limit == 5
@@ -89,7 +91,8 @@
 def test_the_second_copy_of_an_edit_changes_nothing(
     started: fold.TableFold,
 ) -> None:
-    # The first copy fails; what it lacked then comes; the copy must not land.
+    # The first copy is rejected because its account is missing. The second
+    # copy would be valid, but the verdict on the first is final.
     grant = model.Grant("bo", "m", "1", 0.5)
     copy = make.edit("g", 0, edits.RowSet("grants", grant.key, grant))
     started.apply(1, copy)
@@ -131,10 +134,10 @@
     monkeypatch.setattr(memory, "REMEMBERED_RECORDS", 3)
     grant = model.Grant("bo", "m", "1", 0.5)
     copy = make.edit("g", 0, edits.RowSet("grants", grant.key, grant))
-    started.apply(1, copy)  # Rejected: there is no such account.
+    started.apply(1, copy)  # Rejected: the account is missing.
     started.apply(2, make.edit("a", 1, make.add_account("bo")))
     for offset in (3, 4):
-        started.apply(offset, fold.Undecodable("noise"))
+        started.apply(offset, fold.Undecodable("malformed"))
 
     assert started.apply(5, copy).why is fold.Why.BASE_TOO_OLD
     assert len(started.snapshot().recent_edits) <= 4
@@ -149,8 +152,8 @@
         started.apply(
             offset, make.edit(name, offset - 1, make.add_account(name))
         )
-        gone = edits.RowDelete("accounts", name)
-        started.apply(offset + 1, make.edit(f"d{offset}", offset, gone))
+        deletion = edits.RowDelete("accounts", name)
+        started.apply(offset + 1, make.edit(f"d{offset}", offset, deletion))
 
     assert len(started.snapshot().marks["accounts"]) <= 8
 
@@ -179,10 +182,12 @@
 def test_a_cell_of_a_wrong_type_makes_the_record_unreadable(
     table: model.Table,
 ) -> None:
-    whole = codec.encode(make.edit("a", -1, *edits.diff(model.Table(), table)))
-    hazard = whole.replace(b'"idempotent":false', b'"idempotent":"no"')
-    assert hazard != whole
-    assert isinstance(fold.read_record(hazard), fold.Undecodable)
+    payload = codec.encode(
+        make.edit("a", -1, *edits.diff(model.Table(), table))
+    )
+    mistyped = payload.replace(b'"idempotent":false', b'"idempotent":"no"')
+    assert mistyped != payload
+    assert isinstance(fold.read_record(mistyped), fold.Undecodable)
 
 
 def test_an_edit_of_an_unknown_schema_is_skipped(
@@ -250,13 +255,15 @@
 
 
 def _paths(node: object, path: tuple[object, ...] = ()) -> list[Any]:
-    """Returns the way to each place in a JSON value."""
+    """Returns the paths of all values inside a JSON value."""
     items: list[tuple[Any, Any]] = []
     if isinstance(node, dict):
         items = list(node.items())
     elif isinstance(node, list):
         items = list(enumerate(node))
-    below = [way for key, value in items for way in _paths(value, (*path, key))]
+    below = [
+        inner for key, value in items for inner in _paths(value, (*path, key))
+    ]
     return [path, *below] if path else below
 
 
@@ -265,19 +272,20 @@
 def test_no_record_whatever_it_holds_breaks_the_fold(
     data: strategies.DataObject,
 ) -> None:
-    # A host that stopped at a strange record would take all hosts with it.
+    # Every host reads the same records, so one on which the fold raises would
+    # stop all hosts.
     current = fold.TableFold()
-    whole = edits.diff(model.Table(), make.small_table())
-    current.apply(0, make.edit("0", -1, *whole))
+    changes = edits.diff(model.Table(), make.small_table())
+    current.apply(0, make.edit("0", -1, *changes))
     record = data.draw(
         strategies.sampled_from(
-            [make.edit("1", 0, *whole[:4]), current.snapshot()]
+            [make.edit("1", 0, *changes[:4]), current.snapshot()]
         )
     )
     fields = orjson.loads(codec.encode(record))
-    way = data.draw(strategies.sampled_from(_paths(fields)))
-    target = functools.reduce(lambda node, key: node[key], way[:-1], fields)
-    target[way[-1]] = data.draw(_JSON)
+    path = data.draw(strategies.sampled_from(_paths(fields)))
+    target = functools.reduce(lambda node, key: node[key], path[:-1], fields)
+    target[path[-1]] = data.draw(_JSON)
 
     verdict = current.apply(1, fold.read_record(orjson.dumps(fields)))
 
@@ -288,6 +296,7 @@
 
 
 def test_rules_of_a_published_schema_stay(table: model.Table) -> None:
-    # A change of schema 1's verdicts would part hosts of two releases.
+    # If the verdicts of schema 1 changed, hosts of different releases would
+    # diverge.
     assert list(check.RULES) == [1]
     assert check.RULES[1](table) == ()
--- a/tests/core/table/test_table_golden.py
+++ b/tests/core/table/test_table_golden.py
@@ -1,7 +1,8 @@
-"""A whole session of racing operators, as it stands on the log.
+"""Golden test: replay of a recorded log of concurrent edits.
 
-``racing_edits.jsonl`` holds the stream, a record a line. Two releases must
-judge it alike, so neither file changes once released.
+``racing_edits.jsonl`` holds the stream, one record per line. All releases must
+reach the same verdicts, so the recording and the golden files must not change
+once released.
 """
 
 from __future__ import annotations
@@ -17,11 +18,11 @@
 from hoistmoor.core.table import sheets
 
 _FIXTURES = pathlib.Path(__file__).parents[2] / "fixtures" / "table"
-_SHOWN = ("accounts.csv", "versions.csv", "grants.csv")
+_SHOWN_SHEETS = ("accounts.csv", "versions.csv", "grants.csv")
 
 
-def _tell(first: int) -> str:
-    """Returns what a host says that starts where retention left ``first``."""
+def _replay(first: int) -> str:
+    """Returns the verdicts and the table of a host that starts at ``first``."""
     payloads = (_FIXTURES / "racing_edits.jsonl").read_bytes().splitlines()
     host = replay.TableReplay()
     host.begin(first)
@@ -32,7 +33,7 @@
     assert host.in_force is not None
     lines.append(f"\nrevision {host.in_force.revision}")
     files = sheets.render_sheets(host.in_force.table)
-    lines.extend(f"\n{name}\n{files[name].rstrip()}" for name in _SHOWN)
+    lines.extend(f"\n{name}\n{files[name].rstrip()}" for name in _SHOWN_SHEETS)
     return "\n".join(lines) + "\n"
 
 
@@ -42,4 +43,4 @@
 )
 def test_the_session_reads_as_it_always_did(first: int, golden: str) -> None:
     expected = (_FIXTURES / golden).read_text(encoding="utf-8")
-    assertions.assert_that(_tell(first), matchers.Equals(expected))
+    assertions.assert_that(_replay(first), matchers.Equals(expected))
--- a/tests/core/table/test_table_replay.py
+++ b/tests/core/table/test_table_replay.py
@@ -1,4 +1,4 @@
-"""Starting and going on where retention has taken the beginning."""
+"""Tests of replay when retention has deleted the first records."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def payloads() -> list[bytes]:
-    """Records 0 to 9: each adds an account; all are accepted."""
+    """Records 0 to 9. Each adds an account and is accepted."""
     return [
         codec.encode(make.edit(str(n), n - 1, make.add_account(f"a{n}")))
         for n in range(10)
@@ -23,11 +23,11 @@
 
 
 def _follow(payloads: list[bytes], first: int = 0) -> replay.TableReplay:
-    found = replay.TableReplay()
-    found.begin(first)
+    follower = replay.TableReplay()
+    follower.begin(first)
     for offset in range(first, len(payloads)):
-        found.feed(offset, payloads[offset])
-    return found
+        follower.feed(offset, payloads[offset])
+    return follower
 
 
 def _snapshot(payloads: list[bytes], as_of: int) -> edits.TableSnapshot:
@@ -138,13 +138,14 @@
 @pytest.mark.parametrize(
     ("log", "now", "due"),
     [
-        # None yet; then one so young that nothing is due.
+        # No snapshot yet, then snapshots that are still recent.
         (snapshots.LogState(0, 10), 1000.0, True),
         (snapshots.LogState(0, 10, 8, 1000.0), 1005.0, False),
         (snapshots.LogState(0, 10, 8, 1000.0), 1599.0, False),
-        # An idle log: retention by age would take the last one.
+        # Idle log: retention by age would delete the last snapshot.
         (snapshots.LogState(0, 10, 8, 1000.0), 1600.0, True),
-        # Retention by count has come half-way to it.
+        # Not yet, then in the older half of the log: retention by count
+        # would delete the snapshot.
         (snapshots.LogState(2, 40, 30, 1000.0), 1020.0, False),
         (snapshots.LogState(22, 40, 30, 1000.0), 1020.0, True),
     ],
--- a/tests/core/table/test_table_sheets.py
+++ b/tests/core/table/test_table_sheets.py
@@ -1,4 +1,4 @@
-"""Sheets: what operators write, and what they are told about it."""
+"""Tests of parsing, validating and rendering sheets."""
 
 from __future__ import annotations
 
@@ -46,10 +46,10 @@
         matchers.Equals(
             {
                 ("accounts", 3, "spend_limit"),
-                ("accounts", 4, ""),  # The same row twice.
+                ("accounts", 4, ""),  # Duplicate row.
                 ("accounts", 5, "account"),
                 ("accounts", 6, ""),  # Too few cells.
-                ("calls", 2, "service"),  # All services are missing.
+                ("calls", 2, "service"),  # The services sheet is missing.
                 ("calls", 3, "service"),
                 ("calls", 3, "idempotent"),
                 ("calls", 3, "priority"),
--- a/tests/core/table/test_table_stateful.py
+++ b/tests/core/table/test_table_stateful.py
@@ -1,8 +1,9 @@
 # ruff: noqa: D102
-"""Interleavings of hosts, operators, retention, late snapshots and peers.
+"""Stateful test of hosts, operators, retention, snapshots and peers.
 
-The same machine runs with one mechanism taken out at a time; the checker must
-notice each.
+Hypothesis interleaves their steps and ``table_history`` checks the invariants.
+The mutation tests disable one mechanism at a time; the checker must detect
+each.
 """
 
 from __future__ import annotations
@@ -28,9 +29,12 @@
 
 _HOSTS = strategies.integers(0, 2)
 _NAMES = strategies.sampled_from(["ann", "bo"])
-_LONG_AGO = 10  # Records; small, so that the bound is met often.
+_MAX_BASE_AGE = 10  # In records; small, so that the bound is often reached.
 
 
+# The seed of a derandomized state machine is a digest of its source. Every edit
+# of this class therefore changes the interleavings that the tests explore, and
+# with them the mutations that the checker detects.
 class TableMachine(stateful.RuleBasedStateMachine):
     """Three hosts, operators with stale views, one steward that pauses."""
 
@@ -150,8 +154,8 @@
 
 
 @pytest.fixture(autouse=True)
-def _short_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(memory, "REMEMBERED_RECORDS", _LONG_AGO)
+def _short_history(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(memory, "REMEMBERED_RECORDS", _MAX_BASE_AGE)
 
 
 def test_hosts_agree_and_nothing_reverts() -> None:
@@ -160,14 +164,14 @@
 
 @attrs.frozen
 class Mutation:
-    """One mechanism taken out."""
+    """A replacement that disables one mechanism."""
 
     owner: object
     name: str
     replacement: object
 
 
-def _adopt_any(
+def _adopt_any_snapshot(
     self: replay.TableReplay, offset: int, payload: bytes
 ) -> tuple[fold.Verdict, ...]:
     record = fold.read_record(payload)
@@ -182,23 +186,19 @@
 _FEED = replay.TableReplay.feed
 
 MUTATIONS = {
-    "rows changed since the base": Mutation(
+    "conflict detection": Mutation(
         memory.EditMemory, "newer_mark", lambda *_: None
     ),
-    "repeats of an edit": Mutation(
+    "deduplication of edits": Mutation(
         memory.EditMemory, "first_copy", lambda *_: None
     ),
-    "the checks": Mutation(check, "RULES", {1: lambda _: ()}),
-    "the bound on old bases": Mutation(
-        memory, "is_remembered", lambda *_: True
+    "validation": Mutation(check, "RULES", {1: lambda _: ()}),
+    "maximum age of a base": Mutation(memory, "is_remembered", lambda *_: True),
+    "usability of snapshots": Mutation(snapshots, "is_usable", lambda *_: True),
+    "running hosts ignore snapshots": Mutation(
+        replay.TableReplay, "feed", _adopt_any_snapshot
     ),
-    "what a snapshot stands for": Mutation(
-        snapshots, "is_usable", lambda *_: True
-    ),
-    "a running host passes snapshots by": Mutation(
-        replay.TableReplay, "feed", _adopt_any
-    ),
-    "only newer offers are taken": Mutation(
+    "only newer snapshots are adopted": Mutation(
         replay, "_is_newer", lambda *_: True
     ),
 }
