--- a/src/hoistmoor/core/table/fold.py
+++ b/src/hoistmoor/core/table/fold.py
@@ -109,7 +109,7 @@
 
 @attrs.frozen
 class Ignored:
-    """The record needs no verdict on an edit and left the table unchanged.
+    """The record was ignored and left the table unchanged.
 
     Attributes:
         offset: Offset of the record.
@@ -133,7 +133,7 @@
 
 
 class TableGapError(errors.HoistmoorError):
-    """One or more records of the table's stream were left out."""
+    """One or more records of the table's stream are missing."""
 
     def __init__(self, expected: int, offset: int) -> None:
         super().__init__(
