--- a/src/hoistmoor/entry/__init__.py
+++ b/src/hoistmoor/entry/__init__.py
@@ -1,3 +1,3 @@
-"""The program on each entry host: the callers' interface and its tasks."""
+"""The entry host process: the HTTP API for callers and its background tasks."""
 
 from __future__ import annotations
--- a/src/hoistmoor/entry/admin.py
+++ b/src/hoistmoor/entry/admin.py
@@ -1,4 +1,4 @@
-"""Health, status and explanations over HTTP, for balancers and operators."""
+"""HTTP endpoints for load balancers and operators: health, status, explain."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 _NOT_FOUND = 404
 _JSON = "application/json"
 _STATE_READY = "ready"
-_STATE_STARTING = "starting"  # It has not heard the backend servers yet.
+_STATE_STARTING = "starting"  # Backend servers have not been polled yet.
 
 
 class AdminHandlers:
-    """Tells how this host is and why it decided as it did."""
+    """Reports the state of this host and explains its decisions."""
 
     def __init__(
         self,
@@ -50,13 +50,13 @@
         self._gate = parts.gate
         self._poller = parts.poller
         self._guard = guard
-        self._parts_of_status = {
+        self._status_views = {
             "own": self._own_status,
             "table": self._table_status,
         }
 
     def add_routes(self, application: web.Application) -> None:
-        """Adds the paths of balancers, other hosts and operators."""
+        """Adds the routes for load balancers, other hosts and operators."""
         router = application.router
         router.add_get("/healthz", self.health)
         router.add_get("/readyz", self.ready)
@@ -66,11 +66,11 @@
         router.add_get("/explain/{request_id}", guard.wrap(self.explain))
 
     async def health(self, http: web.Request) -> web.Response:
-        """Says that the process runs."""
+        """Liveness check: succeeds as long as the process serves requests."""
         return web.Response(text="ok\n")
 
     async def ready(self, http: web.Request) -> web.Response:
-        """Says whether the balancer should send new work here."""
+        """Readiness check: tells whether to route new requests to this host."""
         checked = self._readiness.check()
         if isinstance(checked, refusals.Refusal):
             return web.Response(text=f"{checked.reason}\n", status=_NOT_READY)
@@ -79,18 +79,19 @@
         return web.Response(text="ok\n")
 
     async def peer_address(self, http: web.Request) -> web.Response:
-        """Says where other hosts find this one; they sign their calls there."""
+        """Returns the address for signed calls from other entry hosts."""
         own = self._members.own
         return responses.json_response({"peer_address": own.peer_address})
 
     async def status(self, http: web.Request) -> web.Response:
-        """Says what this host knows of itself and of the others.
+        """Returns what this host knows about itself and the other hosts.
 
-        ``?part=own`` leaves the other hosts out, and ``?part=table`` all but
-        the table: whoever asks every host has no use for more.
+        ``?part=own`` omits the other hosts, and ``?part=table`` returns only
+        the state of the table. Tools that query every host use them to avoid
+        fetching the same membership list from each.
         """
-        part = self._parts_of_status.get(http.query.get("part", ""))
-        return responses.json_response((part or self._status)())
+        view = self._status_views.get(http.query.get("part", ""))
+        return responses.json_response((view or self._status)())
 
     def _status(self) -> dict[str, Any]:
         hosts = [_host_fields(host) for host in self._members.hosts()]
@@ -124,12 +125,12 @@
         }
 
     async def explain(self, http: web.Request) -> web.Response:
-        """Says why a request was answered or refused as it was."""
+        """Returns the decision that explains the result of a request."""
         request_id = http.match_info["request_id"]
         found = self._explanations.find(request_id)
         payload = codec.encode(found) if found else b""
-        payload = payload or await self._ask_decider(request_id)
-        payload = payload or await self._ask_log(request_id)
+        payload = payload or await self._fetch_from_peer(request_id)
+        payload = payload or await self._find_in_log(request_id)
         if not payload:
             return responses.json_response(
                 {"error": f"no decision on {request_id} is kept"}, _NOT_FOUND
@@ -137,13 +138,13 @@
         return web.Response(body=payload, content_type=_JSON)
 
     async def find_decision(self, request_id: str) -> bytes:
-        """Answers a peer that asks for an explanation."""
+        """Returns an encoded decision of this host to a peer, or nothing."""
         found: decisions.Decision | None
         found = self._explanations.find(request_id)
         return codec.encode(found) if found else b""
 
-    async def _ask_decider(self, request_id: str) -> bytes:
-        """Asks the host that the id names."""
+    async def _fetch_from_peer(self, request_id: str) -> bytes:
+        """Fetches a decision from the host named in the request id."""
         try:
             parsed = identity.RequestId.parse(request_id)
             if parsed.incarnation.host == self._members.own.name:
@@ -153,8 +154,8 @@
         except (ValueError, errors.HoistmoorError):
             return b""
 
-    async def _ask_log(self, request_id: str) -> bytes:
-        """Looks for a decision whose host is gone."""
+    async def _find_in_log(self, request_id: str) -> bytes:
+        """Searches the log, in case the deciding host no longer runs."""
         try:
             found = await self._decision_log.find(request_id)
         except errors.HoistmoorError:
--- a/src/hoistmoor/entry/answers_out.py
+++ b/src/hoistmoor/entry/answers_out.py
@@ -1,4 +1,4 @@
-"""Hands a sample of the answers to the service that rates them."""
+"""Submits a sample of the responses to the rating service."""
 
 from __future__ import annotations
 
@@ -12,46 +12,48 @@
 if TYPE_CHECKING:
     from hoistmoor.clients import ratings
 
-CAPACITY = 1000  # Answers waiting to be handed in; the oldest goes first.
-BATCH = 100
-PERIOD = 0.5  # Seconds between two batches.
+MAX_QUEUED = 1000  # Queued responses; the oldest is dropped on overflow.
+BATCH_SIZE = 100
+FLUSH_INTERVAL_SECONDS = 0.5  # Interval between flushes.
 
 _LOG = logs.PartLogger("ratings")
 
 
 class AnswersOut:
-    """A bounded queue of answers, sent in batches; losing some does no harm.
+    """A bounded queue of responses that is submitted in batches.
+
+    Losing some of them is harmless.
 
     Attributes:
-        dropped: Answers that were not handed in.
+        dropped: Responses that were not submitted.
     """
 
     def __init__(self, client: ratings.RatingsClient) -> None:
         self.client = client
         self.dropped = 0
-        self._waiting: deque[ratings.Answer] = deque()
+        self._queue: deque[ratings.Answer] = deque()
 
     def add(self, answer: ratings.Answer) -> None:
-        """Queues an answer without waiting."""
-        self._waiting.append(answer)
-        if len(self._waiting) > CAPACITY:
-            self._waiting.popleft()
+        """Queues a response without waiting."""
+        self._queue.append(answer)
+        if len(self._queue) > MAX_QUEUED:
+            self._queue.popleft()
             self.dropped += 1
 
     async def run(self) -> None:
-        """Sends batches until cancelled."""
+        """Submits batches until cancelled."""
         while True:
-            await asyncio.sleep(PERIOD)
+            await asyncio.sleep(FLUSH_INTERVAL_SECONDS)
             await self.flush()
 
     async def flush(self) -> None:
-        """Sends what waits, a batch at a time."""
-        while self._waiting:
-            size = min(BATCH, len(self._waiting))
-            batch = [self._waiting.popleft() for _ in range(size)]
+        """Submits all queued responses, one batch at a time."""
+        while self._queue:
+            size = min(BATCH_SIZE, len(self._queue))
+            batch = [self._queue.popleft() for _ in range(size)]
             try:
                 await self.client.submit_all(batch)
             except errors.PlatformError as error:
                 self.dropped += len(batch)
-                _LOG.warning("%d answers not handed in: %s", size, error)
+                _LOG.warning("Dropped %d responses to rate: %s", size, error)
                 return
--- a/src/hoistmoor/entry/application.py
+++ b/src/hoistmoor/entry/application.py
@@ -1,4 +1,4 @@
-"""Runs an entry host's parts until a stop signal, then stops gracefully."""
+"""Runs the components of an entry host until it is signalled to stop."""
 
 from __future__ import annotations
 
@@ -18,13 +18,17 @@
 if TYPE_CHECKING:
     from hoistmoor.config import settings as settings_lib
 
-CLOSE_TIMEOUT = 3.0  # Seconds for connections once requests have ended.
+CLOSE_TIMEOUT_SECONDS = 3.0  # For connections, after requests end.
 
 _LOG = logs.PartLogger("entry")
 
 
 async def serve(settings: settings_lib.EntrySettings) -> None:
-    """Runs an entry host until SIGTERM or SIGINT, then stops gracefully."""
+    """Runs an entry host until SIGTERM or SIGINT, then shuts down gracefully.
+
+    Args:
+        settings: Validated settings.
+    """
     stop = signals.stop_event()
     listeners = listeners_lib.Listeners.bind(settings)
     bound = listeners.describe(settings)
@@ -46,7 +50,7 @@
         entry.web,
         handler_cancellation=True,
         access_log=None,
-        shutdown_timeout=CLOSE_TIMEOUT,
+        shutdown_timeout=CLOSE_TIMEOUT_SECONDS,
     )
     await runner.setup()
     tasks = _start(entry)
@@ -56,7 +60,7 @@
         await asyncio.wait(
             {stopping, *tasks}, return_when=asyncio.FIRST_COMPLETED
         )
-        _raise_first(tasks)
+        _raise_first_failure(tasks)
         await _stop_gracefully(entry, settings.stop_timeout)
         tls = entry.auth.tls.callers if entry.auth.tls else None
         await entry.closing.close(runner, site, listeners.callers, tls)
@@ -64,7 +68,7 @@
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        await _stop_parts(entry)
+        await _stop_components(entry)
         await entry.peers.close()
         await runner.cleanup()
 
@@ -90,8 +94,11 @@
     return [asyncio.create_task(loop, name=n) for n, loop in loops.items()]
 
 
-def _raise_first(tasks: list[asyncio.Task[Any]]) -> None:
-    """Raises what a task raised: a host must not run on in part."""
+def _raise_first_failure(tasks: list[asyncio.Task[Any]]) -> None:
+    """Raises the exception of a failed task.
+
+    The process must not keep serving with one of its tasks missing.
+    """
     for task in tasks:
         if task.done():
             task.result()
@@ -112,7 +119,7 @@
     )
     await site.start()
     _LOG.info(
-        "Listening on %s, for peers on %s",
+        "Listening for callers on %s and for peers on %s",
         settings.listen,
         settings.peer_listen,
     )
@@ -122,26 +129,31 @@
 
 
 async def _stop_gracefully(entry: factory.Entry, timeout: float) -> None:
-    """Ends each request with its whole answer, then hands over the rest."""
-    _LOG.info("Stopping: no new work from now on")
+    """Completes running requests, then flushes or hands over pending data.
+
+    Args:
+        entry: The components of this host.
+        timeout: Seconds for each step: requests, decisions, claims and bills.
+    """
+    _LOG.info("Shutting down; refusing new requests")
     entry.readiness.stopping = True
     await entry.members.leave()
     try:
         async with asyncio.timeout(timeout):
             await entry.reception.drain()
     except TimeoutError:
-        left = len(entry.reception.running)
-        _LOG.error("%d requests did not end in time", left)
+        remaining = len(entry.reception.running)
+        _LOG.error("%d requests still running at the stop timeout", remaining)
     await entry.parts.ratings.flush()
     await entry.evidence.flush()
     await entry.parts.decision_log.flush(timeout)
     await entry.parts.gate.drain()
     await entry.parts.once.drain(timeout, entry.parts.biller.hand_over)
     await entry.parts.biller.drain(timeout)
-    _LOG.info("Stopped: bills, claims and evidence are handed over")
+    _LOG.info("Shutdown complete; bills, claims and evidence were drained")
 
 
-async def _stop_parts(entry: factory.Entry) -> None:
+async def _stop_components(entry: factory.Entry) -> None:
     await entry.parts.gate.stop()
     await entry.parts.once.stop()
     await entry.parts.biller.stop()
--- a/src/hoistmoor/entry/attempt_reports.py
+++ b/src/hoistmoor/entry/attempt_reports.py
@@ -1,4 +1,4 @@
-"""Tells the router, the load poller and the raters how attempts went."""
+"""Reports attempts to the router, the load poller and the rating service."""
 
 from __future__ import annotations
 
@@ -16,21 +16,26 @@
     from hoistmoor.core.routing import messages as routing
     from hoistmoor.entry import parts as parts_lib
 
-_MS = 1000.0
+_MS_PER_SECOND = 1000.0
 
 
 class AttemptReports:
-    """Reports the attempts of one request, each of them once."""
+    """Reports each attempt of one request exactly once."""
 
     def __init__(self, parts: parts_lib.Parts, request: kinds.Request) -> None:
         self._parts = parts
         self._request = request
         self._running: routing.Choice | None = None
         self._started = 0.0
-        self._handed_in: list[routing.Choice] = []
+        self._submitted: list[routing.Choice] = []
 
     def start(self, choice: routing.Choice, now: float) -> None:
-        """Reports that an attempt is sent to ``choice``."""
+        """Reports that an attempt is sent to the chosen backend server.
+
+        Args:
+            choice: The backend server and the version.
+            now: Seconds since the epoch.
+        """
         self._running = choice
         self._started = now
         self._parts.router.on_started(choice.server, choice.version, now)
@@ -38,18 +43,18 @@
         self._parts.metrics.count("attempt.sent")
 
     def end(self, facts: messages.AnswerFacts) -> None:
-        """Reports that the whole answer came."""
+        """Reports that the complete response was received."""
         self._finish(ok=True, facts=facts)
 
     def fail(self, state: outcomes.ExchangeState) -> None:
-        """Reports that the attempt ended without a whole answer."""
+        """Reports that the attempt ended without a complete response."""
         declined = state is outcomes.ExchangeState.DECLINED
         if declined and self._running is not None:
             self._parts.poller.on_declined(self._running.server)
         self._finish(ok=False, declined=declined)
 
     def cancel(self) -> None:
-        """Reports that the attempt was given up here."""
+        """Reports that this host cancelled the attempt."""
         self._finish(ok=False, cancelled=True)
 
     def _finish(
@@ -77,7 +82,9 @@
         self._parts.router.on_finished(
             choice.server, choice.version, result, now
         )
-        self._parts.metrics.timing("attempt.time", result.seconds * _MS)
+        self._parts.metrics.timing(
+            "attempt.time", result.seconds * _MS_PER_SECOND
+        )
 
     def hand_in(
         self,
@@ -85,22 +92,24 @@
         facts: messages.AnswerFacts,
         frames: list[bytes],
     ) -> None:
-        """Hands a chat's answer in for rating, each answer once.
+        """Submits the response to a chat request for rating, at most once.
 
         Args:
-            choice: Who gave it.
-            facts: What it says of itself.
-            frames: The answer.
+            choice: The backend server and the version that responded.
+            facts: Metadata of the response, such as its confidence.
+            frames: The body of the response.
         """
         request = self._request
         if not isinstance(request, kinds.ChatRequest):
             return
-        if choice in self._handed_in:
-            return  # A held answer that went out after all.
-        self._handed_in.append(choice)
+        if choice in self._submitted:
+            # Already submitted when it was held back for an escalation, and
+            # then sent to the caller after all.
+            return
+        self._submitted.append(choice)
         model_name, _, version = choice.version.partition("@")
         tag = evidence.tag_answer(
-            f"{request.envelope.request_id}.{len(self._handed_in):x}",
+            f"{request.envelope.request_id}.{len(self._submitted):x}",
             facts.confidence,
             choice.escalated,
         )
--- a/src/hoistmoor/entry/attempts.py
+++ b/src/hoistmoor/entry/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt at a backend server, as a task that reports to its request."""
+"""A single attempt at a backend server, run as a task of its request."""
 
 from __future__ import annotations
 
@@ -20,21 +20,22 @@
     from hoistmoor.entry import channel as channel_lib
 
 _OK = 200
-_SLACK = 1.0  # Seconds past the deadline before the connection is dropped.
+# The connection is dropped this long after the deadline of the request.
+_DEADLINE_GRACE_SECONDS = 1.0
 
 
 class Inbox(Protocol):
-    """Where an attempt's events go."""
+    """Receives the events of an attempt."""
 
     def post(self, event: messages.Event) -> None:
-        """Takes an event without waiting."""
+        """Queues an event without waiting."""
 
 
 class Attempt:
-    """Owns the exchange of one attempt.
+    """Owns the exchange with the backend server for one attempt.
 
     Attributes:
-        attempt_id: Names the attempt.
+        attempt_id: Identifies the attempt.
     """
 
     def __init__(
@@ -46,15 +47,15 @@
         channel: channel_lib.Channel,
         inbox: Inbox,
     ) -> None:
-        """Makes an attempt; ``start`` sends it.
+        """Prepares an attempt; ``start`` sends it.
 
         Args:
             session: Opens the connection.
-            attempt_id: Names the attempt.
-            call: What is sent.
-            timeout: Seconds until the request's deadline.
-            channel: Its window bounds how far to read ahead of the caller.
-            inbox: Where events go.
+            attempt_id: Identifies the attempt.
+            call: The request to the backend server.
+            timeout: Seconds until the deadline of the request.
+            channel: Its credits limit how far to read ahead of the caller.
+            inbox: Receives the events.
         """
         self.attempt_id = attempt_id
         self._call = call
@@ -68,18 +69,18 @@
             exchange_lib.BackendRequest(
                 call.method, call.url, str(attempt_id), call.headers, call.body
             ),
-            exchange_lib.Timeouts(total=timeout + _SLACK),
+            exchange_lib.Timeouts(total=timeout + _DEADLINE_GRACE_SECONDS),
         )
         self._task: asyncio.Task[None] | None = None
 
     @property
     def state(self) -> outcomes.ExchangeState:
-        """How far the exchange has come."""
+        """The state that the exchange has reached."""
         return self._exchange.state
 
     @property
     def dropped(self) -> int:
-        """Frames dropped because they belonged to another attempt."""
+        """How many frames were dropped for belonging to another attempt."""
         return self._exchange.dropped
 
     def start(self) -> None:
@@ -89,7 +90,7 @@
         )
 
     def cancel(self) -> None:
-        """Gives the attempt up; its connection is never used again."""
+        """Cancels the attempt; its connection is closed and never reused."""
         if self._task is not None:
             self._task.cancel()
 
@@ -102,18 +103,18 @@
     async def _read(self) -> None:
         async with self._exchange as exchange:
             async for part in exchange:
-                await self._take(part)
+                await self._on_part(part)
 
     @singledispatchmethod
-    async def _take(self, part: object) -> None:
+    async def _on_part(self, part: object) -> None:
         raise NotImplementedError(type(part))
 
-    @_take.register
+    @_on_part.register
     async def _(self, part: exchange_lib.Head) -> None:
         self._status = part.status
         self._content_type = part.headers.get("Content-Type", "")
 
-    @_take.register
+    @_on_part.register
     async def _(self, part: exchange_lib.Frame) -> None:
         if self._is_engine_error:
             return
@@ -124,7 +125,7 @@
         await self._channel.take_credit()
         self._inbox.post(messages.FrameArrived(self.attempt_id, part.data))
 
-    @_take.register
+    @_on_part.register
     async def _(self, part: exchange_lib.End) -> None:
         if self.state is outcomes.ExchangeState.DECLINED:
             reason = self._exchange.not_run_reason or "no reason given"
--- a/src/hoistmoor/entry/bill_holders.py
+++ b/src/hoistmoor/entry/bill_holders.py
@@ -1,4 +1,4 @@
-"""The peers that hold this host's bills until the log has them."""
+"""Peers that hold copies of this host's bills until they are on the log."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-_HOLDERS_TRIED = 3
+_MAX_HOLDERS_TRIED = 3
 
 _log = logs.PartLogger("bills")
 
 
 class BillHolder(Protocol):
-    """A peer that can hold bills; ``peers.client.PeerClient`` is one."""
+    """A peer that can hold bills, such as ``peers.client.PeerClient``."""
 
     async def hold_bills(self, batch_id: str, batch: bytes) -> None:
-        """Has the peer keep an encoded batch of bills."""
+        """Asks the peer to hold an encoded batch of bills."""
 
     async def release_bills(self, batch_ids: tuple[str, ...]) -> None:
-        """Has the peer drop batches that it holds."""
+        """Asks the peer to discard batches that it holds."""
 
 
 @attrs.frozen
@@ -34,8 +34,8 @@
     """A peer that may hold this host's bills.
 
     Attributes:
-        incarnation: The peer's process.
-        peer: Its client.
+        incarnation: The process of the peer.
+        peer: The client for calls to it.
     """
 
     incarnation: identity.Incarnation
@@ -43,37 +43,37 @@
 
 
 class BillPeers(Protocol):
-    """What the biller needs to know of the other hosts."""
+    """What the biller needs to know about the other hosts."""
 
     def host_count(self) -> int:
-        """Returns how many entry hosts are alive, this one included."""
+        """Returns the number of live entry hosts, including this one."""
 
     def holders(self) -> Sequence[Holder]:
-        """Returns live peers in other failure domains, preferred first."""
+        """Returns live peers in other failure domains, in preferred order."""
 
     def is_alive(self, incarnation: identity.Incarnation) -> bool:
-        """Returns whether a process is thought to run; doubt counts as yes."""
+        """Returns whether a process may be running; doubt counts as alive."""
 
 
 class NoPeers:
-    """A host on its own."""
+    """The peers of a host that runs alone."""
 
     def host_count(self) -> int:
         """Returns 1."""
         return 1
 
     def holders(self) -> Sequence[Holder]:
-        """Returns nobody."""
+        """Returns no holders."""
         return ()
 
     def is_alive(self, incarnation: identity.Incarnation) -> bool:
-        """Returns that it does."""
+        """Returns true."""
         del incarnation
         return True
 
 
 class BillHolders:
-    """Calls the holders, and remembers what each is still to release."""
+    """Calls the holders and tracks which batches each still has to release."""
 
     def __init__(self, peers: BillPeers) -> None:
         self._peers = peers
@@ -84,30 +84,32 @@
     async def hold(
         self, batch_id: str, payload: bytes
     ) -> identity.Incarnation | None:
-        """Has a peer keep a batch of this host's bills.
+        """Stores a copy of a batch of this host's bills at a peer.
 
         Returns:
-            Who holds it; None where nobody does.
+            The peer that holds it, or None if no peer does.
         """
         for holder in self._candidates():
             try:
                 await holder.peer.hold_bills(batch_id, payload)
             except errors.HoistmoorError as error:
-                _log.warning("%s holds no bills. %s", holder.incarnation, error)
-                # It may hold them all the same, if only its reply was lost.
+                _log.warning(
+                    "cannot hold bills at %s. %s", holder.incarnation, error
+                )
+                # The peer may hold the batch if only its reply was lost.
                 self.release_later(holder.incarnation, batch_id)
                 continue
             return holder.incarnation
         return None
 
     async def hand_over(self, batch_id: str, payload: bytes) -> bool:
-        """Has a peer append a batch once its owner is gone.
+        """Asks a peer to append a batch after its owner has stopped.
 
-        A peer whose reply was lost is not told to release the batch: what it
-        holds may be the only copy.
+        A peer whose reply was lost is not asked to release the batch, because
+        it may hold the only copy.
 
         Returns:
-            Whether a peer holds it.
+            Whether a peer holds the batch.
         """
         for holder in self._candidates():
             try:
@@ -120,11 +122,11 @@
     def release_later(
         self, holder: identity.Incarnation, batch_id: str
     ) -> None:
-        """Notes a batch that a peer need not hold any longer."""
+        """Records that a peer no longer needs to hold a batch."""
         self._releases[holder].add(batch_id)
 
     async def release(self) -> None:
-        """Tells each peer what it may drop."""
+        """Asks each peer to discard the batches recorded for release."""
         holders = {
             holder.incarnation: holder.peer for holder in self._peers.holders()
         }
@@ -135,14 +137,14 @@
             try:
                 await peer.release_bills(tuple(batch_ids))
             except errors.HoistmoorError:
-                continue  # Tried again with the next append.
+                continue  # Retried after the next append.
             del self._releases[incarnation]
 
     def forget_gone(self) -> None:
-        """Forgets what peers that are gone were to release."""
+        """Discards the recorded releases of peers that have ended."""
         for holder in tuple(self._releases):
             if not self._peers.is_alive(holder):
                 del self._releases[holder]
 
     def _candidates(self) -> Sequence[Holder]:
-        return self._peers.holders()[:_HOLDERS_TRIED]
+        return self._peers.holders()[:_MAX_HOLDERS_TRIED]
--- a/src/hoistmoor/entry/biller.py
+++ b/src/hoistmoor/entry/biller.py
@@ -1,4 +1,4 @@
-"""Carries each bill to the log, by way of a peer that holds it meanwhile."""
+"""Writes bills to the log, with copies at peers until the write succeeds."""
 
 from __future__ import annotations
 
@@ -26,24 +26,26 @@
     from hoistmoor.core import identity
     from hoistmoor.entry import log_port
 
-SECURE_TIMEOUT = 2.0  # Seconds.
-_RETRY = 0.5  # Seconds between attempts after a failure.
-_CHECK = 1.0  # Seconds between looks at who is gone.
+SECURE_TIMEOUT_SECONDS = 2.0
+_RETRY_SECONDS = 0.5  # Delay after a failed call to the log or to peers.
+_CHECK_SECONDS = 1.0  # Interval between checks for ended peers.
 
 _log = logs.PartLogger("bills")
 
 
 class BillUnsecuredError(errors.HoistmoorError):
-    """A bill is only in this host's memory; it is sent on later."""
+    """A bill is neither on the log nor at a peer; it is retried later."""
 
 
 class Biller:
-    """Secures bills, then brings them to the log in large batches.
+    """Secures bills at a peer, then appends them to the log in large batches.
+
+    A bill is secured once it is on the log or held by a peer.
 
     Attributes:
-        book: This host's bills that are not on the log.
-        for_peers: What is held for peers; ``hold_bills`` and
-            ``release_bills`` take in their calls.
+        book: Bills of this host that are not on the log.
+        for_peers: Batches held for peers; ``hold_bills`` and
+            ``release_bills`` handle the calls of peers.
     """
 
     def __init__(
@@ -54,14 +56,14 @@
         metrics: metrics_lib.Metrics | None = None,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Starts nothing yet; see ``start``.
+        """Creates a biller; ``start`` starts its tasks.
 
         Args:
             log: The log service.
             incarnation: This process.
-            peers: The other hosts; None for a host on its own.
-            metrics: Where counts go.
-            clock: Seconds, for back-off only.
+            peers: The other hosts; None for a host that runs alone.
+            metrics: Receives the counters.
+            clock: Returns monotonic time in seconds, for back-off only.
         """
         self.book = book_lib.BillBook(incarnation)
         self._log = log
@@ -71,86 +73,89 @@
         self.release_bills = self.for_peers.release
         self._metrics = metrics or metrics_lib.Metrics()
         self._clock = clock
-        self._log_up = True
+        self._log_available = True
         self._hold_failed_until = 0.0
         self._draining = False
-        self._to_hold = asyncio.Event()
-        self._to_append = asyncio.Event()
-        self._hurry = asyncio.Event()  # Bills wait that nobody holds.
+        self._hold_requested = asyncio.Event()
+        self._append_requested = asyncio.Event()
+        self._urgent = asyncio.Event()  # No peer holds the pending bills.
         self._changed = asyncio.Condition()
         self._holders = bill_holders.BillHolders(self._peers)
         self._tasks = watched_tasks.WatchedTasks()
 
     def start(self) -> None:
-        """Starts the tasks."""
-        self._tasks.start(self._hold_on(), "bills to peers")
-        self._tasks.start(self._append_on(), "bills to the log")
-        self._tasks.start(self._check_on(), "bills of peers")
+        """Starts the background tasks."""
+        self._tasks.start(self._hold_loop(), "bills to peers")
+        self._tasks.start(self._append_loop(), "bills to the log")
+        self._tasks.start(self._check_loop(), "bills of peers")
 
     async def stop(self) -> None:
-        """Ends the tasks at once; call ``drain`` first."""
+        """Cancels the background tasks; call ``drain`` first."""
         await self._tasks.stop()
 
     async def watch(self) -> None:
-        """Raises what a task raised, once one has; else never returns."""
+        """Waits until a task fails, and raises its exception."""
         await self._tasks.watch()
 
     def can_secure(self) -> bool:
-        """Returns whether the bill of a request begun now could be secured."""
+        """Returns whether the bill of a new request could be secured."""
         if self.book.is_full:
             return False
-        return self._log_up or self._can_hold()
+        return self._log_available or self._can_hold()
 
     async def secure(self, bill: bills.Bill) -> None:
-        """Returns once a bill is on the log or held by a peer.
+        """Waits until a bill is on the log or held by a peer.
 
         Raises:
-            BillUnsecuredError: Neither worked in time. The bill stays here
-                and is sent on as soon as possible.
+            BillUnsecuredError: Neither succeeded in time. The bill stays in
+                memory and is retried until it is on the log.
         """
         self.book.add(bill)
-        self._to_hold.set()
-        self._to_append.set()
+        self._hold_requested.set()
+        self._append_requested.set()
         try:
-            async with asyncio.timeout(SECURE_TIMEOUT), self._changed:
+            async with asyncio.timeout(SECURE_TIMEOUT_SECONDS), self._changed:
                 await self._changed.wait_for(
                     lambda: self.book.is_secured(bill.request_id)
                 )
         except TimeoutError as error:
             raise BillUnsecuredError(
-                f"the bill of {bill.request_id} is only in memory",
-                "Bring back the log or a peer in another failure domain.",
+                f"the bill of {bill.request_id} is stored only in memory",
+                "Restore the log or a peer in another failure domain.",
             ) from error
 
     async def drain(self, timeout: float = 10.0) -> int:
-        """Hands over everything before a graceful stop.
+        """Writes or hands over all bills before a graceful stop.
 
-        While the log is down, a bill that a peer holds counts as handed over:
-        the peer appends it once this process is gone.
+        While the log is unavailable, a bill that a peer holds counts as handed
+        over: the peer appends it after this process has ended.
 
         Args:
-            timeout: Seconds.
+            timeout: Seconds to wait.
 
         Returns:
-            How many bills could be handed to nobody.
+            The number of bills that are neither on the log nor at a peer.
         """
         self._draining = True
-        self._to_hold.set()
-        self._to_append.set()
-        self._hurry.set()
+        self._hold_requested.set()
+        self._append_requested.set()
+        self._urgent.set()
         try:
             async with asyncio.timeout(timeout), self._changed:
                 await self._changed.wait_for(self._is_handed_over)
         except TimeoutError:
-            _log.error("%d bills handed to nobody", self.book.unsecured)
+            _log.error(
+                "%d bills are neither on the log nor at a peer",
+                self.book.unsecured,
+            )
         await self.for_peers.pass_on(self.hand_over)
         return self.book.unsecured
 
     async def hand_over(self, batch: held_lib.Batch) -> bool:
-        """Has a peer append a batch once its owner is gone.
+        """Asks a peer to append a batch after its owner has stopped.
 
         Returns:
-            Whether a peer holds it.
+            Whether a peer holds the batch.
         """
         return await self._holders.hand_over(
             batch.batch_id, codec.encode(batch)
@@ -164,28 +169,28 @@
     def _is_handed_over(self) -> bool:
         if not self.book:
             return True
-        return not self._log_up and not self.book.unsecured
+        return not self._log_available and not self.book.unsecured
 
     async def _notify(self) -> None:
         async with self._changed:
             self._changed.notify_all()
 
-    async def _hold_on(self) -> None:
+    async def _hold_loop(self) -> None:
         while True:
-            await self._to_hold.wait()
-            # Bills that come during a call make up the next one's batch.
-            self._to_hold.clear()
+            await self._hold_requested.wait()
+            # Bills added during the call go into the next batch.
+            self._hold_requested.clear()
             batch = self.book.next_hold()
             if batch is None:
                 continue
             if await self._hold(batch):
                 await self._notify()
             else:
-                self._hold_failed_until = self._clock() + _RETRY
-                self._hurry.set()
-                await asyncio.sleep(_RETRY)
+                self._hold_failed_until = self._clock() + _RETRY_SECONDS
+                self._urgent.set()
+                await asyncio.sleep(_RETRY_SECONDS)
             if self.book.unsecured:
-                self._to_hold.set()
+                self._hold_requested.set()
 
     async def _hold(self, batch: bills.BillBatch) -> bool:
         holder = await self._holders.hold(batch.batch_id, codec.encode(batch))
@@ -196,39 +201,44 @@
         self._metrics.count("bill.held", len(batch.bills))
         return True
 
-    async def _append_on(self) -> None:
+    async def _append_loop(self) -> None:
         while True:
-            if self._log_up:
-                await self._to_append.wait()
+            if self._log_available:
+                await self._append_requested.wait()
                 await self._linger()
-            self._to_append.clear()
+            self._append_requested.clear()
             await self._append_next()
             if self.book:
-                self._to_append.set()
+                self._append_requested.set()
 
     async def _linger(self) -> None:
-        """Waits for more bills, the longer the more hosts share the log."""
+        """Waits for more bills; the delay grows with the number of hosts.
+
+        All hosts share the log, so each appends less often. The delay is kept
+        short if no peer can hold the bills meanwhile.
+        """
         await asyncio.sleep(linger.SHORTEST)
         if self._draining or not self._can_hold():
             return
-        self._hurry.clear()
+        self._urgent.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(
                 linger.seconds(self._peers.host_count())
             ):
-                await self._hurry.wait()
+                await self._urgent.wait()
 
     async def _append_next(self) -> None:
         batch = self.book.next_append()
         try:
             if batch is None:
-                await self._log.bounds(streams.BILLS)  # Is the log back?
+                # Nothing to append: only check whether the log is available.
+                await self._log.bounds(streams.BILLS)
             else:
                 await self._log.append(streams.BILLS, codec.encode(batch))
         except errors.PlatformError as error:
             await self._on_log_failure(error)
             return
-        self._log_up = True
+        self._log_available = True
         if batch is None:
             return
         self._metrics.count("bill.written", len(batch.bills))
@@ -238,19 +248,19 @@
         await self._holders.release()
 
     async def _on_log_failure(self, error: errors.PlatformError) -> None:
-        if self._log_up:
-            _log.warning("the log takes no bills for now. %s", error)
-        self._log_up = False
+        if self._log_available:
+            _log.warning("cannot append bills to the log; retrying. %s", error)
+        self._log_available = False
         self._metrics.count("log.failed")
         await self._notify()
-        await asyncio.sleep(_RETRY)
+        await asyncio.sleep(_RETRY_SECONDS)
 
-    async def _check_on(self) -> None:
+    async def _check_loop(self) -> None:
         while True:
-            await asyncio.sleep(_CHECK)
+            await asyncio.sleep(_CHECK_SECONDS)
             for holder in self.book.holders:
                 if not self._peers.is_alive(holder):
                     self.book.holder_gone(holder)
-                    self._to_hold.set()
+                    self._hold_requested.set()
             self._holders.forget_gone()
             await self.for_peers.append_orphans()
--- a/src/hoistmoor/entry/channel.py
+++ b/src/hoistmoor/entry/channel.py
@@ -1,4 +1,4 @@
-"""What a request's task tells the handler that owns the caller's connection."""
+"""Passes the response from a request's task to the caller's HTTP handler."""
 
 from __future__ import annotations
 
@@ -12,25 +12,33 @@
 
 @attrs.frozen
 class Piece:
-    """A frame of the answer."""
+    """A frame of the response.
+
+    Attributes:
+        data: The bytes to send.
+    """
 
     data: bytes
 
 
 @attrs.frozen
 class Whole:
-    """The answer is whole: send the end mark."""
+    """The response is complete: send the end marker.
+
+    Attributes:
+        facts: Metadata of the response.
+    """
 
     facts: messages.AnswerFacts
 
 
 @attrs.frozen
 class Refused:
-    """No whole answer will come.
+    """The response cannot be completed.
 
     Attributes:
-        refusal: What the caller is told.
-        began: Whether pieces went out before.
+        refusal: The refusal to send to the caller.
+        began: Whether frames were sent before.
     """
 
     refusal: refusals.Refusal
@@ -39,27 +47,28 @@
 
 Item = Piece | Whole | Refused
 
-WINDOW = 64  # Frames read from a backend server ahead of the caller.
+# Frames read from a backend server ahead of the caller.
+MAX_BUFFERED_FRAMES = 64
 
 
 class Channel:
-    """Carries items from a request's task to its handler, in order.
+    """An ordered queue from a request's task to its handler.
 
-    The window bounds how many pieces wait for a slow caller: the reader of the
-    backend server takes a credit for each, and the handler gives it back once
-    the piece is written.
+    Credits limit how many frames are buffered for a slow caller: the reader of
+    the backend server acquires one for each frame, and the handler releases it
+    once the frame is written.
     """
 
     def __init__(self) -> None:
         self._items: asyncio.Queue[Item] = asyncio.Queue()
-        self._credits = asyncio.Semaphore(WINDOW)
+        self._credits = asyncio.Semaphore(MAX_BUFFERED_FRAMES)
 
     async def take_credit(self) -> None:
-        """Waits until one more piece may be read."""
+        """Waits until another frame may be read."""
         await self._credits.acquire()
 
     def give_credit(self) -> None:
-        """Lets one more piece be read."""
+        """Allows another frame to be read."""
         self._credits.release()
 
     def put(self, item: Item) -> None:
@@ -67,5 +76,5 @@
         self._items.put_nowait(item)
 
     async def get(self) -> Item:
-        """Returns the next item."""
+        """Waits for the next item and returns it."""
         return await self._items.get()
--- a/src/hoistmoor/entry/claim_reader.py
+++ b/src/hoistmoor/entry/claim_reader.py
@@ -1,4 +1,4 @@
-"""The task that reads the claims stream for one host."""
+"""Reads a claims stream on behalf of one host."""
 
 from __future__ import annotations
 
@@ -25,14 +25,19 @@
     from hoistmoor.core.once import permits
     from hoistmoor.entry import log_port
 
-_QUIET_PART = 1 / 8  # Of the window; hosts wait once to twice as long.
-_PAGE = 500  # Records.
+# Interval between heartbeat records on an idle stream, as a fraction of the
+# window; each host waits one to two times as long.
+_HEARTBEAT_FRACTION = 1 / 8
+_PAGE_SIZE = 500  # Records per read.
 
 _log = logs.PartLogger("claims")
 
 
 class ClaimReader(stream_reader.Consumer):
-    """Follows the stream; unhurried while no claim of this host's waits."""
+    """Follows a claims stream.
+
+    Polls at a slow pace while no claim of this host waits to be read back.
+    """
 
     def __init__(
         self,
@@ -42,51 +47,58 @@
         on_read: Callable[[], None],
         clock: Callable[[], float],
     ) -> None:
-        """Reads nothing yet; see ``run``.
+        """Creates a reader; ``run`` starts reading.
 
         Args:
             log: The log service.
             stream: Name of the stream.
-            claimant: Takes the records.
+            claimant: Processes the records.
             on_read: Called after each page.
-            clock: Seconds since the epoch.
+            clock: Returns seconds since the epoch.
         """
         self._log = log
         self._stream = stream
         self._claimant = claimant
         self._on_read = on_read
         self._clock = clock
-        self._heard_at = clock()
-        self._looks_back = False
+        self._last_record_at = clock()
+        self._check_retention = False
         self._reader = stream_reader.StreamReader(
-            log, stream, self, attrs.evolve(pacing.CLAIMS, page=_PAGE)
+            log, stream, self, attrs.evolve(pacing.CLAIMS, page=_PAGE_SIZE)
         )
-        # Hosts differ, so that one appends and the others hear it.
+        # The interval differs between hosts, so that normally one of them
+        # appends a heartbeat and the others read it in time.
         name = str(claimant.incarnation).encode()
         spread = xxhash.xxh3_64_intdigest(name) / 2**64
-        self._quiet = claimant.view.window * _QUIET_PART * (1 + spread)
+        self._heartbeat_interval = (
+            claimant.view.window * _HEARTBEAT_FRACTION * (1 + spread)
+        )
 
     @property
     def bad_records(self) -> int:
-        """Returns how many records did not decode."""
+        """Returns the number of records that could not be decoded."""
         return self._reader.bad_records
 
     async def run(self) -> None:
-        """Reads on for ever, also through outages."""
+        """Reads until cancelled, also across outages of the log."""
         await self._reader.run()
 
-    def hurry(self) -> None:
-        """Reads at once: a claim of this host's is to be read back."""
+    def poll_now(self) -> None:
+        """Polls without delay, to read back a claim of this host."""
         self._reader.hurry()
 
-    async def catch_up(self, patience: float) -> None:
-        """Reads to the end now; see ``StreamReader.catch_up``."""
-        await self._reader.catch_up(patience)
+    async def catch_up(self, timeout: float) -> None:
+        """Reads to the end of the stream; see ``StreamReader.catch_up``.
+
+        Args:
+            timeout: Seconds to wait for the log.
+        """
+        await self._reader.catch_up(timeout)
 
     async def fetch_answer(
         self, wanted: messages.ReadAnswer
     ) -> permits.BeginResult:
-        """Returns an answer that stands on the log, or why it cannot."""
+        """Returns a response stored on the log, or the refusal instead."""
         try:
             page = await self._log.read(self._stream, wanted.offset, limit=1)
             batch = codec.decode(page.records[0].payload)
@@ -100,74 +112,75 @@
                 return ended.answer or replies.answer_not_kept()
         return replies.answer_not_kept()
 
-    # What the reader calls.
+    # Methods called by the stream reader.
 
     @property
     def next_offset(self) -> int:
-        """Returns where to read on."""
+        """Returns the offset of the next record to read."""
         return self._claimant.view.next_offset
 
     @property
     def is_needed(self) -> bool:
-        """Returns whether a claim of this host's is to be read back."""
+        """Returns whether a claim of this host waits to be read back."""
         return self._claimant.is_claiming
 
     def on_start(self, bounds: log_client.LogBounds) -> None:
-        """Starts at the oldest record."""
+        """Starts at the oldest record, as after a gap."""
         self.on_gap(bounds.first)
 
     def on_gap(self, first: int) -> None:
-        """Reads on after records that this host never saw."""
+        """Continues after records that expired before they were read."""
         self._claimant.restart_reading(first)
-        self._looks_back = True
+        self._check_retention = True
 
     def on_record(self, record: log_client.LogRecord, decoded: Any) -> None:
-        """Takes a batch of some host, unless a read beside this one has."""
+        """Processes a batch, unless a concurrent read has processed it."""
         if record.offset != self.next_offset:
             return
         if not isinstance(decoded, records.ClaimBatch):
             raise errors.CodecError(
-                f"a {type(decoded).__name__} on stream {self._stream}",
+                f"unexpected {type(decoded).__name__} on stream {self._stream}",
                 "Check which program wrote it.",
             )
         self._claimant.on_record(record.offset, record.at, decoded)
 
     def on_bad_record(self, record: log_client.LogRecord) -> None:
-        """Passes over a record, which still tells the log's time."""
+        """Skips a record, but uses its timestamp as the time of the log."""
         if record.offset == self.next_offset:
             self._claimant.view.skip(record.offset, record.at)
 
     async def on_page(self, page: log_client.LogPage) -> bool:
-        """Wakes who waits, and keeps a quiet stream alive."""
+        """Wakes waiting requests and appends a heartbeat to an idle stream."""
         self._on_read()
         if page.records:
-            self._heard_at = self._clock()
-        elif self._clock() - self._heard_at >= self._quiet:
-            await self._append_empty()
-        if self._looks_back:
-            self._looks_back = False
-            await self._look_back()
+            self._last_record_at = self._clock()
+        elif self._clock() - self._last_record_at >= self._heartbeat_interval:
+            await self._append_heartbeat()
+        if self._check_retention:
+            self._check_retention = False
+            await self._warn_if_uncertain()
         return False
 
-    async def _look_back(self) -> None:
-        """Finds out how far back this host can read, and warns if too little.
+    async def _warn_if_uncertain(self) -> None:
+        """Warns if the log does not reach back far enough to judge keys.
 
-        Where every record has expired, time begins with one of its own.
+        If every record has expired, the time of the log is unknown, and this
+        host appends a record of its own to learn it.
         """
         view = self._claimant.view
-        blind = view.blind_for(self._clock())
-        if blind == math.inf:
-            await self._append_empty()
-            blind = view.window
-        if blind:
+        uncertain_seconds = view.blind_for(self._clock())
+        if uncertain_seconds == math.inf:
+            await self._append_heartbeat()
+            uncertain_seconds = view.window
+        if uncertain_seconds:
             _log.warning(
-                "callers' keys are refused here for %.0f s: the log keeps too "
-                "little of stream %s. Raise its retention.",
-                blind,
+                "refusing callers' keys for %.0f s: the log retains too little "
+                "of stream %s. Raise its retention.",
+                uncertain_seconds,
                 self._stream,
             )
 
-    async def _append_empty(self) -> None:
-        """Shows later readers the log's time on a quiet stream."""
+    async def _append_heartbeat(self) -> None:
+        """Appends an empty batch, whose timestamp tells the log's time."""
         batch = self._claimant.outbox.empty_batch()
         await self._log.append(self._stream, codec.encode(batch))
--- a/src/hoistmoor/entry/claim_shards.py
+++ b/src/hoistmoor/entry/claim_shards.py
@@ -1,4 +1,4 @@
-"""Callers' own keys, spread over shards of which this host follows some."""
+"""Shards of callers' idempotency keys, of which each host follows a few."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
     from hoistmoor.core.once import messages
     from hoistmoor.entry import claims as claims_lib
 
-_CHECK = 1.0  # Seconds between looks at the placement.
+_CHECK_SECONDS = 1.0  # Interval between checks of the placement.
 
 
 class ClaimShards:
-    """Sends each keyed request to the shard of its key.
+    """Routes each keyed request to the shard of its key.
 
     Attributes:
-        shards: How many shards there are.
-        followed: The shards that this host reads.
+        shards: The number of shards.
+        followed: The shards that this host reads, with their claims.
     """
 
     def __init__(
@@ -35,13 +35,13 @@
         shards: int = 1,
         live_hosts: Callable[[], Mapping[str, str]] = dict,
     ) -> None:
-        """Follows nothing yet; see ``start``.
+        """Creates the shards; ``start`` begins to follow some of them.
 
         Args:
-            make_claims: Makes the claims of a stream.
+            make_claims: Creates the claims for the name of a stream.
             host: Name of this host.
-            shards: How many shards there are; the same at every host.
-            live_hosts: Returns ``ip:port`` by name of the live hosts.
+            shards: The number of shards; the same at every host.
+            live_hosts: Returns the ``ip:port`` of each live host by its name.
         """
         self.shards = shards
         self.followed: dict[int, claims_lib.Claims] = {}
@@ -51,41 +51,41 @@
         self._tasks = watched_tasks.WatchedTasks()
 
     def start(self) -> None:
-        """Starts to follow this host's shards."""
+        """Starts to follow the shards that are placed on this host."""
         if self.shards == 1:
             self._follow(0)
             return
-        self._tasks.start(self._place_on(), "placement of shards")
+        self._tasks.start(self._placement_loop(), "placement of shards")
 
     async def stop(self) -> None:
-        """Ends all tasks at once; see ``drain``."""
+        """Cancels all tasks; call ``drain`` first for a graceful stop."""
         await self._tasks.stop()
         for claims in self.followed.values():
             await claims.stop()
 
     async def watch(self) -> None:
-        """Raises what a task raised, once one has; else never returns."""
+        """Waits until a task fails, and raises its exception."""
         await self._tasks.watch()
 
     async def drain(
         self, timeout: float, hand_over: claims_lib.HandOver | None = None
     ) -> int:
-        """Writes what is left or hands it over; see ``Claims.drain``."""
-        left = await asyncio.gather(
+        """Writes or hands over pending records; see ``Claims.drain``."""
+        remaining = await asyncio.gather(
             *(
                 claims.drain(timeout, hand_over)
                 for claims in self.followed.values()
             )
         )
-        return sum(left)
+        return sum(remaining)
 
     async def begin(
         self, request: messages.KeyedRequest, deadline: float
     ) -> permits.BeginResult:
-        """Returns whether a request may run here, or where to send it."""
-        shard = self._shard(request.account, request.key)
+        """Returns whether a request may run here, or where to forward it."""
+        shard = self._shard_of(request.account, request.key)
         if shard not in self.followed and not request.forwarded:
-            address = self._follower(shard)
+            address = self._other_follower(shard)
             if address:
                 return permits.ForwardTo(address)
         return await self._follow(shard).begin(request, deadline)
@@ -96,15 +96,15 @@
         outcome: outcomes.Outcome,
         answer: permits.StoredAnswer | None,
     ) -> None:
-        """Records what became of a run and wakes its duplicates."""
-        shard = self._shard(permit.account, permit.key)
+        """Records the outcome of a run and wakes its duplicates."""
+        shard = self._shard_of(permit.account, permit.key)
         self.followed[shard].finish(permit, outcome, answer)
 
-    def _shard(self, account: str, key: str) -> int:
+    def _shard_of(self, account: str, key: str) -> int:
         digest = records.key_digest(account, key)
         return placement.shard_of(digest, self.shards)
 
-    def _follower(self, shard: int) -> str:
+    def _other_follower(self, shard: int) -> str:
         """Returns the address of another host that follows a shard."""
         hosts = self._live_hosts()
         for host in placement.followers(shard, hosts):
@@ -121,25 +121,26 @@
             self._tasks.start(claims.watch(), f"watch of {stream}")
         return claims
 
-    async def _place_on(self) -> None:
+    async def _placement_loop(self) -> None:
         placed: frozenset[str] = frozenset()
         wanted: frozenset[int] = frozenset()
         while True:
             hosts = frozenset({self._host, *self._live_hosts()})
             if hosts != placed:
-                wanted = await self._place(hosts)
+                wanted = await self._assigned_shards(hosts)
                 placed = hosts
             for shard in wanted:
                 self._follow(shard)
             for shard in self.followed.keys() - wanted:
-                await self._leave(shard)
-            await asyncio.sleep(_CHECK)
+                await self._unfollow_if_idle(shard)
+            await asyncio.sleep(_CHECK_SECONDS)
 
-    async def _place(self, hosts: frozenset[str]) -> frozenset[int]:
+    async def _assigned_shards(self, hosts: frozenset[str]) -> frozenset[int]:
         """Returns the shards for this host to follow.
 
-        It weighs each host for each shard, so it is done when the hosts
-        change only, and lets requests go on meanwhile.
+        Rendezvous hashing weighs every host for every shard. To limit the
+        cost, this runs only when the set of hosts changes, and yields to other
+        tasks after each shard.
         """
         found = set()
         for shard in range(self.shards):
@@ -148,7 +149,7 @@
             await asyncio.sleep(0)
         return frozenset(found)
 
-    async def _leave(self, shard: int) -> None:
+    async def _unfollow_if_idle(self, shard: int) -> None:
         claims = self.followed[shard]
         if claims.claimant.is_idle:
             del self.followed[shard]
--- a/src/hoistmoor/entry/claims.py
+++ b/src/hoistmoor/entry/claims.py
@@ -1,4 +1,4 @@
-"""Callers' own keys at one host: who waits, and the claims' way to the log."""
+"""Claims callers' idempotency keys on the log, for the requests of one host."""
 
 from __future__ import annotations
 
@@ -32,29 +32,38 @@
 
     HandOver = Callable[[records.HeldClaims], Awaitable[bool]]
 
-CLAIM_LINGER = 0.002  # Seconds that a claim waits for more claims,
-QUIET = 0.005  # unless the last append is this long ago.
-END_LINGER = 0.25  # Seconds that the end of a run waits for a claim.
-PATIENCE = 3.0  # Seconds that a claim may take.
-_CATCH_UP = 0.5  # Seconds that a look at another's claim waits for the log.
-_RETRY = 0.5  # Seconds between attempts while the log is down.
+# A claim waits this long for others to share its append, unless the last
+# append was at least IDLE_SECONDS ago.
+CLAIM_LINGER_SECONDS = 0.002
+IDLE_SECONDS = 0.005
+# The end of a run waits this long for a claim to share its append.
+END_LINGER_SECONDS = 0.25
+CLAIM_TIMEOUT_SECONDS = 3.0  # Limit for a claim to be decided.
+# Limit for reading the log to its end before judging a key held elsewhere.
+_CATCH_UP_SECONDS = 0.5
+_RETRY_SECONDS = 0.5  # Delay between attempts while the log is unavailable.
 
 _log = logs.PartLogger("claims")
 
 
 @attrs.define(eq=False)
-class _Waking:
-    """Wakes the requests that wait for one claim."""
+class _Waiter:
+    """Wakes the requests that wait for one claim.
+
+    Attributes:
+        event: Set once the state of the claim has changed.
+        change: The change.
+    """
 
     event: asyncio.Event = attrs.field(factory=asyncio.Event)
     change: messages.Change | None = None
 
 
 class Claims:
-    """Callers' own keys at one host.
+    """Decides which keyed requests may run at one host.
 
     Attributes:
-        claimant: The decisions.
+        claimant: The state machine that makes the decisions.
     """
 
     def __init__(
@@ -77,43 +86,45 @@
         self._metrics = metrics or metrics_lib.Metrics()
         self._clock = clock
         self._stream = stream
-        self._work = asyncio.Event()
+        self._work_available = asyncio.Event()
         self._urgent = asyncio.Event()
         self._appended_at = 0.0
         self._draining = False
         self._written = asyncio.Condition()
-        self._wakings: dict[str, _Waking] = {}
+        self._waiters: dict[str, _Waiter] = {}
         self._reader = claim_reader.ClaimReader(
             log, stream, self.claimant, self._wake, clock
         )
         self._tasks = watched_tasks.WatchedTasks()
 
     def start(self) -> None:
-        """Starts the reader and the writer."""
+        """Starts the tasks that read and write the stream."""
         self._tasks.start(self._reader.run(), f"reader of {self._stream}")
-        self._tasks.start(self._write_on(), f"writer of {self._stream}")
+        self._tasks.start(self._write_loop(), f"writer of {self._stream}")
 
     async def stop(self) -> None:
-        """Ends both tasks at once; see ``drain``."""
+        """Cancels both tasks; call ``drain`` first for a graceful stop."""
         await self._tasks.stop()
 
     async def watch(self) -> None:
-        """Raises what a task raised, once one has; else never returns."""
+        """Waits until a task fails, and raises its exception."""
         await self._tasks.watch()
 
     async def drain(
         self, timeout: float, hand_over: HandOver | None = None
     ) -> int:
-        """Waits until every end of a run is on the log, or with a peer.
+        """Waits until the end of every run is on the log or held by a peer.
 
         Args:
-            timeout: Seconds.
-            hand_over: Has a peer append a batch once this process is gone;
-                used if the log is down. Call it only for the final stop.
+            timeout: Seconds to wait.
+            hand_over: Asks a peer to append a batch after this process has
+                ended; used if the log is unavailable. Pass it only when the
+                process stops.
 
         Returns:
-            How many records could not be handed over. Their keys stay held by
-            this incarnation: other hosts will call them unknown.
+            The number of records that could not be handed over. Their keys
+            stay held by this incarnation, so other hosts report their outcome
+            as unknown.
         """
         self._draining = True
         self._urgent.set()
@@ -129,7 +140,8 @@
             await self._hand_over(hand_over)
         if self.claimant.outbox:
             _log.warning(
-                "%d claim records not written", len(self.claimant.outbox)
+                "%d claim records are neither on the log nor at a peer",
+                len(self.claimant.outbox),
             )
         return len(self.claimant.outbox)
 
@@ -149,21 +161,21 @@
         """Returns whether a request may run here.
 
         Args:
-            request: The request under the caller's own key.
+            request: The request with the caller's idempotency key.
             deadline: Seconds since the epoch.
         """
-        patience = min(deadline, self._clock() + PATIENCE)
+        claim_deadline = min(deadline, self._clock() + CLAIM_TIMEOUT_SECONDS)
         while True:
-            result = await self._judge(request)
+            result = await self._evaluate(request)
             if isinstance(result, messages.ReadAnswer):
                 return await self._reader.fetch_answer(result)
             if not isinstance(result, messages.Wait):
                 return result
             running = self.claimant.is_running(result)
-            limit = deadline if running else patience
+            limit = deadline if running else claim_deadline
             change = await self._wait(result, request, limit)
             if change is None:
-                return _too_late(running)
+                return _timeout_refusal(running)
             if change is messages.Change.GIVEN_UP:
                 return replies.claim_unavailable(
                     "the log took no claim, or keeps too little to judge it"
@@ -175,15 +187,20 @@
         outcome: outcomes.Outcome,
         answer: permits.StoredAnswer | None,
     ) -> None:
-        """Records what became of a run and wakes its duplicates."""
+        """Records the outcome of a run and wakes its duplicates."""
         self.claimant.finish(permit, outcome, answer)
-        self._work.set()
+        self._work_available.set()
         self._wake()
 
-    async def _judge(self, request: messages.KeyedRequest) -> messages.Result:
-        """Asks the claimant; on a key held elsewhere, with all there is."""
+    async def _evaluate(
+        self, request: messages.KeyedRequest
+    ) -> messages.Result:
+        """Returns the claimant's decision on a request.
+
+        For a key held by another host, reads the stream to its end first.
+        """
         if self.claimant.is_held(request):
-            await self._reader.catch_up(_CATCH_UP)
+            await self._reader.catch_up(_CATCH_UP_SECONDS)
         return self.claimant.begin(request, self._clock())
 
     async def _wait(
@@ -192,63 +209,63 @@
         request: messages.KeyedRequest,
         limit: float,
     ) -> messages.Change | None:
-        """Returns what happened to the claim, or None at the limit."""
-        waking = self._wakings.setdefault(wait.claim_id, _Waking())
-        self._work.set()
+        """Waits for a change of the claim; returns None at the time limit."""
+        waiter = self._waiters.setdefault(wait.claim_id, _Waiter())
+        self._work_available.set()
         self._urgent.set()
-        self._reader.hurry()
+        self._reader.poll_now()
         try:
             async with asyncio.timeout(max(limit - self._clock(), 0.0)):
-                await waking.event.wait()
+                await waiter.event.wait()
         except TimeoutError:
-            self._leave(wait, request)
+            self._stop_waiting(wait, request)
             return None
         except asyncio.CancelledError:
-            self._leave(wait, request)
+            self._stop_waiting(wait, request)
             raise
-        return waking.change
+        return waiter.change
 
-    def _leave(
+    def _stop_waiting(
         self, wait: messages.Wait, request: messages.KeyedRequest
     ) -> None:
         self.claimant.leave(wait, request.request_id)
-        self._work.set()
+        self._work_available.set()
         self._wake()
 
     def _wake(self) -> None:
         for claim_id, change in self.claimant.take_changed().items():
-            waking = self._wakings.pop(claim_id, None)
-            if waking is not None:
-                waking.change = change
-                waking.event.set()
+            waiter = self._waiters.pop(claim_id, None)
+            if waiter is not None:
+                waiter.change = change
+                waiter.event.set()
 
-    async def _write_on(self) -> None:
+    async def _write_loop(self) -> None:
         while True:
-            await self._work.wait()
-            self._work.clear()
+            await self._work_available.wait()
+            self._work_available.clear()
             await self._linger()
             batch = self.claimant.next_batch()
             if batch is None:
                 continue
             await self._append(batch)
             if self.claimant.outbox:
-                self._work.set()
+                self._work_available.set()
             async with self._written:
                 self._written.notify_all()
 
     async def _linger(self) -> None:
-        """Waits for more records, longer while no caller waits for them."""
+        """Waits for more records, longer if no caller waits for an append."""
         if not self.claimant.outbox.claims and not self._draining:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(END_LINGER):
+                async with asyncio.timeout(END_LINGER_SECONDS):
                     await self._urgent.wait()
-        if self._clock() - self._appended_at < QUIET:
-            await asyncio.sleep(CLAIM_LINGER)
+        if self._clock() - self._appended_at < IDLE_SECONDS:
+            await asyncio.sleep(CLAIM_LINGER_SECONDS)
         self._urgent.clear()
 
     async def _append(self, batch: records.ClaimBatch) -> None:
-        began = self._clock()
-        self._appended_at = began
+        started_at = self._clock()
+        self._appended_at = started_at
         try:
             await self._log.append(self._stream, codec.encode(batch))
         except errors.LogOutcomeUnknownError:
@@ -260,14 +277,14 @@
             self.claimant.appended(batch)
             self._metrics.count("once.claim", len(batch.claims))
             self._metrics.timing(
-                "log.append_time", (self._clock() - began) * 1000
+                "log.append_time", (self._clock() - started_at) * 1000
             )
             return
         self._metrics.count("log.failed")
-        await asyncio.sleep(_RETRY)
+        await asyncio.sleep(_RETRY_SECONDS)
 
 
-def _too_late(running: bool) -> permits.BeginResult:
+def _timeout_refusal(running: bool) -> permits.BeginResult:
     if running:
         return replies.in_progress("the run under this key goes on")
     return replies.claim_unavailable("the claim was not settled in time")
--- a/src/hoistmoor/entry/closing.py
+++ b/src/hoistmoor/entry/closing.py
@@ -1,9 +1,9 @@
-"""Closes callers' connections without cutting a request that is on its way.
+"""Closes callers' connections without losing a request that is in flight.
 
-A caller may send its next request on a kept connection at the moment when the
-host closes it, and then cannot know whether it ran. So the host first answers
-for a while that it is stopping, ending each connection with that answer, then
-stops to listen, and exits once the connections are gone.
+If a host closes a keep-alive connection just as the caller sends its next
+request, the caller cannot know whether the request ran. So the host first keeps
+responding for a while that it is stopping, closing each connection with that
+response. It then stops listening and exits once all connections are closed.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 
     from hoistmoor.entry import readiness as readiness_lib
 
-REFUSE_SECONDS = 1.0  # New connections are still answered.
-IDLE_SECONDS = 1.0  # Open connections may still bring a request.
-_STEP = 0.02  # Seconds.
+REFUSE_SECONDS = 1.0  # How long new connections are accepted and refused.
+IDLE_SECONDS = 1.0  # How long open connections may still send a request.
+_POLL_SECONDS = 0.02
 
 
 class Closing:
-    """Ends connections while a stop is under way."""
+    """Closes callers' connections during a graceful stop."""
 
     def __init__(self, readiness: readiness_lib.Readiness) -> None:
         self._readiness = readiness
@@ -34,10 +34,10 @@
     async def on_prepare(
         self, request: web.Request, response: web.StreamResponse
     ) -> None:
-        """Has a response that begins during a stop end its connection."""
+        """Makes each response sent during a stop close its connection."""
         if self._readiness.stopping:
             response.force_close()
-            # Headers are made before this is called: say it, too.
+            # aiohttp has already prepared the headers, so set this one too.
             response.headers[hdrs.CONNECTION] = "close"
 
     async def close(
@@ -47,35 +47,35 @@
         listener: socket.socket,
         tls: ssl.SSLContext | None = None,
     ) -> None:
-        """Returns once no connection can bring a request any more.
+        """Stops listening, and waits until callers' connections are closed.
 
         Args:
-            runner: Knows the open connections.
-            site: Accepts new ones.
+            runner: Tracks the open connections.
+            site: Accepts new connections.
             listener: The socket that the site listens on.
-            tls: Of the callers' connections; None for plain ones.
+            tls: TLS context of callers' connections; None without TLS.
         """
         await asyncio.sleep(REFUSE_SECONDS)
-        await _accept_rest(runner, listener, tls)
+        await _accept_pending(runner, listener, tls)
         await site.stop()
-        for _ in range(round(IDLE_SECONDS / _STEP)):
+        for _ in range(round(IDLE_SECONDS / _POLL_SECONDS)):
             if runner.server is None or not runner.server.connections:
                 return
-            await asyncio.sleep(_STEP)
+            await asyncio.sleep(_POLL_SECONDS)
 
 
-async def _accept_rest(
+async def _accept_pending(
     runner: web.BaseRunner,
     listener: socket.socket,
     tls: ssl.SSLContext | None,
 ) -> None:
-    """Takes in connections that wait: closing the listener resets them."""
+    """Accepts connections in the backlog, as closing the socket resets them."""
     loop = asyncio.get_running_loop()
     assert runner.server is not None
     while True:
         try:
             connection, _ = listener.accept()
-        except OSError:  # Nothing waits.
+        except OSError:  # The backlog is empty.
             return
         connection.setblocking(False)
         await loop.connect_accepted_socket(runner.server, connection, ssl=tls)
--- a/src/hoistmoor/entry/decision_log.py
+++ b/src/hoistmoor/entry/decision_log.py
@@ -1,4 +1,4 @@
-"""Appends this host's decisions to the log, in budgeted batches."""
+"""Appends this host's decisions to the log, within a byte budget."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
     from hoistmoor.core.requests import decisions
     from hoistmoor.entry import log_port
 
-MOST_SCANNED = 5_000  # Records read at most to find one decision.
-PAGE = 500
+MAX_SCANNED_RECORDS = 5_000  # Records read to find one decision.
+PAGE_SIZE = 500  # Records per read.
 
 _LOG = logs.PartLogger("decisions")
 
 
 class DecisionLog:
-    """Owns the buffer of decisions that are on their way to the log.
+    """Buffers decisions and appends them to the log in the background.
 
     Attributes:
-        lost: Decisions whose batch the log did not take.
+        lost: Decisions whose batch could not be appended.
     """
 
     def __init__(
@@ -45,27 +45,27 @@
         )
 
     def add(self, decision: decisions.Decision) -> None:
-        """Takes a closed decision without waiting."""
+        """Buffers a closed decision without waiting."""
         self._buffer.add(decision)
 
     async def run(self) -> None:
         """Appends batches until cancelled."""
         while True:
-            pause = decision_batch.period(self._host_count())
-            await asyncio.sleep(pause)
-            await self.flush(pause)
+            interval = decision_batch.period(self._host_count())
+            await asyncio.sleep(interval)
+            await self.flush(interval)
 
     async def find(self, request_id: str) -> decisions.Decision | None:
-        """Returns a decision that is still on the log, newest records first.
+        """Searches the log for a decision, from the newest record backwards.
 
         Raises:
             PlatformError: The log could not be read.
         """
         bounds = await self._log.bounds(streams.DECISIONS)
-        oldest = max(bounds.first, bounds.next - MOST_SCANNED)
+        oldest = max(bounds.first, bounds.next - MAX_SCANNED_RECORDS)
         end = bounds.next
         while end > oldest:
-            start = max(oldest, end - PAGE)
+            start = max(oldest, end - PAGE_SIZE)
             found = await self._find_between(start, end, request_id)
             if found is not None:
                 return found
@@ -87,7 +87,13 @@
         return None
 
     async def flush(self, seconds: float) -> None:
-        """Appends one batch; decisions are not worth a second try."""
+        """Appends one batch, without a retry on failure.
+
+        Decisions are diagnostic data, so losing a batch is acceptable.
+
+        Args:
+            seconds: Time since the last batch; the byte budget grows with it.
+        """
         batch = self._buffer.take(seconds)
         if batch is None:
             return
@@ -96,7 +102,7 @@
         except errors.PlatformError as error:
             self.lost += len(batch.decisions)
             _LOG.warning(
-                "%d decisions not kept on the log: %s",
+                "Dropped %d decisions, cannot append to the log: %s",
                 len(batch.decisions),
                 error,
             )
--- a/src/hoistmoor/entry/delivery.py
+++ b/src/hoistmoor/entry/delivery.py
@@ -1,4 +1,4 @@
-"""Writes what a request's task tells to the caller's connection."""
+"""Writes the response of a request's task to the caller's connection."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
     from hoistmoor.entry import parts as parts_lib
     from hoistmoor.entry import reception
 
-_MS = 1000.0
+_MS_PER_SECOND = 1000.0
 
 
 class Delivery:
-    """Delivers one answer, streamed or whole, to its caller."""
+    """Delivers one response to its caller, as a stream or in one piece."""
 
     def __init__(
         self,
@@ -37,16 +37,21 @@
         self._pin = running.pin
         self._http = http
         self._request = running.task.machine.request
-        self._pieces: list[bytes] = []
+        self._frames: list[bytes] = []
         self._response: web.StreamResponse | None = None
         self._ended = False
 
     async def deliver(self) -> web.StreamResponse:
-        """Returns once the caller has the final answer."""
+        """Sends the response, and returns it once it is complete.
+
+        Raises:
+            CancelledError: The caller disconnected.
+            ConnectionError: The caller's connection failed.
+        """
         try:
             while not self._ended:
                 item = await self._task.channel.get()
-                await self._take(item)
+                await self._on_item(item)
         except (asyncio.CancelledError, ConnectionError):
             self._task.caller_left()
             self._parts.metrics.count("request.cancelled")
@@ -59,7 +64,7 @@
     def _elapsed(self) -> float:
         """Milliseconds since the request arrived."""
         seconds = self._parts.clock() - self._request.envelope.arrived
-        return seconds * _MS
+        return seconds * _MS_PER_SECOND
 
     @property
     def _streams(self) -> bool:
@@ -71,27 +76,27 @@
         return self._task.machine.decision.request_id
 
     @singledispatchmethod
-    async def _take(self, item: object) -> None:
+    async def _on_item(self, item: object) -> None:
         raise NotImplementedError(type(item))
 
-    @_take.register
+    @_on_item.register
     async def _(self, item: channel_lib.Piece) -> None:
         if self._streams:
             await self._write(item.data)
         else:
-            self._pieces.append(item.data)
+            self._frames.append(item.data)
         self._task.channel.give_credit()
 
-    @_take.register
+    @_on_item.register
     async def _(self, item: channel_lib.Whole) -> None:
         self._ended = True
         if self._streams:
             await self._write(chunks.event(chunks.DONE))
             await self._finish_stream()
             return
-        await self._send_whole(item.facts)
+        await self._send_complete(item.facts)
 
-    @_take.register
+    @_on_item.register
     async def _(self, item: channel_lib.Refused) -> None:
         self._ended = True
         self._parts.metrics.refusal(item.refusal.reason)
@@ -103,11 +108,11 @@
 
     async def _write(self, data: bytes) -> None:
         if self._response is None:
-            self._response = await self._begin_stream()
+            self._response = await self._start_stream()
         await self._response.write(data)
 
-    async def _begin_stream(self) -> web.StreamResponse:
-        response = web.StreamResponse(headers=await self._answer_headers())
+    async def _start_stream(self) -> web.StreamResponse:
+        response = web.StreamResponse(headers=await self._response_headers())
         response.content_type = wire.SSE
         await response.prepare(self._http)
         self._parts.metrics.timing("request.first_byte", self._elapsed)
@@ -117,17 +122,17 @@
         assert self._response is not None
         await self._response.write_eof()
 
-    async def _send_whole(self, facts: messages.AnswerFacts) -> None:
-        headers = await self._answer_headers()
+    async def _send_complete(self, facts: messages.AnswerFacts) -> None:
+        headers = await self._response_headers()
         body, content_type = chunks.as_sent(
-            self._request, self._task.machine.decision, self._pieces, facts
+            self._request, self._task.machine.decision, self._frames, facts
         )
         headers["Content-Type"] = content_type or wire.JSON
         self._response = web.Response(
             body=body, status=facts.status, headers=headers
         )
 
-    async def _answer_headers(self) -> dict[str, str]:
+    async def _response_headers(self) -> dict[str, str]:
         decision = self._task.machine.decision
         why = decision.choice.reason if decision.choice else ""
         headers = {
@@ -143,27 +148,33 @@
     async def _session_headers(
         self, pin: sessions_lib.SessionPin
     ) -> dict[str, str]:
-        shared = self._request.envelope
+        envelope = self._request.envelope
         assert isinstance(self._request, kinds.ChatRequest)
         version = self._task.machine.decision.version
         sessions = self._parts.sessions
-        if shared.session and version != pin.version:
+        if envelope.session and version != pin.version:
             version = await sessions.remember(
-                shared.account, pin.session, self._request.model, version
+                envelope.account, pin.session, self._request.model, version
             )
         token = sessions.token_for(
-            shared.account, pin.session, self._request.model, version
+            envelope.account, pin.session, self._request.model, version
         )
         headers = {responses.SESSION_HEADER: token}
-        left = _version_left(pin, version)
-        if left:
+        previous = _previous_version(pin, version)
+        if previous:
             self._parts.metrics.count("session.moved")
-            headers[responses.MOVED_HEADER] = f"from {left}"
+            headers[responses.MOVED_HEADER] = f"from {previous}"
         return headers
 
 
-def _version_left(pin: sessions_lib.SessionPin, version: str) -> str | None:
-    """Returns the version that a session left with this answer, if any."""
+def _previous_version(pin: sessions_lib.SessionPin, version: str) -> str | None:
+    """Returns the version that a session moves from, if it moves.
+
+    Args:
+        pin: The pin of the session, as found when the request arrived.
+        version: The version that generated the response.
+    """
     if pin.version and pin.version != version:
-        return pin.version  # It was withdrawn after the pin was found.
+        # The pinned version was withdrawn after the pin was found.
+        return pin.version
     return pin.moved_from
--- a/src/hoistmoor/entry/evidence_task.py
+++ b/src/hoistmoor/entry/evidence_task.py
@@ -1,4 +1,4 @@
-"""Carries evidence on quality: ratings in, the log's records in and out."""
+"""Collects evidence of quality: reads ratings, reads and appends records."""
 
 from __future__ import annotations
 
@@ -20,14 +20,16 @@
     from hoistmoor.core.routing import router as router_lib
     from hoistmoor.entry import log_port
 
-RATINGS_PERIOD = 0.5  # Seconds between two polls for ratings.
-EFFECTS_PERIOD = 0.2  # Seconds between two looks at what to append.
+RATINGS_POLL_SECONDS = 0.5  # Interval between polls for ratings.
+FLUSH_INTERVAL_SECONDS = (
+    0.2  # Interval between appends of the router's results.
+)
 
 _LOG = logs.PartLogger("evidence")
 
 
 class EvidenceTask(stream_reader.Consumer):
-    """Feeds the router with evidence and publishes what it concludes."""
+    """Passes evidence to the router and appends its results to the log."""
 
     def __init__(
         self,
@@ -40,23 +42,23 @@
         self._client = client
         self._router = router
         self._clock = clock
-        self._next = 0
-        self._unsent: list[object] = []
+        self._next_offset = 0
+        self._pending: list[object] = []
         self._reader = stream_reader.StreamReader(
             log, streams.EVIDENCE, self, pacing.EVIDENCE
         )
 
     @property
     def bad_records(self) -> int:
-        """Returns how many records of the stream did not decode."""
+        """Returns the number of records that could not be decoded."""
         return self._reader.bad_records
 
     async def run(self) -> None:
-        """Works until cancelled."""
+        """Reads and appends evidence until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._poll_ratings())
             group.create_task(self._reader.run())
-            group.create_task(self._write_on())
+            group.create_task(self._flush_loop())
 
     async def _poll_ratings(self) -> None:
         offset = 0
@@ -67,50 +69,54 @@
                 for rating in page.ratings:
                     self._router.on_rating(rating, self._clock())
             except errors.PlatformError as error:
-                _LOG.debug("No ratings for now: %s", error)
-            await asyncio.sleep(RATINGS_PERIOD)
+                _LOG.debug("Cannot poll ratings, retrying: %s", error)
+            await asyncio.sleep(RATINGS_POLL_SECONDS)
 
-    # What the reader calls.
+    # Methods called by the stream reader.
 
     @property
     def next_offset(self) -> int:
-        """Returns where to read on."""
-        return self._next
+        """Returns the offset of the next record to read."""
+        return self._next_offset
 
     def on_start(self, bounds: log_client.LogBounds) -> None:
-        """Starts at the oldest record; older ones are a gap."""
-        self._next = bounds.first
+        """Starts at the oldest record; expired records count as a gap."""
+        self._next_offset = bounds.first
         if bounds.first > 0:
             self._router.on_evidence_gap(bounds.first)
 
     def on_gap(self, first: int) -> None:
-        """Reads on after records that this host never saw."""
-        self._next = first
+        """Continues after records that expired before they were read."""
+        self._next_offset = first
         self._router.on_evidence_gap(first)
 
     def on_record(self, record: log_client.LogRecord, decoded: Any) -> None:
-        """Hands a record to the router."""
-        self._next = record.offset + 1
+        """Passes a record to the router."""
+        self._next_offset = record.offset + 1
         self._router.on_evidence(record.offset, decoded)
 
     def on_bad_record(self, record: log_client.LogRecord) -> None:
-        """Passes over a record."""
-        self._next = record.offset + 1
+        """Skips a record that cannot be decoded."""
+        self._next_offset = record.offset + 1
 
-    async def _write_on(self) -> None:
+    async def _flush_loop(self) -> None:
         while True:
-            await asyncio.sleep(EFFECTS_PERIOD)
+            await asyncio.sleep(FLUSH_INTERVAL_SECONDS)
             await self.flush()
 
     async def flush(self) -> None:
-        """Appends what the router concluded; a repeat does no harm."""
-        self._unsent += self._router.take_effects()
-        while self._unsent:
-            payload = codec.encode(self._unsent[0])
+        """Appends the router's pending records, oldest first.
+
+        Appending a record twice is harmless, so a failed append is retried
+        even though the log may have stored the record.
+        """
+        self._pending += self._router.take_effects()
+        while self._pending:
+            payload = codec.encode(self._pending[0])
             try:
                 await self._log.append(streams.EVIDENCE, payload)
             except errors.PlatformError as error:
-                _LOG.warning("Evidence waits for the log: %s", error)
+                _LOG.warning("Cannot append evidence, retrying: %s", error)
                 return
-            self._unsent.pop(0)
+            self._pending.pop(0)
             self._reader.hurry()
--- a/src/hoistmoor/entry/explanations.py
+++ b/src/hoistmoor/entry/explanations.py
@@ -1,4 +1,4 @@
-"""Keeps the explanations of this host's newest requests."""
+"""Stores the decisions on this host's most recent requests."""
 
 from __future__ import annotations
 
@@ -9,48 +9,54 @@
     from hoistmoor.core.requests import decisions
 
 DEFAULT_CAPACITY = 20_000  # About 2 KB each.
-STRANGERS_CAPACITY = 1_000
+UNKNOWN_CALLERS_CAPACITY = 1_000
 
 
 class Explanations:
-    """A bounded map from request id to decision; the oldest goes first.
+    """A bounded map from request id to decision that evicts the oldest.
 
-    Requests of unknown callers have a part of their own, so that a flood of
-    them does not push out what operators ask about.
+    Requests of unknown callers are stored separately, so that a flood of them
+    does not evict the decisions that operators look for.
 
     Attributes:
-        capacity: Decisions kept at most, those of unknown callers aside.
+        capacity: Maximum number of decisions, without unknown callers.
     """
 
     def __init__(self, capacity: int = DEFAULT_CAPACITY) -> None:
         self.capacity = capacity
-        self._known = _Ring(capacity)
-        self._strangers = _Ring(STRANGERS_CAPACITY)
+        self._known_callers = _BoundedMap(capacity)
+        self._unknown_callers = _BoundedMap(UNKNOWN_CALLERS_CAPACITY)
 
     def __len__(self) -> int:
-        """Returns how many decisions are kept."""
-        return len(self._known.rows) + len(self._strangers.rows)
+        """Returns the number of stored decisions."""
+        return len(self._known_callers.decisions_by_id) + len(
+            self._unknown_callers.decisions_by_id
+        )
 
     def keep(self, decision: decisions.Decision) -> None:
-        """Adds a decision; it may still be growing."""
-        ring = self._known if decision.account else self._strangers
-        ring.add(decision)
+        """Stores a decision, which may still be open and change later."""
+        target = (
+            self._known_callers if decision.account else self._unknown_callers
+        )
+        target.add(decision)
 
     def find(self, request_id: str) -> decisions.Decision | None:
-        """Returns the decision on a request, if it is still kept."""
-        known = self._known.rows.get(request_id)
-        return known or self._strangers.rows.get(request_id)
+        """Returns the decision on a request, if it is still stored."""
+        known = self._known_callers.decisions_by_id.get(request_id)
+        return known or self._unknown_callers.decisions_by_id.get(request_id)
 
 
-class _Ring:
-    """The newest decisions up to a number."""
+class _BoundedMap:
+    """The most recent decisions, up to a maximum number."""
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
-        self.rows: OrderedDict[str, decisions.Decision] = OrderedDict()
+        self.decisions_by_id: OrderedDict[str, decisions.Decision] = (
+            OrderedDict()
+        )
 
     def add(self, decision: decisions.Decision) -> None:
-        """Adds a decision and forgets the oldest one too many."""
-        self.rows[decision.request_id] = decision
-        while len(self.rows) > self.capacity:
-            self.rows.popitem(last=False)
+        """Adds a decision and evicts the oldest ones above the capacity."""
+        self.decisions_by_id[decision.request_id] = decision
+        while len(self.decisions_by_id) > self.capacity:
+            self.decisions_by_id.popitem(last=False)
--- a/src/hoistmoor/entry/factory.py
+++ b/src/hoistmoor/entry/factory.py
@@ -1,4 +1,4 @@
-"""Makes an entry host's parts and wires them together, in one place."""
+"""Composition root: creates an entry host's components and connects them."""
 
 from __future__ import annotations
 
@@ -53,25 +53,25 @@
     from hoistmoor.config import settings as settings_lib
     from hoistmoor.core.table import model
 
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 @attrs.frozen
 class Entry:
-    """All parts of one entry host, wired together.
+    """The connected components of one entry host.
 
     Attributes:
-        parts: What requests need.
+        parts: Components that requests use.
         follower: Follows the table.
-        members: Knows the other hosts.
-        readiness: Whether new work is taken.
-        reception: Requests under way.
-        evidence: Evidence on quality.
-        steering: Applies roll-outs and drains to the router's table.
-        closing: Ends connections at a stop.
-        web: The HTTP interface.
-        peers: The interface for other entry hosts.
-        auth: How this host and its peers prove themselves to each other.
+        members: Tracks the other hosts.
+        readiness: Decides whether new requests are accepted.
+        reception: Tracks running requests.
+        evidence: Collects evidence of quality.
+        steering: Applies rollouts and drains to the router's table.
+        closing: Closes callers' connections during a stop.
+        web: The HTTP application for callers and operators.
+        peers: The server for other entry hosts.
+        auth: Authenticates this host and its peers to each other.
     """
 
     parts: parts_lib.Parts
@@ -88,7 +88,7 @@
 
 
 class EntryFactory:
-    """Makes an entry host's parts from its settings."""
+    """Creates an entry host's components from its settings."""
 
     def __init__(
         self,
@@ -97,12 +97,12 @@
         backend_session: aiohttp.ClientSession,
         clock: Callable[[], float] = time.time,
     ) -> None:
-        """Makes a factory.
+        """Creates a factory.
 
         Args:
-            settings: Checked settings.
-            session: For calls to the platform and to other hosts.
-            backend_session: For exchanges with backend servers.
+            settings: Validated settings.
+            session: HTTP session for the platform and for other hosts.
+            backend_session: HTTP session for backend servers.
             clock: Returns seconds since the epoch.
         """
         self._settings = settings
@@ -110,7 +110,7 @@
         self._backend_session = backend_session
         self._clock = clock
         self._incarnation = identity.Incarnation(
-            settings.host, int(clock() * _MS)
+            settings.host, int(clock() * _MS_PER_SECOND)
         )
         self._address = settings.advertise or settings.listen
         self._log = log.LogClient(session, settings.log_url)
@@ -118,12 +118,12 @@
         self._auth = peer_auth.PeerAuth.make(
             settings, self._incarnation, clock, self._metrics
         )
-        self._tables = table_listeners.TableListeners()
+        self._table_listeners = table_listeners.TableListeners()
 
     def make(self) -> Entry:
-        """Returns the parts; nothing runs yet."""
+        """Returns the connected components, without starting any task."""
         follower = table_follower.TableFollower(
-            self._log, on_table=self._tables.tell, clock=self._clock
+            self._log, on_table=self._table_listeners.tell, clock=self._clock
         )
         members = self._make_members(follower)
         neighbours = neighbours_lib.Neighbours(members, self._clock)
@@ -161,7 +161,7 @@
             peers=_make_peers(parts, members, operators, self._auth),
             auth=self._auth,
         )
-        _connect(entry, self._tables, neighbours)
+        _connect(entry, self._table_listeners, neighbours)
         return entry
 
     def _make_members(
@@ -287,7 +287,7 @@
     tables: table_listeners.TableListeners,
     neighbours: neighbours_lib.Neighbours,
 ) -> None:
-    """Tells each part of what the others learn."""
+    """Subscribes components to changes of the table, hosts and servers."""
     parts = entry.parts
 
     def on_table(in_force: model.TableInForce) -> None:
--- a/src/hoistmoor/entry/forwarding.py
+++ b/src/hoistmoor/entry/forwarding.py
@@ -1,4 +1,4 @@
-"""Passes a request on to the host that a key or ticket belongs to."""
+"""Forwards a request to the entry host that owns its key or ticket."""
 
 from __future__ import annotations
 
@@ -17,14 +17,16 @@
     from hoistmoor.core.once import permits
     from hoistmoor.utils import tls
 
-_HOP_HEADERS = frozenset(
+_UNFORWARDED_RESPONSE_HEADERS = frozenset(
     {"connection", "transfer-encoding", "content-length", "date", "server"}
 )
-_OWN_HEADERS = frozenset({"host", "content-length", "connection"})
+_UNFORWARDED_REQUEST_HEADERS = frozenset(
+    {"host", "content-length", "connection"}
+)
 
 
 class Forwarder:
-    """Sends a request to another entry host once, and its answer back."""
+    """Forwards a request to another entry host, without retries."""
 
     def __init__(
         self, session: aiohttp.ClientSession, host: str, link: tls.Link
@@ -41,19 +43,19 @@
         target: permits.ForwardTo,
         now: float,
     ) -> web.StreamResponse:
-        """Returns the other host's answer, or a refusal.
+        """Relays the other host's response, or returns a refusal.
 
         Args:
             http: The caller's request.
             body: Its body.
-            shared: Its checked envelope.
-            target: The other host.
+            shared: Its validated envelope.
+            target: The host to forward to.
             now: Seconds since the epoch.
         """
         headers = {
             name: value
             for name, value in http.headers.items()
-            if name.lower() not in _OWN_HEADERS
+            if name.lower() not in _UNFORWARDED_REQUEST_HEADERS
         }
         headers[parsing.FORWARDED_HEADER] = self._host
         timeout = aiohttp.ClientTimeout(
@@ -68,32 +70,36 @@
                 headers=headers,
                 timeout=timeout,
                 ssl=self._link.verify,
-            ) as answer:
-                return await _pass_back(http, answer)
+            ) as peer_response:
+                return await _relay_response(http, peer_response)
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             return responses.refusal_response(
-                _lost(error), str(shared.request_id)
+                _failure_refusal(error), str(shared.request_id)
             )
 
 
-async def _pass_back(
-    http: web.Request, answer: aiohttp.ClientResponse
+async def _relay_response(
+    http: web.Request, peer_response: aiohttp.ClientResponse
 ) -> web.StreamResponse:
     headers = {
         name: value
-        for name, value in answer.headers.items()
-        if name.lower() not in _HOP_HEADERS
+        for name, value in peer_response.headers.items()
+        if name.lower() not in _UNFORWARDED_RESPONSE_HEADERS
     }
-    response = web.StreamResponse(status=answer.status, headers=headers)
+    response = web.StreamResponse(status=peer_response.status, headers=headers)
     await response.prepare(http)
-    async for data in answer.content.iter_any():
+    async for data in peer_response.content.iter_any():
         await response.write(data)
     await response.write_eof()
     return response
 
 
-def _lost(error: Exception) -> refusals.Refusal:
-    """Returns the refusal where the other host's answer did not come."""
+def _failure_refusal(error: Exception) -> refusals.Refusal:
+    """Returns the refusal for a request whose forwarding failed.
+
+    The request certainly did not run if no connection was made. In any other
+    case the other host may have run it.
+    """
     unsent = isinstance(error, aiohttp.ClientConnectorError)
     outcome = outcomes.Outcome.NOT_RUN if unsent else outcomes.Outcome.UNKNOWN
     return refusals.Refusal(
--- a/src/hoistmoor/entry/gossip_calls.py
+++ b/src/hoistmoor/entry/gossip_calls.py
@@ -1,4 +1,4 @@
-"""The calls to peers that the membership machine asks for."""
+"""Calls to peers, as requested by the membership state machine."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class GossipCalls:
-    """Makes each call and returns the message that tells how it went."""
+    """Calls peers and returns the results as membership messages."""
 
     def __init__(
         self, clients: client.PeerClients, clock: Callable[[], float]
@@ -27,7 +27,7 @@
     async def ping(
         self, ping: messages.Ping
     ) -> messages.PingReplied | messages.PingFailed:
-        """Sends a digest."""
+        """Exchanges membership digests with a peer."""
         sent_at = self._clock()
         try:
             reply = await self._clients.get(ping.address).ping(
@@ -39,19 +39,21 @@
         return messages.PingReplied(ping.target, sent_at, digest)
 
     async def relay(self, relay: messages.Relay) -> messages.RelayAnswered:
-        """Has helpers ping a host, all at once."""
+        """Asks several peers concurrently to ping a host."""
         sent_at = self._clock()
-        answers = await asyncio.gather(
-            *(self._ask(helper, relay) for helper in relay.helpers)
+        results = await asyncio.gather(
+            *(self._ping_through(helper, relay) for helper in relay.helpers)
         )
         return messages.RelayAnswered(
             relay.target,
             sent_at,
-            reached=any(answers),
-            helpers=sum(answer is not None for answer in answers),
+            reached=any(results),
+            helpers=sum(result is not None for result in results),
         )
 
-    async def _ask(self, helper: str, relay: messages.Relay) -> bool | None:
+    async def _ping_through(
+        self, helper: str, relay: messages.Relay
+    ) -> bool | None:
         try:
             peer = self._clients.get(helper)
             return await peer.ping_for(relay.target, relay.address)
@@ -64,6 +66,6 @@
         """Returns a peer's table if it is newer than ``revision``.
 
         Raises:
-            PeerError: The peer did not answer.
+            PeerError: The peer did not respond.
         """
         return await self._clients.get(fetch.address).fetch_table(revision)
--- a/src/hoistmoor/entry/handlers.py
+++ b/src/hoistmoor/entry/handlers.py
@@ -1,4 +1,4 @@
-"""The callers' interface over HTTP."""
+"""HTTP handlers of the API for callers."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
         self._forwarder = forwarder
 
     def add_routes(self, application: web.Application) -> None:
-        """Adds the callers' paths."""
+        """Adds the routes of the API for callers."""
         router = application.router
         router.add_post("/v1/chat/completions", self.chat)
         router.add_get("/v1/models", self.models)
@@ -54,11 +54,11 @@
         router.add_route("*", "/v1/services/{rest:.*}", self.call)
 
     async def chat(self, http: web.Request) -> web.StreamResponse:
-        """Answers a chat request."""
+        """Handles a chat completion request."""
         return await self._serve(http, self._intake.read_chat)
 
     async def call(self, http: web.Request) -> web.StreamResponse:
-        """Answers a call to a plain service."""
+        """Handles a call to a service that is not a chat model."""
         return await self._serve(http, self._intake.read_call)
 
     async def models(self, http: web.Request) -> web.StreamResponse:
@@ -78,7 +78,7 @@
         return responses.json_response({"object": "list", "data": data})
 
     async def ticket(self, http: web.Request) -> web.StreamResponse:
-        """Issues a ticket: a key that needs no log."""
+        """Issues a ticket, an idempotency key that works without the log."""
         request_id = self._intake.next_id()
         try:
             caller = self._intake.identify(http, request_id)
@@ -93,8 +93,8 @@
         request_id = self._intake.next_id()
         self._parts.metrics.count("request.accepted")
         self._reception.note_handler()
-        asked = f"{http.method} {http.path}"
-        decision = decisions.Decision.opened(str(request_id), asked)
+        target = f"{http.method} {http.path}"
+        decision = decisions.Decision.opened(str(request_id), target)
         try:
             caller = self._intake.identify(http, request_id)
             decision.account = caller.account.account
@@ -116,7 +116,7 @@
             running = delivery.Delivery(self._parts, reply, http)
             return await running.deliver()
         if isinstance(reply, permits.StoredAnswer):
-            return _stored(reply)
+            return _stored_response(reply)
         if isinstance(reply, permits.ForwardTo):
             return await self._forward(http, request, reply)
         return self._refuse(reply, request.envelope.request_id)
@@ -148,8 +148,8 @@
     return request.raw
 
 
-def _stored(answer: permits.StoredAnswer) -> web.Response:
-    """Returns the answer that an earlier attempt under the key got."""
+def _stored_response(answer: permits.StoredAnswer) -> web.Response:
+    """Returns the stored response of an earlier request with the same key."""
     headers = {
         responses.REQUEST_ID_HEADER: answer.request_id,
         responses.OUTCOME_HEADER: outcomes.Outcome.DONE.value,
@@ -164,13 +164,13 @@
     request: web.Request,
     handler: Callable[[web.Request], Awaitable[web.StreamResponse]],
 ) -> web.StreamResponse:
-    """Answers errors of this program with a typed refusal."""
+    """Converts unexpected exceptions of handlers to an internal refusal."""
     try:
         return await handler(request)
     except (web.HTTPException, ConnectionError):
         raise
     except Exception:
-        _LOG.exception("A handler failed on %s", request.path)
+        _LOG.exception("Unhandled exception on %s", request.path)
         refusal = refusals.Refusal(
             refusals.Reason.INTERNAL, outcomes.Outcome.UNKNOWN
         )
--- a/src/hoistmoor/entry/host_list.py
+++ b/src/hoistmoor/entry/host_list.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of hosts for the membership task."""
+"""Reads the platform's host list for the membership task."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 if TYPE_CHECKING:
     from hoistmoor.core.membership import draws
 
-MIN_PAUSE = 3.0  # Seconds between two reads of the list, at least.
-# The list grows with the deployment, what a host may spend on it does not.
-# Hosts read it at different times and tell each other what is new in it.
+MIN_INTERVAL_SECONDS = 3.0  # Minimum interval between reads of the list.
+# The list grows with the deployment, so each host reads it less often to keep
+# the cost constant. Hosts read it at different times and gossip the changes.
 ROWS_PER_SECOND = 12.0
-MAX_CONTACTS = 3  # Unknown hosts looked up after one read of the list.
+MAX_CONTACTS = 3  # Unknown hosts to look up after each read of the list.
 
 _LOG = logs.PartLogger("membership")
 
@@ -26,46 +26,47 @@
 
 
 class HostList:
-    """Turns the platform's list into messages for the membership machine.
+    """Converts the platform's host list to membership messages.
 
     Attributes:
-        pause: Seconds to wait until the next read.
+        pause: Seconds to wait before the next read.
     """
 
     def __init__(
         self, fetch_hosts: FetchHosts, find_peer: FindPeer, order: draws.Draws
     ) -> None:
-        self.pause = MIN_PAUSE
+        self.pause = MIN_INTERVAL_SECONDS
         self._fetch_hosts = fetch_hosts
         self._find_peer = find_peer
-        self._order = order
+        self._shuffler = order
 
     async def read(
         self, is_known: Callable[[str], bool]
     ) -> messages.HostsListed | None:
-        """Returns what the list says; None where it cannot be read.
+        """Reads the list; returns None if it is unavailable.
 
         Args:
-            is_known: Whether the peer address of an entry host is known.
+            is_known: Tells whether the peer address of an entry host is known,
+                by the name of the host.
         """
         try:
             listed = await self._fetch_hosts()
         except errors.HoistmoorError as error:
             _LOG.warning("Cannot read the host list: %s", error)
             return None
-        self.pause = max(MIN_PAUSE, len(listed) / ROWS_PER_SECOND)
+        self.pause = max(MIN_INTERVAL_SECONDS, len(listed) / ROWS_PER_SECOND)
         entries = {
             host.name: host
             for host in listed
             if host.role is hosts_client.Role.ENTRY
         }
         unknown = [name for name in entries if not is_known(name)]
-        chosen = self._order.shuffled(unknown)[:MAX_CONTACTS]
+        chosen = self._shuffler.shuffled(unknown)[:MAX_CONTACTS]
         return messages.HostsListed(
             entries=frozenset(entries),
             contacts=await self._look_up([entries[name] for name in chosen]),
             servers=tuple(
-                _to_server(host)
+                _to_listed_server(host)
                 for host in listed
                 if host.role is hosts_client.Role.BACKEND
             ),
@@ -85,6 +86,6 @@
         return tuple(contacts)
 
 
-def _to_server(host: hosts_client.ListedHost) -> messages.ListedServer:
+def _to_listed_server(host: hosts_client.ListedHost) -> messages.ListedServer:
     is_leaving = host.state is hosts_client.ListedState.LEAVING
     return messages.ListedServer(host.address, host.incarnation, is_leaving)
--- a/src/hoistmoor/entry/once.py
+++ b/src/hoistmoor/entry/once.py
@@ -1,4 +1,4 @@
-"""Leave to run: the one place that the entry asks before it dispatches."""
+"""At-most-once execution: the check that precedes each dispatch."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 class Once:
-    """Lets each request run at most once.
+    """Ensures that each request runs at most once.
 
     Attributes:
-        claims: Callers' own keys.
-        tickets: Tickets.
+        claims: Handles idempotency keys that callers chose.
+        tickets: Handles tickets.
     """
 
     def __init__(
@@ -46,26 +46,28 @@
         shards: int = 1,
         live_hosts: Callable[[], Mapping[str, str]] = dict,
     ) -> None:
-        """Starts nothing yet; see ``start``.
+        """Creates the check; ``start`` starts its tasks.
 
         Args:
             log: The log service.
             incarnation: This process.
-            address: ``ip:port`` of this host's callers' interface.
-            secrets: Sign tickets, the same at every host; the first signs,
-                each is honoured.
-            is_alive: Whether a process is thought to run still; doubt counts
+            address: ``ip:port`` of this host's API for callers.
+            secrets: Keys to sign tickets, the same at every host. The first
+                one signs; signatures of any of them are accepted.
+            is_alive: Returns whether a process may be running; doubt counts
                 as alive.
-            metrics: Where counts go.
-            clock: Seconds since the epoch.
+            metrics: Receives the counters.
+            clock: Returns seconds since the epoch.
             window: Seconds that a caller's key is remembered. The log must
-                keep its records for longer; see docs/design/at-most-once.md.
-            eldest: Returns ``ip:port`` of the live host that runs longest, or
-                nothing.
-            shards: Streams that claims are spread over; the same at every
-                host, and not to be changed while keys are remembered.
-            live_hosts: Returns ``ip:port`` by name of the live hosts; needed
-                with more than one shard.
+                retain its records for longer; see
+                docs/design/at-most-once.md.
+            eldest: Returns ``ip:port`` of the live host with the longest
+                uptime, or an empty string.
+            shards: Number of streams that claims are distributed over. It is
+                the same at every host, and must not change while keys are
+                remembered.
+            live_hosts: Returns the ``ip:port`` of each live host by its name;
+                required with more than one shard.
         """
         self._metrics = metrics or metrics_lib.Metrics()
         self.claims = claim_shards.ClaimShards(
@@ -88,38 +90,38 @@
         self.tickets = tickets.Tickets(
             incarnation, address, secrets, is_alive, clock
         )
-        self._finish = {
-            permits.PermitKind.NONE: _finish_nothing,
+        self._finish_by_kind = {
+            permits.PermitKind.NONE: _ignore_finish,
             permits.PermitKind.TICKET: self.tickets.finish,
             permits.PermitKind.CLAIM: self.claims.finish,
         }
 
     def start(self) -> None:
-        """Starts the tasks that follow and write the claims stream."""
+        """Starts the tasks that read and write the claims streams."""
         self.claims.start()
 
     async def drain(
         self, timeout: float, hand_over: claims.HandOver | None = None
     ) -> int:
-        """Writes what is left to the log, for a graceful stop.
+        """Writes all pending records to the log before a graceful stop.
 
         Args:
-            timeout: Seconds.
-            hand_over: ``Biller.hand_over``; used while the log is down.
+            timeout: Seconds to wait.
+            hand_over: ``Biller.hand_over``; used while the log is unavailable.
 
         Returns:
-            How many records are neither on the log nor with a peer.
+            The number of records that are neither on the log nor at a peer.
         """
         return await self.claims.drain(timeout, hand_over)
 
     async def stop(self) -> None:
-        """Ends the tasks; call ``drain`` first for a graceful stop."""
+        """Cancels the tasks; call ``drain`` first for a graceful stop."""
         await self.claims.stop()
 
     async def watch(self) -> None:
-        """Raises what a task raised, once one has; else never returns.
+        """Waits until a task fails, and raises its exception.
 
-        A host whose claims are not read or written must not run on.
+        A host that cannot read or write claims must stop.
         """
         await self.claims.watch()
 
@@ -138,18 +140,19 @@
         *,
         forwarded: bool = False,
     ) -> permits.BeginResult:
-        """Returns whether a request may run here, and if not, what to tell.
+        """Returns a permit if a request may run here, else how to respond.
 
-        Whoever gets a permit must end it with ``finish``, also when the run
-        fails or is cancelled.
+        Every permit must be passed to ``finish``, also when the run fails or
+        is cancelled.
 
         Args:
             account: The client account.
             key: Value of the Idempotency-Key header, if any.
             fingerprint: Digest of method, path and body.
-            request_id: Names this attempt of the caller's.
+            request_id: Identifies this request of the caller, as opposed to
+                others with the same key.
             deadline: Seconds since the epoch.
-            forwarded: Whether another host has sent the request here.
+            forwarded: Whether another host forwarded the request.
         """
         if not key:
             return permits.Permit(
@@ -174,17 +177,17 @@
         outcome: outcomes.Outcome,
         answer: permits.StoredAnswer | None,
     ) -> None:
-        """Records what became of a run and wakes duplicates that wait for it.
+        """Records the outcome of a run and wakes duplicates that wait for it.
 
         Args:
-            permit: What ``begin`` gave.
-            outcome: What became of the run.
-            answer: The whole answer where the outcome is ``done``.
+            permit: The permit that ``begin`` returned.
+            outcome: The outcome of the run.
+            answer: The complete response if the outcome is ``done``.
         """
-        self._finish[permit.kind](permit, outcome, answer)
+        self._finish_by_kind[permit.kind](permit, outcome, answer)
 
 
-def _finish_nothing(
+def _ignore_finish(
     permit: permits.Permit,
     outcome: outcomes.Outcome,
     answer: permits.StoredAnswer | None,
--- a/src/hoistmoor/entry/tickets.py
+++ b/src/hoistmoor/entry/tickets.py
@@ -1,4 +1,4 @@
-"""Tickets at one host: its own run here, others go to their issuer."""
+"""Tickets at one host; tickets of other hosts are forwarded to the issuer."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class Tickets:
-    """Issues tickets, and lets each run once.
+    """Issues tickets and ensures that each runs at most once.
 
     Attributes:
-        book: The decisions.
+        book: The state machine that makes the decisions.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         self.book = ticket_book.TicketBook(incarnation, address, secrets)
         self._is_alive = is_alive
         self._clock = clock
-        self._ended: dict[str, asyncio.Event] = {}
+        self._finished: dict[str, asyncio.Event] = {}
 
     def issue(self, account: str) -> str:
         """Returns a new ticket for a client account."""
@@ -57,13 +57,13 @@
             text: The ticket as the caller sent it.
             fingerprint: Digest of the request.
             deadline: Seconds since the epoch.
-            forwarded: Whether another host has sent the request here.
+            forwarded: Whether another host forwarded the request.
         """
         ticket = self.book.read(text, account)
         if ticket is None:
             return replies.ticket_invalid("the ticket is not valid here")
         if ticket.incarnation != self.book.incarnation:
-            return self._send_on(ticket, forwarded)
+            return self._forward_to_issuer(ticket, forwarded)
         while True:
             result = self.book.begin(ticket, text, fingerprint, self._clock())
             if not isinstance(result, ticket_book.Running):
@@ -77,13 +77,13 @@
         outcome: outcomes.Outcome,
         answer: permits.StoredAnswer | None,
     ) -> None:
-        """Records what became of a run and wakes its duplicates."""
+        """Records the outcome of a run and wakes its duplicates."""
         self.book.finish(permit, outcome, answer)
-        event = self._ended.pop(permit.id, None)
+        event = self._finished.pop(permit.id, None)
         if event is not None:
             event.set()
 
-    def _send_on(
+    def _forward_to_issuer(
         self, ticket: tickets.Ticket, forwarded: bool
     ) -> permits.BeginResult:
         if forwarded or not self._is_alive(ticket.incarnation):
@@ -91,7 +91,7 @@
         return permits.ForwardTo(ticket.address)
 
     async def _wait(self, permit_id: str, deadline: float) -> bool:
-        event = self._ended.setdefault(permit_id, asyncio.Event())
+        event = self._finished.setdefault(permit_id, asyncio.Event())
         try:
             async with asyncio.timeout(max(deadline - self._clock(), 0.0)):
                 await event.wait()
