--- a/tests/entry/once/conftest.py
+++ b/tests/entry/once/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of claims, tickets and bills."""
+"""Fixtures for the tests of claims, tickets and bills."""
 
 from __future__ import annotations
 
--- a/tests/entry/once/once_fake_log.py
+++ b/tests/entry/once/once_fake_log.py
@@ -1,4 +1,4 @@
-"""A log in memory with faults."""
+"""An in-memory log service with fault injection."""
 
 from __future__ import annotations
 
@@ -10,20 +10,21 @@
 from hoistmoor.clients import log as log_client
 from hoistmoor.core import errors
 
-_TURNS = 3
+_YIELDS_PER_READ = 3
 
 
 @attrs.define
 class FakeLog:
-    """The log service, with faults placed by the test.
+    """The log service, with faults set by the test.
 
     Attributes:
-        records: Payloads by stream.
+        records: Records by stream.
         down: Whether every call is refused.
-        lose_replies: How many coming appends take effect without a reply.
-        drop: How many coming appends are lost before they take effect.
-        at: The log's clock.
+        lose_replies: How many of the next appends take effect without a reply.
+        drop: How many of the next appends are lost before they take effect.
+        at: The log's clock, in seconds since the epoch.
         first: The oldest offset that can be read.
+        grown: Set, and replaced, at each append.
     """
 
     records: dict[str, list[log_client.LogRecord]] = attrs.field(
@@ -41,7 +42,7 @@
             raise errors.LogUnavailableError("the log is down", "Wait.")
 
     async def append(self, stream: str, payload: bytes) -> int:
-        """Stores a record, unless a fault is due."""
+        """Stores a record, unless a fault prevents it."""
         await asyncio.sleep(0)
         self._check()
         if self.drop:
@@ -61,9 +62,9 @@
     async def read(
         self, stream: str, start: int, limit: int = 500, wait: float = 0.0
     ) -> log_client.LogPage:
-        """Returns records, waiting for one like the long poll does."""
-        for _ in range(_TURNS):
-            await asyncio.sleep(0)  # Other tasks run meanwhile.
+        """Returns records, waiting for one like a long poll."""
+        for _ in range(_YIELDS_PER_READ):
+            await asyncio.sleep(0)  # Let other tasks run.
         self._check()
         if start < self.first:
             raise errors.LogOffsetExpiredError(stream, start, self.first)
--- a/tests/entry/once/test_entry_biller.py
+++ b/tests/entry/once/test_entry_biller.py
@@ -1,5 +1,5 @@
 # ruff: noqa: D102
-"""Billers of three hosts over one log in memory."""
+"""Tests of the biller, with three hosts that share an in-memory log."""
 
 from __future__ import annotations
 
@@ -30,14 +30,15 @@
 
     import once_fake_log
 
-PATIENCE = 20.0  # Seconds; only a hang of a busy machine comes near.
+# Long enough for a busy machine, so that only a hang reaches it.
+TIMEOUT_SECONDS = 20.0
 
 
 @attrs.define(eq=False)
 class Peers:
-    """What one host sees of the others; ``dead`` is shared by all."""
+    """What one host knows about the others; all hosts share ``dead``."""
 
-    me: int
+    own_index: int
     billers: list[biller_lib.Biller]
     dead: set[int]
 
@@ -46,9 +47,9 @@
 
     def holders(self) -> Sequence[bill_holders.Holder]:
         return tuple(
-            bill_holders.Holder(incarnation(index), Wire(self, index))
+            bill_holders.Holder(incarnation(index), DirectClient(self, index))
             for index in range(len(self.billers))
-            if index not in {self.me, *self.dead}
+            if index not in {self.own_index, *self.dead}
         )
 
     def is_alive(self, who: identity.Incarnation) -> bool:
@@ -56,15 +57,15 @@
 
 
 @attrs.frozen
-class Wire:
-    """Calls another host's biller directly."""
+class DirectClient:
+    """A peer client that calls another host's biller directly."""
 
     peers: Peers
     index: int
 
     def _peer(self) -> biller_lib.Biller:
         if self.index in self.peers.dead:
-            raise errors.PlatformError("the peer is gone", "Try another.")
+            raise errors.PlatformError("the peer has ended", "Try another.")
         return self.peers.billers[self.index]
 
     async def hold_bills(self, batch_id: str, batch: bytes) -> None:
@@ -82,8 +83,8 @@
 async def billers(
     log: once_fake_log.FakeLog, monkeypatch: pytest.MonkeyPatch
 ) -> AsyncIterator[list[biller_lib.Biller]]:
-    monkeypatch.setattr(biller_lib, "_RETRY", 0.01)
-    monkeypatch.setattr(biller_lib, "_CHECK", 0.01)
+    monkeypatch.setattr(biller_lib, "_RETRY_SECONDS", 0.01)
+    monkeypatch.setattr(biller_lib, "_CHECK_SECONDS", 0.01)
     made: list[biller_lib.Biller] = []
     dead: set[int] = set()
     for index in range(3):
@@ -108,7 +109,7 @@
 async def count_on_log(
     log: once_fake_log.FakeLog, wanted: int
 ) -> tuple[int, int]:
-    """Waits for so many bills; returns how many there are, and repeats."""
+    """Waits for this many bills; returns the numbers of bills and repeats."""
     async with asyncio.timeout(20):
         while True:
             statement = await bill_command.read_statement(log)
@@ -174,18 +175,18 @@
     log: once_fake_log.FakeLog,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(biller_lib, "SECURE_TIMEOUT", 0.05)
+    monkeypatch.setattr(biller_lib, "SECURE_TIMEOUT_SECONDS", 0.05)
     await kill(billers, 1)
     await kill(billers, 2)
     log.down = True
     with pytest.raises(biller_lib.BillUnsecuredError):
         await billers[0].secure(bill(1))
-    # On a busy machine the time is over before the log was tried at all.
-    async with asyncio.timeout(PATIENCE):
+    # On a busy machine the timeout may expire before the first append.
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while billers[0].can_secure():
             await asyncio.sleep(0.005)
     log.down = False
-    await count_on_log(log, 1)  # It was kept, and went out by itself.
+    await count_on_log(log, 1)  # The bill was kept and retried.
     assertions.assert_that(billers[0].can_secure(), matchers.Equals(True))
 
 
@@ -207,7 +208,7 @@
     log.down = True
     await billers[0].secure(bill(1))
     await billers[0].drain(20.0)
-    await billers[0].stop()  # The holder has not yet heard that it is gone.
+    await billers[0].stop()  # The holder does not know yet that it ended.
     await billers[1].drain(20.0)
     await kill(billers, 1)
     await kill(billers, 0)
--- a/tests/entry/once/test_entry_claim_shards.py
+++ b/tests/entry/once/test_entry_claim_shards.py
@@ -1,4 +1,4 @@
-"""Keys over several shards, each followed by a few hosts."""
+"""Tests of keys in several shards, each followed by a few hosts."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
             log,
             identity.Incarnation(name, 7),
             address,
-            [b"of the tests"],
+            [b"test secret"],
             lambda _: True,
             shards=SHARDS,
             live_hosts=lambda: HOSTS,
@@ -76,9 +76,9 @@
 async def test_a_shard_left_and_followed_again_knows_its_keys(
     hosts: dict[str, once_lib.Once], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(claim_reader, "_PAGE", 1)
-    # The second claimant of a process must not use its first one's serials:
-    # reading the old claim back would look like winning anew.
+    monkeypatch.setattr(claim_reader, "_PAGE_SIZE", 1)
+    # The second claimant of a process must not reuse serials of the first:
+    # reading back an old claim would look like winning a new one.
     host = hosts[HOSTS["e0"]]
     for wanted in (permits.Permit, permits.StoredAnswer):
         result = await begin(host, "a", forwarded=True)
@@ -88,7 +88,7 @@
         await host.drain(20)
         for shard in tuple(host.claims.followed):
             while shard in host.claims.followed:
-                await host.claims._leave(shard)
+                await host.claims._unfollow_if_idle(shard)
                 await asyncio.sleep(0)
 
 
@@ -115,11 +115,11 @@
 async def test_shards_are_placed_anew_only_when_hosts_change(
     hosts: dict[str, once_lib.Once], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    looks: list[int] = []
+    counted: list[int] = []
     known = placement.followers
 
     def count(shard: int, names: Iterable[str]) -> tuple[str, ...]:
-        looks.append(shard)
+        counted.append(shard)
         return known(shard, names)
 
     def placed() -> int:
@@ -128,12 +128,12 @@
     while placed() < SHARDS * placement.FOLLOWERS:
         await asyncio.sleep(0)
     monkeypatch.setattr(placement, "followers", count)
-    monkeypatch.setattr(claim_shards, "_CHECK", 0)
+    monkeypatch.setattr(claim_shards, "_CHECK_SECONDS", 0)
     monkeypatch.setitem(HOSTS, "new", "127.0.0.99:80")
     once_each = SHARDS * len(hosts)
     async with asyncio.timeout(20):
-        while len(looks) < once_each:
+        while len(counted) < once_each:
             await asyncio.sleep(0)
     for _ in range(50):
         await asyncio.sleep(0)
-    assertions.assert_that(looks, matchers.HasLength(once_each))
+    assertions.assert_that(counted, matchers.HasLength(once_each))
--- a/tests/entry/once/test_entry_once.py
+++ b/tests/entry/once/test_entry_once.py
@@ -1,4 +1,4 @@
-"""Leave to run, at several hosts over one log in memory."""
+"""Tests of at-most-once execution, with hosts that share an in-memory log."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
     from hoistmoor.clients import log as log_client
 
-SECRETS = [b"of the tests"]
+SECRETS = [b"test secret"]
 ANSWER = permits.StoredAnswer(200, "application/json", b"{}", "e1.1.1")
 
 
@@ -159,7 +159,7 @@
     hosts: list[once_lib.Once], log: once_fake_log.FakeLog
 ) -> None:
     log.lose_replies = 1
-    # This host no longer reads: it cannot know who won.
+    # This host ignores records, so it cannot learn which claim won.
     hosts[0].claims.followed[0].claimant.on_record = (  # type: ignore
         lambda *_: None
     )
@@ -267,7 +267,7 @@
 ) -> None:
     await begin(hosts[0], "a")
     reader = hosts[1].claims.followed[0].claimant
-    log.down = True  # The reader's long poll ends.
+    log.down = True  # The reader's long poll fails.
     log.grown.set()
     async with asyncio.timeout(20):
         while not reader.outbox.is_closed(time.time()):
@@ -277,13 +277,13 @@
     keys = (f"c{number}" for number in itertools.count())
     async with asyncio.timeout(20):
         while reader.view.next_offset < log.first + 1:
-            # A new key each time: the second call would wait for the first.
+            # Use a new key each time, as a duplicate waits for the first run.
             await begin(hosts[0], next(keys))
             await asyncio.sleep(0.05)
 
 
 class _CountingLog(once_fake_log.FakeLog):
-    """Counts reads."""
+    """A log that counts reads."""
 
     reads = 0
 
@@ -292,16 +292,19 @@
         return await super().read(*words, **named)
 
 
-@pytest.mark.parametrize("is_hurried", [True, False])
+@pytest.mark.parametrize("polls_now", [True, False])
 async def test_own_claim_ends_the_pause_between_polls(
-    monkeypatch: pytest.MonkeyPatch, is_hurried: bool
+    monkeypatch: pytest.MonkeyPatch, polls_now: bool
 ) -> None:
-    """Also shows that a claim which hurries nobody is noticed."""
-    never = attrs.evolve(pacing.CLAIMS, period=3600.0)
-    monkeypatch.setattr(pacing, "CLAIMS", never)
-    if not is_hurried:
+    """A claim is read back during the pause, but only due to ``poll_now``.
+
+    The second case disables it, to show that the test detects its absence.
+    """
+    hourly = attrs.evolve(pacing.CLAIMS, period=3600.0)
+    monkeypatch.setattr(pacing, "CLAIMS", hourly)
+    if not polls_now:
         reader = claim_reader.ClaimReader
-        monkeypatch.setattr(reader, "hurry", lambda _: None)
+        monkeypatch.setattr(reader, "poll_now", lambda _: None)
     log = _CountingLog()
     host = make_host(log, 1)
     for _ in range(20):
@@ -313,14 +316,17 @@
     for _ in range(200):
         await asyncio.sleep(0)
     read_back = log.reads > reads and waiting.done()
-    assertions.assert_that(read_back, matchers.Equals(is_hurried))
+    assertions.assert_that(read_back, matchers.Equals(polls_now))
     waiting.cancel()
     await asyncio.gather(waiting, return_exceptions=True)
     await host.stop()
 
 
 class _CrowdedLog(once_fake_log.FakeLog):
-    """Has another host's record read before each append is stored."""
+    """A log that stores another host's record before each append.
+
+    The other record is read before the own one is stored.
+    """
 
     async def append(self, stream: str, payload: bytes) -> int:
         other = records.ClaimBatch("far", 7, "f:1", (), ())
@@ -333,8 +339,8 @@
 async def test_pauses_end_until_the_own_claim_is_read_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    never = attrs.evolve(pacing.CLAIMS, period=3600.0)
-    monkeypatch.setattr(pacing, "CLAIMS", never)
+    hourly = attrs.evolve(pacing.CLAIMS, period=3600.0)
+    monkeypatch.setattr(pacing, "CLAIMS", hourly)
     host = make_host(_CrowdedLog(), 1)
     for _ in range(20):
         await asyncio.sleep(0)  # The first page is read; the pause begins.
@@ -346,23 +352,23 @@
 async def test_an_end_on_the_log_is_read_before_a_held_key_is_judged(
     log: once_fake_log.FakeLog, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    never = attrs.evolve(pacing.CLAIMS, period=3600.0)
-    monkeypatch.setattr(pacing, "CLAIMS", never)
-    monkeypatch.setattr(claims, "_CATCH_UP", 20.0)
+    hourly = attrs.evolve(pacing.CLAIMS, period=3600.0)
+    monkeypatch.setattr(pacing, "CLAIMS", hourly)
+    monkeypatch.setattr(claims, "_CATCH_UP_SECONDS", 20.0)
     owner, other = make_host(log, 1), make_host(log, 2)
     for _ in range(20):
         await asyncio.sleep(0)  # The first page is read; the pause begins.
     permit = await begin(owner, "a")
     assert isinstance(permit, permits.Permit)
     watcher = other.claims.followed[0]
-    watcher._reader.hurry()
+    watcher._reader.poll_now()
     async with asyncio.timeout(20):
         while watcher.claimant.view.next_offset == 0:
             await asyncio.sleep(0)
     await owner.finish(permit, outcomes.Outcome.DONE, ANSWER)
     await owner.drain(20)
     for _ in range(20):
-        await asyncio.sleep(0)  # The other host pauses, and does not read.
+        await asyncio.sleep(0)  # The other host is between polls.
     assertions.assert_that(
         watcher.claimant.view.next_offset, matchers.Equals(1)
     )
--- a/tests/entry/once/test_entry_once_golden.py
+++ b/tests/entry/once/test_entry_once_golden.py
@@ -1,5 +1,5 @@
 # ruff: noqa: D102
-"""Golden file: a shop confirms top-ups while the log is down."""
+"""Golden file test: a shop confirms top-ups during an outage of the log."""
 
 from __future__ import annotations
 
@@ -28,35 +28,39 @@
 
 @attrs.define
 class Session:
-    """Two hosts, a counter, and what everybody saw."""
+    """Two hosts, a backend that counts, and a transcript of the requests.
+
+    The shop sends ``confirm`` requests, and the backend counts the ones that
+    run. Each line of the transcript is compared with the golden file.
+    """
 
     log: once_fake_log.FakeLog
     hosts: list[once_lib.Once] = attrs.field(factory=list)
     lines: list[str] = attrs.field(factory=list)
     confirmed: int = 0
-    asked: int = 0
+    request_count: int = 0
 
-    def note(self, line: str) -> None:
+    def record(self, line: str) -> None:
         self.lines.append(line)
 
     async def confirm(self, host: int, name: str, key: str) -> None:
-        """A shop sends a confirm, which one host may forward once."""
-        self.asked += 1
-        self.note(f"shop -> e{host}: POST confirm, {name}")
+        """Sends a confirm request, which a host may forward once."""
+        self.request_count += 1
+        self.record(f"shop -> e{host}: POST confirm, {name}")
         result = await self._begin(host, key, forwarded=False)
         if isinstance(result, permits.ForwardTo):
             host = int(result.address[-4])
-            self.note(f"  forwarded to e{host}")
+            self.record(f"  forwarded to e{host}")
             result = await self._begin(host, key, forwarded=True)
         if isinstance(result, permits.Permit):
             self.confirmed += 1
-            self.note(f"  counter: confirm number {self.confirmed}")
+            self.record(f"  counter: confirm number {self.confirmed}")
             answer = permits.StoredAnswer(
                 200, "application/json", b"#%d" % self.confirmed, ""
             )
             await self.hosts[host].finish(result, outcomes.Outcome.DONE, answer)
             result = answer
-        self.note(f"shop <- e{host}: {_shown(result)}")
+        self.record(f"shop <- e{host}: {_shown(result)}")
 
     async def _begin(
         self, host: int, key: str, forwarded: bool
@@ -65,15 +69,15 @@
             "shop",
             key,
             "same body",
-            f"e{host}.7.{self.asked}",
+            f"e{host}.7.{self.request_count}",
             time.time() + 20,
             forwarded=forwarded,
         )
 
-    def heal(self) -> None:
-        """The log comes back."""
+    def restore_log(self) -> None:
+        """Makes the log available again."""
         self.log.down = False
-        self.note("-- the log is back")
+        self.record("-- the log is back")
 
     async def read_all(self) -> None:
         """Waits until every host has read the whole stream."""
@@ -101,7 +105,7 @@
 async def test_confirm_session_during_an_outage(
     log: once_fake_log.FakeLog, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Claims are tried again as soon as the log is back.
+    # Retry claims as soon as the log is available again.
     monkeypatch.setattr(outbox, "_BACK_OFF", 0.0)
     session = Session(log)
     for number in range(2):
@@ -109,7 +113,7 @@
             log,
             identity.Incarnation(f"e{number}", 7),
             f"127.0.0.{number}:80",
-            [b"of the tests"],
+            [b"test secret"],
             lambda _: True,
         )
         host.start()
@@ -125,19 +129,19 @@
 
 async def play(session: Session) -> None:
     ticket = session.hosts[0].issue_ticket("shop")
-    session.note("shop <- e0: a ticket")
+    session.record("shop <- e0: a ticket")
     await session.confirm(0, "key A", "A")
     await session.read_all()
     session.log.down = True
-    session.note("-- the log is down")
+    session.record("-- the log is down")
     await session.confirm(0, "key A", "A")
     await session.confirm(1, "key A", "A")
     await session.confirm(0, "key B", "B")
     await session.confirm(1, "the ticket", ticket)
     await session.confirm(0, "the ticket", ticket)
-    session.heal()
+    session.restore_log()
     await session.confirm(1, "key B", "B")
     await session.read_all()
     await session.confirm(0, "key B", "B")
     await session.confirm(1, "the ticket", ticket)
-    session.note(f"the counter confirmed {session.confirmed} times")
+    session.record(f"the counter confirmed {session.confirmed} times")
