--- a/src/hoistmoor/entry/application.py
+++ b/src/hoistmoor/entry/application.py
@@ -133,7 +133,7 @@
 
     Args:
         entry: The components of this host.
-        timeout: Seconds for each step: requests, decisions, claims and bills.
+        timeout: Seconds to wait for requests, for claims and for bills, each.
     """
     _LOG.info("Shutting down; refusing new requests")
     entry.readiness.stopping = True
--- a/src/hoistmoor/entry/evidence_task.py
+++ b/src/hoistmoor/entry/evidence_task.py
@@ -21,9 +21,7 @@
     from hoistmoor.entry import log_port
 
 RATINGS_POLL_SECONDS = 0.5  # Interval between polls for ratings.
-FLUSH_INTERVAL_SECONDS = (
-    0.2  # Interval between appends of the router's results.
-)
+FLUSH_INTERVAL_SECONDS = 0.2  # Interval between appends of new evidence.
 
 _LOG = logs.PartLogger("evidence")
 
