--- a/src/hoistmoor/entry/explanations.py
+++ b/src/hoistmoor/entry/explanations.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from hoistmoor.core.requests import decisions
 
-DEFAULT_CAPACITY = 20_000  # About 2 KB each.
+DEFAULT_CAPACITY = 20_000  # Decisions of about 2 KB each.
 UNKNOWN_CALLERS_CAPACITY = 1_000
 
 
