--- a/src/hoistmoor/core/membership/__init__.py
+++ b/src/hoistmoor/core/membership/__init__.py
@@ -1,6 +1,7 @@
-"""Which hosts are there, which backend servers leave, and is the table fresh.
+"""Membership of entry hosts, leaving backend servers and table freshness.
 
-Pure state machines: messages and the time come in, effects go out.
+Everything here is a pure state machine: it takes messages and the current time
+and returns effects for the caller to perform.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/core/membership/digests.py
+++ b/src/hoistmoor/core/membership/digests.py
@@ -1,4 +1,4 @@
-"""Fills digests with news, within a budget of bytes."""
+"""Builds digests from the pending updates, within a byte budget."""
 
 from __future__ import annotations
 
@@ -16,47 +16,47 @@
 from hoistmoor.core.membership import timing as timing_lib
 from hoistmoor.core.membership import view
 
-_News = messages.MemberNews | messages.ServerNews
+_Update = messages.MemberNews | messages.ServerNews
 
 
-def _shuffled(wanted: frozenset[int], now: float) -> list[int]:
+def _shuffled_parts(indexes: frozenset[int], now: float) -> list[int]:
     return sorted(
-        wanted,
+        indexes,
         key=lambda part: xxhash.xxh32_intdigest(f"{part} {now}".encode()),
     )
 
 
-class _Page:
-    """The news of one digest."""
+class _UpdateBuffer:
+    """Collects the updates of one digest, up to a byte budget."""
 
     def __init__(self, budget: int) -> None:
-        self.room = budget
+        self.remaining_bytes = budget
         self.members: dict[str, messages.MemberNews] = {}
         self.servers: dict[str, messages.ServerNews] = {}
 
-    def add(self, news: _News) -> bool:
-        """Adds a piece of news; returns whether there was room for it."""
-        size = sizes.news_size(news)
-        if size > self.room:
+    def add(self, update: _Update) -> bool:
+        """Adds an update, if it fits the budget; returns whether it did."""
+        size = sizes.news_size(update)
+        if size > self.remaining_bytes:
             return False
-        self.room -= size
-        if isinstance(news, messages.MemberNews):
-            self.members[news.name] = news
+        self.remaining_bytes -= size
+        if isinstance(update, messages.MemberNews):
+            self.members[update.name] = update
         else:
-            self.servers[news.address] = news
+            self.servers[update.address] = update
         return True
 
 
 @attrs.frozen
 class DigestWriter:
-    """Writes this host's digests.
+    """Builds the digests that this host sends.
 
     Attributes:
-        members: The entry hosts known.
-        servers: The backend servers that leave.
-        queue: News to pass on.
-        hashes: Hashes of the two views.
-        timing: Budgets.
+        members: The known entry hosts.
+        servers: The backend servers that are leaving.
+        queue: Topics of the updates to send.
+        hashes: Hashes of the view of hosts and leaving backend servers.
+        timing: Byte budgets and the number of transmissions.
     """
 
     members: members_lib.Members
@@ -66,82 +66,100 @@
     timing: timing_lib.Timing
 
     def write(
-        self, to: str, now: float, *, asks_parts: bool = False
+        self, recipient: str, now: float, *, asks_parts: bool = False
     ) -> messages.Digest:
-        """Returns a digest for host ``to`` with the news that is due."""
-        page = _Page(self.timing.rumour_bytes)
-        self._add_news_of_reader(page, to, now)
-        self._add_rumours(page, now)
+        """Returns a digest for a host with the most urgent pending updates.
+
+        Args:
+            recipient: Name of the host that the digest is sent to.
+            now: The time, in seconds since the epoch.
+            asks_parts: Whether to request the updates in which the views
+                differ.
+        """
+        buffer = _UpdateBuffer(self.timing.rumour_bytes)
+        self._add_update_on_recipient(buffer, recipient, now)
+        self._add_pending_updates(buffer, now)
         part_hashes = tuple(self.hashes.values) if asks_parts else ()
-        return self._digest(page, part_hashes)
+        return self._digest(buffer, part_hashes)
 
     def write_parts(
-        self, to: str, their_hashes: tuple[int, ...], now: float
+        self, recipient: str, peer_hashes: tuple[int, ...], now: float
     ) -> messages.Digest:
-        """Returns a digest with all news in the parts that differ."""
-        page = _Page(self.timing.sync_bytes)
-        self._add_news_of_reader(page, to, now)
-        news_by_part = self._news_by_part(now)
-        # Whole parts in a changing order: each sync settles some for good.
-        for part in _shuffled(self.hashes.differing(their_hashes), now):
-            for news in news_by_part[part]:
-                page.add(news)
-        return self._digest(page, ())
-
-    def _news_by_part(self, now: float) -> dict[int, list[_News]]:
-        news_by_part = collections.defaultdict[int, list[_News]](list)
+        """Returns a digest that answers a sync.
+
+        Args:
+            recipient: Name of the host that requested the sync.
+            peer_hashes: Hashes of the parts of its view. The digest holds the
+                updates of the parts that differ, as far as they fit.
+            now: The time, in seconds since the epoch.
+        """
+        buffer = _UpdateBuffer(self.timing.sync_bytes)
+        self._add_update_on_recipient(buffer, recipient, now)
+        updates_by_part = self._updates_by_part(now)
+        # One part after the other, in an order that changes: each sync makes
+        # some parts equal, even if the budget does not suffice for all.
+        for part in _shuffled_parts(self.hashes.differing(peer_hashes), now):
+            for update in updates_by_part[part]:
+                buffer.add(update)
+        return self._digest(buffer, ())
+
+    def _updates_by_part(self, now: float) -> dict[int, list[_Update]]:
+        updates_by_part = collections.defaultdict[int, list[_Update]](list)
         for leaving in self.servers:
             part = parts.part_of(leaving.address)
-            news_by_part[part].append(servers_lib.to_news(leaving, now))
+            updates_by_part[part].append(servers_lib.to_news(leaving, now))
         for host in self.members:
-            news = members_lib.to_news(host, now, is_full=True)
-            news_by_part[parts.part_of(host.name)].append(news)
-        return news_by_part
+            update = members_lib.to_news(host, now, is_full=True)
+            updates_by_part[parts.part_of(host.name)].append(update)
+        return updates_by_part
 
     def mark_lost(self, digest: messages.Digest) -> None:
-        """Notes that a digest reached nobody: its news is due again.
+        """Puts the updates of an undelivered digest back into the queue.
 
-        Else a host in the smaller part of a cut network would spend its
-        repeats on hosts that it cannot reach.
+        Otherwise, a host on the smaller side of a network partition would use
+        up its transmissions on hosts that it cannot reach.
         """
         repeats = self.timing.repeats(len(self.members))
-        for news in digest.members:
-            topic = rumours.Topic(rumours.Kind.HOST, news.name)
+        for update in digest.members:
+            topic = rumours.Topic(rumours.Kind.HOST, update.name)
             self.queue.mark_lost(topic, repeats)
         for server in digest.servers:
             topic = rumours.Topic(rumours.Kind.SERVER, server.address)
             self.queue.mark_lost(topic, repeats)
 
-    def _add_news_of_reader(self, page: _Page, to: str, now: float) -> None:
-        # A host that is thought dead must hear of it first, to object.
-        reader = self.members.get(to)
-        if reader is not None and reader.state is not view.MemberState.ALIVE:
-            page.add(members_lib.to_news(reader, now, is_full=False))
+    def _add_update_on_recipient(
+        self, buffer: _UpdateBuffer, recipient: str, now: float
+    ) -> None:
+        # A host that is suspected or believed dead must learn this first, so
+        # that it can refute it.
+        known = self.members.get(recipient)
+        if known is not None and known.state is not view.MemberState.ALIVE:
+            buffer.add(members_lib.to_news(known, now, is_full=False))
 
-    def _add_rumours(self, page: _Page, now: float) -> None:
+    def _add_pending_updates(self, buffer: _UpdateBuffer, now: float) -> None:
         repeats = self.timing.repeats(len(self.members))
         for topic in self.queue.candidates():
-            news = self._news(topic, now)
-            if news is None:
+            update = self._update_on(topic, now)
+            if update is None:
                 self.queue.discard(topic)
-            elif page.add(news):
+            elif buffer.add(update):
                 self.queue.mark_sent(topic, repeats)
             else:
                 break
 
-    def _news(self, topic: rumours.Topic, now: float) -> _News | None:
+    def _update_on(self, topic: rumours.Topic, now: float) -> _Update | None:
         if topic.kind is rumours.Kind.SERVER:
             leaving = self.servers.get(topic.name)
             return servers_lib.to_news(leaving, now) if leaving else None
         host = self.members.get(topic.name)
         if host is None:
             return None
-        # A host that has just started may be unknown to the reader.
+        # The recipient may not know a host that has just started.
         is_new = host.version == 0 and host.state is view.MemberState.ALIVE
         return members_lib.to_news(host, now, is_full=is_new)
 
     def _digest(
-        self, page: _Page, part_hashes: tuple[int, ...]
+        self, buffer: _UpdateBuffer, part_hashes: tuple[int, ...]
     ) -> messages.Digest:
         own = self.members.own_view
         return messages.Digest(
@@ -151,7 +169,7 @@
             state=own.state,
             table_revision=own.table_revision,
             view_hash=self.hashes.whole,
-            members=tuple(page.members.values()),
-            servers=tuple(page.servers.values()),
+            members=tuple(buffer.members.values()),
+            servers=tuple(buffer.servers.values()),
             part_hashes=part_hashes,
         )
--- a/src/hoistmoor/core/membership/draws.py
+++ b/src/hoistmoor/core/membership/draws.py
@@ -1,4 +1,7 @@
-"""Repeatable choices in place of randomness."""
+"""Deterministic pseudorandom shuffling.
+
+The core takes no randomness of its own, so the order is derived from a seed.
+"""
 
 from __future__ import annotations
 
@@ -13,14 +16,14 @@
 
 
 class Draws:
-    """Orders things at random, repeatably from a seed."""
+    """Shuffles items, reproducibly for the same seed and sequence of calls."""
 
     def __init__(self, seed: int) -> None:
         self._seed = seed
         self._count = 0
 
     def shuffled(self, items: Iterable[_T]) -> list[_T]:
-        """Returns the items in a new order."""
+        """Returns the items in an order that changes with each call."""
         self._count += 1
         salt = f"{self._seed} {self._count} "
         return sorted(
--- a/src/hoistmoor/core/membership/freshness.py
+++ b/src/hoistmoor/core/membership/freshness.py
@@ -1,8 +1,9 @@
-"""Whether the table in force here may still be the newest.
+"""Decides whether this host's active table may still be the newest.
 
-A host that hears the log hears of each edit. Without the log it goes on while
-it reaches a majority of the entry hosts and none of them has a newer table:
-then the log is likely down for all, and no edit is accepted anywhere.
+A host that can read the log receives every edit. Without the log, it continues
+to accept work as long as it reaches a majority of the entry hosts and none of
+them has a newer table: the log is then most likely down for all hosts, and no
+edit is accepted anywhere.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class Why(enum.StrEnum):
-    """Ground of a verdict."""
+    """Reason for a freshness result."""
 
     LOG_HEARD = "log heard"
     PEERS_HEARD = "log silent, majority of hosts heard"
@@ -24,7 +25,7 @@
 
 @attrs.frozen
 class Freshness:
-    """A verdict, and its ground."""
+    """Whether the table is fresh, and the reason."""
 
     is_fresh: bool
     why: Why
@@ -32,20 +33,23 @@
 
 @attrs.frozen
 class Evidence:
-    """What the verdict rests on.
+    """The observations from which freshness is determined.
 
     Attributes:
-        log_silence: Seconds since the log was heard.
-        log_bound: Seconds of silence from which the peers count.
-        list_read: Whether the platform's list was ever read.
-        expected: Other hosts that count for a majority.
-        not_dead: Those among them not found dead.
-        alive: Those among them that are not even suspected.
-        probed: Those not found dead that were pinged in the last seconds.
-        answered: Those among the probed ones that answered.
-        heard_for: Seconds for which a majority has been heard without a break.
-        heard_bound: Seconds that this must last. A sample may be lucky, and
-            right after many deaths it is.
+        log_silence: Seconds since the last contact with the log.
+        log_bound: Maximum ``log_silence`` for which the log alone decides.
+        list_read: Whether the platform's host list has ever been read.
+        expected: Number of other hosts that count towards the majority.
+        not_dead: Number of expected hosts not known to be dead.
+        alive: Number of expected hosts that are alive and not suspected.
+        probed: Number of expected hosts, not known to be dead, that were
+            pinged recently.
+        answered: Number of probed hosts that answered.
+        heard_for: Seconds for which a majority has been reachable without
+            interruption.
+        heard_bound: Minimum ``heard_for``. The few pinged hosts are a sample
+            that may overestimate the hosts in reach, and it does so right
+            after many hosts have died.
         is_behind: Whether a peer's newer table could not be fetched in time.
     """
 
@@ -63,27 +67,27 @@
 
 
 def judge(evidence: Evidence) -> Freshness:
-    """Returns whether new work may be taken."""
+    """Returns whether the table is fresh enough to accept new work."""
     if evidence.log_silence <= evidence.log_bound:
         return Freshness(True, Why.LOG_HEARD)
     if evidence.is_behind:
         return Freshness(False, Why.BEHIND)
     if evidence.expected == 0 and evidence.list_read:
         return Freshness(True, Why.ALONE)
-    lasts = evidence.heard_for >= evidence.heard_bound
-    if lasts and hears_majority(evidence):
+    is_sustained = evidence.heard_for >= evidence.heard_bound
+    if is_sustained and hears_majority(evidence):
         return Freshness(True, Why.PEERS_HEARD)
     return Freshness(False, Why.CUT_OFF)
 
 
 def hears_majority(evidence: Evidence) -> bool:
-    """Returns whether a majority of the hosts expected is in reach.
+    """Returns whether a majority of the expected hosts is reachable.
 
-    It estimates the hosts in reach twice, and believes the lower figure.
-
-    The few that this host just pinged stand for all not found dead: that is
-    quick, and rough. The view counts what all hosts in reach found out: that
-    is exact, and takes some periods.
+    The number of reachable hosts is estimated in two ways, and the lower
+    estimate is used. Extrapolating from the few recently pinged hosts to all
+    that are not known to be dead is fast but imprecise. Counting the hosts that
+    are alive in this host's view is precise, as the view combines what all
+    reachable hosts have detected, but takes several periods.
     """
     if evidence.probed == 0:
         return False
--- a/src/hoistmoor/core/membership/gossip.py
+++ b/src/hoistmoor/core/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Takes news in, passes it on, and lets suspects become dead."""
+"""Applies updates, queues them for peers, and expires suspicions."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 _State = view.MemberState
 
-_STATE_AFTER_SILENCE = {
+_STATE_IF_UNREACHABLE = {
     _State.ALIVE: _State.SUSPECT,
-    _State.LEAVING: _State.DEAD,  # It said that it would stop.
+    _State.LEAVING: _State.DEAD,  # It announced its shutdown.
 }
 
 
 class Gossip:
-    """What this host makes of the news that it hears.
+    """Applies the updates that this host receives or makes.
 
     Attributes:
-        members: The entry hosts known.
-        servers: The backend servers that leave.
-        queue: News to pass on.
-        effects: What the news gives rise to, in order.
+        members: The known entry hosts.
+        servers: The backend servers that are leaving.
+        queue: Topics of the updates to send to peers.
+        effects: Effects of the updates, in order.
     """
 
     def __init__(
@@ -45,93 +45,102 @@
         self.queue = queue
         self.effects: list[messages.Effect] = []
         self._timing = timing
-        self._deaths: dict[str, float] = {}  # When a suspect is to be dead.
+        # When each suspect is declared dead.
+        self._suspicion_deadlines: dict[str, float] = {}
 
     def learn_digest(self, digest: messages.Digest, now: float) -> None:
-        """Takes in all news of a digest, and its sender's own word."""
+        """Applies all updates of a digest, and its sender's own state."""
         sender = messages.MemberNews(
             digest.sender, digest.incarnation, digest.version, digest.state
         )
-        for news in (*digest.members, sender):
-            self.learn_member(news, now)
+        for update in (*digest.members, sender):
+            self.learn_member(update, now)
         for server in digest.servers:
             self.learn_server(server, now)
         self.members.note_revision(digest.sender, digest.table_revision)
 
-    def learn_member(self, news: messages.MemberNews, now: float) -> None:
-        """Takes in news of a host."""
-        if news.name == self.members.own:
-            self._learn_of_self(news)
+    def learn_member(self, update: messages.MemberNews, now: float) -> None:
+        """Applies an update on an entry host."""
+        if update.name == self.members.own:
+            self._learn_of_self(update)
             return
-        changed = self.members.apply(news, now)
+        changed = self.members.apply(update, now)
         if changed is None:
             return
-        self._pass_on(news.name)
-        self._deaths.pop(news.name, None)
+        self._enqueue(update.name)
+        self._suspicion_deadlines.pop(update.name, None)
         if changed.state is _State.SUSPECT:
-            self._deaths[news.name] = now + self._suspicion
+            self._suspicion_deadlines[update.name] = (
+                now + self._suspicion_timeout
+            )
         self.effects.append(messages.HostChanged(changed))
 
-    def _learn_of_self(self, news: messages.MemberNews) -> None:
+    def _learn_of_self(self, update: messages.MemberNews) -> None:
         own = self.members.own_view
-        if news.incarnation > own.incarnation:
-            self.effects.append(messages.Superseded(news.incarnation))
-        elif news.incarnation == own.incarnation and news.order > own.order:
-            self.set_own(own.state, news.version + 1)
+        if update.incarnation > own.incarnation:
+            self.effects.append(messages.Superseded(update.incarnation))
+        elif update.incarnation == own.incarnation and update.order > own.order:
+            self.set_own(own.state, update.version + 1)
 
     def set_own(self, state: view.MemberState, version: int) -> None:
-        """Says something new of this host itself."""
+        """Changes this host's own state and version, and queues the update."""
         own = self.members.own_view
         self.members.set_own(attrs.evolve(own, state=state, version=version))
-        self._pass_on(own.name)
+        self._enqueue(own.name)
 
     def announce(self) -> None:
-        """Tells the others that this host is there."""
-        self._pass_on(self.members.own)
+        """Queues the update on this host, so that peers learn of it."""
+        self._enqueue(self.members.own)
 
-    def _pass_on(self, name: str) -> None:
+    def _enqueue(self, name: str) -> None:
         self.queue.add(rumours.Topic(rumours.Kind.HOST, name))
 
-    def learn_server(self, news: messages.ServerNews, now: float) -> None:
-        """Takes in news of a backend server that leaves."""
-        if not self.servers.leave(news, now):
+    def learn_server(self, update: messages.ServerNews, now: float) -> None:
+        """Applies an update on a backend server that is leaving."""
+        if not self.servers.leave(update, now):
             return
-        self.queue.add(rumours.Topic(rumours.Kind.SERVER, news.address))
-        self.effects.append(messages.ServerLeft(news.address, news.incarnation))
+        self.queue.add(rumours.Topic(rumours.Kind.SERVER, update.address))
+        self.effects.append(
+            messages.ServerLeft(update.address, update.incarnation)
+        )
 
     def see_live(self, address: str, incarnation: int) -> None:
-        """Takes in that a backend server is live in an incarnation."""
+        """Records that an incarnation of a backend server is live."""
         if self.servers.see_live(address, incarnation):
             self.effects.append(messages.ServerReturned(address, incarnation))
 
     def silent(self, name: str, now: float) -> None:
-        """Takes in that a host answered neither this host nor helpers."""
+        """Records that a host answered neither this host nor the helpers."""
         host = self.members.get(name)
-        if host is not None and host.state in _STATE_AFTER_SILENCE:
-            self._declare(host, _STATE_AFTER_SILENCE[host.state], now)
+        if host is not None and host.state in _STATE_IF_UNREACHABLE:
+            self._declare_state(host, _STATE_IF_UNREACHABLE[host.state], now)
 
     def end_suspicions(self, now: float) -> None:
-        """Declares the suspects dead that did not object in time."""
-        ended = [name for name, at in self._deaths.items() if now >= at]
-        for name in ended:
-            del self._deaths[name]
+        """Declares dead the suspects that did not refute in time."""
+        expired = [
+            name
+            for name, deadline in self._suspicion_deadlines.items()
+            if now >= deadline
+        ]
+        for name in expired:
+            del self._suspicion_deadlines[name]
             host = self.members.get(name)
             if host is not None:
-                self._declare(host, _State.DEAD, now)
+                self._declare_state(host, _State.DEAD, now)
 
     def postpone_deaths(self, now: float) -> None:
-        """Gives every suspect its whole time again."""
-        for name in self._deaths:
-            self._deaths[name] = now + self._suspicion
+        """Restarts the suspicion timeout of every suspect."""
+        for name in self._suspicion_deadlines:
+            self._suspicion_deadlines[name] = now + self._suspicion_timeout
 
     @property
-    def _suspicion(self) -> float:
+    def _suspicion_timeout(self) -> float:
         return self._timing.suspicion(len(self.members))
 
-    def _declare(
+    def _declare_state(
         self, host: view.HostView, state: view.MemberState, now: float
     ) -> None:
-        news = messages.MemberNews(
+        update = messages.MemberNews(
             host.name, host.incarnation, host.version, state
         )
-        self.learn_member(news, now)
+        self.learn_member(update, now)
--- a/src/hoistmoor/core/membership/machine.py
+++ b/src/hoistmoor/core/membership/machine.py
@@ -1,9 +1,10 @@
-"""The membership protocol: one host's state machine.
+"""The membership protocol, as the state machine of one host.
 
-It follows SWIM: a constant number of pings a period, a second try through
-helpers before a suspicion, time to object before a death, and news carried on
-the pings themselves. Beside the news of hosts the same digests carry news of
-leaving backend servers and the revision of the sender's table.
+It follows SWIM: a constant number of pings in each period, indirect pings
+through helpers before a host is suspected, a timeout in which a suspect can
+refute the suspicion before it is declared dead, and updates piggybacked on the
+pings. Besides updates on entry hosts, the digests carry updates on leaving
+backend servers and the revision of the sender's table.
 """
 
 from __future__ import annotations
@@ -28,13 +29,13 @@
 
 
 class Membership:
-    """What one host knows of the others and of leaving backend servers.
+    """One host's view of the entry hosts and of leaving backend servers.
 
     Attributes:
-        timing: Rates and bounds.
-        members: The entry hosts known, this one included.
-        servers: The backend servers that leave.
-        tables: How this host's table compares with its peers'.
+        timing: Rates and limits.
+        members: The known entry hosts, including this one.
+        servers: The backend servers that are leaving.
+        tables: Comparison of this host's table with those of its peers.
     """
 
     def __init__(
@@ -44,13 +45,13 @@
         now: float,
         timing: timing_lib.Timing | None = None,
     ) -> None:
-        """Makes a host that knows only itself.
+        """Initializes a host that knows only itself.
 
         Args:
             own: This host; its state is alive and its version 0.
-            seed: Settles the order in which hosts are pinged.
+            seed: Determines the order in which hosts are pinged.
             now: The time, in seconds since the epoch.
-            timing: Rates and bounds; None for the defaults.
+            timing: Rates and limits; None for the defaults.
         """
         self.timing = timing or timing_lib.Timing()
         hashes = parts.PartHashes()
@@ -66,39 +67,40 @@
         self._writer = digests.DigestWriter(
             self.members, self.servers, queue, hashes, self.timing
         )
-        self._draws = draws.Draws(seed)
-        self._schedule = probes.ProbeSchedule(self.members, self._draws)
-        self._probes = probes.ProbeLog(self.timing.peer_silence)
-        self._list_read = False
-        self._log_heard_at = float("-inf")
-        self._handled_at = now
-        self._awake_since = now
-        self._unheard_at = now
+        self._shuffler = draws.Draws(seed)
+        self._schedule = probes.ProbeSchedule(self.members, self._shuffler)
+        self._recent_probes = probes.ProbeLog(self.timing.peer_silence)
+        self._is_list_read = False
+        self._log_contact_at = float("-inf")
+        self._last_handled_at = now
+        self._resumed_at = now
+        self._majority_missing_at = now
         self._started_at = now
         self._ticks = 0
-        self._differing = self.timing.sync_after  # A new host asks at once.
-        self._synced_at = float("-inf")
+        # A new host requests a sync with its first ping.
+        self._differing_replies = self.timing.sync_after
+        self._last_sync_at = float("-inf")
         self._effects = self._gossip.effects
         self._gossip.announce()
 
     def handle(
         self, message: object, now: float
     ) -> tuple[messages.Effect, ...]:
-        """Takes in one message and returns what is to be done, in order."""
-        if now - self._handled_at > self.timing.pause_after:
+        """Handles a message and returns the effects to perform, in order."""
+        if now - self._last_handled_at > self.timing.pause_after:
             self._wake(now)
-        self._handled_at = now
+        self._last_handled_at = now
         self._handle(message, now)
         effects = tuple(self._effects)
         self._effects.clear()
         return effects
 
     def digest_for(self, name: str, now: float) -> messages.Digest:
-        """Returns a digest to ping ``name`` with, outside the schedule."""
+        """Returns a digest for a ping to ``name`` outside the schedule."""
         return self._writer.write(name, now)
 
     def judge(self, now: float) -> freshness.Freshness:
-        """Judges whether the table in force here may still be the newest."""
+        """Returns whether this host's table may still be the newest."""
         return freshness.judge(self._evidence(now))
 
     def _evidence(self, now: float) -> freshness.Evidence:
@@ -108,15 +110,15 @@
         ]
         names = frozenset(host.name for host in others)
         return freshness.Evidence(
-            log_silence=now - self._log_heard_at,
+            log_silence=now - self._log_contact_at,
             log_bound=self.timing.log_silence,
-            list_read=self._list_read,
+            list_read=self._is_list_read,
             expected=len(expected),
             not_dead=len(others),
             alive=sum(host.state is _State.ALIVE for host in others),
-            probed=len(names & self._probes.probed(now)),
-            answered=len(names & self._probes.answered(now)),
-            heard_for=now - self._unheard_at,
+            probed=len(names & self._recent_probes.probed(now)),
+            answered=len(names & self._recent_probes.answered(now)),
+            heard_for=now - self._majority_missing_at,
             heard_bound=self.timing.recovery,
             is_behind=self.tables.is_overdue(now),
         )
@@ -125,7 +127,7 @@
     def _handle(self, message: object, now: float) -> None:
         raise NotImplementedError(type(message).__name__)
 
-    # The period.
+    # Periodic work.
 
     @_handle.register
     def _tick(self, message: messages.Tick, now: float) -> None:
@@ -139,25 +141,26 @@
             self._ping_dead(now)
         self._fetch_table(now)
         if not freshness.hears_majority(self._evidence(now)):
-            self._unheard_at = now
+            self._majority_missing_at = now
 
     def _ping_dead(self, now: float) -> None:
-        # Without this the two sides of a healed cut would never meet again.
+        # Otherwise, the two sides of a network partition, which consider each
+        # other dead, would never reconnect after it heals.
         for host in self._schedule.take_dead():
             self._ping(host, now)
 
     def _fetch_table(self, now: float) -> None:
-        is_silent = now - self._log_heard_at > self.timing.log_silence
+        is_silent = now - self._log_contact_at > self.timing.log_silence
         self._effects.extend(
             self.tables.wanted_fetch(self.members, is_silent, now)
         )
 
     def _wake(self, now: float) -> None:
-        # This host stood still: what it failed to hear says nothing of the
-        # others.
-        self._awake_since = now
-        self._unheard_at = now
-        self._probes.clear()
+        # This process was paused: that it received no replies meanwhile says
+        # nothing about the other hosts.
+        self._resumed_at = now
+        self._majority_missing_at = now
+        self._recent_probes.clear()
         self._gossip.postpone_deaths(now)
 
     def _ping(self, host: view.HostView, now: float) -> None:
@@ -165,20 +168,20 @@
             host.name, now, asks_parts=self._sync_is_due(now)
         )
         if digest.part_hashes:
-            self._synced_at = now
+            self._last_sync_at = now
         self._effects.append(
             messages.Ping(host.name, host.peer_address, digest)
         )
 
     def _sync_is_due(self, now: float) -> bool:
-        if self._differing < self.timing.sync_after:
+        if self._differing_replies < self.timing.sync_after:
             return False
         is_joining = now - self._started_at < self.timing.join_seconds
         intervals = {
             True: self.timing.join_interval,
             False: self.timing.sync_interval,
         }
-        return now - self._synced_at >= intervals[is_joining]
+        return now - self._last_sync_at >= intervals[is_joining]
 
     # Pings and their results.
 
@@ -187,7 +190,7 @@
         self, message: messages.DigestReceived, now: float
     ) -> None:
         digest = message.digest
-        self._learn(digest, now)
+        self._apply_digest(digest, now)
         if digest.part_hashes:
             reply = self._writer.write_parts(
                 digest.sender, digest.part_hashes, now
@@ -199,26 +202,26 @@
     @_handle.register
     def _ping_replied(self, message: messages.PingReplied, now: float) -> None:
         digest = message.digest
-        self._learn(digest, now)
-        if message.sent_at >= self._awake_since:
+        self._apply_digest(digest, now)
+        if message.sent_at >= self._resumed_at:
             is_target = digest.sender == message.target
-            self._probes.add(
+            self._recent_probes.add(
                 probes.Probe(message.target, message.sent_at, is_target)
             )
         if digest.view_hash == self._hashes.whole:
-            self._differing = 0
+            self._differing_replies = 0
         else:
-            self._differing += 1
+            self._differing_replies += 1
 
     @_handle.register
     def _ping_failed(self, message: messages.PingFailed, now: float) -> None:
         self._writer.mark_lost(message.digest)
-        if message.sent_at < self._awake_since:
+        if message.sent_at < self._resumed_at:
             return
         host = self.members.get(message.target)
         if host is None or host.state is _State.DEAD:
             return
-        self._probes.add(probes.Probe(host.name, message.sent_at, False))
+        self._recent_probes.add(probes.Probe(host.name, message.sent_at, False))
         helpers = self._helpers(host, now)
         if helpers:
             self._effects.append(
@@ -228,14 +231,14 @@
             self._gossip.silent(host.name, now)
 
     def _helpers(self, target: view.HostView, now: float) -> tuple[str, ...]:
-        """Returns peer addresses; hosts that answered lately come first."""
-        answered = self._probes.answered(now)
+        """Returns peer addresses of helpers, recently responsive ones first."""
+        answered = self._recent_probes.answered(now)
         others = {
             host.name: host
             for host in self.members.others()
             if host.name != target.name
         }
-        order = self._draws.shuffled(others)
+        order = self._shuffler.shuffled(others)
         order.sort(key=lambda name: name not in answered)
         chosen = order[: self.timing.helpers]
         return tuple(others[name].peer_address for name in chosen)
@@ -244,14 +247,14 @@
     def _relay_answered(
         self, message: messages.RelayAnswered, now: float
     ) -> None:
-        if message.sent_at < self._awake_since or message.reached:
+        if message.sent_at < self._resumed_at or message.reached:
             return
-        # Where no helper answered either, this host may be the one cut off.
+        # If no helper responded either, this host may itself be disconnected.
         if message.helpers == 0:
             return
         self._gossip.silent(message.target, now)
 
-    def _learn(self, digest: messages.Digest, now: float) -> None:
+    def _apply_digest(self, digest: messages.Digest, now: float) -> None:
         self._gossip.learn_digest(digest, now)
         self.tables.heard(digest.sender, digest.table_revision, now)
         self._fetch_table(now)
@@ -262,24 +265,24 @@
     def _server_leaving(
         self, message: messages.ServerLeaving, now: float
     ) -> None:
-        news = messages.ServerNews(message.address, message.incarnation)
-        self._gossip.learn_server(news, now)
+        update = messages.ServerNews(message.address, message.incarnation)
+        self._gossip.learn_server(update, now)
 
     @_handle.register
     def _server_seen(self, message: messages.ServerSeen, now: float) -> None:
         del now
         self._gossip.see_live(message.address, message.incarnation)
 
-    # The platform and this host itself.
+    # The platform and this host.
 
     @_handle.register
     def _hosts_listed(self, message: messages.HostsListed, now: float) -> None:
-        self._list_read = True
+        self._is_list_read = True
         self.members.confirm(message.entries)
         for server in message.servers:
             if server.is_leaving:
-                news = messages.ServerNews(server.address, server.incarnation)
-                self._gossip.learn_server(news, now)
+                update = messages.ServerNews(server.address, server.incarnation)
+                self._gossip.learn_server(update, now)
             else:
                 self._gossip.see_live(server.address, server.incarnation)
         addresses = frozenset(server.address for server in message.servers)
@@ -303,10 +306,10 @@
     @_handle.register
     def _log_heard(self, message: messages.LogHeard, now: float) -> None:
         del now
-        # A reply that waited in a socket while this host stood still is old,
-        # and is read right after the pause.
-        if message.at >= self._awake_since + self.timing.settle:
-            self._log_heard_at = max(self._log_heard_at, message.at)
+        # A reply that was buffered in a socket while this process was paused is
+        # outdated, but is read right after the pause.
+        if message.at >= self._resumed_at + self.timing.settle:
+            self._log_contact_at = max(self._log_contact_at, message.at)
 
     @_handle.register
     def _leave(self, message: messages.Leave, now: float) -> None:
--- a/src/hoistmoor/core/membership/members.py
+++ b/src/hoistmoor/core/membership/members.py
@@ -1,4 +1,4 @@
-"""The entry hosts known, and which news of them is newer."""
+"""The known entry hosts, and which updates about them take precedence."""
 
 from __future__ import annotations
 
@@ -16,14 +16,16 @@
 
 
 class Members:
-    """Views of all entry hosts, this one's included.
+    """Views of all known entry hosts, including this one.
 
     Attributes:
         own: Name of this host.
-        generation: Grows when a host appears, dies, returns or is forgotten.
-        expected: Hosts that count for a majority: all known or listed ones
-            but those that leave as planned. A dead one counts until the list
-            no longer names it.
+        generation: Incremented when a host is added, dies, comes back or is
+            forgotten.
+        expected: Names of the hosts of which a majority is required: all known
+            or listed hosts except those that are leaving or have left
+            gracefully. A dead host counts until the host list no longer names
+            it.
     """
 
     def __init__(
@@ -32,31 +34,31 @@
         self.own = own.name
         self.generation = 0
         self.expected: set[str] = set()
-        self._left: set[str] = set()
+        self._departed: set[str] = set()
         self._forget_after = forget_after
         self._hashes = hashes
         self._by_name: dict[str, view.HostView] = {}
         self._store(own)
 
     def __iter__(self) -> Iterator[view.HostView]:
-        """Yields all hosts known, dead ones included."""
+        """Yields all known hosts, including dead ones."""
         return iter(tuple(self._by_name.values()))
 
     def __len__(self) -> int:
-        """Returns the number of hosts known, dead ones included."""
+        """Returns the number of known hosts, including dead ones."""
         return len(self._by_name)
 
     def get(self, name: str) -> view.HostView | None:
-        """Returns what is known of a host."""
+        """Returns the view of a host, or None if it is unknown."""
         return self._by_name.get(name)
 
     @property
     def own_view(self) -> view.HostView:
-        """What this host says of itself."""
+        """This host's view of itself."""
         return self._by_name[self.own]
 
     def others(self) -> list[view.HostView]:
-        """Returns the other hosts that are not known to be dead."""
+        """Returns all other hosts that are not known to be dead."""
         return [
             host
             for host in self._by_name.values()
@@ -64,103 +66,107 @@
         ]
 
     def dead(self) -> list[view.HostView]:
-        """Returns the hosts known to be dead and not yet forgotten."""
+        """Returns the hosts that are dead but not forgotten yet."""
         return [host for host in self._by_name.values() if _is_dead(host)]
 
     def apply(
-        self, news: messages.MemberNews, now: float
+        self, update: messages.MemberNews, now: float
     ) -> view.HostView | None:
-        """Takes in news of another host.
+        """Applies an update on another host.
 
         Returns:
-            The new view, or None where the news is not newer or not usable.
+            The new view, or None if the update is outdated or incomplete.
         """
-        known = self._by_name.get(news.name)
+        known = self._by_name.get(update.name)
         if known is None:
-            return self._add(news, now)
-        if news.order <= known.order:
+            return self._add(update, now)
+        if update.order <= known.order:
             return None
-        changed = _merge(known, news, now)
+        changed = _merge(known, update, now)
         self._store(changed)
         return changed
 
     def _add(
-        self, news: messages.MemberNews, now: float
+        self, update: messages.MemberNews, now: float
     ) -> view.HostView | None:
-        # Short news of an unknown host is of no use; a sync brings it whole.
-        if not news.peer_address or news.age > self._forget_after:
+        # A short update cannot add a host: it has no addresses. The next sync
+        # delivers the full update.
+        if not update.peer_address or update.age > self._forget_after:
             return None
         added = view.HostView(
-            name=news.name,
-            incarnation=news.incarnation,
-            http_address=news.http_address,
-            peer_address=news.peer_address,
-            failure_domain=news.failure_domain,
-            region=news.region,
-            version=news.version,
-            state=news.state,
-            since=now - news.age,
+            name=update.name,
+            incarnation=update.incarnation,
+            http_address=update.http_address,
+            peer_address=update.peer_address,
+            failure_domain=update.failure_domain,
+            region=update.region,
+            version=update.version,
+            state=update.state,
+            since=now - update.age,
         )
         self._store(added)
         return added
 
     def set_own(self, own: view.HostView) -> None:
-        """Changes what this host says of itself."""
+        """Replaces this host's view of itself."""
         self._store(own)
 
     def note_revision(self, name: str, revision: int) -> None:
-        """Keeps the newest table revision that a host was heard to have."""
+        """Records the newest table revision that a host has reported."""
         known = self._by_name.get(name)
         if known is not None and revision > known.table_revision:
             self._by_name[name] = attrs.evolve(known, table_revision=revision)
 
     def forget_dead(self, now: float) -> None:
-        """Drops the hosts that have been dead for long.
+        """Removes the hosts that have been dead for ``forget_after`` seconds.
 
-        They still count for a majority, until the list confirms.
+        They stay in ``expected`` until the host list no longer names them.
         """
         for host in self.dead():
             if now - host.since > self._forget_after:
-                self._drop(host)
+                self._remove(host)
 
     def confirm(self, listed: frozenset[str]) -> None:
-        """Drops the dead hosts that the list no longer names."""
+        """Reconciles the members with the entry hosts on the host list.
+
+        Removes the dead hosts that the list no longer names.
+        """
         for host in self.dead():
             if host.name not in listed:
-                self._drop(host)
+                self._remove(host)
         live = {host.name for host in self.others()} | {self.own}
-        self.expected = (live | listed) - self._left
-        self._left &= listed
+        self.expected = (live | listed) - self._departed
+        self._departed &= listed
 
-    def _drop(self, host: view.HostView) -> None:
+    def _remove(self, host: view.HostView) -> None:
         del self._by_name[host.name]
         self.generation += 1
 
     def _store(self, host: view.HostView) -> None:
         known = self._by_name.get(host.name)
         if known is not None:
-            self._toggle(known)
-        self._toggle(host)
+            self._toggle_hash(known)
+        self._toggle_hash(host)
         self._by_name[host.name] = host
-        self._expect(host)
+        self._update_expected(host)
         if known is None or _is_dead(known) != _is_dead(host):
             self.generation += 1
 
-    def _toggle(self, host: view.HostView) -> None:
-        # Suspicion passes soon, and dead hosts are forgotten at different
-        # times: neither is a difference worth a sync.
+    def _toggle_hash(self, host: view.HostView) -> None:
+        # Suspicions are short-lived, and hosts forget a dead host at different
+        # times. Neither difference justifies a sync, so neither is hashed.
         if _is_dead(host):
             return
         is_leaving = host.state is view.MemberState.LEAVING
         fact = f"{host.name} {host.incarnation} {host.version} {is_leaving}"
         self._hashes.toggle(host.name, fact)
 
-    def _expect(self, host: view.HostView) -> None:
+    def _update_expected(self, host: view.HostView) -> None:
         if host.state is view.MemberState.LEAVING:
-            self._left.add(host.name)
+            self._departed.add(host.name)
         elif not _is_dead(host):
-            self._left.discard(host.name)
-        if host.name in self._left:
+            self._departed.discard(host.name)
+        if host.name in self._departed:
             self.expected.discard(host.name)
         else:
             self.expected.add(host.name)
@@ -171,25 +177,25 @@
 
 
 def _merge(
-    known: view.HostView, news: messages.MemberNews, now: float
+    known: view.HostView, update: messages.MemberNews, now: float
 ) -> view.HostView:
     return attrs.evolve(
         known,
-        incarnation=news.incarnation,
-        version=news.version,
-        state=news.state,
-        http_address=news.http_address or known.http_address,
-        peer_address=news.peer_address or known.peer_address,
-        failure_domain=news.failure_domain or known.failure_domain,
-        region=news.region or known.region,
-        since=now - news.age,
+        incarnation=update.incarnation,
+        version=update.version,
+        state=update.state,
+        http_address=update.http_address or known.http_address,
+        peer_address=update.peer_address or known.peer_address,
+        failure_domain=update.failure_domain or known.failure_domain,
+        region=update.region or known.region,
+        since=now - update.age,
     )
 
 
 def to_news(
     host: view.HostView, now: float, *, is_full: bool
 ) -> messages.MemberNews:
-    """Returns the news that tells of ``host``; full news has addresses."""
+    """Returns the update on ``host``; only a full one has addresses."""
     age = max(0, int(now - host.since)) if _is_dead(host) else 0
     return messages.MemberNews(
         name=host.name,
--- a/src/hoistmoor/core/membership/messages.py
+++ b/src/hoistmoor/core/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages into the membership machine, and the effects that come out."""
+"""Messages to the membership state machine and the effects it returns."""
 
 from __future__ import annotations
 
@@ -9,18 +9,20 @@
 
 @attrs.frozen
 class MemberNews:
-    """What is said of one entry host.
+    """An update on one entry host.
+
+    A short update leaves out what does not change within an incarnation.
 
     Attributes:
         name: Name of the host.
         incarnation: Its incarnation.
         version: Its version within the incarnation.
-        state: Its condition.
-        http_address: Empty in short news of a host already known.
-        peer_address: Empty in short news.
-        failure_domain: Empty in short news.
-        region: Empty in short news.
-        age: Seconds since the host was found dead; 0 in other states.
+        state: Its state.
+        http_address: ``ip:port`` for clients; empty in a short update.
+        peer_address: ``ip:port`` for entry hosts; empty in a short update.
+        failure_domain: Its failure domain; empty in a short update.
+        region: Its region; empty in a short update.
+        age: Seconds since the host was declared dead; 0 in other states.
     """
 
     name: str
@@ -35,18 +37,18 @@
 
     @property
     def order(self) -> tuple[int, int, int]:
-        """Later news of a host has a higher order."""
+        """Sort key of an update; the higher one takes precedence."""
         return self.incarnation, self.version, self.state
 
 
 @attrs.frozen
 class ServerNews:
-    """A backend server takes no new work in one of its incarnations.
+    """An update on a backend server: one of its incarnations is leaving.
 
     Attributes:
         address: ``ip:port`` of the backend server.
-        incarnation: The incarnation that leaves.
-        age: Seconds since this was first known.
+        incarnation: The incarnation that accepts no new work.
+        age: Seconds since this was first reported.
     """
 
     address: str
@@ -56,20 +58,21 @@
 
 @attrs.frozen
 class Digest:
-    """What two hosts tell each other in a ping and its reply.
+    """Payload of a ping and of its reply.
 
     Attributes:
-        sender: Name of the host that speaks.
-        incarnation: Its incarnation.
-        version: Its version.
-        state: Its own condition.
-        table_revision: Revision that it has in force.
-        view_hash: Hash of all that it knows of live hosts and of leaving
-            backend servers.
-        members: News of hosts.
-        servers: News of backend servers.
-        part_hashes: Hashes of the parts of its view; asks for the news of the
-            parts that differ. Empty in most digests.
+        sender: Name of the sending host.
+        incarnation: Incarnation of the sender.
+        version: Version of the sender.
+        state: State of the sender.
+        table_revision: Revision of the sender's active table.
+        view_hash: Hash of the sender's view of the hosts that are not dead and
+            of the leaving backend servers.
+        members: Updates on entry hosts.
+        servers: Updates on backend servers.
+        part_hashes: Hashes of the parts of the sender's view. If present, they
+            request the updates of all parts that differ. Most digests have
+            none.
     """
 
     sender: str
@@ -83,24 +86,24 @@
     part_hashes: tuple[int, ...] = ()
 
 
-# Messages in.
+# Messages.
 
 
 @attrs.frozen
 class Tick:
-    """One period has gone by."""
+    """A protocol period has elapsed."""
 
 
 @attrs.frozen
 class DigestReceived:
-    """A peer pinged this host; the effects hold the reply."""
+    """A peer pinged this host; the effects include the reply."""
 
     digest: Digest
 
 
 @attrs.frozen
 class PingReplied:
-    """A ping to ``target``, sent at ``sent_at``, was answered."""
+    """The ping sent to ``target`` at ``sent_at`` was answered."""
 
     target: str
     sent_at: float
@@ -109,9 +112,9 @@
 
 @attrs.frozen
 class PingFailed:
-    """A ping to ``target``, sent at ``sent_at``, had no answer.
+    """The ping sent to ``target`` at ``sent_at`` was not answered.
 
-    ``digest`` is what it carried.
+    ``digest`` is the payload of the ping.
     """
 
     target: str
@@ -121,13 +124,13 @@
 
 @attrs.frozen
 class RelayAnswered:
-    """Result of pinging ``target`` through helpers.
+    """Result of pinging ``target`` indirectly, through helpers.
 
     Attributes:
-        target: Name of the host.
-        sent_at: When the helpers were asked.
-        reached: Whether a helper got an answer from it.
-        helpers: How many helpers answered at all.
+        target: Name of the pinged host.
+        sent_at: When the requests were sent to the helpers.
+        reached: Whether any helper received a reply from the target.
+        helpers: Number of helpers that responded.
     """
 
     target: str
@@ -138,7 +141,7 @@
 
 @attrs.frozen
 class Contact:
-    """Where an entry host listens that may not be known yet."""
+    """Peer address of an entry host that may not be known yet."""
 
     name: str
     peer_address: str
@@ -146,7 +149,7 @@
 
 @attrs.frozen
 class ListedServer:
-    """A backend server on the platform's list."""
+    """A backend server on the platform's host list."""
 
     address: str
     incarnation: int
@@ -155,12 +158,12 @@
 
 @attrs.frozen
 class HostsListed:
-    """The platform's list was read.
+    """The platform's host list was read.
 
     Attributes:
-        entries: Names of the entry hosts on it.
-        contacts: Some of them that this host does not know.
-        servers: The backend servers on it.
+        entries: Names of the listed entry hosts.
+        contacts: Some of the listed entry hosts that this host does not know.
+        servers: The listed backend servers.
     """
 
     entries: frozenset[str]
@@ -170,7 +173,7 @@
 
 @attrs.frozen
 class ServerLeaving:
-    """A backend server said that it takes no new work."""
+    """A backend server reported that it accepts no new work."""
 
     address: str
     incarnation: int
@@ -178,7 +181,7 @@
 
 @attrs.frozen
 class ServerSeen:
-    """A backend server said that it is live."""
+    """A backend server reported that it is live."""
 
     address: str
     incarnation: int
@@ -186,14 +189,14 @@
 
 @attrs.frozen
 class TableInForce:
-    """This host has a table of this revision in force."""
+    """A table of this revision is active on this host."""
 
     revision: int
 
 
 @attrs.frozen
 class LogHeard:
-    """The log answered this host's read.
+    """The log answered a read of this host.
 
     Attributes:
         at: When the answer was read.
@@ -204,15 +207,15 @@
 
 @attrs.frozen
 class Leave:
-    """This host is going to stop."""
+    """This host is about to shut down."""
 
 
-# Effects out.
+# Effects.
 
 
 @attrs.frozen
 class Ping:
-    """Send a digest to a host."""
+    """Ping a host with a digest."""
 
     target: str
     address: str
@@ -221,23 +224,23 @@
 
 @attrs.frozen
 class Reply:
-    """Answer the ping that came in."""
+    """Answer the ping that was received."""
 
     digest: Digest
 
 
 @attrs.frozen
 class Relay:
-    """Ask helpers, all at once, to ping ``target``."""
+    """Ask helpers, all in parallel, to ping ``target``."""
 
     target: str
     address: str
-    helpers: tuple[str, ...]  # Their peer addresses.
+    helpers: tuple[str, ...]  # Peer addresses.
 
 
 @attrs.frozen
 class FetchTable:
-    """Ask a peer for its table, which is newer than this host's."""
+    """Fetch a peer's table, which is newer than this host's."""
 
     peer: str
     address: str
@@ -246,14 +249,14 @@
 
 @attrs.frozen
 class HostChanged:
-    """What is known of a host has changed."""
+    """The view of an entry host has changed."""
 
     host: view.HostView
 
 
 @attrs.frozen
 class ServerLeft:
-    """Give a backend server no new work in this incarnation."""
+    """This incarnation of a backend server is to get no new work."""
 
     address: str
     incarnation: int
@@ -261,7 +264,7 @@
 
 @attrs.frozen
 class ServerReturned:
-    """A backend server is back in a later incarnation."""
+    """A backend server has restarted with a later incarnation."""
 
     address: str
     incarnation: int
@@ -269,7 +272,7 @@
 
 @attrs.frozen
 class Superseded:
-    """A later process runs under this host's name."""
+    """A process with a later incarnation uses this host's name."""
 
     incarnation: int
 
--- a/src/hoistmoor/core/membership/parts.py
+++ b/src/hoistmoor/core/membership/parts.py
@@ -1,4 +1,8 @@
-"""Hashes by which two hosts find out where their views differ."""
+"""Hashes that let two hosts find the parts in which their views differ.
+
+A view is divided into a fixed number of parts by the hash of each name. Two
+hosts compare one hash per part and exchange only the parts that differ.
+"""
 
 from __future__ import annotations
 
@@ -11,26 +15,26 @@
 
 
 def part_of(name: str) -> int:
-    """Returns the part in which news of ``name`` is counted."""
+    """Returns the index of the part that holds facts about ``name``."""
     return xxhash.xxh32_intdigest(name.encode()) % PARTS
 
 
 class PartHashes:
-    """One order-free hash for each part of a view."""
+    """One hash for each part of a view, independent of insertion order."""
 
     def __init__(self) -> None:
         self.values = [0] * PARTS
 
     def toggle(self, name: str, fact: str) -> None:
-        """Adds a fact on ``name``, or takes it away again."""
+        """Adds a fact about ``name``, or removes it if it was added before."""
         self.values[part_of(name)] ^= xxhash.xxh32_intdigest(fact.encode())
 
     @property
     def whole(self) -> int:
-        """One hash of all parts, 32 bits."""
+        """A 32-bit hash of the whole view."""
         return functools.reduce(operator.xor, self.values)
 
     def differing(self, other: tuple[int, ...]) -> frozenset[int]:
-        """Returns the parts whose hashes differ from ``other``."""
+        """Returns the indexes of the parts whose hashes differ."""
         pairs = enumerate(zip(self.values, other, strict=False))
-        return frozenset(part for part, (own, its) in pairs if own != its)
+        return frozenset(part for part, (own, peer) in pairs if own != peer)
--- a/src/hoistmoor/core/membership/preference.py
+++ b/src/hoistmoor/core/membership/preference.py
@@ -1,7 +1,8 @@
-"""A host's own steady order of the other hosts.
+"""A stable order in which a host prefers its peers.
 
-Rendezvous hashing spreads the hosts' preferences evenly, and keeps them when
-hosts come and go, so that a host holds connections to a few others only.
+Rendezvous hashing distributes the preferences evenly over the hosts and keeps
+them stable as hosts join and leave, so that each host needs connections to
+only a few peers.
 """
 
 from __future__ import annotations
@@ -19,19 +20,19 @@
 def preferred(
     own: view.HostView, others: Iterable[view.HostView], count: int
 ) -> tuple[view.HostView, ...]:
-    """Returns the ``count`` hosts that ``own`` prefers in other domains.
+    """Returns the ``count`` preferred hosts in other failure domains.
 
     Args:
-        own: The host that chooses.
-        others: Hosts to choose from; ``own`` and its neighbours in the same
-            failure domain are passed over.
-        count: How many are wanted; fewer are returned where there are fewer.
+        own: The host whose preferences are returned.
+        others: The candidates. ``own`` and the hosts in its failure domain are
+            ignored.
+        count: Maximum number of hosts to return.
     """
 
     def weight(host: view.HostView) -> int:
         return xxhash.xxh3_64_intdigest(f"{own.name}/{host.name}".encode())
 
-    elsewhere = [
+    candidates = [
         host for host in others if host.failure_domain != own.failure_domain
     ]
-    return tuple(sorted(elsewhere, key=weight, reverse=True)[:count])
+    return tuple(sorted(candidates, key=weight, reverse=True)[:count])
--- a/src/hoistmoor/core/membership/probes.py
+++ b/src/hoistmoor/core/membership/probes.py
@@ -1,4 +1,4 @@
-"""Whom to ping next, and who answered lately."""
+"""Which hosts to ping next, and which ones answered recently."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 
 class ProbeSchedule:
-    """Goes round this host's neighbours, in a new order each time."""
+    """Cycles through this host's neighbours, in a new order in each round."""
 
     def __init__(
-        self, members: members_lib.Members, order: draws.Draws
+        self, members: members_lib.Members, shuffler: draws.Draws
     ) -> None:
         self._members = members
-        self._order = order
+        self._shuffler = shuffler
         self._generation = -1
         self._neighbours: tuple[str, ...] = ()
         self._round: list[str] = []
 
     @property
     def neighbours(self) -> tuple[str, ...]:
-        """Names of the hosts that this one pings by turns."""
+        """Names of the hosts that this host pings in turn."""
         if self._generation != self._members.generation:
             self._generation = self._members.generation
             self._neighbours = ring.neighbours(
@@ -37,22 +37,26 @@
         return self._neighbours
 
     def take(self, count: int) -> list[view.HostView]:
-        """Returns the next hosts to ping, ``count`` at most, all different."""
-        wanted = min(count, len(self.neighbours))
-        taken: dict[str, view.HostView] = {}
-        while len(taken) < wanted:
+        """Returns up to ``count`` different hosts to ping next."""
+        target_count = min(count, len(self.neighbours))
+        targets: dict[str, view.HostView] = {}
+        while len(targets) < target_count:
             if not self._round:
-                self._round = self._order.shuffled(self.neighbours)
+                self._round = self._shuffler.shuffled(self.neighbours)
             name = self._round.pop()
             host = self._members.get(name)
             if host is not None and name in self._neighbours:
-                taken[name] = host
-        return list(taken.values())
+                targets[name] = host
+        return list(targets.values())
 
     def take_dead(self) -> list[view.HostView]:
-        """Returns one dead host, if any, so that a cut heals."""
-        dead = {host.name: host for host in self._members.dead()}
-        return [dead[name] for name in self._order.shuffled(dead)[:1]]
+        """Returns one random dead host, if any.
+
+        Pinging dead hosts lets the members find each other again after a
+        network partition.
+        """
+        by_name = {host.name: host for host in self._members.dead()}
+        return [by_name[name] for name in self._shuffler.shuffled(by_name)[:1]]
 
 
 @attrs.frozen
@@ -60,44 +64,46 @@
     """Result of one direct ping.
 
     Attributes:
-        target: The host pinged.
-        at: When the ping was sent.
-        is_answered: Whether that host answered.
+        target: Name of the pinged host.
+        sent_at: When the ping was sent.
+        is_answered: Whether the target itself answered.
     """
 
     target: str
-    at: float
+    sent_at: float
     is_answered: bool
 
 
 class ProbeLog:
-    """Results of the direct pings of the last seconds."""
+    """Results of the direct pings sent within a sliding time window."""
 
     def __init__(self, window: float) -> None:
         self._window = window
         self._probes: list[Probe] = []
 
     def add(self, probe: Probe) -> None:
-        """Notes one result."""
+        """Records a result."""
         self._probes.append(probe)
 
     def clear(self) -> None:
-        """Forgets all results."""
+        """Discards all results."""
         self._probes.clear()
 
     def probed(self, now: float) -> frozenset[str]:
-        """Returns the hosts pinged."""
-        self._trim(now)
+        """Returns the names of the hosts pinged within the window."""
+        self._discard_expired(now)
         return frozenset(probe.target for probe in self._probes)
 
     def answered(self, now: float) -> frozenset[str]:
-        """Returns the hosts that answered."""
-        self._trim(now)
+        """Returns the names of the hosts that answered within the window."""
+        self._discard_expired(now)
         return frozenset(
             probe.target for probe in self._probes if probe.is_answered
         )
 
-    def _trim(self, now: float) -> None:
+    def _discard_expired(self, now: float) -> None:
         self._probes = [
-            probe for probe in self._probes if now - probe.at <= self._window
+            probe
+            for probe in self._probes
+            if now - probe.sent_at <= self._window
         ]
--- a/src/hoistmoor/core/membership/ring.py
+++ b/src/hoistmoor/core/membership/ring.py
@@ -1,9 +1,10 @@
-"""Which peers a host pings.
+"""Selects the peers that a host pings.
 
-Hosts stand on a ring in the order of their names' hashes. Each pings the ones
-1, 2, 4, ... places on, so that about log2(n) hosts ping each host, whatever
-the number of hosts, and each keeps as few connections. One peer in another
-failure domain and one in another region are always among them.
+The hosts form a ring, ordered by the hashes of their names. Each host pings
+those at distances 1, 2, 4, ... on the ring. Each host is therefore pinged by
+about log2(n) of n hosts, and keeps about as many connections. At least one of
+the peers is in another failure domain and one in another region, if there are
+any.
 """
 
 from __future__ import annotations
@@ -18,19 +19,19 @@
 
     from hoistmoor.core.membership import view
 
-PING_ALL_UP_TO = 10  # Other hosts.
+FULL_MESH_PEERS = 10  # Up to this number of peers, a host pings all of them.
 
 
 def neighbours(
     own: view.HostView, others: Sequence[view.HostView]
 ) -> tuple[str, ...]:
-    """Returns the names of the peers that ``own`` pings, by turns."""
+    """Returns the names of the peers that ``own`` pings in turn."""
     ring = sorted(others, key=lambda host: _distance(own.name, host.name))
-    if len(ring) <= PING_ALL_UP_TO:
+    if len(ring) <= FULL_MESH_PEERS:
         return tuple(host.name for host in ring)
-    chosen = [ring[place - 1] for place in _powers_of_two(len(ring))]
+    chosen = [ring[step - 1] for step in _powers_of_two(len(ring))]
     for label in (_failure_domain, _region):
-        _cover(label(own), label, chosen, ring)
+        _include_other_label(label(own), label, chosen, ring)
     return tuple(host.name for host in chosen)
 
 
@@ -55,13 +56,13 @@
     return host.region
 
 
-def _cover(
+def _include_other_label(
     own_label: str,
     label: Callable[[view.HostView], str],
     chosen: list[view.HostView],
     ring: list[view.HostView],
 ) -> None:
-    """Adds the next host with another label, if none was chosen."""
+    """Adds the next host with another label, unless one is chosen already."""
     if any(label(host) != own_label for host in chosen):
         return
     other = next((host for host in ring if label(host) != own_label), None)
--- a/src/hoistmoor/core/membership/rumours.py
+++ b/src/hoistmoor/core/membership/rumours.py
@@ -1,4 +1,8 @@
-"""Which news still has to be passed on."""
+"""Queue of the updates that still have to be sent to peers.
+
+In epidemic protocols, an update that is still being disseminated is called a
+rumour.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
 
 
 class Kind(enum.IntEnum):
-    """What a piece of news is about; the lower kind goes first."""
+    """Kind of subject of an update; lower values are sent first."""
 
     SERVER = 0
     HOST = 1
@@ -20,49 +24,55 @@
 
 @attrs.frozen
 class Topic:
-    """What news is about: one host, or one backend server."""
+    """Subject of an update: an entry host or a backend server."""
 
     kind: Kind
     name: str
 
 
 class RumourQueue:
-    """Counts how often each topic's news was passed on.
+    """Counts how often the update on each topic was sent.
 
-    It holds topics rather than news, so that what goes out is always the
-    latest that is known.
+    The queue holds topics instead of updates, so that a digest always carries
+    the latest state of a topic.
     """
 
     def __init__(self) -> None:
-        self._sent: dict[Topic, int] = {}
+        self._send_counts: dict[Topic, int] = {}
 
     def __len__(self) -> int:
-        """Returns the number of topics to pass on."""
-        return len(self._sent)
+        """Returns the number of pending topics."""
+        return len(self._send_counts)
 
     def add(self, topic: Topic) -> None:
-        """Starts passing a topic's news on, from the first time again."""
-        self._sent.pop(topic, None)
-        self._sent[topic] = 0
+        """Adds a topic at the end with a send count of zero."""
+        self._send_counts.pop(topic, None)
+        self._send_counts[topic] = 0
 
     def discard(self, topic: Topic) -> None:
-        """Stops passing a topic's news on."""
-        self._sent.pop(topic, None)
+        """Removes a topic, if it is pending."""
+        self._send_counts.pop(topic, None)
 
     def candidates(self) -> Iterator[Topic]:
-        """Yields the topics, the most urgent and least sent first."""
+        """Yields the pending topics, sorted by kind and then by send count."""
         yield from sorted(
-            self._sent, key=lambda topic: (topic.kind, self._sent[topic])
+            self._send_counts,
+            key=lambda topic: (topic.kind, self._send_counts[topic]),
         )
 
     def mark_sent(self, topic: Topic, repeats: int) -> None:
-        """Counts one sending; after ``repeats`` of them the topic goes."""
-        sent = self._sent.get(topic, 0) + 1
-        if sent >= repeats:
+        """Counts one transmission and removes the topic after ``repeats``."""
+        count = self._send_counts.get(topic, 0) + 1
+        if count >= repeats:
             self.discard(topic)
         else:
-            self._sent[topic] = sent
+            self._send_counts[topic] = count
 
     def mark_lost(self, topic: Topic, repeats: int) -> None:
-        """Takes one sending back, as it reached nobody."""
-        self._sent[topic] = max(0, self._sent.get(topic, repeats) - 1)
+        """Takes back one transmission that reached no host.
+
+        A topic that was already removed is added again.
+        """
+        self._send_counts[topic] = max(
+            0, self._send_counts.get(topic, repeats) - 1
+        )
--- a/src/hoistmoor/core/membership/servers.py
+++ b/src/hoistmoor/core/membership/servers.py
@@ -1,9 +1,9 @@
-"""Backend servers that take no new work.
+"""Backend servers that are leaving, which means they accept no new work.
 
-Three sources tell of them: the platform's list, the server's own word, and
-peers' news. Any one suffices. Only a later incarnation at the same address
-clears it; news that has grown old goes once the list confirms that the server
-is gone.
+A server is reported as leaving by the platform's host list, by the server
+itself or by an update from a peer; any one of them suffices. Only a later
+incarnation at the same address clears the report. An old report is dropped
+once the host list confirms that the server is gone.
 """
 
 from __future__ import annotations
@@ -21,73 +21,82 @@
 
 
 @attrs.frozen
-class LeavingNews:
-    """One backend server that takes no new work.
+class LeavingServer:
+    """A backend server that accepts no new work.
 
     Attributes:
         address: ``ip:port`` of the backend server.
-        incarnation: The incarnation that leaves.
-        at: When this was first known.
+        incarnation: The incarnation that is leaving.
+        first_known_at: When this was first reported.
     """
 
     address: str
     incarnation: int
-    at: float
+    first_known_at: float
 
 
 class LeavingServers:
-    """Union of the three sources."""
+    """The leaving backend servers, from all three sources."""
 
     def __init__(self, hashes: parts.PartHashes, forget_after: float) -> None:
         self._hashes = hashes
         self._forget_after = forget_after
-        self._leaving: dict[str, LeavingNews] = {}
-        self._live: dict[str, int] = {}  # Highest live incarnation seen.
+        self._leaving: dict[str, LeavingServer] = {}
+        self._live: dict[str, int] = {}  # Highest live incarnations.
         self._listed: frozenset[str] | None = None
 
-    def __iter__(self) -> Iterator[LeavingNews]:
-        """Yields the servers that leave."""
+    def __iter__(self) -> Iterator[LeavingServer]:
+        """Yields the servers that are leaving."""
         return iter(tuple(self._leaving.values()))
 
-    def get(self, address: str) -> LeavingNews | None:
-        """Returns the news of the server at ``address``, if it leaves."""
+    def get(self, address: str) -> LeavingServer | None:
+        """Returns the server at ``address``, if it is leaving."""
         return self._leaving.get(address)
 
     def is_leaving(self, address: str, incarnation: int | None) -> bool:
-        """Returns whether this incarnation, or any if None, is leaving."""
-        news = self._leaving.get(address)
-        if news is None:
+        """Returns whether this incarnation, or any one if None, is leaving."""
+        server = self._leaving.get(address)
+        if server is None:
             return False
-        return incarnation is None or incarnation <= news.incarnation
+        return incarnation is None or incarnation <= server.incarnation
 
-    def leave(self, news: messages.ServerNews, now: float) -> bool:
-        """Takes in news; returns whether it was new here."""
-        if self._is_superseded(news):
+    def leave(self, update: messages.ServerNews, now: float) -> bool:
+        """Applies an update; returns whether it changed anything."""
+        if self._is_superseded(update):
             return False
-        if self._is_outdated(news.address, news.age):
+        if self._is_expired(update.address, update.age):
             return False
-        known = self._leaving.get(news.address)
-        if known is not None and news.incarnation <= known.incarnation:
+        known = self._leaving.get(update.address)
+        if known is not None and update.incarnation <= known.incarnation:
             return False
-        self._store(LeavingNews(news.address, news.incarnation, now - news.age))
+        self._store(
+            LeavingServer(update.address, update.incarnation, now - update.age)
+        )
         return True
 
     def see_live(self, address: str, incarnation: int) -> bool:
-        """Notes a live incarnation; returns whether it cleared older news."""
+        """Records a live incarnation.
+
+        Returns:
+            Whether this cleared the report of an earlier incarnation.
+        """
         if incarnation > self._live.get(address, -1):
             self._live[address] = incarnation
         known = self._leaving.get(address)
         if known is None or incarnation <= known.incarnation:
             return False
-        self._drop(known)
+        self._remove(known)
         return True
 
     def list_read(self, addresses: frozenset[str], now: float) -> None:
-        """Notes which servers the list names, and drops confirmed old news."""
+        """Reconciles the reports with the servers on the host list.
+
+        Drops the old reports on servers that the list no longer names.
+        """
         self._listed = addresses
-        for news in self:
-            if self._is_outdated(news.address, now - news.at):
-                self._drop(news)
+        for server in self:
+            if self._is_expired(server.address, now - server.first_known_at):
+                self._remove(server)
         kept = addresses | self._leaving.keys()
         self._live = {
             address: incarnation
@@ -95,31 +104,31 @@
             if address in kept
         }
 
-    def _is_superseded(self, news: messages.ServerNews) -> bool:
-        return news.incarnation < self._live.get(news.address, 0)
+    def _is_superseded(self, update: messages.ServerNews) -> bool:
+        return update.incarnation < self._live.get(update.address, 0)
 
-    def _is_outdated(self, address: str, age: float) -> bool:
+    def _is_expired(self, address: str, age: float) -> bool:
         if age <= self._forget_after or self._listed is None:
             return False
         return address not in self._listed
 
-    def _store(self, news: LeavingNews) -> None:
-        known = self._leaving.get(news.address)
+    def _store(self, server: LeavingServer) -> None:
+        known = self._leaving.get(server.address)
         if known is not None:
-            self._toggle(known)
-        self._leaving[news.address] = news
-        self._toggle(news)
+            self._toggle_hash(known)
+        self._leaving[server.address] = server
+        self._toggle_hash(server)
 
-    def _drop(self, news: LeavingNews) -> None:
-        del self._leaving[news.address]
-        self._toggle(news)
+    def _remove(self, server: LeavingServer) -> None:
+        del self._leaving[server.address]
+        self._toggle_hash(server)
 
-    def _toggle(self, news: LeavingNews) -> None:
-        fact = f"{news.address} {news.incarnation}"
-        self._hashes.toggle(news.address, fact)
+    def _toggle_hash(self, server: LeavingServer) -> None:
+        fact = f"{server.address} {server.incarnation}"
+        self._hashes.toggle(server.address, fact)
 
 
-def to_news(leaving: LeavingNews, now: float) -> messages.ServerNews:
-    """Returns the news for peers."""
-    age = max(0, int(now - leaving.at))
+def to_news(leaving: LeavingServer, now: float) -> messages.ServerNews:
+    """Returns the update for peers."""
+    age = max(0, int(now - leaving.first_known_at))
     return messages.ServerNews(leaving.address, leaving.incarnation, age)
--- a/src/hoistmoor/core/membership/sizes.py
+++ b/src/hoistmoor/core/membership/sizes.py
@@ -1,7 +1,7 @@
-"""Upper bounds on the encoded size of news, in bytes.
+"""Upper bounds on the encoded size of updates, in bytes.
 
-The digest is encoded outside the core; a test holds these bounds against the
-real encoding.
+Digests are encoded outside the core. A test compares these bounds with the
+actual protobuf encoding.
 """
 
 from __future__ import annotations
@@ -10,34 +10,39 @@
 
 from hoistmoor.core.membership import messages
 
-_FIELD = 2  # Tag and length, or tag and small number.
-_INCARNATION = 7  # Tag and milliseconds since the epoch.
-_SMALL = 6  # Tag and a number below 2**32.
+_SHORT_FIELD = 2  # Tag and length, or tag and a one-byte number.
+_INCARNATION_FIELD = 7  # Tag and milliseconds since the epoch.
+_UINT32_FIELD = 6  # Tag and a number below 2**32.
 
 
-def _text(value: str) -> int:
-    return len(value.encode()) + _FIELD if value else 0
+def _text_size(value: str) -> int:
+    return len(value.encode()) + _SHORT_FIELD if value else 0
 
 
 @singledispatch
-def news_size(news: object) -> int:
-    """Returns at most how many bytes a piece of news takes in a digest."""
-    raise NotImplementedError(type(news).__name__)
+def news_size(update: object) -> int:
+    """Returns the maximum number of bytes that an update adds to a digest."""
+    raise NotImplementedError(type(update).__name__)
 
 
 @news_size.register
-def _member_size(news: messages.MemberNews) -> int:
+def _member_size(update: messages.MemberNews) -> int:
     texts = (
-        news.name,
-        news.http_address,
-        news.peer_address,
-        news.failure_domain,
-        news.region,
+        update.name,
+        update.http_address,
+        update.peer_address,
+        update.failure_domain,
+        update.region,
     )
-    numbers = _INCARNATION + 2 * _SMALL + _FIELD
-    return 2 * _FIELD + numbers + sum(map(_text, texts))
+    numbers = _INCARNATION_FIELD + 2 * _UINT32_FIELD + _SHORT_FIELD
+    return 2 * _SHORT_FIELD + numbers + sum(map(_text_size, texts))
 
 
 @news_size.register
-def _server_size(news: messages.ServerNews) -> int:
-    return _FIELD + _INCARNATION + _SMALL + _text(news.address)
+def _server_size(update: messages.ServerNews) -> int:
+    return (
+        _SHORT_FIELD
+        + _INCARNATION_FIELD
+        + _UINT32_FIELD
+        + _text_size(update.address)
+    )
--- a/src/hoistmoor/core/membership/tables.py
+++ b/src/hoistmoor/core/membership/tables.py
@@ -1,4 +1,4 @@
-"""How the table in force here compares with the peers'."""
+"""Compares the revision of the active table with those of the peers."""
 
 from __future__ import annotations
 
@@ -13,42 +13,42 @@
 
 
 class TableComparison:
-    """Finds out when a peer has a newer table and asks for it.
+    """Detects that a peer has a newer table and requests a fetch of it.
 
     Attributes:
-        own: Revision in force here.
-        newest: Newest revision heard of.
-        source: The peer that had it.
-        behind_since: When it was first heard that a peer is ahead; None where
-            none is.
+        own: Revision of this host's active table.
+        newest_revision: Newest revision that a peer has reported.
+        newest_peer: Name of the peer that reported it.
+        behind_since: When a peer first reported a newer revision; None if no
+            peer is ahead.
     """
 
     def __init__(self, timing: timing_lib.Timing) -> None:
         self.own = view.NO_REVISION
-        self.newest = view.NO_REVISION
-        self.source = ""
+        self.newest_revision = view.NO_REVISION
+        self.newest_peer = ""
         self.behind_since: float | None = None
         self._timing = timing
-        self._fetched_at = float("-inf")
+        self._last_fetch_at = float("-inf")
 
     def heard(self, peer: str, revision: int, now: float) -> None:
-        """Notes the revision that a peer has in force."""
+        """Records the revision of a peer's active table."""
         if revision <= self.own:
             return
-        if revision >= self.newest:
-            self.newest = revision
-            self.source = peer
+        if revision >= self.newest_revision:
+            self.newest_revision = revision
+            self.newest_peer = peer
         if self.behind_since is None:
             self.behind_since = now
 
     def in_force(self, revision: int) -> None:
-        """Notes the revision in force here."""
+        """Records the revision of this host's active table."""
         self.own = max(self.own, revision)
-        if self.own >= self.newest:
+        if self.own >= self.newest_revision:
             self.behind_since = None
 
     def is_overdue(self, now: float) -> bool:
-        """Returns whether a newer table should have been here by now."""
+        """Returns whether this host has been behind for too long."""
         if self.behind_since is None:
             return False
         return now - self.behind_since > self._timing.fetch_grace
@@ -58,17 +58,22 @@
     ) -> tuple[messages.FetchTable, ...]:
         """Returns the fetch that is due, if any.
 
-        While the log is heard, the newer revision is likely on its way; then
-        a fetch by every host after each edit would cost more than it gives.
+        While the log is reachable, the newer revision most likely arrives from
+        there. If every host fetched the table from a peer after each edit, this
+        would cost more than it gains.
         """
         if self.behind_since is None or not (
             log_is_silent or self.is_overdue(now)
         ):
             return ()
-        if now - self._fetched_at < self._timing.fetch_interval:
+        if now - self._last_fetch_at < self._timing.fetch_interval:
             return ()
-        peer = members.get(self.source)
+        peer = members.get(self.newest_peer)
         if peer is None:
             return ()
-        self._fetched_at = now
-        return (messages.FetchTable(peer.name, peer.peer_address, self.newest),)
+        self._last_fetch_at = now
+        return (
+            messages.FetchTable(
+                peer.name, peer.peer_address, self.newest_revision
+            ),
+        )
--- a/src/hoistmoor/core/membership/timing.py
+++ b/src/hoistmoor/core/membership/timing.py
@@ -1,4 +1,4 @@
-"""Numbers that the membership protocol runs on."""
+"""Parameters of the membership protocol."""
 
 from __future__ import annotations
 
@@ -9,35 +9,41 @@
 
 @attrs.frozen(kw_only=True)
 class Timing:
-    """Rates and bounds; the defaults carry 360 hosts.
+    """Rates and limits; the defaults support 360 hosts.
 
     Attributes:
-        period: Seconds between ticks.
-        fanout: Hosts pinged a period.
-        helpers: Hosts asked to ping one that did not answer.
-        suspicion_factor: Periods per doubling of the number of hosts that a
-            suspected host has for its objection.
-        rumour_factor: Times per doubling of the number of hosts that each
-            host repeats a piece of news.
-        rumour_bytes: Encoded bytes of news in one digest.
-        sync_bytes: Encoded bytes of news in a digest that answers a sync.
-        sync_after: Pings in a row with differing views until a sync.
-        sync_interval: Seconds between two syncs.
+        period: Seconds between two ticks.
+        fanout: Number of hosts pinged in each period.
+        helpers: Number of hosts asked to ping one that did not answer.
+        suspicion_factor: Suspicion timeout, in periods per doubling of the
+            number of hosts. A suspect that does not refute the suspicion
+            within this time is declared dead.
+        rumour_factor: Number of times that each host sends an update, per
+            doubling of the number of hosts.
+        rumour_bytes: Maximum encoded size of the updates in a digest.
+        sync_bytes: Maximum encoded size of the updates in a digest that
+            answers a sync.
+        sync_after: Number of consecutive replies with a different view after
+            which a host requests a sync.
+        sync_interval: Minimum seconds between two syncs.
         join_seconds: Seconds after its start in which a host syncs more often.
-        join_interval: Seconds between two syncs in that time.
-        dead_probe_periods: Periods between two pings to dead hosts.
-        forget_after: Seconds until a dead host is forgotten, and until news
-            of a backend server goes, once the list confirms it.
-        pause_after: Seconds between ticks that count as a pause of this host.
-        settle: Seconds after a pause in which replies may be old ones.
-        log_silence: Seconds without word from the log until the table's
-            freshness rests on the peers.
-        peer_silence: Seconds that a peer's answer counts.
-        recovery: Seconds for which a majority must be heard after it was not,
-            until that counts.
-        fetch_grace: Seconds that a newer revision may take to come by the
+        join_interval: Minimum seconds between two syncs during that time.
+        dead_probe_periods: Number of periods between two pings to dead hosts.
+        forget_after: Seconds after which a dead host is forgotten. The report
+            of a leaving backend server is dropped after the same time, if the
+            host list no longer names the server.
+        pause_after: Seconds without a message after which this host's process
+            is considered to have been paused.
+        settle: Seconds after a pause during which a reply from the log may
+            date from before the pause.
+        log_silence: Seconds without contact with the log after which the
+            table's freshness is judged by the peers.
+        peer_silence: Seconds for which the result of a ping counts.
+        recovery: Seconds for which a majority must be reachable again before
+            it counts.
+        fetch_grace: Seconds that a newer revision may take to arrive from the
             log before it is fetched from a peer.
-        fetch_interval: Seconds between two fetches.
+        fetch_interval: Minimum seconds between two fetches.
     """
 
     period: float = 0.5
@@ -55,16 +61,18 @@
     forget_after: float = 600.0
     pause_after: float = 2.0
     settle: float = 0.2
-    log_silence: float = 2.5  # An edit binds every host 3 s after the log.
+    log_silence: float = (
+        2.5  # An edit must be in effect on all hosts 3 s after it is logged.
+    )
     peer_silence: float = 3.0
     recovery: float = 6.0
     fetch_grace: float = 2.0
     fetch_interval: float = 2.0
 
     def suspicion(self, hosts: int) -> float:
-        """Returns the seconds from suspicion to death among ``hosts``."""
+        """Returns the seconds after which a suspect among ``hosts`` is dead."""
         return self.period * self.suspicion_factor * math.log2(hosts + 1)
 
     def repeats(self, hosts: int) -> int:
-        """Returns how often each host passes a piece of news on."""
+        """Returns how often each of ``hosts`` hosts sends an update."""
         return math.ceil(self.rumour_factor * math.log2(hosts + 1)) + 2
--- a/src/hoistmoor/core/membership/view.py
+++ b/src/hoistmoor/core/membership/view.py
@@ -1,4 +1,4 @@
-"""What one host knows of another."""
+"""The state of an entry host as another host knows it."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 
 
 class MemberState(enum.IntEnum):
-    """Condition of an entry host.
+    """State of an entry host.
 
-    Of two pieces of news with the same incarnation and version, the one with
-    the higher state is the newer.
+    Of two updates with the same incarnation and version, the one with the
+    higher state takes precedence.
     """
 
     ALIVE = 0
-    SUSPECT = 1  # Did not answer; dead soon unless it objects.
-    LEAVING = 2  # Takes no new work and stops by itself.
+    SUSPECT = 1  # Did not answer; declared dead unless it refutes this in time.
+    LEAVING = 2  # Accepts no new work and is shutting down.
     DEAD = 3
 
 
 @attrs.frozen
 class HostView:
-    """One entry host, as seen from here.
+    """What this host knows about one entry host.
 
     Attributes:
         name: Name of the host.
-        incarnation: Start time of its process in milliseconds.
-        version: Raised by the host itself each time it contradicts news of
-            its death or changes its state.
-        state: Condition.
-        http_address: ``ip:port`` for callers.
+        incarnation: Start time of its process, in milliseconds since the epoch.
+        version: Incremented only by the host itself, whenever it changes its
+            state or refutes a suspicion or its death.
+        state: Its last known state.
+        http_address: ``ip:port`` for clients.
         peer_address: ``ip:port`` for other entry hosts.
-        failure_domain: Where it stands.
-        region: Where the failure domain stands.
-        table_revision: Newest table that it was heard to have in force.
-        since: When the state began, as far as known here.
+        failure_domain: Failure domain in which it runs.
+        region: Region of the failure domain.
+        table_revision: Newest table revision that it reported as active.
+        since: When the state began, as far as this host knows.
     """
 
     name: str
@@ -53,10 +53,10 @@
 
     @property
     def order(self) -> tuple[int, int, int]:
-        """Later news of a host has a higher order."""
+        """Sort key of an update; the higher one takes precedence."""
         return self.incarnation, self.version, self.state
 
     @property
     def is_live(self) -> bool:
-        """Whether it may be given work."""
+        """Whether the host may be given work."""
         return self.state <= MemberState.SUSPECT
