--- a/tests/core/membership/membership_network.py
+++ b/tests/core/membership/membership_network.py
@@ -1,4 +1,7 @@
-"""A network of membership machines in virtual time, with faults on demand."""
+"""A simulated network of membership machines with fault injection.
+
+It runs in virtual time, so that a test of a long fault takes little real time.
+"""
 
 from __future__ import annotations
 
@@ -16,15 +19,23 @@
 from hoistmoor.core.membership import timing as timing_lib
 from hoistmoor.core.membership import view
 
-PING_TIMEOUT = 0.5  # Seconds, as in peers.client.
+PING_TIMEOUT = 0.5  # Seconds; the same as in peers.client.
 RELAY_TIMEOUT = 1.0
 DOMAINS = 4
 START = 1_700_000_000.0
 
 
 @attrs.define
-class Node:
-    """One host of the network."""
+class SimulatedHost:
+    """A simulated host.
+
+    Attributes:
+        machine: Its membership state machine.
+        is_running: Whether it has not crashed.
+        is_paused: Whether its process is paused.
+        backlog: Events that occurred while it was paused.
+        effects: All effects that its machine has returned.
+    """
 
     machine: machine.Membership
     is_running: bool = True
@@ -46,14 +57,14 @@
 
 
 class Network:
-    """Hosts, the messages between them, and a clock that tests move.
+    """Simulated hosts, their messages, and a clock that tests advance.
 
     Attributes:
         now: Virtual time.
         nodes: The hosts by name.
-        loss: Share of messages lost, each way.
-        is_cut: Whether two hosts cannot reach each other.
-        log_is_up: Whether a host hears the log.
+        loss: Probability that a message is lost, in each direction.
+        is_cut: Returns whether two hosts cannot reach each other.
+        log_is_up: Returns whether a host can read the log.
         on_digest: Called with each digest sent: sender, receiver, digest.
     """
 
@@ -63,7 +74,7 @@
         seed: int = 1,
     ) -> None:
         self.now = START
-        self.nodes: dict[str, Node] = {}
+        self.nodes: dict[str, SimulatedHost] = {}
         self.loss = 0.0
         self.is_cut: Callable[[str, str], bool] = lambda _a, _b: False
         self.log_is_up: Callable[[str], bool] = lambda _name: True
@@ -73,35 +84,37 @@
         self._timing = timing or timing_lib.Timing()
         self._random = random.Random(seed)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._serial = itertools.count()
+        self._event_numbers = itertools.count()
 
-    # Building.
+    # Setup.
 
     def start(self, own: view.HostView, *seeds: str) -> None:
-        """Starts a host that the list gives ``seeds`` to."""
+        """Starts a host that finds ``seeds`` on the host list."""
         self._tick(own.name, self._add(own))
         self.list_hosts(own.name, *seeds)
 
     def start_all(self, count: int) -> None:
-        """Starts hosts that all know each other already."""
+        """Starts hosts that already know each other."""
         views = [make_view(number) for number in range(count)]
         names = frozenset(own.name for own in views)
         for own in views:
-            node = self._add(own)
+            host = self._add(own)
             for other in views:
                 if other is not own:
-                    news = members.to_news(other, self.now, is_full=True)
-                    node.machine.members.apply(news, self.now)
-            node.machine.handle(messages.HostsListed(names, (), ()), self.now)
-            phase = self._random.random() * self._timing.period
-            tick = functools.partial(self._tick, own.name, node)
-            self._at(phase, own.name, tick)
-
-    def _add(self, own: view.HostView) -> Node:
-        seed = next(self._serial)
-        node = Node(machine.Membership(own, seed, self.now, self._timing))
-        self.nodes[own.name] = node
-        return node
+                    update = members.to_news(other, self.now, is_full=True)
+                    host.machine.members.apply(update, self.now)
+            host.machine.handle(messages.HostsListed(names, (), ()), self.now)
+            offset = self._random.random() * self._timing.period
+            tick = functools.partial(self._tick, own.name, host)
+            self._schedule(offset, own.name, tick)
+
+    def _add(self, own: view.HostView) -> SimulatedHost:
+        seed = next(self._event_numbers)
+        host = SimulatedHost(
+            machine.Membership(own, seed, self.now, self._timing)
+        )
+        self.nodes[own.name] = host
+        return host
 
     def list_hosts(
         self,
@@ -109,7 +122,7 @@
         *listed: str,
         servers: tuple[messages.ListedServer, ...] = (),
     ) -> None:
-        """Has a host read the platform's list."""
+        """Lets a host read the platform's host list."""
         known = self.machine(name).members
         contacts = tuple(
             messages.Contact(
@@ -126,34 +139,34 @@
     # Faults.
 
     def crash(self, name: str) -> None:
-        """Ends a host without a word."""
+        """Stops a host abruptly, without notice to the others."""
         self.nodes[name].is_running = False
 
     def pause(self, name: str) -> None:
-        """Stops a host's process; what is sent to it waits."""
+        """Pauses a host's process; its events are queued."""
         self.nodes[name].is_paused = True
 
     def resume(self, name: str) -> None:
-        """Lets a paused host run; it finds what came in the meantime."""
-        node = self.nodes[name]
-        node.is_paused = False
-        backlog, node.backlog = node.backlog, []
+        """Resumes a paused host, which handles the queued events first."""
+        host = self.nodes[name]
+        host.is_paused = False
+        backlog, host.backlog = host.backlog, []
         for step in backlog:
             step()
 
     def partition(self, *side: str) -> None:
-        """Cuts the hosts of ``side`` off from all others."""
+        """Disconnects the hosts of ``side`` from all others."""
         inside = frozenset(side)
         self.is_cut = lambda a, b: (a in inside) != (b in inside)
 
     def heal(self) -> None:
-        """Ends a partition."""
+        """Ends the network partition."""
         self.is_cut = lambda _a, _b: False
 
-    # Running.
+    # Simulation.
 
     def run(self, seconds: float) -> None:
-        """Moves the clock on."""
+        """Advances the clock and runs the events that are due."""
         end = self.now + seconds
         while self._events and self._events[0][0] <= end:
             self.now, _, step = heapq.heappop(self._events)
@@ -163,20 +176,28 @@
     def run_until(
         self, condition: Callable[[], bool], bound: float, step: float = 0.05
     ) -> float:
-        """Runs until ``condition`` holds; returns the seconds it took."""
+        """Runs until ``condition`` holds; returns the seconds that took.
+
+        Raises:
+            AssertionError: It does not hold within ``bound`` seconds.
+        """
         start = self.now
         while not condition():
             if self.now - start > bound:
-                raise AssertionError(f"not so within {bound} s")
+                raise AssertionError(f"condition not met within {bound} s")
             self.run(step)
         return self.now - start
 
     def tell(self, name: str, message: object) -> messages.Digest | None:
-        """Gives a host's machine a message and performs the effects."""
-        node = self.nodes[name]
+        """Passes a message to a host and performs the effects.
+
+        Returns:
+            The digest to reply with, if there is one.
+        """
+        host = self.nodes[name]
         reply = None
-        for effect in node.machine.handle(message, self.now):
-            node.effects.append(effect)
+        for effect in host.machine.handle(message, self.now):
+            host.effects.append(effect)
             if isinstance(effect, messages.Reply):
                 reply = effect.digest
             else:
@@ -184,20 +205,20 @@
         return reply
 
     def machine(self, name: str) -> machine.Membership:
-        """Returns a host's state machine."""
+        """Returns a host's membership state machine."""
         return self.nodes[name].machine
 
     def running(self) -> list[str]:
         """Returns the names of the hosts that have not crashed."""
-        return [name for name, node in self.nodes.items() if node.is_running]
+        return [name for name, host in self.nodes.items() if host.is_running]
 
     def state(self, at: str, of: str) -> view.MemberState | None:
-        """Returns the state that host ``at`` believes host ``of`` is in."""
+        """Returns the state of host ``of`` in the view of host ``at``."""
         host = self.machine(at).members.get(of)
         return host.state if host else None
 
     def all_alive(self) -> bool:
-        """Returns whether every running host thinks so of all others."""
+        """Returns whether each running host considers all others alive."""
         running = self.running()
         return all(
             self.state(at, of) is view.MemberState.ALIVE
@@ -205,32 +226,36 @@
             for of in running
         )
 
-    def _tick(self, name: str, node: Node) -> None:
-        if self.nodes[name] is not node:
+    def _tick(self, name: str, host: SimulatedHost) -> None:
+        if self.nodes[name] is not host:
             return
         if self.log_is_up(name):
             self.tell(name, messages.LogHeard(self.now))
         self.tell(name, messages.Tick())
-        self._at(self._timing.period, name, lambda: self._tick(name, node))
+        self._schedule(
+            self._timing.period, name, lambda: self._tick(name, host)
+        )
 
-    def _at(self, delay: float, name: str, step: Callable[[], None]) -> None:
-        node = self.nodes[name]
+    def _schedule(
+        self, delay: float, name: str, step: Callable[[], None]
+    ) -> None:
+        host = self.nodes[name]
 
         def run() -> None:
-            if not node.is_running:
+            if not host.is_running:
                 return
-            if node.is_paused:
-                node.backlog.append(run)
+            if host.is_paused:
+                host.backlog.append(run)
             else:
                 step()
 
-        event = (self.now + delay, next(self._serial), run)
+        event = (self.now + delay, next(self._event_numbers), run)
         heapq.heappush(self._events, event)
 
     def _delay(self) -> float:
         return 0.001 + 0.002 * self._random.random()
 
-    def _arrives(self, sender: str, receiver: str) -> bool:
+    def _is_delivered(self, sender: str, receiver: str) -> bool:
         if self.is_cut(sender, receiver) or receiver not in self.nodes:
             return False
         return self._random.random() >= self.loss
@@ -239,7 +264,7 @@
 
     @functools.singledispatchmethod
     def _perform(self, effect: object, name: str) -> None:
-        """Effects that only tell the host something."""
+        """Ignores the effects that only notify the host."""
 
     @_perform.register
     def _perform_ping(self, effect: messages.Ping, name: str) -> None:
@@ -263,8 +288,8 @@
         sent_at = self.now
         answers: list[bool] = []
         by_address = {
-            node.machine.members.own_view.peer_address: helper
-            for helper, node in self.nodes.items()
+            host.machine.members.own_view.peer_address: helper
+            for helper, host in self.nodes.items()
         }
         for address in effect.helpers:
             self._relay(name, by_address[address], effect.target, answers)
@@ -277,7 +302,7 @@
                 ),
             )
 
-        self._at(RELAY_TIMEOUT, name, finish)
+        self._schedule(RELAY_TIMEOUT, name, finish)
 
     @_perform.register
     def _perform_fetch(self, effect: messages.FetchTable, name: str) -> None:
@@ -287,7 +312,7 @@
                 revision = peer.machine.tables.own
                 self.tell(name, messages.TableInForce(revision))
 
-        self._at(2 * self._delay(), name, fetch)
+        self._schedule(2 * self._delay(), name, fetch)
 
     def _ping(
         self,
@@ -308,20 +333,20 @@
             reply = self.tell(target, messages.DigestReceived(digest))
             assert reply is not None
             self.on_digest(target, sender, reply)
-            if self._arrives(target, sender):
-                self._at(self._delay(), sender, lambda: finish(reply))
+            if self._is_delivered(target, sender):
+                self._schedule(self._delay(), sender, lambda: finish(reply))
 
         self.on_digest(sender, target, digest)
-        if self._arrives(sender, target):
-            self._at(self._delay(), target, arrive)
-        self._at(PING_TIMEOUT, sender, lambda: finish(None))
+        if self._is_delivered(sender, target):
+            self._schedule(self._delay(), target, arrive)
+        self._schedule(PING_TIMEOUT, sender, lambda: finish(None))
 
     def _relay(
         self, asker: str, helper: str, target: str, answers: list[bool]
     ) -> None:
         def answer(is_reached: bool) -> None:
-            if self._arrives(helper, asker):
-                self._at(
+            if self._is_delivered(helper, asker):
+                self._schedule(
                     self._delay(), asker, lambda: answers.append(is_reached)
                 )
 
@@ -331,5 +356,5 @@
                 helper, target, digest, lambda reply: answer(reply is not None)
             )
 
-        if self._arrives(asker, helper):
-            self._at(self._delay(), helper, arrive)
+        if self._is_delivered(asker, helper):
+            self._schedule(self._delay(), helper, arrive)
--- a/tests/core/membership/test_membership_faults.py
+++ b/tests/core/membership/test_membership_faults.py
@@ -1,4 +1,4 @@
-"""What membership promises, under losses, cuts, pauses and crashes."""
+"""Membership guarantees under message loss, partitions, pauses and crashes."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     return list(network.nodes)
 
 
-def _domain(network: Network, number: int) -> list[str]:
+def _hosts_in_domain(network: Network, number: int) -> list[str]:
     return [
         name
         for name in network.nodes
@@ -56,10 +56,10 @@
     return all(check(name) for name in network.running())
 
 
-def _check_news_never_goes_back(network: Network) -> None:
-    for node in network.nodes.values():
+def _check_precedence_never_decreases(network: Network) -> None:
+    for simulated in network.nodes.values():
         newest: dict[str, tuple[int, int, int]] = {}
-        for effect in node.effects:
+        for effect in simulated.effects:
             if isinstance(effect, messages.HostChanged):
                 host = effect.host
                 previous = newest.get(host.name, host.order)
@@ -69,7 +69,7 @@
                 newest[host.name] = host.order
 
 
-def test_a_dead_host_is_found_dead_everywhere(network: Network) -> None:
+def test_a_crashed_host_is_declared_dead_everywhere(network: Network) -> None:
     network.crash("entry-003")
     network.run_until(
         lambda: _all(
@@ -84,32 +84,34 @@
     )
 
 
-def test_losses_leave_no_host_dead(network: Network) -> None:
+def test_no_host_stays_dead_after_message_loss(network: Network) -> None:
     network.loss = 0.3
     network.run(_BOUND)
     network.loss = 0.0
     network.run_until(network.all_alive, _BOUND)
-    _check_news_never_goes_back(network)
+    _check_precedence_never_decreases(network)
 
 
-def _lossy_network_accuses_few(network: Network) -> None:
+def _lossy_network_causes_few_suspicions(network: Network) -> None:
     network.loss = 0.1
     network.run(_BOUND)
     suspicions = sum(
         isinstance(effect, messages.HostChanged)
         and effect.host.state is view.MemberState.SUSPECT
-        for node in network.nodes.values()
-        for effect in node.effects
+        for host in network.nodes.values()
+        for effect in host.effects
     )
     assertions.assert_that(suspicions, matchers.LessThan(500))
 
 
-def test_helpers_keep_losses_from_raising_suspicion(network: Network) -> None:
-    _lossy_network_accuses_few(network)
+def test_indirect_pings_prevent_suspicions_under_message_loss(
+    network: Network,
+) -> None:
+    _lossy_network_causes_few_suspicions(network)
 
 
 def _partition_heals(network: Network) -> None:
-    side = _domain(network, 2)
+    side = _hosts_in_domain(network, 2)
     network.partition(*side)
     network.run(_BOUND)
     assertions.assert_that(
@@ -117,18 +119,18 @@
     )
     network.heal()
     network.run_until(network.all_alive, _BOUND)
-    _check_news_never_goes_back(network)
+    _check_precedence_never_decreases(network)
 
 
-def test_a_cut_failure_domain_comes_back(network: Network) -> None:
+def test_a_disconnected_failure_domain_rejoins(network: Network) -> None:
     digests: list[messages.Digest] = []
     network.on_digest = lambda _a, _b, digest: digests.append(digest)
     _partition_heals(network)
-    most_news = max(len(digest.members) for digest in digests)
-    assertions.assert_that(most_news, matchers.LessThan(20))
+    max_updates = max(len(digest.members) for digest in digests)
+    assertions.assert_that(max_updates, matchers.LessThan(20))
 
 
-def _paused_host_objects(network: Network) -> None:
+def _resumed_host_refutes_death(network: Network) -> None:
     network.pause("entry-005")
     network.run(_BOUND)
     assertions.assert_that(
@@ -139,48 +141,48 @@
     network.run_until(network.all_alive, _BOUND)
 
 
-def test_a_paused_host_that_wakes_contradicts_its_death(
+def test_a_resumed_host_refutes_its_death(
     network: Network,
 ) -> None:
-    _paused_host_objects(network)
+    _resumed_host_refutes_death(network)
 
 
-def _late_reply_does_not_count(network: Network) -> None:
+def _outdated_log_reply_does_not_count(network: Network) -> None:
     network.run(5.0)
     network.pause("entry-005")
     network.run(_BOUND)
-    network.resume("entry-005")  # Its backlog holds a reply of the log.
+    network.resume("entry-005")  # Its backlog includes a reply from the log.
     assert not _is_fresh(network, "entry-005")
     network.run(2.0)
     assert _is_fresh(network, "entry-005")
 
 
-def test_a_reply_of_the_log_that_waited_out_a_pause_does_not_count(
+def test_a_log_reply_from_before_a_pause_does_not_count(
     network: Network,
 ) -> None:
-    _late_reply_does_not_count(network)
+    _outdated_log_reply_does_not_count(network)
 
 
-def _paused_host_accuses_nobody(network: Network) -> None:
+def _resumed_host_declares_no_host_dead(network: Network) -> None:
     network.pause("entry-005")
     network.run(_BOUND)
     network.resume("entry-005")
     network.run(_BOUND)
-    found_dead = {
+    declared_dead = {
         effect.host.name
         for effect in network.nodes["entry-005"].effects
         if isinstance(effect, messages.HostChanged)
         and effect.host.state is _DEAD
     }
-    assertions.assert_that(found_dead, matchers.Equals(set()))
+    assertions.assert_that(declared_dead, matchers.Equals(set()))
 
 
-def test_a_paused_host_that_wakes_accuses_nobody(network: Network) -> None:
+def test_a_resumed_host_declares_no_host_dead(network: Network) -> None:
     network.loss = 0.1
-    _paused_host_accuses_nobody(network)
+    _resumed_host_declares_no_host_dead(network)
 
 
-def test_news_of_a_leaving_server_reaches_all_through_losses(
+def test_a_leaving_server_becomes_known_despite_message_loss(
     network: Network,
 ) -> None:
     network.loss = 0.3
@@ -207,13 +209,13 @@
     )
 
 
-def test_old_news_of_a_server_that_is_back_is_not_believed(
+def test_an_outdated_update_on_a_returned_server_is_ignored(
     network: Network,
 ) -> None:
     _returned_server_stays_cleared(network)
 
 
-def _cut_off_host_stops(network: Network) -> None:
+def _disconnected_host_is_stale(network: Network) -> None:
     network.run(2.0)
     network.partition("entry-007")
     network.log_is_up = lambda name: name != "entry-007"
@@ -228,11 +230,11 @@
     assert all(_is_fresh(network, name) for name in others)
 
 
-def test_a_host_cut_off_alone_takes_no_new_work(network: Network) -> None:
-    _cut_off_host_stops(network)
+def test_a_disconnected_host_accepts_no_new_work(network: Network) -> None:
+    _disconnected_host_is_stale(network)
 
 
-def test_all_go_on_while_the_log_is_down(network: Network) -> None:
+def test_all_hosts_stay_fresh_while_the_log_is_down(network: Network) -> None:
     network.run(8.0)
     network.log_is_up = lambda _name: False
     for _ in range(30):
@@ -240,16 +242,20 @@
         assert _all(network, lambda name: _is_fresh(network, name))
 
 
-def test_the_smaller_side_stops_for_good(network: Network) -> None:
+def test_the_smaller_side_of_a_partition_stays_stale(network: Network) -> None:
     network.log_is_up = lambda _name: False
-    network.partition(*_domain(network, 1))
+    network.partition(*_hosts_in_domain(network, 1))
     network.run(20.0)
-    # Long past the time at which the dead of the other side are forgotten.
+    # Longer than ``forget_after``: the hosts of the other side are forgotten
+    # but must still count towards the majority.
     for _ in range(15):
         network.run(60.0)
         fresh = {name for name in network.running() if _is_fresh(network, name)}
         assertions.assert_that(
-            fresh, matchers.Equals({*_names(network)} - {*_domain(network, 1)})
+            fresh,
+            matchers.Equals(
+                {*_names(network)} - {*_hosts_in_domain(network, 1)}
+            ),
         )
 
 
@@ -270,7 +276,7 @@
     assert _all(network, lambda name: _is_fresh(network, name))
 
 
-def test_a_host_that_cannot_fetch_a_newer_table_stops(
+def test_a_host_that_cannot_fetch_a_newer_table_is_stale(
     network: Network,
 ) -> None:
     network.log_is_up = lambda _name: False
@@ -286,11 +292,11 @@
     )
 
 
-def test_a_host_that_leaves_is_known_to_and_not_missed(
+def test_hosts_that_left_do_not_count_towards_the_majority(
     network: Network,
 ) -> None:
     network.log_is_up = lambda _name: False
-    leaving = _names(network)[:10]  # Most of them, one after the other.
+    leaving = _names(network)[:10]  # A majority, one after the other.
     for name in leaving:
         network.tell(name, messages.Leave())
         network.run(2.0)
@@ -302,14 +308,16 @@
         assert _is_fresh(network, name)
 
 
-def _new_host_learns_all(network: Network) -> None:
-    network.run(20.0)  # All news of the others is out of the digests.
+def _new_host_joins(network: Network) -> None:
+    network.run(20.0)  # The digests hold no more updates on the others.
     network.start(membership_network.make_view(20), "entry-000")
     network.run_until(network.all_alive, _BOUND)
 
 
-def test_a_new_host_learns_all_and_is_learnt(network: Network) -> None:
-    _new_host_learns_all(network)
+def test_a_new_host_and_the_others_discover_each_other(
+    network: Network,
+) -> None:
+    _new_host_joins(network)
 
 
 def test_a_restarted_host_replaces_its_old_incarnation(
@@ -333,34 +341,34 @@
         _BOUND,
     )
     network.run_until(network.all_alive, _BOUND)
-    _check_news_never_goes_back(network)
+    _check_precedence_never_decreases(network)
 
 
-def _accept_any_order(
-    self: members.Members, news: messages.MemberNews, now: float
+def _apply_in_any_order(
+    self: members.Members, update: messages.MemberNews, now: float
 ) -> Any:
-    known = self.get(news.name)
+    known = self.get(update.name)
     if known is None:
-        return self._add(news, now)
-    if news.order == known.order:
+        return self._add(update, now)
+    if update.order == known.order:
         return None
-    changed = members._merge(known, news, now)
+    changed = members._merge(known, update, now)
     self._store(changed)
     return changed
 
 
-# Each takes one mechanism out; the scenario must notice.
+# Each mutation disables one mechanism, so that its scenario must fail.
 _MUTATIONS = {
     "no refutation": (
         gossip.Gossip,
         "_learn_of_self",
-        lambda self, news: None,
-        _paused_host_objects,
+        lambda self, update: None,
+        _resumed_host_refutes_death,
     ),
-    "no order of news": (
+    "no precedence of updates": (
         members.Members,
         "apply",
-        _accept_any_order,
+        _apply_in_any_order,
         _partition_heals,
     ),
     "no pings to dead hosts": (
@@ -369,41 +377,41 @@
         lambda self, now: None,
         _partition_heals,
     ),
-    "no notice of own pauses": (
+    "no detection of own pauses": (
         machine.Membership,
         "_wake",
         lambda self, now: None,
-        _late_reply_does_not_count,
+        _outdated_log_reply_does_not_count,
     ),
-    "no repair of views": (
+    "no sync of views": (
         digests.DigestWriter,
         "write_parts",
         lambda self, to, _hashes, now: self.write(to, now),
-        _new_host_learns_all,
+        _new_host_joins,
     ),
-    "no second try through helpers": (
+    "no indirect pings": (
         machine.Membership,
         "_helpers",
         lambda self, target, now: (),
-        _lossy_network_accuses_few,
+        _lossy_network_causes_few_suspicions,
     ),
-    "no freshness": (
+    "no majority check": (
         freshness,
         "hears_majority",
         lambda evidence: True,
-        _cut_off_host_stops,
+        _disconnected_host_is_stale,
     ),
-    "no incarnations of servers": (
+    "no server incarnations": (
         servers.LeavingServers,
         "_is_superseded",
-        lambda self, news: False,
+        lambda self, update: False,
         _returned_server_stays_cleared,
     ),
 }
 
 
 @pytest.mark.parametrize("mutation", _MUTATIONS)
-def test_the_scenarios_notice_a_missing_mechanism(
+def test_scenarios_detect_a_missing_mechanism(
     mutation: str, network: Network, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     owner, name, replacement, scenario = _MUTATIONS[mutation]
--- a/tests/core/membership/test_membership_histories.py
+++ b/tests/core/membership/test_membership_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of faults; afterwards all must agree on who is there."""
+"""Stateful tests: after any sequence of faults, the views must converge."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Histories(stateful.RuleBasedStateMachine):
-    """Crashes, restarts, pauses, cuts and losses in any order."""
+    """Crashes, restarts, pauses, partitions and message loss in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -35,18 +35,18 @@
 
     @stateful.rule(seconds=_seconds)
     def run(self, seconds: float) -> None:
-        """Lets time go by."""
+        """Advances the clock."""
         self.network.run(seconds)
 
     @stateful.rule(name=_name)
     def crash(self, name: str) -> None:
-        """Ends a host, while two others remain."""
+        """Crashes a host if at least two others remain."""
         if len(self.network.running()) > 2:
             self.network.crash(name)
 
     @stateful.rule(number=_numbers)
     def restart(self, number: int) -> None:
-        """Starts a host anew; its old process is gone."""
+        """Restarts a host in a new incarnation; its old process is stopped."""
         self.incarnation += 1
         own = membership_network.make_view(number, self.incarnation)
         self.network.crash(own.name)
@@ -55,47 +55,47 @@
 
     @stateful.rule(name=_name)
     def pause(self, name: str) -> None:
-        """Stops a host's process."""
+        """Pauses a host's process."""
         self.network.pause(name)
 
     @stateful.rule(name=_name)
     def resume(self, name: str) -> None:
-        """Lets a stopped process go on."""
+        """Resumes a paused process."""
         self.network.resume(name)
 
     @stateful.rule(
         side=strategies.sets(_name, min_size=1, max_size=2), seconds=_seconds
     )
-    def cut(self, side: set[str], seconds: float) -> None:
-        """Cuts some hosts off from the others for a while at least."""
+    def disconnect(self, side: set[str], seconds: float) -> None:
+        """Disconnects some hosts from the others for at least some time."""
         self.network.partition(*side)
         self.network.run(seconds)
 
     @stateful.rule(loss=strategies.sampled_from([0.0, 0.2, 0.6]))
-    def lose(self, loss: float) -> None:
-        """Sets the share of messages lost."""
+    def lose_messages(self, loss: float) -> None:
+        """Sets the probability of message loss."""
         self.network.loss = loss
 
     @stateful.rule(name=_name, server=strategies.sampled_from("abc"))
     def server_leaves(self, name: str, server: str) -> None:
-        """Has a backend server leave."""
+        """Reports a backend server as leaving."""
         if self.network.nodes[name].is_running:
             self.network.tell(name, messages.ServerLeaving(server, 1))
             self.leaving.add(server)
 
     @stateful.invariant()
-    def news_never_goes_back(self) -> None:
-        """Checks that each host believes ever newer news."""
-        for node in self.network.nodes.values():
+    def precedence_never_decreases(self) -> None:
+        """Checks that each host applies only updates that take precedence."""
+        for simulated in self.network.nodes.values():
             newest: dict[str, tuple[int, int, int]] = {}
-            for effect in node.effects:
+            for effect in simulated.effects:
                 if isinstance(effect, messages.HostChanged):
                     host = effect.host
                     assert host.order > newest.get(host.name, (0, 0, -1))
                     newest[host.name] = host.order
 
     def teardown(self) -> None:
-        """Ends all faults; then the views must become true."""
+        """Ends all faults and waits for the views to converge."""
         network = self.network
         network.loss = 0.0
         network.heal()
@@ -103,21 +103,21 @@
             network.resume(name)
         for name in network.running():
             network.list_hosts(name, *network.running())
-        network.run_until(self._views_are_true, _BOUND)
+        network.run_until(self._views_are_correct, _BOUND)
 
-    def _views_are_true(self) -> bool:
+    def _views_are_correct(self) -> bool:
         network = self.network
-        gone = set(network.nodes) - set(network.running())
-        thought_there = {
-            network.state(at, of) for at in network.running() for of in gone
+        stopped = set(network.nodes) - set(network.running())
+        believed_states = {
+            network.state(at, of) for at in network.running() for of in stopped
         }
         servers = [
-            {news.address for news in network.machine(name).servers}
+            {server.address for server in network.machine(name).servers}
             for name in network.running()
         ]
         return (
             network.all_alive()
-            and thought_there <= {view.MemberState.DEAD, None}
+            and believed_states <= {view.MemberState.DEAD, None}
             and all(known == servers[0] for known in servers)
         )
 
@@ -127,7 +127,7 @@
 )
 
 
-def test_views_are_true_again_after_any_history() -> None:
+def test_views_converge_after_any_history() -> None:
     stateful.run_state_machine_as_test(Histories, settings=_SETTINGS)
 
 
@@ -139,7 +139,7 @@
         (gossip.Gossip, "end_suspicions"),
     ],
 )
-def test_histories_notice_a_missing_mechanism(
+def test_histories_detect_a_missing_mechanism(
     owner: type, name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(owner, name, lambda *_: None)
@@ -149,7 +149,7 @@
         )
 
 
-def test_two_hosts_that_cannot_reach_each_other_agree_once_they_can() -> None:
+def test_two_disconnected_hosts_converge_after_reconnecting() -> None:
     network = membership_network.Network()
     network.start_all(2)
     network.partition("entry-000")
--- a/tests/core/membership/test_membership_parts.py
+++ b/tests/core/membership/test_membership_parts.py
@@ -1,4 +1,4 @@
-"""The parts of membership that a network test would not pin down."""
+"""Unit tests of membership components that network tests do not cover."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 _text = strategies.text(max_size=40)
 _number = strategies.integers(0, 2**32 - 1)
 _incarnation = strategies.integers(0, 2**42 - 1)
-_member_news = strategies.builds(
+_member_updates = strategies.builds(
     messages.MemberNews,
     name=_text,
     incarnation=_incarnation,
@@ -37,7 +37,7 @@
     region=_text,
     age=_number,
 )
-_server_news = strategies.builds(
+_server_updates = strategies.builds(
     messages.ServerNews, _text, _incarnation, _number
 )
 _digests = strategies.builds(
@@ -48,27 +48,28 @@
     state=strategies.sampled_from(view.MemberState),
     table_revision=strategies.integers(-1, 2**40),
     view_hash=_number,
-    members=strategies.lists(_member_news, max_size=5).map(tuple),
-    servers=strategies.lists(_server_news, max_size=5).map(tuple),
+    members=strategies.lists(_member_updates, max_size=5).map(tuple),
+    servers=strategies.lists(_server_updates, max_size=5).map(tuple),
     part_hashes=strategies.lists(_number, max_size=3).map(tuple),
 )
 
 
 @given(_digests)
 @_SETTINGS
-def test_digests_survive_the_wire_within_the_counted_bytes(
+def test_digests_round_trip_within_the_size_bounds(
     digest: messages.Digest,
 ) -> None:
     wire = digest_codec.to_wire(digest)
     assertions.assert_that(
         digest_codec.from_wire(wire), matchers.Equals(digest)
     )
-    counted = sum(map(sizes.news_size, (*digest.members, *digest.servers)))
+    size_bound = sum(map(sizes.news_size, (*digest.members, *digest.servers)))
     del wire.members[:]
     del wire.servers[:]
-    whole = digest_codec.to_wire(digest).ByteSize()
+    full_size = digest_codec.to_wire(digest).ByteSize()
     assertions.assert_that(
-        whole - wire.ByteSize(), matchers.Not(matchers.GreaterThan(counted))
+        full_size - wire.ByteSize(),
+        matchers.Not(matchers.GreaterThan(size_bound)),
     )
 
 
@@ -100,28 +101,28 @@
     return started
 
 
-def test_old_news_stays_until_the_list_confirms(
+def test_an_old_report_is_kept_until_the_list_confirms(
     leaving: servers.LeavingServers,
 ) -> None:
-    leaving.list_read(frozenset({_ADDRESS}), 9000.0)  # The list lags.
+    leaving.list_read(frozenset({_ADDRESS}), 9000.0)  # The list is outdated.
     assert leaving.is_leaving(_ADDRESS, 4)
     leaving.list_read(frozenset(), 9000.0)
     assert not leaving.is_leaving(_ADDRESS, 4)
-    # A peer that has not read the list yet cannot bring it back.
+    # An update from a peer that has not read the list must not restore it.
     assert not leaving.leave(messages.ServerNews(_ADDRESS, 4, 9000), 9000.0)
 
 
-def test_only_a_later_incarnation_clears_news(
+def test_only_a_later_incarnation_clears_a_report(
     leaving: servers.LeavingServers,
 ) -> None:
-    assert not leaving.see_live(_ADDRESS, 4)  # A late report of load.
+    assert not leaving.see_live(_ADDRESS, 4)  # A delayed load report.
     assert leaving.is_leaving(_ADDRESS, 4)
     assert not leaving.is_leaving(_ADDRESS, 5)
     assert leaving.see_live(_ADDRESS, 5)
     assert not leaving.is_leaving(_ADDRESS, None)
 
 
-def test_the_list_alone_suffices_and_reports_a_later_incarnation() -> None:
+def test_the_list_alone_reports_leaving_and_returned_servers() -> None:
     started = machine.Membership(membership_network.make_view(0), 1, 0.0)
     for incarnation, is_leaving in ((4, True), (4, False), (5, False)):
         listed = messages.ListedServer(_ADDRESS, incarnation, is_leaving)
@@ -135,17 +136,15 @@
         assertions.assert_that(effects, matchers.Equals(expected))
 
 
-def test_a_later_process_of_the_same_name_is_told_and_not_contradicted() -> (
-    None
-):
+def test_a_later_process_of_the_same_name_is_reported_not_refuted() -> None:
     own = membership_network.make_view(0)
     started = machine.Membership(own, 1, 0.0)
-    news = messages.MemberNews(
+    update = messages.MemberNews(
         own.name, own.incarnation + 1, 0, view.MemberState.ALIVE
     )
     other = membership_network.make_view(1)
     digest = messages.Digest(
-        other.name, 1, 0, view.MemberState.ALIVE, -1, 0, members=(news,)
+        other.name, 1, 0, view.MemberState.ALIVE, -1, 0, members=(update,)
     )
     effects = started.handle(messages.DigestReceived(digest), 0.0)
     assertions.assert_that(
--- a/tests/core/membership/test_membership_preference.py
+++ b/tests/core/membership/test_membership_preference.py
@@ -1,4 +1,4 @@
-"""A host's steady order of the others."""
+"""Tests of the order in which a host prefers its peers."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 HOSTS = tuple(host(number) for number in range(360))
 
 
-def test_preferred_hosts_stand_in_other_domains_and_outlive_changes() -> None:
+def test_preferred_hosts_are_in_other_domains_and_stable() -> None:
     before = preference.preferred(HOSTS[0], HOSTS, COUNT)
     domains = {chosen.failure_domain for chosen in before}
     assertions.assert_that(domains, matchers.Not(matchers.Contains("domain-0")))
-    gone = before[0]
-    left = [other for other in HOSTS if other is not gone]
-    after = preference.preferred(HOSTS[0], left, COUNT)
+    removed = before[0]
+    remaining = [other for other in HOSTS if other is not removed]
+    after = preference.preferred(HOSTS[0], remaining, COUNT)
     assertions.assert_that(after[:2], matchers.Equals(before[1:]))
 
 
-def test_preferences_spread_over_the_hosts() -> None:
+def test_preferences_are_distributed_evenly() -> None:
     chosen = Counter(
         other.name
         for own in HOSTS
