--- a/src/hoistmoor/core/membership/timing.py
+++ b/src/hoistmoor/core/membership/timing.py
@@ -61,9 +61,8 @@
     forget_after: float = 600.0
     pause_after: float = 2.0
     settle: float = 0.2
-    log_silence: float = (
-        2.5  # An edit must be in effect on all hosts 3 s after it is logged.
-    )
+    # Below the 3 s after which a logged edit must be in effect on all hosts.
+    log_silence: float = 2.5
     peer_silence: float = 3.0
     recovery: float = 6.0
     fetch_grace: float = 2.0
