--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -167,7 +167,7 @@
     """Returns the seconds until all have a table that one host has."""
     network.log_is_up = lambda _name: False
     network.run(6.0)
-    network.tell("entry-001", messages.TableInForce(7))
+    network.tell("entry-001", messages.TableActivated(7))
     seconds = network.run_until(
         lambda: all(
             node.machine.tables.own == 7 for node in network.nodes.values()
--- a/src/hoistmoor/core/membership/digests.py
+++ b/src/hoistmoor/core/membership/digests.py
@@ -9,12 +9,12 @@
 
 from hoistmoor.core.membership import members as members_lib
 from hoistmoor.core.membership import messages
-from hoistmoor.core.membership import parts
 from hoistmoor.core.membership import rumours
 from hoistmoor.core.membership import servers as servers_lib
 from hoistmoor.core.membership import sizes
 from hoistmoor.core.membership import timing as timing_lib
 from hoistmoor.core.membership import view
+from hoistmoor.core.membership import view_hashes
 
 _Update = messages.MemberNews | messages.ServerNews
 
@@ -36,7 +36,7 @@
 
     def add(self, update: _Update) -> bool:
         """Adds an update, if it fits the budget; returns whether it did."""
-        size = sizes.news_size(update)
+        size = sizes.update_size(update)
         if size > self.remaining_bytes:
             return False
         self.remaining_bytes -= size
@@ -62,7 +62,7 @@
     members: members_lib.Members
     servers: servers_lib.LeavingServers
     queue: rumours.RumourQueue
-    hashes: parts.PartHashes
+    hashes: view_hashes.PartHashes
     timing: timing_lib.Timing
 
     def write(
@@ -82,7 +82,7 @@
         part_hashes = tuple(self.hashes.values) if asks_parts else ()
         return self._digest(buffer, part_hashes)
 
-    def write_parts(
+    def write_sync_reply(
         self, recipient: str, peer_hashes: tuple[int, ...], now: float
     ) -> messages.Digest:
         """Returns a digest that answers a sync.
@@ -98,7 +98,9 @@
         updates_by_part = self._updates_by_part(now)
         # One part after the other, in an order that changes: each sync makes
         # some parts equal, even if the budget does not suffice for all.
-        for part in _shuffled_parts(self.hashes.differing(peer_hashes), now):
+        for part in _shuffled_parts(
+            self.hashes.differing_parts(peer_hashes), now
+        ):
             for update in updates_by_part[part]:
                 buffer.add(update)
         return self._digest(buffer, ())
@@ -106,11 +108,11 @@
     def _updates_by_part(self, now: float) -> dict[int, list[_Update]]:
         updates_by_part = collections.defaultdict[int, list[_Update]](list)
         for leaving in self.servers:
-            part = parts.part_of(leaving.address)
-            updates_by_part[part].append(servers_lib.to_news(leaving, now))
+            part = view_hashes.part_index(leaving.address)
+            updates_by_part[part].append(servers_lib.to_update(leaving, now))
         for host in self.members:
-            update = members_lib.to_news(host, now, is_full=True)
-            updates_by_part[parts.part_of(host.name)].append(update)
+            update = members_lib.to_update(host, now, is_full=True)
+            updates_by_part[view_hashes.part_index(host.name)].append(update)
         return updates_by_part
 
     def mark_lost(self, digest: messages.Digest) -> None:
@@ -121,10 +123,10 @@
         """
         repeats = self.timing.repeats(len(self.members))
         for update in digest.members:
-            topic = rumours.Topic(rumours.Kind.HOST, update.name)
+            topic = rumours.Topic(rumours.TopicKind.HOST, update.name)
             self.queue.mark_lost(topic, repeats)
         for server in digest.servers:
-            topic = rumours.Topic(rumours.Kind.SERVER, server.address)
+            topic = rumours.Topic(rumours.TopicKind.SERVER, server.address)
             self.queue.mark_lost(topic, repeats)
 
     def _add_update_on_recipient(
@@ -134,7 +136,7 @@
         # that it can refute it.
         known = self.members.get(recipient)
         if known is not None and known.state is not view.MemberState.ALIVE:
-            buffer.add(members_lib.to_news(known, now, is_full=False))
+            buffer.add(members_lib.to_update(known, now, is_full=False))
 
     def _add_pending_updates(self, buffer: _UpdateBuffer, now: float) -> None:
         repeats = self.timing.repeats(len(self.members))
@@ -148,15 +150,15 @@
                 break
 
     def _update_on(self, topic: rumours.Topic, now: float) -> _Update | None:
-        if topic.kind is rumours.Kind.SERVER:
+        if topic.kind is rumours.TopicKind.SERVER:
             leaving = self.servers.get(topic.name)
-            return servers_lib.to_news(leaving, now) if leaving else None
+            return servers_lib.to_update(leaving, now) if leaving else None
         host = self.members.get(topic.name)
         if host is None:
             return None
         # The recipient may not know a host that has just started.
         is_new = host.version == 0 and host.state is view.MemberState.ALIVE
-        return members_lib.to_news(host, now, is_full=is_new)
+        return members_lib.to_update(host, now, is_full=is_new)
 
     def _digest(
         self, buffer: _UpdateBuffer, part_hashes: tuple[int, ...]
@@ -168,7 +170,7 @@
             version=own.version,
             state=own.state,
             table_revision=own.table_revision,
-            view_hash=self.hashes.whole,
+            view_hash=self.hashes.combined,
             members=tuple(buffer.members.values()),
             servers=tuple(buffer.servers.values()),
             part_hashes=part_hashes,
--- a/src/hoistmoor/core/membership/freshness.py
+++ b/src/hoistmoor/core/membership/freshness.py
@@ -13,7 +13,7 @@
 import attrs
 
 
-class Why(enum.StrEnum):
+class Reason(enum.StrEnum):
     """Reason for a freshness result."""
 
     LOG_HEARD = "log heard"
@@ -28,7 +28,7 @@
     """Whether the table is fresh, and the reason."""
 
     is_fresh: bool
-    why: Why
+    why: Reason
 
 
 @attrs.frozen
@@ -66,21 +66,21 @@
     is_behind: bool
 
 
-def judge(evidence: Evidence) -> Freshness:
+def assess(evidence: Evidence) -> Freshness:
     """Returns whether the table is fresh enough to accept new work."""
     if evidence.log_silence <= evidence.log_bound:
-        return Freshness(True, Why.LOG_HEARD)
+        return Freshness(True, Reason.LOG_HEARD)
     if evidence.is_behind:
-        return Freshness(False, Why.BEHIND)
+        return Freshness(False, Reason.BEHIND)
     if evidence.expected == 0 and evidence.list_read:
-        return Freshness(True, Why.ALONE)
+        return Freshness(True, Reason.ALONE)
     is_sustained = evidence.heard_for >= evidence.heard_bound
-    if is_sustained and hears_majority(evidence):
-        return Freshness(True, Why.PEERS_HEARD)
-    return Freshness(False, Why.CUT_OFF)
+    if is_sustained and reaches_majority(evidence):
+        return Freshness(True, Reason.PEERS_HEARD)
+    return Freshness(False, Reason.CUT_OFF)
 
 
-def hears_majority(evidence: Evidence) -> bool:
+def reaches_majority(evidence: Evidence) -> bool:
     """Returns whether a majority of the expected hosts is reachable.
 
     The number of reachable hosts is estimated in two ways, and the lower
--- a/src/hoistmoor/core/membership/gossip.py
+++ b/src/hoistmoor/core/membership/gossip.py
@@ -48,21 +48,21 @@
         # When each suspect is declared dead.
         self._suspicion_deadlines: dict[str, float] = {}
 
-    def learn_digest(self, digest: messages.Digest, now: float) -> None:
+    def apply_digest(self, digest: messages.Digest, now: float) -> None:
         """Applies all updates of a digest, and its sender's own state."""
         sender = messages.MemberNews(
             digest.sender, digest.incarnation, digest.version, digest.state
         )
         for update in (*digest.members, sender):
-            self.learn_member(update, now)
+            self.apply_member(update, now)
         for server in digest.servers:
-            self.learn_server(server, now)
-        self.members.note_revision(digest.sender, digest.table_revision)
+            self.apply_server(server, now)
+        self.members.record_revision(digest.sender, digest.table_revision)
 
-    def learn_member(self, update: messages.MemberNews, now: float) -> None:
+    def apply_member(self, update: messages.MemberNews, now: float) -> None:
         """Applies an update on an entry host."""
-        if update.name == self.members.own:
-            self._learn_of_self(update)
+        if update.name == self.members.own_name:
+            self._refute(update)
             return
         changed = self.members.apply(update, now)
         if changed is None:
@@ -75,47 +75,52 @@
             )
         self.effects.append(messages.HostChanged(changed))
 
-    def _learn_of_self(self, update: messages.MemberNews) -> None:
+    def _refute(self, update: messages.MemberNews) -> None:
         own = self.members.own_view
         if update.incarnation > own.incarnation:
             self.effects.append(messages.Superseded(update.incarnation))
-        elif update.incarnation == own.incarnation and update.order > own.order:
-            self.set_own(own.state, update.version + 1)
+        elif (
+            update.incarnation == own.incarnation
+            and update.precedence > own.precedence
+        ):
+            self.set_own_state(own.state, update.version + 1)
 
-    def set_own(self, state: view.MemberState, version: int) -> None:
+    def set_own_state(self, state: view.MemberState, version: int) -> None:
         """Changes this host's own state and version, and queues the update."""
         own = self.members.own_view
-        self.members.set_own(attrs.evolve(own, state=state, version=version))
+        self.members.set_own_view(
+            attrs.evolve(own, state=state, version=version)
+        )
         self._enqueue(own.name)
 
     def announce(self) -> None:
         """Queues the update on this host, so that peers learn of it."""
-        self._enqueue(self.members.own)
+        self._enqueue(self.members.own_name)
 
     def _enqueue(self, name: str) -> None:
-        self.queue.add(rumours.Topic(rumours.Kind.HOST, name))
+        self.queue.add(rumours.Topic(rumours.TopicKind.HOST, name))
 
-    def learn_server(self, update: messages.ServerNews, now: float) -> None:
+    def apply_server(self, update: messages.ServerNews, now: float) -> None:
         """Applies an update on a backend server that is leaving."""
-        if not self.servers.leave(update, now):
+        if not self.servers.apply(update, now):
             return
-        self.queue.add(rumours.Topic(rumours.Kind.SERVER, update.address))
+        self.queue.add(rumours.Topic(rumours.TopicKind.SERVER, update.address))
         self.effects.append(
             messages.ServerLeft(update.address, update.incarnation)
         )
 
-    def see_live(self, address: str, incarnation: int) -> None:
+    def record_server_live(self, address: str, incarnation: int) -> None:
         """Records that an incarnation of a backend server is live."""
-        if self.servers.see_live(address, incarnation):
+        if self.servers.record_live(address, incarnation):
             self.effects.append(messages.ServerReturned(address, incarnation))
 
-    def silent(self, name: str, now: float) -> None:
+    def mark_unreachable(self, name: str, now: float) -> None:
         """Records that a host answered neither this host nor the helpers."""
         host = self.members.get(name)
         if host is not None and host.state in _STATE_IF_UNREACHABLE:
             self._declare_state(host, _STATE_IF_UNREACHABLE[host.state], now)
 
-    def end_suspicions(self, now: float) -> None:
+    def expire_suspicions(self, now: float) -> None:
         """Declares dead the suspects that did not refute in time."""
         expired = [
             name
@@ -128,14 +133,14 @@
             if host is not None:
                 self._declare_state(host, _State.DEAD, now)
 
-    def postpone_deaths(self, now: float) -> None:
+    def restart_suspicions(self, now: float) -> None:
         """Restarts the suspicion timeout of every suspect."""
         for name in self._suspicion_deadlines:
             self._suspicion_deadlines[name] = now + self._suspicion_timeout
 
     @property
     def _suspicion_timeout(self) -> float:
-        return self._timing.suspicion(len(self.members))
+        return self._timing.suspicion_timeout(len(self.members))
 
     def _declare_state(
         self, host: view.HostView, state: view.MemberState, now: float
@@ -143,4 +148,4 @@
         update = messages.MemberNews(
             host.name, host.incarnation, host.version, state
         )
-        self.learn_member(update, now)
+        self.apply_member(update, now)
--- a/src/hoistmoor/core/membership/machine.py
+++ b/src/hoistmoor/core/membership/machine.py
@@ -12,18 +12,18 @@
 from functools import singledispatchmethod
 
 from hoistmoor.core.membership import digests
-from hoistmoor.core.membership import draws
 from hoistmoor.core.membership import freshness
 from hoistmoor.core.membership import gossip
 from hoistmoor.core.membership import members as members_lib
 from hoistmoor.core.membership import messages
-from hoistmoor.core.membership import parts
 from hoistmoor.core.membership import probes
 from hoistmoor.core.membership import rumours
 from hoistmoor.core.membership import servers as servers_lib
-from hoistmoor.core.membership import tables
+from hoistmoor.core.membership import shuffling
+from hoistmoor.core.membership import table_tracker
 from hoistmoor.core.membership import timing as timing_lib
 from hoistmoor.core.membership import view
+from hoistmoor.core.membership import view_hashes
 
 _State = view.MemberState
 
@@ -54,11 +54,11 @@
             timing: Rates and limits; None for the defaults.
         """
         self.timing = timing or timing_lib.Timing()
-        hashes = parts.PartHashes()
+        hashes = view_hashes.PartHashes()
         forget_after = self.timing.forget_after
         self.members = members_lib.Members(own, hashes, forget_after)
         self.servers = servers_lib.LeavingServers(hashes, forget_after)
-        self.tables = tables.TableComparison(self.timing)
+        self.tables = table_tracker.TableTracker(self.timing)
         self._hashes = hashes
         queue = rumours.RumourQueue()
         self._gossip = gossip.Gossip(
@@ -67,9 +67,9 @@
         self._writer = digests.DigestWriter(
             self.members, self.servers, queue, hashes, self.timing
         )
-        self._shuffler = draws.Draws(seed)
+        self._shuffler = shuffling.Shuffler(seed)
         self._schedule = probes.ProbeSchedule(self.members, self._shuffler)
-        self._recent_probes = probes.ProbeLog(self.timing.peer_silence)
+        self._recent_probes = probes.RecentProbes(self.timing.peer_silence)
         self._is_list_read = False
         self._log_contact_at = float("-inf")
         self._last_handled_at = now
@@ -88,7 +88,7 @@
     ) -> tuple[messages.Effect, ...]:
         """Handles a message and returns the effects to perform, in order."""
         if now - self._last_handled_at > self.timing.pause_after:
-            self._wake(now)
+            self._reset_after_pause(now)
         self._last_handled_at = now
         self._handle(message, now)
         effects = tuple(self._effects)
@@ -99,14 +99,14 @@
         """Returns a digest for a ping to ``name`` outside the schedule."""
         return self._writer.write(name, now)
 
-    def judge(self, now: float) -> freshness.Freshness:
+    def assess_freshness(self, now: float) -> freshness.Freshness:
         """Returns whether this host's table may still be the newest."""
-        return freshness.judge(self._evidence(now))
+        return freshness.assess(self._evidence(now))
 
     def _evidence(self, now: float) -> freshness.Evidence:
-        expected = self.members.expected - {self.members.own}
+        expected = self.members.expected - {self.members.own_name}
         others = [
-            host for host in self.members.others() if host.name in expected
+            host for host in self.members.peers() if host.name in expected
         ]
         names = frozenset(host.name for host in others)
         return freshness.Evidence(
@@ -133,35 +133,35 @@
     def _tick(self, message: messages.Tick, now: float) -> None:
         del message
         self._ticks += 1
-        self._gossip.end_suspicions(now)
+        self._gossip.expire_suspicions(now)
         self.members.forget_dead(now)
-        for host in self._schedule.take(self.timing.fanout):
+        for host in self._schedule.next_targets(self.timing.fanout):
             self._ping(host, now)
         if self._ticks % self.timing.dead_probe_periods == 0:
             self._ping_dead(now)
         self._fetch_table(now)
-        if not freshness.hears_majority(self._evidence(now)):
+        if not freshness.reaches_majority(self._evidence(now)):
             self._majority_missing_at = now
 
     def _ping_dead(self, now: float) -> None:
         # Otherwise, the two sides of a network partition, which consider each
         # other dead, would never reconnect after it heals.
-        for host in self._schedule.take_dead():
+        for host in self._schedule.next_dead_host():
             self._ping(host, now)
 
     def _fetch_table(self, now: float) -> None:
         is_silent = now - self._log_contact_at > self.timing.log_silence
         self._effects.extend(
-            self.tables.wanted_fetch(self.members, is_silent, now)
+            self.tables.due_fetch(self.members, is_silent, now)
         )
 
-    def _wake(self, now: float) -> None:
+    def _reset_after_pause(self, now: float) -> None:
         # This process was paused: that it received no replies meanwhile says
         # nothing about the other hosts.
         self._resumed_at = now
         self._majority_missing_at = now
         self._recent_probes.clear()
-        self._gossip.postpone_deaths(now)
+        self._gossip.restart_suspicions(now)
 
     def _ping(self, host: view.HostView, now: float) -> None:
         digest = self._writer.write(
@@ -192,7 +192,7 @@
         digest = message.digest
         self._apply_digest(digest, now)
         if digest.part_hashes:
-            reply = self._writer.write_parts(
+            reply = self._writer.write_sync_reply(
                 digest.sender, digest.part_hashes, now
             )
         else:
@@ -208,7 +208,7 @@
             self._recent_probes.add(
                 probes.Probe(message.target, message.sent_at, is_target)
             )
-        if digest.view_hash == self._hashes.whole:
+        if digest.view_hash == self._hashes.combined:
             self._differing_replies = 0
         else:
             self._differing_replies += 1
@@ -222,20 +222,22 @@
         if host is None or host.state is _State.DEAD:
             return
         self._recent_probes.add(probes.Probe(host.name, message.sent_at, False))
-        helpers = self._helpers(host, now)
+        helpers = self._choose_helpers(host, now)
         if helpers:
             self._effects.append(
-                messages.Relay(host.name, host.peer_address, helpers)
+                messages.IndirectPing(host.name, host.peer_address, helpers)
             )
         else:
-            self._gossip.silent(host.name, now)
+            self._gossip.mark_unreachable(host.name, now)
 
-    def _helpers(self, target: view.HostView, now: float) -> tuple[str, ...]:
+    def _choose_helpers(
+        self, target: view.HostView, now: float
+    ) -> tuple[str, ...]:
         """Returns peer addresses of helpers, recently responsive ones first."""
         answered = self._recent_probes.answered(now)
         others = {
             host.name: host
-            for host in self.members.others()
+            for host in self.members.peers()
             if host.name != target.name
         }
         order = self._shuffler.shuffled(others)
@@ -245,18 +247,20 @@
 
     @_handle.register
     def _relay_answered(
-        self, message: messages.RelayAnswered, now: float
+        self, message: messages.IndirectPingResult, now: float
     ) -> None:
         if message.sent_at < self._resumed_at or message.reached:
             return
         # If no helper responded either, this host may itself be disconnected.
         if message.helpers == 0:
             return
-        self._gossip.silent(message.target, now)
+        self._gossip.mark_unreachable(message.target, now)
 
     def _apply_digest(self, digest: messages.Digest, now: float) -> None:
-        self._gossip.learn_digest(digest, now)
-        self.tables.heard(digest.sender, digest.table_revision, now)
+        self._gossip.apply_digest(digest, now)
+        self.tables.record_peer_revision(
+            digest.sender, digest.table_revision, now
+        )
         self._fetch_table(now)
 
     # Backend servers.
@@ -266,27 +270,29 @@
         self, message: messages.ServerLeaving, now: float
     ) -> None:
         update = messages.ServerNews(message.address, message.incarnation)
-        self._gossip.learn_server(update, now)
+        self._gossip.apply_server(update, now)
 
     @_handle.register
-    def _server_seen(self, message: messages.ServerSeen, now: float) -> None:
+    def _server_seen(self, message: messages.ServerLive, now: float) -> None:
         del now
-        self._gossip.see_live(message.address, message.incarnation)
+        self._gossip.record_server_live(message.address, message.incarnation)
 
     # The platform and this host.
 
     @_handle.register
     def _hosts_listed(self, message: messages.HostsListed, now: float) -> None:
         self._is_list_read = True
-        self.members.confirm(message.entries)
+        self.members.reconcile(message.entries)
         for server in message.servers:
             if server.is_leaving:
                 update = messages.ServerNews(server.address, server.incarnation)
-                self._gossip.learn_server(update, now)
+                self._gossip.apply_server(update, now)
             else:
-                self._gossip.see_live(server.address, server.incarnation)
+                self._gossip.record_server_live(
+                    server.address, server.incarnation
+                )
         addresses = frozenset(server.address for server in message.servers)
-        self.servers.list_read(addresses, now)
+        self.servers.reconcile(addresses, now)
         for contact in message.contacts:
             digest = self._writer.write(contact.name, now, asks_parts=True)
             self._effects.append(
@@ -295,16 +301,16 @@
 
     @_handle.register
     def _table_in_force(
-        self, message: messages.TableInForce, now: float
+        self, message: messages.TableActivated, now: float
     ) -> None:
         del now
         own = self.members.own_view
         if message.revision > own.table_revision:
-            self.members.note_revision(own.name, message.revision)
-            self.tables.in_force(message.revision)
+            self.members.record_revision(own.name, message.revision)
+            self.tables.record_own_revision(message.revision)
 
     @_handle.register
-    def _log_heard(self, message: messages.LogHeard, now: float) -> None:
+    def _log_heard(self, message: messages.LogContacted, now: float) -> None:
         del now
         # A reply that was buffered in a socket while this process was paused is
         # outdated, but is read right after the pause.
@@ -317,6 +323,6 @@
         own = self.members.own_view
         if own.state is _State.LEAVING:
             return
-        self._gossip.set_own(_State.LEAVING, own.version + 1)
-        for host in self._schedule.take(len(self._schedule.neighbours)):
+        self._gossip.set_own_state(_State.LEAVING, own.version + 1)
+        for host in self._schedule.next_targets(len(self._schedule.neighbours)):
             self._ping(host, now)
--- a/src/hoistmoor/core/membership/members.py
+++ b/src/hoistmoor/core/membership/members.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from hoistmoor.core.membership import parts
+    from hoistmoor.core.membership import view_hashes
 
 
 class Members:
@@ -29,9 +29,12 @@
     """
 
     def __init__(
-        self, own: view.HostView, hashes: parts.PartHashes, forget_after: float
+        self,
+        own: view.HostView,
+        hashes: view_hashes.PartHashes,
+        forget_after: float,
     ) -> None:
-        self.own = own.name
+        self.own_name = own.name
         self.generation = 0
         self.expected: set[str] = set()
         self._departed: set[str] = set()
@@ -55,17 +58,17 @@
     @property
     def own_view(self) -> view.HostView:
         """This host's view of itself."""
-        return self._by_name[self.own]
+        return self._by_name[self.own_name]
 
-    def others(self) -> list[view.HostView]:
+    def peers(self) -> list[view.HostView]:
         """Returns all other hosts that are not known to be dead."""
         return [
             host
             for host in self._by_name.values()
-            if not _is_dead(host) and host.name != self.own
+            if not _is_dead(host) and host.name != self.own_name
         ]
 
-    def dead(self) -> list[view.HostView]:
+    def dead_hosts(self) -> list[view.HostView]:
         """Returns the hosts that are dead but not forgotten yet."""
         return [host for host in self._by_name.values() if _is_dead(host)]
 
@@ -80,7 +83,7 @@
         known = self._by_name.get(update.name)
         if known is None:
             return self._add(update, now)
-        if update.order <= known.order:
+        if update.precedence <= known.precedence:
             return None
         changed = _merge(known, update, now)
         self._store(changed)
@@ -107,11 +110,11 @@
         self._store(added)
         return added
 
-    def set_own(self, own: view.HostView) -> None:
+    def set_own_view(self, own: view.HostView) -> None:
         """Replaces this host's view of itself."""
         self._store(own)
 
-    def note_revision(self, name: str, revision: int) -> None:
+    def record_revision(self, name: str, revision: int) -> None:
         """Records the newest table revision that a host has reported."""
         known = self._by_name.get(name)
         if known is not None and revision > known.table_revision:
@@ -122,19 +125,19 @@
 
         They stay in ``expected`` until the host list no longer names them.
         """
-        for host in self.dead():
+        for host in self.dead_hosts():
             if now - host.since > self._forget_after:
                 self._remove(host)
 
-    def confirm(self, listed: frozenset[str]) -> None:
+    def reconcile(self, listed: frozenset[str]) -> None:
         """Reconciles the members with the entry hosts on the host list.
 
         Removes the dead hosts that the list no longer names.
         """
-        for host in self.dead():
+        for host in self.dead_hosts():
             if host.name not in listed:
                 self._remove(host)
-        live = {host.name for host in self.others()} | {self.own}
+        live = {host.name for host in self.peers()} | {self.own_name}
         self.expected = (live | listed) - self._departed
         self._departed &= listed
 
@@ -192,7 +195,7 @@
     )
 
 
-def to_news(
+def to_update(
     host: view.HostView, now: float, *, is_full: bool
 ) -> messages.MemberNews:
     """Returns the update on ``host``; only a full one has addresses."""
--- a/src/hoistmoor/core/membership/messages.py
+++ b/src/hoistmoor/core/membership/messages.py
@@ -36,7 +36,7 @@
     age: int = 0
 
     @property
-    def order(self) -> tuple[int, int, int]:
+    def precedence(self) -> tuple[int, int, int]:
         """Sort key of an update; the higher one takes precedence."""
         return self.incarnation, self.version, self.state
 
@@ -123,7 +123,7 @@
 
 
 @attrs.frozen
-class RelayAnswered:
+class IndirectPingResult:
     """Result of pinging ``target`` indirectly, through helpers.
 
     Attributes:
@@ -180,7 +180,7 @@
 
 
 @attrs.frozen
-class ServerSeen:
+class ServerLive:
     """A backend server reported that it is live."""
 
     address: str
@@ -188,14 +188,14 @@
 
 
 @attrs.frozen
-class TableInForce:
+class TableActivated:
     """A table of this revision is active on this host."""
 
     revision: int
 
 
 @attrs.frozen
-class LogHeard:
+class LogContacted:
     """The log answered a read of this host.
 
     Attributes:
@@ -230,7 +230,7 @@
 
 
 @attrs.frozen
-class Relay:
+class IndirectPing:
     """Ask helpers, all in parallel, to ping ``target``."""
 
     target: str
@@ -280,7 +280,7 @@
 Effect = (
     Ping
     | Reply
-    | Relay
+    | IndirectPing
     | FetchTable
     | HostChanged
     | ServerLeft
--- a/src/hoistmoor/core/membership/preference.py
+++ b/src/hoistmoor/core/membership/preference.py
@@ -17,7 +17,7 @@
     from hoistmoor.core.membership import view
 
 
-def preferred(
+def preferred_peers(
     own: view.HostView, others: Iterable[view.HostView], count: int
 ) -> tuple[view.HostView, ...]:
     """Returns the ``count`` preferred hosts in other failure domains.
--- a/src/hoistmoor/core/membership/probes.py
+++ b/src/hoistmoor/core/membership/probes.py
@@ -9,8 +9,8 @@
 from hoistmoor.core.membership import ring
 
 if TYPE_CHECKING:
-    from hoistmoor.core.membership import draws
     from hoistmoor.core.membership import members as members_lib
+    from hoistmoor.core.membership import shuffling
     from hoistmoor.core.membership import view
 
 
@@ -18,7 +18,7 @@
     """Cycles through this host's neighbours, in a new order in each round."""
 
     def __init__(
-        self, members: members_lib.Members, shuffler: draws.Draws
+        self, members: members_lib.Members, shuffler: shuffling.Shuffler
     ) -> None:
         self._members = members
         self._shuffler = shuffler
@@ -32,11 +32,11 @@
         if self._generation != self._members.generation:
             self._generation = self._members.generation
             self._neighbours = ring.neighbours(
-                self._members.own_view, self._members.others()
+                self._members.own_view, self._members.peers()
             )
         return self._neighbours
 
-    def take(self, count: int) -> list[view.HostView]:
+    def next_targets(self, count: int) -> list[view.HostView]:
         """Returns up to ``count`` different hosts to ping next."""
         target_count = min(count, len(self.neighbours))
         targets: dict[str, view.HostView] = {}
@@ -49,13 +49,13 @@
                 targets[name] = host
         return list(targets.values())
 
-    def take_dead(self) -> list[view.HostView]:
+    def next_dead_host(self) -> list[view.HostView]:
         """Returns one random dead host, if any.
 
         Pinging dead hosts lets the members find each other again after a
         network partition.
         """
-        by_name = {host.name: host for host in self._members.dead()}
+        by_name = {host.name: host for host in self._members.dead_hosts()}
         return [by_name[name] for name in self._shuffler.shuffled(by_name)[:1]]
 
 
@@ -74,7 +74,7 @@
     is_answered: bool
 
 
-class ProbeLog:
+class RecentProbes:
     """Results of the direct pings sent within a sliding time window."""
 
     def __init__(self, window: float) -> None:
--- a/src/hoistmoor/core/membership/rumours.py
+++ b/src/hoistmoor/core/membership/rumours.py
@@ -15,7 +15,7 @@
     from collections.abc import Iterator
 
 
-class Kind(enum.IntEnum):
+class TopicKind(enum.IntEnum):
     """Kind of subject of an update; lower values are sent first."""
 
     SERVER = 0
@@ -26,7 +26,7 @@
 class Topic:
     """Subject of an update: an entry host or a backend server."""
 
-    kind: Kind
+    kind: TopicKind
     name: str
 
 
--- a/src/hoistmoor/core/membership/servers.py
+++ b/src/hoistmoor/core/membership/servers.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from hoistmoor.core.membership import parts
+    from hoistmoor.core.membership import view_hashes
 
 
 @attrs.frozen
@@ -38,7 +38,9 @@
 class LeavingServers:
     """The leaving backend servers, from all three sources."""
 
-    def __init__(self, hashes: parts.PartHashes, forget_after: float) -> None:
+    def __init__(
+        self, hashes: view_hashes.PartHashes, forget_after: float
+    ) -> None:
         self._hashes = hashes
         self._forget_after = forget_after
         self._leaving: dict[str, LeavingServer] = {}
@@ -60,7 +62,7 @@
             return False
         return incarnation is None or incarnation <= server.incarnation
 
-    def leave(self, update: messages.ServerNews, now: float) -> bool:
+    def apply(self, update: messages.ServerNews, now: float) -> bool:
         """Applies an update; returns whether it changed anything."""
         if self._is_superseded(update):
             return False
@@ -74,7 +76,7 @@
         )
         return True
 
-    def see_live(self, address: str, incarnation: int) -> bool:
+    def record_live(self, address: str, incarnation: int) -> bool:
         """Records a live incarnation.
 
         Returns:
@@ -88,7 +90,7 @@
         self._remove(known)
         return True
 
-    def list_read(self, addresses: frozenset[str], now: float) -> None:
+    def reconcile(self, addresses: frozenset[str], now: float) -> None:
         """Reconciles the reports with the servers on the host list.
 
         Drops the old reports on servers that the list no longer names.
@@ -128,7 +130,7 @@
         self._hashes.toggle(server.address, fact)
 
 
-def to_news(leaving: LeavingServer, now: float) -> messages.ServerNews:
+def to_update(leaving: LeavingServer, now: float) -> messages.ServerNews:
     """Returns the update for peers."""
     age = max(0, int(now - leaving.first_known_at))
     return messages.ServerNews(leaving.address, leaving.incarnation, age)
--- a/src/hoistmoor/core/membership/draws.py
+++ b/src/hoistmoor/core/membership/shuffling.py
@@ -15,7 +15,7 @@
 _T = TypeVar("_T")
 
 
-class Draws:
+class Shuffler:
     """Shuffles items, reproducibly for the same seed and sequence of calls."""
 
     def __init__(self, seed: int) -> None:
--- a/src/hoistmoor/core/membership/sizes.py
+++ b/src/hoistmoor/core/membership/sizes.py
@@ -20,12 +20,12 @@
 
 
 @singledispatch
-def news_size(update: object) -> int:
+def update_size(update: object) -> int:
     """Returns the maximum number of bytes that an update adds to a digest."""
     raise NotImplementedError(type(update).__name__)
 
 
-@news_size.register
+@update_size.register
 def _member_size(update: messages.MemberNews) -> int:
     texts = (
         update.name,
@@ -38,7 +38,7 @@
     return 2 * _SHORT_FIELD + numbers + sum(map(_text_size, texts))
 
 
-@news_size.register
+@update_size.register
 def _server_size(update: messages.ServerNews) -> int:
     return (
         _SHORT_FIELD
--- a/src/hoistmoor/core/membership/tables.py
+++ b/src/hoistmoor/core/membership/table_tracker.py
@@ -12,7 +12,7 @@
     from hoistmoor.core.membership import timing as timing_lib
 
 
-class TableComparison:
+class TableTracker:
     """Detects that a peer has a newer table and requests a fetch of it.
 
     Attributes:
@@ -24,16 +24,18 @@
     """
 
     def __init__(self, timing: timing_lib.Timing) -> None:
-        self.own = view.NO_REVISION
+        self.own_revision = view.NO_REVISION
         self.newest_revision = view.NO_REVISION
         self.newest_peer = ""
         self.behind_since: float | None = None
         self._timing = timing
         self._last_fetch_at = float("-inf")
 
-    def heard(self, peer: str, revision: int, now: float) -> None:
+    def record_peer_revision(
+        self, peer: str, revision: int, now: float
+    ) -> None:
         """Records the revision of a peer's active table."""
-        if revision <= self.own:
+        if revision <= self.own_revision:
             return
         if revision >= self.newest_revision:
             self.newest_revision = revision
@@ -41,10 +43,10 @@
         if self.behind_since is None:
             self.behind_since = now
 
-    def in_force(self, revision: int) -> None:
+    def record_own_revision(self, revision: int) -> None:
         """Records the revision of this host's active table."""
-        self.own = max(self.own, revision)
-        if self.own >= self.newest_revision:
+        self.own_revision = max(self.own_revision, revision)
+        if self.own_revision >= self.newest_revision:
             self.behind_since = None
 
     def is_overdue(self, now: float) -> bool:
@@ -53,7 +55,7 @@
             return False
         return now - self.behind_since > self._timing.fetch_grace
 
-    def wanted_fetch(
+    def due_fetch(
         self, members: members_lib.Members, log_is_silent: bool, now: float
     ) -> tuple[messages.FetchTable, ...]:
         """Returns the fetch that is due, if any.
--- a/src/hoistmoor/core/membership/timing.py
+++ b/src/hoistmoor/core/membership/timing.py
@@ -68,7 +68,7 @@
     fetch_grace: float = 2.0
     fetch_interval: float = 2.0
 
-    def suspicion(self, hosts: int) -> float:
+    def suspicion_timeout(self, hosts: int) -> float:
         """Returns the seconds after which a suspect among ``hosts`` is dead."""
         return self.period * self.suspicion_factor * math.log2(hosts + 1)
 
--- a/src/hoistmoor/core/membership/view.py
+++ b/src/hoistmoor/core/membership/view.py
@@ -52,7 +52,7 @@
     since: float = 0.0
 
     @property
-    def order(self) -> tuple[int, int, int]:
+    def precedence(self) -> tuple[int, int, int]:
         """Sort key of an update; the higher one takes precedence."""
         return self.incarnation, self.version, self.state
 
--- a/src/hoistmoor/entry/gossip_calls.py
+++ b/src/hoistmoor/entry/gossip_calls.py
@@ -38,13 +38,15 @@
         digest = digest_codec.from_wire(reply)
         return messages.PingReplied(ping.target, sent_at, digest)
 
-    async def relay(self, relay: messages.Relay) -> messages.RelayAnswered:
+    async def relay(
+        self, relay: messages.IndirectPing
+    ) -> messages.IndirectPingResult:
         """Asks several peers concurrently to ping a host."""
         sent_at = self._clock()
         results = await asyncio.gather(
             *(self._ping_through(helper, relay) for helper in relay.helpers)
         )
-        return messages.RelayAnswered(
+        return messages.IndirectPingResult(
             relay.target,
             sent_at,
             reached=any(results),
@@ -52,7 +54,7 @@
         )
 
     async def _ping_through(
-        self, helper: str, relay: messages.Relay
+        self, helper: str, relay: messages.IndirectPing
     ) -> bool | None:
         try:
             peer = self._clients.get(helper)
--- a/src/hoistmoor/entry/host_list.py
+++ b/src/hoistmoor/entry/host_list.py
@@ -11,7 +11,7 @@
 from hoistmoor.utils import logs
 
 if TYPE_CHECKING:
-    from hoistmoor.core.membership import draws
+    from hoistmoor.core.membership import shuffling
 
 MIN_INTERVAL_SECONDS = 3.0  # Minimum interval between reads of the list.
 # The list grows with the deployment, so each host reads it less often to keep
@@ -33,7 +33,10 @@
     """
 
     def __init__(
-        self, fetch_hosts: FetchHosts, find_peer: FindPeer, order: draws.Draws
+        self,
+        fetch_hosts: FetchHosts,
+        find_peer: FindPeer,
+        order: shuffling.Shuffler,
     ) -> None:
         self.pause = MIN_INTERVAL_SECONDS
         self._fetch_hosts = fetch_hosts
--- a/src/hoistmoor/entry/membership.py
+++ b/src/hoistmoor/entry/membership.py
@@ -12,10 +12,10 @@
 from typing import Any, Protocol, TYPE_CHECKING
 
 from hoistmoor.core import errors
-from hoistmoor.core.membership import draws
 from hoistmoor.core.membership import freshness
 from hoistmoor.core.membership import machine
 from hoistmoor.core.membership import messages
+from hoistmoor.core.membership import shuffling
 from hoistmoor.core.membership import timing as timing_lib
 from hoistmoor.core.membership import view
 from hoistmoor.entry import gossip_calls
@@ -86,7 +86,7 @@
         self.listeners = listeners or membership_listeners.Listeners()
         self._clock = clock
         self._table = table
-        self._draws = draws.Draws(own.incarnation)
+        self._draws = shuffling.Shuffler(own.incarnation)
         self._host_list = host_list.HostList(
             fetch_hosts, find_peer, self._draws
         )
@@ -158,12 +158,14 @@
 
     def report_live(self, address: str, incarnation: int) -> None:
         """Takes in a backend server's own word that it is live."""
-        self._handle(messages.ServerSeen(address, incarnation))
+        self._handle(messages.ServerLive(address, incarnation))
 
     def freshness(self, now: float | None = None) -> freshness.Freshness:
         """Judges whether the table in force may still be the newest."""
         self._note_table()
-        return self._machine.judge(self._clock() if now is None else now)
+        return self._machine.assess_freshness(
+            self._clock() if now is None else now
+        )
 
     # Peers' calls.
 
@@ -215,9 +217,9 @@
             await asyncio.sleep(self._machine.timing.period)
 
     def _note_table(self) -> None:
-        self._handle(messages.LogHeard(self._table.last_contact))
+        self._handle(messages.LogContacted(self._table.last_contact))
         if self._table.revision > self.own.table_revision:
-            self._handle(messages.TableInForce(self._table.revision))
+            self._handle(messages.TableActivated(self._table.revision))
 
     async def _read_list(self) -> None:
         while True:
@@ -249,7 +251,7 @@
         self._start(self._ping(effect))
 
     @_perform.register
-    def _perform_relay(self, effect: messages.Relay) -> None:
+    def _perform_relay(self, effect: messages.IndirectPing) -> None:
         self._start(self._relay(effect))
 
     @_perform.register
@@ -276,7 +278,7 @@
             return False
         return result.digest.sender == ping.target
 
-    async def _relay(self, relay: messages.Relay) -> None:
+    async def _relay(self, relay: messages.IndirectPing) -> None:
         self._handle(await self._calls.relay(relay))
 
     async def _take_table(self, fetch: messages.FetchTable) -> None:
--- a/src/hoistmoor/entry/neighbours.py
+++ b/src/hoistmoor/entry/neighbours.py
@@ -73,7 +73,7 @@
     def on_hosts(self, live: tuple[view.HostView, ...]) -> None:
         """Takes the live hosts, this one included."""
         own = self.members.own
-        self._preferred = preference.preferred(own, live, HOLDERS)
+        self._preferred = preference.preferred_peers(own, live, HOLDERS)
 
     def _holder(self, host: view.HostView) -> bill_holders.Holder:
         incarnation = identity.Incarnation(host.name, host.incarnation)
--- a/src/hoistmoor/steward/engines.py
+++ b/src/hoistmoor/steward/engines.py
@@ -85,7 +85,9 @@
             state = await self.client.state(server.address)
         except errors.PlatformError:
             if known is not None:
-                missed = attrs.evolve(known, failed_reads=known.failed_reads + 1)
+                missed = attrs.evolve(
+                    known, failed_reads=known.failed_reads + 1
+                )
                 self.conditions[server.server] = missed
             return
         self.conditions[server.server] = _condition(state, leaving)
--- a/tests/core/membership/membership_network.py
+++ b/tests/core/membership/membership_network.py
@@ -74,9 +74,9 @@
         seed: int = 1,
     ) -> None:
         self.now = START
-        self.nodes: dict[str, SimulatedHost] = {}
+        self.hosts: dict[str, SimulatedHost] = {}
         self.loss = 0.0
-        self.is_cut: Callable[[str, str], bool] = lambda _a, _b: False
+        self.is_partitioned: Callable[[str, str], bool] = lambda _a, _b: False
         self.log_is_up: Callable[[str], bool] = lambda _name: True
         self.on_digest: Callable[[str, str, messages.Digest], None] = (
             lambda _a, _b, _digest: None
@@ -101,7 +101,7 @@
             host = self._add(own)
             for other in views:
                 if other is not own:
-                    update = members.to_news(other, self.now, is_full=True)
+                    update = members.to_update(other, self.now, is_full=True)
                     host.machine.members.apply(update, self.now)
             host.machine.handle(messages.HostsListed(names, (), ()), self.now)
             offset = self._random.random() * self._timing.period
@@ -113,7 +113,7 @@
         host = SimulatedHost(
             machine.Membership(own, seed, self.now, self._timing)
         )
-        self.nodes[own.name] = host
+        self.hosts[own.name] = host
         return host
 
     def list_hosts(
@@ -131,7 +131,7 @@
             for other in listed
             if known.get(other) is None
         )
-        self.tell(
+        self.deliver(
             name,
             messages.HostsListed(frozenset((*listed, name)), contacts, servers),
         )
@@ -140,15 +140,15 @@
 
     def crash(self, name: str) -> None:
         """Stops a host abruptly, without notice to the others."""
-        self.nodes[name].is_running = False
+        self.hosts[name].is_running = False
 
     def pause(self, name: str) -> None:
         """Pauses a host's process; its events are queued."""
-        self.nodes[name].is_paused = True
+        self.hosts[name].is_paused = True
 
     def resume(self, name: str) -> None:
         """Resumes a paused host, which handles the queued events first."""
-        host = self.nodes[name]
+        host = self.hosts[name]
         host.is_paused = False
         backlog, host.backlog = host.backlog, []
         for step in backlog:
@@ -157,11 +157,11 @@
     def partition(self, *side: str) -> None:
         """Disconnects the hosts of ``side`` from all others."""
         inside = frozenset(side)
-        self.is_cut = lambda a, b: (a in inside) != (b in inside)
+        self.is_partitioned = lambda a, b: (a in inside) != (b in inside)
 
     def heal(self) -> None:
         """Ends the network partition."""
-        self.is_cut = lambda _a, _b: False
+        self.is_partitioned = lambda _a, _b: False
 
     # Simulation.
 
@@ -188,13 +188,13 @@
             self.run(step)
         return self.now - start
 
-    def tell(self, name: str, message: object) -> messages.Digest | None:
+    def deliver(self, name: str, message: object) -> messages.Digest | None:
         """Passes a message to a host and performs the effects.
 
         Returns:
             The digest to reply with, if there is one.
         """
-        host = self.nodes[name]
+        host = self.hosts[name]
         reply = None
         for effect in host.machine.handle(message, self.now):
             host.effects.append(effect)
@@ -206,11 +206,11 @@
 
     def machine(self, name: str) -> machine.Membership:
         """Returns a host's membership state machine."""
-        return self.nodes[name].machine
+        return self.hosts[name].machine
 
     def running(self) -> list[str]:
         """Returns the names of the hosts that have not crashed."""
-        return [name for name, host in self.nodes.items() if host.is_running]
+        return [name for name, host in self.hosts.items() if host.is_running]
 
     def state(self, at: str, of: str) -> view.MemberState | None:
         """Returns the state of host ``of`` in the view of host ``at``."""
@@ -227,11 +227,11 @@
         )
 
     def _tick(self, name: str, host: SimulatedHost) -> None:
-        if self.nodes[name] is not host:
+        if self.hosts[name] is not host:
             return
         if self.log_is_up(name):
-            self.tell(name, messages.LogHeard(self.now))
-        self.tell(name, messages.Tick())
+            self.deliver(name, messages.LogContacted(self.now))
+        self.deliver(name, messages.Tick())
         self._schedule(
             self._timing.period, name, lambda: self._tick(name, host)
         )
@@ -239,7 +239,7 @@
     def _schedule(
         self, delay: float, name: str, step: Callable[[], None]
     ) -> None:
-        host = self.nodes[name]
+        host = self.hosts[name]
 
         def run() -> None:
             if not host.is_running:
@@ -256,7 +256,7 @@
         return 0.001 + 0.002 * self._random.random()
 
     def _is_delivered(self, sender: str, receiver: str) -> bool:
-        if self.is_cut(sender, receiver) or receiver not in self.nodes:
+        if self.is_partitioned(sender, receiver) or receiver not in self.hosts:
             return False
         return self._random.random() >= self.loss
 
@@ -272,32 +272,32 @@
 
         def done(digest: messages.Digest | None) -> None:
             if digest is None:
-                self.tell(
+                self.deliver(
                     name,
                     messages.PingFailed(effect.target, sent_at, effect.digest),
                 )
             else:
-                self.tell(
+                self.deliver(
                     name, messages.PingReplied(effect.target, sent_at, digest)
                 )
 
         self._ping(name, effect.target, effect.digest, done)
 
     @_perform.register
-    def _perform_relay(self, effect: messages.Relay, name: str) -> None:
+    def _perform_relay(self, effect: messages.IndirectPing, name: str) -> None:
         sent_at = self.now
         answers: list[bool] = []
         by_address = {
             host.machine.members.own_view.peer_address: helper
-            for helper, host in self.nodes.items()
+            for helper, host in self.hosts.items()
         }
         for address in effect.helpers:
             self._relay(name, by_address[address], effect.target, answers)
 
         def finish() -> None:
-            self.tell(
+            self.deliver(
                 name,
-                messages.RelayAnswered(
+                messages.IndirectPingResult(
                     effect.target, sent_at, any(answers), len(answers)
                 ),
             )
@@ -307,10 +307,10 @@
     @_perform.register
     def _perform_fetch(self, effect: messages.FetchTable, name: str) -> None:
         def fetch() -> None:
-            peer = self.nodes[effect.peer]
-            if peer.is_running and not self.is_cut(name, effect.peer):
-                revision = peer.machine.tables.own
-                self.tell(name, messages.TableInForce(revision))
+            peer = self.hosts[effect.peer]
+            if peer.is_running and not self.is_partitioned(name, effect.peer):
+                revision = peer.machine.tables.own_revision
+                self.deliver(name, messages.TableActivated(revision))
 
         self._schedule(2 * self._delay(), name, fetch)
 
@@ -330,7 +330,7 @@
                 done(reply)
 
         def arrive() -> None:
-            reply = self.tell(target, messages.DigestReceived(digest))
+            reply = self.deliver(target, messages.DigestReceived(digest))
             assert reply is not None
             self.on_digest(target, sender, reply)
             if self._is_delivered(target, sender):
@@ -351,7 +351,7 @@
                 )
 
         def arrive() -> None:
-            digest = self.nodes[helper].machine.digest_for(target, self.now)
+            digest = self.hosts[helper].machine.digest_for(target, self.now)
             self._ping(
                 helper, target, digest, lambda reply: answer(reply is not None)
             )
--- a/tests/core/membership/test_membership_faults.py
+++ b/tests/core/membership/test_membership_faults.py
@@ -36,20 +36,20 @@
 
 
 def _names(network: Network) -> list[str]:
-    return list(network.nodes)
+    return list(network.hosts)
 
 
 def _hosts_in_domain(network: Network, number: int) -> list[str]:
     return [
         name
-        for name in network.nodes
+        for name in network.hosts
         if network.machine(name).members.own_view.failure_domain
         == f"domain-{number}"
     ]
 
 
 def _is_fresh(network: Network, name: str) -> bool:
-    return network.machine(name).judge(network.now).is_fresh
+    return network.machine(name).assess_freshness(network.now).is_fresh
 
 
 def _all(network: Network, check: Callable[[str], bool]) -> bool:
@@ -57,16 +57,16 @@
 
 
 def _check_precedence_never_decreases(network: Network) -> None:
-    for simulated in network.nodes.values():
+    for simulated in network.hosts.values():
         newest: dict[str, tuple[int, int, int]] = {}
         for effect in simulated.effects:
             if isinstance(effect, messages.HostChanged):
                 host = effect.host
-                previous = newest.get(host.name, host.order)
+                previous = newest.get(host.name, host.precedence)
                 assertions.assert_that(
-                    host.order, matchers.Not(matchers.LessThan(previous))
+                    host.precedence, matchers.Not(matchers.LessThan(previous))
                 )
-                newest[host.name] = host.order
+                newest[host.name] = host.precedence
 
 
 def test_a_crashed_host_is_declared_dead_everywhere(network: Network) -> None:
@@ -98,7 +98,7 @@
     suspicions = sum(
         isinstance(effect, messages.HostChanged)
         and effect.host.state is view.MemberState.SUSPECT
-        for host in network.nodes.values()
+        for host in network.hosts.values()
         for effect in host.effects
     )
     assertions.assert_that(suspicions, matchers.LessThan(500))
@@ -170,7 +170,7 @@
     network.run(_BOUND)
     declared_dead = {
         effect.host.name
-        for effect in network.nodes["entry-005"].effects
+        for effect in network.hosts["entry-005"].effects
         if isinstance(effect, messages.HostChanged)
         and effect.host.state is _DEAD
     }
@@ -186,7 +186,7 @@
     network: Network,
 ) -> None:
     network.loss = 0.3
-    network.tell("entry-000", messages.ServerLeaving(_SERVER, 4))
+    network.deliver("entry-000", messages.ServerLeaving(_SERVER, 4))
     network.run_until(
         lambda: _all(
             network,
@@ -197,11 +197,11 @@
 
 
 def _returned_server_stays_cleared(network: Network) -> None:
-    network.tell("entry-000", messages.ServerLeaving(_SERVER, 4))
+    network.deliver("entry-000", messages.ServerLeaving(_SERVER, 4))
     network.run(5.0)
     for name in network.running():
-        network.tell(name, messages.ServerSeen(_SERVER, 5))
-    network.tell("entry-001", messages.ServerLeaving(_SERVER, 4))
+        network.deliver(name, messages.ServerLive(_SERVER, 5))
+    network.deliver("entry-001", messages.ServerLeaving(_SERVER, 4))
     network.run(_BOUND)
     assert not any(
         network.machine(name).servers.is_leaving(_SERVER, None)
@@ -221,8 +221,8 @@
     network.log_is_up = lambda name: name != "entry-007"
     network.run(5.0)
     assertions.assert_that(
-        network.machine("entry-007").judge(network.now).why,
-        matchers.Equals(freshness.Why.CUT_OFF),
+        network.machine("entry-007").assess_freshness(network.now).why,
+        matchers.Equals(freshness.Reason.CUT_OFF),
     )
     network.run(_BOUND)
     assert not _is_fresh(network, "entry-007")
@@ -263,13 +263,13 @@
     network: Network,
 ) -> None:
     for name in network.running():
-        network.tell(name, messages.TableInForce(6))
+        network.deliver(name, messages.TableActivated(6))
     network.log_is_up = lambda _name: False
     network.run(8.0)
-    network.tell("entry-004", messages.TableInForce(7))
+    network.deliver("entry-004", messages.TableActivated(7))
     network.run_until(
         lambda: _all(
-            network, lambda name: network.machine(name).tables.own == 7
+            network, lambda name: network.machine(name).tables.own_revision == 7
         ),
         _BOUND,
     )
@@ -281,14 +281,14 @@
 ) -> None:
     network.log_is_up = lambda _name: False
     network.run(6.0)
-    network.tell("entry-004", messages.TableInForce(7))
+    network.deliver("entry-004", messages.TableActivated(7))
     network.crash("entry-004")
     digest = network.machine("entry-004").digest_for("entry-000", network.now)
-    network.tell("entry-000", messages.DigestReceived(digest))
+    network.deliver("entry-000", messages.DigestReceived(digest))
     network.run(3.0)
     assertions.assert_that(
-        network.machine("entry-000").judge(network.now).why,
-        matchers.Equals(freshness.Why.BEHIND),
+        network.machine("entry-000").assess_freshness(network.now).why,
+        matchers.Equals(freshness.Reason.BEHIND),
     )
 
 
@@ -298,12 +298,12 @@
     network.log_is_up = lambda _name: False
     leaving = _names(network)[:10]  # A majority, one after the other.
     for name in leaving:
-        network.tell(name, messages.Leave())
+        network.deliver(name, messages.Leave())
         network.run(2.0)
         network.crash(name)
     network.run(_BOUND)
     for name in network.running():
-        known = {host.name for host in network.machine(name).members.others()}
+        known = {host.name for host in network.machine(name).members.peers()}
         assertions.assert_that(known & {*leaving}, matchers.Equals(set()))
         assert _is_fresh(network, name)
 
@@ -350,7 +350,7 @@
     known = self.get(update.name)
     if known is None:
         return self._add(update, now)
-    if update.order == known.order:
+    if update.precedence == known.precedence:
         return None
     changed = members._merge(known, update, now)
     self._store(changed)
--- a/tests/core/membership/test_membership_histories.py
+++ b/tests/core/membership/test_membership_histories.py
@@ -79,27 +79,27 @@
     @stateful.rule(name=_name, server=strategies.sampled_from("abc"))
     def server_leaves(self, name: str, server: str) -> None:
         """Reports a backend server as leaving."""
-        if self.network.nodes[name].is_running:
-            self.network.tell(name, messages.ServerLeaving(server, 1))
+        if self.network.hosts[name].is_running:
+            self.network.deliver(name, messages.ServerLeaving(server, 1))
             self.leaving.add(server)
 
     @stateful.invariant()
     def precedence_never_decreases(self) -> None:
         """Checks that each host applies only updates that take precedence."""
-        for simulated in self.network.nodes.values():
+        for simulated in self.network.hosts.values():
             newest: dict[str, tuple[int, int, int]] = {}
             for effect in simulated.effects:
                 if isinstance(effect, messages.HostChanged):
                     host = effect.host
-                    assert host.order > newest.get(host.name, (0, 0, -1))
-                    newest[host.name] = host.order
+                    assert host.precedence > newest.get(host.name, (0, 0, -1))
+                    newest[host.name] = host.precedence
 
     def teardown(self) -> None:
         """Ends all faults and waits for the views to converge."""
         network = self.network
         network.loss = 0.0
         network.heal()
-        for name in network.nodes:
+        for name in network.hosts:
             network.resume(name)
         for name in network.running():
             network.list_hosts(name, *network.running())
@@ -107,7 +107,7 @@
 
     def _views_are_correct(self) -> bool:
         network = self.network
-        stopped = set(network.nodes) - set(network.running())
+        stopped = set(network.hosts) - set(network.running())
         believed_states = {
             network.state(at, of) for at in network.running() for of in stopped
         }
--- a/tests/core/membership/test_membership_parts.py
+++ b/tests/core/membership/test_membership_parts.py
@@ -12,11 +12,11 @@
 
 from hoistmoor.core.membership import machine
 from hoistmoor.core.membership import messages
-from hoistmoor.core.membership import parts
 from hoistmoor.core.membership import ring
 from hoistmoor.core.membership import servers
 from hoistmoor.core.membership import sizes
 from hoistmoor.core.membership import view
+from hoistmoor.core.membership import view_hashes
 from hoistmoor.peers import digest_codec
 
 _ADDRESS = "10.9.0.1:9000"
@@ -63,7 +63,7 @@
     assertions.assert_that(
         digest_codec.from_wire(wire), matchers.Equals(digest)
     )
-    size_bound = sum(map(sizes.news_size, (*digest.members, *digest.servers)))
+    size_bound = sum(map(sizes.update_size, (*digest.members, *digest.servers)))
     del wire.members[:]
     del wire.servers[:]
     full_size = digest_codec.to_wire(digest).ByteSize()
@@ -96,29 +96,31 @@
 
 @pytest.fixture
 def leaving() -> servers.LeavingServers:
-    started = servers.LeavingServers(parts.PartHashes(), forget_after=600.0)
-    started.leave(messages.ServerNews(_ADDRESS, 4), 0.0)
+    started = servers.LeavingServers(
+        view_hashes.PartHashes(), forget_after=600.0
+    )
+    started.apply(messages.ServerNews(_ADDRESS, 4), 0.0)
     return started
 
 
 def test_an_old_report_is_kept_until_the_list_confirms(
     leaving: servers.LeavingServers,
 ) -> None:
-    leaving.list_read(frozenset({_ADDRESS}), 9000.0)  # The list is outdated.
+    leaving.reconcile(frozenset({_ADDRESS}), 9000.0)  # The list is outdated.
     assert leaving.is_leaving(_ADDRESS, 4)
-    leaving.list_read(frozenset(), 9000.0)
+    leaving.reconcile(frozenset(), 9000.0)
     assert not leaving.is_leaving(_ADDRESS, 4)
     # An update from a peer that has not read the list must not restore it.
-    assert not leaving.leave(messages.ServerNews(_ADDRESS, 4, 9000), 9000.0)
+    assert not leaving.apply(messages.ServerNews(_ADDRESS, 4, 9000), 9000.0)
 
 
 def test_only_a_later_incarnation_clears_a_report(
     leaving: servers.LeavingServers,
 ) -> None:
-    assert not leaving.see_live(_ADDRESS, 4)  # A delayed load report.
+    assert not leaving.record_live(_ADDRESS, 4)  # A delayed load report.
     assert leaving.is_leaving(_ADDRESS, 4)
     assert not leaving.is_leaving(_ADDRESS, 5)
-    assert leaving.see_live(_ADDRESS, 5)
+    assert leaving.record_live(_ADDRESS, 5)
     assert not leaving.is_leaving(_ADDRESS, None)
 
 
--- a/tests/core/membership/test_membership_preference.py
+++ b/tests/core/membership/test_membership_preference.py
@@ -21,12 +21,12 @@
 
 
 def test_preferred_hosts_are_in_other_domains_and_stable() -> None:
-    before = preference.preferred(HOSTS[0], HOSTS, COUNT)
+    before = preference.preferred_peers(HOSTS[0], HOSTS, COUNT)
     domains = {chosen.failure_domain for chosen in before}
     assertions.assert_that(domains, matchers.Not(matchers.Contains("domain-0")))
     removed = before[0]
     remaining = [other for other in HOSTS if other is not removed]
-    after = preference.preferred(HOSTS[0], remaining, COUNT)
+    after = preference.preferred_peers(HOSTS[0], remaining, COUNT)
     assertions.assert_that(after[:2], matchers.Equals(before[1:]))
 
 
@@ -34,6 +34,6 @@
     chosen = Counter(
         other.name
         for own in HOSTS
-        for other in preference.preferred(own, HOSTS, COUNT)
+        for other in preference.preferred_peers(own, HOSTS, COUNT)
     )
     assertions.assert_that(max(chosen.values()), matchers.LessThan(15))
--- a/tests/entry/test_entry_membership.py
+++ b/tests/entry/test_entry_membership.py
@@ -140,7 +140,7 @@
     return len(host.task.live_hosts())
 
 
-def _why(host: _Host) -> freshness.Why:
+def _why(host: _Host) -> freshness.Reason:
     return host.task.freshness().why
 
 
@@ -158,7 +158,7 @@
     assert hosts[2].task.is_server_leaving(_SERVER)
     hosts[1].table.revision = 4  # The log is silent: peers must fetch it.
     await _wait(lambda: all(host.table.revision == 4 for host in hosts))
-    heard = freshness.Why.PEERS_HEARD
+    heard = freshness.Reason.PEERS_HEARD
     await _wait(lambda: all(_why(host) is heard for host in hosts))
 
 
--- a/tests/system/broken_entry.py
+++ b/tests/system/broken_entry.py
@@ -96,16 +96,16 @@
 
 
 def _leaving() -> None:
-    servers.LeavingServers.leave = (  # type: ignore[method-assign]
+    servers.LeavingServers.apply = (  # type: ignore[method-assign]
         lambda *_: False
     )
 
 
 def _freshness() -> None:
     def judge(evidence: freshness.Evidence) -> freshness.Freshness:
-        return freshness.Freshness(True, freshness.Why.LOG_HEARD)
+        return freshness.Freshness(True, freshness.Reason.LOG_HEARD)
 
-    freshness.judge = judge
+    freshness.assess = judge
 
 
 def _recheck() -> None:
