--- a/benchmarks/capacity/memory.py
+++ b/benchmarks/capacity/memory.py
@@ -62,7 +62,7 @@
     """Keeps backend servers with a load report each."""
     table = parts.big_table(count)
     router = router_lib.Router("d0", 1, "entry-0")
-    router.on_table(model.TableInForce(1, table))
+    router.on_table(model.ActiveTable(1, table))
     for name in table.servers:
         report = routing.LoadReport(
             name, 1, "live", 1, 0, 16, tuple(table.versions), _NOW
@@ -96,7 +96,7 @@
     """Serves and rates one request of each kind that callers name."""
     router = router_lib.Router("d0", 1, "entry-0")
     table = parts.big_table(10)
-    router.on_table(model.TableInForce(1, table))
+    router.on_table(model.ActiveTable(1, table))
     for n in range(count):
         kind = f"kind-{n}"
         query = routing.RouteQuery(f"e.1.{n:x}", "account-0", "auto", kind)
--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -182,7 +182,7 @@
     for count in SERVERS:
         table = big_table(count)
         router = router_lib.Router("d0", 1, "entry-0")
-        in_force = model.TableInForce(1, table)
+        in_force = model.ActiveTable(1, table)
         router.on_table(in_force)
         reports = [
             routing.LoadReport(
@@ -240,7 +240,7 @@
             each.append((time.process_time() - began) * 1000)
             assert isinstance(verdict, fold_lib.Accepted), verdict
         began = time.process_time()
-        snapshot = snapshots.make(fold)
+        snapshot = snapshots.encode_snapshot(fold)
         made = (time.process_time() - began) * 1000
         began = time.process_time()
         codec.decode(snapshot)
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -52,13 +52,13 @@
     return sorted(values)[int(share * (len(values) - 1))]
 
 
-def table_of(accounts: int, spend_limit: int) -> model.TableInForce:
+def table_of(accounts: int, spend_limit: int) -> model.ActiveTable:
     """Returns a table with accounts of one limit."""
     rows = [
         model.Account(f"a{n}", (), spend_limit, 1e6, 1_000_000)
         for n in range(accounts)
     ]
-    return model.TableInForce(
+    return model.ActiveTable(
         1, model.Table(accounts={row.account: row for row in rows})
     )
 
@@ -359,7 +359,7 @@
             for name, rate in self.demand.items()
         }
         self.limits = {name: row.spend_limit for name, row in rows.items()}
-        self.in_force = model.TableInForce(1, model.Table(accounts=rows))
+        self.in_force = model.ActiveTable(1, model.Table(accounts=rows))
         rng = random.Random(1)
         pull = [rng.uniform(0.2, 1.8) for _ in range(hosts)]
         self.parts = [part / sum(pull) for part in pull]
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -78,7 +78,7 @@
 def make_router(table: model.Table) -> router_lib.Router:
     """Returns a router with a load report of each runner."""
     router = router_lib.Router("domain-0", 1, "host-0")
-    router.on_table(model.TableInForce(1, table))
+    router.on_table(model.ActiveTable(1, table))
     for i, name in enumerate(table.servers):
         report = messages.LoadReport(
             name, 1, "live", i % 9, 0, 16, tuple(table.versions), 1.0
@@ -210,7 +210,7 @@
         router.catalog.policies.entries.clear()
         router.catalog.auto_options("big", "answer", 0.0)
 
-    in_force = model.TableInForce(2, table)
+    in_force = model.ActiveTable(2, table)
     return {
         "load report": time_per_call(report, CALLS),
         "rating": time_per_call(rate, CALLS),
--- a/benchmarks/table.py
+++ b/benchmarks/table.py
@@ -99,12 +99,12 @@
         sys.exit("the bench's table is unsound")
     payloads = [_edit(table, n) for n in range(EDITS)]
     times = [
-        _time(lambda n=n, p=p: current.apply(n + 1, fold.read_record(p)))
+        _time(lambda n=n, p=p: current.apply(n + 1, fold.decode_record(p)))
         for n, p in enumerate(payloads)
     ]
-    if current.in_force.revision != EDITS:
+    if current.active.revision != EDITS:
         sys.exit("an edit of the bench was rejected")
-    snapshot = snapshots.make(current)
+    snapshot = snapshots.encode_snapshot(current)
     return Cost(
         rows=rows,
         edit_ms=statistics.median(times),
@@ -112,7 +112,7 @@
         check_ms=_median(lambda: check.check_table(_fresh(table))),
         edit_bytes=len(payloads[0]),
         snapshot_bytes=len(snapshot),
-        snapshot_make_ms=_median(lambda: snapshots.make(current)),
+        snapshot_make_ms=_median(lambda: snapshots.encode_snapshot(current)),
         snapshot_read_ms=_median(lambda: codec.decode(snapshot)),
         state_bytes=_state_bytes(snapshot),
     )
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -50,7 +50,7 @@
         versions={row.key: row for row in rows}, limits={limit.key: limit}
     )
     router = router_lib.Router("d", 1, "h")
-    router.on_table(model.TableInForce(1, table))
+    router.on_table(model.ActiveTable(1, table))
     return router
 
 
@@ -104,7 +104,7 @@
 def main() -> None:
     """Prints both tables."""
     write = sys.stdout.write
-    for confidence in (0.95, limits.KNOWN["withdraw_confidence"].default):
+    for confidence in (0.95, limits.DEFINITIONS["withdraw_confidence"].default):
         alarms = [
             until_withdrawn(Stream(random.Random(seed)), confidence)
             for seed in range(STREAMS)
--- a/src/hoistmoor/console/commands/drain.py
+++ b/src/hoistmoor/console/commands/drain.py
@@ -64,7 +64,7 @@
 
     async def _check_name(self, client: log.LogClient) -> None:
         current = (await log_table.LogTable(client).read()).fold
-        if self.server not in current.in_force.table.servers and not self.undo:
+        if self.server not in current.active.table.servers and not self.undo:
             raise errors.ConfigurationError(
                 f"there is no backend server {self.server!r} in the table",
                 "See `hoistmoor table show --sheet servers`.",
--- a/src/hoistmoor/console/commands/status.py
+++ b/src/hoistmoor/console/commands/status.py
@@ -78,7 +78,7 @@
             steward = (await operator_records.read(client)).fold
         except errors.PlatformError as error:
             return [f"versions and roll-outs: {error}"]
-        in_force = reading.fold.in_force
+        in_force = reading.fold.active
         return [
             f"table: revision {in_force.revision}",
             *describe_versions(in_force.table),
--- a/src/hoistmoor/console/commands/table/describe.py
+++ b/src/hoistmoor/console/commands/table/describe.py
@@ -47,18 +47,18 @@
 
 @verdict.register
 def _(result: fold.Rejected) -> Iterator[str]:
-    yield f"{_head(result.offset, result.edit)}: rejected ({result.why})"
+    yield f"{_head(result.offset, result.edit)}: rejected ({result.reason})"
     yield from rejection(result)
 
 
 @verdict.register
 def _(result: fold.Ignored) -> Iterator[str]:
-    yield f"{result.offset}: {result.why} {result.detail}".rstrip()
+    yield f"{result.offset}: {result.reason} {result.detail}".rstrip()
 
 
 def rejection(result: fold.Rejected) -> Iterator[str]:
     """Yields why an edit was rejected, a line per row or fault."""
-    for clash in result.clashes:
+    for clash in result.conflicts:
         yield f"  {clash}"
     for fault in result.faults:
         yield f"  {fault}"
--- a/src/hoistmoor/console/commands/table/diff.py
+++ b/src/hoistmoor/console/commands/table/diff.py
@@ -45,11 +45,11 @@
         if plan is None:
             return exit_codes.ExitCode.DONE
         made = plan.edit.changes
-        for line in describe.changes(current.in_force.table, made):
+        for line in describe.changes(current.active.table, made):
             sys.stdout.write(f"{line}\n")
         if not isinstance(plan.expected, fold.Rejected):
             return exit_codes.ExitCode.DONE
-        sys.stderr.write(f"would be rejected ({plan.expected.why})\n")
+        sys.stderr.write(f"would be rejected ({plan.expected.reason})\n")
         for line in describe.rejection(plan.expected):
             sys.stderr.write(f"{line}\n")
         return exit_codes.ExitCode.REJECTED
--- a/src/hoistmoor/console/commands/table/log_table.py
+++ b/src/hoistmoor/console/commands/table/log_table.py
@@ -105,6 +105,6 @@
             self._keep_wanted()
 
     def _keep_wanted(self) -> None:
-        table = self._replay.in_force
+        table = self._replay.active
         if table is not None and table.revision == self.wanted:
             self.wanted_table = table.table
--- a/src/hoistmoor/console/commands/table/publish.py
+++ b/src/hoistmoor/console/commands/table/publish.py
@@ -82,7 +82,7 @@
         )
         if plan is None:
             _say("nothing to change")
-            return current.in_force.revision
+            return current.active.revision
         if found.base is None and not self.overwrite:
             foreign = publisher.foreign_rows(current, plan.edit)
             if foreign:
@@ -108,12 +108,12 @@
             return
         where = pathlib.Path(self.directory)
         try:
-            directories.write(where, current.in_force.table, current.snapshot())
+            directories.write(where, current.active.table, current.snapshot())
         except OSError as error:  # The edit is accepted all the same.
             _complain(f"{where} was not brought up to date: {error}")
 
 
-def _tell_foreign(foreign: tuple[fold.Clash, ...]) -> None:
+def _tell_foreign(foreign: tuple[fold.Conflict, ...]) -> None:
     for clash in foreign:
         _complain(f"the sheets would undo a change by another: {clash}")
     _complain(
--- a/src/hoistmoor/console/commands/table/publisher.py
+++ b/src/hoistmoor/console/commands/table/publisher.py
@@ -54,7 +54,7 @@
         author: Who publishes.
         now: Seconds since the epoch.
     """
-    table = current.in_force.table
+    table = current.active.table
     old = base.table if base else table
     still_needed = {change.name for change in edits.diff(table, wanted)}
     changes = tuple(
@@ -72,13 +72,13 @@
 
 def foreign_rows(
     current: fold.TableFold, edit: edits.TableEdit
-) -> tuple[fold.Clash, ...]:
+) -> tuple[fold.Conflict, ...]:
     """Returns the rows of ``edit`` that somebody else changed last."""
     found = []
     for change in edit.changes:
-        mark = current.memory.mark(change.name)
+        mark = current.history.last_change(change.name)
         if mark is not None and mark.author != edit.author:
-            found.append(fold.Clash(change.name, mark.author, mark.revision))
+            found.append(fold.Conflict(change.name, mark.author, mark.revision))
     return tuple(found)
 
 
--- a/src/hoistmoor/console/commands/table/show.py
+++ b/src/hoistmoor/console/commands/table/show.py
@@ -91,7 +91,7 @@
             log = log_table.LogTable(client, wanted)
             current = (await log.read()).fold
         if self.revision is None:
-            in_force = current.in_force
+            in_force = current.active
             return Found(current, in_force.revision, in_force.table)
         if log.wanted_table is None:
             raise errors.ConfigurationError(
--- a/src/hoistmoor/console/commands/withdraw.py
+++ b/src/hoistmoor/console/commands/withdraw.py
@@ -74,12 +74,12 @@
         table = log_table.LogTable(client)
         for tried in range(1, _TRIES + 1):
             current = (await table.read()).fold
-            wanted = self._withdrawn(current.in_force.table)
+            wanted = self._withdrawn(current.active.table)
             plan = publisher.plan(
                 current, wanted, None, self.author, time.time()
             )
             if plan is None:
-                return current.in_force.revision
+                return current.active.revision
             verdict = plan.expected
             if isinstance(verdict, fold.Accepted):
                 verdict = await publisher.Publisher(client, table).publish(
@@ -105,7 +105,7 @@
 def _lost_race(verdict: fold.Verdict) -> bool:
     return (
         isinstance(verdict, fold.Rejected)
-        and verdict.why is fold.Why.ROW_CHANGED
+        and verdict.reason is fold.Reason.ROW_CHANGED
     )
 
 
--- a/src/hoistmoor/core/limits/ledger.py
+++ b/src/hoistmoor/core/limits/ledger.py
@@ -50,7 +50,7 @@
         self.incarnation = incarnation
         self.fold = shares.ShareFold()
         self.local_shares = local_shares.LocalShares()
-        self.in_force = model.TableInForce(-1, model.Table())
+        self.in_force = model.ActiveTable(-1, model.Table())
         self.log_is_up = True
         self.transfers = transfers.Transfers(incarnation, self.local_shares)
         self.handoffs = handoffs.Handoffs(incarnation, self.local_shares)
--- a/src/hoistmoor/core/routing/routing_state.py
+++ b/src/hoistmoor/core/routing/routing_state.py
@@ -94,7 +94,7 @@
     def hosts(self, hosts: int) -> None:
         self.on_hosts(hosts)
 
-    def on_table(self, in_force: model.TableInForce) -> None:
+    def on_table(self, in_force: model.ActiveTable) -> None:
         """Applies a table unless a newer one is in force."""
         if in_force.revision < self.revision:
             return
--- a/src/hoistmoor/core/steward/steering.py
+++ b/src/hoistmoor/core/steward/steering.py
@@ -19,8 +19,8 @@
 
 
 def steer(
-    in_force: model.TableInForce, view: rollouts.RolloutView
-) -> model.TableInForce:
+    in_force: model.ActiveTable, view: rollouts.RolloutView
+) -> model.ActiveTable:
     """Returns the table for the router, under the same revision.
 
     Args:
--- a/src/hoistmoor/core/table/check.py
+++ b/src/hoistmoor/core/table/check.py
@@ -18,7 +18,7 @@
 from hoistmoor.core.table import problems
 from hoistmoor.core.table import sheets
 
-EVERYBODY = "*"
+ALL_ACCOUNTS = "*"
 
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]*")
 _SHA256_HEX = re.compile(r"[0-9a-f]{64}")
@@ -148,7 +148,7 @@
     yield from checker.check_name("service", row.service)
     yield from checker.check_number("timeout", row.timeout, 0.001, 86_400)
     for account in row.accounts:
-        if account != EVERYBODY:
+        if account != ALL_ACCOUNTS:
             yield from checker.check_reference(
                 "accounts", account, "accounts", table.accounts
             )
@@ -201,12 +201,12 @@
 
 def _check_limit(table: model.Table, row: model.Limit) -> _Faults:
     checker = _RowChecker("limits", row.key)
-    definition = limits.KNOWN.get(row.name)
+    definition = limits.DEFINITIONS.get(row.name)
     if definition is None:
         yield checker.make_fault(
             "name",
             f"{row.name!r} is not a known limit",
-            f"Write one of: {', '.join(limits.KNOWN)}.",
+            f"Write one of: {', '.join(limits.DEFINITIONS)}.",
         )
         return
     yield from checker.check_number(
--- a/src/hoistmoor/core/table/columns.py
+++ b/src/hoistmoor/core/table/columns.py
@@ -41,7 +41,7 @@
     name: str
     parse: Callable[[str], Any]
     render: Callable[[Any], str]
-    neutral: Any
+    placeholder: Any
 
 
 def columns_of(cls: type[attrs.AttrsInstance]) -> tuple[Column, ...]:
--- a/src/hoistmoor/core/table/memory.py
+++ b/src/hoistmoor/core/table/edit_history.py
@@ -16,14 +16,14 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-REMEMBERED_RECORDS = 2_000
+MAX_BASE_AGE_RECORDS = 2_000
 
 
-class EditMemory:
+class EditHistory:
     """The last change of each row, and the IDs of recent edits."""
 
     def __init__(self) -> None:
-        self._marks: dict[str, dict[str, edits.RowMark]] = {
+        self._marks: dict[str, dict[str, edits.LastChange]] = {
             sheet: {} for sheet in sheets.SHEETS
         }
         self._offset_by_id: dict[
@@ -31,7 +31,7 @@
         ] = {}  # In ascending order of offsets.
 
     @classmethod
-    def from_snapshot(cls, snapshot: edits.TableSnapshot) -> EditMemory:
+    def from_snapshot(cls, snapshot: edits.TableSnapshot) -> EditHistory:
         """Restores the history from ``snapshot``."""
         memory = cls()
         for sheet, marks in snapshot.marks.items():
@@ -40,39 +40,39 @@
         memory._offset_by_id = dict(by_offset)
         return memory
 
-    def copy_marks(self) -> dict[str, dict[str, edits.RowMark]]:
+    def copy_last_changes(self) -> dict[str, dict[str, edits.LastChange]]:
         """Returns a copy of the last changes by sheet and row key."""
         return {sheet: dict(marks) for sheet, marks in self._marks.items()}
 
-    def copy_ids(self) -> dict[str, int]:
+    def copy_recent_edits(self) -> dict[str, int]:
         """Returns a copy of the offsets of recent edits by edit ID."""
         return dict(self._offset_by_id)
 
-    def mark(self, row: sheets.RowName) -> edits.RowMark | None:
+    def last_change(self, row: sheets.RowName) -> edits.LastChange | None:
         """Returns the last change of ``row``, or None if it is unknown."""
         return self._marks[row.sheet].get(row.key)
 
-    def newer_mark(
+    def change_since(
         self, row: sheets.RowName, base: int
-    ) -> edits.RowMark | None:
+    ) -> edits.LastChange | None:
         """Returns the last change of ``row`` if it is newer than ``base``."""
-        mark = self.mark(row)
+        mark = self.last_change(row)
         if mark is None or mark.revision <= base:
             return None
         return mark
 
-    def first_copy(self, edit_id: str) -> int | None:
+    def first_offset(self, edit_id: str) -> int | None:
         """Returns the offset of the first occurrence of a recent edit ID."""
         return self._offset_by_id.get(edit_id)
 
-    def remember_id(self, edit_id: str, offset: int) -> None:
+    def record_edit_id(self, edit_id: str, offset: int) -> None:
         """Records that an edit has been processed."""
         self._offset_by_id[edit_id] = offset
 
-    def remember_change(
+    def record_change(
         self,
         change: edits.Change,
-        mark: edits.RowMark,
+        mark: edits.LastChange,
         rows: Collection[str],
     ) -> None:
         """Records the last change of a row.
@@ -85,11 +85,13 @@
         marks = self._marks[change.sheet]
         marks[change.key] = mark
         if isinstance(change, edits.RowDelete):
-            _evict_deleted_rows(marks, rows, mark.revision - REMEMBERED_RECORDS)
+            _evict_deleted_rows(
+                marks, rows, mark.revision - MAX_BASE_AGE_RECORDS
+            )
 
-    def forget_ids(self, as_of: int) -> None:
+    def evict_edit_ids(self, as_of: int) -> None:
         """Evicts the IDs of edits that are now too old to be accepted again."""
-        oldest = as_of - REMEMBERED_RECORDS
+        oldest = as_of - MAX_BASE_AGE_RECORDS
         while self._offset_by_id:
             edit_id = next(iter(self._offset_by_id))
             if self._offset_by_id[edit_id] >= oldest:
@@ -97,13 +99,13 @@
             del self._offset_by_id[edit_id]
 
 
-def is_remembered(base: int, offset: int) -> bool:
+def is_base_covered(base: int, offset: int) -> bool:
     """Returns whether conflicts since ``base`` can still be detected."""
-    return base >= offset - REMEMBERED_RECORDS
+    return base >= offset - MAX_BASE_AGE_RECORDS
 
 
 def _evict_deleted_rows(
-    marks: dict[str, edits.RowMark], rows: Collection[str], oldest: int
+    marks: dict[str, edits.LastChange], rows: Collection[str], oldest: int
 ) -> None:
     """Evicts the changes of rows that were deleted before ``oldest``."""
     for key, mark in list(marks.items()):
--- a/src/hoistmoor/core/table/edits.py
+++ b/src/hoistmoor/core/table/edits.py
@@ -82,7 +82,7 @@
 
 
 @attrs.frozen
-class RowMark:
+class LastChange:
     """The last change of a row.
 
     Attributes:
@@ -111,7 +111,7 @@
     as_of: int
     revision: int
     table: model.Table
-    marks: dict[str, dict[str, RowMark]]
+    marks: dict[str, dict[str, LastChange]]
     recent_edits: dict[str, int]
     schema: int = SCHEMA
 
--- a/src/hoistmoor/core/table/fold.py
+++ b/src/hoistmoor/core/table/fold.py
@@ -18,8 +18,8 @@
 from hoistmoor.core import codec
 from hoistmoor.core import errors
 from hoistmoor.core.table import check
+from hoistmoor.core.table import edit_history
 from hoistmoor.core.table import edits
-from hoistmoor.core.table import memory
 from hoistmoor.core.table import model
 from hoistmoor.core.table import problems
 from hoistmoor.core.table import sheets
@@ -28,7 +28,7 @@
     from collections.abc import Iterator
 
 
-class Why(enum.StrEnum):
+class Reason(enum.StrEnum):
     """The reason why a record did not change the table."""
 
     ROW_CHANGED = "row_changed"  # A row changed after the base.
@@ -57,7 +57,7 @@
 
 
 @attrs.frozen
-class Clash:
+class Conflict:
     """A row that a preceding edit changed after the base of this edit.
 
     Attributes:
@@ -102,8 +102,8 @@
 
     offset: int
     edit: edits.TableEdit
-    why: Why
-    clashes: tuple[Clash, ...] = ()
+    reason: Reason
+    conflicts: tuple[Conflict, ...] = ()
     faults: tuple[problems.Fault, ...] = ()
 
 
@@ -118,16 +118,20 @@
     """
 
     offset: int
-    why: Why
+    reason: Reason
     detail: str = ""
 
     @property
     def is_suspect(self) -> bool:
         """Whether an operator should inspect the record and its writer."""
-        return self.why in _SUSPECT_REASONS
+        return self.reason in _SUSPECT_REASONS
 
 
-_SUSPECT_REASONS = (Why.UNDECODABLE, Why.UNKNOWN_SCHEMA, Why.SNAPSHOT_DIFFERS)
+_SUSPECT_REASONS = (
+    Reason.UNDECODABLE,
+    Reason.UNKNOWN_SCHEMA,
+    Reason.SNAPSHOT_DIFFERS,
+)
 
 Verdict = Accepted | Rejected | Ignored
 
@@ -142,7 +146,7 @@
         )
 
 
-def read_record(payload: bytes) -> object:
+def decode_record(payload: bytes) -> object:
     """Decodes ``payload``; returns ``Undecodable`` if that fails."""
     try:
         return codec.decode(payload)
@@ -161,26 +165,26 @@
 
     def __init__(self) -> None:
         self.as_of = -1
-        self.in_force = model.TableInForce(-1, model.Table())
-        self.memory = memory.EditMemory()
+        self.active = model.ActiveTable(-1, model.Table())
+        self.history = edit_history.EditHistory()
 
     @classmethod
     def from_snapshot(cls, snapshot: edits.TableSnapshot) -> TableFold:
         """Restores the fold to its state after record ``snapshot.as_of``."""
         fold = cls()
         fold.as_of = snapshot.as_of
-        fold.in_force = model.TableInForce(snapshot.revision, snapshot.table)
-        fold.memory = memory.EditMemory.from_snapshot(snapshot)
+        fold.active = model.ActiveTable(snapshot.revision, snapshot.table)
+        fold.history = edit_history.EditHistory.from_snapshot(snapshot)
         return fold
 
     def snapshot(self) -> edits.TableSnapshot:
         """Returns the complete state, identical on all hosts at an offset."""
         return edits.TableSnapshot(
             self.as_of,
-            self.in_force.revision,
-            self.in_force.table,
-            self.memory.copy_marks(),
-            self.memory.copy_ids(),
+            self.active.revision,
+            self.active.table,
+            self.history.copy_last_changes(),
+            self.history.copy_recent_edits(),
         )
 
     def apply(self, offset: int, record: object) -> Verdict:
@@ -194,81 +198,83 @@
             TableGapError: The preceding record has not been applied.
         """
         if offset <= self.as_of:
-            return Ignored(offset, Why.ALREADY_APPLIED)
+            return Ignored(offset, Reason.ALREADY_APPLIED)
         if offset != self.as_of + 1:
             raise TableGapError(self.as_of + 1, offset)
         self.as_of = offset
-        self.memory.forget_ids(offset)
+        self.history.evict_edit_ids(offset)
         return self._apply_record(record, offset)
 
     @functools.singledispatchmethod
     def _apply_record(self, record: object, offset: int) -> Verdict:
-        return Ignored(offset, Why.UNDECODABLE, type(record).__name__)
+        return Ignored(offset, Reason.UNDECODABLE, type(record).__name__)
 
     @_apply_record.register
     def _(self, record: Undecodable, offset: int) -> Verdict:
-        return Ignored(offset, Why.UNDECODABLE, record.problem)
+        return Ignored(offset, Reason.UNDECODABLE, record.problem)
 
     @_apply_record.register
     def _(self, record: edits.TableSnapshot, offset: int) -> Verdict:
-        why = Why.SNAPSHOT
+        why = Reason.SNAPSHOT
         if record.as_of == offset - 1 and not self._matches(record):
-            why = Why.SNAPSHOT_DIFFERS
+            why = Reason.SNAPSHOT_DIFFERS
         return Ignored(offset, why, f"as of {record.as_of}")
 
     @_apply_record.register
     def _(self, record: edits.TableEdit, offset: int) -> Verdict:
         if record.schema not in check.RULES:
-            return Ignored(offset, Why.UNKNOWN_SCHEMA, str(record.schema))
-        first_offset = self.memory.first_copy(record.edit_id)
+            return Ignored(offset, Reason.UNKNOWN_SCHEMA, str(record.schema))
+        first_offset = self.history.first_offset(record.edit_id)
         if first_offset is not None:
-            return Ignored(offset, Why.REPEAT, f"of the edit at {first_offset}")
-        self.memory.remember_id(record.edit_id, offset)
+            return Ignored(
+                offset, Reason.REPEAT, f"of the edit at {first_offset}"
+            )
+        self.history.record_edit_id(record.edit_id, offset)
         why = _find_format_error(record, offset)
         if why is not None:
             return Rejected(offset, record, why)
         conflicts = tuple(self._find_conflicts(record))
         if conflicts:
-            return Rejected(offset, record, Why.ROW_CHANGED, conflicts)
+            return Rejected(offset, record, Reason.ROW_CHANGED, conflicts)
         return self._validate_and_apply(record, offset)
 
     def _validate_and_apply(
         self, edit: edits.TableEdit, offset: int
     ) -> Verdict:
-        table = edits.apply(self.in_force.table, edit.changes)
+        table = edits.apply(self.active.table, edit.changes)
         faults = check.RULES[edit.schema](table)
         if faults:
-            return Rejected(offset, edit, Why.CHECK_FAILED, faults=faults)
-        mark = edits.RowMark(offset, edit.author)
+            return Rejected(offset, edit, Reason.CHECK_FAILED, faults=faults)
+        mark = edits.LastChange(offset, edit.author)
         for change in edit.changes:
-            before = sheets.rows_of(self.in_force.table, change.sheet)
-            self.memory.remember_change(change, mark, before)
-        self.in_force = model.TableInForce(offset, table)
+            before = sheets.rows_of(self.active.table, change.sheet)
+            self.history.record_change(change, mark, before)
+        self.active = model.ActiveTable(offset, table)
         return Accepted(offset, edit)
 
-    def _find_conflicts(self, edit: edits.TableEdit) -> Iterator[Clash]:
+    def _find_conflicts(self, edit: edits.TableEdit) -> Iterator[Conflict]:
         for change in edit.changes:
-            mark = self.memory.newer_mark(change.name, edit.base_revision)
+            mark = self.history.change_since(change.name, edit.base_revision)
             if mark is not None:
-                yield Clash(change.name, mark.author, mark.revision)
+                yield Conflict(change.name, mark.author, mark.revision)
 
     def _matches(self, snapshot: edits.TableSnapshot) -> bool:
-        own = self.in_force
+        own = self.active
         return (snapshot.revision, snapshot.table) == (
             own.revision,
             own.table,
         )
 
 
-def _find_format_error(edit: edits.TableEdit, offset: int) -> Why | None:
+def _find_format_error(edit: edits.TableEdit, offset: int) -> Reason | None:
     """Returns why an edit is invalid regardless of the table, if it is."""
     rows = {change.name for change in edit.changes}
     if not rows:
-        return Why.EMPTY
+        return Reason.EMPTY
     if len(rows) != len(edit.changes):
-        return Why.REPEATED_ROW
+        return Reason.REPEATED_ROW
     if not -1 <= edit.base_revision < offset:
-        return Why.BASE_IN_FUTURE
-    if not memory.is_remembered(edit.base_revision, offset):
-        return Why.BASE_TOO_OLD
+        return Reason.BASE_IN_FUTURE
+    if not edit_history.is_base_covered(edit.base_revision, offset):
+        return Reason.BASE_TOO_OLD
     return None
--- a/src/hoistmoor/core/table/limits.py
+++ b/src/hoistmoor/core/table/limits.py
@@ -11,7 +11,7 @@
 
 
 @attrs.frozen
-class KnownLimit:
+class LimitDefinition:
     """Definition of a limit that the ``limits`` sheet can set.
 
     Attributes:
@@ -32,73 +32,73 @@
 _MIB = 1 << 20
 _DAY_SECONDS = 86_400.0
 
-KNOWN: dict[str, KnownLimit] = {
+DEFINITIONS: dict[str, LimitDefinition] = {
     limit.name: limit
     for limit in (
-        KnownLimit(
+        LimitDefinition(
             "body_bytes",
             1 * _MIB,
             1024,
             64 * _MIB,
             "Largest request body that an entry host takes.",
         ),
-        KnownLimit(
+        LimitDefinition(
             "entry_concurrency",
             512,
             1,
             100_000,
             "Requests in flight at one entry host.",
         ),
-        KnownLimit(
+        LimitDefinition(
             "queue_length",
             1024,
             0,
             100_000,
             "Requests waiting for a backend server at one entry host.",
         ),
-        KnownLimit(
+        LimitDefinition(
             "default_deadline_seconds",
             60,
             0.1,
             3600,
             "Deadline of a request that names none.",
         ),
-        KnownLimit(
+        LimitDefinition(
             "max_attempts",
             3,
             1,
             10,
             "Dispatches that one request may cause at most.",
         ),
-        KnownLimit(
+        LimitDefinition(
             "retry_ratio",
             0.1,
             0,
             1,
             "Retries allowed per first attempt, as a share.",
         ),
-        KnownLimit(
+        LimitDefinition(
             "table_snapshot_seconds",
             600,
             10,
             _DAY_SECONDS,
             "Seconds between snapshots of the table on the log.",
         ),
-        KnownLimit(
+        LimitDefinition(
             "quality_confidence",
             0.9,
             0.5,
             0.999,
             "Confidence at which a quality target must be met.",
         ),
-        KnownLimit(
+        LimitDefinition(
             "withdraw_confidence",
             0.99,
             0.5,
             0.9999,
             "Confidence at which a bad version is withdrawn by itself.",
         ),
-        KnownLimit(
+        LimitDefinition(
             "local_domain_bias",
             0.2,
             0,
@@ -111,4 +111,4 @@
 
 def value(table: model.Table, name: str) -> float:
     """Returns the value that ``table`` sets for a limit, or its default."""
-    return table.limit(name, KNOWN[name].default)
+    return table.limit(name, DEFINITIONS[name].default)
--- a/src/hoistmoor/core/table/model.py
+++ b/src/hoistmoor/core/table/model.py
@@ -278,7 +278,7 @@
 
 
 @attrs.frozen
-class TableInForce:
+class ActiveTable:
     """The active table and its revision.
 
     Attributes:
--- a/src/hoistmoor/core/table/replay.py
+++ b/src/hoistmoor/core/table/replay.py
@@ -40,7 +40,7 @@
 
 
 @attrs.frozen
-class Skipped:
+class SkippedRecord:
     """A skipped record that an operator should inspect.
 
     Attributes:
@@ -65,19 +65,19 @@
     def __init__(self) -> None:
         self.fold: fold.TableFold | None = None
         self.skipped = 0
-        self.last_skipped: collections.deque[Skipped] = collections.deque(
-            maxlen=_MAX_RECENT_SKIPS
+        self.recent_skipped: collections.deque[SkippedRecord] = (
+            collections.deque(maxlen=_MAX_RECENT_SKIPS)
         )
         self._first = 0
         self._needs_snapshot = True
         self._buffered: list[tuple[int, object]] = []
 
     @property
-    def in_force(self) -> model.TableInForce | None:
+    def active(self) -> model.ActiveTable | None:
         """Returns the active table, or None before the first edit."""
-        if self.fold is None or self.fold.in_force.revision < 0:
+        if self.fold is None or self.fold.active.revision < 0:
             return None
-        return self.fold.in_force
+        return self.fold.active
 
     @property
     def next_offset(self) -> int:
@@ -121,7 +121,7 @@
             TableGapError: Preceding records are missing and must be read
                 first.
         """
-        record = fold.read_record(payload)
+        record = fold.decode_record(payload)
         if not self._needs_snapshot and self.fold is not None:
             return (self._apply(self.fold, offset, record),)
         self._buffered.append((offset, record))
@@ -131,7 +131,7 @@
             return ()
         return self._resume_from(record)
 
-    def offer(self, snapshot: edits.TableSnapshot) -> bool:
+    def adopt_if_newer(self, snapshot: edits.TableSnapshot) -> bool:
         """Adopts a snapshot from a peer if it is newer than the own state.
 
         Returns:
@@ -164,7 +164,7 @@
         verdict = current.apply(offset, record)
         if isinstance(verdict, fold.Ignored) and verdict.is_suspect:
             self.skipped += 1
-            self.last_skipped.append(Skipped(offset, verdict.detail))
+            self.recent_skipped.append(SkippedRecord(offset, verdict.detail))
         return verdict
 
 
@@ -172,5 +172,5 @@
     """Returns whether ``snapshot`` is ahead and reverts no accepted edit."""
     return (
         snapshot.as_of > current.as_of
-        and snapshot.revision >= current.in_force.revision
+        and snapshot.revision >= current.active.revision
     )
--- a/src/hoistmoor/core/table/sheets.py
+++ b/src/hoistmoor/core/table/sheets.py
@@ -209,7 +209,7 @@
             try:
                 values[column.name] = column.parse(cell.strip())
             except columns.CellError as error:
-                values[column.name] = column.neutral
+                values[column.name] = column.placeholder
                 self._report(sheet, line, column.name, str(error), error.remedy)
         return values
 
--- a/src/hoistmoor/core/table/snapshots.py
+++ b/src/hoistmoor/core/table/snapshots.py
@@ -57,11 +57,11 @@
         log: State of the stream.
         now: Seconds since the epoch.
     """
-    if current.in_force.revision < 0:
+    if current.active.revision < 0:
         return False
     if now - log.snapshot_at < MIN_SECONDS_BETWEEN:
         return False
-    interval = limits.value(current.in_force.table, "table_snapshot_seconds")
+    interval = limits.value(current.active.table, "table_snapshot_seconds")
     if now - log.snapshot_at >= interval:
         return True
     if current.as_of - log.snapshot_as_of >= MAX_RECORDS_BETWEEN:
@@ -76,6 +76,6 @@
     return log.snapshot_as_of - log.first < log.next - log.snapshot_as_of
 
 
-def make(current: fold.TableFold) -> bytes:
+def encode_snapshot(current: fold.TableFold) -> bytes:
     """Returns the encoded snapshot of ``current``."""
     return codec.encode(current.snapshot())
--- a/src/hoistmoor/entry/factory.py
+++ b/src/hoistmoor/entry/factory.py
@@ -290,7 +290,7 @@
     """Subscribes components to changes of the table, hosts and servers."""
     parts = entry.parts
 
-    def on_table(in_force: model.TableInForce) -> None:
+    def on_table(in_force: model.ActiveTable) -> None:
         entry.steering.on_table(in_force)
         parts.gate.on_table(in_force)
         parts.sessions.on_table(in_force)
--- a/src/hoistmoor/entry/intake.py
+++ b/src/hoistmoor/entry/intake.py
@@ -42,7 +42,7 @@
 
     account: model.Account
     headers: parsing.Headers
-    in_force: model.TableInForce
+    in_force: model.ActiveTable
     request_id: identity.RequestId
     now: float
 
--- a/src/hoistmoor/entry/limits.py
+++ b/src/hoistmoor/entry/limits.py
@@ -84,7 +84,7 @@
         clock: Callable[[], float] = time.time,
         neighbours: share_peers.Neighbours | None = None,
     ) -> None:
-        self.in_force = model.TableInForce(-1, model.Table())
+        self.in_force = model.ActiveTable(-1, model.Table())
         self.accounts = accounts.AccountLimiter(incarnation)
         self.keeper = share_keeper.ShareKeeper(
             log, incarnation, self.accounts.shares, clock, neighbours
@@ -115,7 +115,7 @@
         """Gives spend shares back, once no more requests are admitted."""
         await self.keeper.drain()
 
-    def on_table(self, in_force: model.TableInForce) -> None:
+    def on_table(self, in_force: model.ActiveTable) -> None:
         """Takes a new table in force."""
         self.in_force = in_force
         self.keeper.on_table(in_force)
--- a/src/hoistmoor/entry/load_poller.py
+++ b/src/hoistmoor/entry/load_poller.py
@@ -78,7 +78,7 @@
         self._is_owed = asyncio.Event()
         self._calls: set[asyncio.Task[None]] = set()
 
-    def on_table(self, in_force: model.TableInForce) -> None:
+    def on_table(self, in_force: model.ActiveTable) -> None:
         """Takes a new table in force."""
         old = self._table.servers
         self._table = in_force.table
--- a/src/hoistmoor/entry/readiness.py
+++ b/src/hoistmoor/entry/readiness.py
@@ -39,13 +39,13 @@
         self._freshness = freshness
         self._clock = clock
 
-    def check(self) -> model.TableInForce | refusals.Refusal:
+    def check(self) -> model.ActiveTable | refusals.Refusal:
         """Returns the table to decide by, or why there is none."""
         if self.stopping:
             return _refuse(refusals.Reason.STOPPING, "this host is stopping")
         return self.check_table()
 
-    def check_table(self) -> model.TableInForce | refusals.Refusal:
+    def check_table(self) -> model.ActiveTable | refusals.Refusal:
         """Returns the table to go on by, also while stopping, or why not."""
         in_force = self._follower.in_force
         if in_force is None:
--- a/src/hoistmoor/entry/reception.py
+++ b/src/hoistmoor/entry/reception.py
@@ -65,7 +65,7 @@
         handler.add_done_callback(self.handling.discard)
 
     async def receive(
-        self, request: request_types.Request, in_force: model.TableInForce
+        self, request: request_types.Request, in_force: model.ActiveTable
     ) -> Reply:
         """Returns what becomes of a request.
 
@@ -86,7 +86,7 @@
             await asyncio.wait(self.running | self.handling)
 
     def _open_decision(
-        self, request: request_types.Request, in_force: model.TableInForce
+        self, request: request_types.Request, in_force: model.ActiveTable
     ) -> decisions.Decision:
         shared = request.envelope
         decision = decisions.Decision(
@@ -125,7 +125,7 @@
     async def _admit(
         self,
         request: request_types.Request,
-        in_force: model.TableInForce,
+        in_force: model.ActiveTable,
         decision: decisions.Decision,
     ) -> Reply:
         if not self.parts.biller.can_secure():
@@ -155,7 +155,7 @@
     async def _begin(
         self,
         request: request_types.Request,
-        in_force: model.TableInForce,
+        in_force: model.ActiveTable,
         decision: decisions.Decision,
         admitted: limits.Admitted,
     ) -> Reply:
@@ -194,7 +194,7 @@
     def _start(
         self,
         request: request_types.Request,
-        in_force: model.TableInForce,
+        in_force: model.ActiveTable,
         decision: decisions.Decision,
         admitted: limits.Admitted,
         permit: permits.Permit,
--- a/src/hoistmoor/entry/sessions.py
+++ b/src/hoistmoor/entry/sessions.py
@@ -96,9 +96,9 @@
         self.pins = pins.PinMap(capacity)
         self.unreachable = 0
         self.hosts: tuple[rendezvous.EntryHost, ...] = ()
-        self.in_force = model.TableInForce(-1, model.Table())
+        self.in_force = model.ActiveTable(-1, model.Table())
 
-    def on_table(self, in_force: model.TableInForce) -> None:
+    def on_table(self, in_force: model.ActiveTable) -> None:
         """Takes a new table in force.
 
         Pins on withdrawn versions are kept: they are how a session's next
--- a/src/hoistmoor/entry/share_keeper.py
+++ b/src/hoistmoor/entry/share_keeper.py
@@ -69,7 +69,7 @@
         """Whether the last call to the log succeeded."""
         return self.book.log_is_up
 
-    def on_table(self, in_force: model.TableInForce) -> None:
+    def on_table(self, in_force: model.ActiveTable) -> None:
         """Takes a new table; a first share is asked for at once."""
         self.book.in_force = in_force
         self._work.set()
--- a/src/hoistmoor/entry/table_follower.py
+++ b/src/hoistmoor/entry/table_follower.py
@@ -28,7 +28,7 @@
 if TYPE_CHECKING:
     from hoistmoor.clients import log
 
-OnTable = Callable[[model.TableInForce], None]
+OnTable = Callable[[model.ActiveTable], None]
 OnVerdict = Callable[[fold.Verdict], None]
 
 _LOG = logs.PartLogger("table")
@@ -76,9 +76,9 @@
         self._changed = asyncio.Event()
 
     @property
-    def in_force(self) -> model.TableInForce | None:
+    def in_force(self) -> model.ActiveTable | None:
         """Returns the table in force, or None before there is one."""
-        return self.replay.in_force
+        return self.replay.active
 
     @property
     def revision(self) -> int:
@@ -103,7 +103,7 @@
         """
         await self._reader.step(self._pace.long_poll_timeout)
 
-    async def wait_for(self, revision: int) -> model.TableInForce:
+    async def wait_for(self, revision: int) -> model.ActiveTable:
         """Returns the table in force once it is ``revision`` or newer."""
         while self.in_force is None or self.in_force.revision < revision:
             self._changed.clear()
@@ -114,7 +114,7 @@
         """Returns this host's table for a peer; None before there is one."""
         if self.replay.fold is None or self.in_force is None:
             return None
-        return snapshots.make(self.replay.fold)
+        return snapshots.encode_snapshot(self.replay.fold)
 
     def offer(self, payload: bytes) -> bool:
         """Takes a peer's ``snapshot()`` if it is newer than this host's.
@@ -131,7 +131,7 @@
                 f"a peer offered a {type(record).__name__} as its table",
                 "Check which version the peer runs.",
             )
-        taken = self.replay.offer(record)
+        taken = self.replay.adopt_if_newer(record)
         if taken:
             self._tell()
         return taken
@@ -179,7 +179,7 @@
             _LOG.warning(
                 "Skipped table record %d: %s %s",
                 verdict.offset,
-                verdict.why,
+                verdict.reason,
                 verdict.detail,
             )
         if self._on_verdict is not None:
--- a/src/hoistmoor/entry/table_listeners.py
+++ b/src/hoistmoor/entry/table_listeners.py
@@ -21,7 +21,7 @@
         """Has ``listener`` called with each table from now on."""
         self._listeners.append(listener)
 
-    def tell(self, in_force: model.TableInForce) -> None:
+    def tell(self, in_force: model.ActiveTable) -> None:
         """Calls every listener."""
         for listener in self._listeners:
             listener(in_force)
--- a/src/hoistmoor/load/experiment/hoistmoor_policy.py
+++ b/src/hoistmoor/load/experiment/hoistmoor_policy.py
@@ -44,7 +44,7 @@
     def on_table(self, table: model.Table, revision: int) -> None:
         """Takes a newer table at each host."""
         for router in self.routers:
-            router.on_table(model.TableInForce(revision, table))
+            router.on_table(model.ActiveTable(revision, table))
 
     def on_load(self, report: messages.LoadReport, now: float) -> None:
         """Takes a load report at each host."""
--- a/src/hoistmoor/steward/duties.py
+++ b/src/hoistmoor/steward/duties.py
@@ -167,7 +167,9 @@
     if fold is None or not table_snapshots.is_due(fold, known, now):
         return known
     as_of = fold.as_of
-    await tools.client.append(streams.TABLE, table_snapshots.make(fold))
+    await tools.client.append(
+        streams.TABLE, table_snapshots.encode_snapshot(fold)
+    )
     return attrs.evolve(known, snapshot_as_of=as_of, snapshot_at=now)
 
 
--- a/src/hoistmoor/steward/feed.py
+++ b/src/hoistmoor/steward/feed.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from hoistmoor.clients import log
 
-Deliver = Callable[[model.TableInForce], None]
+Deliver = Callable[[model.ActiveTable], None]
 
 
 class SteeringFeed:
@@ -42,14 +42,14 @@
         """
         self.stream = stream_lib.StewardStream(client, self._on_view, clock)
         self._deliver = deliver
-        self._in_force: model.TableInForce | None = None
-        self._delivered: model.TableInForce | None = None
+        self._in_force: model.ActiveTable | None = None
+        self._delivered: model.ActiveTable | None = None
 
     async def run(self) -> None:
         """Follows the stream until cancelled."""
         await self.stream.run()
 
-    def on_table(self, in_force: model.TableInForce) -> None:
+    def on_table(self, in_force: model.ActiveTable) -> None:
         """Takes a new table of the operators."""
         self._in_force = in_force
         self._tell(self.stream.fold.view())
--- a/tests/core/limits/share_model.py
+++ b/tests/core/limits/share_model.py
@@ -35,9 +35,9 @@
 )
 
 
-def table_of(limit: int, revision: int = 1) -> model.TableInForce:
+def table_of(limit: int, revision: int = 1) -> model.ActiveTable:
     row = model.Account(ACCOUNT, (), limit, 10.0, 10)
-    return model.TableInForce(revision, model.Table(accounts={ACCOUNT: row}))
+    return model.ActiveTable(revision, model.Table(accounts={ACCOUNT: row}))
 
 
 class ShareMachine(stateful.RuleBasedStateMachine):
--- a/tests/core/routing/conftest.py
+++ b/tests/core/routing/conftest.py
@@ -25,7 +25,7 @@
         table: model.Table, host: str = "bangna-1", seed: int = 7
     ) -> router.Router:
         created = router.Router("bangna", seed, host)
-        created.on_table(model.TableInForce(1, table))
+        created.on_table(model.ActiveTable(1, table))
         return created
 
     return make
--- a/tests/core/routing/test_routing_golden.py
+++ b/tests/core/routing/test_routing_golden.py
@@ -116,11 +116,11 @@
         table.versions[last.version], stage=model.Stage.WITHDRAWN
     )
     edited = attrs.evolve(table, versions={**table.versions, row.key: row})
-    router.on_table(model.TableInForce(2, edited))
+    router.on_table(model.ActiveTable(2, edited))
     session.answer(query, choice, 0.2)
     session.ask(first, pin=last.version)
     session.lines.append("all grants are removed")
-    router.on_table(model.TableInForce(3, attrs.evolve(edited, grants={})))
+    router.on_table(model.ActiveTable(3, attrs.evolve(edited, grants={})))
     session.answer(query, choice, 0.2)
     session.ask(first, pin=SMALL.key)
     return session.lines
--- a/tests/core/routing/test_routing_menus.py
+++ b/tests/core/routing/test_routing_menus.py
@@ -97,7 +97,7 @@
     ]
     created = router_lib.Router("bangna", 7, "bangna-1")
     table = attrs.evolve(table, grants={row.key: row for row in grants})
-    created.on_table(model.TableInForce(1, table))
+    created.on_table(model.ActiveTable(1, table))
     return created
 
 
--- a/tests/core/routing/test_routing_router.py
+++ b/tests/core/routing/test_routing_router.py
@@ -80,7 +80,7 @@
 
 def _interleave(router: router_lib.Router, steps: list) -> None:
     table = routing_rows.table(routing_rows.DEFAULT_VERSIONS)
-    router.on_table(model.TableInForce(0, table))
+    router.on_table(model.ActiveTable(0, table))
     held: list[tuple[messages.RouteQuery, messages.Choice]] = []
     for revision, step in enumerate(steps, start=1):
         if step[0] == "ask":
@@ -95,7 +95,7 @@
         else:
             row = table.versions[step[1]]
             router.on_evidence(revision, _withdrawal(row))
-        router.on_table(model.TableInForce(revision, table))
+        router.on_table(model.ActiveTable(revision, table))
 
 
 @settings(derandomize=True, deadline=None, max_examples=150)
@@ -284,6 +284,6 @@
     assertions.assert_that(choice, matchers.IsInstance(messages.Choice))
     row = attrs.evolve(table.versions["small@v1"], prior_quality=0.7)
     edited = attrs.evolve(table, versions={**table.versions, row.key: row})
-    router.on_table(model.TableInForce(5, edited))
+    router.on_table(model.ActiveTable(5, edited))
     lifted = router.choose(named, NO_SERVERS, 0.0)
     assertions.assert_that(lifted, matchers.IsInstance(messages.Choice))
--- a/tests/core/steward/test_core_steward_steering.py
+++ b/tests/core/steward/test_core_steward_steering.py
@@ -13,7 +13,7 @@
 
 
 def steer(state: state_lib.StewardState, complete: bool = True) -> model.Table:
-    in_force = model.TableInForce(7, worlds.make_table())
+    in_force = model.ActiveTable(7, worlds.make_table())
     view = rollouts.RolloutView(state, complete)
     return steering.steer(in_force, view).table
 
--- a/tests/core/table/table_history.py
+++ b/tests/core/table/table_history.py
@@ -19,7 +19,7 @@
 from hoistmoor.core.table import snapshots
 
 
-class BrokenPromiseError(AssertionError):
+class InvariantViolationError(AssertionError):
     """An invariant of the table was violated."""
 
 
@@ -42,10 +42,10 @@
     verdict_by_offset: dict[int, fold.Verdict] = attrs.field(factory=dict)
     table_by_revision: dict[int, model.Table] = attrs.field(factory=dict)
     state_by_as_of: dict[int, bytes] = attrs.field(factory=dict)
-    judged: dict[str, int] = attrs.field(factory=dict)
+    first_offset_by_edit_id: dict[str, int] = attrs.field(factory=dict)
     changed_at: dict[sheets.RowName, list[int]] = attrs.field(factory=dict)
 
-    def see_verdict(self, verdict: fold.Verdict) -> None:
+    def record_verdict(self, verdict: fold.Verdict) -> None:
         """Checks a verdict.
 
         All hosts agree on it, only the first copy of an edit can be accepted,
@@ -53,13 +53,17 @@
         """
         known = self.verdict_by_offset.setdefault(verdict.offset, verdict)
         if known != verdict:
-            raise BrokenPromiseError(f"verdicts differ: {known} and {verdict}")
+            raise InvariantViolationError(
+                f"verdicts differ: {known} and {verdict}"
+            )
         if known is not verdict or isinstance(verdict, fold.Ignored):
             return
-        first = self.judged.setdefault(verdict.edit.edit_id, verdict.offset)
+        first = self.first_offset_by_edit_id.setdefault(
+            verdict.edit.edit_id, verdict.offset
+        )
         if isinstance(verdict, fold.Accepted):
             if first != verdict.offset:
-                raise BrokenPromiseError(
+                raise InvariantViolationError(
                     f"first processed at {first}, but {verdict}"
                 )
             self._check_accepted(verdict)
@@ -73,36 +77,40 @@
                 if offset > verdict.edit.base_revision
             ]
             if unread:
-                raise BrokenPromiseError(
+                raise InvariantViolationError(
                     f"{verdict} overwrites unread changes {unread}"
                 )
             previous.append(verdict.offset)
 
-    def see_state(self, before: int, current: fold.TableFold) -> None:
+    def record_state(self, before: int, current: fold.TableFold) -> None:
         """Checks the state of a host.
 
         The revision never decreases, the active table is valid, and all hosts
         at the same offset have the same state.
         """
-        revision = current.in_force.revision
+        revision = current.active.revision
         if revision < before:
-            raise BrokenPromiseError(
+            raise InvariantViolationError(
                 f"revision {before} was reverted to {revision}"
             )
         if revision not in self.table_by_revision:
-            faults = check.check_table(current.in_force.table)
+            faults = check.check_table(current.active.table)
             if faults:
-                raise BrokenPromiseError(
+                raise InvariantViolationError(
                     f"the active table is invalid: {faults}"
                 )
         table = self.table_by_revision.setdefault(
-            revision, current.in_force.table
+            revision, current.active.table
         )
-        if table != current.in_force.table:
-            raise BrokenPromiseError(f"tables differ at revision {revision}")
+        if table != current.active.table:
+            raise InvariantViolationError(
+                f"tables differ at revision {revision}"
+            )
         state = codec.encode(current.snapshot())
         if self.state_by_as_of.setdefault(current.as_of, state) != state:
-            raise BrokenPromiseError(f"states differ at offset {current.as_of}")
+            raise InvariantViolationError(
+                f"states differ at offset {current.as_of}"
+            )
 
 
 @attrs.define
@@ -129,13 +137,13 @@
         for offset in range(start, min(start + count, len(log.payloads))):
             payload = log.payloads[offset]
             for verdict in self.replay.feed(offset, payload):
-                self.history.see_verdict(verdict)
+                self.history.record_verdict(verdict)
             self._check_state()
         current = self.replay.fold
         if not is_starting or current is None:
             return
         if current.as_of + 1 < log.first:
-            raise BrokenPromiseError(
+            raise InvariantViolationError(
                 "started from a snapshot that the log does not continue"
             )
 
@@ -143,14 +151,14 @@
         """Receives a snapshot of the current table of another host."""
         if peer.replay.fold is None:
             return
-        offer = codec.decode(snapshots.make(peer.replay.fold))
+        offer = codec.decode(snapshots.encode_snapshot(peer.replay.fold))
         self.take(offer)
 
     def take(self, offer: edits.TableSnapshot) -> None:
-        self.replay.offer(offer)
+        self.replay.adopt_if_newer(offer)
         self._check_state()
 
     def _check_state(self) -> None:
         if self.replay.fold is not None:
-            self.history.see_state(self.revision, self.replay.fold)
-            self.revision = self.replay.fold.in_force.revision
+            self.history.record_state(self.revision, self.replay.fold)
+            self.revision = self.replay.fold.active.revision
--- a/tests/core/table/test_table_fold.py
+++ b/tests/core/table/test_table_fold.py
@@ -17,14 +17,14 @@
 
 from hoistmoor.core import codec
 from hoistmoor.core.table import check
+from hoistmoor.core.table import edit_history
 from hoistmoor.core.table import edits
 from hoistmoor.core.table import fold
-from hoistmoor.core.table import memory
 from hoistmoor.core.table import model
 from hoistmoor.core.table import sheets
 
 
-def test_a_race_has_one_winner_and_the_loser_learns_who_and_where(
+def test_conflicting_edit_is_rejected_with_author_and_offset_of_the_first(
     started: fold.TableFold,
 ) -> None:
     first = make.edit("a", 0, make.add_account("ann", 5), author="ann")
@@ -33,18 +33,18 @@
     started.apply(1, first)
     verdict = started.apply(2, second)
 
-    conflict = fold.Clash(sheets.RowName("accounts", "ann"), "ann", 1)
+    conflict = fold.Conflict(sheets.RowName("accounts", "ann"), "ann", 1)
     assertions.assert_that(
         verdict,
         matchers.Equals(
-            fold.Rejected(2, second, fold.Why.ROW_CHANGED, (conflict,))
+            fold.Rejected(2, second, fold.Reason.ROW_CHANGED, (conflict,))
         ),
     )
-    assert started.in_force.revision == 1
-    assert started.in_force.table.accounts["ann"].spend_limit == 5
+    assert started.active.revision == 1
+    assert started.active.table.accounts["ann"].spend_limit == 5
 
 
-def test_edits_of_different_rows_from_one_base_are_both_accepted(
+def test_edits_of_different_rows_with_the_same_base_are_both_accepted(
     started: fold.TableFold,
 ) -> None:
     first = started.apply(1, make.edit("a", 0, make.add_account("bo")))
@@ -52,28 +52,30 @@
 
     assert isinstance(first, fold.Accepted)
     assert isinstance(second, fold.Accepted)
-    assert set(started.in_force.table.accounts) == {"ann", "bo", "cy"}
+    assert set(started.active.table.accounts) == {"ann", "bo", "cy"}
 
 
-def test_an_edit_is_rejected_whole(started: fold.TableFold) -> None:
+def test_edits_are_atomic(started: fold.TableFold) -> None:
     started.apply(1, make.edit("a", 0, make.add_account("ann", 5)))
     both = make.edit("b", 0, make.add_account("ann", 6), make.add_account("bo"))
 
     assert isinstance(started.apply(2, both), fold.Rejected)
-    assert "bo" not in started.in_force.table.accounts
+    assert "bo" not in started.active.table.accounts
 
 
-def test_a_row_removed_meanwhile_is_a_clash(started: fold.TableFold) -> None:
+def test_edit_of_a_row_deleted_after_the_base_is_a_conflict(
+    started: fold.TableFold,
+) -> None:
     started.apply(1, make.edit("a", 0, make.add_account("bo")))
     started.apply(2, make.edit("b", 1, edits.RowDelete("accounts", "bo")))
 
     verdict = started.apply(3, make.edit("c", 1, make.add_account("bo", 9)))
 
-    assert verdict.why is fold.Why.ROW_CHANGED
-    assert verdict.clashes[0].at_revision == 2
+    assert verdict.reason is fold.Reason.ROW_CHANGED
+    assert verdict.conflicts[0].at_revision == 2
 
 
-def test_two_edits_sound_alone_and_unsound_together(
+def test_edits_that_are_valid_alone_but_invalid_together(
     started: fold.TableFold,
 ) -> None:
     grant = model.Grant("bo", "m", "1", 0.5)
@@ -84,11 +86,11 @@
         3, make.edit("c", 1, edits.RowSet("grants", grant.key, grant))
     )
 
-    assert verdict.why is fold.Why.CHECK_FAILED
+    assert verdict.reason is fold.Reason.CHECK_FAILED
     assert verdict.faults[0].column == "account"
 
 
-def test_the_second_copy_of_an_edit_changes_nothing(
+def test_second_copy_of_an_edit_is_ignored(
     started: fold.TableFold,
 ) -> None:
     # The first copy is rejected because its account is missing. The second
@@ -102,36 +104,38 @@
 
     assertions.assert_that(
         verdict,
-        matchers.Equals(fold.Ignored(3, fold.Why.REPEAT, "of the edit at 1")),
+        matchers.Equals(
+            fold.Ignored(3, fold.Reason.REPEAT, "of the edit at 1")
+        ),
     )
 
 
 @pytest.mark.parametrize(
     ("base", "changes", "why"),
     [
-        (0, (), fold.Why.EMPTY),
+        (0, (), fold.Reason.EMPTY),
         (
             0,
             (make.add_account("bo"), edits.RowDelete("accounts", "bo")),
-            fold.Why.REPEATED_ROW,
+            fold.Reason.REPEATED_ROW,
         ),
-        (1, (make.add_account("bo"),), fold.Why.BASE_IN_FUTURE),
-        (-2, (make.add_account("bo"),), fold.Why.BASE_IN_FUTURE),
+        (1, (make.add_account("bo"),), fold.Reason.BASE_IN_FUTURE),
+        (-2, (make.add_account("bo"),), fold.Reason.BASE_IN_FUTURE),
     ],
 )
-def test_edits_of_bad_form_are_rejected(
+def test_malformed_edits_are_rejected(
     started: fold.TableFold,
     base: int,
     changes: tuple[edits.Change, ...],
-    why: fold.Why,
+    why: fold.Reason,
 ) -> None:
-    assert started.apply(1, make.edit("a", base, *changes)).why is why
+    assert started.apply(1, make.edit("a", base, *changes)).reason is why
 
 
-def test_what_is_forgotten_cannot_be_needed(
+def test_edits_older_than_the_history_are_rejected_and_evicted(
     started: fold.TableFold, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(memory, "REMEMBERED_RECORDS", 3)
+    monkeypatch.setattr(edit_history, "REMEMBERED_RECORDS", 3)
     grant = model.Grant("bo", "m", "1", 0.5)
     copy = make.edit("g", 0, edits.RowSet("grants", grant.key, grant))
     started.apply(1, copy)  # Rejected: the account is missing.
@@ -139,14 +143,14 @@
     for offset in (3, 4):
         started.apply(offset, fold.Undecodable("malformed"))
 
-    assert started.apply(5, copy).why is fold.Why.BASE_TOO_OLD
+    assert started.apply(5, copy).reason is fold.Reason.BASE_TOO_OLD
     assert len(started.snapshot().recent_edits) <= 4
 
 
-def test_marks_of_removed_rows_do_not_pile_up(
+def test_changes_of_deleted_rows_are_evicted(
     started: fold.TableFold, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(memory, "REMEMBERED_RECORDS", 10)
+    monkeypatch.setattr(edit_history, "REMEMBERED_RECORDS", 10)
     for offset in range(1, 101, 2):
         name = f"a{offset}"
         started.apply(
@@ -168,18 +172,18 @@
         b'{"type":"table_edit","edit_id":"x"}',
     ],
 )
-def test_an_unreadable_record_leaves_the_table_in_force(
+def test_undecodable_record_leaves_the_table_unchanged(
     started: fold.TableFold, payload: bytes
 ) -> None:
-    before = started.in_force
+    before = started.active
 
-    verdict = started.apply(1, fold.read_record(payload))
+    verdict = started.apply(1, fold.decode_record(payload))
 
     assert verdict.is_suspect
-    assert started.in_force is before
+    assert started.active is before
 
 
-def test_a_cell_of_a_wrong_type_makes_the_record_unreadable(
+def test_cell_of_a_wrong_type_makes_the_record_undecodable(
     table: model.Table,
 ) -> None:
     payload = codec.encode(
@@ -187,34 +191,34 @@
     )
     mistyped = payload.replace(b'"idempotent":false', b'"idempotent":"no"')
     assert mistyped != payload
-    assert isinstance(fold.read_record(mistyped), fold.Undecodable)
+    assert isinstance(fold.decode_record(mistyped), fold.Undecodable)
 
 
-def test_an_edit_of_an_unknown_schema_is_skipped(
+def test_edit_of_an_unknown_schema_is_ignored(
     started: fold.TableFold,
 ) -> None:
     newer = attrs.evolve(make.edit("a", 0, make.add_account("b")), schema=99)
-    assert started.apply(1, newer).why is fold.Why.UNKNOWN_SCHEMA
+    assert started.apply(1, newer).reason is fold.Reason.UNKNOWN_SCHEMA
 
 
-def test_a_missing_record_is_an_error_and_an_old_one_is_nothing(
+def test_gap_is_an_error_and_an_applied_record_is_ignored(
     started: fold.TableFold,
 ) -> None:
     with pytest.raises(fold.TableGapError):
         started.apply(2, fold.Undecodable(""))
-    assert started.apply(0, fold.Undecodable("")).why is (
-        fold.Why.ALREADY_APPLIED
+    assert started.apply(0, fold.Undecodable("")).reason is (
+        fold.Reason.ALREADY_APPLIED
     )
 
 
-def test_a_snapshot_carries_the_whole_state(started: fold.TableFold) -> None:
+def test_snapshot_holds_the_complete_state(started: fold.TableFold) -> None:
     started.apply(1, make.edit("a", 0, make.add_account("bo")))
     payload = codec.encode(started.snapshot())
 
     resumed = fold.TableFold.from_snapshot(codec.decode(payload))
 
     assert codec.encode(resumed.snapshot()) == payload
-    assert resumed.in_force == started.in_force
+    assert resumed.active == started.active
 
 
 _NAMES = strategies.sampled_from(["ann", "bo", "cy", "di"])
@@ -269,7 +273,7 @@
 
 @settings(derandomize=True, deadline=None, max_examples=400)
 @given(strategies.data())
-def test_no_record_whatever_it_holds_breaks_the_fold(
+def test_fold_accepts_arbitrary_records_without_raising(
     data: strategies.DataObject,
 ) -> None:
     # Every host reads the same records, so one on which the fold raises would
@@ -287,15 +291,15 @@
     target = functools.reduce(lambda node, key: node[key], path[:-1], fields)
     target[path[-1]] = data.draw(_JSON)
 
-    verdict = current.apply(1, fold.read_record(orjson.dumps(fields)))
+    verdict = current.apply(1, fold.decode_record(orjson.dumps(fields)))
 
     assert verdict.offset == 1
     if isinstance(verdict, fold.Accepted):
-        assert check.check_table(current.in_force.table) == ()
+        assert check.check_table(current.active.table) == ()
     codec.decode(codec.encode(current.snapshot()))
 
 
-def test_rules_of_a_published_schema_stay(table: model.Table) -> None:
+def test_rules_of_published_schemas_are_kept(table: model.Table) -> None:
     # If the verdicts of schema 1 changed, hosts of different releases would
     # diverge.
     assert list(check.RULES) == [1]
--- a/tests/core/table/test_table_golden.py
+++ b/tests/core/table/test_table_golden.py
@@ -30,9 +30,9 @@
     for offset in range(first, len(payloads)):
         for verdict in host.feed(offset, payloads[offset]):
             lines.extend(describe.verdict(verdict))
-    assert host.in_force is not None
-    lines.append(f"\nrevision {host.in_force.revision}")
-    files = sheets.render_sheets(host.in_force.table)
+    assert host.active is not None
+    lines.append(f"\nrevision {host.active.revision}")
+    files = sheets.render_sheets(host.active.table)
     lines.extend(f"\n{name}\n{files[name].rstrip()}" for name in _SHOWN_SHEETS)
     return "\n".join(lines) + "\n"
 
@@ -41,6 +41,6 @@
     ("first", "golden"),
     [(0, "racing_edits.txt"), (6, "racing_edits_after_retention.txt")],
 )
-def test_the_session_reads_as_it_always_did(first: int, golden: str) -> None:
+def test_replay_matches_the_golden_file(first: int, golden: str) -> None:
     expected = (_FIXTURES / golden).read_text(encoding="utf-8")
     assertions.assert_that(_replay(first), matchers.Equals(expected))
--- a/tests/core/table/test_table_replay.py
+++ b/tests/core/table/test_table_replay.py
@@ -36,7 +36,7 @@
     return current.snapshot()
 
 
-def test_a_starter_folds_what_came_between_snapshot_and_end(
+def test_start_applies_the_records_between_snapshot_and_end(
     payloads: list[bytes],
 ) -> None:
     late = codec.encode(_snapshot(payloads, 4))
@@ -46,75 +46,77 @@
     assert started.problem is None
     assert started.fold is not None
     assert started.fold.as_of == 10
-    assert started.in_force == _follow(payloads).in_force
+    assert started.active == _follow(payloads).active
 
 
-def test_a_starter_without_a_usable_snapshot_says_so(
+def test_start_without_a_usable_snapshot_reports_lost_history(
     payloads: list[bytes],
 ) -> None:
     stale = codec.encode(_snapshot(payloads, 3))
 
     started = _follow([*payloads, stale], first=5)
 
-    assert started.in_force is None
+    assert started.active is None
     assert isinstance(started.problem, replay.TableHistoryLostError)
     assert started.problem.first == 5
 
 
-def test_a_peer_helps_a_starter_that_the_log_cannot(
+def test_start_from_a_peer_if_the_log_has_no_usable_snapshot(
     payloads: list[bytes],
 ) -> None:
     started = _follow(payloads, first=5)
 
-    assert started.offer(_snapshot(payloads, 6))
+    assert started.adopt_if_newer(_snapshot(payloads, 6))
 
     assert started.problem is None
-    assert started.in_force == _follow(payloads).in_force
+    assert started.active == _follow(payloads).active
 
 
-def test_a_late_snapshot_means_nothing_to_a_running_host(
+def test_running_host_ignores_a_delayed_snapshot(
     payloads: list[bytes],
 ) -> None:
     running = _follow(payloads)
-    before = running.in_force
+    before = running.active
 
     (verdict,) = running.feed(10, codec.encode(_snapshot(payloads, 2)))
 
-    assert verdict == fold.Ignored(10, fold.Why.SNAPSHOT, "as of 2")
-    assert running.in_force == before
+    assert verdict == fold.Ignored(10, fold.Reason.SNAPSHOT, "as of 2")
+    assert running.active == before
 
 
 def test_a_host_overtaken_by_retention_keeps_its_table_and_resumes(
     payloads: list[bytes],
 ) -> None:
     slow = _follow(payloads[:3])
-    before = slow.in_force
+    before = slow.active
 
     slow.begin(6)
     assert slow.problem is not None
-    assert slow.in_force == before
+    assert slow.active == before
 
     for offset in range(6, 10):
         slow.feed(offset, payloads[offset])
-    assert slow.in_force == before
+    assert slow.active == before
     slow.feed(10, codec.encode(_snapshot(payloads, 7)))
     assert slow.problem is None
-    assert slow.in_force == _follow(payloads).in_force
+    assert slow.active == _follow(payloads).active
 
 
-def test_an_offer_never_takes_anything_back(payloads: list[bytes]) -> None:
+def test_snapshot_from_a_peer_never_reverts_the_table(
+    payloads: list[bytes],
+) -> None:
     running = _follow(payloads)
-    before = running.in_force
+    before = running.active
     newer_but_reverted = attrs.evolve(
         _snapshot(payloads, 2), as_of=running.next_offset + 5
     )
 
-    assert not running.offer(_snapshot(payloads, 2))
-    assert not running.offer(newer_but_reverted)
-    assert running.in_force == before
+    assert not running.adopt_if_newer(_snapshot(payloads, 2))
+    assert not running.adopt_if_newer(newer_but_reverted)
+    assert running.active == before
 
 
-def test_a_snapshot_that_differs_from_this_hosts_table_is_suspect(
+def test_snapshot_that_differs_from_the_own_table_is_suspect(
     payloads: list[bytes],
 ) -> None:
     running = _follow(payloads)
@@ -122,17 +124,17 @@
 
     (verdict,) = running.feed(10, codec.encode(wrong))
 
-    assert verdict == fold.Ignored(10, fold.Why.SNAPSHOT_DIFFERS, "as of 9")
+    assert verdict == fold.Ignored(10, fold.Reason.SNAPSHOT_DIFFERS, "as of 9")
     assert running.skipped == 1
     (alike,) = running.feed(11, codec.encode(running.fold.snapshot()))
-    assert alike == fold.Ignored(11, fold.Why.SNAPSHOT, "as of 10")
+    assert alike == fold.Ignored(11, fold.Reason.SNAPSHOT, "as of 10")
 
 
-def test_skipped_records_are_counted_and_named(payloads: list[bytes]) -> None:
+def test_skipped_records_are_counted_and_kept(payloads: list[bytes]) -> None:
     running = _follow([*payloads, b"{", b"\xff"])
 
     assert running.skipped == 2
-    assert [item.offset for item in running.last_skipped] == [10, 11]
+    assert [item.offset for item in running.recent_skipped] == [10, 11]
 
 
 @pytest.mark.parametrize(
@@ -158,6 +160,6 @@
     assert snapshots.is_due(current, log, now) is due
 
 
-def test_no_snapshot_is_made_of_nothing() -> None:
+def test_no_snapshot_is_due_before_the_first_edit() -> None:
     log = snapshots.LogState(0, 0)
     assert not snapshots.is_due(fold.TableFold(), log, 1e9)
--- a/tests/core/table/test_table_sheets.py
+++ b/tests/core/table/test_table_sheets.py
@@ -15,7 +15,7 @@
 from hoistmoor.core.table import sheets
 
 
-def test_rendered_sheets_read_back_as_the_same_table(
+def test_rendered_sheets_round_trip(
     table: model.Table,
 ) -> None:
     result = check.check_sheets(sheets.render_sheets(table))
@@ -24,7 +24,7 @@
     assert result.table == table
 
 
-def test_every_fault_is_reported_at_once_with_its_cell_and_remedy(
+def test_all_faults_are_reported_together_with_cell_and_remedy(
     table: model.Table,
 ) -> None:
     files = sheets.render_sheets(table)
@@ -70,9 +70,7 @@
 
 
 @pytest.mark.parametrize("cell", ["nan", "inf", "-inf", "1e999"])
-def test_numbers_that_json_cannot_carry_are_faults(
-    table: model.Table, cell: str
-) -> None:
+def test_non_finite_numbers_are_faults(table: model.Table, cell: str) -> None:
     files = sheets.render_sheets(table)
     files["limits.csv"] = f"name,value\nmax_attempts,{cell}\n"
     (fault,) = check.check_sheets(files).faults
@@ -132,24 +130,24 @@
         ("limits", model.Limit("retry_ratio", 1.5), "value"),
     ],
 )
-def test_each_rule_names_its_column(
+def test_each_rule_reports_its_column(
     table: model.Table, sheet: str, row: model.Row, column: str
 ) -> None:
     (fault,) = check.check_table(_with(table, sheet, row))
     assert (fault.sheet, fault.column) == (sheet, column)
 
 
-def test_two_accounts_cannot_share_a_key(table: model.Table) -> None:
+def test_accounts_cannot_share_a_key(table: model.Table) -> None:
     table = _with(table, "accounts", _account("bo", _HASH))
     table = _with(table, "accounts", _account("cy", _HASH))
     (fault,) = check.check_table(table)
     assert (fault.row, fault.column) == ("cy", "key_hashes")
 
 
-def test_the_operators_page_lists_each_limit_as_it_is() -> None:
+def test_operators_page_lists_all_limits() -> None:
     docs = pathlib.Path(__file__).parents[3] / "docs"
     page = (docs / "operators" / "table.md").read_text(encoding="utf-8")
-    for limit in limits.KNOWN.values():
+    for limit in limits.DEFINITIONS.values():
         numbers = (limit.default, limit.minimum, limit.maximum)
         default, low, high = (f"{number:.12g}" for number in numbers)
         row = f"| `{limit.name}` | {default} | {low} to {high} | {limit.doc} |"
--- a/tests/core/table/test_table_stateful.py
+++ b/tests/core/table/test_table_stateful.py
@@ -20,9 +20,9 @@
 
 from hoistmoor.core import codec
 from hoistmoor.core.table import check
+from hoistmoor.core.table import edit_history
 from hoistmoor.core.table import edits
 from hoistmoor.core.table import fold
-from hoistmoor.core.table import memory
 from hoistmoor.core.table import model
 from hoistmoor.core.table import replay
 from hoistmoor.core.table import snapshots
@@ -155,10 +155,10 @@
 
 @pytest.fixture(autouse=True)
 def _short_history(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(memory, "REMEMBERED_RECORDS", _MAX_BASE_AGE)
+    monkeypatch.setattr(edit_history, "REMEMBERED_RECORDS", _MAX_BASE_AGE)
 
 
-def test_hosts_agree_and_nothing_reverts() -> None:
+def test_hosts_agree_and_never_revert() -> None:
     _run(300)
 
 
@@ -174,7 +174,7 @@
 def _adopt_any_snapshot(
     self: replay.TableReplay, offset: int, payload: bytes
 ) -> tuple[fold.Verdict, ...]:
-    record = fold.read_record(payload)
+    record = fold.decode_record(payload)
     if isinstance(record, edits.TableSnapshot):
         self.fold = fold.TableFold.from_snapshot(
             attrs.evolve(record, as_of=offset)
@@ -187,13 +187,15 @@
 
 MUTATIONS = {
     "conflict detection": Mutation(
-        memory.EditMemory, "newer_mark", lambda *_: None
+        edit_history.EditHistory, "newer_mark", lambda *_: None
     ),
     "deduplication of edits": Mutation(
-        memory.EditMemory, "first_copy", lambda *_: None
+        edit_history.EditHistory, "first_copy", lambda *_: None
     ),
     "validation": Mutation(check, "RULES", {1: lambda _: ()}),
-    "maximum age of a base": Mutation(memory, "is_remembered", lambda *_: True),
+    "maximum age of a base": Mutation(
+        edit_history, "is_remembered", lambda *_: True
+    ),
     "usability of snapshots": Mutation(snapshots, "is_usable", lambda *_: True),
     "running hosts ignore snapshots": Mutation(
         replay.TableReplay, "feed", _adopt_any_snapshot
@@ -205,11 +207,13 @@
 
 
 @pytest.mark.parametrize("mechanism", MUTATIONS)
-def test_the_checker_notices_a_mechanism_taken_out(
+def test_checker_detects_a_disabled_mechanism(
     monkeypatch: pytest.MonkeyPatch, mechanism: str
 ) -> None:
     mutation = MUTATIONS[mechanism]
     monkeypatch.setattr(mutation.owner, mutation.name, mutation.replacement)
 
-    with pytest.raises((table_history.BrokenPromiseError, fold.TableGapError)):
+    with pytest.raises(
+        (table_history.InvariantViolationError, fold.TableGapError)
+    ):
         _run(400)
--- a/tests/entry/limits/limits_rows.py
+++ b/tests/entry/limits/limits_rows.py
@@ -18,7 +18,7 @@
     return NOON + time.monotonic() - BEGIN + AHEAD[0]
 
 
-def table_of(**changes: float) -> model.TableInForce:
+def table_of(**changes: float) -> model.ActiveTable:
     """Returns a table with one account and a pool of two slots."""
     account = model.Account(
         ACCOUNT,
@@ -29,4 +29,4 @@
     )
     server = model.Server("e1", "llm", "127.0.0.1:1", "d1", 2, False)
     table = model.Table(accounts={ACCOUNT: account}, servers={"e1": server})
-    return model.TableInForce(1, table)
+    return model.ActiveTable(1, table)
--- a/tests/entry/limits/test_entry_limits.py
+++ b/tests/entry/limits/test_entry_limits.py
@@ -136,7 +136,7 @@
 ) -> None:
     gate.release(await admit(gate, cost=100), 100)
     cut = limits_rows.table_of(spend_limit=1_000)
-    gate.on_table(model.TableInForce(2, cut.table))
+    gate.on_table(model.ActiveTable(2, cut.table))
     spent = await spend_all([gate], 200)
     assertions.assert_that(spent, matchers.Equals(800))
 
--- a/tests/entry/sessions/session_hosts.py
+++ b/tests/entry/sessions/session_hosts.py
@@ -21,7 +21,7 @@
 
 def table_of(
     revision: int, stages: dict[str, model.Stage], **weights: float
-) -> model.TableInForce:
+) -> model.ActiveTable:
     """Returns a table with one model; versions named by their weights."""
     rows = [
         model.Version(
@@ -42,7 +42,7 @@
     table = model.Table(
         versions={row.key: row for row in rows}, grants={grant.key: grant}
     )
-    return model.TableInForce(revision, table)
+    return model.ActiveTable(revision, table)
 
 
 @attrs.define
@@ -59,7 +59,7 @@
     cut: set[str] = attrs.field(factory=set)
     yields: int = 1
 
-    def add(self, name: str, in_force: model.TableInForce) -> None:
+    def add(self, name: str, in_force: model.ActiveTable) -> None:
         """Starts a host, or a new process in place of it."""
         host = sessions.Sessions(
             name, ["secret"], clock=lambda: 1_000.0, store=self
--- a/tests/entry/test_table_follower.py
+++ b/tests/entry/test_table_follower.py
@@ -38,7 +38,7 @@
     standin: log_standin.LogStandin
     client: log_client.LogClient
     follower: table_follower.TableFollower
-    tables: list[model.TableInForce]
+    tables: list[model.ActiveTable]
     last: int = -1
 
     async def edit(self, name: str) -> int:
@@ -51,7 +51,7 @@
     async def append(self, payload: bytes) -> int:
         return await self.client.append(streams.TABLE, payload)
 
-    async def in_force(self, revision: int) -> model.TableInForce:
+    async def in_force(self, revision: int) -> model.ActiveTable:
         return await asyncio.wait_for(self.follower.wait_for(revision), _BOUND)
 
     def make_follower(self) -> table_follower.TableFollower:
@@ -69,7 +69,7 @@
         sessions.make_session() as session,
     ):
         client = log_client.LogClient(session, str(server.make_url("")))
-        tables: list[model.TableInForce] = []
+        tables: list[model.ActiveTable] = []
         follower = table_follower.TableFollower(
             client, tables.append, poll_seconds=_POLL
         )
@@ -98,7 +98,7 @@
     await bench.in_force(2)
 
     assert bench.follower.undecodable == 1
-    assert bench.follower.replay.last_skipped[0].offset == noise
+    assert bench.follower.replay.recent_skipped[0].offset == noise
     assert [told.revision for told in bench.tables] == [0, 2]
 
 
--- a/tests/entry/test_table_processes.py
+++ b/tests/entry/test_table_processes.py
@@ -63,7 +63,7 @@
 
     async def append_snapshot(self, payload: bytes = b"") -> None:
         """Appends a snapshot of this fold, or an older one."""
-        payload = payload or snapshots.make(self.fold)
+        payload = payload or snapshots.encode_snapshot(self.fold)
         offset = await self.client.append(streams.TABLE, payload)
         self.fold.apply(offset, codec.decode(payload))
 
@@ -118,7 +118,9 @@
 async def test_a_late_snapshot_reverts_no_running_and_no_starting_host(
     cluster: Cluster,
 ) -> None:
-    stale = snapshots.make(cluster.fold)  # Stands for record 0 alone.
+    stale = snapshots.encode_snapshot(
+        cluster.fold
+    )  # Stands for record 0 alone.
     await cluster.edit("second")
     await cluster.edit("third")
     await cluster.append_snapshot(stale)
--- a/tests/steward/test_steward_duties.py
+++ b/tests/steward/test_steward_duties.py
@@ -176,7 +176,7 @@
 async def test_feed_tells_of_table_and_stream() -> None:
     fake: Any = FakeLog()
     tools = await make_tools(fake)
-    told: list[model.TableInForce] = []
+    told: list[model.ActiveTable] = []
     entry = feed.SteeringFeed(fake, told.append, clock=lambda: NOW)
     in_force = tools.table.in_force
     assert in_force
