--- a/benchmarks/claim_shards.py
+++ b/benchmarks/claim_shards.py
@@ -83,7 +83,9 @@
     asyncio.run(feed_others(url, shards, theirs))
 
 
-async def serve(once: once_lib.Once, key: str, counted: list[float]) -> None:
+async def serve(
+    once: once_lib.AtMostOnceGuard, key: str, counted: list[float]
+) -> None:
     """Serves one keyed request."""
     began = time.perf_counter()
     permit = await once.begin("shop", key, "f" * 32, "r", time.time() + 5)
@@ -111,13 +113,13 @@
     first = [s for s in mine if placement.followers(s, HOSTS)[0] == host]
     async with sessions.make_session() as session:
         client = log_client.LogClient(session, f"http://127.0.0.1:{port}")
-        once = once_lib.Once(
+        once = once_lib.AtMostOnceGuard(
             client,
             identity.Incarnation(host, 7),
             HOSTS[host],
             [b"secret of the bench"],
             lambda _: True,
-            shards=shards,
+            shard_count=shards,
             live_hosts=lambda: HOSTS,
         )
         once.start()
--- a/benchmarks/once.py
+++ b/benchmarks/once.py
@@ -213,13 +213,13 @@
     for number in range(hosts):
         incarnation = identity.Incarnation(f"entry-{number}", 7)
         onces.append(
-            once_lib.Once(
+            once_lib.AtMostOnceGuard(
                 log,
                 incarnation,
                 str(number),
                 [b"s"],
                 lambda _: True,
-                shards=shards,
+                shard_count=shards,
                 live_hosts=lambda: addresses,
             )
         )
@@ -263,7 +263,7 @@
 
 
 async def _begin(
-    once: once_lib.Once, serial: int, forwarded: bool = False
+    once: once_lib.AtMostOnceGuard, serial: int, forwarded: bool = False
 ) -> permits.BeginResult:
     return await once.begin(
         "shop",
@@ -300,7 +300,7 @@
     port = runner.addresses[0][1]
     async with aiohttp.ClientSession() as session:
         log = log_client.LogClient(session, f"http://127.0.0.1:{port}")
-        once = once_lib.Once(
+        once = once_lib.AtMostOnceGuard(
             log,
             identity.Incarnation("entry-1", 7),
             "a:1",
@@ -333,7 +333,7 @@
         )
 
 
-def _key(once: once_lib.Once, kind: str, serial: int) -> str | None:
+def _key(once: once_lib.AtMostOnceGuard, kind: str, serial: int) -> str | None:
     if kind == "ticket":
         return once.issue_ticket("shop")
     return f"k{serial}" if kind == "claim" else None
--- a/src/hoistmoor/entry/application.py
+++ b/src/hoistmoor/entry/application.py
@@ -63,7 +63,9 @@
         _raise_first_failure(tasks)
         await _stop_gracefully(entry, settings.stop_timeout)
         tls = entry.auth.tls.callers if entry.auth.tls else None
-        await entry.closing.close(runner, site, listeners.callers, tls)
+        await entry.connection_drainer.close(
+            runner, site, listeners.callers, tls
+        )
     finally:
         for task in tasks:
             task.cancel()
--- a/src/hoistmoor/entry/attempt_reports.py
+++ b/src/hoistmoor/entry/attempt_reporter.py
@@ -19,7 +19,7 @@
 _MS_PER_SECOND = 1000.0
 
 
-class AttemptReports:
+class AttemptReporter:
     """Reports each attempt of one request exactly once."""
 
     def __init__(
@@ -31,7 +31,7 @@
         self._started = 0.0
         self._submitted: list[routing.Choice] = []
 
-    def start(self, choice: routing.Choice, now: float) -> None:
+    def record_start(self, choice: routing.Choice, now: float) -> None:
         """Reports that an attempt is sent to the chosen backend server.
 
         Args:
@@ -44,18 +44,18 @@
         self._parts.poller.on_dispatch(choice.server)
         self._parts.metrics.count("attempt.sent")
 
-    def end(self, facts: messages.ResponseMetadata) -> None:
+    def record_success(self, metadata: messages.ResponseMetadata) -> None:
         """Reports that the complete response was received."""
-        self._finish(ok=True, facts=facts)
+        self._finish(ok=True, metadata=metadata)
 
-    def fail(self, state: outcomes.ExchangeState) -> None:
+    def record_failure(self, state: outcomes.ExchangeState) -> None:
         """Reports that the attempt ended without a complete response."""
         declined = state is outcomes.ExchangeState.DECLINED
         if declined and self._running is not None:
             self._parts.poller.on_declined(self._running.server)
         self._finish(ok=False, declined=declined)
 
-    def cancel(self) -> None:
+    def record_cancellation(self) -> None:
         """Reports that this host cancelled the attempt."""
         self._finish(ok=False, cancelled=True)
 
@@ -65,7 +65,7 @@
         ok: bool,
         declined: bool = False,
         cancelled: bool = False,
-        facts: messages.ResponseMetadata | None = None,
+        metadata: messages.ResponseMetadata | None = None,
     ) -> None:
         choice = self._running
         if choice is None:
@@ -75,7 +75,7 @@
         result = routes.make_attempt_result(
             self._request,
             choice,
-            facts,
+            metadata,
             ok=ok,
             declined=declined,
             cancelled=cancelled,
@@ -88,10 +88,10 @@
             "attempt.time", result.seconds * _MS_PER_SECOND
         )
 
-    def hand_in(
+    def submit_for_rating(
         self,
         choice: routing.Choice,
-        facts: messages.ResponseMetadata,
+        metadata: messages.ResponseMetadata,
         frames: list[bytes],
     ) -> None:
         """Submits the response to a chat request for rating, at most once.
@@ -112,7 +112,7 @@
         model_name, _, version = choice.version.partition("@")
         tag = quality_estimates.make_answer_id(
             f"{request.envelope.request_id}.{len(self._submitted):x}",
-            facts.confidence,
+            metadata.confidence,
             choice.escalated,
         )
         self._parts.ratings.add(
--- a/src/hoistmoor/entry/attempts.py
+++ b/src/hoistmoor/entry/attempts.py
@@ -42,7 +42,7 @@
         self,
         session: aiohttp.ClientSession,
         attempt_id: identity.AttemptId,
-        call: wire.BackendRequest,
+        backend_request: wire.BackendRequest,
         timeout: float,
         channel: channel_lib.Channel,
         inbox: Inbox,
@@ -58,7 +58,7 @@
             inbox: Receives the events.
         """
         self.attempt_id = attempt_id
-        self._call = call
+        self._backend_request = backend_request
         self._channel = channel
         self._inbox = inbox
         self._status = _OK
@@ -67,7 +67,11 @@
         self._exchange = exchange_lib.Exchange(
             session,
             exchange_lib.BackendRequest(
-                call.method, call.url, str(attempt_id), call.headers, call.body
+                backend_request.method,
+                backend_request.url,
+                str(attempt_id),
+                backend_request.headers,
+                backend_request.body,
             ),
             exchange_lib.Timeouts(total=timeout + _DEADLINE_GRACE_SECONDS),
         )
@@ -79,7 +83,7 @@
         return self._exchange.state
 
     @property
-    def dropped(self) -> int:
+    def dropped_frames(self) -> int:
         """How many frames were dropped for belonging to another attempt."""
         return self._exchange.dropped
 
@@ -118,11 +122,11 @@
     async def _(self, part: exchange_lib.Frame) -> None:
         if self._is_engine_error:
             return
-        if self._call.is_streaming:
+        if self._backend_request.is_streaming:
             if chunks.event_payload(part.data) == chunks.DONE:
                 return
             self._chunks.read(part.data)
-        await self._channel.take_credit()
+        await self._channel.acquire_credit()
         self._inbox.post(messages.FrameReceived(self.attempt_id, part.data))
 
     @_on_part.register
@@ -137,23 +141,23 @@
                 f"the engine answered {self._status}",
             )
             return
-        if self._call.is_streaming and not self._chunks.is_complete:
+        if self._backend_request.is_streaming and not self._chunks.is_complete:
             self._fail(
                 outcomes.ExchangeState.ANSWERING,
                 "the engine's stream ended without a finish reason",
             )
             return
         self._inbox.post(
-            messages.ResponseCompleted(self.attempt_id, self._facts)
+            messages.ResponseCompleted(self.attempt_id, self._metadata)
         )
 
     @property
     def _is_engine_error(self) -> bool:
-        return self._call.is_streaming and self._status != _OK
+        return self._backend_request.is_streaming and self._status != _OK
 
     @property
-    def _facts(self) -> messages.ResponseMetadata:
-        if self._call.is_streaming:
+    def _metadata(self) -> messages.ResponseMetadata:
+        if self._backend_request.is_streaming:
             return self._chunks.metadata
         return messages.ResponseMetadata(self._status, self._content_type)
 
--- a/src/hoistmoor/entry/bill_holders.py
+++ b/src/hoistmoor/entry/bill_holders.py
@@ -97,7 +97,7 @@
                     "cannot hold bills at %s. %s", holder.incarnation, error
                 )
                 # The peer may hold the batch if only its reply was lost.
-                self.release_later(holder.incarnation, batch_id)
+                self.schedule_release(holder.incarnation, batch_id)
                 continue
             return holder.incarnation
         return None
@@ -119,7 +119,7 @@
             return True
         return False
 
-    def release_later(
+    def schedule_release(
         self, holder: identity.Incarnation, batch_id: str
     ) -> None:
         """Records that a peer no longer needs to hold a batch."""
@@ -140,7 +140,7 @@
                 continue  # Retried after the next append.
             del self._releases[incarnation]
 
-    def forget_gone(self) -> None:
+    def discard_ended_peers(self) -> None:
         """Discards the recorded releases of peers that have ended."""
         for holder in tuple(self._releases):
             if not self._peers.is_alive(holder):
--- a/src/hoistmoor/entry/biller.py
+++ b/src/hoistmoor/entry/biller.py
@@ -65,12 +65,14 @@
             metrics: Receives the counters.
             clock: Returns monotonic time in seconds, for back-off only.
         """
-        self.book = book_lib.PendingBills(incarnation)
+        self.pending_bills = book_lib.PendingBills(incarnation)
         self._log = log
         self._peers = peers or bill_holders.NoPeers()
-        self.for_peers = peer_batches.PeerBatches(log, self._peers.is_alive)
-        self.hold_bills = self.for_peers.hold
-        self.release_bills = self.for_peers.release
+        self.held_for_peers = peer_batches.PeerBatches(
+            log, self._peers.is_alive
+        )
+        self.hold_bills = self.held_for_peers.hold
+        self.release_bills = self.held_for_peers.release
         self._metrics = metrics or metrics_lib.Metrics()
         self._clock = clock
         self._log_available = True
@@ -99,7 +101,7 @@
 
     def can_secure(self) -> bool:
         """Returns whether the bill of a new request could be secured."""
-        if self.book.is_full:
+        if self.pending_bills.is_full:
             return False
         return self._log_available or self._can_hold()
 
@@ -110,13 +112,13 @@
             BillUnsecuredError: Neither succeeded in time. The bill stays in
                 memory and is retried until it is on the log.
         """
-        self.book.add(bill)
+        self.pending_bills.add(bill)
         self._hold_requested.set()
         self._append_requested.set()
         try:
             async with asyncio.timeout(SECURE_TIMEOUT_SECONDS), self._changed:
                 await self._changed.wait_for(
-                    lambda: self.book.is_secured(bill.request_id)
+                    lambda: self.pending_bills.is_secured(bill.request_id)
                 )
         except TimeoutError as error:
             raise BillUnsecuredError(
@@ -146,10 +148,10 @@
         except TimeoutError:
             _log.error(
                 "%d bills are neither on the log nor at a peer",
-                self.book.unsecured_count,
+                self.pending_bills.unsecured_count,
             )
-        await self.for_peers.pass_on(self.hand_over)
-        return self.book.unsecured_count
+        await self.held_for_peers.pass_on(self.hand_over)
+        return self.pending_bills.unsecured_count
 
     async def hand_over(self, batch: held_lib.Batch) -> bool:
         """Asks a peer to append a batch after its owner has stopped.
@@ -167,9 +169,11 @@
         return bool(self._peers.holders())
 
     def _is_handed_over(self) -> bool:
-        if not self.book:
+        if not self.pending_bills:
             return True
-        return not self._log_available and not self.book.unsecured_count
+        return (
+            not self._log_available and not self.pending_bills.unsecured_count
+        )
 
     async def _notify(self) -> None:
         async with self._changed:
@@ -180,7 +184,7 @@
             await self._hold_requested.wait()
             # Bills added during the call go into the next batch.
             self._hold_requested.clear()
-            batch = self.book.next_batch_to_hold()
+            batch = self.pending_bills.next_batch_to_hold()
             if batch is None:
                 continue
             if await self._hold(batch):
@@ -189,15 +193,15 @@
                 self._hold_failed_until = self._clock() + _RETRY_SECONDS
                 self._urgent.set()
                 await asyncio.sleep(_RETRY_SECONDS)
-            if self.book.unsecured_count:
+            if self.pending_bills.unsecured_count:
                 self._hold_requested.set()
 
     async def _hold(self, batch: bills.BillBatch) -> bool:
         holder = await self._holders.hold(batch.batch_id, codec.encode(batch))
         if holder is None:
             return False
-        if not self.book.record_held(batch, holder):
-            self._holders.release_later(holder, batch.batch_id)
+        if not self.pending_bills.record_held(batch, holder):
+            self._holders.schedule_release(holder, batch.batch_id)
         self._metrics.count("bill.held", len(batch.bills))
         return True
 
@@ -208,7 +212,7 @@
                 await self._linger()
             self._append_requested.clear()
             await self._append_next()
-            if self.book:
+            if self.pending_bills:
                 self._append_requested.set()
 
     async def _linger(self) -> None:
@@ -228,7 +232,7 @@
                 await self._urgent.wait()
 
     async def _append_next(self) -> None:
-        batch = self.book.next_batch_to_append()
+        batch = self.pending_bills.next_batch_to_append()
         try:
             if batch is None:
                 # Nothing to append: only check whether the log is available.
@@ -242,8 +246,8 @@
         if batch is None:
             return
         self._metrics.count("bill.written", len(batch.bills))
-        for hold in self.book.record_appended(batch):
-            self._holders.release_later(hold.holder, hold.batch_id)
+        for hold in self.pending_bills.record_appended(batch):
+            self._holders.schedule_release(hold.holder, hold.batch_id)
         await self._notify()
         await self._holders.release()
 
@@ -258,9 +262,9 @@
     async def _check_loop(self) -> None:
         while True:
             await asyncio.sleep(_CHECK_SECONDS)
-            for holder in self.book.holders:
+            for holder in self.pending_bills.holders:
                 if not self._peers.is_alive(holder):
-                    self.book.record_holder_failed(holder)
+                    self.pending_bills.record_holder_failed(holder)
                     self._hold_requested.set()
-            self._holders.forget_gone()
-            await self.for_peers.append_orphans()
+            self._holders.discard_ended_peers()
+            await self.held_for_peers.append_orphans()
--- a/src/hoistmoor/entry/channel.py
+++ b/src/hoistmoor/entry/channel.py
@@ -11,7 +11,7 @@
 
 
 @attrs.frozen
-class Piece:
+class Frame:
     """A frame of the response.
 
     Attributes:
@@ -22,14 +22,14 @@
 
 
 @attrs.frozen
-class Whole:
+class Completed:
     """The response is complete: send the end marker.
 
     Attributes:
         facts: Metadata of the response.
     """
 
-    facts: messages.ResponseMetadata
+    metadata: messages.ResponseMetadata
 
 
 @attrs.frozen
@@ -42,10 +42,10 @@
     """
 
     refusal: refusals.Refusal
-    began: bool
+    response_started: bool
 
 
-Item = Piece | Whole | Refused
+Item = Frame | Completed | Refused
 
 # Frames read from a backend server ahead of the caller.
 MAX_BUFFERED_FRAMES = 64
@@ -63,11 +63,11 @@
         self._items: asyncio.Queue[Item] = asyncio.Queue()
         self._credits = asyncio.Semaphore(MAX_BUFFERED_FRAMES)
 
-    async def take_credit(self) -> None:
+    async def acquire_credit(self) -> None:
         """Waits until another frame may be read."""
         await self._credits.acquire()
 
-    def give_credit(self) -> None:
+    def release_credit(self) -> None:
         """Allows another frame to be read."""
         self._credits.release()
 
--- a/src/hoistmoor/entry/claim_reader.py
+++ b/src/hoistmoor/entry/claim_reader.py
@@ -95,7 +95,7 @@
         """
         await self._reader.catch_up(timeout)
 
-    async def fetch_answer(
+    async def fetch_response(
         self, wanted: messages.ReadAnswer
     ) -> permits.BeginResult:
         """Returns a response stored on the log, or the refusal instead."""
--- a/src/hoistmoor/entry/claim_shards.py
+++ b/src/hoistmoor/entry/claim_shards.py
@@ -32,7 +32,7 @@
         self,
         make_claims: Callable[[str], claims_lib.Claims],
         host: str,
-        shards: int = 1,
+        shard_count: int = 1,
         live_hosts: Callable[[], Mapping[str, str]] = dict,
     ) -> None:
         """Creates the shards; ``start`` begins to follow some of them.
@@ -43,7 +43,7 @@
             shards: The number of shards; the same at every host.
             live_hosts: Returns the ``ip:port`` of each live host by its name.
         """
-        self.shards = shards
+        self.shard_count = shard_count
         self.followed: dict[int, claims_lib.Claims] = {}
         self._make_claims = make_claims
         self._host = host
@@ -52,7 +52,7 @@
 
     def start(self) -> None:
         """Starts to follow the shards that are placed on this host."""
-        if self.shards == 1:
+        if self.shard_count == 1:
             self._follow(0)
             return
         self._tasks.start(self._placement_loop(), "placement of shards")
@@ -102,7 +102,7 @@
 
     def _shard_of(self, account: str, key: str) -> int:
         digest = records.key_digest(account, key)
-        return placement.shard_of(digest, self.shards)
+        return placement.shard_of(digest, self.shard_count)
 
     def _other_follower(self, shard: int) -> str:
         """Returns the address of another host that follows a shard."""
@@ -115,7 +115,7 @@
     def _follow(self, shard: int) -> claims_lib.Claims:
         claims = self.followed.get(shard)
         if claims is None:
-            stream = placement.stream_of(shard, self.shards)
+            stream = placement.stream_of(shard, self.shard_count)
             claims = self.followed[shard] = self._make_claims(stream)
             claims.start()
             self._tasks.start(claims.watch(), f"watch of {stream}")
@@ -143,7 +143,7 @@
         tasks after each shard.
         """
         found = set()
-        for shard in range(self.shards):
+        for shard in range(self.shard_count):
             if self._host in placement.followers(shard, hosts):
                 found.add(shard)
             await asyncio.sleep(0)
--- a/src/hoistmoor/entry/claims.py
+++ b/src/hoistmoor/entry/claims.py
@@ -168,7 +168,7 @@
         while True:
             result = await self._evaluate(request)
             if isinstance(result, messages.ReadAnswer):
-                return await self._reader.fetch_answer(result)
+                return await self._reader.fetch_response(result)
             if not isinstance(result, messages.Wait):
                 return result
             running = self.claimant.is_running(result)
--- a/src/hoistmoor/entry/closing.py
+++ b/src/hoistmoor/entry/connection_drainer.py
@@ -25,7 +25,7 @@
 _POLL_SECONDS = 0.02
 
 
-class Closing:
+class ConnectionDrainer:
     """Closes callers' connections during a graceful stop."""
 
     def __init__(self, readiness: readiness_lib.Readiness) -> None:
--- a/src/hoistmoor/entry/delivery.py
+++ b/src/hoistmoor/entry/delivery.py
@@ -80,21 +80,21 @@
         raise NotImplementedError(type(item))
 
     @_on_item.register
-    async def _(self, item: channel_lib.Piece) -> None:
+    async def _(self, item: channel_lib.Frame) -> None:
         if self._streams:
             await self._write(item.data)
         else:
             self._frames.append(item.data)
-        self._task.channel.give_credit()
+        self._task.channel.release_credit()
 
     @_on_item.register
-    async def _(self, item: channel_lib.Whole) -> None:
+    async def _(self, item: channel_lib.Completed) -> None:
         self._ended = True
         if self._streams:
             await self._write(chunks.encode_event(chunks.DONE))
             await self._finish_stream()
             return
-        await self._send_complete(item.facts)
+        await self._send_complete(item.metadata)
 
     @_on_item.register
     async def _(self, item: channel_lib.Refused) -> None:
@@ -122,14 +122,14 @@
         assert self._response is not None
         await self._response.write_eof()
 
-    async def _send_complete(self, facts: messages.ResponseMetadata) -> None:
+    async def _send_complete(self, metadata: messages.ResponseMetadata) -> None:
         headers = await self._response_headers()
         body, content_type = chunks.assemble_response(
-            self._request, self._task.machine.decision, self._frames, facts
+            self._request, self._task.machine.decision, self._frames, metadata
         )
         headers["Content-Type"] = content_type or wire.JSON
         self._response = web.Response(
-            body=body, status=facts.status, headers=headers
+            body=body, status=metadata.status, headers=headers
         )
 
     async def _response_headers(self) -> dict[str, str]:
--- a/src/hoistmoor/entry/explanations.py
+++ b/src/hoistmoor/entry/explanations.py
@@ -33,7 +33,7 @@
             self._unknown_callers.decisions_by_id
         )
 
-    def keep(self, decision: decisions.Decision) -> None:
+    def add(self, decision: decisions.Decision) -> None:
         """Stores a decision, which may still be open and change later."""
         target = (
             self._known_callers if decision.account else self._unknown_callers
--- a/src/hoistmoor/entry/factory.py
+++ b/src/hoistmoor/entry/factory.py
@@ -17,9 +17,8 @@
 from hoistmoor.core.membership import view
 from hoistmoor.core.routing import router as router_lib
 from hoistmoor.entry import admin
-from hoistmoor.entry import answers_out
 from hoistmoor.entry import biller as biller_lib
-from hoistmoor.entry import closing as closing_lib
+from hoistmoor.entry import connection_drainer as closing_lib
 from hoistmoor.entry import decision_log as decision_log_lib
 from hoistmoor.entry import evidence_task
 from hoistmoor.entry import explanations as explanations_lib
@@ -35,6 +34,7 @@
 from hoistmoor.entry import parts as parts_lib
 from hoistmoor.entry import peer_auth
 from hoistmoor.entry import pin_store
+from hoistmoor.entry import rating_queue
 from hoistmoor.entry import readiness as readiness_lib
 from hoistmoor.entry import reception as reception_lib
 from hoistmoor.entry import sessions
@@ -81,7 +81,7 @@
     reception: reception_lib.Reception
     evidence: evidence_task.EvidenceTask
     steering: feed.SteeringFeed
-    closing: closing_lib.Closing
+    connection_drainer: closing_lib.ConnectionDrainer
     web: web.Application
     peers: peer_server.PeerServer
     auth: peer_auth.PeerAuth
@@ -143,7 +143,7 @@
                 self._settings.operator_hashes, self._metrics
             ),
         )
-        closing = closing_lib.Closing(readiness)
+        closing = closing_lib.ConnectionDrainer(readiness)
         callers = self._make_web(parts, readiness, reception, operators)
         callers.on_response_prepare.append(closing.on_prepare)
         entry = Entry(
@@ -156,7 +156,7 @@
             steering=feed.SteeringFeed(
                 self._log, parts.router.on_table, self._clock
             ),
-            closing=closing,
+            connection_drainer=closing,
             web=callers,
             peers=_make_peers(parts, members, operators, self._auth),
             auth=self._auth,
@@ -212,7 +212,7 @@
             gate=limits.Gate(
                 self._log, self._incarnation, self._clock, neighbours
             ),
-            once=once_lib.Once(
+            once=once_lib.AtMostOnceGuard(
                 self._log,
                 self._incarnation,
                 self._address,
@@ -235,7 +235,7 @@
             decision_log=decision_log_lib.DecisionLog(
                 self._log, self._incarnation, neighbours.host_count
             ),
-            ratings=answers_out.AnswersOut(rating_client),
+            ratings=rating_queue.RatingQueue(rating_client),
             metrics=self._metrics,
             http=self._backend_session,
             readiness=readiness,
@@ -253,7 +253,7 @@
             self._session, self._settings.host, self._auth.link
         )
         callers = handlers.CallerHandlers(parts, intake, reception, forwarder)
-        application = web.Application(middlewares=[handlers.guard])
+        application = web.Application(middlewares=[handlers.error_middleware])
         callers.add_routes(application)
         operators.add_routes(application)
         return application
--- a/src/hoistmoor/entry/forwarding.py
+++ b/src/hoistmoor/entry/forwarding.py
@@ -39,7 +39,7 @@
         self,
         http: web.Request,
         body: bytes,
-        shared: request_types.Envelope,
+        envelope: request_types.Envelope,
         target: permits.ForwardTo,
         now: float,
     ) -> web.StreamResponse:
@@ -59,7 +59,7 @@
         }
         headers[parsing.FORWARDED_HEADER] = self._host
         timeout = aiohttp.ClientTimeout(
-            total=max(0.1, shared.deadline - now), connect=1.0
+            total=max(0.1, envelope.deadline - now), connect=1.0
         )
         url = self._link.url(target.address, http.path_qs)
         try:
@@ -74,7 +74,7 @@
                 return await _relay_response(http, peer_response)
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             return responses.refusal_response(
-                _failure_refusal(error), str(shared.request_id)
+                _failure_refusal(error), str(envelope.request_id)
             )
 
 
--- a/src/hoistmoor/entry/gossip_calls.py
+++ b/src/hoistmoor/entry/gossip_client.py
@@ -15,7 +15,7 @@
     from hoistmoor.peers import client
 
 
-class GossipCalls:
+class GossipClient:
     """Calls peers and returns the results as membership messages."""
 
     def __init__(
--- a/src/hoistmoor/entry/handlers.py
+++ b/src/hoistmoor/entry/handlers.py
@@ -162,7 +162,7 @@
 
 
 @web.middleware
-async def guard(
+async def error_middleware(
     request: web.Request,
     handler: Callable[[web.Request], Awaitable[web.StreamResponse]],
 ) -> web.StreamResponse:
--- a/src/hoistmoor/entry/host_list.py
+++ b/src/hoistmoor/entry/host_list_reader.py
@@ -25,7 +25,7 @@
 FindPeer = Callable[[hosts_client.ListedHost], Awaitable[str]]
 
 
-class HostList:
+class HostListReader:
     """Converts the platform's host list to membership messages.
 
     Attributes:
@@ -36,12 +36,12 @@
         self,
         fetch_hosts: FetchHosts,
         find_peer: FindPeer,
-        order: shuffling.Shuffler,
+        shuffler: shuffling.Shuffler,
     ) -> None:
-        self.pause = MIN_INTERVAL_SECONDS
+        self.poll_interval = MIN_INTERVAL_SECONDS
         self._fetch_hosts = fetch_hosts
         self._find_peer = find_peer
-        self._shuffler = order
+        self._shuffler = shuffler
 
     async def read(
         self, is_known: Callable[[str], bool]
@@ -57,7 +57,9 @@
         except errors.HoistmoorError as error:
             _LOG.warning("Cannot read the host list: %s", error)
             return None
-        self.pause = max(MIN_INTERVAL_SECONDS, len(listed) / ROWS_PER_SECOND)
+        self.poll_interval = max(
+            MIN_INTERVAL_SECONDS, len(listed) / ROWS_PER_SECOND
+        )
         entries = {
             host.name: host
             for host in listed
--- a/src/hoistmoor/entry/membership.py
+++ b/src/hoistmoor/entry/membership.py
@@ -18,8 +18,8 @@
 from hoistmoor.core.membership import shuffling
 from hoistmoor.core.membership import timing as timing_lib
 from hoistmoor.core.membership import view
-from hoistmoor.entry import gossip_calls
-from hoistmoor.entry import host_list
+from hoistmoor.entry import gossip_client
+from hoistmoor.entry import host_list_reader
 from hoistmoor.entry import membership_listeners
 from hoistmoor.peers import client as peers_client
 from hoistmoor.peers import digest_codec
@@ -61,8 +61,8 @@
     def __init__(
         self,
         own: view.HostView,
-        fetch_hosts: host_list.FetchHosts,
-        find_peer: host_list.FindPeer,
+        fetch_hosts: host_list_reader.FetchHosts,
+        find_peer: host_list_reader.FindPeer,
         table: Table,
         *,
         clients: peers_client.PeerClients | None = None,
@@ -87,10 +87,10 @@
         self._clock = clock
         self._table = table
         self._draws = shuffling.Shuffler(own.incarnation)
-        self._host_list = host_list.HostList(
+        self._host_list = host_list_reader.HostListReader(
             fetch_hosts, find_peer, self._draws
         )
-        self._calls = gossip_calls.GossipCalls(self.clients, clock)
+        self._calls = gossip_client.GossipClient(self.clients, clock)
         self._machine = machine.Membership(
             own, own.incarnation, clock(), timing
         )
@@ -228,7 +228,7 @@
             )
             if listed is not None:
                 self._handle(listed)
-            await asyncio.sleep(self._host_list.pause)
+            await asyncio.sleep(self._host_list.poll_interval)
 
     # Effects.
 
--- a/src/hoistmoor/entry/once.py
+++ b/src/hoistmoor/entry/once.py
@@ -24,7 +24,7 @@
     from hoistmoor.entry import log_port
 
 
-class Once:
+class AtMostOnceGuard:
     """Ensures that each request runs at most once.
 
     Attributes:
@@ -43,7 +43,7 @@
         clock: Callable[[], float] = time.time,
         window: float = view.DEFAULT_WINDOW_SECONDS,
         eldest: Callable[[], str] = lambda: "",
-        shards: int = 1,
+        shard_count: int = 1,
         live_hosts: Callable[[], Mapping[str, str]] = dict,
     ) -> None:
         """Creates the check; ``start`` starts its tasks.
@@ -84,7 +84,7 @@
                 itertools.count(1),
             ),
             incarnation.host,
-            shards,
+            shard_count,
             live_hosts,
         )
         self.tickets = tickets.Tickets(
--- a/src/hoistmoor/entry/parts.py
+++ b/src/hoistmoor/entry/parts.py
@@ -8,13 +8,13 @@
 import attrs
 
 from hoistmoor.core.routing import router as router_lib
-from hoistmoor.entry import answers_out
 from hoistmoor.entry import biller as biller_lib
 from hoistmoor.entry import decision_log as decision_log_lib
 from hoistmoor.entry import explanations as explanations_lib
 from hoistmoor.entry import limits
 from hoistmoor.entry import load_poller
 from hoistmoor.entry import once as once_lib
+from hoistmoor.entry import rating_queue
 from hoistmoor.entry import readiness as readiness_lib
 from hoistmoor.entry import sessions as sessions_lib
 from hoistmoor.utils import metrics as metrics_lib
@@ -44,12 +44,12 @@
     router: router_lib.Router
     poller: load_poller.LoadPoller
     gate: limits.Gate
-    once: once_lib.Once
+    once: once_lib.AtMostOnceGuard
     biller: biller_lib.Biller
     sessions: sessions_lib.Sessions
     explanations: explanations_lib.Explanations
     decision_log: decision_log_lib.DecisionLog
-    ratings: answers_out.AnswersOut
+    ratings: rating_queue.RatingQueue
     metrics: metrics_lib.Metrics
     http: aiohttp.ClientSession
     readiness: readiness_lib.Readiness
--- a/src/hoistmoor/entry/answers_out.py
+++ b/src/hoistmoor/entry/rating_queue.py
@@ -19,7 +19,7 @@
 _LOG = logs.PartLogger("ratings")
 
 
-class AnswersOut:
+class RatingQueue:
     """A bounded queue of responses that is submitted in batches.
 
     Losing some of them is harmless.
--- a/src/hoistmoor/entry/reception.py
+++ b/src/hoistmoor/entry/reception.py
@@ -97,7 +97,7 @@
             arrived=shared.arrived,
             revision=in_force.revision,
         )
-        self.parts.explanations.keep(decision)
+        self.parts.explanations.add(decision)
         return decision
 
     def _close_decision(
@@ -119,7 +119,7 @@
             refusal: What the caller is told.
         """
         decision.arrived = self.parts.clock()
-        self.parts.explanations.keep(decision)
+        self.parts.explanations.add(decision)
         self._close_decision(decision, refusal)
 
     async def _admit(
--- a/src/hoistmoor/entry/request_task.py
+++ b/src/hoistmoor/entry/request_task.py
@@ -20,7 +20,7 @@
 from hoistmoor.core.requests import routes
 from hoistmoor.core.requests import wire
 from hoistmoor.core.routing import messages as routing
-from hoistmoor.entry import attempt_reports
+from hoistmoor.entry import attempt_reporter
 from hoistmoor.entry import attempts
 from hoistmoor.entry import biller as biller_lib
 from hoistmoor.entry import channel as channel_lib
@@ -72,7 +72,7 @@
         self._admitted = admitted
         self._inbox: asyncio.Queue[messages.Event] = asyncio.Queue()
         self._attempt: attempts.Attempt | None = None
-        self._reports = attempt_reports.AttemptReports(parts, machine.request)
+        self._reports = attempt_reporter.AttemptReporter(parts, machine.request)
         self._forwarded: list[bytes] = []
         self._answer: messages.ResponseMetadata | None = None
         self._background: set[asyncio.Task[None]] = set()
@@ -133,7 +133,7 @@
         if self.machine.late_frames > late_before:
             self._parts.metrics.count("attempt.late_frame")
         if not effects:
-            self.channel.give_credit()
+            self.channel.release_credit()
 
     @property
     def _id(self) -> str:
@@ -161,11 +161,11 @@
     @_note.register
     def _(self, event: messages.ResponseCompleted) -> None:
         self._answer = event.metadata
-        self._reports.end(event.metadata)
+        self._reports.record_success(event.metadata)
 
     @_note.register
     def _(self, event: messages.AttemptFailed) -> None:
-        self._reports.fail(event.state)
+        self._reports.record_failure(event.state)
 
     # Effects.
 
@@ -231,7 +231,7 @@
             self.channel,
             self,
         )
-        self._reports.start(choice, now)
+        self._reports.record_start(choice, now)
         self._attempt.start()
 
     @_do.register
@@ -239,17 +239,17 @@
         if self._attempt is None:
             return
         self._attempt.cancel()
-        self._reports.cancel()
+        self._reports.record_cancellation()
 
     @_do.register
     async def _(self, effect: messages.Forward) -> None:
         self._forwarded.append(effect.data)
-        self.channel.put(channel_lib.Piece(effect.data))
+        self.channel.put(channel_lib.Frame(effect.data))
 
     @_do.register
     async def _(self, effect: messages.RetainFrame) -> None:
         self._forwarded.append(effect.data)
-        self.channel.give_credit()
+        self.channel.release_credit()
 
     @_do.register
     async def _(self, effect: messages.Judge) -> None:
@@ -265,7 +265,7 @@
         )
         if isinstance(judged, routing.Escalate):
             self._parts.metrics.count("cascade.escalated")
-            self._reports.hand_in(
+            self._reports.submit_for_rating(
                 effect.choice, effect.metadata, self.machine.held_frames
             )
             self.post(messages.ResponseEscalated(judged.choice, judged.reason))
@@ -289,7 +289,7 @@
 
     @_do.register
     async def _(self, effect: messages.Complete) -> None:
-        self.channel.put(channel_lib.Whole(effect.metadata))
+        self.channel.put(channel_lib.Completed(effect.metadata))
         self._parts.metrics.count("request.served")
 
     @_do.register
@@ -333,13 +333,13 @@
     def _hand_in(self, facts: messages.ResponseMetadata) -> None:
         choice = self.machine.decision.choice
         if choice is not None:
-            self._reports.hand_in(choice, facts, self._forwarded)
+            self._reports.submit_for_rating(choice, facts, self._forwarded)
 
     async def _fail(self) -> None:
         """Closes a request in which this program itself went wrong."""
         if self._attempt is not None:
             self._attempt.cancel()
-            self._reports.cancel()
+            self._reports.record_cancellation()
         unsent = self._attempt is None
         outcome = (
             outcomes.Outcome.NOT_RUN if unsent else outcomes.Outcome.UNKNOWN
--- a/src/hoistmoor/entry/tickets.py
+++ b/src/hoistmoor/entry/tickets.py
@@ -33,7 +33,7 @@
         is_alive: Callable[[identity.Incarnation], bool],
         clock: Callable[[], float] = time.time,
     ) -> None:
-        self.book = ticket_registry.TicketRegistry(
+        self.registry = ticket_registry.TicketRegistry(
             incarnation, address, secrets
         )
         self._is_alive = is_alive
@@ -42,7 +42,7 @@
 
     def issue(self, account: str) -> str:
         """Returns a new ticket for a client account."""
-        return self.book.issue(account, self._clock())
+        return self.registry.issue(account, self._clock())
 
     async def begin(
         self,
@@ -61,13 +61,15 @@
             deadline: Seconds since the epoch.
             forwarded: Whether another host forwarded the request.
         """
-        ticket = self.book.read(text, account)
+        ticket = self.registry.read(text, account)
         if ticket is None:
             return replies.ticket_invalid("the ticket is not valid here")
-        if ticket.incarnation != self.book.incarnation:
+        if ticket.incarnation != self.registry.incarnation:
             return self._forward_to_issuer(ticket, forwarded)
         while True:
-            result = self.book.begin(ticket, text, fingerprint, self._clock())
+            result = self.registry.begin(
+                ticket, text, fingerprint, self._clock()
+            )
             if not isinstance(result, ticket_registry.Running):
                 return result
             if not await self._wait(result.permit_id, deadline):
@@ -80,7 +82,7 @@
         answer: permits.StoredAnswer | None,
     ) -> None:
         """Records the outcome of a run and wakes its duplicates."""
-        self.book.finish(permit, outcome, answer)
+        self.registry.finish(permit, outcome, answer)
         event = self._finished.pop(permit.id, None)
         if event is not None:
             event.set()
--- a/tests/entry/once/test_entry_biller.py
+++ b/tests/entry/once/test_entry_biller.py
@@ -129,7 +129,7 @@
     assertions.assert_that(
         len(log.records[streams.BILLS]), matchers.LessThan(5)
     )
-    held = [each.for_peers.held.count for each in billers]
+    held = [each.held_for_peers.held.count for each in billers]
     assertions.assert_that(held, matchers.Equals([0, 0, 0]))
 
 
@@ -151,7 +151,7 @@
     await billers[0].secure(bill(1))
     await kill(billers, 1)
     async with asyncio.timeout(20):
-        while not billers[2].for_peers.held.count:
+        while not billers[2].held_for_peers.held.count:
             await asyncio.sleep(0.01)
     await kill(billers, 0)
     log.down = False
@@ -164,7 +164,7 @@
     log.lose_replies = 2
     await billers[0].secure(bill(1))
     async with asyncio.timeout(20):
-        while billers[0].book:
+        while billers[0].pending_bills:
             await asyncio.sleep(0.01)
     counted = await count_on_log(log, 1)
     assertions.assert_that(counted, matchers.Equals((1, 2)))
@@ -216,30 +216,34 @@
     await count_on_log(log, 1)
 
 
-async def test_full_holder_is_passed_over(
+async def test_a_full_holder_is_skipped(
     billers: list[biller_lib.Biller], log: once_fake_log.FakeLog
 ) -> None:
     log.down = True
-    billers[1].for_peers.held = held_lib.HeldBatches(capacity=0)
+    billers[1].held_for_peers.held = held_lib.HeldBatches(capacity=0)
     await billers[0].secure(bill(1))
-    assertions.assert_that(billers[2].for_peers.held.count, matchers.Equals(1))
+    assertions.assert_that(
+        billers[2].held_for_peers.held.count, matchers.Equals(1)
+    )
 
 
-async def test_full_book_takes_no_more(
+async def test_no_bill_can_be_secured_at_capacity(
     billers: list[biller_lib.Biller], log: once_fake_log.FakeLog
 ) -> None:
     log.down = True
-    billers[0].book.capacity = 1
+    billers[0].pending_bills.capacity = 1
     assertions.assert_that(billers[0].can_secure(), matchers.Equals(True))
     await billers[0].secure(bill(1))
     assertions.assert_that(billers[0].can_secure(), matchers.Equals(False))
 
 
-async def test_ends_of_claims_outlive_a_stop_while_the_log_is_down(
+async def test_a_peer_appends_ends_of_claims_after_a_stop(
     billers: list[biller_lib.Biller], log: once_fake_log.FakeLog
 ) -> None:
     owner, other = (
-        once_lib.Once(log, incarnation(n), f"a{n}:1", [b"s"], lambda _: True)
+        once_lib.AtMostOnceGuard(
+            log, incarnation(n), f"a{n}:1", [b"s"], lambda _: True
+        )
         for n in (0, 1)
     )
     for once in (owner, other):
--- a/tests/entry/once/test_entry_claim_shards.py
+++ b/tests/entry/once/test_entry_claim_shards.py
@@ -32,15 +32,15 @@
 @pytest_asyncio.fixture
 async def hosts(
     log: once_fake_log.FakeLog,
-) -> AsyncIterator[dict[str, once_lib.Once]]:
+) -> AsyncIterator[dict[str, once_lib.AtMostOnceGuard]]:
     made = {
-        address: once_lib.Once(
+        address: once_lib.AtMostOnceGuard(
             log,
             identity.Incarnation(name, 7),
             address,
             [b"test secret"],
             lambda _: True,
-            shards=SHARDS,
+            shard_count=SHARDS,
             live_hosts=lambda: HOSTS,
         )
         for name, address in HOSTS.items()
@@ -53,7 +53,7 @@
 
 
 async def test_a_key_runs_once_wherever_it_is_sent(
-    hosts: dict[str, once_lib.Once], log: once_fake_log.FakeLog
+    hosts: dict[str, once_lib.AtMostOnceGuard], log: once_fake_log.FakeLog
 ) -> None:
     for key in ("a", "b", "c", "d"):
         runs = 0
@@ -73,8 +73,8 @@
     assertions.assert_that(len(used), matchers.GreaterThan(1))
 
 
-async def test_a_shard_left_and_followed_again_knows_its_keys(
-    hosts: dict[str, once_lib.Once], monkeypatch: pytest.MonkeyPatch
+async def test_a_shard_keeps_its_keys_when_followed_again(
+    hosts: dict[str, once_lib.AtMostOnceGuard], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(claim_reader, "_PAGE_SIZE", 1)
     # The second claimant of a process must not reuse serials of the first:
@@ -93,7 +93,7 @@
 
 
 async def begin(
-    host: once_lib.Once, key: str, forwarded: bool
+    host: once_lib.AtMostOnceGuard, key: str, forwarded: bool
 ) -> permits.BeginResult:
     return await host.begin(
         "acme", key, "f", "r", time.time() + 20, forwarded=forwarded
@@ -112,8 +112,8 @@
     assertions.assert_that(moved, matchers.LessThan(64 // 8))
 
 
-async def test_shards_are_placed_anew_only_when_hosts_change(
-    hosts: dict[str, once_lib.Once], monkeypatch: pytest.MonkeyPatch
+async def test_shards_are_reassigned_only_when_hosts_change(
+    hosts: dict[str, once_lib.AtMostOnceGuard], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     counted: list[int] = []
     known = placement.followers
--- a/tests/entry/once/test_entry_once.py
+++ b/tests/entry/once/test_entry_once.py
@@ -37,12 +37,12 @@
 @pytest_asyncio.fixture
 async def hosts(
     log: once_fake_log.FakeLog,
-) -> AsyncIterator[list[once_lib.Once]]:
+) -> AsyncIterator[list[once_lib.AtMostOnceGuard]]:
     made = []
     dead: set[identity.Incarnation] = set()
     for number in (1, 2):
         incarnation = identity.Incarnation(f"e{number}", 7)
-        host = once_lib.Once(
+        host = once_lib.AtMostOnceGuard(
             log,
             incarnation,
             f"127.0.0.{number}:80",
@@ -58,7 +58,7 @@
 
 
 async def begin(
-    host: once_lib.Once,
+    host: once_lib.AtMostOnceGuard,
     key: str | None,
     fingerprint: str = "f",
     patience: float = 20.0,
@@ -87,7 +87,7 @@
 
 
 async def test_second_attempt_gets_the_stored_answer_at_any_host(
-    hosts: list[once_lib.Once],
+    hosts: list[once_lib.AtMostOnceGuard],
 ) -> None:
     permit = await begin(hosts[0], "k")
     assert isinstance(permit, permits.Permit)
@@ -101,7 +101,7 @@
 
 
 async def test_duplicate_in_flight_joins_the_one_run(
-    hosts: list[once_lib.Once],
+    hosts: list[once_lib.AtMostOnceGuard],
 ) -> None:
     permit = await begin(hosts[0], "k")
     assert isinstance(permit, permits.Permit)
@@ -111,8 +111,8 @@
     assertions.assert_that(await joined, matchers.Equals(ANSWER))
 
 
-async def test_duplicate_elsewhere_goes_to_the_owner_while_it_lives(
-    hosts: list[once_lib.Once],
+async def test_a_duplicate_at_another_host_is_forwarded_to_the_live_owner(
+    hosts: list[once_lib.AtMostOnceGuard],
 ) -> None:
     await begin(hosts[0], "k")
     elsewhere = await begin(hosts[1], "k")
@@ -127,7 +127,7 @@
 
 
 async def test_log_down_refuses_at_once_and_tickets_still_run(
-    hosts: list[once_lib.Once], log: once_fake_log.FakeLog
+    hosts: list[once_lib.AtMostOnceGuard], log: once_fake_log.FakeLog
 ) -> None:
     ticket = hosts[0].issue_ticket("acme")
     log.down = True
@@ -145,7 +145,7 @@
 
 
 async def test_lost_reply_is_settled_by_reading(
-    hosts: list[once_lib.Once], log: once_fake_log.FakeLog
+    hosts: list[once_lib.AtMostOnceGuard], log: once_fake_log.FakeLog
 ) -> None:
     log.lose_replies = 1
     permit = await begin(hosts[0], "k")
@@ -156,7 +156,7 @@
 
 
 async def test_abandoned_claim_is_released_and_the_key_runs_later(
-    hosts: list[once_lib.Once], log: once_fake_log.FakeLog
+    hosts: list[once_lib.AtMostOnceGuard], log: once_fake_log.FakeLog
 ) -> None:
     log.lose_replies = 1
     # This host ignores records, so it cannot learn which claim won.
@@ -174,7 +174,7 @@
 
 
 async def test_another_request_under_the_key_is_refused(
-    hosts: list[once_lib.Once],
+    hosts: list[once_lib.AtMostOnceGuard],
 ) -> None:
     await begin(hosts[0], "k")
     for host in hosts:
@@ -186,7 +186,7 @@
 
 
 async def test_ticket_of_another_host_or_incarnation(
-    hosts: list[once_lib.Once],
+    hosts: list[once_lib.AtMostOnceGuard],
 ) -> None:
     ticket = hosts[0].issue_ticket("acme")
     wanted = permits.ForwardTo("127.0.0.1:80")
@@ -205,7 +205,7 @@
 
 
 async def test_declined_run_frees_ticket_and_key(
-    hosts: list[once_lib.Once],
+    hosts: list[once_lib.AtMostOnceGuard],
 ) -> None:
     for key in ("k", hosts[0].issue_ticket("acme")):
         for _ in range(3):
@@ -214,8 +214,8 @@
             await hosts[0].finish(permit, outcomes.Outcome.NOT_RUN, None)
 
 
-async def test_a_failed_task_is_seen(
-    hosts: list[once_lib.Once], log: once_fake_log.FakeLog
+async def test_watch_raises_the_error_of_a_failed_task(
+    hosts: list[once_lib.AtMostOnceGuard], log: once_fake_log.FakeLog
 ) -> None:
     def fail(*_: object) -> None:
         raise ZeroDivisionError
@@ -229,15 +229,17 @@
 
 
 @pytest.mark.parametrize("skew", [-5000.0, 0.0, 5000.0])
-async def test_host_that_starts_late_leaves_keys_to_the_eldest(
-    hosts: list[once_lib.Once], log: once_fake_log.FakeLog, skew: float
+async def test_a_late_host_forwards_keys_to_the_oldest_host(
+    hosts: list[once_lib.AtMostOnceGuard],
+    log: once_fake_log.FakeLog,
+    skew: float,
 ) -> None:
     log.at = time.time() + skew
     for key in ("a", "b", "c"):
         await begin(hosts[0], key)
     log.first = 2
     eldest = [""]
-    late = once_lib.Once(
+    late = once_lib.AtMostOnceGuard(
         log,
         identity.Incarnation("e3", 7),
         "127.0.0.3:80",
@@ -262,8 +264,8 @@
         await late.stop()
 
 
-async def test_reader_that_fell_behind_the_retention_reads_on(
-    hosts: list[once_lib.Once], log: once_fake_log.FakeLog
+async def test_a_reader_continues_after_falling_behind_the_retention(
+    hosts: list[once_lib.AtMostOnceGuard], log: once_fake_log.FakeLog
 ) -> None:
     await begin(hosts[0], "a")
     reader = hosts[1].claims.followed[0].claimant
@@ -377,9 +379,13 @@
     await other.stop()
 
 
-def make_host(log: once_fake_log.FakeLog, number: int) -> once_lib.Once:
+def make_host(
+    log: once_fake_log.FakeLog, number: int
+) -> once_lib.AtMostOnceGuard:
     incarnation = identity.Incarnation(f"e{number}", 7)
     address = f"127.0.0.{number}:80"
-    host = once_lib.Once(log, incarnation, address, SECRETS, lambda _: True)
+    host = once_lib.AtMostOnceGuard(
+        log, incarnation, address, SECRETS, lambda _: True
+    )
     host.start()
     return host
--- a/tests/entry/once/test_entry_once_golden.py
+++ b/tests/entry/once/test_entry_once_golden.py
@@ -35,7 +35,7 @@
     """
 
     log: once_fake_log.FakeLog
-    hosts: list[once_lib.Once] = attrs.field(factory=list)
+    hosts: list[once_lib.AtMostOnceGuard] = attrs.field(factory=list)
     lines: list[str] = attrs.field(factory=list)
     confirmed: int = 0
     request_count: int = 0
@@ -87,7 +87,7 @@
             while any(self._behind(host) for host in self.hosts):
                 await asyncio.sleep(0.01)
 
-    def _behind(self, host: once_lib.Once) -> bool:
+    def _behind(self, host: once_lib.AtMostOnceGuard) -> bool:
         stored = len(self.log.records["claims"])
         return host.claims.followed[0].claimant.view.next_offset < stored
 
@@ -109,7 +109,7 @@
     monkeypatch.setattr(outbox, "_BACK_OFF", 0.0)
     session = Session(log)
     for number in range(2):
-        host = once_lib.Once(
+        host = once_lib.AtMostOnceGuard(
             log,
             identity.Incarnation(f"e{number}", 7),
             f"127.0.0.{number}:80",
