--- a/benchmarks/capacity/tree.py
+++ b/benchmarks/capacity/tree.py
@@ -27,7 +27,7 @@
 from hoistmoor.relay import metrics
 from hoistmoor.relay import state as state_lib
 from hoistmoor.relay.peers import peer_codec
-from hoistmoor.relay.peers import request_handler as answers_lib
+from hoistmoor.relay.peers import request_handler as request_handler_lib
 from hoistmoor.relay.store import follower as follower_lib
 from hoistmoor.relay.store import store_gate
 
@@ -94,7 +94,9 @@
     )
 
 
-def _answers(state: state_lib.RelayState) -> answers_lib.PeerRequestHandler:
+def _answers(
+    state: state_lib.RelayState,
+) -> request_handler_lib.PeerRequestHandler:
     gate = store_gate.StoreGate()
     followers = {
         name: follower_lib.TopicFollower(
@@ -111,10 +113,12 @@
     for each in followers.values():
         each.replica = replication.TopicReplica()
         each.replica.apply(topics.Batch((), 100, is_snapshot=True))
-    return answers_lib.PeerRequestHandler(state, followers)
+    return request_handler_lib.PeerRequestHandler(state, followers)
 
 
-def _answer(answers: answers_lib.PeerRequestHandler, asked: bytes) -> bytes:
+def _answer(
+    answers: request_handler_lib.PeerRequestHandler, asked: bytes
+) -> bytes:
     question = peer_codec.decode_request(asked)
     return peer_codec.encode(answers.answer(question))
 
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -23,7 +23,7 @@
 from hoistmoor.core import codec
 from hoistmoor.core import identity
 from hoistmoor.core.limits import adaptive
-from hoistmoor.core.limits import ledger as book_lib
+from hoistmoor.core.limits import ledger as ledger_lib
 from hoistmoor.core.limits import queue
 from hoistmoor.core.limits import records
 from hoistmoor.core.sessions import rendezvous
@@ -368,9 +368,9 @@
         self.spent: collections.Counter[str] = collections.Counter()
         self.wanted: collections.Counter[str] = collections.Counter()
 
-    def make_book(self, number: int, hosts: int) -> book_lib.ShareLedger:
+    def make_book(self, number: int, hosts: int) -> ledger_lib.ShareLedger:
         """Returns the book of one host."""
-        book = book_lib.ShareLedger(identity.Incarnation(f"h{number}", 1))
+        book = ledger_lib.ShareLedger(identity.Incarnation(f"h{number}", 1))
         book.hosts = hosts
         book.in_force = self.in_force
         book.fold.restart(0)
@@ -393,7 +393,7 @@
     def begin_outage(self) -> None:
         """Stops the log, and replaces one host of ten."""
         for number in range(0, len(self.books), 10):
-            book = book_lib.ShareLedger(identity.Incarnation(f"h{number}", 2))
+            book = ledger_lib.ShareLedger(identity.Incarnation(f"h{number}", 2))
             book.hosts = len(self.books)
             book.in_force = self.in_force
             self.books[number] = book
@@ -424,26 +424,26 @@
         quiet, failures = self.quiet.get((number, account), (0.0, 0))
         found = book.reserve(account, cost, DAY, now)
         others = [n for n in range(len(self.books)) if n != number]
-        if found is not book_lib.ReserveResult.RESERVED and now >= quiet:
+        if found is not ledger_lib.ReserveResult.RESERVED and now >= quiet:
             for giver in self.rng.sample(others, share_peers.MOST_ASKED):
                 self.ask(book, giver, account, cost, now)
                 found = book.reserve(account, cost, DAY, now)
-                if found is book_lib.ReserveResult.RESERVED:
+                if found is ledger_lib.ReserveResult.RESERVED:
                     break
-            ok = found is book_lib.ReserveResult.RESERVED
+            ok = found is ledger_lib.ReserveResult.RESERVED
             pause = share_peers.QUIET_SECONDS * 2.0 ** min(failures, 10)
             pause = min(pause, share_peers.MOST_QUIET_SECONDS)
             self.quiet[number, account] = (
                 (0.0, 0) if ok else (now + pause, failures + 1)
             )
-        if found is not book_lib.ReserveResult.RESERVED:
+        if found is not ledger_lib.ReserveResult.RESERVED:
             return False
         book.local_shares.settle(account, DAY, cost, cost)
         return True
 
     def ask(
         self,
-        book: book_lib.ShareLedger,
+        book: ledger_lib.ShareLedger,
         giver: int,
         account: str,
         cost: int,
@@ -459,7 +459,7 @@
         self.octets += len(codec.encode(ask)) + len(codec.encode(answer))
 
     def spend(
-        self, book: book_lib.ShareLedger, part: float, now: float
+        self, book: ledger_lib.ShareLedger, part: float, now: float
     ) -> dict[str, int]:
         """Spends one step's demand; returns what could not be covered."""
         needs: dict[str, int] = {}
@@ -467,10 +467,10 @@
             cost = int(rate * part * STEP)
             self.wanted[account] += cost
             verdict = book.reserve(account, cost, DAY, now)
-            if verdict is book_lib.ReserveResult.RESERVED:
+            if verdict is ledger_lib.ReserveResult.RESERVED:
                 book.local_shares.settle(account, DAY, cost, cost)
                 self.spent[account] += cost
-            elif verdict is book_lib.ReserveResult.WAIT:
+            elif verdict is ledger_lib.ReserveResult.WAIT:
                 needs[account] = cost
         return needs
 
--- a/src/hoistmoor/console/commands/bill.py
+++ b/src/hoistmoor/console/commands/bill.py
@@ -211,9 +211,9 @@
 def _complaints(statement: statement_lib.Statement) -> Iterator[str]:
     if statement.missing_records:
         yield (
-            f"hoistmoor: {statement.missing_records} records are past the log's "
-            "retention and in no checkpoint: the totals are too low. Run "
-            "`hoistmoor bill --checkpoint` more often."
+            f"hoistmoor: {statement.missing_records} records are past the "
+            "log's retention and in no checkpoint: the totals are too low. "
+            "Run `hoistmoor bill --checkpoint` more often."
         )
     for bad in statement.invalid_records:
         yield f"hoistmoor: record {bad.offset} is not counted: {bad.problem}"
--- a/src/hoistmoor/core/billing/statement.py
+++ b/src/hoistmoor/core/billing/statement.py
@@ -120,8 +120,8 @@
         next_offset: Offset of the next record to apply.
         repeats: Number of duplicates dropped.
         invalid_records: Invalid records.
-        missing_records: Number of records that retention removed and no checkpoint
-            includes.
+        missing_records: Number of records that retention removed and no
+            checkpoint includes.
     """
 
     def __init__(self) -> None:
--- a/src/hoistmoor/core/membership/members.py
+++ b/src/hoistmoor/core/membership/members.py
@@ -19,7 +19,7 @@
     """Views of all known entry hosts, including this one.
 
     Attributes:
-        own: Name of this host.
+        own_name: Name of this host.
         generation: Incremented when a host is added, dies, comes back or is
             forgotten.
         expected: Names of the hosts of which a majority is required: all known
--- a/src/hoistmoor/core/membership/table_tracker.py
+++ b/src/hoistmoor/core/membership/table_tracker.py
@@ -16,7 +16,7 @@
     """Detects that a peer has a newer table and requests a fetch of it.
 
     Attributes:
-        own: Revision of this host's active table.
+        own_revision: Revision of this host's active table.
         newest_revision: Newest revision that a peer has reported.
         newest_peer: Name of the peer that reported it.
         behind_since: When a peer first reported a newer revision; None if no
--- a/src/hoistmoor/core/polling.py
+++ b/src/hoistmoor/core/polling.py
@@ -17,8 +17,8 @@
     Attributes:
         period: Minimum seconds between the starts of two polls, unless a task
             waits for a record or more records are available.
-        long_poll_timeout: Long-poll timeout in seconds: how long the log may delay its
-            reply while there is no new record.
+        long_poll_timeout: Long-poll timeout in seconds: how long the log may
+            delay its reply while there is no new record.
         page: Maximum number of records per read.
         retry: Delay in seconds before the first retry after a failure.
         max_retry: Maximum delay in seconds between two retries.
--- a/src/hoistmoor/core/relay/beliefs/evacuations.py
+++ b/src/hoistmoor/core/relay/beliefs/evacuations.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from hoistmoor.core.relay.beliefs import store_era as history_lib
+from hoistmoor.core.relay.beliefs import store_era as store_era_lib
 from hoistmoor.core.relay.beliefs import topics
 
 if TYPE_CHECKING:
@@ -108,7 +108,7 @@
         }
         self._kept = dict.fromkeys(missing, True)
         self._kept |= dict.fromkeys(reappeared, False)
-        self._kept_until = now + history_lib.RESTORE_GRACE_PERIOD
+        self._kept_until = now + store_era_lib.RESTORE_GRACE_PERIOD
 
     def _apply_snapshot(self, records: tuple[EvacuationRecord, ...]) -> None:
         self._listed = {record.zone for record in records}
--- a/src/hoistmoor/core/relay/course/retry_after.py
+++ b/src/hoistmoor/core/relay/course/retry_after.py
@@ -42,7 +42,8 @@
 
     Args:
         reason: Reason for the refusal.
-        unavailable_duration: Seconds for which this host has had no usable configuration.
+        unavailable_duration: Seconds for which this host has had no usable
+            configuration.
         draw: Random number from 0 to 1.
     """
     if reason in _ANY_HOST:
--- a/src/hoistmoor/core/relay/placement/service_state.py
+++ b/src/hoistmoor/core/relay/placement/service_state.py
@@ -4,7 +4,9 @@
 
 import attrs
 
-from hoistmoor.core.relay.answers import first_byte_delays as delays_lib
+from hoistmoor.core.relay.answers import (
+    first_byte_delays as first_byte_delays_lib,
+)
 from hoistmoor.core.relay.course import budget
 from hoistmoor.core.relay.placement import partition as partition_lib
 
@@ -22,16 +24,16 @@
         partition: Request classes.
         delays: Delays until the first response part, by class.
         mean_work: Mean work per request; 0 before the first.
-        unavailable_since: Monotonic time since which no server has been ready for
-            any request; None if one was ready for the latest request.
+        unavailable_since: Monotonic time since which no server has been ready
+            for any request; None if one was ready for the latest request.
     """
 
     budget: budget.RetryBudget
     partition: partition_lib.Partition = attrs.field(
         factory=partition_lib.Partition
     )
-    delays: delays_lib.FirstByteDelays = attrs.field(
-        factory=delays_lib.FirstByteDelays
+    delays: first_byte_delays_lib.FirstByteDelays = attrs.field(
+        factory=first_byte_delays_lib.FirstByteDelays
     )
     mean_work: float = 0.0
     unavailable_since: float | None = None
--- a/src/hoistmoor/core/relay/servers/server.py
+++ b/src/hoistmoor/core/relay/servers/server.py
@@ -104,14 +104,15 @@
         expires_at: Time until which it is kept although its entry is missing,
             possibly due to a store outage; None while it is listed.
         cold_until: Time until which it counts as cold.
-        possibly_cold_until: Time until which it may have restarted cold without its
-            new entry having been read.
-        presumed_ended_until: Time until which it counts as ended, because it crashed or
-            another server answers at its address.
+        possibly_cold_until: Time until which it may have restarted cold without
+            its new entry having been read.
+        presumed_ended_until: Time until which it counts as ended, because it
+            crashed or another server answers at its address.
         sends: Recent requests of this host to it.
         runs: Requests of this host that may be running on it.
-        replaced_predecessor_at: Time at which it replaced an earlier incarnation. Older
-            announcements under its identity belong to that incarnation.
+        replaced_predecessor_at: Time at which it replaced an earlier
+            incarnation. Older announcements under its identity belong to that
+            incarnation.
         has_ended: Whether this host found that the incarnation has ended.
         limit: Rate limit for all hosts together.
         departure: Whether it has announced that it is leaving.
--- a/src/hoistmoor/core/requests/messages.py
+++ b/src/hoistmoor/core/requests/messages.py
@@ -236,8 +236,8 @@
 
     Attributes:
         refusal: Reason, outcome and detail for the caller.
-        response_started: Whether frames were forwarded, so that the refusal has to be
-            sent as the last event of the stream.
+        response_started: Whether frames were forwarded, so that the refusal has
+            to be sent as the last event of the stream.
     """
 
     refusal: refusals.Refusal
--- a/src/hoistmoor/core/routing/degradation.py
+++ b/src/hoistmoor/core/routing/degradation.py
@@ -41,7 +41,8 @@
         baselines: Lowest acceptable share of good answers by confidence bucket;
             the last one is for answers without a bucket.
         detector: The sequential test.
-        next_estimation_at: Number of ratings at which the levels are estimated anew.
+        next_estimation_at: Number of ratings at which the levels are estimated
+            anew.
     """
 
     baselines: tuple[float, ...]
--- a/src/hoistmoor/core/routing/fleet.py
+++ b/src/hoistmoor/core/routing/fleet.py
@@ -32,8 +32,8 @@
         by_name: Servers by name.
         by_address: Servers by address.
         pools: Pools by key of the version or name of the plain service.
-        average_durations: Moving average of the seconds per token by version, or
-            per call by plain service.
+        average_durations: Moving average of the seconds per token by version,
+            or per call by plain service.
         rests: Heap of (end of rest, server name).
         keys_by_service: Keys of the pools by service.
     """
--- a/src/hoistmoor/core/routing/health.py
+++ b/src/hoistmoor/core/routing/health.py
@@ -26,13 +26,13 @@
     Attributes:
         consecutive_failures: Consecutive failed attempts.
         failure_rate: Moving average of failures, 0 to 1.
-        relative_duration: Moving average of durations, each as a multiple of the usual one
-            for its version and length; 0 before the first.
+        relative_duration: Moving average of durations, each as a multiple of
+            the usual one for its version and length; 0 before the first.
         attempts: Attempts since the server was last readmitted.
         ejections: Consecutive ejections; each one doubles the rest.
         ejected_until: End of the ejection; 0 if the server is not ejected.
-        at_capacity_until: End of the rest after the server declined a call for lack
-            of capacity; 0 if there is none.
+        at_capacity_until: End of the rest after the server declined a call for
+            lack of capacity; 0 if there is none.
     """
 
     consecutive_failures: int = 0
@@ -58,8 +58,8 @@
 
         Args:
             ok: Whether the attempt yielded a complete answer.
-            relative_duration: Duration as a multiple of the usual one; ignored for a
-                failed attempt.
+            relative_duration: Duration as a multiple of the usual one; ignored
+                for a failed attempt.
         """
         self.attempts += 1
         self.consecutive_failures = 0 if ok else self.consecutive_failures + 1
--- a/src/hoistmoor/core/routing/messages.py
+++ b/src/hoistmoor/core/routing/messages.py
@@ -168,7 +168,7 @@
     """A rating of one answer, received some time after the answer.
 
     Attributes:
-        answer_id: Id of the answer; see ``evidence.make_answer_id``.
+        answer_id: Id of the answer; see ``quality_estimates.make_answer_id``.
         model: Name of the model.
         version: Name of the version.
         kind: Kind of the request.
--- a/src/hoistmoor/core/routing/options.py
+++ b/src/hoistmoor/core/routing/options.py
@@ -15,7 +15,7 @@
 from hoistmoor.core.routing import cascade
 from hoistmoor.core.routing import degradation
 from hoistmoor.core.routing import messages
-from hoistmoor.core.routing import policy_cache as menus_lib
+from hoistmoor.core.routing import policy_cache as policy_cache_lib
 from hoistmoor.core.routing import quality_estimates
 from hoistmoor.core.routing import rollout
 from hoistmoor.core.table import limits
@@ -52,8 +52,8 @@
     Attributes:
         default_plan: Plan of most requests.
         exploration_plan: Plan of the requests that explore.
-        session_plan: Plan of sessions, which keep one version and therefore cannot
-            escalate.
+        session_plan: Plan of sessions, which keep one version and therefore
+            cannot escalate.
         fallbacks: Versions to use if the planned one has no capacity.
         candidates: Unproven candidate and its share of the requests, by key
             of the version that it replaces for them.
@@ -86,11 +86,11 @@
     monitor: degradation.DegradationMonitor
     progress: rollout.RolloutProgress
     tokens: dict[str, tuple[float, float]] = attrs.field(factory=dict)
-    policies: menus_lib.PolicyCache = attrs.field(init=False)
+    policies: policy_cache_lib.PolicyCache = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Creates an empty policy cache."""
-        self.policies = menus_lib.PolicyCache(self.estimates)
+        self.policies = policy_cache_lib.PolicyCache(self.estimates)
 
     @property
     def margin_z(self) -> float:
@@ -221,7 +221,7 @@
         verdicts: dict[str, str],
         kind: str,
         tokens: tuple[float, float],
-        menu: menus_lib.PolicySet,
+        menu: policy_cache_lib.PolicySet,
         plan: cascade.Plan,
     ) -> tuple[messages.CandidateNote, ...]:
         planned = {
@@ -245,7 +245,7 @@
 
 def _fallbacks(
     rows: list[model.Version],
-    menu: menus_lib.PolicySet,
+    menu: policy_cache_lib.PolicySet,
     target: float,
     tokens: tuple[float, float],
 ) -> tuple[str, ...]:
--- a/src/hoistmoor/core/routing/policy_cache.py
+++ b/src/hoistmoor/core/routing/policy_cache.py
@@ -36,7 +36,8 @@
         optimistic: Hull of all policies by their optimistic quality, for
             exploration.
         singles: Hull of the policies that never escalate.
-        optimistic_as_expected: The policies of ``optimistic`` with their expected quality.
+        optimistic_as_expected: The policies of ``optimistic`` with their
+            expected quality.
         qualities: Expected share of good answers by version.
     """
 
--- a/src/hoistmoor/core/routing/routing_state.py
+++ b/src/hoistmoor/core/routing/routing_state.py
@@ -46,7 +46,8 @@
         budget: This incarnation's slices of exposure caps.
         prefix_index: Index of the prompt prefixes cached by servers.
         catalog: The versions that each account may use.
-        retry_schedules: Retry schedules for refused callers by version or service.
+        retry_schedules: Retry schedules for refused callers by version or
+            service.
         effects: Records to append to the evidence stream.
         rng: Random number generator of this host.
         options_cache: Options by account, model and kind of request.
--- a/src/hoistmoor/core/routing/servers.py
+++ b/src/hoistmoor/core/routing/servers.py
@@ -96,10 +96,11 @@
         report: Latest load report, if any.
         is_leaving: Whether any source says that the server is leaving.
         own_calls: Number of calls in flight from this host.
-        recent_changes: Starts (+1) and ends (-1) of this host's calls after the time
-            of the report, which does not include them.
+        recent_changes: Starts (+1) and ends (-1) of this host's calls after the
+            time of the report, which does not include them.
         correction: Sum of ``recent_changes``.
-        mean_duration: Moving average of the duration of a call; 0 before the first.
+        mean_duration: Moving average of the duration of a call; 0 before the
+            first.
         others: Estimated calls in flight from other hosts.
         fair_share: Number of calls that this host may always have in flight,
             if calls are short.
--- a/src/hoistmoor/core/steward/actor.py
+++ b/src/hoistmoor/core/steward/actor.py
@@ -38,7 +38,8 @@
         duration: Lease duration to request, in seconds.
         policy: Evidence required to advance a rollout.
         lease_observed_at: Local time at which the last lease change was read.
-        lease_record_sent_at: Local time at which the last lease record was sent.
+        lease_record_sent_at: Local time at which the last lease record was
+            sent.
         confirmed_at: Local time at which the last lease record that was read
             back as accepted had been sent.
     """
--- a/src/hoistmoor/core/table/columns.py
+++ b/src/hoistmoor/core/table/columns.py
@@ -34,8 +34,8 @@
         name: Name in the header.
         parse: Converts the text of a cell to a value; raises CellError.
         render: Converts a value to the text of a cell.
-        neutral: Placeholder for a cell that fails to parse, so that the rest
-            of the table can still be validated.
+        placeholder: Placeholder for a cell that fails to parse, so that the
+            rest of the table can still be validated.
     """
 
     name: str
--- a/src/hoistmoor/core/table/edit_history.py
+++ b/src/hoistmoor/core/table/edit_history.py
@@ -1,9 +1,9 @@
 """Bounded history of edits, for conflict detection and deduplication.
 
-An edit whose base is more than ``REMEMBERED_RECORDS`` records old is rejected.
-Edit IDs and changes of deleted rows that are older than that therefore cannot
-affect a verdict. Eviction depends on the offset alone, so that all hosts evict
-an entry at the same record.
+An edit whose base is more than ``MAX_BASE_AGE_RECORDS`` records old is
+rejected. Edit IDs and changes of deleted rows that are older than that
+therefore cannot affect a verdict. Eviction depends on the offset alone, so that
+all hosts evict an entry at the same record.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/core/table/fold.py
+++ b/src/hoistmoor/core/table/fold.py
@@ -95,8 +95,8 @@
     Attributes:
         offset: Offset of the edit.
         edit: The edit.
-        why: Reason for the rejection.
-        clashes: Conflicts with preceding edits.
+        reason: Reason for the rejection.
+        conflicts: Conflicts with preceding edits.
         faults: Validation faults of the table that would have resulted.
     """
 
@@ -113,7 +113,7 @@
 
     Attributes:
         offset: Offset of the record.
-        why: Reason for ignoring it.
+        reason: Reason for ignoring it.
         detail: Further details; may be empty.
     """
 
@@ -159,8 +159,8 @@
 
     Attributes:
         as_of: Offset of the last record applied; -1 before the first.
-        in_force: The active table and its revision.
-        memory: Recent edits, for conflict detection and deduplication.
+        active: The active table and its revision.
+        history: Recent edits, for conflict detection and deduplication.
     """
 
     def __init__(self) -> None:
@@ -192,7 +192,7 @@
 
         Args:
             offset: Offset of the record.
-            record: The record as returned by ``read_record``.
+            record: The record as returned by ``decode_record``.
 
         Raises:
             TableGapError: The preceding record has not been applied.
--- a/src/hoistmoor/core/table/model.py
+++ b/src/hoistmoor/core/table/model.py
@@ -201,7 +201,7 @@
     """A limit that applies to the whole deployment.
 
     Attributes:
-        name: One of the names in ``limits.KNOWN``.
+        name: One of the names in ``limits.DEFINITIONS``.
         value: Value of the limit, in the unit that its name ends in, if any.
     """
 
--- a/src/hoistmoor/core/table/replay.py
+++ b/src/hoistmoor/core/table/replay.py
@@ -59,7 +59,7 @@
         fold: State after the records applied so far; None until the replay
             has the first record or a usable snapshot.
         skipped: Number of records that were skipped as suspect.
-        last_skipped: The most recently skipped records.
+        recent_skipped: The most recently skipped records.
     """
 
     def __init__(self) -> None:
--- a/src/hoistmoor/entry/attempt_reporter.py
+++ b/src/hoistmoor/entry/attempt_reporter.py
@@ -98,7 +98,7 @@
 
         Args:
             choice: The backend server and the version that responded.
-            facts: Metadata of the response, such as its confidence.
+            metadata: Metadata of the response, such as its confidence.
             frames: The body of the response.
         """
         request = self._request
--- a/src/hoistmoor/entry/attempts.py
+++ b/src/hoistmoor/entry/attempts.py
@@ -52,7 +52,7 @@
         Args:
             session: Opens the connection.
             attempt_id: Identifies the attempt.
-            call: The request to the backend server.
+            backend_request: The request to the backend server.
             timeout: Seconds until the deadline of the request.
             channel: Its credits limit how far to read ahead of the caller.
             inbox: Receives the events.
--- a/src/hoistmoor/entry/biller.py
+++ b/src/hoistmoor/entry/biller.py
@@ -13,7 +13,7 @@
 from hoistmoor.core.billing import bills
 from hoistmoor.core.billing import held as held_lib
 from hoistmoor.core.billing import linger
-from hoistmoor.core.billing import pending_bills as book_lib
+from hoistmoor.core.billing import pending_bills as pending_bills_lib
 from hoistmoor.entry import bill_holders
 from hoistmoor.entry import peer_batches
 from hoistmoor.entry import watched_tasks
@@ -43,8 +43,8 @@
     A bill is secured once it is on the log or held by a peer.
 
     Attributes:
-        book: Bills of this host that are not on the log.
-        for_peers: Batches held for peers; ``hold_bills`` and
+        pending_bills: Bills of this host that are not on the log.
+        held_for_peers: Batches held for peers; ``hold_bills`` and
             ``release_bills`` handle the calls of peers.
     """
 
@@ -65,7 +65,7 @@
             metrics: Receives the counters.
             clock: Returns monotonic time in seconds, for back-off only.
         """
-        self.pending_bills = book_lib.PendingBills(incarnation)
+        self.pending_bills = pending_bills_lib.PendingBills(incarnation)
         self._log = log
         self._peers = peers or bill_holders.NoPeers()
         self.held_for_peers = peer_batches.PeerBatches(
--- a/src/hoistmoor/entry/channel.py
+++ b/src/hoistmoor/entry/channel.py
@@ -26,7 +26,7 @@
     """The response is complete: send the end marker.
 
     Attributes:
-        facts: Metadata of the response.
+        metadata: Metadata of the response.
     """
 
     metadata: messages.ResponseMetadata
@@ -38,7 +38,7 @@
 
     Attributes:
         refusal: The refusal to send to the caller.
-        began: Whether frames were sent before.
+        response_started: Whether frames were sent before.
     """
 
     refusal: refusals.Refusal
--- a/src/hoistmoor/entry/claim_shards.py
+++ b/src/hoistmoor/entry/claim_shards.py
@@ -24,7 +24,7 @@
     """Routes each keyed request to the shard of its key.
 
     Attributes:
-        shards: The number of shards.
+        shard_count: The number of shards.
         followed: The shards that this host reads, with their claims.
     """
 
@@ -40,7 +40,7 @@
         Args:
             make_claims: Creates the claims for the name of a stream.
             host: Name of this host.
-            shards: The number of shards; the same at every host.
+            shard_count: The number of shards; the same at every host.
             live_hosts: Returns the ``ip:port`` of each live host by its name.
         """
         self.shard_count = shard_count
--- a/src/hoistmoor/entry/factory.py
+++ b/src/hoistmoor/entry/factory.py
@@ -18,7 +18,7 @@
 from hoistmoor.core.routing import router as router_lib
 from hoistmoor.entry import admin
 from hoistmoor.entry import biller as biller_lib
-from hoistmoor.entry import connection_drainer as closing_lib
+from hoistmoor.entry import connection_drainer as connection_drainer_lib
 from hoistmoor.entry import decision_log as decision_log_lib
 from hoistmoor.entry import evidence_task
 from hoistmoor.entry import explanations as explanations_lib
@@ -68,7 +68,7 @@
         reception: Tracks running requests.
         evidence: Collects evidence of quality.
         steering: Applies rollouts and drains to the router's table.
-        closing: Closes callers' connections during a stop.
+        connection_drainer: Closes callers' connections during a stop.
         web: The HTTP application for callers and operators.
         peers: The server for other entry hosts.
         auth: Authenticates this host and its peers to each other.
@@ -81,7 +81,7 @@
     reception: reception_lib.Reception
     evidence: evidence_task.EvidenceTask
     steering: feed.SteeringFeed
-    connection_drainer: closing_lib.ConnectionDrainer
+    connection_drainer: connection_drainer_lib.ConnectionDrainer
     web: web.Application
     peers: peer_server.PeerServer
     auth: peer_auth.PeerAuth
@@ -143,7 +143,7 @@
                 self._settings.operator_hashes, self._metrics
             ),
         )
-        closing = closing_lib.ConnectionDrainer(readiness)
+        closing = connection_drainer_lib.ConnectionDrainer(readiness)
         callers = self._make_web(parts, readiness, reception, operators)
         callers.on_response_prepare.append(closing.on_prepare)
         entry = Entry(
--- a/src/hoistmoor/entry/forwarding.py
+++ b/src/hoistmoor/entry/forwarding.py
@@ -48,7 +48,7 @@
         Args:
             http: The caller's request.
             body: Its body.
-            shared: Its validated envelope.
+            envelope: Its validated envelope.
             target: The host to forward to.
             now: Seconds since the epoch.
         """
--- a/src/hoistmoor/entry/host_list_reader.py
+++ b/src/hoistmoor/entry/host_list_reader.py
@@ -29,7 +29,7 @@
     """Converts the platform's host list to membership messages.
 
     Attributes:
-        pause: Seconds to wait before the next read.
+        poll_interval: Seconds to wait before the next read.
     """
 
     def __init__(
--- a/src/hoistmoor/entry/limits.py
+++ b/src/hoistmoor/entry/limits.py
@@ -36,9 +36,15 @@
 Result = pools.Result
 
 _SPEND_DETAILS = {
-    ledger.ReserveResult.EXHAUSTED: "The account's spend limit of the day is used up.",
-    ledger.ReserveResult.WAIT: "No share of the spend limit could be had in time.",
-    ledger.ReserveResult.UNKNOWN: "The spend so far is not known to this host yet.",
+    ledger.ReserveResult.EXHAUSTED: (
+        "The account's spend limit of the day is used up."
+    ),
+    ledger.ReserveResult.WAIT: (
+        "No share of the spend limit could be had in time."
+    ),
+    ledger.ReserveResult.UNKNOWN: (
+        "The spend so far is not known to this host yet."
+    ),
 }
 
 
--- a/src/hoistmoor/entry/once.py
+++ b/src/hoistmoor/entry/once.py
@@ -63,8 +63,8 @@
                 docs/design/at-most-once.md.
             eldest: Returns ``ip:port`` of the live host with the longest
                 uptime, or an empty string.
-            shards: Number of streams that claims are distributed over. It is
-                the same at every host, and must not change while keys are
+            shard_count: Number of streams that claims are distributed over. It
+                is the same at every host, and must not change while keys are
                 remembered.
             live_hosts: Returns the ``ip:port`` of each live host by its name;
                 required with more than one shard.
--- a/src/hoistmoor/entry/share_keeper.py
+++ b/src/hoistmoor/entry/share_keeper.py
@@ -8,7 +8,7 @@
 
 from hoistmoor.core import codec
 from hoistmoor.core import errors
-from hoistmoor.core.limits import ledger as book_lib
+from hoistmoor.core.limits import ledger as ledger_lib
 from hoistmoor.core.limits import records
 from hoistmoor.entry import share_peers
 from hoistmoor.utils import logs
@@ -49,7 +49,7 @@
         clock: Callable[[], float] = time.time,
         neighbours: share_peers.Neighbours | None = None,
     ) -> None:
-        self.book = book_lib.ShareLedger(incarnation)
+        self.book = ledger_lib.ShareLedger(incarnation)
         self.shares = shares
         self.peers = share_peers.SharePeers(
             self.book, neighbours or share_peers.NoNeighbours(), clock
@@ -105,7 +105,7 @@
         day: int,
         deadline: float,
         urgent: bool = True,
-    ) -> book_lib.ReserveResult:
+    ) -> ledger_lib.ReserveResult:
         """Sets a cost aside; asks for a share and waits if it must.
 
         The log is asked first. Where it is down, slow, or does not tell what
@@ -136,20 +136,20 @@
 
     async def _ask_log(
         self, account: str, cost: int, day: int, until: float, urgent: bool
-    ) -> book_lib.ReserveResult:
+    ) -> ledger_lib.ReserveResult:
         self._needs[account] = self._needs.get(account, 0) + cost
         self._work.set()
         try:
             async with asyncio.timeout(until - self._clock()):
                 return await self._wait(account, cost, day, urgent)
         except TimeoutError:
-            return book_lib.ReserveResult.WAIT
+            return ledger_lib.ReserveResult.WAIT
         finally:
             self._needs[account] -= cost
 
     async def _wait(
         self, account: str, cost: int, day: int, urgent: bool
-    ) -> book_lib.ReserveResult:
+    ) -> ledger_lib.ReserveResult:
         async with self._changed:
             while True:
                 now = self._clock()
@@ -158,13 +158,13 @@
                     return verdict
                 await self._changed.wait()
 
-    def _may_change(self, verdict: book_lib.ReserveResult) -> bool:
+    def _may_change(self, verdict: ledger_lib.ReserveResult) -> bool:
         """Returns whether it is worth waiting for another verdict."""
         if not self.log_is_up or self._draining:
             return False
-        if verdict is book_lib.ReserveResult.UNKNOWN:
+        if verdict is ledger_lib.ReserveResult.UNKNOWN:
             return not self._begun
-        return verdict is book_lib.ReserveResult.WAIT
+        return verdict is ledger_lib.ReserveResult.WAIT
 
     async def _write_on(self) -> None:
         while True:
--- a/src/hoistmoor/entry/share_peers.py
+++ b/src/hoistmoor/entry/share_peers.py
@@ -11,7 +11,7 @@
 from hoistmoor.core import codec
 from hoistmoor.core import errors
 from hoistmoor.core.limits import handoffs
-from hoistmoor.core.limits import ledger as book_lib
+from hoistmoor.core.limits import ledger as ledger_lib
 from hoistmoor.core.limits import records
 from hoistmoor.core.limits import transfers
 from hoistmoor.utils import logs
@@ -27,7 +27,10 @@
 MOST_QUIET_SECONDS = 30.0  # much.
 
 # Neither the log nor a peer could change these.
-DECIDED = (book_lib.ReserveResult.RESERVED, book_lib.ReserveResult.EXHAUSTED)
+DECIDED = (
+    ledger_lib.ReserveResult.RESERVED,
+    ledger_lib.ReserveResult.EXHAUSTED,
+)
 
 _log = logs.PartLogger("limits")
 
@@ -96,7 +99,7 @@
 
     def __init__(
         self,
-        book: book_lib.ShareLedger,
+        book: ledger_lib.ShareLedger,
         neighbours: Neighbours,
         clock: Callable[[], float],
     ) -> None:
@@ -107,7 +110,7 @@
 
     async def reserve(
         self, account: str, cost: int, day: int, urgent: bool
-    ) -> book_lib.ReserveResult:
+    ) -> ledger_lib.ReserveResult:
         """Sets a cost aside, with the help of peers if it must.
 
         Args:
@@ -183,7 +186,7 @@
 
     async def _reserve(
         self, known: _Round, account: str, cost: int, day: int, urgent: bool
-    ) -> book_lib.ReserveResult:
+    ) -> ledger_lib.ReserveResult:
         verdict = self._try(account, cost, day, urgent)
         if verdict in DECIDED or self._clock() < known.quiet_until:
             return verdict
@@ -200,7 +203,7 @@
 
     def _try(
         self, account: str, cost: int, day: int, urgent: bool
-    ) -> book_lib.ReserveResult:
+    ) -> ledger_lib.ReserveResult:
         return self.book.reserve(account, cost, day, self._clock(), urgent)
 
     async def _ask(self, giver: Giver, ask: transfers.TransferRequest) -> None:
@@ -217,8 +220,8 @@
         if isinstance(answer, transfers.TransferAnswer):
             self.book.transfers.accept(answer)
 
-    def _note(self, known: _Round, verdict: book_lib.ReserveResult) -> None:
-        if verdict is book_lib.ReserveResult.RESERVED:
+    def _note(self, known: _Round, verdict: ledger_lib.ReserveResult) -> None:
+        if verdict is ledger_lib.ReserveResult.RESERVED:
             known.failures = 0
             return
         pause = QUIET_SECONDS * 2.0 ** min(known.failures, 10)
--- a/src/hoistmoor/entry/table_listeners.py
+++ b/src/hoistmoor/entry/table_listeners.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from hoistmoor.core.table import model
 
-Listener = Callable[["model.TableInForce"], None]
+Listener = Callable[["model.ActiveTable"], None]
 
 
 class TableListeners:
--- a/src/hoistmoor/entry/tickets.py
+++ b/src/hoistmoor/entry/tickets.py
@@ -22,7 +22,7 @@
     """Issues tickets and ensures that each runs at most once.
 
     Attributes:
-        book: The state machine that makes the decisions.
+        registry: The state machine that makes the decisions.
     """
 
     def __init__(
--- a/src/hoistmoor/platform/main.py
+++ b/src/hoistmoor/platform/main.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from hoistmoor.core import errors
-from hoistmoor.core.relay.beliefs import store_era as history_lib
+from hoistmoor.core.relay.beliefs import store_era as store_era_lib
 from hoistmoor.platform import codec
 from hoistmoor.platform import names
 from hoistmoor.platform import settings as settings_lib
@@ -37,7 +37,7 @@
         return EXIT_USAGE
 
     def connect(session: aiohttp.ClientSession) -> ports.Platform:
-        history = history_lib.StoreEra()
+        history = store_era_lib.StoreEra()
         return ports.Platform(
             topics=store.open_topics(session, settings.store, history),
             codec=codec.PlatformCodec(),
--- a/src/hoistmoor/platform/store.py
+++ b/src/hoistmoor/platform/store.py
@@ -12,7 +12,7 @@
 
 from hoistmoor.clients import replies
 from hoistmoor.core import errors
-from hoistmoor.core.relay.beliefs import store_era as history_lib
+from hoistmoor.core.relay.beliefs import store_era as store_era_lib
 from hoistmoor.core.relay.beliefs import topics
 from hoistmoor.relay.store import ports
 
@@ -47,7 +47,7 @@
         session: aiohttp.ClientSession,
         address: str,
         topic: str,
-        store_era: history_lib.StoreEra,
+        store_era: store_era_lib.StoreEra,
     ) -> None:
         """Initializes the client without connecting.
 
@@ -196,15 +196,15 @@
     return _LENGTH.pack(len(content)) + content
 
 
-def _parse_era(headers: Mapping[str, str]) -> history_lib.EraHeader:
+def _parse_era(headers: Mapping[str, str]) -> store_era_lib.EraHeader:
     text = headers.get(_ERA_HEADER)
     if text is None:
-        return history_lib.EraHeader()
+        return store_era_lib.EraHeader()
     is_number = text.isascii() and text.isdigit() and len(text) < 10
     era = int(text) if is_number else None
-    if era is not None and era >= history_lib.MAX_ERAS:
+    if era is not None and era >= store_era_lib.MAX_ERAS:
         era = None
-    return history_lib.EraHeader(text, era)
+    return store_era_lib.EraHeader(text, era)
 
 
 def _parse_entry(fields: dict[str, Any], era: int) -> topics.Record:
@@ -242,7 +242,7 @@
 def open_topics(
     session: aiohttp.ClientSession,
     address: str,
-    store_era: history_lib.StoreEra,
+    store_era: store_era_lib.StoreEra,
 ) -> ports.Topics:
     """Returns clients for the relay's topics in the store at ``address``."""
     topic = functools.partial(StoreTopic, session, address, store_era=store_era)
--- a/src/hoistmoor/relay/application.py
+++ b/src/hoistmoor/relay/application.py
@@ -23,8 +23,8 @@
 from hoistmoor.relay import state as state_lib
 from hoistmoor.relay import suspension
 from hoistmoor.relay.front import admission
-from hoistmoor.relay.front import backend_connector as links_lib
-from hoistmoor.relay.front import http_handlers as front_lib
+from hoistmoor.relay.front import backend_connector as backend_connector_lib
+from hoistmoor.relay.front import http_handlers as http_handlers_lib
 from hoistmoor.relay.front import server_end_detector
 from hoistmoor.relay.peers import listing as listing_lib
 from hoistmoor.relay.peers import peer_client
@@ -72,7 +72,7 @@
         self,
         settings: settings_lib.RelaySettings,
         platform: ports.Platform,
-        backends: links_lib.BackendSessions,
+        backends: backend_connector_lib.BackendSessions,
         peer_session: aiohttp.ClientSession,
         read_settings: Callable[[], settings_lib.RelaySettings],
         clock: Callable[[], float] = clocks.steady,
@@ -112,10 +112,10 @@
         )
         deadlines = suspension.SuspensionAwareTimeouts()
         self.suspension = suspension.SuspensionMonitor(self.state, deadlines)
-        self.front = front_lib.RequestHandler(
+        self.front = http_handlers_lib.RequestHandler(
             self.state,
             admission.Admission(self.state, platform.headers, draws),
-            links_lib.BackendConnector(
+            backend_connector_lib.BackendConnector(
                 backends,
                 platform.headers,
                 dialect,
@@ -260,13 +260,13 @@
         platform = connect(platform_session)
         make_backend_session = functools.partial(
             sessions.make_session,
-            connect_timeout=links_lib.CONNECT_TIMEOUT,
+            connect_timeout=backend_connector_lib.CONNECT_TIMEOUT,
             total_timeout=None,
             idle_timeout=BACKEND_IDLE_TIMEOUT,
             attempt_header=platform.headers.request_id,
             unanswered_timeout=UNACKNOWLEDGED_TIMEOUT,
         )
-        backends = links_lib.BackendSessions(
+        backends = backend_connector_lib.BackendSessions(
             await stack.enter_async_context(make_backend_session()),
             await stack.enter_async_context(
                 make_backend_session(reuse_connections=False)
--- a/src/hoistmoor/relay/front/attempt.py
+++ b/src/hoistmoor/relay/front/attempt.py
@@ -58,7 +58,8 @@
         is_dropped: Whether it was abandoned in favor of a larger model.
         is_cut: Whether the connection closed before the response was complete.
         detail: Description of the failure, for people.
-        requests_rest: Whether the server requested a back-off with the response.
+        requests_rest: Whether the server requested a back-off with the
+            response.
         notices: The server's notices against new requests at the time of the
             attempt, by kind.
     """
@@ -168,5 +169,6 @@
         return (
             f"{entry.server_id} {entry.version} {self.send.model}"
             f" {state.name.lower()} {self.status}"
-            f" {now - self.started:.3f}s{self.latency_summary()}{notices} {self.detail}"
+            f" {now - self.started:.3f}s{self.latency_summary()}{notices}"
+            f" {self.detail}"
         )
--- a/src/hoistmoor/relay/front/caller_response.py
+++ b/src/hoistmoor/relay/front/caller_response.py
@@ -34,8 +34,8 @@
         Args:
             request: Request to respond to.
             keep_open: Whether the connection may be reused.
-            retry_after_for: Returns the Retry-After delay in seconds for a refusal
-                reason.
+            retry_after_for: Returns the Retry-After delay in seconds for a
+                refusal reason.
         """
         self.response: web.StreamResponse | None = None
         self._request = request
--- a/src/hoistmoor/relay/front/http_handlers.py
+++ b/src/hoistmoor/relay/front/http_handlers.py
@@ -13,7 +13,7 @@
 from hoistmoor.core.relay.course import fingerprint
 from hoistmoor.core.relay.course import retry_after
 from hoistmoor.relay.front import admission as admission_lib
-from hoistmoor.relay.front import backend_connector as links_lib
+from hoistmoor.relay.front import backend_connector as backend_connector_lib
 from hoistmoor.relay.front import caller_response
 from hoistmoor.relay.front import relay_task
 
@@ -37,7 +37,7 @@
         self,
         state: state_lib.RelayState,
         admission: admission_lib.Admission,
-        links: links_lib.BackendConnector,
+        links: backend_connector_lib.BackendConnector,
         draws: hashing.RandomGenerator,
     ) -> None:
         self.running: set[asyncio.Task[Any]] = set()
--- a/src/hoistmoor/relay/front/relay_task.py
+++ b/src/hoistmoor/relay/front/relay_task.py
@@ -24,7 +24,7 @@
     from hoistmoor.core.relay.course import requests
     from hoistmoor.relay import state as state_lib
     from hoistmoor.relay.front import admission
-    from hoistmoor.relay.front import backend_connector as links_lib
+    from hoistmoor.relay.front import backend_connector as backend_connector_lib
     from hoistmoor.relay.front import caller_response
 
 _State = outcomes.ExchangeState
@@ -39,7 +39,7 @@
     def __init__(
         self,
         state: state_lib.RelayState,
-        links: links_lib.BackendConnector,
+        links: backend_connector_lib.BackendConnector,
         head: admission.RequestHead,
         request: requests.RelayRequest,
         body: bytes,
--- a/src/hoistmoor/relay/relay_server.py
+++ b/src/hoistmoor/relay/relay_server.py
@@ -8,8 +8,8 @@
 
 from aiohttp import web
 
-from hoistmoor.relay.front import http_handlers as front_lib
-from hoistmoor.relay.peers import request_handler as answers_lib
+from hoistmoor.relay.front import http_handlers as http_handlers_lib
+from hoistmoor.relay.peers import request_handler as request_handler_lib
 from hoistmoor.utils import listening
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
     def __init__(
         self,
         state: state_lib.RelayState,
-        front: front_lib.RequestHandler,
+        front: http_handlers_lib.RequestHandler,
         followers: dict[str, follower_lib.TopicFollower],
         loops: Mapping[str, Callable[[], Coroutine[Any, Any, None]]],
         settings: Callable[[], settings_lib.RelaySettings],
@@ -92,16 +92,16 @@
 
     async def _listen(self) -> list[web.ServerRunner]:
         settings = self._settings()
-        readiness = front_lib.ReadinessHandler(self._state)
+        readiness = http_handlers_lib.ReadinessHandler(self._state)
         handlers = [
             (settings.listen, self._front.handle),
             (settings.ready_listen, readiness.handle),
         ]
         if settings.metrics_listen:
-            metrics = front_lib.MetricsHandler(self._state)
+            metrics = http_handlers_lib.MetricsHandler(self._state)
             handlers.append((settings.metrics_listen, metrics.handle))
         if settings.peer_listen:
-            answers = answers_lib.PeerRequestHandler(
+            answers = request_handler_lib.PeerRequestHandler(
                 self._state, self._followers
             )
             handlers.append((settings.peer_listen, answers.handle))
--- a/src/hoistmoor/relay/report_tracker.py
+++ b/src/hoistmoor/relay/report_tracker.py
@@ -38,7 +38,8 @@
         Args:
             fleet: Known backend servers.
             clock: Monotonic time in seconds.
-            log_change: Logs and counts a state change, given its kind and fields.
+            log_change: Logs and counts a state change, given its kind and
+                fields.
             has_urgent_changes: Set when peers should be informed immediately.
         """
         self._fleet = fleet
--- a/src/hoistmoor/relay/state.py
+++ b/src/hoistmoor/relay/state.py
@@ -9,7 +9,7 @@
 
 from hoistmoor.core.relay.beliefs import configuration as configuration_lib
 from hoistmoor.core.relay.beliefs import configuration_lease
-from hoistmoor.core.relay.beliefs import store_era as history_lib
+from hoistmoor.core.relay.beliefs import store_era as store_era_lib
 from hoistmoor.core.relay.beliefs import topics
 from hoistmoor.core.relay.placement import router as router_lib
 from hoistmoor.core.relay.servers import outstanding as outstanding_lib
@@ -17,8 +17,8 @@
 from hoistmoor.core.relay.servers import suspect_state
 from hoistmoor.core.relay.versions import evidence as evidence_lib
 from hoistmoor.relay import event_log
-from hoistmoor.relay import metrics as counters_lib
-from hoistmoor.relay import report_tracker as server_beliefs_lib
+from hoistmoor.relay import metrics as metrics_lib
+from hoistmoor.relay import report_tracker as report_tracker_lib
 
 
 @attrs.define(eq=False)
@@ -52,12 +52,14 @@
 
     clock: Callable[[], float]
     log: event_log.EventLog
-    counters: counters_lib.RelayMetrics
+    counters: metrics_lib.RelayMetrics
     router: router_lib.Router
     lease: configuration_lease.ConfigurationLease
     outstanding: outstanding_lib.OutstandingWork
     run_name: str
-    store_era: history_lib.StoreEra = attrs.field(factory=history_lib.StoreEra)
+    store_era: store_era_lib.StoreEra = attrs.field(
+        factory=store_era_lib.StoreEra
+    )
     evidence: evidence_lib.EvidenceRegistry = attrs.field(
         factory=evidence_lib.EvidenceRegistry
     )
@@ -70,14 +72,14 @@
     depth: int = 0
     started_at: float = attrs.field(init=False)
     has_urgent_changes: asyncio.Event = attrs.field(factory=asyncio.Event)
-    report_tracker: server_beliefs_lib.ServerReportTracker = attrs.field(
+    report_tracker: report_tracker_lib.ServerReportTracker = attrs.field(
         init=False
     )
 
     def __attrs_post_init__(self) -> None:
         """Records the start time and connects the server reports."""
         self.started_at = self.clock()
-        self.report_tracker = server_beliefs_lib.ServerReportTracker(
+        self.report_tracker = report_tracker_lib.ServerReportTracker(
             self.router.fleet,
             self.clock,
             self.log_change,
@@ -123,7 +125,8 @@
             service=server.entry.service,
             told=told,
             runs=[
-                f"{run.fingerprint} {run.stage} {run.response_duration(now):.3f}s"
+                f"{run.fingerprint} {run.stage}"
+                f" {run.response_duration(now):.3f}s"
                 for run in server.runs.possibly_active(now)
             ],
         )
--- a/src/hoistmoor/relay/store/era_monitor.py
+++ b/src/hoistmoor/relay/store/era_monitor.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from hoistmoor.core.relay.beliefs import store_era as history_lib
+from hoistmoor.core.relay.beliefs import store_era as store_era_lib
 
 if TYPE_CHECKING:
     from hoistmoor.relay import state as state_lib
@@ -25,7 +25,7 @@
     ) -> None:
         self._state = state
         self._followers = followers
-        self._logged_kinds: set[history_lib.EraProblem] = set()
+        self._logged_kinds: set[store_era_lib.EraProblem] = set()
 
     def attach(self) -> None:
         """Subscribes to the store's history."""
@@ -35,7 +35,7 @@
     def on_new_era(self, before: int, era: int, told_by: str) -> None:
         """Logs a new era, and where each topic ended in the previous one."""
         self._state.counters.store_era.set(era)
-        if told_by == history_lib.STORE:
+        if told_by == store_era_lib.STORE:
             self._state.has_urgent_changes.set()
         self._state.log_change(
             "store_era",
@@ -49,7 +49,7 @@
         )
 
     def on_unusable_era(
-        self, kind: history_lib.EraProblem, word: history_lib.EraHeader
+        self, kind: store_era_lib.EraProblem, word: store_era_lib.EraHeader
     ) -> None:
         """Counts a response without a usable era; logs the first of a kind."""
         self._state.counters.unusable_eras.labels(kind.value).inc()
--- a/src/hoistmoor/relay/store/follower.py
+++ b/src/hoistmoor/relay/store/follower.py
@@ -8,7 +8,7 @@
 import attrs
 
 from hoistmoor.core import errors
-from hoistmoor.core.relay.beliefs import replication as mirror_lib
+from hoistmoor.core.relay.beliefs import replication as replication_lib
 from hoistmoor.core.relay.beliefs import topics
 from hoistmoor.relay.store import store_gate
 
@@ -91,13 +91,13 @@
                 its end, and is confirmed to be current at all times.
             waits_for_store: Whether the first read waits until the store has
                 answered another call.
-            may_use_peers: Whether the topic is read only while ``direct`` is set,
-                since another host may read it for this one.
+            may_use_peers: Whether the topic is read only while ``direct`` is
+                set, since another host may read it for this one.
         """
         self.name = name
         self.place: topics.Place | None = None
         self.current_at = float("-inf")
-        self.replica = mirror_lib.TopicReplica()
+        self.replica = replication_lib.TopicReplica()
         self.direct = asyncio.Event()
         self.loaded = asyncio.Event()
         if not may_use_peers:
--- a/src/hoistmoor/relay/store/ports.py
+++ b/src/hoistmoor/relay/store/ports.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from hoistmoor.core.relay.beliefs import store_era as history_lib
+from hoistmoor.core.relay.beliefs import store_era as store_era_lib
 from hoistmoor.relay.front import header_names
 
 if TYPE_CHECKING:
@@ -128,4 +128,6 @@
     codec: Codec
     headers: header_names.HeaderNames
     not_run_statuses: frozenset[int]
-    store_era: history_lib.StoreEra = attrs.field(factory=history_lib.StoreEra)
+    store_era: store_era_lib.StoreEra = attrs.field(
+        factory=store_era_lib.StoreEra
+    )
--- a/tests/core/billing/billing_cluster.py
+++ b/tests/core/billing/billing_cluster.py
@@ -13,7 +13,7 @@
 from hoistmoor.core import identity
 from hoistmoor.core.billing import bills
 from hoistmoor.core.billing import held as held_lib
-from hoistmoor.core.billing import pending_bills as pending_lib
+from hoistmoor.core.billing import pending_bills as pending_bills_lib
 from hoistmoor.core.billing import statement as statement_lib
 
 AMOUNT = 100  # Price of each bill, in micros.
@@ -24,7 +24,7 @@
     """One incarnation of a host and its append in progress, if any."""
 
     incarnation: identity.Incarnation
-    pending: pending_lib.PendingBills
+    pending: pending_bills_lib.PendingBills
     held: held_lib.HeldBatches
     append: bills.BillBatch | None = None  # In progress.
     stored: bool = False  # Whether the log has stored that append.
@@ -35,7 +35,9 @@
 class Cluster:
     """Hosts, the log, and the state to check the statement against."""
 
-    make_pending: type[pending_lib.PendingBills] = pending_lib.PendingBills
+    make_pending: type[pending_bills_lib.PendingBills] = (
+        pending_bills_lib.PendingBills
+    )
     make_held: type[held_lib.HeldBatches] = held_lib.HeldBatches
     make_statement: type[statement_lib.Statement] = statement_lib.Statement
     log: list[bytes] = attrs.field(factory=list)
--- a/tests/core/membership/membership_network.py
+++ b/tests/core/membership/membership_network.py
@@ -61,9 +61,9 @@
 
     Attributes:
         now: Virtual time.
-        nodes: The hosts by name.
+        hosts: The hosts by name.
         loss: Probability that a message is lost, in each direction.
-        is_cut: Returns whether two hosts cannot reach each other.
+        is_partitioned: Returns whether two hosts cannot reach each other.
         log_is_up: Returns whether a host can read the log.
         on_digest: Called with each digest sent: sender, receiver, digest.
     """
--- a/tests/core/membership/test_membership_faults.py
+++ b/tests/core/membership/test_membership_faults.py
@@ -361,7 +361,7 @@
 _MUTATIONS = {
     "no refutation": (
         gossip.Gossip,
-        "_learn_of_self",
+        "_refute",
         lambda self, update: None,
         _resumed_host_refutes_death,
     ),
@@ -379,25 +379,25 @@
     ),
     "no detection of own pauses": (
         machine.Membership,
-        "_wake",
+        "_reset_after_pause",
         lambda self, now: None,
         _outdated_log_reply_does_not_count,
     ),
     "no sync of views": (
         digests.DigestWriter,
-        "write_parts",
+        "write_sync_reply",
         lambda self, to, _hashes, now: self.write(to, now),
         _new_host_joins,
     ),
     "no indirect pings": (
         machine.Membership,
-        "_helpers",
+        "_choose_helpers",
         lambda self, target, now: (),
         _lossy_network_causes_few_suspicions,
     ),
     "no majority check": (
         freshness,
-        "hears_majority",
+        "reaches_majority",
         lambda evidence: True,
         _disconnected_host_is_stale,
     ),
--- a/tests/core/membership/test_membership_histories.py
+++ b/tests/core/membership/test_membership_histories.py
@@ -134,9 +134,9 @@
 @pytest.mark.parametrize(
     ("owner", "name"),
     [
-        (gossip.Gossip, "_learn_of_self"),
+        (gossip.Gossip, "_refute"),
         (machine.Membership, "_ping_dead"),
-        (gossip.Gossip, "end_suspicions"),
+        (gossip.Gossip, "expire_suspicions"),
     ],
 )
 def test_histories_detect_a_missing_mechanism(
--- a/tests/core/relay/answers/test_relay_delays.py
+++ b/tests/core/relay/answers/test_relay_delays.py
@@ -6,7 +6,9 @@
 from testtools import assertions
 from testtools import matchers
 
-from hoistmoor.core.relay.answers import first_byte_delays as delays_lib
+from hoistmoor.core.relay.answers import (
+    first_byte_delays as first_byte_delays_lib,
+)
 from hoistmoor.core.relay.placement import partition
 
 LARGE = partition.WorkClass(2, 3, True)
@@ -14,9 +16,9 @@
 
 
 @pytest.fixture
-def delays() -> delays_lib.FirstByteDelays:
+def delays() -> first_byte_delays_lib.FirstByteDelays:
     """Delays with one class of work whose responses took one second."""
-    made = delays_lib.FirstByteDelays()
+    made = first_byte_delays_lib.FirstByteDelays()
     for number in range(60):
         started_at = number / 100
         serial = made.begin(LARGE, started_at)
@@ -25,7 +27,7 @@
 
 
 def test_expected_delay_follows_past_responses(
-    delays: delays_lib.FirstByteDelays,
+    delays: first_byte_delays_lib.FirstByteDelays,
 ) -> None:
     now = 1.6
     expected = delays.expected(LARGE, now)
@@ -35,7 +37,7 @@
 
 
 def test_pending_requests_count_with_their_age(
-    delays: delays_lib.FirstByteDelays,
+    delays: first_byte_delays_lib.FirstByteDelays,
 ) -> None:
     for _ in range(3):
         delays.begin(LARGE, 2.0)
@@ -43,7 +45,7 @@
 
 
 def test_average_decays_and_ignores_failed_requests(
-    delays: delays_lib.FirstByteDelays,
+    delays: first_byte_delays_lib.FirstByteDelays,
 ) -> None:
     serial = delays.begin(LARGE, 1.6)
     delays.end(LARGE, serial, 30.0, answered=False)
--- a/tests/core/table/test_table_fold.py
+++ b/tests/core/table/test_table_fold.py
@@ -135,7 +135,7 @@
 def test_edits_older_than_the_history_are_rejected_and_evicted(
     started: fold.TableFold, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(edit_history, "REMEMBERED_RECORDS", 3)
+    monkeypatch.setattr(edit_history, "MAX_BASE_AGE_RECORDS", 3)
     grant = model.Grant("bo", "m", "1", 0.5)
     copy = make.edit("g", 0, edits.RowSet("grants", grant.key, grant))
     started.apply(1, copy)  # Rejected: the account is missing.
@@ -150,7 +150,7 @@
 def test_changes_of_deleted_rows_are_evicted(
     started: fold.TableFold, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(edit_history, "REMEMBERED_RECORDS", 10)
+    monkeypatch.setattr(edit_history, "MAX_BASE_AGE_RECORDS", 10)
     for offset in range(1, 101, 2):
         name = f"a{offset}"
         started.apply(
--- a/tests/core/table/test_table_stateful.py
+++ b/tests/core/table/test_table_stateful.py
@@ -155,7 +155,7 @@
 
 @pytest.fixture(autouse=True)
 def _short_history(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(edit_history, "REMEMBERED_RECORDS", _MAX_BASE_AGE)
+    monkeypatch.setattr(edit_history, "MAX_BASE_AGE_RECORDS", _MAX_BASE_AGE)
 
 
 def test_hosts_agree_and_never_revert() -> None:
@@ -187,14 +187,14 @@
 
 MUTATIONS = {
     "conflict detection": Mutation(
-        edit_history.EditHistory, "newer_mark", lambda *_: None
+        edit_history.EditHistory, "change_since", lambda *_: None
     ),
     "deduplication of edits": Mutation(
-        edit_history.EditHistory, "first_copy", lambda *_: None
+        edit_history.EditHistory, "first_offset", lambda *_: None
     ),
     "validation": Mutation(check, "RULES", {1: lambda _: ()}),
     "maximum age of a base": Mutation(
-        edit_history, "is_remembered", lambda *_: True
+        edit_history, "is_base_covered", lambda *_: True
     ),
     "usability of snapshots": Mutation(snapshots, "is_usable", lambda *_: True),
     "running hosts ignore snapshots": Mutation(
--- a/tests/relay/conftest.py
+++ b/tests/relay/conftest.py
@@ -18,7 +18,7 @@
 from hoistmoor.relay import application
 from hoistmoor.relay import relay_server
 from hoistmoor.relay import settings as settings_lib
-from hoistmoor.relay.front import backend_connector as links_lib
+from hoistmoor.relay.front import backend_connector as backend_connector_lib
 from hoistmoor.relay.store import followers
 
 if TYPE_CHECKING:
@@ -166,7 +166,7 @@
         relay = application.Relay(
             settings,
             platform.as_port(),
-            links_lib.BackendSessions(kept, fresh),
+            backend_connector_lib.BackendSessions(kept, fresh),
             kept,
             lambda: settings,
         )
--- a/tests/relay/engine_traffic.py
+++ b/tests/relay/engine_traffic.py
@@ -58,12 +58,13 @@
         limit: Announced limit in requests per second from all hosts; None
             for no limit.
         limit_announced_at: Time at which the limit was first announced.
-        informed_at: Time at which each host first received the limit, by host name.
+        informed_at: Time at which each host first received the limit, by host
+            name.
         arrived: Arrival times of all requests.
         counted: Arrival times of requests from hosts that knew the limit.
         is_leaving: Whether it announces its departure.
-        departure_forwarded_at: Time at which each host first forwarded a response
-            that announced the departure, by host name.
+        departure_forwarded_at: Time at which each host first forwarded a
+            response that announced the departure, by host name.
         after_leaving: Arrival times of requests that violated the guarantee
             for leaving servers.
         rest: Seconds of back-off that it requests when it declines; None
--- a/tests/relay/peers/test_relay_peers.py
+++ b/tests/relay/peers/test_relay_peers.py
@@ -21,7 +21,7 @@
 from hoistmoor.core.relay.versions import phases
 from hoistmoor.relay import application
 from hoistmoor.relay import settings as settings_lib
-from hoistmoor.relay.front import backend_connector as links_lib
+from hoistmoor.relay.front import backend_connector as backend_connector_lib
 from hoistmoor.relay.peers import peer_client
 from hoistmoor.relay.store import followers
 from hoistmoor.relay.versions import rollout_codec
@@ -115,7 +115,7 @@
     relay = application.Relay(
         settings,
         attrs.evolve(port, topics=topics),
-        links_lib.BackendSessions(session, session),
+        backend_connector_lib.BackendSessions(session, session),
         session,
         lambda: settings,
     )
--- a/tests/relay/peers/test_relay_tree_stateful.py
+++ b/tests/relay/peers/test_relay_tree_stateful.py
@@ -27,7 +27,7 @@
 from hoistmoor.relay.peers import peer_client
 from hoistmoor.relay.peers import peer_codec
 from hoistmoor.relay.peers import reader as reader_lib
-from hoistmoor.relay.peers import request_handler as answers_lib
+from hoistmoor.relay.peers import request_handler as request_handler_lib
 from hoistmoor.relay.store import follower
 from hoistmoor.relay.store import operator_listener
 from hoistmoor.relay.store import store_gate
@@ -82,7 +82,9 @@
             gate=gate,
         )
         followers = {"operator": self.operator, "hosts": self.operator}
-        self.answers = answers_lib.PeerRequestHandler(self.state, followers)
+        self.answers = request_handler_lib.PeerRequestHandler(
+            self.state, followers
+        )
         sources = replication.SourceSelector("h", "z")
         listing = listing_lib.SelfListing(
             self.state,
--- a/tests/relay/relay_cluster.py
+++ b/tests/relay/relay_cluster.py
@@ -24,7 +24,7 @@
 from hoistmoor.clients import sessions
 from hoistmoor.relay import application
 from hoistmoor.relay import settings as settings_lib
-from hoistmoor.relay.front import backend_connector as links_lib
+from hoistmoor.relay.front import backend_connector as backend_connector_lib
 from hoistmoor.relay.store import followers
 
 if TYPE_CHECKING:
@@ -211,7 +211,7 @@
         relay = application.Relay(
             settings,
             self.platform.as_port(),
-            links_lib.BackendSessions(self.peers, self.peers),
+            backend_connector_lib.BackendSessions(self.peers, self.peers),
             self.peers,
             lambda: settings,
         )
--- a/tests/relay/relay_swarm.py
+++ b/tests/relay/relay_swarm.py
@@ -21,12 +21,12 @@
 import relay_platform
 
 from hoistmoor.core import errors
-from hoistmoor.core.relay.beliefs import store_era as history_lib
+from hoistmoor.core.relay.beliefs import store_era as store_era_lib
 from hoistmoor.relay import application
 from hoistmoor.relay import settings as settings_lib
 from hoistmoor.relay.peers import peer_client
 from hoistmoor.relay.peers import peer_codec
-from hoistmoor.relay.peers import request_handler as answers_lib
+from hoistmoor.relay.peers import request_handler as request_handler_lib
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
@@ -172,7 +172,7 @@
     name: str
     host: str
     link: Link
-    store_era: history_lib.StoreEra
+    store_era: store_era_lib.StoreEra
 
     @property
     def _shared(self) -> relay_platform.HostTopic:
@@ -297,7 +297,7 @@
             clock=asyncio.get_running_loop().time,
         )
         self._swarm.by_state[id(self.relay.state)] = self
-        self._answers = answers_lib.PeerRequestHandler(
+        self._answers = request_handler_lib.PeerRequestHandler(
             self.relay.state, self.relay.followers
         )
         self._tasks = [
--- a/tests/relay/store/test_relay_store_gate.py
+++ b/tests/relay/store/test_relay_store_gate.py
@@ -16,7 +16,7 @@
 from hoistmoor.clients import sessions
 from hoistmoor.relay import application
 from hoistmoor.relay import settings as settings_lib
-from hoistmoor.relay.front import backend_connector as links_lib
+from hoistmoor.relay.front import backend_connector as backend_connector_lib
 from hoistmoor.relay.store import followers
 from hoistmoor.relay.store import store_gate
 
@@ -108,7 +108,7 @@
         relay = application.Relay(
             settings,
             platform.as_port(),
-            links_lib.BackendSessions(session, session),
+            backend_connector_lib.BackendSessions(session, session),
             session,
             lambda: settings,
         )
--- a/tests/relay_platform.py
+++ b/tests/relay_platform.py
@@ -13,7 +13,7 @@
 
 from hoistmoor.core import errors
 from hoistmoor.core.relay.beliefs import configuration
-from hoistmoor.core.relay.beliefs import store_era as history_lib
+from hoistmoor.core.relay.beliefs import store_era as store_era_lib
 from hoistmoor.core.relay.beliefs import topics
 from hoistmoor.core.relay.servers import server as server_lib
 from hoistmoor.core.relay.versions import phases as phases_lib
@@ -118,7 +118,7 @@
     """
 
     topic: MemoryTopic
-    store_era: history_lib.StoreEra
+    store_era: store_era_lib.StoreEra
 
     async def newest(self) -> topics.Batch:
         """Returns the newest record of each key."""
@@ -154,10 +154,10 @@
 
 
 def record_era(
-    history: history_lib.StoreEra, topic: MemoryTopic, known: int
+    history: store_era_lib.StoreEra, topic: MemoryTopic, known: int
 ) -> None:
     """Updates a host's knowledge of the era from a response."""
-    word = history_lib.EraHeader(str(topic.era), topic.era)
+    word = store_era_lib.EraHeader(str(topic.era), topic.era)
     history.record_response(word, known)
 
 
@@ -184,7 +184,7 @@
         found = self.known.get(record.value or b"")
         if not isinstance(found, phases_lib.Order):
             return None
-        if record.place.era == history_lib.UNKNOWN_ERA:
+        if record.place.era == store_era_lib.UNKNOWN_ERA:
             return found  # Keeps the number that the test has assigned.
         return attrs.evolve(found, number=record.place.serial)
 
@@ -220,7 +220,7 @@
 
     def as_port(self) -> ports.Platform:
         """Returns the platform adapter of one relay."""
-        history = history_lib.StoreEra()
+        history = store_era_lib.StoreEra()
         topics = ports.Topics(
             *(HostTopic(each, history) for each in self.topics.values())
         )
