--- a/src/hoistmoor/core/relay/placement/router.py
+++ b/src/hoistmoor/core/relay/placement/router.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from hoistmoor.core.relay.answers import response_times as response_times_lib
+from hoistmoor.core.relay.answers import response_times
 from hoistmoor.core.relay.course import budget
 from hoistmoor.core.relay.course import retry_after
 from hoistmoor.core.relay.placement import bounds as bounds_lib
@@ -66,7 +66,7 @@
         serials = serials_lib.Serials()
         self.fleet = fleet_lib.Fleet(host_name, serials)
         self.rollouts = rollouts.RolloutRegistry(bounds.session_life)
-        self.response_times = response_times_lib.ResponseTimes()
+        self.response_times = response_times.ResponseTimes()
         self.suspects = suspects_lib.SuspectTable(serials)
         self.serials = serials
         self.zone = zone
@@ -76,13 +76,13 @@
         # An attempt that this host abandoned says nothing about its server and
         # has no handler.
         self._outcome_handlers: dict[
-            response_times_lib.AttemptOutcome, _OutcomeHandler
+            response_times.AttemptOutcome, _OutcomeHandler
         ] = {
-            response_times_lib.AttemptOutcome.WELL: self._note_success,
-            response_times_lib.AttemptOutcome.FAILED: self._note_failure,
-            response_times_lib.AttemptOutcome.FULL: self._note_full,
-            response_times_lib.AttemptOutcome.REPLACED: self._note_replaced,
-            response_times_lib.AttemptOutcome.UNREACHABLE: self._note_unreachable,
+            response_times.AttemptOutcome.WELL: self._note_success,
+            response_times.AttemptOutcome.FAILED: self._note_failure,
+            response_times.AttemptOutcome.FULL: self._note_full,
+            response_times.AttemptOutcome.REPLACED: self._note_replaced,
+            response_times.AttemptOutcome.UNREACHABLE: self._note_unreachable,
         }
         self.set_bounds(bounds)
 
@@ -260,7 +260,7 @@
         self,
         request: requests.RelayRequest,
         send: messages.Send,
-        outcome: response_times_lib.AttemptOutcome,
+        outcome: response_times.AttemptOutcome,
         now: float,
     ) -> None:
         """Records the outcome of an attempt.
@@ -371,7 +371,7 @@
         self,
         request: requests.RelayRequest,
         server: server_lib.ServerState,
-        measured: response_times_lib.ResponseTiming,
+        measured: response_times.ResponseTiming,
     ) -> None:
         """Evaluates the response to an attempt for rollouts."""
         key = (request.route.name, measured.model)
