--- a/src/hoistmoor/entry/intake.py
+++ b/src/hoistmoor/entry/intake.py
@@ -1,4 +1,4 @@
-"""Turns HTTP requests into typed ones, checked against the table in force."""
+"""Parses HTTP requests and validates them against the table in force."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
 
     from hoistmoor.entry import readiness as readiness_lib
 
-_BODY_TIMEOUT = 10.0  # Seconds to receive a body in.
+_BODY_TIMEOUT_SECONDS = 10.0  # To receive a whole body.
 _SERVICES_PREFIX = "/v1/services/"
 
 
 @attrs.frozen
 class Caller:
-    """A caller whose key is good.
+    """An authenticated caller and the context of its request.
 
     Attributes:
-        account: The caller's row of the table.
-        headers: Checked headers.
-        in_force: The table that the request is decided by.
-        request_id: Names the request.
-        now: When it arrived, seconds since the epoch.
+        account: The caller's row in the table.
+        headers: Validated request headers.
+        in_force: The table that applies to the request.
+        request_id: ID of the request.
+        now: Arrival time of the request, in seconds since the epoch.
     """
 
     account: model.Account
@@ -48,10 +48,10 @@
 
 
 class Intake:
-    """Reads and checks callers' requests.
+    """Authenticates callers and parses their requests.
 
     Attributes:
-        incarnation: This process.
+        incarnation: Incarnation of this process; part of each request ID.
     """
 
     def __init__(
@@ -63,21 +63,21 @@
         self.incarnation = incarnation
         self._readiness = readiness
         self._clock = clock
-        self._serials = itertools.count(1)
-        self._kinds = kind_book.KindBook()
+        self._serial_numbers = itertools.count(1)
+        self._kind_registry = kind_book.KindBook()
 
     def next_id(self) -> identity.RequestId:
-        """Returns the id of the next request."""
-        return identity.RequestId(self.incarnation, next(self._serials))
+        """Returns a new request ID."""
+        return identity.RequestId(self.incarnation, next(self._serial_numbers))
 
     def identify(
         self, http: web.Request, request_id: identity.RequestId
     ) -> Caller:
-        """Returns who calls.
+        """Authenticates the caller of an HTTP request.
 
         Raises:
-            parsing.RefusedError: This host takes no work, or the caller's
-                headers or key are no good.
+            parsing.RefusedError: This host accepts no new work, or the
+                headers or the bearer key are invalid.
         """
         in_force = self._readiness.check()
         if isinstance(in_force, refusals.Refusal):
@@ -90,10 +90,11 @@
     async def read_chat(
         self, http: web.Request, caller: Caller
     ) -> kinds.ChatRequest:
-        """Returns the chat request that a caller sent.
+        """Reads the body of a chat request and parses it.
 
         Raises:
-            parsing.RefusedError: It is no good, or not granted.
+            parsing.RefusedError: The request is invalid, or the account has
+                no grant for the model.
         """
         raw = await self._read_body(http, caller.in_force.table)
         body = parsing.parse_chat_body(raw)
@@ -106,16 +107,19 @@
             limits.value(table, "default_deadline_seconds"),
             model.Priority.NORMAL,
         )
-        kind = self._kinds.admit(caller.account.account, caller.headers.kind)
+        kind = self._kind_registry.admit(
+            caller.account.account, caller.headers.kind
+        )
         return parsing.chat_request(shared, kind, body, raw)
 
     async def read_call(
         self, http: web.Request, caller: Caller
     ) -> kinds.CallRequest:
-        """Returns the call to a plain service that a caller sent.
+        """Reads a call to a plain HTTP service and parses it.
 
         Raises:
-            parsing.RefusedError: It is no good, or not allowed.
+            parsing.RefusedError: The call is invalid, or the account may not
+                make it.
         """
         table = caller.in_force.table
         raw = await self._read_body(http, table)
@@ -138,23 +142,23 @@
         )
 
     async def _read_body(self, http: web.Request, table: model.Table) -> bytes:
-        most = int(limits.value(table, "body_bytes"))
-        detail = f"the body may have at most {most} bytes"
-        if (http.content_length or 0) > most:
+        max_bytes = int(limits.value(table, "body_bytes"))
+        detail = f"the body must not exceed {max_bytes} bytes"
+        if (http.content_length or 0) > max_bytes:
             raise parsing.refuse(refusals.Reason.BODY_TOO_LARGE, detail)
         body = bytearray()
         try:
-            async with asyncio.timeout(_BODY_TIMEOUT):
-                async for piece in http.content.iter_any():
-                    body += piece
-                    if len(body) > most:
+            async with asyncio.timeout(_BODY_TIMEOUT_SECONDS):
+                async for chunk in http.content.iter_any():
+                    body += chunk
+                    if len(body) > max_bytes:
                         raise parsing.refuse(
                             refusals.Reason.BODY_TOO_LARGE, detail
                         )
         except TimeoutError:
             raise parsing.refuse(
                 refusals.Reason.BAD_BODY,
-                f"the body did not come whole within {_BODY_TIMEOUT:.0f} s",
+                f"the body took longer than {_BODY_TIMEOUT_SECONDS:.0f} s",
             ) from None
         return bytes(body)
 
--- a/src/hoistmoor/entry/limits.py
+++ b/src/hoistmoor/entry/limits.py
@@ -1,4 +1,4 @@
-"""Admits requests at this host within the limits of the table."""
+"""Admission control: applies the table's limits to requests at this host."""
 
 from __future__ import annotations
 
@@ -29,31 +29,31 @@
     from hoistmoor.core.sessions import choice
     from hoistmoor.entry import log_port
 
-SHARE_WAIT = 1.0  # Seconds that a request waits for a spend share at most.
-_URGENT_HEADROOM = 0.1  # Share of the host's requests kept for urgent ones.
-_MAX_WAIT = 3_600  # Seconds.
+SHARE_WAIT = 1.0  # Longest wait of a request for a spend share, in seconds.
+_URGENT_RESERVE_FRACTION = 0.1  # Of the host's concurrency.
+_MAX_RETRY_AFTER_SECONDS = 3_600
 
 Result = pools.Result
 
-_SPEND_DETAILS = {
-    book.Verdict.EXHAUSTED: "The account's spend limit of the day is used up.",
-    book.Verdict.WAIT: "No share of the spend limit could be had in time.",
-    book.Verdict.UNKNOWN: "The spend so far is not known to this host yet.",
+_SPEND_REFUSAL_DETAILS = {
+    book.Verdict.EXHAUSTED: "The account's daily spend limit is exhausted.",
+    book.Verdict.WAIT: "No share of the spend limit was obtained in time.",
+    book.Verdict.UNKNOWN: "This host does not know the account's spend yet.",
 }
 
 
 @attrs.define
 class Admitted:
-    """A request that may run; it must be released exactly once.
+    """An admitted request; it must be released exactly once.
 
     Attributes:
-        serial: Counts this process's requests.
+        serial: Serial number of the request in this process.
         account: Client account.
-        pool: Name of the service that it runs on.
-        priority: How long it could wait.
-        day: UTC day that its spend counts for.
-        reserved: Micros set aside for it.
-        started_at: When it was let in, in seconds since the epoch.
+        pool: Name of the service that handles the request.
+        priority: Priority in the admission queue.
+        day: UTC day to which its spend is charged.
+        reserved: Micros reserved for it.
+        started_at: Admission time, in seconds since the epoch.
         released: Whether it has been released.
     """
 
@@ -68,13 +68,13 @@
 
 
 class Gate:
-    """What this host lets in.
+    """Admits requests at this host within all limits.
 
     Attributes:
-        accounts: Rate and concurrency per client account.
-        keeper: Spend per client account.
+        accounts: Rate and concurrency limits per client account.
+        keeper: Spend limits per client account.
         slots: Queue and retry budget per service.
-        present: Requests admitted or waiting.
+        present: Number of requests admitted or waiting.
     """
 
     def __init__(
@@ -92,37 +92,37 @@
         self.slots = slots.Slots(clock, self.in_force.table)
         self.present = 0
         self._clock = clock
-        self._serials = itertools.count(1)
+        self._serial_numbers = itertools.count(1)
 
     def now(self) -> float:
-        """Returns the seconds since the epoch."""
+        """Returns the current time in seconds since the epoch."""
         return self._clock()
 
     def start(self) -> None:
-        """Starts the tasks that keep the spend shares."""
+        """Starts the tasks that synchronize the spend shares with the log."""
         self.keeper.start()
 
     async def stop(self) -> None:
-        """Ends the tasks; call ``drain`` first on a graceful stop."""
+        """Stops the tasks; call ``drain`` first for a graceful stop."""
         await self.keeper.stop()
         self.slots.stop()
 
     async def answer_peer(self, message: bytes) -> bytes:
-        """Answers a peer that asks for a part of a spend share."""
+        """Handles a peer's message about spend shares; returns the reply."""
         return await self.keeper.peers.answer(message)
 
     async def drain(self) -> None:
-        """Gives spend shares back, once no more requests are admitted."""
+        """Returns unused spend shares; call it once admission has stopped."""
         await self.keeper.drain()
 
     def on_table(self, in_force: model.TableInForce) -> None:
-        """Takes a new table in force."""
+        """Applies a new table."""
         self.in_force = in_force
         self.keeper.on_table(in_force)
         self.slots.resize(in_force.table, self.slots.hosts)
 
     def on_hosts(self, hosts: Iterable[choice.EntryHost]) -> None:
-        """Takes the live entry hosts, this one included."""
+        """Updates the live entry hosts, this one included."""
         now = self._clock()
         shares = self.accounts.shares
         shares.on_hosts([host.name for host in hosts], now)
@@ -138,20 +138,20 @@
         est_cost: int,
         pool: str = "",
     ) -> Admitted | refusals.Refusal:
-        """Returns once the request may run, or why it may not.
+        """Waits until the request may run, or returns why it is refused.
 
         Args:
             account: Client account.
-            priority: How long the request can wait.
-            deadline: Seconds since the epoch by which it must be answered.
-            est_cost: Micros that it may cost at most.
-            pool: Name of the service that it runs on.
+            priority: Priority in the admission queue.
+            deadline: Deadline for the response, in seconds since the epoch.
+            est_cost: Upper bound of its cost, in micros.
+            pool: Name of the service that handles the request.
         """
-        refusal = self._enter(account, priority)
+        refusal = self._check_limits(account, priority)
         if refusal:
             return refusal
         now = self._clock()
-        serial = next(self._serials)
+        serial = next(self._serial_numbers)
         day = records.day_of(now)
         admitted = Admitted(serial, account, pool, priority, day)
         try:
@@ -160,10 +160,10 @@
                 entry = queue.Entry(serial, priority, deadline)
                 refusal = await self.slots.take(pool, entry)
         except BaseException:
-            self._undo(admitted)
+            self._revert(admitted)
             raise
         if refusal:
-            self._undo(admitted)
+            self._revert(admitted)
             return refusal
         admitted.started_at = self._clock()
         return admitted
@@ -174,12 +174,12 @@
         actual_cost: int,
         result: Result = Result.DONE,
     ) -> None:
-        """Frees what an admitted request held; a repeat does nothing.
+        """Releases everything an admitted request holds; idempotent.
 
         Args:
             admitted: The request.
-            actual_cost: Micros that it cost.
-            result: How it ended.
+            actual_cost: Its actual cost, in micros.
+            result: How the request ended.
         """
         if admitted.released:
             return
@@ -191,42 +191,46 @@
         self.slots.free(admitted.pool, admitted.priority, seconds, result)
 
     def retry_allowed(self, pool: str = "") -> bool:
-        """Returns whether another attempt is within the pool's budget."""
+        """Takes a retry from the pool's budget; returns whether it had one."""
         return self.slots.pool(pool).budget.take(self._clock())
 
-    def _enter(
+    def _check_limits(
         self, account: str, priority: model.Priority
     ) -> refusals.Refusal | None:
         row = self.in_force.table.accounts.get(account)
         if row is None:
-            return _refuse(refusals.Reason.NOT_GRANTED, "No such account.")
-        if self.present >= self._room(priority):
-            wait = retries.spread_wait(1.0, next(self._serials))
-            return _refuse(
-                refusals.Reason.OVERLOADED, "This host is full.", wait
+            return _refusal(
+                refusals.Reason.NOT_GRANTED, "The account does not exist."
+            )
+        if self.present >= self._max_requests(priority):
+            wait = retries.spread_wait(1.0, next(self._serial_numbers))
+            return _refusal(
+                refusals.Reason.OVERLOADED,
+                "This host is at its concurrency limit.",
+                wait,
             )
         refusal = self.accounts.enter(row, self._clock())
         if refusal is None:
             self.present += 1
         return refusal
 
-    def _room(self, priority: model.Priority) -> float:
-        most = limits.value(self.in_force.table, "entry_concurrency")
+    def _max_requests(self, priority: model.Priority) -> float:
+        max_requests = limits.value(self.in_force.table, "entry_concurrency")
         if priority is model.Priority.URGENT:
-            return most
-        return max(1.0, most * (1 - _URGENT_HEADROOM))
+            return max_requests
+        return max(1.0, max_requests * (1 - _URGENT_RESERVE_FRACTION))
 
     async def _reserve(
         self, admitted: Admitted, cost: int, deadline: float
     ) -> refusals.Refusal | None:
         if cost <= 0:
             return None
-        until = min(deadline, self._clock() + SHARE_WAIT)
+        share_deadline = min(deadline, self._clock() + SHARE_WAIT)
         verdict = await self.keeper.reserve(
             admitted.account,
             cost,
             admitted.day,
-            until,
+            share_deadline,
             admitted.priority is model.Priority.URGENT,
         )
         if verdict is not book.Verdict.RESERVED:
@@ -239,11 +243,11 @@
     ) -> refusals.Refusal:
         wait = retries.spread_wait(2.0, serial)
         if verdict is book.Verdict.EXHAUSTED:
-            # Other hosts may give shares back before the day is over.
-            left = -self._clock() % records.SECONDS_PER_DAY
-            wait = min(_MAX_WAIT, int(left) + wait)
-        detail = _SPEND_DETAILS[verdict]
-        return _refuse(refusals.Reason.SPEND_LIMITED, detail, wait)
+            # Other hosts may return shares before the day ends.
+            seconds_left = -self._clock() % records.SECONDS_PER_DAY
+            wait = min(_MAX_RETRY_AFTER_SECONDS, int(seconds_left) + wait)
+        detail = _SPEND_REFUSAL_DETAILS[verdict]
+        return _refusal(refusals.Reason.SPEND_LIMITED, detail, wait)
 
     def _settle(self, admitted: Admitted, cost: int) -> None:
         if admitted.reserved or cost:
@@ -251,13 +255,13 @@
                 admitted.account, admitted.day, admitted.reserved, cost
             )
 
-    def _undo(self, admitted: Admitted) -> None:
+    def _revert(self, admitted: Admitted) -> None:
         self.present -= 1
         self.accounts.undo(admitted.account)
         self._settle(admitted, 0)
 
 
-def _refuse(
+def _refusal(
     reason: refusals.Reason, detail: str, wait: int | None = None
 ) -> refusals.Refusal:
     return refusals.Refusal(reason, outcomes.Outcome.NOT_RUN, detail, wait)
--- a/src/hoistmoor/entry/limits_status.py
+++ b/src/hoistmoor/entry/limits_status.py
@@ -1,4 +1,4 @@
-"""What one host uses of its limits, for operators."""
+"""Status of the limits at one host, for operators."""
 
 from __future__ import annotations
 
@@ -15,20 +15,23 @@
 
 @attrs.frozen
 class AccountStatus:
-    """One client account; money in micros, for the current UTC day.
+    """One client account; amounts in micros, for the current UTC day.
 
     Attributes:
         account: Name of the client account.
-        in_flight: Its requests at this host.
-        part: This host's part of its rate and concurrency, at most 1.
-        spend_limit: Its limit over all hosts.
-        granted: Shares of all hosts together, as far as read here.
-        share: This host's share.
-        reserved: Of the share, set aside for requests that run.
-        spent: Of the share, spent.
-        overdrawn: Spent beyond the estimates; 0 while estimates hold.
-        taken: Of the share, what came from peers.
-        given: What went to peers; it is in their shares.
+        in_flight: Its requests in flight at this host.
+        part: Fraction of its rate and concurrency limits that this host may
+            use, at most 1.
+        spend_limit: Its spend limit over all hosts.
+        granted: Total share of all hosts, as far as this host has read the
+            log.
+        share: Share of this host.
+        reserved: Part of the share reserved for running requests.
+        spent: Part of the share already spent.
+        overdrawn: Spend in excess of the cost estimates; 0 while no request
+            costs more than estimated.
+        taken: Part of the share received from peers.
+        given: Amount transferred to peers; their shares include it.
     """
 
     account: str
@@ -50,11 +53,11 @@
 
     Attributes:
         pool: Name of the service.
-        slots: Requests that may run at once.
-        ceiling: The most that the table allows this host.
-        running: Requests that run.
-        waiting: Requests that wait, per priority.
-        retries_left: Retries that the budget allows now.
+        slots: Current concurrency limit.
+        ceiling: Highest concurrency that the table allows this host.
+        running: Number of running requests.
+        waiting: Number of waiting requests per priority.
+        retries_left: Retries left in the budget.
     """
 
     pool: str
@@ -70,11 +73,12 @@
     """The limits in use at one host.
 
     Attributes:
-        present: Requests admitted or waiting.
-        hosts: Hosts that the limits are shared with, this one included.
-        log_is_up: Whether shares can be asked for.
-        accounts: Per account of the table.
-        pools: Per pool used so far.
+        present: Number of requests admitted or waiting.
+        hosts: Number of hosts that share the limits, this one included.
+        log_is_up: Whether the log is reachable, so that shares can be
+            requested.
+        accounts: Status of each account in the table.
+        pools: Status of each pool used so far.
     """
 
     present: int
@@ -85,18 +89,18 @@
 
 
 def status_of(gate: limits.Gate, now: float) -> LimitsStatus:
-    """Returns what ``gate`` lets in and holds."""
+    """Returns the current status of the limits that ``gate`` applies."""
     rows = gate.in_force.table.accounts
     return LimitsStatus(
         gate.present,
         gate.keeper.book.hosts,
         gate.keeper.log_is_up,
-        tuple(_account(gate, rows[key], now) for key in sorted(rows)),
-        tuple(_pool(gate, name) for name in sorted(gate.slots.pools)),
+        tuple(_account_status(gate, rows[key], now) for key in sorted(rows)),
+        tuple(_pool_status(gate, name) for name in sorted(gate.slots.pools)),
     )
 
 
-def _account(
+def _account_status(
     gate: limits.Gate, row: model.Account, now: float
 ) -> AccountStatus:
     day = records.day_of(now)
@@ -118,7 +122,7 @@
     )
 
 
-def _pool(gate: limits.Gate, name: str) -> PoolStatus:
+def _pool_status(gate: limits.Gate, name: str) -> PoolStatus:
     pool = gate.slots.pools[name]
     return PoolStatus(
         name,
--- a/src/hoistmoor/entry/listeners.py
+++ b/src/hoistmoor/entry/listeners.py
@@ -1,4 +1,4 @@
-"""The sockets that an entry host listens on."""
+"""Listening sockets of an entry host."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 @attrs.frozen
 class Listeners:
-    """Sockets bound before the parts are made, so that their ports are known.
+    """Listening sockets, bound early so that other components know the ports.
 
     Attributes:
-        callers: For callers and operators.
-        peers: For other entry hosts.
+        callers: Socket for callers and operators.
+        peers: Socket for other entry hosts.
     """
 
     callers: socket.socket
@@ -27,10 +27,10 @@
 
     @classmethod
     def bind(cls, settings: settings_lib.EntrySettings) -> Listeners:
-        """Binds what the settings name; port 0 takes a free port.
+        """Binds the configured addresses; port 0 selects a free port.
 
         Raises:
-            ListenError: An address cannot be listened on.
+            ListenError: An address cannot be bound.
         """
         return cls(
             listening.bind(settings.listen),
@@ -40,7 +40,7 @@
     def describe(
         self, settings: settings_lib.EntrySettings
     ) -> settings_lib.EntrySettings:
-        """Returns the settings with the ports that were bound."""
+        """Returns the settings with the ports that are actually bound."""
         return attrs.evolve(
             settings,
             listen=listening.address_of(self.callers),
--- a/src/hoistmoor/entry/load_poller.py
+++ b/src/hoistmoor/entry/load_poller.py
@@ -1,4 +1,4 @@
-"""Reads the backend servers' load reports, as often as requests need them."""
+"""Polls backend servers for load reports at a rate that follows demand."""
 
 from __future__ import annotations
 
@@ -19,157 +19,167 @@
     from hoistmoor.core.routing import messages as routing
     from hoistmoor.core.routing import router as router_lib
 
-# A poll costs about 1.4 ms of processor time and 500 bytes. The rates bound
-# what a host spends, so that a report's age grows with the number of backend
-# servers instead of the host's spending.
-IDLE_RATE = 1.0  # Polls a second while nothing is dispatched.
-BUSY_RATE = 6.0  # Polls a second at most, but for servers never heard.
-FIRST_RATE = 25.0  # Polls a second while some were never heard.
-STARTING_SECONDS = 3.0  # A start waits no longer for first reports.
-PROBE_SECONDS = 0.03  # A request waits no longer for news of its pool.
+# A poll costs about 1.4 ms of CPU time and 500 bytes. The rates bound the cost
+# per host: with more backend servers, the reports get older instead of the
+# polling more expensive.
+IDLE_POLLS_PER_SECOND = 1.0  # While no request is dispatched.
+MAX_POLLS_PER_SECOND = 6.0  # Except while servers are still unpolled.
+INITIAL_POLLS_PER_SECOND = 25.0  # While servers are still unpolled.
+MAX_STARTUP_SECONDS = 3.0  # Longest wait of a start for first reports.
+PROBE_TIMEOUT_SECONDS = 0.03  # Longest wait of a request for a probe.
 POLLS_PER_DISPATCH = 2
-MOST_OWED = 12  # Polls; what a burst asks for beyond them is forgotten.
+MAX_PENDING_POLLS = 12  # Further polls that a burst requests are dropped.
 LEAVING = "leaving"
 
 
-class ServerNews(Protocol):
-    """Where a backend server's own word goes."""
+class ServerStateListener(Protocol):
+    """Receives the state that backend servers report about themselves."""
 
     def report_leaving(self, address: str, incarnation: int) -> None:
-        """Takes in that it leaves."""
+        """Handles a report that the server is leaving."""
 
     def report_live(self, address: str, incarnation: int) -> None:
-        """Takes in that it is live."""
+        """Handles a report that the server is live."""
 
 
 class LoadPoller:
     """Polls the backend servers of the services that are in use.
 
-    Each dispatch asks for two polls of its service; in between, all backend
-    servers take turns slowly. One that declined is polled at once, and those
-    new in the table come first: only a report says which versions one has.
+    Each dispatch requests two polls of its service. Otherwise all backend
+    servers are polled in turn at the idle rate. A server that declined a
+    request is polled at once. Servers new in the table come first, because
+    only a report tells which versions a server has.
 
     Attributes:
-        started: Whether each backend server of the first table was asked.
-        polls: Polls made.
-        failures: Polls that brought no report.
+        started: Whether each backend server of the first table was polled, or
+            the start timed out.
+        polls: Number of polls made.
+        failures: Number of polls that returned no report.
     """
 
     def __init__(
         self,
         client: engines.EngineClient,
         router: router_lib.Router,
-        news: ServerNews,
+        listener: ServerStateListener,
         clock: Callable[[], float],
     ) -> None:
         self.started = False
-        self._first_poll = 0.0
+        self._first_poll_at = 0.0
         self.polls = 0
         self.failures = 0
         self._client = client
         self._router = router
-        self._news = news
+        self._listener = listener
         self._clock = clock
         self._table = model.Table()
-        self._new: deque[str] = deque()
-        self._turns = itertools.count()
-        self._turns_of: dict[str, itertools.count[int]] = {}
-        self._owed: deque[str] = deque(maxlen=MOST_OWED)
-        self._is_owed = asyncio.Event()
-        self._calls: set[asyncio.Task[None]] = set()
+        self._unpolled: deque[str] = deque()
+        self._round_robin = itertools.count()
+        self._service_round_robins: dict[str, itertools.count[int]] = {}
+        self._pending_services: deque[str] = deque(maxlen=MAX_PENDING_POLLS)
+        self._wake_up = asyncio.Event()
+        self._poll_tasks: set[asyncio.Task[None]] = set()
 
     def on_table(self, in_force: model.TableInForce) -> None:
-        """Takes a new table in force."""
+        """Applies a new table."""
         old = self._table.servers
         self._table = in_force.table
-        self._new.extend(
+        self._unpolled.extend(
             name
             for name, row in self._table.servers.items()
             if name not in old or old[name].address != row.address
         )
-        self._is_owed.set()
+        self._wake_up.set()
 
     def on_dispatch(self, server: str) -> None:
-        """Notes that a backend server's service is in use."""
+        """Requests polls of the service that a request was dispatched to."""
         row = self._table.servers.get(server)
         if row is not None:
             self.on_wanted(row.service)
 
     def on_wanted(self, service: str) -> None:
-        """Asks for news of a service that is in use, or would be."""
-        self._owed.extend([service] * POLLS_PER_DISPATCH)
-        self._is_owed.set()
+        """Requests polls of a service that is, or would be, in use."""
+        self._pending_services.extend([service] * POLLS_PER_DISPATCH)
+        self._wake_up.set()
 
     async def probe(self, names: Iterable[str]) -> None:
-        """Polls these backend servers; those that dally are not waited for."""
+        """Polls these backend servers and waits briefly for their reports."""
         servers = self._table.servers
         rows = [servers[name] for name in names if name in servers]
-        calls = {self._start(row) for row in rows}
-        if calls:
-            await asyncio.wait(calls, timeout=PROBE_SECONDS)
+        tasks = {self._start_poll(row) for row in rows}
+        if tasks:
+            await asyncio.wait(tasks, timeout=PROBE_TIMEOUT_SECONDS)
 
     def on_declined(self, server: str) -> None:
-        """Polls a backend server that declined: it may be leaving."""
+        """Polls a backend server that declined a request: it may be leaving."""
         row = self._table.servers.get(server)
         if row is not None:
-            self._start(row)
+            self._start_poll(row)
 
     async def run(self) -> None:
-        """Polls until cancelled."""
+        """Polls until the task is cancelled."""
         while True:
-            server = self._next()
+            server = self._next_server()
             if server is not None:
-                self._start(server)
-            await self._note_start()
-            rate = FIRST_RATE if self._new else BUSY_RATE
+                self._start_poll(server)
+            await self._update_started()
+            rate = (
+                INITIAL_POLLS_PER_SECOND
+                if self._unpolled
+                else MAX_POLLS_PER_SECOND
+            )
             await asyncio.sleep(1.0 / rate)
-            await self._rest()
+            await self._wait_for_next_poll()
 
-    async def _note_start(self) -> None:
-        """Ends the start once the first polls have their answers."""
+    async def _update_started(self) -> None:
+        """Sets ``started`` once the initial polls are done or time is up."""
         if self.started or not self._table.servers:
             return
-        self._first_poll = self._first_poll or self._clock()
-        is_late = self._clock() - self._first_poll > STARTING_SECONDS
-        if self._new and not is_late:
+        self._first_poll_at = self._first_poll_at or self._clock()
+        is_late = self._clock() - self._first_poll_at > MAX_STARTUP_SECONDS
+        if self._unpolled and not is_late:
             return
-        await asyncio.gather(*self._calls)
+        await asyncio.gather(*self._poll_tasks)
         self.started = True
 
-    async def _rest(self) -> None:
-        """Waits until a poll is owed, or for the slow turn."""
-        if self._owed or self._new:
+    async def _wait_for_next_poll(self) -> None:
+        """Waits until a poll is requested or the idle interval has passed."""
+        if self._pending_services or self._unpolled:
             return
-        self._is_owed.clear()
+        self._wake_up.clear()
         try:
-            async with asyncio.timeout(1.0 / IDLE_RATE - 1.0 / BUSY_RATE):
-                await self._is_owed.wait()
+            async with asyncio.timeout(
+                1.0 / IDLE_POLLS_PER_SECOND - 1.0 / MAX_POLLS_PER_SECOND
+            ):
+                await self._wake_up.wait()
         except TimeoutError:
             return
 
-    def _next(self) -> model.Server | None:
-        if self._new:
-            return self._table.servers.get(self._new.popleft())
-        if self._owed:
-            return self._next_of(self._owed.popleft())
+    def _next_server(self) -> model.Server | None:
+        if self._unpolled:
+            return self._table.servers.get(self._unpolled.popleft())
+        if self._pending_services:
+            return self._next_server_of(self._pending_services.popleft())
         servers = tuple(self._table.servers.values())
         if not servers:
             return None
-        return servers[next(self._turns) % len(servers)]
+        return servers[next(self._round_robin) % len(servers)]
 
-    def _next_of(self, service: str) -> model.Server | None:
+    def _next_server_of(self, service: str) -> model.Server | None:
         servers = self._table.servers_by_service.get(service, ())
         if not servers:
             return None
-        turns = self._turns_of.setdefault(service, itertools.count())
-        return servers[next(turns) % len(servers)]
+        round_robin = self._service_round_robins.setdefault(
+            service, itertools.count()
+        )
+        return servers[next(round_robin) % len(servers)]
 
-    def _start(self, server: model.Server) -> asyncio.Task[None]:
+    def _start_poll(self, server: model.Server) -> asyncio.Task[None]:
         self.polls += 1
-        call = asyncio.create_task(self._poll(server))
-        self._calls.add(call)
-        call.add_done_callback(self._calls.discard)
-        return call
+        task = asyncio.create_task(self._poll(server))
+        self._poll_tasks.add(task)
+        task.add_done_callback(self._poll_tasks.discard)
+        return task
 
     async def _poll(self, server: model.Server) -> None:
         try:
@@ -177,11 +187,13 @@
         except errors.PlatformError:
             self.failures += 1
             return
-        self._tell(server, attrs.evolve(report, server=server.server))
+        self._publish(server, attrs.evolve(report, server=server.server))
 
-    def _tell(self, server: model.Server, report: routing.LoadReport) -> None:
+    def _publish(
+        self, server: model.Server, report: routing.LoadReport
+    ) -> None:
         self._router.on_load(report, self._clock())
         if report.state == LEAVING:
-            self._news.report_leaving(server.address, report.incarnation)
+            self._listener.report_leaving(server.address, report.incarnation)
         else:
-            self._news.report_live(server.address, report.incarnation)
+            self._listener.report_live(server.address, report.incarnation)
--- a/src/hoistmoor/entry/log_port.py
+++ b/src/hoistmoor/entry/log_port.py
@@ -1,4 +1,4 @@
-"""The log as its writers and readers need it."""
+"""Interface of the log client."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class Log(Protocol):
-    """What ``clients.log.LogClient`` offers, for tests to stand in for."""
+    """Subset of ``clients.log.LogClient``, so that tests can replace it."""
 
     async def append(self, stream: str, payload: bytes) -> int:
-        """Appends one record and returns its offset."""
+        """Appends a record and returns its offset."""
 
     async def read(
         self, stream: str, start: int, limit: int = 500, wait: float = 0.0
     ) -> log_client.LogPage:
-        """Reads records from ``start`` on."""
+        """Reads records from offset ``start`` on."""
 
     async def bounds(self, stream: str) -> log_client.LogBounds:
         """Returns the oldest and the next offset of a stream."""
--- a/src/hoistmoor/entry/main.py
+++ b/src/hoistmoor/entry/main.py
@@ -1,4 +1,4 @@
-"""Entry point of ``hoistmoor-entry``."""
+"""Command-line entry point of ``hoistmoor-entry``."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def main() -> int:
-    """Runs the program; returns its exit code."""
+    """Runs the program and returns its exit code."""
     return program.run(settings.EntrySettings, application.serve)
 
 
--- a/src/hoistmoor/entry/membership.py
+++ b/src/hoistmoor/entry/membership.py
@@ -1,7 +1,7 @@
 """The task that runs the membership protocol on an entry host.
 
-What to send and what to believe is for ``core.membership``; this task owns
-the clock, the calls to peers and the reading of the platform's list.
+``core.membership`` implements the protocol itself, without I/O. This task
+provides the clock, calls peers and reads the platform's host list.
 """
 
 from __future__ import annotations
@@ -35,27 +35,27 @@
 
 
 class Table(Protocol):
-    """What the task needs of the table's follower."""
+    """The part of ``TableFollower`` that the task uses."""
 
     last_contact: float
 
     @property
     def revision(self) -> int:
-        """Revision in force; -1 before there is a table."""
+        """Revision of the table in force; -1 before there is one."""
 
     def snapshot(self) -> bytes | None:
-        """Returns the table for a peer."""
+        """Returns a snapshot for a peer, or None if there is no table."""
 
     def offer(self, payload: bytes) -> bool:
-        """Takes a peer's snapshot if it is newer."""
+        """Merges a peer's snapshot; returns whether it was newer."""
 
 
 class MembershipTask:
-    """Knows the entry hosts, the leaving backend servers, and how fresh.
+    """Tracks entry hosts, leaving backend servers and the table's freshness.
 
     Attributes:
-        clients: Connections to peers, for other parts too.
-        listeners: Who is told of changes.
+        clients: Connections to peers, shared with other components.
+        listeners: Callbacks for membership changes.
     """
 
     def __init__(
@@ -70,156 +70,157 @@
         clock: Callable[[], float] = time.time,
         timing: timing_lib.Timing | None = None,
     ) -> None:
-        """Makes the task; ``run`` starts it.
+        """Creates the task; ``run`` starts it.
 
         Args:
-            own: This host; its incarnation is its start in milliseconds.
-            fetch_hosts: Reads the platform's list.
+            own: This host; its incarnation is its start time in milliseconds.
+            fetch_hosts: Reads the platform's host list.
             find_peer: Returns the peer address of a listed entry host.
             table: The follower of the table.
-            clients: Connections to peers; None for new ones.
-            listeners: Who is told of changes.
+            clients: Connections to peers; None to create new ones.
+            listeners: Callbacks for membership changes.
             clock: Returns seconds since the epoch.
-            timing: Rates and bounds of the protocol; None for the defaults.
+            timing: Intervals and timeouts of the protocol; None for the
+                defaults.
         """
         self.clients = clients or peers_client.PeerClients()
         self.listeners = listeners or membership_listeners.Listeners()
         self._clock = clock
         self._table = table
-        self._draws = draws.Draws(own.incarnation)
+        self._shuffler = draws.Draws(own.incarnation)
         self._host_list = host_list.HostList(
-            fetch_hosts, find_peer, self._draws
+            fetch_hosts, find_peer, self._shuffler
         )
-        self._calls = gossip_calls.GossipCalls(self.clients, clock)
+        self._gossip_calls = gossip_calls.GossipCalls(self.clients, clock)
         self._machine = machine.Membership(
             own, own.incarnation, clock(), timing
         )
-        self._running: set[asyncio.Task[Any]] = set()
+        self._pending_calls: set[asyncio.Task[Any]] = set()
 
-    # What other parts ask.
+    # Queries and reports from other components.
 
     @property
     def own(self) -> view.HostView:
-        """This host, as it tells others."""
+        """This host's view of itself, as it is gossiped."""
         return self._machine.members.own_view
 
     def hosts(self) -> tuple[view.HostView, ...]:
-        """Returns all entry hosts known, dead and leaving ones included."""
+        """Returns all known entry hosts, dead and leaving ones included."""
         return tuple(self._machine.members)
 
     def live_hosts(self) -> tuple[view.HostView, ...]:
-        """Returns the entry hosts that may be given work, this one too."""
+        """Returns the entry hosts that accept work, this one included."""
         return tuple(host for host in self.hosts() if host.is_live)
 
     def host(self, name: str) -> view.HostView | None:
-        """Returns what is known of an entry host."""
+        """Returns the known state of an entry host, or None."""
         return self._machine.members.get(name)
 
     def holders(self) -> tuple[view.HostView, ...]:
-        """Returns live peers in other failure domains, in a random order."""
+        """Returns live peers in other failure domains, in random order."""
         others = {
             host.name: host
             for host in self.live_hosts()
             if host.failure_domain != self.own.failure_domain
         }
-        return tuple(others[name] for name in self._draws.shuffled(others))
+        return tuple(others[name] for name in self._shuffler.shuffled(others))
 
     def peer(self, name: str) -> peers_client.PeerClient:
-        """Returns the client to call host ``name`` with.
+        """Returns the client for calls to host ``name``.
 
         Raises:
-            PeerUnreachableError: No such host is known.
+            PeerUnreachableError: The host is not known.
         """
         host = self.host(name)
         if host is None:
             raise peers_errors.PeerUnreachableError(
-                f"host {name} is not known here", "Try another peer."
+                f"host {name} is not a known member", "Try another peer."
             )
         return self.clients.get(host.peer_address)
 
     def is_server_leaving(
         self, address: str, incarnation: int | None = None
     ) -> bool:
-        """Returns whether a backend server takes no new work.
+        """Returns whether a backend server is leaving.
 
         Args:
             address: ``ip:port`` of the backend server.
-            incarnation: The incarnation meant; None where it is not known.
+            incarnation: Incarnation to check; None if it is not known.
         """
         return self._machine.servers.is_leaving(address, incarnation)
 
     def leaving_servers(self) -> tuple[str, ...]:
-        """Returns the addresses of the backend servers that leave."""
+        """Returns the addresses of the leaving backend servers."""
         return tuple(news.address for news in self._machine.servers)
 
     def report_leaving(self, address: str, incarnation: int) -> None:
-        """Takes in a backend server's own word that it leaves."""
+        """Handles a backend server's own report that it is leaving."""
         self._handle(messages.ServerLeaving(address, incarnation))
 
     def report_live(self, address: str, incarnation: int) -> None:
-        """Takes in a backend server's own word that it is live."""
+        """Handles a backend server's own report that it is live."""
         self._handle(messages.ServerSeen(address, incarnation))
 
     def freshness(self, now: float | None = None) -> freshness.Freshness:
-        """Judges whether the table in force may still be the newest."""
-        self._note_table()
+        """Returns whether the table in force counts as up to date, and why."""
+        self._update_table_state()
         return self._machine.judge(self._clock() if now is None else now)
 
-    # Peers' calls.
+    # Calls from peers.
 
     async def ping(self, digest: peer_pb2.Digest) -> peer_pb2.Digest:
-        """Takes in a peer's digest and returns this host's."""
+        """Merges a peer's digest and returns this host's."""
         received = messages.DigestReceived(digest_codec.from_wire(digest))
         reply = self._handle(received)
         assert reply is not None
         return digest_codec.to_wire(reply)
 
     async def ping_for(self, target: str, peer_address: str) -> bool:
-        """Returns whether ``target`` answers a ping from here."""
+        """Pings ``target`` for a peer; returns whether it responded."""
         digest = self._machine.digest_for(target, self._clock())
         return await self._ping(messages.Ping(target, peer_address, digest))
 
     async def fetch_table(self, revision: int) -> bytes:
-        """Returns a snapshot newer than ``revision``, or nothing."""
+        """Returns a snapshot newer than ``revision``, or no bytes."""
         if self._table.revision <= revision:
             return b""
         return self._table.snapshot() or b""
 
-    # The loops.
+    # Lifecycle and background loops.
 
     async def run(self) -> None:
-        """Takes part until cancelled."""
+        """Runs the protocol until cancelled."""
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._tick())
-                group.create_task(self._read_list())
+                group.create_task(self._tick_loop())
+                group.create_task(self._host_list_loop())
         finally:
             await self.close()
 
     async def leave(self) -> None:
-        """Tells the neighbours that this host is about to stop."""
+        """Announces to peers that this host is about to stop."""
         self._handle(messages.Leave())
-        await asyncio.gather(*self._running, return_exceptions=True)
+        await asyncio.gather(*self._pending_calls, return_exceptions=True)
 
     async def close(self) -> None:
-        """Ends the calls in progress and the connections."""
-        for call in self._running:
+        """Cancels the calls in progress and closes the connections."""
+        for call in self._pending_calls:
             call.cancel()
-        await asyncio.gather(*self._running, return_exceptions=True)
+        await asyncio.gather(*self._pending_calls, return_exceptions=True)
         self.clients.close()
 
-    async def _tick(self) -> None:
+    async def _tick_loop(self) -> None:
         while True:
-            self._note_table()
+            self._update_table_state()
             self._handle(messages.Tick())
             await asyncio.sleep(self._machine.timing.period)
 
-    def _note_table(self) -> None:
+    def _update_table_state(self) -> None:
         self._handle(messages.LogHeard(self._table.last_contact))
         if self._table.revision > self.own.table_revision:
             self._handle(messages.TableInForce(self._table.revision))
 
-    async def _read_list(self) -> None:
+    async def _host_list_loop(self) -> None:
         while True:
             listed = await self._host_list.read(
                 lambda name: self.host(name) is not None
@@ -231,7 +232,7 @@
     # Effects.
 
     def _handle(self, message: object) -> messages.Digest | None:
-        """Gives the machine a message; returns its reply, if it has one."""
+        """Passes a message to the state machine; returns its reply, if any."""
         reply = None
         for effect in self._machine.handle(message, self._clock()):
             if isinstance(effect, messages.Reply):
@@ -246,46 +247,49 @@
 
     @_perform.register
     def _perform_ping(self, effect: messages.Ping) -> None:
-        self._start(self._ping(effect))
+        self._start_call(self._ping(effect))
 
     @_perform.register
     def _perform_relay(self, effect: messages.Relay) -> None:
-        self._start(self._relay(effect))
+        self._start_call(self._relay(effect))
 
     @_perform.register
     def _perform_fetch(self, effect: messages.FetchTable) -> None:
-        self._start(self._take_table(effect))
+        self._start_call(self._fetch_table(effect))
 
     @_perform.register
     def _superseded(self, effect: messages.Superseded) -> None:
         _LOG.error(
-            "Another process %d runs as host %s. Give each its own name",
+            "Another process (incarnation %d) runs under the host name %s. "
+            "Give each process its own host name",
             effect.incarnation,
             self.own.name,
         )
 
-    def _start(self, call: Any) -> None:
+    def _start_call(self, call: Any) -> None:
         task = asyncio.create_task(call)
-        self._running.add(task)
-        task.add_done_callback(self._running.discard)
+        self._pending_calls.add(task)
+        task.add_done_callback(self._pending_calls.discard)
 
     async def _ping(self, ping: messages.Ping) -> bool:
-        result = await self._calls.ping(ping)
+        result = await self._gossip_calls.ping(ping)
         self._handle(result)
         if isinstance(result, messages.PingFailed):
             return False
         return result.digest.sender == ping.target
 
     async def _relay(self, relay: messages.Relay) -> None:
-        self._handle(await self._calls.relay(relay))
+        self._handle(await self._gossip_calls.relay(relay))
 
-    async def _take_table(self, fetch: messages.FetchTable) -> None:
+    async def _fetch_table(self, fetch: messages.FetchTable) -> None:
         try:
-            snapshot = await self._calls.fetch_table(
+            snapshot = await self._gossip_calls.fetch_table(
                 fetch, self._table.revision
             )
             if snapshot and self._table.offer(snapshot):
-                _LOG.info("Took the table from host %s", fetch.peer)
+                _LOG.info("Fetched a newer table from host %s", fetch.peer)
         except errors.HoistmoorError as error:
-            _LOG.warning("No table from host %s: %s", fetch.peer, error)
-        self._note_table()
+            _LOG.warning(
+                "Could not fetch the table from host %s: %s", fetch.peer, error
+            )
+        self._update_table_state()
--- a/src/hoistmoor/entry/membership_listeners.py
+++ b/src/hoistmoor/entry/membership_listeners.py
@@ -1,4 +1,4 @@
-"""Tells the other parts of an entry host what membership has learnt."""
+"""Notifies other components of an entry host of membership changes."""
 
 from __future__ import annotations
 
@@ -14,34 +14,35 @@
 _LOG = logs.PartLogger("membership")
 
 
-def _ignore(*_: object) -> None:
-    """Stands in for a listener that is not there."""
+def _do_nothing(*_: object) -> None:
+    """Default callback."""
 
 
 @attrs.define(kw_only=True)
 class Listeners:
-    """Functions called with what has changed; each must return at once.
+    """Callbacks for membership changes; they must not block.
 
     Attributes:
-        server_left: Address of a backend server to give no new work, and the
-            incarnation that leaves.
-        server_returned: Address and incarnation of one that is back.
-        hosts_changed: The live entry hosts, this one included.
+        server_left: Called with the address and incarnation of a backend
+            server that is leaving and accepts no new work.
+        server_returned: Called with the address and incarnation of a backend
+            server that is back.
+        hosts_changed: Called with the live entry hosts, this one included.
     """
 
-    server_left: Callable[[str, int], None] = _ignore
-    server_returned: Callable[[str, int], None] = _ignore
-    hosts_changed: Callable[[tuple[view.HostView, ...]], None] = _ignore
+    server_left: Callable[[str, int], None] = _do_nothing
+    server_returned: Callable[[str, int], None] = _do_nothing
+    hosts_changed: Callable[[tuple[view.HostView, ...]], None] = _do_nothing
 
     @singledispatchmethod
     def tell(
         self, change: messages.Effect, live: tuple[view.HostView, ...]
     ) -> None:
-        """Calls who is to hear of a change, and logs it.
+        """Logs a change and calls the callback for it.
 
         Args:
-            change: What has changed.
-            live: The live entry hosts after the change.
+            change: The change.
+            live: Live entry hosts after the change.
         """
         raise NotImplementedError(type(change).__name__)
 
@@ -49,7 +50,7 @@
     def _host_changed(
         self, change: messages.HostChanged, live: tuple[view.HostView, ...]
     ) -> None:
-        _LOG.info("Host %s is %s", change.host.name, change.host.state.name)
+        _LOG.info("Host %s is now %s", change.host.name, change.host.state.name)
         self.hosts_changed(live)
 
     @tell.register
--- a/src/hoistmoor/entry/neighbours.py
+++ b/src/hoistmoor/entry/neighbours.py
@@ -1,4 +1,4 @@
-"""What parts of a host ask of the membership, each in its own words."""
+"""Adapters that give other components their view of the membership."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
     from hoistmoor.entry import membership
     from hoistmoor.utils import tls
 
-_CONTACT_TIMEOUT = 1.0  # Seconds.
-HOLDERS = 3  # Peers asked at most to hold one batch.
-MOST_USED = 8  # Holders remembered, those of now included.
-GIVERS = 5  # Peers asked at most for a share.
+_CONTACT_TIMEOUT_SECONDS = 1.0
+MAX_HOLDERS = 3  # Peers that may hold one batch.
+MAX_RECENT_HOLDERS = 8  # Includes the preferred holders.
+MAX_SHARE_PEERS = 5  # Peers that may be asked for a share.
 
-_LEARNING_SECONDS = 30.0  # A new host may not know all others sooner.
-_MS = 1000.0
+_DISCOVERY_SECONDS = 30.0  # Until then, a new host may not know all others.
+_MILLISECONDS_PER_SECOND = 1000.0
 
 
 @attrs.frozen
@@ -38,10 +38,10 @@
 
 
 class Neighbours:
-    """The biller's, the claims' and the freshness' view of the other hosts.
+    """Other entry hosts, as billing, claims, shares and readiness see them.
 
     Attributes:
-        members: The membership.
+        members: The membership task.
     """
 
     def __init__(
@@ -49,92 +49,95 @@
     ) -> None:
         self.members = members
         self._clock = clock
-        self._preferred: tuple[view.HostView, ...] = ()
-        self._used: dict[identity.Incarnation, bill_holders.Holder] = {}
+        self._preferred_holders: tuple[view.HostView, ...] = ()
+        self._recent_holders: dict[
+            identity.Incarnation, bill_holders.Holder
+        ] = {}
 
     def host_count(self) -> int:
-        """Returns how many entry hosts are alive, this one included."""
+        """Returns the number of live entry hosts, this one included."""
         return max(1, len(self.members.live_hosts()))
 
     def holders(self) -> Sequence[bill_holders.Holder]:
-        """Returns a few live peers in other failure domains, preferred first.
+        """Returns live peers to hold batches, preferred ones first.
 
-        Those that were preferred before follow, as they may hold bills still.
+        Preferred peers are in other failure domains. Formerly preferred ones
+        follow, as they may still hold bills.
         """
-        first = [self._holder(host) for host in self._preferred]
-        names = {holder.incarnation for holder in first}
-        before = [
+        preferred = [self._holder(host) for host in self._preferred_holders]
+        incarnations = {holder.incarnation for holder in preferred}
+        former = [
             holder
-            for incarnation, holder in self._used.items()
-            if incarnation not in names and self.is_alive(incarnation)
+            for incarnation, holder in self._recent_holders.items()
+            if incarnation not in incarnations and self.is_alive(incarnation)
         ]
-        return first + before
+        return preferred + former
 
     def on_hosts(self, live: tuple[view.HostView, ...]) -> None:
-        """Takes the live hosts, this one included."""
+        """Updates the live hosts, this one included."""
         own = self.members.own
-        self._preferred = preference.preferred(own, live, HOLDERS)
+        self._preferred_holders = preference.preferred(own, live, MAX_HOLDERS)
 
     def _holder(self, host: view.HostView) -> bill_holders.Holder:
         incarnation = identity.Incarnation(host.name, host.incarnation)
         peer = self.members.peer(host.name)
         holder = bill_holders.Holder(incarnation, peer)
-        self._used.pop(incarnation, None)
-        self._used[incarnation] = holder
-        while len(self._used) > MOST_USED:
-            self._used.pop(next(iter(self._used)))
+        self._recent_holders.pop(incarnation, None)
+        self._recent_holders[incarnation] = holder
+        while len(self._recent_holders) > MAX_RECENT_HOLDERS:
+            self._recent_holders.pop(next(iter(self._recent_holders)))
         return holder
 
     def givers(self) -> Sequence[share_peers.Giver]:
-        """Returns some of the other live hosts in a random order."""
+        """Returns a random sample of the other live hosts."""
         own = self.members.own.name
         hosts = [h for h in self.members.live_hosts() if h.name != own]
         return [
             share_peers.Giver(
                 host.name, self.members.peer(host.name), host.incarnation
             )
-            for host in random.sample(hosts, min(GIVERS, len(hosts)))
+            for host in random.sample(hosts, min(MAX_SHARE_PEERS, len(hosts)))
         ]
 
     def is_alive(self, incarnation: identity.Incarnation) -> bool:
-        """Returns whether a process is thought to run; doubt counts as yes."""
+        """Returns whether a process may be running; True in case of doubt."""
         host = self.members.host(incarnation.host)
         if host is None:
-            return self._is_learning
+            return self._is_discovering
         if host.incarnation != incarnation.number:
             return host.incarnation < incarnation.number
         return host.state is not view.MemberState.DEAD
 
     @property
-    def _is_learning(self) -> bool:
-        started = self.members.own.incarnation / _MS
-        return self._clock() - started < _LEARNING_SECONDS
+    def _is_discovering(self) -> bool:
+        started = self.members.own.incarnation / _MILLISECONDS_PER_SECOND
+        return self._clock() - started < _DISCOVERY_SECONDS
 
     def eldest(self) -> str:
-        """Returns ``ip:port`` of the live host that runs longest."""
+        """Returns ``ip:port`` of the longest-running live host."""
         live = self.members.live_hosts()
         if not live:
             return ""
         return min(live, key=lambda host: host.incarnation).http_address
 
     def addresses(self) -> dict[str, str]:
-        """Returns ``ip:port`` by name of the live hosts."""
+        """Returns the ``ip:port`` of each live host by name."""
         return {
             host.name: host.http_address for host in self.members.live_hosts()
         }
 
     def is_fresh(self, now: float) -> bool:
-        """Returns whether new work may be decided by the table in force."""
+        """Returns whether the table in force is fresh enough for new work."""
         return self.members.freshness(now).is_fresh
 
     def peer_address(self, name: str) -> str | None:
-        """Returns the peer address of a host, or None."""
+        """Returns the peer address of a host, or None if it is unknown."""
         host = self.members.host(name)
         return host.peer_address if host else None
 
 
 class PeerFinder:
-    """Asks a listed entry host for the address that peers use."""
+    """Asks a listed entry host for its peer address."""
 
     def __init__(self, session: aiohttp.ClientSession, link: tls.Link) -> None:
         self._session = session
@@ -144,13 +147,13 @@
         """Returns the peer address of a listed host.
 
         Raises:
-            PlatformError: The host does not answer or says no address.
+            PlatformError: The host does not respond or sends no address.
         """
         contact = await replies.fetch(
             self._session,
             self._link.url(host.address, "/peer-address"),
             _Contact,
-            _CONTACT_TIMEOUT,
+            _CONTACT_TIMEOUT_SECONDS,
             verify=self._link.verify,
         )
         return contact.peer_address
--- a/src/hoistmoor/entry/operator_guard.py
+++ b/src/hoistmoor/entry/operator_guard.py
@@ -1,4 +1,4 @@
-"""Opens the operators' paths to those with an operator's key only."""
+"""Authenticates operators by their bearer keys."""
 
 from __future__ import annotations
 
@@ -19,14 +19,15 @@
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 _LOG = logs.PartLogger("security")
-_BEARER = "bearer"
+_BEARER_SCHEME = "bearer"
 
 
 class OperatorGuard:
-    """Checks operators' keys.
+    """Restricts handlers to callers with a valid operator key.
 
     Attributes:
-        hashes: SHA-256 of each key in use; none leaves the paths open.
+        hashes: SHA-256 hash of each key in use; if empty, the handlers are
+            open to everyone.
     """
 
     def __init__(
@@ -41,24 +42,26 @@
             )
 
     def wrap(self, handler: Handler) -> Handler:
-        """Returns ``handler`` for operators only."""
+        """Wraps ``handler`` so that it requires an operator key."""
         return functools.partial(self._serve, handler)
 
     async def _serve(
         self, handler: Handler, http: web.Request
     ) -> web.StreamResponse:
-        reason = self._fault_of(http.headers.get("Authorization", ""))
+        reason = self._auth_failure(http.headers.get("Authorization", ""))
         if reason is None:
             return await handler(http)
         self._metrics.refusal(reason)
-        refusal = responses.bare_refusal(reason, "only operators may ask this")
+        refusal = responses.bare_refusal(
+            reason, "this path requires an operator key"
+        )
         return responses.refusal_response(refusal, "")
 
-    def _fault_of(self, authorization: str) -> refusals.Reason | None:
+    def _auth_failure(self, authorization: str) -> refusals.Reason | None:
         if not self.hashes:
             return None
-        kind, _, key = authorization.partition(" ")
-        if kind.lower() != _BEARER or not key:
+        scheme, _, key = authorization.partition(" ")
+        if scheme.lower() != _BEARER_SCHEME or not key:
             return refusals.Reason.NO_KEY
         if not operators.is_operator(key.strip(), self.hashes):
             return refusals.Reason.WRONG_KEY
--- a/src/hoistmoor/entry/parts.py
+++ b/src/hoistmoor/entry/parts.py
@@ -1,4 +1,4 @@
-"""The parts of an entry host that a request's task works with."""
+"""Components of an entry host that request handling depends on."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 
 @attrs.frozen
 class Parts:
-    """What requests need of their host.
+    """Components of one entry host, shared by all its requests.
 
     Attributes:
         clock: Returns seconds since the epoch.
-        router: Chooses versions and backend servers.
-        poller: Reads backend servers' load reports.
-        gate: Limits of accounts and of this host.
-        once: Leave to run at most once.
-        biller: Puts bills where they outlive this host.
-        sessions: Keeps sessions on their versions.
-        explanations: Keeps the decisions.
-        decision_log: Puts some of them where they outlive this host.
-        ratings: Hands answers in for rating.
+        router: Selects versions and backend servers.
+        poller: Polls backend servers for load reports.
+        gate: Admission control by account and host limits.
+        once: Permits for requests that must run at most once.
+        biller: Stores bills durably outside this host.
+        sessions: Session affinity: pins sessions to model versions.
+        explanations: Recent decisions, kept in memory.
+        decision_log: Stores some decisions durably outside this host.
+        ratings: Submits responses for rating.
         metrics: Counters and timings.
-        http: Opens exchanges with backend servers.
-        readiness: Says whether the table may still be gone by.
+        http: HTTP client session for backend servers.
+        readiness: Whether the table in force may still be used.
     """
 
     clock: Callable[[], float]
--- a/src/hoistmoor/entry/peer_auth.py
+++ b/src/hoistmoor/entry/peer_auth.py
@@ -1,4 +1,4 @@
-"""Makes what authenticates an entry host to its peers, and them to it."""
+"""Mutual authentication of entry hosts."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 @attrs.frozen
 class PeerAuth:
-    """How this host and its peers prove themselves to each other.
+    """Signing and verification of calls between entry hosts.
 
     Attributes:
-        clients: Connections to peers, with signed calls.
-        guard: Takes the peers' calls that are signed.
-        tls: TLS files; None for plain connections.
+        clients: Connections to peers, which sign each call.
+        guard: Accepts only calls with a valid signature.
+        tls: TLS files; None for unencrypted connections.
     """
 
     clients: client.PeerClients
@@ -42,7 +42,7 @@
 
     @property
     def link(self) -> tls_lib.Link:
-        """How to reach other hosts over HTTP."""
+        """URL scheme and TLS verification for HTTP requests to other hosts."""
         return self.tls.link if self.tls else tls_lib.PLAIN
 
     @classmethod
@@ -53,12 +53,12 @@
         clock: Callable[[], float],
         metrics: metrics_lib.Metrics,
     ) -> PeerAuth:
-        """Makes them from a host's settings.
+        """Creates an instance from a host's settings.
 
         Raises:
-            ConfigurationError: The TLS files are no good.
+            ConfigurationError: The TLS files are invalid.
         """
-        tls = _tls_of(settings)
+        tls = _tls_files(settings)
         signer = calls.Signer(
             incarnation.host, incarnation.number, settings.secrets
         )
@@ -79,18 +79,18 @@
         )
 
 
-def _tls_of(
+def _tls_files(
     settings: settings_lib.EntrySettings,
 ) -> tls_lib.TlsFiles | None:
     if not settings.tls_certificate:
-        _warn_of_plain_connections(settings)
+        _warn_if_unencrypted(settings)
         return None
     return tls_lib.TlsFiles(
         settings.tls_certificate, settings.tls_key, settings.tls_ca
     )
 
 
-def _warn_of_plain_connections(settings: settings_lib.EntrySettings) -> None:
+def _warn_if_unencrypted(settings: settings_lib.EntrySettings) -> None:
     for address in (settings.listen, settings.peer_listen):
         ip = ipaddress.ip_address(addresses.parse(address).ip)
         if not ip.is_loopback:
--- a/src/hoistmoor/entry/peer_batches.py
+++ b/src/hoistmoor/entry/peer_batches.py
@@ -1,4 +1,4 @@
-"""The batches that this host holds for its peers."""
+"""Batches of records that this host holds for its peers."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
     HandOver = Callable[[held_lib.Batch], Awaitable[bool]]
 
-_log = logs.PartLogger("bills")
+_LOG = logs.PartLogger("bills")
 
 
 class PeerBatches:
-    """Holds batches until their owner releases them or goes.
+    """Holds each batch until its owner releases it or is dead.
 
     Attributes:
         held: The batches.
-        is_stopping: Whether this host takes no more of them.
+        is_stopping: Whether this host is stopping and rejects new batches.
     """
 
     def __init__(
@@ -41,11 +41,11 @@
         self._is_alive = is_alive
 
     async def hold(self, batch_id: str, batch: bytes) -> None:
-        """Keeps a peer's batch until released.
+        """Stores a peer's batch until it is released.
 
         Raises:
-            HolderFullError: There is no room for it.
-            CodecError: The batch does not decode.
+            HolderFullError: This host is full or stopping.
+            CodecError: The batch cannot be decoded.
         """
         if self.is_stopping:
             raise held_lib.HolderFullError(
@@ -54,30 +54,30 @@
         decoded = codec.decode(batch)
         if not isinstance(decoded, bills.BillBatch | records.HeldClaims):
             raise errors.CodecError(
-                f"batch {batch_id} is a {type(decoded).__name__}",
+                f"batch {batch_id} has the type {type(decoded).__name__}",
                 "Check that both hosts run the same release.",
             )
         self.held.hold(decoded)
 
     async def release(self, batch_ids: tuple[str, ...]) -> None:
-        """Drops a peer's batches that are on the log."""
+        """Drops a peer's batches, which are on the log by now."""
         self.held.release(batch_ids)
 
     async def append_orphans(self) -> None:
-        """Appends the batches whose owner is gone, while the log takes them."""
+        """Appends the batches of dead owners, until an append fails."""
         for batch in self.held.orphans(self._is_alive):
             try:
                 await self._log.append(batch.stream, codec.encode(batch.record))
             except errors.PlatformError:
-                return  # Kept, and tried again.
+                return  # The batch stays and is retried later.
             self.held.release((batch.batch_id,))
-            _log.info("batch %s of a gone host appended", batch.batch_id)
+            _LOG.info("appended batch %s of a dead host", batch.batch_id)
 
     async def pass_on(self, hand_over: HandOver) -> None:
-        """Appends or hands over all that is held, for a graceful stop.
+        """Appends or hands over all batches, for a graceful stop.
 
-        Also what is held for a live owner: it may be stopping too, and count
-        on this host.
+        This includes the batches of live owners: an owner may be stopping too
+        and rely on this host.
         """
         self.is_stopping = True
         await self.append_orphans()
--- a/src/hoistmoor/entry/pin_store.py
+++ b/src/hoistmoor/entry/pin_store.py
@@ -1,4 +1,4 @@
-"""Copies of session pins at other entry hosts, over the peers' calls."""
+"""Access to session pins stored at other entry hosts."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class PeerPinStore:
-    """The ``PinStore`` whose hosts are reached by ``PeerClients``.
+    """A ``PinStore`` that calls the hosts over ``PeerClients``.
 
     Attributes:
         clients: Connections to peers.
-        address_of: Returns the peer address of a host, or None.
+        address_of: Returns the peer address of a host, or None if unknown.
     """
 
     def __init__(
@@ -31,38 +31,38 @@
         self.address_of = address_of
 
     async def find(self, host: str, key: pins.PinKey) -> pins.Pin | None:
-        """Returns the pin that ``host`` keeps under ``key``, if any.
+        """Returns the pin that ``host`` stores for ``key``, if any.
 
         Raises:
-            PeerUnreachableError: Or another error of the peers' calls.
+            PeerError: The call failed, or the host's address is unknown.
         """
         peer = self._peer(host)
         payload = await peer.find_session(key.account, key.wire_name)
-        return _decode(payload)
+        return _decode_pin(payload)
 
     async def keep(self, host: str, pin: pins.Pin) -> pins.Pin:
-        """Offers ``pin`` to ``host``, and returns the pin that stands there.
+        """Offers ``pin`` to ``host`` and returns the pin that it stores.
 
         Raises:
-            PeerUnreachableError: Or another error of the peers' calls.
+            PeerError: The call failed, or the host's address is unknown.
         """
         peer = self._peer(host)
         key = pin.key
         payload = codec.encode(pin)
-        standing = await peer.keep_session(key.account, key.wire_name, payload)
-        return _decode(standing) or pin
+        stored = await peer.keep_session(key.account, key.wire_name, payload)
+        return _decode_pin(stored) or pin
 
     def _peer(self, host: str) -> client.PeerClient:
         address = self.address_of(host)
         if address is None:
             raise errors.PeerUnreachableError(
-                f"the peer address of host {host} is not known",
+                f"the peer address of host {host} is unknown",
                 "Wait for the next heartbeat.",
             )
         return self.clients.get(address)
 
 
-def _decode(payload: bytes) -> pins.Pin | None:
+def _decode_pin(payload: bytes) -> pins.Pin | None:
     if not payload:
         return None
     pin = codec.decode(payload)
--- a/src/hoistmoor/entry/readiness.py
+++ b/src/hoistmoor/entry/readiness.py
@@ -1,4 +1,4 @@
-"""Whether this host takes new work, and if not, why."""
+"""Readiness of this host for new work."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 class Freshness(Protocol):
-    """Judges whether the table in force may be out of date."""
+    """Tells whether the table in force may be out of date."""
 
     def is_fresh(self, now: float) -> bool:
-        """Returns whether new work may be decided by the table."""
+        """Returns whether the table is fresh enough for new work."""
 
 
 class Readiness:
-    """Gathers what may keep this host from taking new work.
+    """Combines the conditions under which this host accepts new work.
 
     Attributes:
-        stopping: Whether a graceful stop is under way.
+        stopping: Whether a graceful stop is in progress.
     """
 
     def __init__(
@@ -40,25 +40,26 @@
         self._clock = clock
 
     def check(self) -> model.TableInForce | refusals.Refusal:
-        """Returns the table to decide by, or why there is none."""
+        """Returns the table for new work, or why the host accepts none."""
         if self.stopping:
-            return _refuse(refusals.Reason.STOPPING, "this host is stopping")
+            return _refusal(refusals.Reason.STOPPING, "this host is stopping")
         return self.check_table()
 
     def check_table(self) -> model.TableInForce | refusals.Refusal:
-        """Returns the table to go on by, also while stopping, or why not."""
+        """Like ``check``, but also returns the table while stopping."""
         in_force = self._follower.in_force
         if in_force is None:
-            return _refuse(
-                refusals.Reason.NO_TABLE, "this host has no table yet"
+            return _refusal(
+                refusals.Reason.NO_TABLE,
+                "this host has not received a table yet",
             )
         if not self._freshness.is_fresh(self._clock()):
-            return _refuse(
+            return _refusal(
                 refusals.Reason.TABLE_STALE,
-                "this host reaches neither the log nor enough other hosts",
+                "this host can reach neither the log nor enough other hosts",
             )
         return in_force
 
 
-def _refuse(reason: refusals.Reason, detail: str) -> refusals.Refusal:
+def _refusal(reason: refusals.Reason, detail: str) -> refusals.Refusal:
     return refusals.Refusal(reason, outcomes.Outcome.NOT_RUN, detail)
--- a/src/hoistmoor/entry/reception.py
+++ b/src/hoistmoor/entry/reception.py
@@ -1,4 +1,4 @@
-"""Takes checked requests in: limits, leave to run, session, then a task."""
+"""Admits validated requests and starts a task for each."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
     from hoistmoor.core.table import model
     from hoistmoor.entry import parts as parts_lib
 
-_MS = 1000.0
+_MILLISECONDS_PER_SECOND = 1000.0
 
 
 @attrs.frozen
 class Running:
-    """A request that a task now carries.
+    """A request that a task is processing.
 
     Attributes:
-        task: The task; it may outlive the caller.
-        pin: Where the session must run; None for a plain call.
+        task: The task; it may outlive the caller's connection.
+        pin: Session pin of the request; None for a call to a plain service.
     """
 
     task: request_task.RequestTask
@@ -44,12 +44,12 @@
 
 
 class Reception:
-    """Admits requests and keeps the tasks that carry them.
+    """Admits requests and keeps track of their tasks.
 
     Attributes:
-        parts: The host's parts.
-        running: Tasks under way.
-        handling: Handlers that still write to their callers.
+        parts: The host's components.
+        running: Request tasks in progress.
+        handling: HTTP handlers that have not finished their response.
     """
 
     def __init__(self, parts: parts_lib.Parts) -> None:
@@ -58,7 +58,7 @@
         self.handling: set[asyncio.Task[Any]] = set()
 
     def note_handler(self) -> None:
-        """Has a graceful stop wait for the handler that calls this."""
+        """Registers the calling handler, so that ``drain`` waits for it."""
         handler = asyncio.current_task()
         assert handler is not None
         self.handling.add(handler)
@@ -67,34 +67,38 @@
     async def receive(
         self, request: kinds.Request, in_force: model.TableInForce
     ) -> Reply:
-        """Returns what becomes of a request.
+        """Admits a request and starts its task.
 
         Args:
-            request: Checked against ``in_force``.
-            in_force: The table that it is decided by.
+            request: A request that was validated against ``in_force``.
+            in_force: The table that applies to the request.
+
+        Returns:
+            The running request, a stored response, the host to forward the
+            request to, or a refusal.
         """
-        decision = self._open_decision(request, in_force)
+        decision = self._new_decision(request, in_force)
         reply = await self._admit(request, in_force, decision)
         if isinstance(reply, refusals.Refusal):
-            reply = _tell_of_key(request, reply)
+            reply = _with_key_outcome(request, reply)
             self._close_decision(decision, reply)
         return reply
 
     async def drain(self) -> None:
-        """Returns once every caller has its final answer."""
+        """Waits until every caller has received its final response."""
         while self.running or self.handling:
             await asyncio.wait(self.running | self.handling)
 
-    def _open_decision(
+    def _new_decision(
         self, request: kinds.Request, in_force: model.TableInForce
     ) -> decisions.Decision:
-        shared = request.envelope
+        envelope = request.envelope
         decision = decisions.Decision(
-            request_id=str(shared.request_id),
-            account=shared.account,
-            asked=_asked(request),
+            request_id=str(envelope.request_id),
+            account=envelope.account,
+            asked=_requested_target(request),
             kind=getattr(request, "kind", ""),
-            arrived=shared.arrived,
+            arrived=envelope.arrived,
             revision=in_force.revision,
         )
         self.parts.explanations.keep(decision)
@@ -106,17 +110,17 @@
         decision.outcome = refusal.outcome
         decision.reason = refusal.reason
         decision.note(self.parts.clock(), "refused", refusal.detail)
-        if decision.account:  # Strangers get no room on the log.
+        if decision.account:  # Unauthenticated requests must not fill the log.
             self.parts.decision_log.add(decision)
 
     def note_refused(
         self, decision: decisions.Decision, refusal: refusals.Refusal
     ) -> None:
-        """Keeps the decision on a request that was refused at its first check.
+        """Records the decision on a request that failed validation.
 
         Args:
             decision: What was known of the request by then.
-            refusal: What the caller is told.
+            refusal: The refusal that the caller receives.
         """
         decision.arrived = self.parts.clock()
         self.parts.explanations.keep(decision)
@@ -132,27 +136,31 @@
             return refusals.Refusal(
                 refusals.Reason.BILL_UNSECURED,
                 outcomes.Outcome.NOT_RUN,
-                "neither the log nor a peer can take the bill now",
+                "neither the log nor a peer can store the bill now",
             )
-        shared = request.envelope
+        envelope = request.envelope
         admitted = await self.parts.gate.admit(
-            shared.account,
-            shared.priority,
-            shared.deadline,
+            envelope.account,
+            envelope.priority,
+            envelope.deadline,
             pricing.estimate(request, in_force.table),
             pools.pool_of(request, in_force.table),
         )
         if isinstance(admitted, refusals.Refusal):
             return admitted
-        queued = self.parts.clock() - shared.arrived
-        self.parts.metrics.timing("request.queued", queued * _MS)
+        queued = self.parts.clock() - envelope.arrived
+        self.parts.metrics.timing(
+            "request.queued", queued * _MILLISECONDS_PER_SECOND
+        )
         try:
-            return await self._begin(request, in_force, decision, admitted)
+            return await self._acquire_permit(
+                request, in_force, decision, admitted
+            )
         except BaseException:
             self.parts.gate.release(admitted, 0)
             raise
 
-    async def _begin(
+    async def _acquire_permit(
         self,
         request: kinds.Request,
         in_force: model.TableInForce,
@@ -163,35 +171,37 @@
         if isinstance(pin, refusals.Refusal):
             self.parts.gate.release(admitted, 0)
             return pin
-        shared = request.envelope
+        envelope = request.envelope
         permit = await self.parts.once.begin(
-            shared.account,
-            shared.idempotency_key,
-            shared.fingerprint,
-            str(shared.request_id),
-            shared.deadline,
-            forwarded=shared.forwarded,
+            envelope.account,
+            envelope.idempotency_key,
+            envelope.fingerprint,
+            str(envelope.request_id),
+            envelope.deadline,
+            forwarded=envelope.forwarded,
         )
         if not isinstance(permit, permits.Permit):
             self.parts.gate.release(admitted, 0)
             return permit
         decision.pin = pin.version if pin else None
-        return self._start(request, in_force, decision, admitted, permit, pin)
+        return self._start_task(
+            request, in_force, decision, admitted, permit, pin
+        )
 
     async def _find_pin(
         self, request: kinds.Request
     ) -> sessions_lib.SessionPin | refusals.Refusal | None:
         if not isinstance(request, kinds.ChatRequest):
             return None
-        shared = request.envelope
+        envelope = request.envelope
         return await self.parts.sessions.pin_for(
-            shared.account,
-            shared.session,
+            envelope.account,
+            envelope.session,
             request.model,
-            str(shared.request_id),
+            str(envelope.request_id),
         )
 
-    def _start(
+    def _start_task(
         self,
         request: kinds.Request,
         in_force: model.TableInForce,
@@ -218,16 +228,16 @@
         return Running(task, pin)
 
 
-def _asked(request: kinds.Request) -> str:
+def _requested_target(request: kinds.Request) -> str:
     if isinstance(request, kinds.ChatRequest):
         return request.model
     return request.call.key
 
 
-def _tell_of_key(
+def _with_key_outcome(
     request: kinds.Request, refusal: refusals.Refusal
 ) -> refusals.Refusal:
-    """Adds that earlier attempts under the key may have run, if not known."""
+    """Adds that earlier attempts with the idempotency key may have run."""
     has_key = request.envelope.idempotency_key is not None
     if has_key and refusal.key_outcome is None:
         return attrs.evolve(refusal, key_outcome=outcomes.Outcome.UNKNOWN)
--- a/src/hoistmoor/entry/request_task.py
+++ b/src/hoistmoor/entry/request_task.py
@@ -1,7 +1,8 @@
-"""The task that carries one request: it feeds the machine and does its effects.
+"""The task that processes one request.
 
-It outlives the caller's connection where the work may go on, so that the
-outcome of a call that must not be repeated is known later.
+It passes events to the request's state machine and performs the effects. It
+may outlive the caller's connection, so that the outcome of a call that must
+not be repeated is known later.
 """
 
 from __future__ import annotations
@@ -33,18 +34,18 @@
     from hoistmoor.entry import parts as parts_lib
 
 _LOG = logs.PartLogger("request")
-_GATE_RESULTS: dict[str, limits.Result] = {
+_ADMISSION_RESULTS: dict[str, limits.Result] = {
     refusals.Reason.BACKEND_DECLINED: limits.Result.DECLINED,
     refusals.Reason.NO_CAPACITY: limits.Result.DECLINED,
 }
 
 
 class RequestTask:
-    """Carries one admitted request to its final answer.
+    """Processes one admitted request until its final response.
 
     Attributes:
-        machine: Decides.
-        channel: Where the caller's handler listens.
+        machine: State machine of the request.
+        channel: Delivers the response to the caller's handler.
     """
 
     def __init__(
@@ -55,14 +56,14 @@
         permit: permits.Permit,
         admitted: limits.Admitted,
     ) -> None:
-        """Makes a task; ``run`` drives it.
+        """Creates the task; ``run`` executes it.
 
         Args:
-            parts: The host's parts.
-            machine: Decides.
-            route: How to ask the router for this request.
-            permit: Leave for one run; finished by this task.
-            admitted: The gate's leave; released by this task.
+            parts: The host's components.
+            machine: State machine of the request.
+            route: Adapts the router to this request.
+            permit: Permit for one run; finished by this task.
+            admitted: The admitted request; released by this task.
         """
         self.machine = machine
         self.channel = channel_lib.Channel()
@@ -74,19 +75,19 @@
         self._attempt: attempts.Attempt | None = None
         self._reports = attempt_reports.AttemptReports(parts, machine.request)
         self._forwarded: list[bytes] = []
-        self._answer: messages.AnswerFacts | None = None
+        self._final_facts: messages.AnswerFacts | None = None
         self._background: set[asyncio.Task[None]] = set()
 
     def post(self, event: messages.Event) -> None:
-        """Takes an event without waiting."""
+        """Queues an event without waiting."""
         self._inbox.put_nowait(event)
 
     def caller_left(self) -> None:
-        """Tells the request that nobody waits for its answer."""
+        """Handles the disconnection of the caller."""
         self.post(messages.CallerLeft(self._exchange_state))
 
     async def run(self) -> None:
-        """Drives the machine until the matter is closed."""
+        """Runs the state machine until the request is closed."""
         loop = asyncio.get_running_loop()
         left = self._deadline - self._parts.clock()
         timer = loop.call_later(left, self._on_deadline)
@@ -94,38 +95,39 @@
             self.post(messages.Started())
             await self._drive()
         except Exception:
-            _LOG.exception("A request failed inside: %s", self._id)
-            await self._fail()
+            _LOG.exception("Internal error in request %s", self._request_id)
+            await self._close_after_error()
         finally:
             timer.cancel()
 
     async def _drive(self) -> None:
         while not self.machine.closed:
-            event = self._with_state(await self._inbox.get())
-            self._note(event)
-            late = self.machine.late_frames
+            event = self._with_exchange_state(await self._inbox.get())
+            self._report_event(event)
+            late_before = self.machine.late_frames
             effects = self.machine.handle(event, self._parts.clock())
             for effect in effects:
-                await self._do(effect)
-            self._give_credit(event, effects, late)
+                await self._perform(effect)
+            self._return_credit(event, effects, late_before)
 
-    def _with_state(self, event: messages.Event) -> messages.Event:
-        """Returns the event with the exchange's state of now.
+    def _with_exchange_state(self, event: messages.Event) -> messages.Event:
+        """Returns the event with the current state of the exchange.
 
-        While it waited in the inbox, the exchange may have gone on. It cannot
-        until the event's effects are done, since none of them waits.
+        The exchange may have advanced while the event was queued. It cannot
+        advance until the event's effects are performed, since none of them
+        waits.
         """
         if isinstance(event, messages.DeadlineReached | messages.CallerLeft):
             return attrs.evolve(event, state=self._exchange_state)
         return event
 
-    def _give_credit(
+    def _return_credit(
         self,
         event: messages.Event,
         effects: tuple[messages.Effect, ...],
         late_before: int,
     ) -> None:
-        """Returns the credit of a frame that went no further than here."""
+        """Returns the credit of a frame that was not forwarded."""
         if not isinstance(event, messages.FrameArrived):
             return
         if self.machine.late_frames > late_before:
@@ -134,7 +136,7 @@
             self.channel.give_credit()
 
     @property
-    def _id(self) -> str:
+    def _request_id(self) -> str:
         return self.machine.decision.request_id
 
     @property
@@ -150,35 +152,35 @@
     def _on_deadline(self) -> None:
         self.post(messages.DeadlineReached(self._exchange_state))
 
-    # Events that others want to know of.
+    # Events that are reported to other components.
 
     @singledispatchmethod
-    def _note(self, event: messages.Event) -> None:
-        """Tells the router how an attempt ended; most events say nothing."""
+    def _report_event(self, event: messages.Event) -> None:
+        """Reports the end of an attempt to the router; ignores other events."""
 
-    @_note.register
+    @_report_event.register
     def _(self, event: messages.AnswerEnded) -> None:
-        self._answer = event.facts
+        self._final_facts = event.facts
         self._reports.end(event.facts)
 
-    @_note.register
+    @_report_event.register
     def _(self, event: messages.AttemptFailed) -> None:
         self._reports.fail(event.state)
 
     # Effects.
 
     @singledispatchmethod
-    async def _do(self, effect: object) -> None:
+    async def _perform(self, effect: object) -> None:
         raise NotImplementedError(type(effect))
 
-    @_do.register
+    @_perform.register
     async def _(self, effect: messages.Choose) -> None:
         if effect.retry_reason:
             if not self._parts.gate.retry_allowed(self._admitted.pool):
-                self.post(messages.NotChosen(_no_retry()))
+                self.post(messages.NotChosen(_retry_budget_refusal()))
                 return
             self._parts.metrics.count(f"retry.{effect.retry_reason}")
-        # Since its admission this host may have stood still for a while.
+        # The process may have been suspended since the request was admitted.
         table = self._parts.readiness.check_table()
         if isinstance(table, refusals.Refusal):
             self.post(messages.NotChosen(table))
@@ -190,13 +192,13 @@
             self._parts.poller.on_wanted(self._admitted.pool)
             self.post(messages.NotChosen(chosen))
             return
-        refined = await self._refine(chosen, effect.excluded)
+        refined = await self._probe_alternatives(chosen, effect.excluded)
         self.post(messages.Chosen(refined))
 
-    async def _refine(
+    async def _probe_alternatives(
         self, choice: routing.Choice, excluded: frozenset[str]
     ) -> routing.Choice:
-        """Asks a few backend servers how they are, if old news say little."""
+        """Probes backend servers and chooses again if their load is unknown."""
         router = self._parts.router
         now = self._parts.clock()
         names = self._route.to_probe(router, choice, excluded, now)
@@ -205,14 +207,14 @@
         await self._parts.poller.probe(names)
         return router.best_probed(choice, names)
 
-    @_do.register
+    @_perform.register
     async def _(self, effect: messages.Dispatch) -> None:
         now = self._parts.clock()
         request = self.machine.request
         call = wire.backend_call(request, effect.choice, effect.attempt, now)
-        self._start(effect.attempt, effect.choice, call, now)
+        self._start_attempt(effect.attempt, effect.choice, call, now)
 
-    def _start(
+    def _start_attempt(
         self,
         attempt_id: identity.AttemptId,
         choice: routing.Choice,
@@ -230,24 +232,24 @@
         self._reports.start(choice, now)
         self._attempt.start()
 
-    @_do.register
+    @_perform.register
     async def _(self, effect: messages.Cancel) -> None:
         if self._attempt is None:
             return
         self._attempt.cancel()
         self._reports.cancel()
 
-    @_do.register
+    @_perform.register
     async def _(self, effect: messages.Forward) -> None:
         self._forwarded.append(effect.data)
         self.channel.put(channel_lib.Piece(effect.data))
 
-    @_do.register
+    @_perform.register
     async def _(self, effect: messages.Keep) -> None:
         self._forwarded.append(effect.data)
         self.channel.give_credit()
 
-    @_do.register
+    @_perform.register
     async def _(self, effect: messages.Judge) -> None:
         table = self._parts.readiness.check_table()
         if isinstance(table, refusals.Refusal):
@@ -265,49 +267,53 @@
             return
         self.post(messages.AnswerAccepted(judged.reason))
 
-    @_do.register
+    @_perform.register
     async def _(self, effect: messages.SecureBill) -> None:
-        task = asyncio.create_task(self._secure(effect))
+        task = asyncio.create_task(self._secure_bill(effect))
         self._background.add(task)
         task.add_done_callback(self._background.discard)
 
-    async def _secure(self, effect: messages.SecureBill) -> None:
+    async def _secure_bill(self, effect: messages.SecureBill) -> None:
         try:
             await self._parts.biller.secure(effect.bill)
         except biller_lib.BillUnsecuredError as error:
-            _LOG.warning("Bill of %s is not secured yet: %s", self._id, error)
+            _LOG.warning(
+                "Bill of request %s is not stored durably yet: %s",
+                self._request_id,
+                error,
+            )
             self.post(messages.BillDelayed())
             return
         self.post(messages.BillSecured())
 
-    @_do.register
+    @_perform.register
     async def _(self, effect: messages.Complete) -> None:
         self.channel.put(channel_lib.Whole(effect.facts))
         self._parts.metrics.count("request.served")
 
-    @_do.register
+    @_perform.register
     async def _(self, effect: messages.Refuse) -> None:
         self.channel.put(channel_lib.Refused(effect.refusal, effect.began))
 
-    @_do.register
+    @_perform.register
     async def _(self, effect: messages.Close) -> None:
         await self._close(effect.outcome, effect.cost)
 
     async def _close(self, outcome: outcomes.Outcome, cost: int) -> None:
         self._parts.gate.release(
-            self._admitted, cost, self._gate_result(outcome)
+            self._admitted, cost, self._admission_result(outcome)
         )
         self._parts.decision_log.add(self.machine.decision)
         answer = None
-        if outcome is outcomes.Outcome.DONE and self._answer is not None:
-            answer = self._stored_answer(self._answer)
-            self._hand_in(self._answer)
+        if outcome is outcomes.Outcome.DONE and self._final_facts is not None:
+            answer = self._stored_answer(self._final_facts)
+            self._submit_for_rating(self._final_facts)
         await self._parts.once.finish(self._permit, outcome, answer)
 
-    def _gate_result(self, outcome: outcomes.Outcome) -> limits.Result:
+    def _admission_result(self, outcome: outcomes.Outcome) -> limits.Result:
         if outcome is outcomes.Outcome.DONE:
             return limits.Result.DONE
-        return _GATE_RESULTS.get(
+        return _ADMISSION_RESULTS.get(
             self.machine.decision.reason, limits.Result.FAILED
         )
 
@@ -319,15 +325,17 @@
         body, content_type = chunks.as_sent(
             self.machine.request, self.machine.decision, self._forwarded, facts
         )
-        return permits.StoredAnswer(facts.status, content_type, body, self._id)
+        return permits.StoredAnswer(
+            facts.status, content_type, body, self._request_id
+        )
 
-    def _hand_in(self, facts: messages.AnswerFacts) -> None:
+    def _submit_for_rating(self, facts: messages.AnswerFacts) -> None:
         choice = self.machine.decision.choice
         if choice is not None:
             self._reports.hand_in(choice, facts, self._forwarded)
 
-    async def _fail(self) -> None:
-        """Closes a request in which this program itself went wrong."""
+    async def _close_after_error(self) -> None:
+        """Closes a request after an internal error."""
         if self._attempt is not None:
             self._attempt.cancel()
             self._reports.cancel()
@@ -343,9 +351,9 @@
         await self._close(outcome, 0)
 
 
-def _no_retry() -> refusals.Refusal:
+def _retry_budget_refusal() -> refusals.Refusal:
     return refusals.Refusal(
         refusals.Reason.NO_CAPACITY,
         outcomes.Outcome.NOT_RUN,
-        "the retry budget is spent",
+        "the retry budget is exhausted",
     )
--- a/src/hoistmoor/entry/responses.py
+++ b/src/hoistmoor/entry/responses.py
@@ -1,4 +1,4 @@
-"""Turns refusals and answers into HTTP responses."""
+"""Builds HTTP responses, in particular those of refused requests."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 OUTCOME_HEADER = "X-Hoistmoor-Outcome"
 RETRY_HEADER = "Retry-After"
 _JSON = "application/json"
-_LONGEST_WHY = 200
+_MAX_HEADER_CHARS = 200
 
 
 def json_response(
@@ -28,29 +28,29 @@
 ) -> web.Response:
     """Returns a response with a JSON body."""
     return web.Response(
-        body=orjson.dumps(body, default=_plain),
+        body=orjson.dumps(body, default=_to_serializable),
         status=status,
         headers=headers,
         content_type=_JSON,
     )
 
 
-def _plain(value: object) -> Any:
+def _to_serializable(value: object) -> Any:
     if attrs.has(type(value)):
         return attrs.asdict(value, recurse=False)  # type: ignore[arg-type]
     return str(value)
 
 
 def header_text(text: str) -> str:
-    """Returns ``text`` fit for a header: printable ASCII, bounded."""
+    """Returns ``text`` as a header value: printable ASCII of bounded length."""
     ascii_only = text.encode("ascii", "replace").decode()
     return "".join(c if c.isprintable() else " " for c in ascii_only)[
-        :_LONGEST_WHY
+        :_MAX_HEADER_CHARS
     ]
 
 
 def refusal_body(refusal: refusals.Refusal, request_id: str) -> dict[str, Any]:
-    """Returns the body that tells a caller of a refusal."""
+    """Returns the JSON body of a refusal."""
     rule = refusal.rule
     error: dict[str, Any] = {
         "type": refusal.reason.value,
@@ -69,7 +69,7 @@
 def refusal_response(
     refusal: refusals.Refusal, request_id: str
 ) -> web.Response:
-    """Returns the response of a request that is refused as a whole."""
+    """Returns the HTTP response to a refused request."""
     headers = {
         REQUEST_ID_HEADER: request_id,
         OUTCOME_HEADER: refusal.outcome.value,
@@ -82,11 +82,11 @@
 
 
 def refusal_event(refusal: refusals.Refusal, request_id: str) -> bytes:
-    """Returns the last event of a stream that is cut short."""
+    """Returns the final event of a stream that ends with a refusal."""
     body = refusal_body(refusal, request_id)
     return chunks.event(orjson.dumps(body))
 
 
 def bare_refusal(reason: refusals.Reason, detail: str) -> refusals.Refusal:
-    """Returns the refusal of a request of which no byte went anywhere."""
+    """Returns the refusal of a request that was sent to no backend server."""
     return refusals.Refusal(reason, outcomes.Outcome.NOT_RUN, detail)
--- a/src/hoistmoor/entry/sessions.py
+++ b/src/hoistmoor/entry/sessions.py
@@ -1,4 +1,7 @@
-"""Keeps sessions on their versions at this host and asks peers for pins."""
+"""Session affinity: keeps each session on one model version.
+
+Pins are stored at a few home hosts per session, chosen by hashing.
+"""
 
 from __future__ import annotations
 
@@ -21,29 +24,29 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Iterable, Sequence
 
-DEFAULT_PEER_TIMEOUT = 0.25  # Seconds for one call to a home host.
+DEFAULT_PEER_TIMEOUT = 0.25  # For one call to a home host, in seconds.
 
 _T = TypeVar("_T")
 
 
 class Verdict(enum.StrEnum):
-    """What became of a session's version with this request."""
+    """How a request affects the version that its session is pinned to."""
 
     NEW = "new"  # First request of the session for this model.
-    KEEP = "keep"  # It stays where it was.
-    MOVED = "moved"  # Its version was withdrawn or is no longer granted.
+    KEEP = "keep"  # The session stays on its version.
+    MOVED = "moved"  # The version was withdrawn or is no longer granted.
 
 
 @attrs.frozen
 class SessionPin:
-    """Where a session's request must run.
+    """The version that a session's request must run on.
 
     Attributes:
         session: Name of the session.
-        version: Key of the version it must run on; None if the router may
-            choose, after which ``remember`` must be called.
-        verdict: What became of the session's version.
-        moved_from: Key of the version that the session left, if it moved.
+        version: Key of the version; None if the router may choose one, in
+            which case ``remember`` must be called with its choice.
+        verdict: How the request affects the session's version.
+        moved_from: Key of the previous version, if the session moved.
     """
 
     session: str
@@ -53,30 +56,30 @@
 
 
 class PinStore(Protocol):
-    """Copies of pins at other entry hosts.
+    """Access to the pins stored at other entry hosts.
 
-    Both calls raise a HoistmoorError or TimeoutError when the host cannot be
+    Both methods raise HoistmoorError or TimeoutError if the host cannot be
     reached.
     """
 
     async def find(self, host: str, key: pins.PinKey) -> pins.Pin | None:
-        """Returns the pin that ``host`` keeps under ``key``, if any."""
+        """Returns the pin that ``host`` stores for ``key``, if any."""
         ...
 
     async def keep(self, host: str, pin: pins.Pin) -> pins.Pin:
-        """Offers ``pin`` to ``host``, and returns the pin that stands."""
+        """Offers ``pin`` to ``host`` and returns the pin that it stores."""
         ...
 
 
 class Sessions:
-    """The session pins that this host knows, and the way to the others.
+    """Session pins of this host, with access to those of other hosts.
 
     Attributes:
         host: Name of this host.
-        secrets: Signing secrets; the first signs, all of them verify.
-        store: The way to other hosts; None while there are none.
-        pins: Pins kept here, for this host's own use and as a home host.
-        unreachable: Calls to home hosts that failed.
+        secrets: Signing secrets; the first one signs, all of them verify.
+        store: Access to other hosts; None if there are none.
+        pins: Pins stored here, for this host's own use and as a home host.
+        unreachable: Number of failed calls to home hosts.
     """
 
     def __init__(
@@ -99,26 +102,26 @@
         self.in_force = model.TableInForce(-1, model.Table())
 
     def on_table(self, in_force: model.TableInForce) -> None:
-        """Takes a new table in force.
+        """Applies a new table.
 
-        Pins on withdrawn versions are kept: they are how a session's next
-        answer knows that it has moved.
+        Pins to withdrawn versions are kept, so that the next response of such
+        a session can report the move.
         """
         self.in_force = in_force
 
     def on_hosts(self, hosts: Iterable[choice.EntryHost]) -> None:
-        """Takes the live entry hosts, this one included."""
+        """Updates the live entry hosts, this one included."""
         self.hosts = tuple(hosts)
 
     async def find_session(self, account: str, session: str) -> bytes:
-        """Answers a peer's ``find_session``; see ``pin_store``."""
+        """Handles a peer's ``find_session`` call; see ``pin_store``."""
         pin = self.pins.find(pins.PinKey.from_wire(account, session))
         return codec.encode(pin) if pin else b""
 
     async def keep_session(
         self, account: str, session: str, pin: bytes
     ) -> bytes:
-        """Answers a peer's ``keep_session``; see ``pin_store``."""
+        """Handles a peer's ``keep_session`` call; see ``pin_store``."""
         offered = codec.decode(pin)
         if offered.key != pins.PinKey.from_wire(account, session):
             return b""
@@ -127,7 +130,7 @@
     def token_for(
         self, account: str, session: str, model_name: str, version: str
     ) -> str:
-        """Returns the session header to send with an answer."""
+        """Returns the signed session token to send in the response header."""
         token = tokens.SessionToken(
             account, session, model_name, version, self.clock()
         )
@@ -140,149 +143,157 @@
         model_name: str,
         new_session: str,
     ) -> SessionPin | refusals.Refusal:
-        """Returns where a request must run, or why its header is no good.
+        """Returns the pin of a request, or a refusal of its session header.
 
         Args:
             account: The caller's client account.
-            header_value: A session token, a plain id, or None.
-            model_name: Model that the caller named; ``auto`` included.
-            new_session: Name for the session if the caller sent none.
+            header_value: A session token, a plain session ID, or None.
+            model_name: Requested model, which may be ``auto``.
+            new_session: Session name to use if the caller sent none.
         """
         if not header_value:
             return SessionPin(new_session, None, Verdict.NEW)
         if not tokens.is_token(header_value):
-            return await self._pin_by_id(account, header_value, model_name)
+            return await self._resolve_id(account, header_value, model_name)
         try:
             token = tokens.verify(header_value, account, self.secrets)
         except errors.HoistmoorError as error:
-            return _bad_header(str(error))
-        return await self._pin_by_token(token, model_name)
+            return _bad_header_refusal(str(error))
+        return await self._resolve_token(token, model_name)
 
     async def remember(
         self, account: str, session: str, model_name: str, version: str
     ) -> str:
-        """Pins a session where the router put it.
+        """Pins a session to the version that the router chose.
 
         Returns:
-            Key of the version that stands; another host may have been first.
+            Key of the version that is pinned, which may differ if another
+            host pinned the session first.
         """
         key = pins.PinKey(account, session, model_name)
         known = self.pins.find(key)
         if known and known.settled and self._is_usable(known):
             return known.version
-        return (await self._claim(key, version, moves=0)).version
+        return (await self._offer_pin(key, version, moves=0)).version
 
-    async def _pin_by_token(
+    async def _resolve_token(
         self, token: tokens.SessionToken, model_name: str
     ) -> SessionPin:
         key = pins.PinKey(token.account, token.session, model_name)
         table = self.in_force.table
         if token.model != model_name:
-            return await self._pin_by_key(key, None)
+            return await self._resolve_key(key, None)
         if choice.is_usable(table, token.account, token.version):
             return SessionPin(token.session, token.version, Verdict.KEEP)
-        return await self._pin_by_key(key, token.version)
+        return await self._resolve_key(key, token.version)
 
-    async def _pin_by_id(
+    async def _resolve_id(
         self, account: str, session: str, model_name: str
     ) -> SessionPin | refusals.Refusal:
         if len(session) > pins.MAX_SESSION_CHARS or not session.isprintable():
-            return _bad_header(
-                f"a session id has at most {pins.MAX_SESSION_CHARS}"
+            return _bad_header_refusal(
+                f"a session ID may have at most {pins.MAX_SESSION_CHARS}"
                 " printable characters."
             )
         key = pins.PinKey(account, session, model_name)
-        return await self._pin_by_key(key, None)
+        return await self._resolve_key(key, None)
 
-    async def _pin_by_key(
-        self, key: pins.PinKey, left: str | None
+    async def _resolve_key(
+        self, key: pins.PinKey, left_version: str | None
     ) -> SessionPin:
         known = self.pins.find(key)
         if known is None or not known.settled or not self._is_usable(known):
-            known = await self._look_up(key)
+            known = await self._find_at_homes(key)
         if known and self._is_usable(known):
-            return _as_session_pin(known, left, Verdict.KEEP)
-        left = left or (known.version if known else None)
+            return _as_session_pin(known, left_version, Verdict.KEEP)
+        left_version = left_version or (known.version if known else None)
         version = choice.choose_version(
             self.in_force.table, key.account, key.session, key.model
         )
-        verdict = Verdict.MOVED if left else Verdict.NEW
+        verdict = Verdict.MOVED if left_version else Verdict.NEW
         if version is None:
-            return SessionPin(key.session, None, verdict, left)
-        moves = (known.moves if known else 0) + (1 if left else 0)
-        pin = await self._claim(key, version, moves)
-        return _as_session_pin(pin, left, verdict)
-
-    async def _look_up(self, key: pins.PinKey) -> pins.Pin | None:
-        """Returns the pin that the home hosts keep, if any."""
-        found = await self._ask_homes(
-            key, lambda host: self._find_at(host, key)
+            return SessionPin(key.session, None, verdict, left_version)
+        moves = (known.moves if known else 0) + (1 if left_version else 0)
+        pin = await self._offer_pin(key, version, moves)
+        return _as_session_pin(pin, left_version, verdict)
+
+    async def _find_at_homes(self, key: pins.PinKey) -> pins.Pin | None:
+        """Returns the pin that the home hosts store, if any."""
+        found = await self._call_homes(
+            key, lambda host: self._find_at_host(host, key)
         )
         usable = [pin for pin in found.values() if self._is_usable(pin)]
         if not usable:
             return pins.preferred(found.values())
-        return await self._settle(pins.preferred(usable) or usable[0], found)
+        return await self._write_back(
+            pins.preferred(usable) or usable[0], found
+        )
 
-    async def _claim(
+    async def _offer_pin(
         self, key: pins.PinKey, version: str, moves: int
     ) -> pins.Pin:
-        """Offers a pin to the home hosts and returns the one that stands."""
+        """Offers a pin to the home hosts and returns the one that wins."""
         revision = self.in_force.revision
         offered = pins.Pin(
             key.account, key.session, key.model, version, revision, moves
         )
-        kept = await self._ask_homes(
-            key, lambda host: self._keep_at(host, offered)
+        stored = await self._call_homes(
+            key, lambda host: self._keep_at_host(host, offered)
         )
-        usable = [pin for pin in kept.values() if self._is_usable(pin)]
-        return await self._settle(pins.preferred(usable) or offered, kept)
+        usable = [pin for pin in stored.values() if self._is_usable(pin)]
+        return await self._write_back(pins.preferred(usable) or offered, stored)
 
-    async def _settle(
-        self, winner: pins.Pin, kept: dict[str, pins.Pin]
+    async def _write_back(
+        self, winner: pins.Pin, stored: dict[str, pins.Pin]
     ) -> pins.Pin:
-        """Writes the winner to each home that keeps another pin or none."""
+        """Writes the winner to each home host that has another pin or none."""
         settled = attrs.evolve(winner, settled=True)
-        wrong = [
+        outdated = [
             host
-            for host in self._homes(winner.key)
-            if host not in kept or kept[host].version != winner.version
+            for host in self._home_hosts(winner.key)
+            if host not in stored or stored[host].version != winner.version
+        ]
+        calls = [
+            self._call_with_timeout(self._keep_at_host(host, settled))
+            for host in outdated
         ]
-        calls = [self._call(self._keep_at(host, settled)) for host in wrong]
         await asyncio.gather(*calls)
         self.pins.put(settled)
         return settled
 
-    async def _ask_homes(
+    async def _call_homes(
         self,
         key: pins.PinKey,
-        ask: Callable[[str], Awaitable[pins.Pin | None]],
+        operation: Callable[[str], Awaitable[pins.Pin | None]],
     ) -> dict[str, pins.Pin]:
-        hosts = self._homes(key)
-        answers = await asyncio.gather(
-            *(self._call(ask(host)) for host in hosts)
+        hosts = self._home_hosts(key)
+        results = await asyncio.gather(
+            *(self._call_with_timeout(operation(host)) for host in hosts)
         )
-        found = dict(zip(hosts, answers, strict=True))
+        found = dict(zip(hosts, results, strict=True))
         return {host: pin for host, pin in found.items() if pin}
 
-    async def _find_at(self, host: str, key: pins.PinKey) -> pins.Pin | None:
+    async def _find_at_host(
+        self, host: str, key: pins.PinKey
+    ) -> pins.Pin | None:
         if host == self.host or self.store is None:
             return self.pins.find(key)
         return await self.store.find(host, key)
 
-    async def _keep_at(self, host: str, pin: pins.Pin) -> pins.Pin:
+    async def _keep_at_host(self, host: str, pin: pins.Pin) -> pins.Pin:
         if host == self.host or self.store is None:
             return self.pins.keep(pin)
         return await self.store.keep(host, pin)
 
-    async def _call(self, call: Awaitable[_T]) -> _T | None:
+    async def _call_with_timeout(self, call: Awaitable[_T]) -> _T | None:
         try:
             return await asyncio.wait_for(call, self.peer_timeout)
         except (errors.HoistmoorError, TimeoutError, OSError) as error:
             self.unreachable += 1
-            logging.debug("sessions: A home host did not answer: %r.", error)
+            logging.debug("sessions: Call to a home host failed: %r.", error)
             return None
 
-    def _homes(self, key: pins.PinKey) -> tuple[str, ...]:
+    def _home_hosts(self, key: pins.PinKey) -> tuple[str, ...]:
         return choice.homes(self.hosts, key.account, key.session)
 
     def _is_usable(self, pin: pins.Pin) -> bool:
@@ -290,18 +301,18 @@
 
 
 def _as_session_pin(
-    pin: pins.Pin, left: str | None, verdict: Verdict
+    pin: pins.Pin, left_version: str | None, verdict: Verdict
 ) -> SessionPin:
-    moved = left is not None and left != pin.version
+    moved = left_version is not None and left_version != pin.version
     return SessionPin(
         pin.session,
         pin.version,
         Verdict.MOVED if moved else verdict,
-        left if moved else None,
+        left_version if moved else None,
     )
 
 
-def _bad_header(detail: str) -> refusals.Refusal:
+def _bad_header_refusal(detail: str) -> refusals.Refusal:
     return refusals.Refusal(
         refusals.Reason.BAD_HEADER, outcomes.Outcome.NOT_RUN, detail
     )
--- a/src/hoistmoor/entry/share_keeper.py
+++ b/src/hoistmoor/entry/share_keeper.py
@@ -1,4 +1,4 @@
-"""The tasks that carry spend shares to the log and read the stream back."""
+"""Background tasks that synchronize spend shares with the log."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
     from hoistmoor.core.table import model
     from hoistmoor.entry import log_port
 
-TICK = 1.0  # Seconds between plans when nobody waits.
-_NEED_TICK = 0.02  # Seconds between plans while a request waits.
-_POLL = 10.0  # Seconds of one long poll.
-_RETRY = 0.5  # Seconds between attempts while the log is down.
-LOG_PATIENCE = 0.3  # Seconds that a request waits for the log before peers.
+PLAN_INTERVAL_SECONDS = 1.0  # While no request waits for a share.
+_WAITING_PLAN_INTERVAL_SECONDS = 0.02  # While a request waits for a share.
+_LONG_POLL_SECONDS = 10.0
+_LOG_RETRY_SECONDS = 0.5  # While the log is down.
+LOG_TIMEOUT_SECONDS = 0.3  # A request then asks peers instead of the log.
 
-_log = logs.PartLogger("limits")
+_LOG = logs.PartLogger("limits")
 
 
 class ShareKeeper:
-    """Keeps one process's book of shares in step with the log.
+    """Synchronizes the spend shares of one process with the log.
 
     Attributes:
-        book: The decisions.
-        shares: This host's part of the rates.
-        peers: Other hosts, which may help out.
-        bad_records: Records of the stream that do not decode.
+        book: Spend shares and the decisions on them, without I/O.
+        shares: This host's fraction of each account's rate limit.
+        peers: Exchange of shares with other hosts.
+        bad_records: Number of records that could not be decoded.
     """
 
     def __init__(
@@ -57,11 +57,11 @@
         self.bad_records = 0
         self._log = log
         self._clock = clock
-        self._needs: dict[str, int] = {}
-        self._work = asyncio.Event()
+        self._waiting_costs: dict[str, int] = {}
+        self._writer_wakeup = asyncio.Event()
         self._changed = asyncio.Condition()
         self._tasks: list[asyncio.Task[None]] = []
-        self._begun = False
+        self._is_reading = False
         self._draining = False
 
     @property
@@ -70,27 +70,27 @@
         return self.book.log_is_up
 
     def on_table(self, in_force: model.TableInForce) -> None:
-        """Takes a new table; a first share is asked for at once."""
+        """Applies a new table and requests the first shares at once."""
         self.book.in_force = in_force
-        self._work.set()
+        self._writer_wakeup.set()
 
     def start(self) -> None:
-        """Starts the reader and the writer."""
+        """Starts the reader and the writer task."""
         self._tasks = [
-            asyncio.create_task(self._read_on(), name="limits-reader"),
-            asyncio.create_task(self._write_on(), name="limits-writer"),
+            asyncio.create_task(self._read_loop(), name="limits-reader"),
+            asyncio.create_task(self._write_loop(), name="limits-writer"),
         ]
 
     async def stop(self) -> None:
-        """Ends both tasks at once; see ``drain``."""
+        """Cancels both tasks; call ``drain`` first for a graceful stop."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def drain(self) -> None:
-        """Gives back what this process will not spend; the log may be down.
+        """Returns the unused shares to the log, or to peers if it is down.
 
-        No share is asked for from then on.
+        No share is requested afterwards.
         """
         self._draining = True
         for request in self.book.give_back(self._clock()):
@@ -106,26 +106,28 @@
         deadline: float,
         urgent: bool = True,
     ) -> book_lib.Verdict:
-        """Sets a cost aside; asks for a share and waits if it must.
+        """Reserves a cost; requests a share and waits for it if necessary.
 
-        The log is asked first. Where it is down, slow, or does not tell what
-        the day's shares are, peers are.
+        Shares are requested from the log first, and from peers if the log is
+        down, slow, or incomplete for the day.
 
         Args:
             account: Client account.
-            cost: Micros.
-            day: UTC day that the request came on.
-            deadline: Seconds since the epoch until which to wait at most.
+            cost: Cost to reserve, in micros.
+            day: UTC day on which the request arrived.
+            deadline: End of the wait, in seconds since the epoch.
             urgent: Whether the request is urgent.
 
         Returns:
-            WAIT where the share did not come in time.
+            The result; WAIT if no share was obtained in time.
         """
         now = self._clock()
         verdict = self.book.reserve(account, cost, day, now, urgent)
         if self._may_change(verdict):
-            patience = min(deadline, now + LOG_PATIENCE)
-            verdict = await self._ask_log(account, cost, day, patience, urgent)
+            log_deadline = min(deadline, now + LOG_TIMEOUT_SECONDS)
+            verdict = await self._reserve_from_log(
+                account, cost, day, log_deadline, urgent
+            )
         if verdict in share_peers.DECIDED or self._draining:
             return verdict
         try:
@@ -134,20 +136,22 @@
         except TimeoutError:
             return verdict
 
-    async def _ask_log(
-        self, account: str, cost: int, day: int, until: float, urgent: bool
+    async def _reserve_from_log(
+        self, account: str, cost: int, day: int, deadline: float, urgent: bool
     ) -> book_lib.Verdict:
-        self._needs[account] = self._needs.get(account, 0) + cost
-        self._work.set()
+        self._waiting_costs[account] = (
+            self._waiting_costs.get(account, 0) + cost
+        )
+        self._writer_wakeup.set()
         try:
-            async with asyncio.timeout(until - self._clock()):
-                return await self._wait(account, cost, day, urgent)
+            async with asyncio.timeout(deadline - self._clock()):
+                return await self._wait_for_share(account, cost, day, urgent)
         except TimeoutError:
             return book_lib.Verdict.WAIT
         finally:
-            self._needs[account] -= cost
+            self._waiting_costs[account] -= cost
 
-    async def _wait(
+    async def _wait_for_share(
         self, account: str, cost: int, day: int, urgent: bool
     ) -> book_lib.Verdict:
         async with self._changed:
@@ -159,33 +163,37 @@
                 await self._changed.wait()
 
     def _may_change(self, verdict: book_lib.Verdict) -> bool:
-        """Returns whether it is worth waiting for another verdict."""
+        """Returns whether the log may still provide a different result."""
         if not self.log_is_up or self._draining:
             return False
         if verdict is book_lib.Verdict.UNKNOWN:
-            return not self._begun
+            return not self._is_reading
         return verdict is book_lib.Verdict.WAIT
 
-    async def _write_on(self) -> None:
+    async def _write_loop(self) -> None:
         while True:
-            self._work.clear()
-            await self._write()
-            pause = TICK if self.log_is_up else _RETRY
-            # While somebody waits, an ask may come due before the tick.
-            if any(self._needs.values()):
-                pause = min(pause, _NEED_TICK)
+            self._writer_wakeup.clear()
+            await self._write_due()
+            pause = (
+                PLAN_INTERVAL_SECONDS if self.log_is_up else _LOG_RETRY_SECONDS
+            )
+            # While a request waits, a share request may be due earlier.
+            if any(self._waiting_costs.values()):
+                pause = min(pause, _WAITING_PLAN_INTERVAL_SECONDS)
             try:
                 async with asyncio.timeout(pause):
-                    await self._work.wait()
+                    await self._writer_wakeup.wait()
             except TimeoutError:
                 pass
 
-    async def _write(self) -> None:
+    async def _write_due(self) -> None:
         if self._draining:
             return
         now = self._clock()
-        needs = {name: cost for name, cost in self._needs.items() if cost}
-        for request in self.book.plan(now, needs):
+        waiting_costs = {
+            name: cost for name, cost in self._waiting_costs.items() if cost
+        }
+        for request in self.book.plan(now, waiting_costs):
             await self._append(request)
         accounts = self.book.in_force.table.accounts
         limits = {row.account: row.rate_limit for row in accounts.values()}
@@ -201,48 +209,49 @@
         except errors.LogUnavailableError:
             if isinstance(record, records.ShareRequest):
                 self.book.not_stored(record)
-            await self._note(log_is_up=False)
+            await self._set_log_state(log_is_up=False)
             return False
         except errors.PlatformError as error:
-            # The record may be stored. What it gives back is gone from here,
-            # and what it asks for counts once it is read back.
-            _log.warning("An append has an unknown outcome: %s", error)
-            await self._note(log_is_up=False)
+            # The record may have been stored. Shares that it returns are no
+            # longer used here; a share that it requests counts once the record
+            # is read back.
+            _LOG.warning("The outcome of an append is unknown: %s", error)
+            await self._set_log_state(log_is_up=False)
             return False
         return True
 
-    async def _read_on(self) -> None:
+    async def _read_loop(self) -> None:
         while True:
             try:
-                await self._read()
+                await self._read_page()
             except errors.LogOffsetExpiredError as error:
-                _log.warning("Records expired unread: %s", error)
-                self._begun = False
+                _LOG.warning("Records expired before they were read: %s", error)
+                self._is_reading = False
             except errors.PlatformError:
-                await self._note(log_is_up=False)
-                await asyncio.sleep(_RETRY)
+                await self._set_log_state(log_is_up=False)
+                await asyncio.sleep(_LOG_RETRY_SECONDS)
 
-    async def _read(self) -> None:
-        if not self._begun:
-            await self._begin()
+    async def _read_page(self) -> None:
+        if not self._is_reading:
+            await self._start_reading()
         page = await self._log.read(
-            records.STREAM, self.book.fold.next_offset, wait=_POLL
+            records.STREAM, self.book.fold.next_offset, wait=_LONG_POLL_SECONDS
         )
         now = self._clock()
         changed = [self._apply(item, now) for item in page.records]
         if any(changed) or not self.log_is_up:
-            await self._note(log_is_up=True)
+            await self._set_log_state(log_is_up=True)
 
-    async def _begin(self) -> None:
-        """Starts at the oldest record that can be read."""
+    async def _start_reading(self) -> None:
+        """Starts reading at the oldest available record."""
         bounds = await self._log.bounds(records.STREAM)
         self.book.fold.begin_at(bounds.first)
-        self._begun = True
-        self._work.set()
+        self._is_reading = True
+        self._writer_wakeup.set()
         if bounds.first == bounds.next and bounds.first > 0:
-            # Any record dates the stream, so that later days are whole.
-            await self._append(self._empty_report())
-        await self._note(log_is_up=True)
+            # Any record dates the stream, which makes later days complete.
+            await self._append(self._empty_demand_report())
+        await self._set_log_state(log_is_up=True)
 
     def _apply(self, item: log_client.LogRecord, now: float) -> bool:
         record: object = None
@@ -250,19 +259,19 @@
             record = codec.decode(item.payload)
         except errors.CodecError as error:
             self.bad_records += 1
-            _log.warning("Record %d is skipped: %s", item.offset, error)
+            _LOG.warning("Skipped record %d: %s", item.offset, error)
         if isinstance(record, records.DemandReport):
             self.shares.on_report(record, now)
         return self.book.apply(item.offset, item.at, record, now)
 
-    async def _note(self, log_is_up: bool) -> None:
-        """Tells whoever waits that something changed."""
+    async def _set_log_state(self, log_is_up: bool) -> None:
+        """Sets whether the log is up and wakes up the waiting requests."""
         if log_is_up != self.log_is_up:
-            _log.info("The log is %s.", "up" if log_is_up else "down")
+            _LOG.info("The log is %s", "up" if log_is_up else "down")
         self.book.log_is_up = log_is_up
         async with self._changed:
             self._changed.notify_all()
 
-    def _empty_report(self) -> records.DemandReport:
+    def _empty_demand_report(self) -> records.DemandReport:
         owner = self.book.incarnation
         return records.DemandReport(owner.host, owner.number, ())
--- a/src/hoistmoor/entry/share_peers.py
+++ b/src/hoistmoor/entry/share_peers.py
@@ -1,4 +1,4 @@
-"""Takes parts of spend shares from other hosts while the log gives none."""
+"""Exchanges spend shares with other hosts while the log is unavailable."""
 
 from __future__ import annotations
 
@@ -19,34 +19,34 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-PEER_TIMEOUT = 0.25  # Seconds for one peer's answer.
-MOST_ASKED = 3  # Peers asked for one request.
-HEIRS = 3  # Hosts that get an even part of what a host leaves.
-# After a round that brought too little, none for so long, doubling up to
-QUIET_SECONDS = 2.0  # this
-MOST_QUIET_SECONDS = 30.0  # much.
+PEER_TIMEOUT_SECONDS = 0.25
+MAX_PEERS_ASKED = 3  # Per attempt to reserve a cost.
+MAX_HANDOFF_PEERS = 3  # They get equal parts of the shares of a stopping host.
+# Pause after peers provided too little; it doubles with each failure.
+BACKOFF_SECONDS = 2.0
+MOST_QUIET_SECONDS = 30.0
 
-# Neither the log nor a peer could change these.
+# Results that neither the log nor a peer can change.
 DECIDED = (book_lib.Verdict.RESERVED, book_lib.Verdict.EXHAUSTED)
 
-_log = logs.PartLogger("limits")
+_LOG = logs.PartLogger("limits")
 
 
 class Peer(Protocol):
-    """Another entry host."""
+    """Client for calls to another entry host."""
 
     async def shares(self, message: bytes) -> bytes:
-        """Sends an encoded ask and returns the encoded answer."""
+        """Sends an encoded message and returns the encoded reply."""
 
 
 @attrs.frozen
 class Giver:
-    """A live host that may have something to give.
+    """A live host to exchange shares with.
 
     Attributes:
         name: Name of the host.
-        peer: How to call it.
-        incarnation: Number of the process that is thought to run there.
+        peer: Client for calls to it.
+        incarnation: Incarnation of the process believed to run there.
     """
 
     name: str
@@ -55,43 +55,43 @@
 
 
 class Neighbours(Protocol):
-    """Knows the other hosts."""
+    """Directory of the other hosts."""
 
     def givers(self) -> Sequence[Giver]:
-        """Returns the other live hosts in a random order."""
+        """Returns other live hosts in random order."""
 
 
 class NoNeighbours:
-    """A host on its own."""
+    """Directory of a host without peers."""
 
     def givers(self) -> Sequence[Giver]:
-        """Returns nobody."""
+        """Returns no hosts."""
         return ()
 
 
 @attrs.define
-class _Round:
-    """Asks for one account and class of requests, one at a time.
+class _RequestState:
+    """Requests to peers for one account and class of requests.
 
     Attributes:
-        lock: Held while peers are asked.
-        failures: Rounds in a row that brought too little.
-        quiet_until: No round before this time.
-        waiting: Micros that all waiting requests need.
+        lock: Held while peers are asked, so that only one request asks.
+        failures: Consecutive attempts in which peers provided too little.
+        retry_at: Earliest time of the next attempt.
+        waiting_cost: Total cost of the waiting requests, in micros.
     """
 
     lock: asyncio.Lock = attrs.field(factory=asyncio.Lock)
     failures: int = 0
-    quiet_until: float = 0.0
-    waiting: int = 0
+    retry_at: float = 0.0
+    waiting_cost: int = 0
 
 
 class SharePeers:
-    """Asks peers for shares, and answers those that ask.
+    """Requests shares from peers and serves their requests.
 
     Attributes:
-        book: This host's shares.
-        neighbours: The other hosts.
+        book: Spend shares of this host.
+        neighbours: Directory of the other hosts.
     """
 
     def __init__(
@@ -103,124 +103,136 @@
         self.book = book
         self.neighbours = neighbours
         self._clock = clock
-        self._rounds: dict[tuple[str, bool], _Round] = {}
+        self._request_states: dict[tuple[str, bool], _RequestState] = {}
 
     async def reserve(
         self, account: str, cost: int, day: int, urgent: bool
     ) -> book_lib.Verdict:
-        """Sets a cost aside, with the help of peers if it must.
+        """Reserves a cost; requests shares from peers if necessary.
 
         Args:
             account: Client account.
-            cost: Micros.
-            day: UTC day that the request came on.
-            urgent: Whether it is urgent.
+            cost: Cost to reserve, in micros.
+            day: UTC day on which the request arrived.
+            urgent: Whether the request is urgent.
         """
-        known = self._rounds.setdefault((account, urgent), _Round())
-        known.waiting += cost
+        state = self._request_states.setdefault(
+            (account, urgent), _RequestState()
+        )
+        state.waiting_cost += cost
         try:
-            async with known.lock:
-                return await self._reserve(known, account, cost, day, urgent)
+            async with state.lock:
+                return await self._reserve(state, account, cost, day, urgent)
         finally:
-            known.waiting -= cost
+            state.waiting_cost -= cost
 
     async def answer(self, message: bytes) -> bytes:
-        """Answers a peer's ask.
+        """Handles a peer's message and returns the encoded reply.
 
         Raises:
-            CodecError: The message is none that this release knows.
+            CodecError: The message type is unknown to this release.
         """
-        return codec.encode(self._answer(codec.decode(message)))
+        return codec.encode(self._handle(codec.decode(message)))
 
     async def leave_shares(self) -> None:
-        """Leaves what this host holds to others, for good.
+        """Hands the shares of this host over to other hosts permanently.
 
-        No part is sent twice: one whose receipt is lost may be counted.
+        No part is sent twice: if its receipt is lost, the recipient may have
+        counted it already.
         """
-        heirs = self.neighbours.givers()[:HEIRS]
+        recipients = self.neighbours.givers()[:MAX_HANDOFF_PEERS]
         today = records.day_of(self._clock())
         sent = [
-            self._leave(
-                heir,
+            self._hand_off(
+                recipient,
                 self.book.gifts.part_with(
-                    heir.incarnation, today, len(heirs) - number
+                    recipient.incarnation, today, len(recipients) - number
                 ),
             )
-            for number, heir in enumerate(heirs)
+            for number, recipient in enumerate(recipients)
         ]
         await asyncio.gather(*sent)
 
-    async def _leave(self, heir: Giver, gift: gifts.Gift) -> None:
-        if not gift.items:
+    async def _hand_off(self, recipient: Giver, handoff: gifts.Gift) -> None:
+        if not handoff.items:
             return
         try:
-            async with asyncio.timeout(PEER_TIMEOUT):
-                receipt = await heir.peer.shares(codec.encode(gift))
+            async with asyncio.timeout(PEER_TIMEOUT_SECONDS):
+                receipt = await recipient.peer.shares(codec.encode(handoff))
             if codec.decode(receipt) == gifts.Receipt(counted=True):
                 return
         except (TimeoutError, errors.HoistmoorError) as error:
-            _log.warning("Host %s did not answer: %r", heir.name, error)
-        _log.warning(
-            "A part of this host's shares, sent to host %s, may be lost"
+            _LOG.warning("Host %s did not respond: %r", recipient.name, error)
+        _LOG.warning(
+            "Part of this host's shares, sent to host %s, may be unusable"
             " until the UTC day ends",
-            heir.name,
+            recipient.name,
         )
 
     @functools.singledispatchmethod
-    def _answer(self, message: object) -> object:
+    def _handle(self, message: object) -> object:
         raise errors.CodecError(
-            f"{type(message).__name__} is no message on shares",
+            f"unexpected message type {type(message).__name__}",
             "Check that both hosts run the same release.",
         )
 
-    @_answer.register
-    def _answer_ask(self, ask: transfers.TransferAsk) -> object:
-        return self.book.give_peer(ask, self._clock())
+    @_handle.register
+    def _handle_request(self, request: transfers.TransferAsk) -> object:
+        return self.book.give_peer(request, self._clock())
 
-    @_answer.register
-    def _answer_gift(self, gift: gifts.Gift) -> object:
-        return self.book.gifts.receive(gift)
+    @_handle.register
+    def _handle_handoff(self, handoff: gifts.Gift) -> object:
+        return self.book.gifts.receive(handoff)
 
     async def _reserve(
-        self, known: _Round, account: str, cost: int, day: int, urgent: bool
+        self,
+        state: _RequestState,
+        account: str,
+        cost: int,
+        day: int,
+        urgent: bool,
     ) -> book_lib.Verdict:
-        verdict = self._try(account, cost, day, urgent)
-        if verdict in DECIDED or self._clock() < known.quiet_until:
+        verdict = self._reserve_locally(account, cost, day, urgent)
+        if verdict in DECIDED or self._clock() < state.retry_at:
             return verdict
-        for giver in self.neighbours.givers()[:MOST_ASKED]:
-            ask = self.book.ask_peer(
-                giver.name, account, known.waiting, day, urgent
+        for giver in self.neighbours.givers()[:MAX_PEERS_ASKED]:
+            request = self.book.ask_peer(
+                giver.name, account, state.waiting_cost, day, urgent
             )
-            await self._ask(giver, ask)
-            verdict = self._try(account, cost, day, urgent)
+            await self._request_from(giver, request)
+            verdict = self._reserve_locally(account, cost, day, urgent)
             if verdict in DECIDED:
                 break
-        self._note(known, verdict)
+        self._update_backoff(state, verdict)
         return verdict
 
-    def _try(
+    def _reserve_locally(
         self, account: str, cost: int, day: int, urgent: bool
     ) -> book_lib.Verdict:
         return self.book.reserve(account, cost, day, self._clock(), urgent)
 
-    async def _ask(self, giver: Giver, ask: transfers.TransferAsk) -> None:
-        """Asks one peer; the ask stays open if no answer comes."""
+    async def _request_from(
+        self, giver: Giver, request: transfers.TransferAsk
+    ) -> None:
+        """Requests a share from one peer; without a reply it stays pending."""
         try:
-            async with asyncio.timeout(PEER_TIMEOUT):
-                message = await giver.peer.shares(codec.encode(ask))
+            async with asyncio.timeout(PEER_TIMEOUT_SECONDS):
+                message = await giver.peer.shares(codec.encode(request))
             answer = codec.decode(message)
         except TimeoutError:
             return
         except errors.HoistmoorError as error:
-            _log.info("Host %s gave no share: %s", giver.name, error)
+            _LOG.info("Host %s provided no share: %s", giver.name, error)
             return
         if isinstance(answer, transfers.TransferAnswer):
             self.book.transfers.take(answer)
 
-    def _note(self, known: _Round, verdict: book_lib.Verdict) -> None:
+    def _update_backoff(
+        self, state: _RequestState, verdict: book_lib.Verdict
+    ) -> None:
         if verdict is book_lib.Verdict.RESERVED:
-            known.failures = 0
+            state.failures = 0
             return
-        pause = QUIET_SECONDS * 2.0 ** min(known.failures, 10)
-        known.failures += 1
-        known.quiet_until = self._clock() + min(pause, MOST_QUIET_SECONDS)
+        pause = BACKOFF_SECONDS * 2.0 ** min(state.failures, 10)
+        state.failures += 1
+        state.retry_at = self._clock() + min(pause, MOST_QUIET_SECONDS)
--- a/src/hoistmoor/entry/slots.py
+++ b/src/hoistmoor/entry/slots.py
@@ -1,4 +1,4 @@
-"""Requests that wait at this host for a slot of a pool."""
+"""Admission queues: requests that wait at this host for a pool's slot."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 
     from hoistmoor.core.table import model
 
-_DETAILS = {
+_REFUSAL_DETAILS = {
     refusals.Reason.OVERLOADED: "It could not start before its deadline.",
-    refusals.Reason.DEADLINE_EXCEEDED: "No slot came free in time.",
+    refusals.Reason.DEADLINE_EXCEEDED: "No slot became available in time.",
 }
 
 
 @attrs.frozen
 class _Waiter:
-    """A task that waits for the effect on its request."""
+    """A queued request and the future that its task waits on."""
 
     entry: queue.Entry
     future: asyncio.Future[queue.Effect]
 
 
 class Slots:
-    """The pools' queues, and the tasks that wait in them.
+    """Queues of all pools, and the tasks that wait in them.
 
     Attributes:
-        pools: Per service.
-        hosts: Live entry hosts, which share each pool.
+        pools: Pool of each service.
+        hosts: Number of live entry hosts, which share each pool.
         table: The table in force.
     """
 
@@ -54,15 +54,15 @@
             timer.cancel()
 
     def resize(self, table: model.Table, hosts: int) -> None:
-        """Takes the table in force and the number of live hosts."""
+        """Applies a new table or a new number of live hosts."""
         self.table = table
         self.hosts = hosts
         now = self._clock()
         for name, pool in self.pools.items():
-            self._carry_out(name, pool.on_table(table, name, hosts, now))
+            self._apply_effects(name, pool.on_table(table, name, hosts, now))
 
     def pool(self, name: str) -> pools.Pool:
-        """Returns the pool of a service."""
+        """Returns the pool of a service; creates it on first use."""
         if name not in self.pools:
             now = self._clock()
             pool = self.pools[name] = pools.Pool.create(now)
@@ -72,20 +72,20 @@
     async def take(
         self, name: str, entry: queue.Entry
     ) -> refusals.Refusal | None:
-        """Returns once the request has a slot, or why it gets none."""
+        """Waits until the request has a slot, or returns why it gets none."""
         pool = self.pool(name)
         future = asyncio.get_running_loop().create_future()
         self._waiters[entry.serial] = _Waiter(entry, future)
-        self._carry_out(name, pool.admission.offer(entry, self._clock()))
+        self._apply_effects(name, pool.admission.offer(entry, self._clock()))
         try:
             effect = await future
         except asyncio.CancelledError:
-            self._abandon(name, entry, future)
+            self._cancel_wait(name, entry, future)
             raise
         finally:
             del self._waiters[entry.serial]
         if isinstance(effect, queue.Refuse):
-            return _as_refusal(effect)
+            return _to_refusal(effect)
         return None
 
     def free(
@@ -95,35 +95,37 @@
         seconds: float,
         result: pools.Result,
     ) -> None:
-        """Frees a slot that was held for ``seconds``."""
+        """Releases a slot that was held for ``seconds``."""
         pool = self.pool(name)
         effects = pool.finish(priority, seconds, result, self._clock())
-        self._carry_out(name, effects)
+        self._apply_effects(name, effects)
 
-    def _abandon(
+    def _cancel_wait(
         self,
         name: str,
         entry: queue.Entry,
         future: asyncio.Future[queue.Effect],
     ) -> None:
-        """Takes a request out whose caller has gone."""
+        """Removes a request whose task was cancelled."""
         if self.pool(name).admission.cancel(entry.serial):
             return
-        # It may have been given its slot just before.
+        # It may have received its slot just before.
         if not future.cancelled() and isinstance(future.result(), queue.Start):
             self.free(name, entry.priority, 0.0, pools.Result.FAILED)
 
-    def _carry_out(self, name: str, effects: tuple[queue.Effect, ...]) -> None:
-        unwanted: list[queue.Entry] = []
+    def _apply_effects(
+        self, name: str, effects: tuple[queue.Effect, ...]
+    ) -> None:
+        cancelled_entries: list[queue.Entry] = []
         for effect in effects:
             waiter = self._waiters[effect.serial]
             if not waiter.future.done():
                 waiter.future.set_result(effect)
             elif isinstance(effect, queue.Start):
-                # Its task was cancelled and has not run since.
-                unwanted.append(waiter.entry)
+                # The task was cancelled but has not run yet.
+                cancelled_entries.append(waiter.entry)
         self._set_timer(name)
-        for entry in unwanted:
+        for entry in cancelled_entries:
             self.free(name, entry.priority, 0.0, pools.Result.FAILED)
 
     def _set_timer(self, name: str) -> None:
@@ -135,18 +137,18 @@
             return
         loop = asyncio.get_running_loop()
         delay = max(0.0, expiry - self._clock())
-        self._timers[name] = loop.call_later(delay, self._tick, name)
+        self._timers[name] = loop.call_later(delay, self._on_timer, name)
 
-    def _tick(self, name: str) -> None:
+    def _on_timer(self, name: str) -> None:
         del self._timers[name]
         effects = self.pool(name).admission.tick(self._clock())
-        self._carry_out(name, effects)
+        self._apply_effects(name, effects)
 
 
-def _as_refusal(effect: queue.Refuse) -> refusals.Refusal:
+def _to_refusal(effect: queue.Refuse) -> refusals.Refusal:
     return refusals.Refusal(
         effect.reason,
         outcomes.Outcome.NOT_RUN,
-        _DETAILS[effect.reason],
+        _REFUSAL_DETAILS[effect.reason],
         effect.retry_after,
     )
--- a/src/hoistmoor/entry/table_follower.py
+++ b/src/hoistmoor/entry/table_follower.py
@@ -1,7 +1,7 @@
 """The task that keeps this process's table up to date.
 
-What to make of the records is for ``core.table.replay``, when to read is for
-``clients.stream_reader``; this task owns the telling.
+``core.table.replay`` applies the records, ``clients.stream_reader`` decides
+when to read, and this task notifies other components of each new table.
 """
 
 from __future__ import annotations
@@ -35,13 +35,13 @@
 
 
 class TableFollower(stream_reader.Consumer):
-    """Follows the table's stream and tells of each table in force.
+    """Follows the table's stream and reports each new table in force.
 
     Attributes:
-        replay: What the records read so far make.
-        last_contact: When the log last vouched for this host's table, seconds
-            since the epoch; 0 before it first did.
-        outages: How often in all the log could not be read.
+        replay: State after the records read so far.
+        last_contact: Last time at which the log confirmed that this host's
+            table is up to date, in seconds since the epoch; 0 before that.
+        outages: Number of failed reads of the log.
     """
 
     def __init__(
@@ -52,14 +52,14 @@
         clock: Callable[[], float] = time.time,
         poll_seconds: float = pacing.TABLE.hold,
     ) -> None:
-        """Makes a follower; ``run`` starts it.
+        """Creates a follower; ``run`` starts it.
 
         Args:
-            client: Reads the log.
+            client: Client of the log.
             on_table: Called with each new table in force, in order.
-            on_verdict: Called with what became of each record.
+            on_verdict: Called with the result of each record.
             clock: Returns seconds since the epoch.
-            poll_seconds: How long the log may hold a read back.
+            poll_seconds: Timeout of a long poll.
         """
         self.client = client
         self.replay = replay.TableReplay()
@@ -68,11 +68,11 @@
         self._on_table = on_table
         self._on_verdict = on_verdict
         self._clock = clock
-        self._pace = attrs.evolve(pacing.TABLE, hold=poll_seconds)
+        self._pacing = attrs.evolve(pacing.TABLE, hold=poll_seconds)
         self._reader = stream_reader.StreamReader(
-            client, streams.TABLE, self, self._pace, decode=bytes
+            client, streams.TABLE, self, self._pacing, decode=bytes
         )
-        self._told_revision = -1
+        self._notified_revision = -1
         self._changed = asyncio.Event()
 
     @property
@@ -87,94 +87,96 @@
 
     @property
     def undecodable(self) -> int:
-        """Returns how many records on the log could not be read."""
+        """Returns the number of records that were skipped as unreadable."""
         return self.replay.skipped
 
     async def run(self) -> None:
-        """Follows the log until cancelled, through its outages."""
+        """Follows the log until cancelled; continues after outages."""
         await self._reader.run()
 
     async def step(self) -> None:
-        """Reads one page and applies it.
+        """Reads one page and applies its records.
 
         Raises:
             PlatformError: The log could not be read.
-            TableGapError: The log left a record out.
+            TableGapError: The log omitted a record.
         """
-        await self._reader.step(self._pace.hold)
+        await self._reader.step(self._pacing.hold)
 
     async def wait_for(self, revision: int) -> model.TableInForce:
-        """Returns the table in force once it is ``revision`` or newer."""
+        """Waits for ``revision`` or a newer one and returns the table."""
         while self.in_force is None or self.in_force.revision < revision:
             self._changed.clear()
             await self._changed.wait()
         return self.in_force
 
     def snapshot(self) -> bytes | None:
-        """Returns this host's table for a peer; None before there is one."""
+        """Returns a snapshot for a peer; None before there is a table."""
         if self.replay.fold is None or self.in_force is None:
             return None
         return snapshots.make(self.replay.fold)
 
     def offer(self, payload: bytes) -> bool:
-        """Takes a peer's ``snapshot()`` if it is newer than this host's.
+        """Merges a peer's ``snapshot()`` if it is newer than this host's table.
 
         Returns:
             Whether it was newer.
 
         Raises:
-            CodecError: It is no snapshot.
+            CodecError: The payload is not a snapshot.
         """
         record = codec.decode(payload)
         if not isinstance(record, edits.TableSnapshot):
             raise errors.CodecError(
-                f"a peer offered a {type(record).__name__} as its table",
-                "Check which version the peer runs.",
+                f"a peer sent a {type(record).__name__} instead of a snapshot",
+                "Check which release the peer runs.",
             )
         taken = self.replay.offer(record)
         if taken:
-            self._tell()
+            self._notify()
         return taken
 
-    # What the reader calls.
+    # Interface ``stream_reader.Consumer``.
 
     @property
     def next_offset(self) -> int:
-        """Returns where to read on."""
+        """Returns the offset of the next record to read."""
         return self.replay.next_offset
 
     def on_start(self, bounds: log.LogBounds) -> None:
-        """Starts at the oldest record."""
+        """Starts reading at the oldest record."""
         self.on_gap(bounds.first)
 
     def on_gap(self, first: int) -> None:
-        """Starts anew at ``first``; the table in force stays."""
+        """Restarts at offset ``first``; the table in force is kept."""
         self.replay.begin(first)
         if self.replay.problem is not None:
-            _LOG.warning("No table from the log yet: %s", self.replay.problem)
+            _LOG.warning(
+                "The log does not provide a table yet: %s", self.replay.problem
+            )
 
     def on_record(self, record: log.LogRecord, decoded: Any) -> None:
-        """Applies a record; ``replay`` decodes and counts by itself."""
+        """Applies a record; ``replay`` decodes it and counts bad ones."""
         for verdict in self.replay.feed(record.offset, decoded):
-            self._note(verdict)
-        self._tell()
+            self._report_verdict(verdict)
+        self._notify()
 
     def on_bad_record(self, record: log.LogRecord) -> None:
-        """Never called: every payload goes to ``replay``."""
+        """Never called: the payload is decoded by ``replay`` instead."""
 
     async def on_page(self, page: log.LogPage) -> bool:
-        """Notes that the log vouched for the table, if it did."""
-        is_at_end = len(page.records) < self._pace.page
-        # A log that this host cannot follow says nothing about its table.
+        """Updates ``last_contact`` if the page reached the end of the log."""
+        is_at_end = len(page.records) < self._pacing.page
+        # If this host cannot follow the log, its table may be out of date.
         if is_at_end and self.replay.problem is None:
             self.last_contact = self._clock()
         return False
 
     def on_failure(self, error: errors.HoistmoorError) -> None:
-        """Counts an outage."""
+        """Counts a failed read of the log."""
         self.outages += isinstance(error, errors.PlatformError)
 
-    def _note(self, verdict: fold.Verdict) -> None:
+    def _report_verdict(self, verdict: fold.Verdict) -> None:
         if isinstance(verdict, fold.Ignored) and verdict.is_suspect:
             _LOG.warning(
                 "Skipped table record %d: %s %s",
@@ -185,12 +187,12 @@
         if self._on_verdict is not None:
             self._on_verdict(verdict)
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         table = self.in_force
-        if table is None or table.revision <= self._told_revision:
+        if table is None or table.revision <= self._notified_revision:
             return
-        self._told_revision = table.revision
-        _LOG.info("Revision %d is in force", table.revision)
+        self._notified_revision = table.revision
+        _LOG.info("Table revision %d is in force", table.revision)
         if self._on_table is not None:
             self._on_table(table)
         self._changed.set()
--- a/src/hoistmoor/entry/table_listeners.py
+++ b/src/hoistmoor/entry/table_listeners.py
@@ -1,4 +1,4 @@
-"""Tells the parts of a host of each new table in force."""
+"""Notifies the components of a host of each new table in force."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 if TYPE_CHECKING:
     from hoistmoor.core.table import model
 
-Listener = Callable[["model.TableInForce"], None]
+TableListener = Callable[["model.TableInForce"], None]
 
 
 class TableListeners:
-    """A list of functions; all are called with each new table, in order."""
+    """Callbacks that are called with each new table, in order of addition."""
 
     def __init__(self) -> None:
-        self._listeners: list[Listener] = []
+        self._listeners: list[TableListener] = []
 
-    def add(self, listener: Listener) -> None:
-        """Has ``listener`` called with each table from now on."""
+    def add(self, listener: TableListener) -> None:
+        """Adds a callback for subsequent tables."""
         self._listeners.append(listener)
 
     def tell(self, in_force: model.TableInForce) -> None:
-        """Calls every listener."""
+        """Calls all callbacks with a new table."""
         for listener in self._listeners:
             listener(in_force)
--- a/src/hoistmoor/entry/watched_tasks.py
+++ b/src/hoistmoor/entry/watched_tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks whose failure must not go unseen."""
+"""Supervision of background tasks, so that no failure goes unnoticed."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 
 
 class WatchedTasks:
-    """Tasks that run until they are stopped; any other end is a failure."""
+    """Background tasks that run until stopped; an exception is a failure."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
         self._failed = asyncio.Event()
         self._error: BaseException | None = None
 
-    def start(self, loop: Coroutine[None, None, None], name: str) -> None:
-        """Starts a task."""
-        task = asyncio.create_task(loop, name=name)
+    def start(self, coroutine: Coroutine[None, None, None], name: str) -> None:
+        """Starts a background task."""
+        task = asyncio.create_task(coroutine, name=name)
         self._tasks.add(task)
-        task.add_done_callback(self._on_end)
+        task.add_done_callback(self._on_done)
 
     async def stop(self) -> None:
-        """Cancels every task and waits for its end."""
+        """Cancels all tasks and waits until they have ended."""
         tasks = tuple(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def watch(self) -> None:
-        """Raises what a task raised, once one has; else never returns."""
+        """Waits until a task fails and raises its exception."""
         await self._failed.wait()
         if self._error is not None:
             raise self._error
 
-    def _on_end(self, task: asyncio.Task[None]) -> None:
+    def _on_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             self._error = task.exception()
