--- a/src/hoistmoor/entry/limits_status.py
+++ b/src/hoistmoor/entry/limits_status.py
@@ -88,29 +88,34 @@
     pools: tuple[PoolStatus, ...]
 
 
-def status_of(gate: limits.Gate, now: float) -> LimitsStatus:
-    """Returns the current status of the limits that ``gate`` applies."""
-    rows = gate.in_force.table.accounts
+def status_of(controller: limits.Gate, now: float) -> LimitsStatus:
+    """Returns the current status of the limits that ``controller`` applies."""
+    rows = controller.in_force.table.accounts
     return LimitsStatus(
-        gate.present,
-        gate.keeper.book.hosts,
-        gate.keeper.log_is_up,
-        tuple(_account_status(gate, rows[key], now) for key in sorted(rows)),
-        tuple(_pool_status(gate, name) for name in sorted(gate.slots.pools)),
+        controller.present,
+        controller.keeper.book.hosts,
+        controller.keeper.log_is_up,
+        tuple(
+            _account_status(controller, rows[key], now) for key in sorted(rows)
+        ),
+        tuple(
+            _pool_status(controller, name)
+            for name in sorted(controller.slots.pools)
+        ),
     )
 
 
 def _account_status(
-    gate: limits.Gate, row: model.Account, now: float
+    controller: limits.Gate, row: model.Account, now: float
 ) -> AccountStatus:
     day = records.day_of(now)
-    book = gate.keeper.book
+    book = controller.keeper.book
     share = book.wallet.share(row.account, day)
-    use = gate.accounts.uses.get(row.account)
+    use = controller.accounts.uses.get(row.account)
     return AccountStatus(
         row.account,
         use.in_flight if use else 0,
-        gate.accounts.shares.part(row.account, now),
+        controller.accounts.shares.part(row.account, now),
         row.spend_limit,
         book.terms(row.account, day).granted,
         share.granted,
@@ -122,8 +127,8 @@
     )
 
 
-def _pool_status(gate: limits.Gate, name: str) -> PoolStatus:
-    pool = gate.slots.pools[name]
+def _pool_status(controller: limits.Gate, name: str) -> PoolStatus:
+    pool = controller.slots.pools[name]
     return PoolStatus(
         name,
         pool.slots.slots,
--- a/tests/entry/limits/conftest.py
+++ b/tests/entry/limits/conftest.py
@@ -1,4 +1,4 @@
-"""A gate on a log in memory."""
+"""Fixtures: an in-memory log and admission control that uses it."""
 
 from __future__ import annotations
 
@@ -25,29 +25,35 @@
 
 
 @pytest.fixture
-async def idle_gate(log: limits_log.FakeLog) -> AsyncIterator[limits.Gate]:
-    gate = limits.Gate(log, identity.Incarnation("h1", 1), limits_rows.clock)
-    gate.on_table(limits_rows.table_of())
-    yield gate
-    await gate.stop()
+async def idle_controller(
+    log: limits_log.FakeLog,
+) -> AsyncIterator[limits.Gate]:
+    controller = limits.Gate(
+        log, identity.Incarnation("h1", 1), limits_rows.clock
+    )
+    controller.on_table(limits_rows.table_of())
+    yield controller
+    await controller.stop()
 
 
 @pytest.fixture
-async def gate(
-    idle_gate: limits.Gate, monkeypatch: pytest.MonkeyPatch
+async def controller(
+    idle_controller: limits.Gate, monkeypatch: pytest.MonkeyPatch
 ) -> limits.Gate:
-    """Returns a gate that holds its floor."""
-    idle_gate.start()
-    await _await_share(idle_gate, 1)
-    # By now it would know the other hosts.
-    monkeypatch.setattr(limits_rows, "AHEAD", [limits_rows.AHEAD[0] + 60.0])
-    idle_gate.on_table(limits_rows.table_of())
-    await _await_share(idle_gate, 100_000)
-    return idle_gate
-
-
-async def _await_share(gate: limits.Gate, amount: int) -> None:
+    """Returns a started controller that holds its minimum share."""
+    idle_controller.start()
+    await _wait_for_share(idle_controller, 1)
+    # After this time, the host assumes that it knows all other hosts.
+    monkeypatch.setattr(
+        limits_rows, "CLOCK_OFFSET", [limits_rows.CLOCK_OFFSET[0] + 60.0]
+    )
+    idle_controller.on_table(limits_rows.table_of())
+    await _wait_for_share(idle_controller, 100_000)
+    return idle_controller
+
+
+async def _wait_for_share(controller: limits.Gate, amount: int) -> None:
     day = records.day_of(limits_rows.clock())
-    wallet = gate.keeper.book.wallet
+    wallet = controller.keeper.book.wallet
     while wallet.share(limits_rows.ACCOUNT, day).granted < amount:
         await asyncio.sleep(0)
--- a/tests/entry/limits/limits_log.py
+++ b/tests/entry/limits/limits_log.py
@@ -1,4 +1,4 @@
-"""A log in memory that fails when told to."""
+"""An in-memory log with fault injection."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 @attrs.define
 class FakeLog:
-    """One stream.
+    """A log with a single stream.
 
     Attributes:
-        clock: Returns the time that records are stored at.
-        records: The stream.
-        first: The oldest offset that retention left.
-        down: Whether appends and reads are refused.
-        lose_replies: Appends whose reply is lost after they took effect.
-        hold: Cleared to keep readers from seeing what is stored.
-        grown: Set when there may be something to read.
+        clock: Returns the timestamp of new records.
+        records: Records of the stream.
+        first: Oldest offset within retention.
+        down: Whether appends and reads fail.
+        lose_replies: Number of appends that take effect but lose their reply.
+        hold: Cleared to block readers.
+        has_grown: Set when there may be new records.
     """
 
     clock: object
@@ -30,7 +30,7 @@
     down: bool = False
     lose_replies: int = 0
     hold: asyncio.Event = attrs.field(factory=asyncio.Event)
-    grown: asyncio.Event = attrs.field(factory=asyncio.Event)
+    has_grown: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     async def append(self, stream: str, payload: bytes) -> int:
         """Appends a record."""
@@ -39,7 +39,7 @@
         offset = len(self.records)
         record = log_client.LogRecord(offset, self.clock(), payload)
         self.records.append(record)
-        self.grown.set()
+        self.has_grown.set()
         if self.lose_replies:
             self.lose_replies -= 1
             raise errors.LogOutcomeUnknownError("no reply", "Read the stream.")
@@ -48,29 +48,29 @@
     async def read(
         self, stream: str, start: int, limit: int = 500, wait: float = 0.0
     ) -> log_client.LogPage:
-        """Reads on, and waits while there is nothing to read."""
+        """Reads records; waits until there is at least one."""
         self.check()
         if start < self.first:
             raise errors.LogOffsetExpiredError(stream, start, self.first)
         while len(self.records) <= start:
-            self.grown.clear()
-            await self.grown.wait()
+            self.has_grown.clear()
+            await self.has_grown.wait()
             self.check()
         await self.hold.wait()
         found = tuple(self.records[start : start + limit])
         return log_client.LogPage(self.first, start + len(found), found)
 
     async def bounds(self, stream: str) -> log_client.LogBounds:
-        """Returns what can be read."""
+        """Returns the oldest and the next offset."""
         self.check()
         return log_client.LogBounds(self.first, len(self.records))
 
     def set_down(self, down: bool) -> None:
-        """Begins or ends an outage."""
+        """Starts or ends an outage."""
         self.down = down
-        self.grown.set()
+        self.has_grown.set()
 
     def check(self) -> None:
-        """Fails during an outage."""
+        """Raises LogUnavailableError during an outage."""
         if self.down:
             raise errors.LogUnavailableError("down", "Wait.")
--- a/tests/entry/limits/limits_rows.py
+++ b/tests/entry/limits/limits_rows.py
@@ -1,4 +1,4 @@
-"""Rows of a table with one account and one pool."""
+"""Clock and table for the limit tests: one account and one pool."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from hoistmoor.core.table import model
 
 NOON = 20_000.5 * 86_400.0
-BEGIN = time.monotonic()
-AHEAD = [0.0]  # Seconds by which the clock was set forward.
+START = time.monotonic()
+CLOCK_OFFSET = [0.0]  # Seconds added to the clock; tests replace the list.
 
 ACCOUNT = "agents"
 
 
 def clock() -> float:
-    """Returns a time of day at which no next day is prepared."""
-    return NOON + time.monotonic() - BEGIN + AHEAD[0]
+    """Returns a time around noon, when no shares of the next day are due."""
+    return NOON + time.monotonic() - START + CLOCK_OFFSET[0]
 
 
 def table_of(**changes: float) -> model.TableInForce:
-    """Returns a table with one account and a pool of two slots."""
+    """Returns a table with one account and one pool of two slots."""
     account = model.Account(
         ACCOUNT,
         (),
--- a/tests/entry/limits/test_entry_limits.py
+++ b/tests/entry/limits/test_entry_limits.py
@@ -1,4 +1,4 @@
-"""The gate: limits, the queue and the spend shares over a faulty log."""
+"""Admission control: limits, queueing and spend shares on a faulty log."""
 
 from __future__ import annotations
 
@@ -33,18 +33,18 @@
 
 
 async def admit(
-    gate: limits.Gate,
+    controller: limits.Gate,
     cost: int = 0,
     priority: model.Priority = NORMAL,
-    patience: float = 30.0,
+    timeout: float = 30.0,
 ) -> limits.Admitted | refusals.Refusal:
-    deadline = limits_rows.clock() + patience
-    return await gate.admit(
+    deadline = limits_rows.clock() + timeout
+    return await controller.admit(
         limits_rows.ACCOUNT, priority, deadline, cost, "llm"
     )
 
 
-def is_refused(found: object, reason: refusals.Reason) -> None:
+def assert_refused(found: object, reason: refusals.Reason) -> None:
     assertions.assert_that(found, matchers.IsInstance(refusals.Refusal))
     assertions.assert_that(found.reason, matchers.Equals(reason))
     assertions.assert_that(
@@ -53,146 +53,148 @@
     assertions.assert_that(found.wait, matchers.GreaterThan(0))
 
 
-async def test_cost_runs_once_its_share_is_read_back(
-    idle_gate: limits.Gate, log: limits_log.FakeLog
+async def test_cost_is_reserved_once_its_share_is_read_back(
+    idle_controller: limits.Gate, log: limits_log.FakeLog
 ) -> None:
     log.hold.clear()
-    idle_gate.start()
-    waiting = asyncio.create_task(admit(idle_gate, cost=500))
+    idle_controller.start()
+    waiting = asyncio.create_task(admit(idle_controller, cost=500))
     while not log.records:
         await asyncio.sleep(0)
     assertions.assert_that(waiting.done(), matchers.Equals(False))
     log.hold.set()
     admitted = await waiting
-    idle_gate.release(admitted, 200)
-    idle_gate.release(admitted, 200)
-    share = idle_gate.keeper.book.wallet.share(
+    idle_controller.release(admitted, 200)
+    idle_controller.release(admitted, 200)
+    share = idle_controller.keeper.book.wallet.share(
         limits_rows.ACCOUNT, admitted.day
     )
     assertions.assert_that(
-        (share.spent, share.reserved, idle_gate.present),
+        (share.spent, share.reserved, idle_controller.present),
         matchers.Equals((200, 0, 0)),
     )
 
 
-async def test_reply_lost_after_the_append_took_effect(
-    idle_gate: limits.Gate, log: limits_log.FakeLog
+async def test_share_counts_although_the_reply_to_its_append_is_lost(
+    idle_controller: limits.Gate, log: limits_log.FakeLog
 ) -> None:
     log.lose_replies = 1
     log.hold.clear()
-    idle_gate.start()
-    is_refused(await admit(idle_gate, cost=500), REASON.SPEND_LIMITED)
+    idle_controller.start()
+    assert_refused(await admit(idle_controller, cost=500), REASON.SPEND_LIMITED)
     assertions.assert_that(log.lose_replies, matchers.Equals(0))
     log.hold.set()
-    while not idle_gate.keeper.log_is_up:
+    while not idle_controller.keeper.log_is_up:
         await asyncio.sleep(0)
-    found = await admit(idle_gate, cost=500)
+    found = await admit(idle_controller, cost=500)
     assertions.assert_that(found, matchers.IsInstance(limits.Admitted))
     assertions.assert_that(log.records, matchers.HasLength(1))
 
 
-async def test_outage_leaves_what_is_held_and_refuses_the_rest_at_once(
-    gate: limits.Gate, log: limits_log.FakeLog
+async def test_outage_refuses_only_costs_beyond_the_held_share(
+    controller: limits.Gate, log: limits_log.FakeLog
 ) -> None:
-    gate.release(await admit(gate, cost=500), 500)
+    controller.release(await admit(controller, cost=500), 500)
     log.set_down(True)
-    while gate.keeper.log_is_up:
+    while controller.keeper.log_is_up:
         await asyncio.sleep(0)
-    held = await admit(gate, cost=50_000)
+    held = await admit(controller, cost=50_000)
     assertions.assert_that(held, matchers.IsInstance(limits.Admitted))
-    is_refused(await admit(gate, cost=900_000), REASON.SPEND_LIMITED)
+    assert_refused(await admit(controller, cost=900_000), REASON.SPEND_LIMITED)
 
 
-async def spend_all(gates: list[limits.Gate], cost: int) -> int:
+async def spend_until_refused(controllers: list[limits.Gate], cost: int) -> int:
     spent = 0
     for _ in range(40):
-        for gate in gates:
-            found = await admit(gate, cost)
+        for controller in controllers:
+            found = await admit(controller, cost)
             if isinstance(found, limits.Admitted):
-                gate.release(found, cost)
+                controller.release(found, cost)
                 spent += cost
     return spent
 
 
-async def test_limit_holds_over_two_gates(log: limits_log.FakeLog) -> None:
+async def test_spend_limit_holds_across_two_hosts(
+    log: limits_log.FakeLog,
+) -> None:
     hosts = [choice.HomeHost("h1", "d1"), choice.HomeHost("h2", "d2")]
-    gates = [
+    controllers = [
         limits.Gate(log, identity.Incarnation(host.name, 1), limits_rows.clock)
         for host in hosts
     ]
-    for gate in gates:
-        gate.on_table(limits_rows.table_of(spend_limit=10_000))
-        gate.on_hosts(hosts)
-        gate.start()
-    spent = await spend_all(gates, 400)
-    for gate in gates:
-        await gate.stop()
+    for controller in controllers:
+        controller.on_table(limits_rows.table_of(spend_limit=10_000))
+        controller.on_hosts(hosts)
+        controller.start()
+    spent = await spend_until_refused(controllers, 400)
+    for controller in controllers:
+        await controller.stop()
     assertions.assert_that(spent, matchers.LessThan(10_001))
     assertions.assert_that(spent, matchers.GreaterThan(8_000))
 
 
-async def test_cut_limit_holds_for_what_is_held_already(
-    gate: limits.Gate,
+async def test_lowered_limit_applies_to_shares_already_held(
+    controller: limits.Gate,
 ) -> None:
-    gate.release(await admit(gate, cost=100), 100)
+    controller.release(await admit(controller, cost=100), 100)
     cut = limits_rows.table_of(spend_limit=1_000)
-    gate.on_table(model.TableInForce(2, cut.table))
-    spent = await spend_all([gate], 200)
+    controller.on_table(model.TableInForce(2, cut.table))
+    spent = await spend_until_refused([controller], 200)
     assertions.assert_that(spent, matchers.Equals(800))
 
 
-async def test_graceful_stop_gives_shares_back(
-    gate: limits.Gate, log: limits_log.FakeLog
+async def test_graceful_stop_returns_shares(
+    controller: limits.Gate, log: limits_log.FakeLog
 ) -> None:
-    admitted = await admit(gate, cost=500)
-    gate.release(admitted, 500)
-    await gate.drain()
-    is_refused(await admit(gate, cost=500), REASON.SPEND_LIMITED)
-    fold = gate.keeper.book.fold
+    admitted = await admit(controller, cost=500)
+    controller.release(admitted, 500)
+    await controller.drain()
+    assert_refused(await admit(controller, cost=500), REASON.SPEND_LIMITED)
+    fold = controller.keeper.book.fold
     while fold.next_offset < len(log.records):
         await asyncio.sleep(0)
     known = fold.sum_for(limits_rows.ACCOUNT, admitted.day)
     assertions.assert_that(known.granted, matchers.Equals(500))
 
 
-async def test_no_spend_at_all_under_a_limit_of_zero(
-    gate: limits.Gate,
+async def test_spend_limit_of_zero_refuses_any_cost(
+    controller: limits.Gate,
 ) -> None:
-    gate.on_table(limits_rows.table_of(spend_limit=0))
-    is_refused(await admit(gate, cost=1), REASON.SPEND_LIMITED)
-    free = await admit(gate, cost=0)
+    controller.on_table(limits_rows.table_of(spend_limit=0))
+    assert_refused(await admit(controller, cost=1), REASON.SPEND_LIMITED)
+    free = await admit(controller, cost=0)
     assertions.assert_that(free, matchers.IsInstance(limits.Admitted))
 
 
-async def test_rate_and_concurrency_are_refused_with_a_wait(
-    gate: limits.Gate,
+async def test_rate_and_concurrency_refusals_include_a_wait(
+    controller: limits.Gate,
 ) -> None:
-    gate.on_table(limits_rows.table_of(rate_limit=2.0, concurrency=1))
-    first = await admit(gate)
-    is_refused(await admit(gate), REASON.CONCURRENCY_LIMITED)
-    gate.release(first, 0)
-    gate.release(await admit(gate), 0)
-    is_refused(await admit(gate), REASON.RATE_LIMITED)
+    controller.on_table(limits_rows.table_of(rate_limit=2.0, concurrency=1))
+    first = await admit(controller)
+    assert_refused(await admit(controller), REASON.CONCURRENCY_LIMITED)
+    controller.release(first, 0)
+    controller.release(await admit(controller), 0)
+    assert_refused(await admit(controller), REASON.RATE_LIMITED)
 
 
-async def test_urgent_request_passes_those_that_wait(
-    gate: limits.Gate,
+async def test_urgent_request_starts_before_waiting_ones(
+    controller: limits.Gate,
 ) -> None:
-    first = await admit(gate, priority=URGENT)
-    second = await admit(gate, priority=URGENT)
+    first = await admit(controller, priority=URGENT)
+    second = await admit(controller, priority=URGENT)
     order: list[model.Priority] = []
 
     async def wait(priority: model.Priority) -> None:
-        admitted = await admit(gate, priority=priority)
+        admitted = await admit(controller, priority=priority)
         order.append(priority)
-        gate.release(admitted, 0)
+        controller.release(admitted, 0)
 
     tasks = []
     for priority in (model.Priority.DEFERRABLE, NORMAL, URGENT):
         tasks.append(asyncio.create_task(wait(priority)))
         await asyncio.sleep(0)
-    gate.release(first, 0)
-    gate.release(second, 0)
+    controller.release(first, 0)
+    controller.release(second, 0)
     await asyncio.gather(*tasks)
     assertions.assert_that(
         order,
@@ -200,44 +202,48 @@
     )
 
 
-async def test_waiting_request_is_given_up_on_at_its_deadline(
-    gate: limits.Gate,
+async def test_waiting_request_is_refused_at_its_deadline(
+    controller: limits.Gate,
 ) -> None:
     for _ in range(2):
-        await admit(gate, priority=URGENT)
-    is_refused(await admit(gate, patience=0.05), REASON.DEADLINE_EXCEEDED)
-    assertions.assert_that(gate.present, matchers.Equals(2))
+        await admit(controller, priority=URGENT)
+    assert_refused(
+        await admit(controller, timeout=0.05), REASON.DEADLINE_EXCEEDED
+    )
+    assertions.assert_that(controller.present, matchers.Equals(2))
 
 
-async def test_caller_who_goes_leaves_nothing_behind(
-    gate: limits.Gate,
+async def test_cancelled_request_releases_everything(
+    controller: limits.Gate,
 ) -> None:
-    held = [await admit(gate, priority=URGENT) for _ in range(2)]
-    gone = [asyncio.create_task(admit(gate, cost=100)) for _ in range(2)]
-    pool = gate.slots.pool("llm")
+    held = [await admit(controller, priority=URGENT) for _ in range(2)]
+    gone = [asyncio.create_task(admit(controller, cost=100)) for _ in range(2)]
+    pool = controller.slots.pool("llm")
     while len(pool.admission.waiting) < 2:
         await asyncio.sleep(0)
     gone[0].cancel()
-    # The second is cancelled and given a slot in one turn of the loop.
+    # The second is cancelled and gets a slot in the same loop iteration.
     gone[1].cancel()
     for admitted in held:
-        gate.release(admitted, 0)
+        controller.release(admitted, 0)
     await asyncio.gather(*gone, return_exceptions=True)
-    use = gate.accounts.uses[limits_rows.ACCOUNT]
+    use = controller.accounts.uses[limits_rows.ACCOUNT]
     assertions.assert_that(
-        (gate.present, pool.admission.in_use, use.in_flight),
+        (controller.present, pool.admission.in_use, use.in_flight),
         matchers.Equals((0, 0, 0)),
     )
     day = held[0].day
-    share = gate.keeper.book.wallet.share(limits_rows.ACCOUNT, day)
+    share = controller.keeper.book.wallet.share(limits_rows.ACCOUNT, day)
     assertions.assert_that(share.reserved, matchers.Equals(0))
 
 
-async def test_status_shows_what_is_held_and_spent(gate: limits.Gate) -> None:
-    admitted = await admit(gate, cost=500)
-    held = limits_status.status_of(gate, limits_rows.clock())
-    gate.release(admitted, 300)
-    done = limits_status.status_of(gate, limits_rows.clock())
+async def test_status_shows_reserved_and_spent_amounts(
+    controller: limits.Gate,
+) -> None:
+    admitted = await admit(controller, cost=500)
+    held = limits_status.status_of(controller, limits_rows.clock())
+    controller.release(admitted, 300)
+    done = limits_status.status_of(controller, limits_rows.clock())
     assertions.assert_that(
         (held.accounts[0].reserved, held.pools[0].running, held.present),
         matchers.Equals((500, 1, 1)),
@@ -248,34 +254,34 @@
     )
 
 
-async def test_nothing_is_spent_where_the_day_cannot_be_known(
-    idle_gate: limits.Gate, log: limits_log.FakeLog
+async def test_no_spend_while_the_records_of_the_day_are_incomplete(
+    idle_controller: limits.Gate, log: limits_log.FakeLog
 ) -> None:
     lost = log_client.LogRecord(0, limits_rows.clock(), b"gone")
     log.records.append(lost)
     log.first = 1
-    idle_gate.start()
-    is_refused(await admit(idle_gate, cost=1), REASON.SPEND_LIMITED)
-    free = await admit(idle_gate, cost=0)
+    idle_controller.start()
+    assert_refused(await admit(idle_controller, cost=1), REASON.SPEND_LIMITED)
+    free = await admit(idle_controller, cost=0)
     assertions.assert_that(free, matchers.IsInstance(limits.Admitted))
-    # One record dates the stream; no share is asked for.
+    # One record dates the stream; no share is requested.
     kinds = [codec.decode(item.payload) for item in log.records[1:]]
     assertions.assert_that(
         kinds,
         matchers.MatchesListwise([matchers.IsInstance(records.DemandReport)]),
     )
-    fold = idle_gate.keeper.book.fold
+    fold = idle_controller.keeper.book.fold
     while fold.complete_from is None:
         await asyncio.sleep(0)
     tomorrow = records.day_of(limits_rows.clock()) + 2
     assertions.assert_that(fold.is_complete(tomorrow), matchers.Equals(True))
 
 
-async def test_host_paused_past_retention_keeps_only_what_it_held(
-    gate: limits.Gate, log: limits_log.FakeLog
+async def test_host_paused_past_retention_spends_only_its_held_share(
+    controller: limits.Gate, log: limits_log.FakeLog
 ) -> None:
-    gate.release(await admit(gate, cost=500), 500)
-    keeper = gate.keeper
+    controller.release(await admit(controller, cost=500), 500)
+    keeper = controller.keeper
     while keeper.book.fold.next_offset < len(log.records):
         await asyncio.sleep(0)
     await keeper.stop()
@@ -285,17 +291,17 @@
     keeper.start()
     while keeper.book.fold.next_offset < log.first:
         await asyncio.sleep(0)
-    held = await admit(gate, cost=1_000)
+    held = await admit(controller, cost=1_000)
     assertions.assert_that(held, matchers.IsInstance(limits.Admitted))
-    is_refused(await admit(gate, cost=900_000), REASON.SPEND_LIMITED)
+    assert_refused(await admit(controller, cost=900_000), REASON.SPEND_LIMITED)
 
 
-async def test_operators_see_the_limits_of_all_hosts_together(
-    gate: limits.Gate,
+async def test_console_sums_the_limits_of_all_hosts(
+    controller: limits.Gate,
 ) -> None:
-    gate.release(await admit(gate, cost=300), 200)
-    await admit(gate, cost=500)
-    told = limits_status.status_of(gate, gate.now())
+    controller.release(await admit(controller, cost=300), 200)
+    await admit(controller, cost=500)
+    told = limits_status.status_of(controller, controller.now())
     body = orjson.loads(responses.json_response({"limits": told}).body)
     answers = [
         host_answers.HostAnswer(host=None, status=200, body=body)
--- a/tests/entry/limits/test_entry_share_peers.py
+++ b/tests/entry/limits/test_entry_share_peers.py
@@ -1,4 +1,4 @@
-"""Hosts that hand parts of their spend shares to each other."""
+"""Exchange of spend shares between hosts."""
 
 from __future__ import annotations
 
@@ -32,20 +32,20 @@
 
 @attrs.define
 class FakePeer:
-    """Carries asks to a gate, and loses some answers."""
+    """Passes messages to a controller and loses some of the replies."""
 
-    gate: limits.Gate
-    lose: int = 0
+    controller: limits.Gate
+    lost_replies: int = 0
     calls: int = 0
 
     async def shares(self, message: bytes) -> bytes:
-        """Lets the gate answer."""
+        """Returns the reply of the controller, unless it is to be lost."""
         self.calls += 1
         await asyncio.sleep(0)
-        answer = await self.gate.answer_peer(message)
-        if self.lose:
-            self.lose -= 1
-            raise peer_errors.PeerTimeoutError("no answer", "Try another.")
+        answer = await self.controller.answer_peer(message)
+        if self.lost_replies:
+            self.lost_replies -= 1
+            raise peer_errors.PeerTimeoutError("no reply", "Try another.")
         return answer
 
     def givers(self) -> Sequence[share_peers.Giver]:
@@ -54,8 +54,8 @@
 
 
 @attrs.frozen
-class Heirs:
-    """One peer, and which process is thought to run there."""
+class SinglePeer:
+    """Directory with one peer and the incarnation believed to run there."""
 
     peer: FakePeer
     incarnation: int
@@ -66,36 +66,36 @@
 
 
 @pytest.fixture
-def peer(gate: limits.Gate) -> FakePeer:
-    return FakePeer(gate)
+def peer(controller: limits.Gate) -> FakePeer:
+    return FakePeer(controller)
 
 
 @pytest.fixture
-async def newcomer(peer: FakePeer) -> AsyncIterator[limits.Gate]:
-    """Returns a gate that starts while the log is down."""
+async def late_controller(peer: FakePeer) -> AsyncIterator[limits.Gate]:
+    """Returns a controller that is started while the log is down."""
     log = limits_log.FakeLog(limits_rows.clock)
     log.set_down(True)
-    gate = limits.Gate(
+    controller = limits.Gate(
         log, identity.Incarnation("h2", 1), limits_rows.clock, peer
     )
-    gate.on_table(limits_rows.table_of())
-    gate.start()
-    yield gate
-    await gate.stop()
+    controller.on_table(limits_rows.table_of())
+    controller.start()
+    yield controller
+    await controller.stop()
 
 
 async def admit(
-    gate: limits.Gate, cost: int, priority: model.Priority = URGENT
+    controller: limits.Gate, cost: int, priority: model.Priority = URGENT
 ) -> limits.Admitted | refusals.Refusal:
     deadline = limits_rows.clock() + 30.0
-    return await gate.admit(
+    return await controller.admit(
         limits_rows.ACCOUNT, priority, deadline, cost, "llm"
     )
 
 
-def share_of(gate: limits.Gate) -> wallet.Share:
+def share_of(controller: limits.Gate) -> wallet.Share:
     day = records.day_of(limits_rows.clock())
-    return gate.keeper.book.wallet.share(limits_rows.ACCOUNT, day)
+    return controller.keeper.book.wallet.share(limits_rows.ACCOUNT, day)
 
 
 def assert_refused(found: object) -> None:
@@ -105,122 +105,128 @@
     )
 
 
-async def test_host_that_starts_in_an_outage_serves_from_a_peers_share(
-    gate: limits.Gate, newcomer: limits.Gate
+async def test_host_started_during_an_outage_uses_a_share_of_a_peer(
+    controller: limits.Gate, late_controller: limits.Gate
 ) -> None:
-    held = share_of(gate).granted
-    found = await admit(newcomer, 2_000)
+    held = share_of(controller).granted
+    found = await admit(late_controller, 2_000)
     assertions.assert_that(found, matchers.IsInstance(limits.Admitted))
-    given = share_of(gate).given
+    given = share_of(controller).given
     assertions.assert_that(
-        (share_of(newcomer).taken, share_of(gate).granted),
+        (share_of(late_controller).taken, share_of(controller).granted),
         matchers.Equals((given, held - given)),
     )
 
 
-async def test_requests_at_once_share_the_exchanges(
-    newcomer: limits.Gate, peer: FakePeer
+async def test_concurrent_requests_share_calls_to_peers(
+    late_controller: limits.Gate, peer: FakePeer
 ) -> None:
-    while newcomer.keeper.log_is_up:
+    while late_controller.keeper.log_is_up:
         await asyncio.sleep(0)
     day = records.day_of(limits_rows.clock())
     deadline = limits_rows.clock() + 30.0
     found = await asyncio.gather(
         *(
-            newcomer.keeper.reserve(limits_rows.ACCOUNT, 100, day, deadline)
+            late_controller.keeper.reserve(
+                limits_rows.ACCOUNT, 100, day, deadline
+            )
             for _ in range(20)
         )
     )
     assertions.assert_that(set(found), matchers.Equals({book.Verdict.RESERVED}))
-    # One for the first request, and one for all that came meanwhile.
+    # One for the first request, one for all that arrived in the meantime.
     assertions.assert_that(peer.calls, matchers.Equals(2))
 
 
-async def test_lost_answer_is_asked_for_again_and_counted_once(
-    gate: limits.Gate,
-    newcomer: limits.Gate,
+async def test_lost_reply_is_requested_again_and_counted_once(
+    controller: limits.Gate,
+    late_controller: limits.Gate,
     peer: FakePeer,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    peer.lose = 1
-    assert_refused(await admit(newcomer, 2_000))
-    given = share_of(gate).given
-    ahead = limits_rows.AHEAD[0] + share_peers.MOST_QUIET_SECONDS
-    monkeypatch.setattr(limits_rows, "AHEAD", [ahead])
-    found = await admit(newcomer, 2_000)
+    peer.lost_replies = 1
+    assert_refused(await admit(late_controller, 2_000))
+    given = share_of(controller).given
+    clock_offset = limits_rows.CLOCK_OFFSET[0] + share_peers.MOST_QUIET_SECONDS
+    monkeypatch.setattr(limits_rows, "CLOCK_OFFSET", [clock_offset])
+    found = await admit(late_controller, 2_000)
     assertions.assert_that(found, matchers.IsInstance(limits.Admitted))
     assertions.assert_that(
-        (share_of(newcomer).taken, share_of(gate).given, peer.calls),
+        (
+            share_of(late_controller).taken,
+            share_of(controller).given,
+            peer.calls,
+        ),
         matchers.Equals((given, given, 2)),
     )
 
 
-async def test_urgent_requests_get_the_last_of_a_share(
-    gate: limits.Gate, newcomer: limits.Gate
+async def test_only_urgent_requests_get_the_rest_of_a_peers_share(
+    controller: limits.Gate, late_controller: limits.Gate
 ) -> None:
-    share = share_of(gate)
+    share = share_of(controller)
     rest = share.granted // 5
-    gate.keeper.book.wallet.settle(
+    controller.keeper.book.wallet.settle(
         limits_rows.ACCOUNT,
         records.day_of(limits_rows.clock()),
         0,
         share.left - rest,
     )
-    assert_refused(await admit(newcomer, rest // 4, DEFERRABLE))
-    found = await admit(newcomer, rest // 4)
+    assert_refused(await admit(late_controller, rest // 4, DEFERRABLE))
+    found = await admit(late_controller, rest // 4)
     assertions.assert_that(found, matchers.IsInstance(limits.Admitted))
 
 
-async def test_urgent_requests_get_the_last_of_an_own_share(
-    gate: limits.Gate, log: limits_log.FakeLog
+async def test_only_urgent_requests_get_the_rest_of_the_own_share(
+    controller: limits.Gate, log: limits_log.FakeLog
 ) -> None:
     log.set_down(True)
-    while gate.keeper.log_is_up:
+    while controller.keeper.log_is_up:
         await asyncio.sleep(0)
-    most = share_of(gate).granted
-    assert_refused(await admit(gate, int(most * 0.8), DEFERRABLE))
-    found = await admit(gate, int(most * 0.8))
+    most = share_of(controller).granted
+    assert_refused(await admit(controller, int(most * 0.8), DEFERRABLE))
+    found = await admit(controller, int(most * 0.8))
     assertions.assert_that(found, matchers.IsInstance(limits.Admitted))
 
 
-async def test_peers_without_a_share_are_not_asked_for_each_request(
-    gate: limits.Gate, newcomer: limits.Gate, peer: FakePeer
+async def test_peers_that_provide_too_little_are_not_asked_each_time(
+    controller: limits.Gate, late_controller: limits.Gate, peer: FakePeer
 ) -> None:
-    assert_refused(await admit(newcomer, 900_000))
+    assert_refused(await admit(late_controller, 900_000))
     calls = peer.calls
     for _ in range(10):
-        assert_refused(await admit(newcomer, 900_000))
+        assert_refused(await admit(late_controller, 900_000))
     assertions.assert_that((calls, peer.calls), matchers.Equals((1, 1)))
 
 
-async def test_message_that_is_no_ask_gets_a_typed_error(
-    gate: limits.Gate,
+async def test_unknown_message_raises_codec_error(
+    controller: limits.Gate,
 ) -> None:
     with pytest.raises(errors.CodecError):
-        await gate.answer_peer(b"{}")
+        await controller.answer_peer(b"{}")
 
 
-async def test_frozen_peer_does_not_keep_others_from_helping(
-    newcomer: limits.Gate, peer: FakePeer
+async def test_unresponsive_peer_does_not_block_other_peers(
+    late_controller: limits.Gate, peer: FakePeer
 ) -> None:
-    class Frozen:
+    class UnresponsivePeer:
         async def shares(self, message: bytes) -> bytes:
             await asyncio.Event().wait()
             return message
 
     class Neighbours:
         def givers(self) -> Sequence[share_peers.Giver]:
-            return (share_peers.Giver("h0", Frozen()), *peer.givers())
+            return (share_peers.Giver("h0", UnresponsivePeer()), *peer.givers())
 
-    newcomer.keeper.peers.neighbours = Neighbours()
-    found = await admit(newcomer, 2_000)
+    late_controller.keeper.peers.neighbours = Neighbours()
+    found = await admit(late_controller, 2_000)
     assertions.assert_that(found, matchers.IsInstance(limits.Admitted))
 
 
-async def test_asks_for_two_accounts_left_unanswered_are_both_repeated(
-    gate: limits.Gate, newcomer: limits.Gate
+async def test_pending_requests_for_two_accounts_are_both_repeated(
+    controller: limits.Gate, late_controller: limits.Gate
 ) -> None:
-    giver, taker = gate.keeper.book, newcomer.keeper.book
+    giver, taker = controller.keeper.book, late_controller.keeper.book
     day = records.day_of(limits_rows.clock())
     first = taker.ask_peer("h1", limits_rows.ACCOUNT, 500, day, urgent=True)
     answer = giver.give_peer(first, limits_rows.clock())
@@ -233,33 +239,37 @@
     assertions.assert_that(taken, matchers.Equals([answer.amount, 0]))
 
 
-async def test_host_that_stops_in_an_outage_leaves_its_share_to_others(
-    gate: limits.Gate,
-    newcomer: limits.Gate,
+async def test_host_stopped_during_an_outage_hands_its_share_to_peers(
+    controller: limits.Gate,
+    late_controller: limits.Gate,
     log: limits_log.FakeLog,
 ) -> None:
-    heir = FakePeer(newcomer)
-    gate.keeper.peers.neighbours = Heirs(heir, 1)
-    held = share_of(gate).left
+    recipient = FakePeer(late_controller)
+    controller.keeper.peers.neighbours = SinglePeer(recipient, 1)
+    held = share_of(controller).left
     log.set_down(True)
-    while gate.keeper.log_is_up:
+    while controller.keeper.log_is_up:
         await asyncio.sleep(0)
-    await gate.drain()
+    await controller.drain()
     assertions.assert_that(
-        (share_of(gate).granted, share_of(newcomer).taken),
+        (share_of(controller).granted, share_of(late_controller).taken),
         matchers.Equals((0, held)),
     )
 
 
-async def test_share_left_to_a_process_that_is_gone_counts_for_nobody(
-    gate: limits.Gate, newcomer: limits.Gate, log: limits_log.FakeLog
+async def test_share_handed_to_an_ended_process_is_not_counted(
+    controller: limits.Gate,
+    late_controller: limits.Gate,
+    log: limits_log.FakeLog,
 ) -> None:
-    gate.keeper.peers.neighbours = Heirs(FakePeer(newcomer), 7)
+    controller.keeper.peers.neighbours = SinglePeer(
+        FakePeer(late_controller), 7
+    )
     log.set_down(True)
-    while gate.keeper.log_is_up:
+    while controller.keeper.log_is_up:
         await asyncio.sleep(0)
-    await gate.drain()
+    await controller.drain()
     assertions.assert_that(
-        (share_of(gate).granted, share_of(newcomer).taken),
+        (share_of(controller).granted, share_of(late_controller).taken),
         matchers.Equals((0, 0)),
     )
--- a/tests/entry/sessions/session_hosts.py
+++ b/tests/entry/sessions/session_hosts.py
@@ -1,4 +1,4 @@
-"""Entry hosts that keep pins for each other, in one process."""
+"""Entry hosts in one process that store session pins for each other."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 def table_of(
     revision: int, stages: dict[str, model.Stage], **weights: float
 ) -> model.TableInForce:
-    """Returns a table with one model; versions named by their weights."""
+    """Returns a table with one model and a version per weight."""
     rows = [
         model.Version(
             MODEL,
@@ -47,29 +47,29 @@
 
 @attrs.define
 class Network:
-    """Hosts by name, and which of them cannot be reached.
+    """A network of hosts, some of which may be unreachable.
 
     Attributes:
-        hosts: The live hosts.
-        cut: Names of hosts that answer nobody.
-        yields: Turns of the event loop that a call takes.
+        hosts: Live hosts by name.
+        unreachable: Names of unreachable hosts.
+        loop_iterations: Number of event loop iterations that a call takes.
     """
 
     hosts: dict[str, sessions.Sessions] = attrs.field(factory=dict)
-    cut: set[str] = attrs.field(factory=set)
-    yields: int = 1
+    unreachable: set[str] = attrs.field(factory=set)
+    loop_iterations: int = 1
 
     def add(self, name: str, in_force: model.TableInForce) -> None:
-        """Starts a host, or a new process in place of it."""
+        """Starts a host, or restarts it with no pins."""
         host = sessions.Sessions(
             name, ["secret"], clock=lambda: 1_000.0, store=self
         )
         host.on_table(in_force)
         self.hosts[name] = host
-        self.tell()
+        self.update_hosts()
 
-    def tell(self) -> None:
-        """Tells every host which hosts live."""
+    def update_hosts(self) -> None:
+        """Updates the live hosts at every host."""
         live = [
             choice.HomeHost(name, f"domain{name[-1]}")
             for name in sorted(self.hosts)
@@ -78,22 +78,22 @@
             host.on_hosts(live)
 
     async def find(self, host: str, key: pins.PinKey) -> pins.Pin | None:
-        """A peer's ``find``."""
-        return (await self._reach(host)).pins.find(key)
+        """Implements ``PinStore.find``."""
+        return (await self._connect(host)).pins.find(key)
 
     async def keep(self, host: str, pin: pins.Pin) -> pins.Pin:
-        """A peer's ``keep``."""
-        return (await self._reach(host)).pins.keep(pin)
+        """Implements ``PinStore.keep``."""
+        return (await self._connect(host)).pins.keep(pin)
 
-    async def _reach(self, host: str) -> sessions.Sessions:
-        for _ in range(self.yields):
+    async def _connect(self, host: str) -> sessions.Sessions:
+        for _ in range(self.loop_iterations):
             await asyncio.sleep(0)
-        if host in self.cut or host not in self.hosts:
-            raise errors.PeerUnreachableError("cut", "Wait.")
+        if host in self.unreachable or host not in self.hosts:
+            raise errors.PeerUnreachableError("host is down", "Wait.")
         return self.hosts[host]
 
-    async def ask(self, host: str, header: str) -> sessions.SessionPin:
-        """One request of a session at one host."""
+    async def request_pin(self, host: str, header: str) -> sessions.SessionPin:
+        """Returns the pin of a session's request at one host."""
         pin = await self.hosts[host].pin_for(ACCOUNT, header, MODEL, "new")
         assert isinstance(pin, sessions.SessionPin)
         return pin
--- a/tests/entry/sessions/test_entry_pin_store.py
+++ b/tests/entry/sessions/test_entry_pin_store.py
@@ -1,4 +1,4 @@
-"""Pins kept at other hosts over real connections."""
+"""Session pins stored at other hosts, over real connections."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-PEER_TIMEOUT = 30.0  # Seconds; a busy machine is no fault.
+PEER_TIMEOUT = 30.0  # Seconds; long, so that a busy machine fails no test.
 NAMES = ("h1", "h2", "h3")
 FIRST = session_hosts.table_of(1, {}, a=1.0, b=1.0)
 EDITED = session_hosts.table_of(2, {}, a=1.0, b=90.0)
@@ -30,7 +30,7 @@
     clients = client.PeerClients()
     addresses: dict[str, str] = {}
     store = pin_store.PeerPinStore(clients, addresses.get)
-    found: dict[str, sessions.Sessions] = {}
+    created: dict[str, sessions.Sessions] = {}
     servers = []
     for name in NAMES:
         host = sessions.Sessions(
@@ -46,8 +46,8 @@
         await peer.start("127.0.0.1", 0)
         addresses[name] = f"127.0.0.1:{peer.port}"
         servers.append(peer)
-        found[name] = host
-    yield found
+        created[name] = host
+    yield created
     clients.close()
     for peer in servers:
         await peer.close()
@@ -71,7 +71,7 @@
     assertions.assert_that(unreachable, matchers.Equals(0))
 
 
-async def test_unknown_peer_is_no_failure_of_the_request(
+async def test_request_succeeds_if_its_home_hosts_are_unknown(
     hosts: dict[str, sessions.Sessions],
 ) -> None:
     host = hosts["h1"]
--- a/tests/entry/sessions/test_entry_sessions.py
+++ b/tests/entry/sessions/test_entry_sessions.py
@@ -1,4 +1,4 @@
-"""A session keeps its version at every host, whatever is edited or dies."""
+"""Session affinity across table edits and failures of hosts."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @hypothesis.given(st.lists(TABLES, max_size=5), st.sampled_from("ab"))
 @hypothesis.settings(derandomize=True, deadline=None)
-def test_token_keeps_its_version_under_any_edits(
+def test_token_keeps_its_version_across_table_edits(
     edits: list[tuple[dict[str, model.Stage], dict[str, float]]], version: str
 ) -> None:
     key = f"thai@{version}"
@@ -51,7 +51,7 @@
         for revision, (stages, weights) in enumerate(edits, start=2):
             in_force = session_hosts.table_of(revision, stages, **weights)
             network.add(f"h{revision}", in_force)
-            pin = await network.ask(f"h{revision}", token)
+            pin = await network.request_pin(f"h{revision}", token)
             row = in_force.table.versions.get(key)
             gone = row is None or row.stage is model.Stage.WITHDRAWN
             if gone:
@@ -67,34 +67,34 @@
 
 @hypothesis.given(st.integers(0, 500), st.integers(0, 4), st.integers(0, 4))
 @hypothesis.settings(derandomize=True, deadline=None)
-def test_two_first_requests_at_once_agree_across_an_edit(
+def test_concurrent_first_requests_agree_across_an_edit(
     session: int, slow: int, edited: int
 ) -> None:
     async def run() -> None:
-        network = session_hosts.Network(yields=slow)
+        network = session_hosts.Network(loop_iterations=slow)
         for number in range(5):
             in_force = EDITED if number >= edited else FIRST
             network.add(f"h{number}", in_force)
         found = await asyncio.gather(
-            *(network.ask(f"h{n}", f"s{session}") for n in range(5))
+            *(network.request_pin(f"h{n}", f"s{session}") for n in range(5))
         )
-        later = await network.ask("h0", f"s{session}")
+        later = await network.request_pin("h0", f"s{session}")
         versions = {pin.version for pin in (*found, later)}
         assertions.assert_that(versions, matchers.HasLength(1))
 
     asyncio.run(run())
 
 
-async def test_pin_outlives_weight_edits_and_the_death_of_a_home(
+async def test_pin_survives_weight_edits_and_the_failure_of_a_home_host(
     network: session_hosts.Network,
 ) -> None:
     moved = 0
     for number in range(60):
         session = f"s{number}"
-        before = await network.ask("h1", session)
+        before = await network.request_pin("h1", session)
         hosts = network.hosts["h1"].hosts
         home, _ = choice.homes(hosts, session_hosts.ACCOUNT, session)
-        # Every process but one home's dies or forgets, then an edit.
+        # The table is edited, and one of the two home hosts loses its pins.
         del network.hosts[home]
         kept = network.hosts
         network.hosts = {}
@@ -102,7 +102,7 @@
             network.add(name, EDITED)
             network.hosts[name].pins = host.pins
         network.add(home, EDITED)
-        after = await network.ask(home, session)
+        after = await network.request_pin(home, session)
         chosen = choice.choose_version(
             EDITED.table, session_hosts.ACCOUNT, session, session_hosts.MODEL
         )
@@ -110,15 +110,17 @@
         assertions.assert_that(after.version, matchers.Equals(before.version))
         for name in sorted(network.hosts):
             network.add(name, FIRST)
-    # Without the copies this many sessions would have moved.
+    # This many sessions would have moved without the stored copies.
     assertions.assert_that(moved, matchers.GreaterThan(10))
 
 
-async def test_unreachable_homes_do_not_stop_a_session(
+async def test_session_is_served_while_home_hosts_are_unreachable(
     network: session_hosts.Network,
 ) -> None:
-    network.cut = set(network.hosts)
-    found = [await network.ask(host, "s1") for host in sorted(network.hosts)]
+    network.unreachable = set(network.hosts)
+    found = [
+        await network.request_pin(host, "s1") for host in sorted(network.hosts)
+    ]
     versions = {pin.version for pin in found}
     assertions.assert_that(versions, matchers.HasLength(1))
 
@@ -126,17 +128,19 @@
 async def test_session_moves_once_from_a_withdrawn_version(
     network: session_hosts.Network,
 ) -> None:
-    before = await network.ask("h1", "s1")
+    before = await network.request_pin("h1", "s1")
     name = str(before.version).partition("@")[2]
     stages = {name: model.Stage.WITHDRAWN}
     withdrawn = session_hosts.table_of(2, stages, a=1.0, b=1.0, c=1.0)
     for host in network.hosts.values():
         host.on_table(withdrawn)
-    moved = await network.ask("h2", "s1")
+    moved = await network.request_pin("h2", "s1")
     edited = session_hosts.table_of(3, stages, a=9.0, b=9.0, c=0.1)
     for host in network.hosts.values():
         host.on_table(edited)
-    again = [await network.ask(host, "s1") for host in sorted(network.hosts)]
+    again = [
+        await network.request_pin(host, "s1") for host in sorted(network.hosts)
+    ]
     assertions.assert_that(
         moved.version, matchers.Not(matchers.Equals(before.version))
     )
@@ -148,15 +152,16 @@
 async def test_draining_version_keeps_its_sessions(
     network: session_hosts.Network,
 ) -> None:
-    before = await network.ask("h1", "s1")
+    before = await network.request_pin("h1", "s1")
     name = str(before.version).partition("@")[2]
     stages = {name: model.Stage.DRAINING}
     drained = session_hosts.table_of(2, stages, a=1.0, b=1.0)
     for host in network.hosts.values():
         host.on_table(drained)
-    after = await network.ask("h3", "s1")
+    after = await network.request_pin("h3", "s1")
     fresh = {
-        (await network.ask("h3", f"n{number}")).version for number in range(20)
+        (await network.request_pin("h3", f"n{number}")).version
+        for number in range(20)
     }
     assertions.assert_that(after.version, matchers.Equals(before.version))
     assertions.assert_that(
@@ -176,7 +181,7 @@
     )
 
 
-async def test_auto_session_is_remembered_at_other_hosts(
+async def test_auto_session_is_pinned_at_other_hosts(
     network: session_hosts.Network,
 ) -> None:
     account = session_hosts.ACCOUNT
@@ -190,14 +195,14 @@
     )
 
 
-async def test_agreement_across_an_edit_needs_the_homes(
+async def test_hosts_disagree_across_an_edit_without_the_home_hosts(
     network: session_hosts.Network,
 ) -> None:
-    network.cut = set(network.hosts)
+    network.unreachable = set(network.hosts)
     network.hosts["h2"].on_table(EDITED)
     differ = 0
     for number in range(50):
-        one = await network.ask("h1", f"s{number}")
-        other = await network.ask("h2", f"s{number}")
+        one = await network.request_pin("h1", f"s{number}")
+        other = await network.request_pin("h2", f"s{number}")
         differ += one.version != other.version
     assertions.assert_that(differ, matchers.GreaterThan(5))
--- a/tests/entry/test_entry_membership.py
+++ b/tests/entry/test_entry_membership.py
@@ -1,4 +1,4 @@
-"""Three membership tasks that talk over loopback."""
+"""Three membership tasks that gossip over the loopback interface."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable
 
-_BOUND = 30.0  # Seconds that a condition may take to come true.
+_TIMEOUT_SECONDS = 30.0  # For a condition to become true.
 _SERVER = "127.0.0.9:9000"
 _TIMING = timing_lib.Timing(
     period=0.05,
@@ -36,7 +36,7 @@
 
 @attrs.define
 class _Table:
-    """A table that is nothing but its revision."""
+    """A table that consists of its revision only."""
 
     revision: int = 3
     last_contact: float = 0.0
@@ -51,7 +51,7 @@
 
 
 class _Host:
-    """One entry host: its task, its server and what it was told."""
+    """One entry host: its membership task, peer server and reported events."""
 
     def __init__(self, number: int, platform: _Platform) -> None:
         self.number = number
@@ -97,7 +97,7 @@
 
 
 class _Platform:
-    """A list that names all hosts from the start, and can be down."""
+    """A host list that contains all hosts and can be down."""
 
     def __init__(self) -> None:
         self.hosts = [_Host(number, self) for number in range(3)]
@@ -130,49 +130,49 @@
         await host.listen()
     for host in platform.hosts:
         host.start()
-    await _wait(lambda: all(_counts(host) == 3 for host in platform.hosts))
+    await _wait(lambda: all(_live_count(host) == 3 for host in platform.hosts))
     yield platform.hosts
     for host in platform.hosts:
         await host.kill()
 
 
-def _counts(host: _Host) -> int:
+def _live_count(host: _Host) -> int:
     return len(host.task.live_hosts())
 
 
-def _why(host: _Host) -> freshness.Why:
+def _freshness_reason(host: _Host) -> freshness.Why:
     return host.task.freshness().why
 
 
 async def _wait(condition: Callable[[], bool]) -> None:
-    async with asyncio.timeout(_BOUND):
+    async with asyncio.timeout(_TIMEOUT_SECONDS):
         while not condition():
             await asyncio.sleep(0.01)
 
 
-async def test_hosts_of_the_list_find_each_other_and_share_news(
+async def test_listed_hosts_discover_each_other_and_gossip_changes(
     hosts: list[_Host],
 ) -> None:
     hosts[0].task.report_leaving(_SERVER, 7)
     await _wait(lambda: all(host.left == [(_SERVER, 7)] for host in hosts))
     assert hosts[2].task.is_server_leaving(_SERVER)
-    hosts[1].table.revision = 4  # The log is silent: peers must fetch it.
+    hosts[1].table.revision = 4  # Without the log, peers must fetch it.
     await _wait(lambda: all(host.table.revision == 4 for host in hosts))
     heard = freshness.Why.PEERS_HEARD
-    await _wait(lambda: all(_why(host) is heard for host in hosts))
+    await _wait(lambda: all(_freshness_reason(host) is heard for host in hosts))
 
 
-async def test_a_killed_host_is_found_dead_and_a_lone_one_stops(
+async def test_killed_host_is_detected_and_isolated_host_becomes_stale(
     hosts: list[_Host],
 ) -> None:
     await hosts[2].kill()
-    await _wait(lambda: all(_counts(host) == 2 for host in hosts[:2]))
+    await _wait(lambda: all(_live_count(host) == 2 for host in hosts[:2]))
     await _wait(lambda: hosts[0].task.freshness().is_fresh)
     await hosts[1].kill()
     await _wait(lambda: not hosts[0].task.freshness().is_fresh)
 
 
-async def test_a_leaving_host_is_told_of_before_it_stops(
+async def test_leaving_host_is_announced_before_it_stops(
     hosts: list[_Host],
 ) -> None:
     await hosts[2].task.leave()
--- a/tests/entry/test_entry_request_task.py
+++ b/tests/entry/test_entry_request_task.py
@@ -1,4 +1,8 @@
-"""A request's task tells the machine how far the exchange has come by now."""
+"""Events of a request task carry the current state of the exchange.
+
+An event may be queued before the request is dispatched and handled after it.
+With an outdated state, the caller would be told that the request did not run.
+"""
 
 from __future__ import annotations
 
@@ -30,17 +34,17 @@
 
 
 class SentAttempt:
-    """An attempt whose bytes left as soon as it was started."""
+    """An attempt that counts as sent as soon as it is started."""
 
     def __init__(self, *_: object) -> None:
         self.state = STATES.UNSENT
 
     def start(self) -> None:
-        """Sends at once."""
+        """Marks the request as sent."""
         self.state = STATES.SENT
 
     def cancel(self) -> None:
-        """Cannot take back what was sent."""
+        """Does nothing: the request was sent already."""
 
 
 @pytest.fixture
@@ -68,16 +72,16 @@
 @pytest.mark.parametrize(
     "event", [messages.DeadlineReached, messages.CallerLeft]
 )
-async def test_what_waited_in_the_inbox_is_judged_by_the_state_of_now(
+async def test_queued_event_carries_the_current_exchange_state(
     task: request_task.RequestTask, event: type[Any]
 ) -> None:
-    # Started, Chosen and then the event: it was posted before the dispatch.
+    # The event is queued before the first two events lead to the dispatch.
     task.post(messages.Started())
     task.post(messages.Chosen(task._parts.router.choose_server.return_value))
     task.post(event(STATES.UNSENT))
     await task._drive()
-    told = await task.channel.get()
-    assert isinstance(told, channel.Refused)
+    result = await task.channel.get()
+    assert isinstance(result, channel.Refused)
     assertions.assert_that(
-        told.refusal.outcome, matchers.Is(outcomes.Outcome.UNKNOWN)
+        result.refusal.outcome, matchers.Is(outcomes.Outcome.UNKNOWN)
     )
--- a/tests/entry/test_table_follower.py
+++ b/tests/entry/test_table_follower.py
@@ -1,5 +1,5 @@
 # ruff: noqa: D102
-"""The follower against a log with outages, noise and retention."""
+"""The table follower on a log with outages, bad records and retention."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-_BOUND = 20.0  # Seconds; generous, as it only ends a test that hangs.
-_POLL = 0.05
+_TIMEOUT_SECONDS = 20.0  # Only ends a test that hangs.
+_POLL_SECONDS = 0.05
 
 
 @attrs.define
 class Bench:
-    """A log stand-in, a client of it and a follower that runs."""
+    """A simulated log, a client for it and a running follower."""
 
     standin: log_standin.LogStandin
     client: log_client.LogClient
@@ -52,10 +52,14 @@
         return await self.client.append(streams.TABLE, payload)
 
     async def in_force(self, revision: int) -> model.TableInForce:
-        return await asyncio.wait_for(self.follower.wait_for(revision), _BOUND)
+        return await asyncio.wait_for(
+            self.follower.wait_for(revision), _TIMEOUT_SECONDS
+        )
 
     def make_follower(self) -> table_follower.TableFollower:
-        return table_follower.TableFollower(self.client, poll_seconds=_POLL)
+        return table_follower.TableFollower(
+            self.client, poll_seconds=_POLL_SECONDS
+        )
 
 
 @pytest_asyncio.fixture
@@ -71,7 +75,7 @@
         client = log_client.LogClient(session, str(server.make_url("")))
         tables: list[model.TableInForce] = []
         follower = table_follower.TableFollower(
-            client, tables.append, poll_seconds=_POLL
+            client, tables.append, poll_seconds=_POLL_SECONDS
         )
         task = asyncio.create_task(follower.run())
         yield Bench(standin, client, follower, tables)
@@ -79,49 +83,51 @@
         await asyncio.gather(task, return_exceptions=True)
 
 
-async def test_edits_come_into_force_in_order(bench: Bench) -> None:
+async def test_edits_take_effect_in_order(bench: Bench) -> None:
     for name in ("a", "b", "c"):
         await bench.edit(name)
 
     table = (await bench.in_force(2)).table
 
     assert set(table.accounts) == {"a", "b", "c"}
-    assert [told.revision for told in bench.tables] == [0, 1, 2]
+    assert [in_force.revision for in_force in bench.tables] == [0, 1, 2]
 
 
-async def test_noise_is_counted_and_the_table_stays(bench: Bench) -> None:
+async def test_bad_record_is_counted_and_the_table_is_kept(
+    bench: Bench,
+) -> None:
     await bench.edit("a")
-    noise = await bench.append(b"not a record")
-    bench.last = noise
+    invalid_offset = await bench.append(b"not a record")
+    bench.last = invalid_offset
     await bench.edit("b")
 
     await bench.in_force(2)
 
     assert bench.follower.undecodable == 1
-    assert bench.follower.replay.last_skipped[0].offset == noise
-    assert [told.revision for told in bench.tables] == [0, 2]
+    assert bench.follower.replay.last_skipped[0].offset == invalid_offset
+    assert [in_force.revision for in_force in bench.tables] == [0, 2]
 
 
-async def test_an_outage_is_outlived_and_shows_in_last_contact(
+async def test_follower_continues_after_an_outage(
     bench: Bench,
 ) -> None:
     await bench.edit("a")
     await bench.in_force(0)
     bench.standin.book.add(faults.Outage(method="GET"))
-    async with asyncio.timeout(_BOUND):
+    async with asyncio.timeout(_TIMEOUT_SECONDS):
         while bench.follower.outages == 0:
-            await asyncio.sleep(_POLL)
-    contact = bench.follower.last_contact
+            await asyncio.sleep(_POLL_SECONDS)
+    contact_before = bench.follower.last_contact
     await bench.edit("b")
     bench.standin.book.clear()
 
     await bench.in_force(1)
 
-    assert contact > 0
-    assert bench.follower.last_contact >= contact
+    assert contact_before > 0
+    assert bench.follower.last_contact >= contact_before
 
 
-async def test_a_starter_past_retention_uses_the_snapshot(bench: Bench) -> None:
+async def test_start_past_retention_uses_the_snapshot(bench: Bench) -> None:
     for name in "abcde":
         await bench.edit(name)
     await bench.in_force(4)
@@ -130,35 +136,41 @@
     bench.last = await bench.append(snapshot)
     for name in "fghi":
         await bench.edit(name)
-    starter = bench.make_follower()
+    late_follower = bench.make_follower()
 
-    task = asyncio.create_task(starter.run())
-    table = await asyncio.wait_for(starter.wait_for(bench.last), _BOUND)
+    task = asyncio.create_task(late_follower.run())
+    table = await asyncio.wait_for(
+        late_follower.wait_for(bench.last), _TIMEOUT_SECONDS
+    )
     task.cancel()
 
     assert table == await bench.in_force(bench.last)
 
 
-async def test_a_starter_without_snapshot_asks_peers(bench: Bench) -> None:
+async def test_start_without_a_snapshot_uses_the_table_of_a_peer(
+    bench: Bench,
+) -> None:
     for name in "abcdefghij":
         await bench.edit(name)
     before = await bench.in_force(9)
-    starter = bench.make_follower()
+    late_follower = bench.make_follower()
 
-    await starter.step()
-    assert starter.in_force is None
-    assert starter.last_contact == 0
-    assert starter.replay.problem is not None
+    await late_follower.step()
+    assert late_follower.in_force is None
+    assert late_follower.last_contact == 0
+    assert late_follower.replay.problem is not None
 
     offer = bench.follower.snapshot()
     assert offer is not None
-    assert starter.offer(offer)
-    assert starter.in_force == before
-    await starter.step()
-    assert starter.last_contact > 0
+    assert late_follower.offer(offer)
+    assert late_follower.in_force == before
+    await late_follower.step()
+    assert late_follower.last_contact > 0
 
 
-async def test_an_offer_that_is_no_table_is_an_error(bench: Bench) -> None:
+async def test_merging_a_payload_that_is_no_snapshot_raises_codec_error(
+    bench: Bench,
+) -> None:
     edit = edits.TableEdit("x", -1, "ann", 0.0, ())
     with pytest.raises(errors.CodecError):
         bench.follower.offer(codec.encode(edit))
--- a/tests/entry/test_table_processes.py
+++ b/tests/entry/test_table_processes.py
@@ -1,5 +1,5 @@
 # ruff: noqa: D102
-"""The table across real processes: kills, freezes and late starts."""
+"""Table replication across processes that are killed, paused or restarted."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 @attrs.define
 class Cluster:
-    """A platform stand-in and entry hosts, each a process."""
+    """A simulated platform and entry hosts, each in its own process."""
 
     processes: system_processes.Processes
-    seen: dict[str, int] = attrs.field(factory=dict)
+    last_revisions: dict[str, int] = attrs.field(factory=dict)
     fold: fold.TableFold = attrs.field(factory=fold.TableFold)
 
     @property
@@ -50,10 +50,10 @@
         url = f"{self.url}/hosts/{name}"
         async with self.processes.session.put(url, json=row) as reply:
             assert reply.status == 200
-        self.seen[name] = -1
+        self.last_revisions[name] = -1
 
     async def edit(self, name: str) -> int:
-        """Appends an edit that must be accepted, and folds it here too."""
+        """Appends a valid edit and applies it to the local fold."""
         row = model.Account(name, (), 1, 1.0, 1)
         change = edits.RowSet("accounts", name, row)
         edit = edits.TableEdit(name, self.fold.as_of, "ann", 0.0, (change,))
@@ -62,25 +62,30 @@
         return offset
 
     async def append_snapshot(self, payload: bytes = b"") -> None:
-        """Appends a snapshot of this fold, or an older one."""
+        """Appends ``payload``, or else a snapshot of the local fold."""
         payload = payload or snapshots.make(self.fold)
         offset = await self.client.append(streams.TABLE, payload)
         self.fold.apply(offset, codec.decode(payload))
 
     async def in_force(self, revision: int, *names: str) -> None:
-        """Returns once ``names`` have the revision; none ever goes back."""
+        """Waits until hosts have the revision; no host may ever revert."""
 
         async def all_have_it() -> bool:
-            return min([await self._look(name) for name in names]) >= revision
+            return (
+                min([await self._read_revision(name) for name in names])
+                >= revision
+            )
 
         await system_processes.until(all_have_it, f"revision {revision}")
 
-    async def _look(self, name: str) -> int:
+    async def _read_revision(self, name: str) -> int:
         program = self.processes.programs[name]
         status = await self.processes.get(f"{program.url}/status")
         revision = int(status["table_revision"])
-        assert revision >= self.seen[name], f"{name} went back"
-        self.seen[name] = revision
+        assert revision >= self.last_revisions[name], (
+            f"{name} reverted its table"
+        )
+        self.last_revisions[name] = revision
         return revision
 
 
@@ -88,9 +93,9 @@
 async def cluster(
     request: pytest.FixtureRequest, processes: system_processes.Processes
 ) -> Cluster:
-    kept = str(getattr(request, "param", 1000))
+    max_records = str(getattr(request, "param", 1000))
     await processes.start(
-        PLATFORM, "hoistmoor-standin", "platform", "--max-records", kept
+        PLATFORM, "hoistmoor-standin", "platform", "--max-records", max_records
     )
     cluster = Cluster(processes)
     await cluster.start_entry("e1")
@@ -99,7 +104,7 @@
     return cluster
 
 
-async def test_a_frozen_host_catches_up_and_a_killed_one_starts_over(
+async def test_paused_host_catches_up_and_killed_host_restarts(
     cluster: Cluster,
 ) -> None:
     frozen, killed = (cluster.processes.programs[n] for n in ("e1", "e2"))
@@ -115,18 +120,18 @@
 
 
 @pytest.mark.parametrize("cluster", [5], indirect=True)
-async def test_a_late_snapshot_reverts_no_running_and_no_starting_host(
+async def test_delayed_snapshot_reverts_neither_running_nor_starting_host(
     cluster: Cluster,
 ) -> None:
-    stale = snapshots.make(cluster.fold)  # Stands for record 0 alone.
+    stale = snapshots.make(cluster.fold)  # Contains record 0 only.
     await cluster.edit("second")
     await cluster.edit("third")
     await cluster.append_snapshot(stale)
     await cluster.append_snapshot()
     await cluster.edit("fourth")
     revision = await cluster.edit("fifth")
-    # Record 1 is gone, so the stale snapshot, which a starter meets first,
-    # cannot be continued; the next one can.
+    # Record 1 has expired, so a starting host cannot continue from the stale
+    # snapshot, which it reads first. It can continue from the next one.
     bounds = await cluster.client.bounds(streams.TABLE)
     assert bounds.first == 2
 
