--- a/src/hoistmoor/entry/limits.py
+++ b/src/hoistmoor/entry/limits.py
@@ -29,7 +29,7 @@
     from hoistmoor.core.sessions import choice
     from hoistmoor.entry import log_port
 
-SHARE_WAIT = 1.0  # Longest wait of a request for a spend share, in seconds.
+SHARE_WAIT_SECONDS = 1.0  # Longest wait of a request for a spend share.
 _URGENT_RESERVE_FRACTION = 0.1  # Of the host's concurrency.
 _MAX_RETRY_AFTER_SECONDS = 3_600
 
@@ -225,7 +225,7 @@
     ) -> refusals.Refusal | None:
         if cost <= 0:
             return None
-        share_deadline = min(deadline, self._clock() + SHARE_WAIT)
+        share_deadline = min(deadline, self._clock() + SHARE_WAIT_SECONDS)
         verdict = await self.keeper.reserve(
             admitted.account,
             cost,
--- a/src/hoistmoor/entry/membership.py
+++ b/src/hoistmoor/entry/membership.py
@@ -151,7 +151,7 @@
 
     def leaving_servers(self) -> tuple[str, ...]:
         """Returns the addresses of the leaving backend servers."""
-        return tuple(news.address for news in self._machine.servers)
+        return tuple(server.address for server in self._machine.servers)
 
     def report_leaving(self, address: str, incarnation: int) -> None:
         """Handles a backend server's own report that it is leaving."""
--- a/src/hoistmoor/entry/request_task.py
+++ b/src/hoistmoor/entry/request_task.py
@@ -304,11 +304,11 @@
             self._admitted, cost, self._admission_result(outcome)
         )
         self._parts.decision_log.add(self.machine.decision)
-        answer = None
+        response = None
         if outcome is outcomes.Outcome.DONE and self._final_facts is not None:
-            answer = self._stored_answer(self._final_facts)
+            response = self._stored_answer(self._final_facts)
             self._submit_for_rating(self._final_facts)
-        await self._parts.once.finish(self._permit, outcome, answer)
+        await self._parts.once.finish(self._permit, outcome, response)
 
     def _admission_result(self, outcome: outcomes.Outcome) -> limits.Result:
         if outcome is outcomes.Outcome.DONE:
--- a/src/hoistmoor/entry/responses.py
+++ b/src/hoistmoor/entry/responses.py
@@ -18,7 +18,7 @@
 SESSION_HEADER = "X-Hoistmoor-Session"
 MOVED_HEADER = "X-Hoistmoor-Session-Moved"
 OUTCOME_HEADER = "X-Hoistmoor-Outcome"
-RETRY_HEADER = "Retry-After"
+RETRY_AFTER_HEADER = "Retry-After"
 _JSON = "application/json"
 _MAX_HEADER_CHARS = 200
 
@@ -74,7 +74,7 @@
         REQUEST_ID_HEADER: request_id,
         OUTCOME_HEADER: refusal.outcome.value,
         WHY_HEADER: refusal.reason.value,
-        RETRY_HEADER: str(refusal.wait),
+        RETRY_AFTER_HEADER: str(refusal.wait),
     }
     return json_response(
         refusal_body(refusal, request_id), refusal.rule.status, headers
--- a/src/hoistmoor/entry/sessions.py
+++ b/src/hoistmoor/entry/sessions.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Iterable, Sequence
 
-DEFAULT_PEER_TIMEOUT = 0.25  # For one call to a home host, in seconds.
+DEFAULT_PEER_TIMEOUT_SECONDS = 0.25  # For one call to a home host.
 
 _T = TypeVar("_T")
 
@@ -89,7 +89,7 @@
         clock: Callable[[], float],
         store: PinStore | None = None,
         capacity: int = pins.DEFAULT_CAPACITY,
-        peer_timeout: float = DEFAULT_PEER_TIMEOUT,
+        peer_timeout: float = DEFAULT_PEER_TIMEOUT_SECONDS,
     ) -> None:
         self.host = host
         self.secrets = tuple(secrets)
--- a/src/hoistmoor/entry/share_peers.py
+++ b/src/hoistmoor/entry/share_peers.py
@@ -20,10 +20,10 @@
     from collections.abc import Callable, Sequence
 
 PEER_TIMEOUT_SECONDS = 0.25
-MAX_PEERS_ASKED = 3  # Per attempt to reserve a cost.
+MOST_ASKED = 3  # Per attempt to reserve a cost.
 MAX_HANDOFF_PEERS = 3  # They get equal parts of the shares of a stopping host.
 # Pause after peers provided too little; it doubles with each failure.
-BACKOFF_SECONDS = 2.0
+QUIET_SECONDS = 2.0
 MOST_QUIET_SECONDS = 30.0
 
 # Results that neither the log nor a peer can change.
@@ -195,7 +195,7 @@
         verdict = self._reserve_locally(account, cost, day, urgent)
         if verdict in DECIDED or self._clock() < state.retry_at:
             return verdict
-        for giver in self.neighbours.givers()[:MAX_PEERS_ASKED]:
+        for giver in self.neighbours.givers()[:MOST_ASKED]:
             request = self.book.ask_peer(
                 giver.name, account, state.waiting_cost, day, urgent
             )
@@ -218,14 +218,14 @@
         try:
             async with asyncio.timeout(PEER_TIMEOUT_SECONDS):
                 message = await giver.peer.shares(codec.encode(request))
-            answer = codec.decode(message)
+            reply = codec.decode(message)
         except TimeoutError:
             return
         except errors.HoistmoorError as error:
             _LOG.info("Host %s provided no share: %s", giver.name, error)
             return
-        if isinstance(answer, transfers.TransferAnswer):
-            self.book.transfers.take(answer)
+        if isinstance(reply, transfers.TransferAnswer):
+            self.book.transfers.take(reply)
 
     def _update_backoff(
         self, state: _RequestState, verdict: book_lib.Verdict
@@ -233,6 +233,6 @@
         if verdict is book_lib.Verdict.RESERVED:
             state.failures = 0
             return
-        pause = BACKOFF_SECONDS * 2.0 ** min(state.failures, 10)
+        pause = QUIET_SECONDS * 2.0 ** min(state.failures, 10)
         state.failures += 1
         state.retry_at = self._clock() + min(pause, MOST_QUIET_SECONDS)
--- a/tests/entry/limits/test_entry_limits.py
+++ b/tests/entry/limits/test_entry_limits.py
@@ -217,16 +217,18 @@
     controller: limits.Gate,
 ) -> None:
     held = [await admit(controller, priority=URGENT) for _ in range(2)]
-    gone = [asyncio.create_task(admit(controller, cost=100)) for _ in range(2)]
+    cancelled = [
+        asyncio.create_task(admit(controller, cost=100)) for _ in range(2)
+    ]
     pool = controller.slots.pool("llm")
     while len(pool.admission.waiting) < 2:
         await asyncio.sleep(0)
-    gone[0].cancel()
+    cancelled[0].cancel()
     # The second is cancelled and gets a slot in the same loop iteration.
-    gone[1].cancel()
+    cancelled[1].cancel()
     for admitted in held:
         controller.release(admitted, 0)
-    await asyncio.gather(*gone, return_exceptions=True)
+    await asyncio.gather(*cancelled, return_exceptions=True)
     use = controller.accounts.uses[limits_rows.ACCOUNT]
     assertions.assert_that(
         (controller.present, pool.admission.in_use, use.in_flight),
@@ -257,8 +259,8 @@
 async def test_no_spend_while_the_records_of_the_day_are_incomplete(
     idle_controller: limits.Gate, log: limits_log.FakeLog
 ) -> None:
-    lost = log_client.LogRecord(0, limits_rows.clock(), b"gone")
-    log.records.append(lost)
+    expired = log_client.LogRecord(0, limits_rows.clock(), b"gone")
+    log.records.append(expired)
     log.first = 1
     idle_controller.start()
     assert_refused(await admit(idle_controller, cost=1), REASON.SPEND_LIMITED)
@@ -285,8 +287,10 @@
     while keeper.book.fold.next_offset < len(log.records):
         await asyncio.sleep(0)
     await keeper.stop()
-    gone = log_client.LogRecord(len(log.records), limits_rows.clock(), b"gone")
-    log.records.append(gone)
+    expired = log_client.LogRecord(
+        len(log.records), limits_rows.clock(), b"gone"
+    )
+    log.records.append(expired)
     log.first = len(log.records)
     keeper.start()
     while keeper.book.fold.next_offset < log.first:
@@ -301,13 +305,13 @@
 ) -> None:
     controller.release(await admit(controller, cost=300), 200)
     await admit(controller, cost=500)
-    told = limits_status.status_of(controller, controller.now())
-    body = orjson.loads(responses.json_response({"limits": told}).body)
-    answers = [
+    status = limits_status.status_of(controller, controller.now())
+    body = orjson.loads(responses.json_response({"limits": status}).body)
+    host_responses = [
         host_answers.HostAnswer(host=None, status=200, body=body)
         for _ in range(2)
     ]
-    _, line = limits_lines.describe_limits(answers)
+    _, line = limits_lines.describe_limits(host_responses)
     assertions.assert_that(
         line.split()[:4],
         matchers.Equals([limits_rows.ACCOUNT, "1000000", "400", "1000"]),
--- a/tests/entry/limits/test_entry_share_peers.py
+++ b/tests/entry/limits/test_entry_share_peers.py
@@ -42,11 +42,11 @@
         """Returns the reply of the controller, unless it is to be lost."""
         self.calls += 1
         await asyncio.sleep(0)
-        answer = await self.controller.answer_peer(message)
+        reply = await self.controller.answer_peer(message)
         if self.lost_replies:
             self.lost_replies -= 1
             raise peer_errors.PeerTimeoutError("no reply", "Try another.")
-        return answer
+        return reply
 
     def givers(self) -> Sequence[share_peers.Giver]:
         """Returns this peer."""
@@ -165,15 +165,15 @@
     controller: limits.Gate, late_controller: limits.Gate
 ) -> None:
     share = share_of(controller)
-    rest = share.granted // 5
+    remainder = share.granted // 5
     controller.keeper.book.wallet.settle(
         limits_rows.ACCOUNT,
         records.day_of(limits_rows.clock()),
         0,
-        share.left - rest,
+        share.left - remainder,
     )
-    assert_refused(await admit(late_controller, rest // 4, DEFERRABLE))
-    found = await admit(late_controller, rest // 4)
+    assert_refused(await admit(late_controller, remainder // 4, DEFERRABLE))
+    found = await admit(late_controller, remainder // 4)
     assertions.assert_that(found, matchers.IsInstance(limits.Admitted))
 
 
@@ -226,17 +226,19 @@
 async def test_pending_requests_for_two_accounts_are_both_repeated(
     controller: limits.Gate, late_controller: limits.Gate
 ) -> None:
-    giver, taker = controller.keeper.book, late_controller.keeper.book
+    giver, requester = controller.keeper.book, late_controller.keeper.book
     day = records.day_of(limits_rows.clock())
-    first = taker.ask_peer("h1", limits_rows.ACCOUNT, 500, day, urgent=True)
-    answer = giver.give_peer(first, limits_rows.clock())
-    taker.ask_peer("h1", "other", 500, day, urgent=True)
-    again = taker.ask_peer("h1", limits_rows.ACCOUNT, 900, day, urgent=True)
-    assertions.assert_that(again, matchers.Equals(first))
-    repeated = giver.give_peer(again, limits_rows.clock())
-    assertions.assert_that(repeated, matchers.Equals(answer))
-    taken = [taker.transfers.take(answer) for _ in range(2)]
-    assertions.assert_that(taken, matchers.Equals([answer.amount, 0]))
+    first = requester.ask_peer("h1", limits_rows.ACCOUNT, 500, day, urgent=True)
+    transfer = giver.give_peer(first, limits_rows.clock())
+    requester.ask_peer("h1", "other", 500, day, urgent=True)
+    repeated_request = requester.ask_peer(
+        "h1", limits_rows.ACCOUNT, 900, day, urgent=True
+    )
+    assertions.assert_that(repeated_request, matchers.Equals(first))
+    repeated = giver.give_peer(repeated_request, limits_rows.clock())
+    assertions.assert_that(repeated, matchers.Equals(transfer))
+    taken = [requester.transfers.take(transfer) for _ in range(2)]
+    assertions.assert_that(taken, matchers.Equals([transfer.amount, 0]))
 
 
 async def test_host_stopped_during_an_outage_hands_its_share_to_peers(
