--- a/src/hoistmoor/entry/load_poller.py
+++ b/src/hoistmoor/entry/load_poller.py
@@ -28,7 +28,7 @@
 MAX_STARTUP_SECONDS = 3.0  # Longest wait of a start for first reports.
 PROBE_TIMEOUT_SECONDS = 0.03  # Longest wait of a request for a probe.
 POLLS_PER_DISPATCH = 2
-MAX_PENDING_POLLS = 12  # Further polls that a burst requests are dropped.
+MAX_PENDING_POLLS = 12  # Excess polls requested by a burst are dropped.
 LEAVING = "leaving"
 
 
