--- a/src/hoistmoor/entry/intake.py
+++ b/src/hoistmoor/entry/intake.py
@@ -143,7 +143,7 @@
 
     async def _read_body(self, http: web.Request, table: model.Table) -> bytes:
         max_bytes = int(limits.value(table, "body_bytes"))
-        detail = f"the body must not exceed {max_bytes} bytes"
+        detail = f"the body may have at most {max_bytes} bytes"
         if (http.content_length or 0) > max_bytes:
             raise parsing.refuse(refusals.Reason.BODY_TOO_LARGE, detail)
         body = bytearray()
@@ -158,7 +158,7 @@
         except TimeoutError:
             raise parsing.refuse(
                 refusals.Reason.BAD_BODY,
-                f"the body took longer than {_BODY_TIMEOUT_SECONDS:.0f} s",
+                f"the body did not come whole within {_BODY_TIMEOUT_SECONDS:.0f} s",
             ) from None
         return bytes(body)
 
--- a/src/hoistmoor/entry/limits.py
+++ b/src/hoistmoor/entry/limits.py
@@ -36,9 +36,9 @@
 Result = pools.Result
 
 _SPEND_REFUSAL_DETAILS = {
-    book.Verdict.EXHAUSTED: "The account's daily spend limit is exhausted.",
-    book.Verdict.WAIT: "No share of the spend limit was obtained in time.",
-    book.Verdict.UNKNOWN: "This host does not know the account's spend yet.",
+    book.Verdict.EXHAUSTED: "The account's spend limit of the day is used up.",
+    book.Verdict.WAIT: "No share of the spend limit could be had in time.",
+    book.Verdict.UNKNOWN: "The spend so far is not known to this host yet.",
 }
 
 
@@ -199,14 +199,12 @@
     ) -> refusals.Refusal | None:
         row = self.in_force.table.accounts.get(account)
         if row is None:
-            return _refusal(
-                refusals.Reason.NOT_GRANTED, "The account does not exist."
-            )
+            return _refusal(refusals.Reason.NOT_GRANTED, "No such account.")
         if self.present >= self._max_requests(priority):
             wait = retries.spread_wait(1.0, next(self._serial_numbers))
             return _refusal(
                 refusals.Reason.OVERLOADED,
-                "This host is at its concurrency limit.",
+                "This host is full.",
                 wait,
             )
         refusal = self.accounts.enter(row, self._clock())
--- a/src/hoistmoor/entry/operator_guard.py
+++ b/src/hoistmoor/entry/operator_guard.py
@@ -52,9 +52,7 @@
         if reason is None:
             return await handler(http)
         self._metrics.refusal(reason)
-        refusal = responses.bare_refusal(
-            reason, "this path requires an operator key"
-        )
+        refusal = responses.bare_refusal(reason, "only operators may ask this")
         return responses.refusal_response(refusal, "")
 
     def _auth_failure(self, authorization: str) -> refusals.Reason | None:
--- a/src/hoistmoor/entry/readiness.py
+++ b/src/hoistmoor/entry/readiness.py
@@ -51,12 +51,12 @@
         if in_force is None:
             return _refusal(
                 refusals.Reason.NO_TABLE,
-                "this host has not received a table yet",
+                "this host has no table yet",
             )
         if not self._freshness.is_fresh(self._clock()):
             return _refusal(
                 refusals.Reason.TABLE_STALE,
-                "this host can reach neither the log nor enough other hosts",
+                "this host reaches neither the log nor enough other hosts",
             )
         return in_force
 
--- a/src/hoistmoor/entry/reception.py
+++ b/src/hoistmoor/entry/reception.py
@@ -136,7 +136,7 @@
             return refusals.Refusal(
                 refusals.Reason.BILL_UNSECURED,
                 outcomes.Outcome.NOT_RUN,
-                "neither the log nor a peer can store the bill now",
+                "neither the log nor a peer can take the bill now",
             )
         envelope = request.envelope
         admitted = await self.parts.gate.admit(
--- a/src/hoistmoor/entry/request_task.py
+++ b/src/hoistmoor/entry/request_task.py
@@ -355,5 +355,5 @@
     return refusals.Refusal(
         refusals.Reason.NO_CAPACITY,
         outcomes.Outcome.NOT_RUN,
-        "the retry budget is exhausted",
+        "the retry budget is spent",
     )
--- a/src/hoistmoor/entry/sessions.py
+++ b/src/hoistmoor/entry/sessions.py
@@ -192,7 +192,7 @@
     ) -> SessionPin | refusals.Refusal:
         if len(session) > pins.MAX_SESSION_CHARS or not session.isprintable():
             return _bad_header_refusal(
-                f"a session ID may have at most {pins.MAX_SESSION_CHARS}"
+                f"a session id has at most {pins.MAX_SESSION_CHARS}"
                 " printable characters."
             )
         key = pins.PinKey(account, session, model_name)
--- a/src/hoistmoor/entry/slots.py
+++ b/src/hoistmoor/entry/slots.py
@@ -19,7 +19,7 @@
 
 _REFUSAL_DETAILS = {
     refusals.Reason.OVERLOADED: "It could not start before its deadline.",
-    refusals.Reason.DEADLINE_EXCEEDED: "No slot became available in time.",
+    refusals.Reason.DEADLINE_EXCEEDED: "No slot came free in time.",
 }
 
 
