--- a/src/hoistmoor/entry/intake.py
+++ b/src/hoistmoor/entry/intake.py
@@ -158,7 +158,8 @@
         except TimeoutError:
             raise parsing.refuse(
                 refusals.Reason.BAD_BODY,
-                f"the body did not come whole within {_BODY_TIMEOUT_SECONDS:.0f} s",
+                "the body did not come whole within "
+                f"{_BODY_TIMEOUT_SECONDS:.0f} s",
             ) from None
         return bytes(body)
 
