--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -34,7 +34,7 @@
 from hoistmoor.core.table import model
 from hoistmoor.core.table import snapshots
 from hoistmoor.entry import membership
-from hoistmoor.entry import neighbours
+from hoistmoor.entry import peer_directory
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -130,7 +130,7 @@
     for count in HOSTS:
         views = make_views(count)
         members = make_members(views)
-        near = neighbours.Neighbours(members, lambda: _NOW)
+        near = peer_directory.PeerDirectory(members, lambda: _NOW)
         live = members.live_hosts()
         near.on_hosts(live)
         shares = _make_shares(count)
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -28,8 +28,8 @@
 from hoistmoor.core.limits import records
 from hoistmoor.core.sessions import rendezvous
 from hoistmoor.core.table import model
-from hoistmoor.entry import limits
-from hoistmoor.entry import share_peers
+from hoistmoor.entry import admission_control
+from hoistmoor.entry import share_exchange
 
 DAY = 20_000
 MIDNIGHT = float(DAY * records.SECONDS_PER_DAY)
@@ -94,7 +94,9 @@
 
 async def measure_gate(hosts: int, rounds: int = 10_000) -> None:
     """Times admit and release of a request whose share is at hand."""
-    gate = limits.Gate(MemoryLog(), identity.Incarnation("h0", 1))
+    gate = admission_control.AdmissionController(
+        MemoryLog(), identity.Incarnation("h0", 1)
+    )
     gate.on_table(table_of(10, 10**12))
     gate.on_hosts([rendezvous.HomeHost(f"h{n}", "d") for n in range(hosts)])
     gate.start()
@@ -104,7 +106,7 @@
         admitted = await gate.admit(
             f"a{n % 10}", URGENT, time.time() + 30.0, 100, "llm"
         )
-        if not isinstance(admitted, limits.Admitted):
+        if not isinstance(admitted, admission_control.AdmittedRequest):
             raise TypeError(f"not admitted: {admitted}")
         gate.release(admitted, 100)
         samples.append((time.perf_counter() - begin) * 1e6)
@@ -419,20 +421,22 @@
                         self.spent[account] += cost
 
     def serve(self, number: int, account: str, cost: int, now: float) -> bool:
-        """Spends a cost, with the help of peers; mirrors ``SharePeers``."""
+        """Spends a cost, with the help of peers; mirrors ``ShareExchange``."""
         book = self.books[number]
         quiet, failures = self.quiet.get((number, account), (0.0, 0))
         found = book.reserve(account, cost, DAY, now)
         others = [n for n in range(len(self.books)) if n != number]
         if found is not ledger_lib.ReserveResult.RESERVED and now >= quiet:
-            for giver in self.rng.sample(others, share_peers.MOST_ASKED):
+            for giver in self.rng.sample(
+                others, share_exchange.MAX_PEERS_ASKED
+            ):
                 self.ask(book, giver, account, cost, now)
                 found = book.reserve(account, cost, DAY, now)
                 if found is ledger_lib.ReserveResult.RESERVED:
                     break
             ok = found is ledger_lib.ReserveResult.RESERVED
-            pause = share_peers.QUIET_SECONDS * 2.0 ** min(failures, 10)
-            pause = min(pause, share_peers.MOST_QUIET_SECONDS)
+            pause = share_exchange.BACKOFF_SECONDS * 2.0 ** min(failures, 10)
+            pause = min(pause, share_exchange.MAX_BACKOFF_SECONDS)
             self.quiet[number, account] = (
                 (0.0, 0) if ok else (now + pause, failures + 1)
             )
--- a/src/hoistmoor/clients/engines.py
+++ b/src/hoistmoor/clients/engines.py
@@ -130,7 +130,7 @@
             The engine's state after it took the order.
 
         Raises:
-            OrderRefusedError: The engine has seen a higher fencing number.
+            StaleOrderError: The engine has seen a higher fencing number.
             ServiceUnavailableError: No answer; read the state back.
         """
         url = f"http://{address}/orders"
--- a/src/hoistmoor/console/commands/bill.py
+++ b/src/hoistmoor/console/commands/bill.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Iterator
 
-    from hoistmoor.entry import log_port
+    from hoistmoor.entry import log_interface
 
 _PAGE = 500  # Records.
 _MICROS = 1_000_000
@@ -84,7 +84,7 @@
             sys.stderr.write(f"{line}\n")
 
 
-async def read_statement(client: log_port.Log) -> statement_lib.Statement:
+async def read_statement(client: log_interface.Log) -> statement_lib.Statement:
     """Returns the statement through the newest record.
 
     Raises:
@@ -101,7 +101,7 @@
 
 
 async def append_checkpoint(
-    client: log_port.Log, statement: statement_lib.Statement
+    client: log_interface.Log, statement: statement_lib.Statement
 ) -> None:
     """Puts the totals on the log.
 
@@ -119,7 +119,7 @@
 
 
 async def _resume(
-    client: log_port.Log, bounds: log.LogBounds
+    client: log_interface.Log, bounds: log.LogBounds
 ) -> statement_lib.Statement:
     newest = None
     async for record in _records(client, bounds.first, bounds.next):
@@ -144,7 +144,7 @@
 
 
 async def _records(
-    client: log_port.Log, start: int, end: int
+    client: log_interface.Log, start: int, end: int
 ) -> AsyncIterator[log.LogRecord]:
     while start < end:
         page = await client.read(streams.BILLS, start, _PAGE)
--- a/src/hoistmoor/entry/admin.py
+++ b/src/hoistmoor/entry/admin.py
@@ -15,11 +15,11 @@
 
 if TYPE_CHECKING:
     from hoistmoor.core.requests import decisions
+    from hoistmoor.entry import components as components_lib
     from hoistmoor.entry import membership
     from hoistmoor.entry import operator_guard
-    from hoistmoor.entry import parts as parts_lib
     from hoistmoor.entry import readiness as readiness_lib
-    from hoistmoor.entry import reception as reception_lib
+    from hoistmoor.entry import request_receiver as request_receiver_lib
     from hoistmoor.entry import table_follower
 
 _NOT_READY = 503
@@ -37,8 +37,8 @@
         readiness: readiness_lib.Readiness,
         follower: table_follower.TableFollower,
         members: membership.MembershipTask,
-        reception: reception_lib.Reception,
-        parts: parts_lib.Parts,
+        reception: request_receiver_lib.RequestReceiver,
+        parts: components_lib.Components,
         guard: operator_guard.OperatorGuard,
     ) -> None:
         self._readiness = readiness
@@ -47,8 +47,8 @@
         self._reception = reception
         self._explanations = parts.explanations
         self._decision_log = parts.decision_log
-        self._gate = parts.gate
-        self._poller = parts.poller
+        self._gate = parts.admission
+        self._poller = parts.load_poller
         self._guard = guard
         self._status_views = {
             "own": self._own_status,
@@ -74,7 +74,7 @@
         checked = self._readiness.check()
         if isinstance(checked, refusals.Refusal):
             return web.Response(text=f"{checked.reason}\n", status=_NOT_READY)
-        if not self._poller.started:
+        if not self._poller.initial_polls_done:
             return web.Response(text=f"{_STATE_STARTING}\n", status=_NOT_READY)
         return web.Response(text="ok\n")
 
@@ -106,7 +106,7 @@
             "address": own.http_address,
             "peer_address": own.peer_address,
             "table_freshness": str(self._members.freshness().why),
-            "in_flight": len(self._reception.running),
+            "in_flight": len(self._reception.request_tasks),
             "explanations": len(self._explanations),
             "leaving_servers": list(self._members.leaving_servers()),
             "limits": limits_status.status_of(self._gate, self._gate.now()),
@@ -114,7 +114,9 @@
 
     def _table_status(self) -> dict[str, Any]:
         checked = self._readiness.check()
-        state = _STATE_READY if self._poller.started else _STATE_STARTING
+        state = (
+            _STATE_READY if self._poller.initial_polls_done else _STATE_STARTING
+        )
         if isinstance(checked, refusals.Refusal):
             state = checked.reason.value
         return {
--- a/src/hoistmoor/entry/limits.py
+++ b/src/hoistmoor/entry/admission_control.py
@@ -18,16 +18,16 @@
 from hoistmoor.core.limits import retries
 from hoistmoor.core.table import limits
 from hoistmoor.core.table import model
-from hoistmoor.entry import share_keeper
-from hoistmoor.entry import share_peers
-from hoistmoor.entry import slots
+from hoistmoor.entry import pool_queues
+from hoistmoor.entry import share_exchange
+from hoistmoor.entry import share_sync
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
     from hoistmoor.core import identity
     from hoistmoor.core.sessions import rendezvous
-    from hoistmoor.entry import log_port
+    from hoistmoor.entry import log_interface
 
 SHARE_WAIT_SECONDS = 1.0  # Longest wait of a request for a spend share.
 _URGENT_RESERVE_FRACTION = 0.1  # Of the host's concurrency.
@@ -49,7 +49,7 @@
 
 
 @attrs.define
-class Admitted:
+class AdmittedRequest:
     """An admitted request; it must be released exactly once.
 
     Attributes:
@@ -73,30 +73,30 @@
     released: bool = False
 
 
-class Gate:
+class AdmissionController:
     """Admits requests at this host within all limits.
 
     Attributes:
         accounts: Rate and concurrency limits per client account.
-        keeper: Spend limits per client account.
-        slots: Queue and retry budget per service.
-        present: Number of requests admitted or waiting.
+        share_sync: Spend limits per client account.
+        pool_queues: Queue and retry budget per service.
+        request_count: Number of requests admitted or waiting.
     """
 
     def __init__(
         self,
-        log: log_port.Log,
+        log: log_interface.Log,
         incarnation: identity.Incarnation,
         clock: Callable[[], float] = time.time,
-        neighbours: share_peers.Neighbours | None = None,
+        share_directory: share_exchange.ShareDirectory | None = None,
     ) -> None:
         self.in_force = model.ActiveTable(-1, model.Table())
         self.accounts = accounts.AccountLimiter(incarnation)
-        self.keeper = share_keeper.ShareKeeper(
-            log, incarnation, self.accounts.shares, clock, neighbours
+        self.share_sync = share_sync.ShareSync(
+            log, incarnation, self.accounts.shares, clock, share_directory
         )
-        self.slots = slots.Slots(clock, self.in_force.table)
-        self.present = 0
+        self.pool_queues = pool_queues.PoolQueues(clock, self.in_force.table)
+        self.request_count = 0
         self._clock = clock
         self._serial_numbers = itertools.count(1)
 
@@ -106,26 +106,26 @@
 
     def start(self) -> None:
         """Starts the tasks that synchronize the spend shares with the log."""
-        self.keeper.start()
+        self.share_sync.start()
 
     async def stop(self) -> None:
         """Stops the tasks; call ``drain`` first for a graceful stop."""
-        await self.keeper.stop()
-        self.slots.stop()
+        await self.share_sync.stop()
+        self.pool_queues.stop()
 
-    async def answer_peer(self, message: bytes) -> bytes:
+    async def handle_share_message(self, message: bytes) -> bytes:
         """Handles a peer's message about spend shares; returns the reply."""
-        return await self.keeper.peers.answer(message)
+        return await self.share_sync.exchange.handle_message(message)
 
     async def drain(self) -> None:
         """Returns unused spend shares; call it once admission has stopped."""
-        await self.keeper.drain()
+        await self.share_sync.drain()
 
     def on_table(self, in_force: model.ActiveTable) -> None:
         """Applies a new table."""
         self.in_force = in_force
-        self.keeper.on_table(in_force)
-        self.slots.resize(in_force.table, self.slots.hosts)
+        self.share_sync.on_table(in_force)
+        self.pool_queues.resize(in_force.table, self.pool_queues.host_count)
 
     def on_hosts(self, hosts: Iterable[rendezvous.EntryHost]) -> None:
         """Updates the live entry hosts, this one included."""
@@ -133,24 +133,24 @@
         shares = self.accounts.shares
         shares.on_hosts([host.name for host in hosts], now)
         count = shares.host_count(now)
-        self.keeper.book.hosts = count
-        self.slots.resize(self.in_force.table, count)
+        self.share_sync.ledger.hosts = count
+        self.pool_queues.resize(self.in_force.table, count)
 
     async def admit(
         self,
         account: str,
         priority: model.Priority,
         deadline: float,
-        est_cost: int,
+        estimated_cost: int,
         pool: str = "",
-    ) -> Admitted | refusals.Refusal:
+    ) -> AdmittedRequest | refusals.Refusal:
         """Waits until the request may run, or returns why it is refused.
 
         Args:
             account: Client account.
             priority: Priority in the admission queue.
             deadline: Deadline for the response, in seconds since the epoch.
-            est_cost: Upper bound of its cost, in micros.
+            estimated_cost: Upper bound of its cost, in micros.
             pool: Name of the service that handles the request.
         """
         refusal = self._check_limits(account, priority)
@@ -159,12 +159,12 @@
         now = self._clock()
         serial = next(self._serial_numbers)
         day = records.day_of(now)
-        admitted = Admitted(serial, account, pool, priority, day)
+        admitted = AdmittedRequest(serial, account, pool, priority, day)
         try:
-            refusal = await self._reserve(admitted, est_cost, deadline)
+            refusal = await self._reserve(admitted, estimated_cost, deadline)
             if refusal is None:
                 entry = queue.Entry(serial, priority, deadline)
-                refusal = await self.slots.take(pool, entry)
+                refusal = await self.pool_queues.acquire(pool, entry)
         except BaseException:
             self._revert(admitted)
             raise
@@ -176,7 +176,7 @@
 
     def release(
         self,
-        admitted: Admitted,
+        admitted: AdmittedRequest,
         actual_cost: int,
         result: Result = Result.DONE,
     ) -> None:
@@ -190,15 +190,17 @@
         if admitted.released:
             return
         admitted.released = True
-        self.present -= 1
+        self.request_count -= 1
         self.accounts.release(admitted.account)
         self._settle(admitted, actual_cost)
         seconds = self._clock() - admitted.started_at
-        self.slots.free(admitted.pool, admitted.priority, seconds, result)
+        self.pool_queues.release(
+            admitted.pool, admitted.priority, seconds, result
+        )
 
-    def retry_allowed(self, pool: str = "") -> bool:
+    def take_retry(self, pool: str = "") -> bool:
         """Takes a retry from the pool's budget; returns whether it had one."""
-        return self.slots.pool(pool).budget.try_take(self._clock())
+        return self.pool_queues.pool(pool).budget.try_take(self._clock())
 
     def _check_limits(
         self, account: str, priority: model.Priority
@@ -206,7 +208,7 @@
         row = self.in_force.table.accounts.get(account)
         if row is None:
             return _refusal(refusals.Reason.NOT_GRANTED, "No such account.")
-        if self.present >= self._max_requests(priority):
+        if self.request_count >= self._max_requests(priority):
             wait = retries.jittered_wait(1.0, next(self._serial_numbers))
             return _refusal(
                 refusals.Reason.OVERLOADED,
@@ -215,7 +217,7 @@
             )
         refusal = self.accounts.admit(row, self._clock())
         if refusal is None:
-            self.present += 1
+            self.request_count += 1
         return refusal
 
     def _max_requests(self, priority: model.Priority) -> float:
@@ -225,12 +227,12 @@
         return max(1.0, max_requests * (1 - _URGENT_RESERVE_FRACTION))
 
     async def _reserve(
-        self, admitted: Admitted, cost: int, deadline: float
+        self, admitted: AdmittedRequest, cost: int, deadline: float
     ) -> refusals.Refusal | None:
         if cost <= 0:
             return None
         share_deadline = min(deadline, self._clock() + SHARE_WAIT_SECONDS)
-        verdict = await self.keeper.reserve(
+        verdict = await self.share_sync.reserve(
             admitted.account,
             cost,
             admitted.day,
@@ -253,14 +255,14 @@
         detail = _SPEND_REFUSAL_DETAILS[verdict]
         return _refusal(refusals.Reason.SPEND_LIMITED, detail, wait)
 
-    def _settle(self, admitted: Admitted, cost: int) -> None:
+    def _settle(self, admitted: AdmittedRequest, cost: int) -> None:
         if admitted.reserved or cost:
-            self.keeper.book.local_shares.settle(
+            self.share_sync.ledger.local_shares.settle(
                 admitted.account, admitted.day, admitted.reserved, cost
             )
 
-    def _revert(self, admitted: Admitted) -> None:
-        self.present -= 1
+    def _revert(self, admitted: AdmittedRequest) -> None:
+        self.request_count -= 1
         self.accounts.revert(admitted.account)
         self._settle(admitted, 0)
 
--- a/src/hoistmoor/entry/application.py
+++ b/src/hoistmoor/entry/application.py
@@ -10,7 +10,7 @@
 
 from hoistmoor.clients import sessions as http_sessions
 from hoistmoor.entry import factory
-from hoistmoor.entry import listeners as listeners_lib
+from hoistmoor.entry import listening_sockets as listening_sockets_lib
 from hoistmoor.utils import listening
 from hoistmoor.utils import logs
 from hoistmoor.utils import signals
@@ -30,8 +30,8 @@
         settings: Validated settings.
     """
     stop = signals.stop_event()
-    listeners = listeners_lib.Listeners.bind(settings)
-    bound = listeners.describe(settings)
+    listeners = listening_sockets_lib.ListeningSockets.bind(settings)
+    bound = listeners.with_bound_ports(settings)
     async with (
         http_sessions.make_session() as session,
         http_sessions.make_session(total_timeout=None) as backend_session,
@@ -43,7 +43,7 @@
 async def _run(
     entry: factory.Entry,
     settings: settings_lib.EntrySettings,
-    listeners: listeners_lib.Listeners,
+    listeners: listening_sockets_lib.ListeningSockets,
     stop: asyncio.Event,
 ) -> None:
     runner = web.AppRunner(
@@ -79,14 +79,14 @@
     parts = entry.parts
     parts.once.start()
     parts.biller.start()
-    parts.gate.start()
+    parts.admission.start()
     loops = {
         "table": entry.follower.run(),
         "membership": entry.members.run(),
         "ratings": parts.ratings.run(),
         "evidence": entry.evidence.run(),
         "steering": entry.steering.run(),
-        "loads": parts.poller.run(),
+        "loads": parts.load_poller.run(),
         "decisions": parts.decision_log.run(),
         "claims": parts.once.watch(),
         "bills": parts.biller.watch(),
@@ -109,7 +109,7 @@
 async def _listen(
     entry: factory.Entry,
     settings: settings_lib.EntrySettings,
-    listeners: listeners_lib.Listeners,
+    listeners: listening_sockets_lib.ListeningSockets,
     runner: web.AppRunner,
 ) -> web.BaseSite:
     await entry.peers.start_on(listeners.peers)
@@ -138,25 +138,25 @@
         timeout: Seconds to wait for requests, for claims and for bills, each.
     """
     _LOG.info("Shutting down; refusing new requests")
-    entry.readiness.stopping = True
+    entry.readiness.is_stopping = True
     await entry.members.leave()
     try:
         async with asyncio.timeout(timeout):
             await entry.reception.drain()
     except TimeoutError:
-        remaining = len(entry.reception.running)
+        remaining = len(entry.reception.request_tasks)
         _LOG.error("%d requests still running at the stop timeout", remaining)
     await entry.parts.ratings.flush()
     await entry.evidence.flush()
     await entry.parts.decision_log.flush(timeout)
-    await entry.parts.gate.drain()
+    await entry.parts.admission.drain()
     await entry.parts.once.drain(timeout, entry.parts.biller.hand_over)
     await entry.parts.biller.drain(timeout)
     _LOG.info("Shutdown complete; bills, claims and evidence were drained")
 
 
 async def _stop_components(entry: factory.Entry) -> None:
-    await entry.parts.gate.stop()
+    await entry.parts.admission.stop()
     await entry.parts.once.stop()
     await entry.parts.biller.stop()
     entry.parts.metrics.close()
--- a/src/hoistmoor/entry/attempt_reporter.py
+++ b/src/hoistmoor/entry/attempt_reporter.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from hoistmoor.core.requests import messages
     from hoistmoor.core.routing import messages as routing
-    from hoistmoor.entry import parts as parts_lib
+    from hoistmoor.entry import components as components_lib
 
 _MS_PER_SECOND = 1000.0
 
@@ -23,7 +23,7 @@
     """Reports each attempt of one request exactly once."""
 
     def __init__(
-        self, parts: parts_lib.Parts, request: request_types.Request
+        self, parts: components_lib.Components, request: request_types.Request
     ) -> None:
         self._parts = parts
         self._request = request
@@ -41,7 +41,7 @@
         self._running = choice
         self._started = now
         self._parts.router.on_started(choice.server, choice.version, now)
-        self._parts.poller.on_dispatch(choice.server)
+        self._parts.load_poller.on_dispatch(choice.server)
         self._parts.metrics.count("attempt.sent")
 
     def record_success(self, metadata: messages.ResponseMetadata) -> None:
@@ -52,7 +52,7 @@
         """Reports that the attempt ended without a complete response."""
         declined = state is outcomes.ExchangeState.DECLINED
         if declined and self._running is not None:
-            self._parts.poller.on_declined(self._running.server)
+            self._parts.load_poller.on_declined(self._running.server)
         self._finish(ok=False, declined=declined)
 
     def record_cancellation(self) -> None:
--- a/src/hoistmoor/entry/biller.py
+++ b/src/hoistmoor/entry/biller.py
@@ -16,7 +16,7 @@
 from hoistmoor.core.billing import pending_bills as pending_bills_lib
 from hoistmoor.entry import bill_holders
 from hoistmoor.entry import peer_batches
-from hoistmoor.entry import watched_tasks
+from hoistmoor.entry import supervised_tasks
 from hoistmoor.utils import logs
 from hoistmoor.utils import metrics as metrics_lib
 
@@ -24,7 +24,7 @@
     from collections.abc import Callable
 
     from hoistmoor.core import identity
-    from hoistmoor.entry import log_port
+    from hoistmoor.entry import log_interface
 
 SECURE_TIMEOUT_SECONDS = 2.0
 _RETRY_SECONDS = 0.5  # Delay after a failed call to the log or to peers.
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        log: log_port.Log,
+        log: log_interface.Log,
         incarnation: identity.Incarnation,
         peers: bill_holders.BillPeers | None = None,
         metrics: metrics_lib.Metrics | None = None,
@@ -83,7 +83,7 @@
         self._urgent = asyncio.Event()  # No peer holds the pending bills.
         self._changed = asyncio.Condition()
         self._holders = bill_holders.BillHolders(self._peers)
-        self._tasks = watched_tasks.WatchedTasks()
+        self._tasks = supervised_tasks.SupervisedTasks()
 
     def start(self) -> None:
         """Starts the background tasks."""
@@ -97,7 +97,7 @@
 
     async def watch(self) -> None:
         """Waits until a task fails, and raises its exception."""
-        await self._tasks.watch()
+        await self._tasks.wait_for_failure()
 
     def can_secure(self) -> bool:
         """Returns whether the bill of a new request could be secured."""
@@ -150,7 +150,7 @@
                 "%d bills are neither on the log nor at a peer",
                 self.pending_bills.unsecured_count,
             )
-        await self.held_for_peers.pass_on(self.hand_over)
+        await self.held_for_peers.hand_over_all(self.hand_over)
         return self.pending_bills.unsecured_count
 
     async def hand_over(self, batch: held_lib.Batch) -> bool:
--- a/src/hoistmoor/entry/claim_reader.py
+++ b/src/hoistmoor/entry/claim_reader.py
@@ -23,7 +23,7 @@
     from hoistmoor.core.once import claimant as claimant_lib
     from hoistmoor.core.once import messages
     from hoistmoor.core.once import permits
-    from hoistmoor.entry import log_port
+    from hoistmoor.entry import log_interface
 
 # Interval between heartbeat records on an idle stream, as a fraction of the
 # window; each host waits one to two times as long.
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        log: log_port.Log,
+        log: log_interface.Log,
         stream: str,
         claimant: claimant_lib.Claimant,
         on_read: Callable[[], None],
--- a/src/hoistmoor/entry/claim_shards.py
+++ b/src/hoistmoor/entry/claim_shards.py
@@ -8,7 +8,7 @@
 from hoistmoor.core.once import permits
 from hoistmoor.core.once import placement
 from hoistmoor.core.once import records
-from hoistmoor.entry import watched_tasks
+from hoistmoor.entry import supervised_tasks
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
@@ -48,7 +48,7 @@
         self._make_claims = make_claims
         self._host = host
         self._live_hosts = live_hosts
-        self._tasks = watched_tasks.WatchedTasks()
+        self._tasks = supervised_tasks.SupervisedTasks()
 
     def start(self) -> None:
         """Starts to follow the shards that are placed on this host."""
@@ -65,7 +65,7 @@
 
     async def watch(self) -> None:
         """Waits until a task fails, and raises its exception."""
-        await self._tasks.watch()
+        await self._tasks.wait_for_failure()
 
     async def drain(
         self, timeout: float, hand_over: claims_lib.HandOver | None = None
--- a/src/hoistmoor/entry/claims.py
+++ b/src/hoistmoor/entry/claims.py
@@ -19,7 +19,7 @@
 from hoistmoor.core.once import replies
 from hoistmoor.core.once import view
 from hoistmoor.entry import claim_reader
-from hoistmoor.entry import watched_tasks
+from hoistmoor.entry import supervised_tasks
 from hoistmoor.utils import logs
 from hoistmoor.utils import metrics as metrics_lib
 
@@ -28,7 +28,7 @@
 
     from hoistmoor.core import identity
     from hoistmoor.core import outcomes
-    from hoistmoor.entry import log_port
+    from hoistmoor.entry import log_interface
 
     HandOver = Callable[[records.HeldClaims], Awaitable[bool]]
 
@@ -68,7 +68,7 @@
 
     def __init__(
         self,
-        log: log_port.Log,
+        log: log_interface.Log,
         incarnation: identity.Incarnation,
         address: str,
         is_alive: Callable[[identity.Incarnation], bool],
@@ -95,7 +95,7 @@
         self._reader = claim_reader.ClaimReader(
             log, stream, self.claimant, self._wake, clock
         )
-        self._tasks = watched_tasks.WatchedTasks()
+        self._tasks = supervised_tasks.SupervisedTasks()
 
     def start(self) -> None:
         """Starts the tasks that read and write the stream."""
@@ -108,7 +108,7 @@
 
     async def watch(self) -> None:
         """Waits until a task fails, and raises its exception."""
-        await self._tasks.watch()
+        await self._tasks.wait_for_failure()
 
     async def drain(
         self, timeout: float, hand_over: HandOver | None = None
--- a/src/hoistmoor/entry/parts.py
+++ b/src/hoistmoor/entry/components.py
@@ -8,27 +8,27 @@
 import attrs
 
 from hoistmoor.core.routing import router as router_lib
+from hoistmoor.entry import admission_control
 from hoistmoor.entry import biller as biller_lib
 from hoistmoor.entry import decision_log as decision_log_lib
 from hoistmoor.entry import explanations as explanations_lib
-from hoistmoor.entry import limits
 from hoistmoor.entry import load_poller
 from hoistmoor.entry import once as once_lib
 from hoistmoor.entry import rating_queue
 from hoistmoor.entry import readiness as readiness_lib
-from hoistmoor.entry import sessions as sessions_lib
+from hoistmoor.entry import session_affinity as session_affinity_lib
 from hoistmoor.utils import metrics as metrics_lib
 
 
 @attrs.frozen
-class Parts:
+class Components:
     """Components of one entry host, shared by all its requests.
 
     Attributes:
         clock: Returns seconds since the epoch.
         router: Selects versions and backend servers.
-        poller: Polls backend servers for load reports.
-        gate: Admission control by account and host limits.
+        load_poller: Polls backend servers for load reports.
+        admission: Admission control by account and host limits.
         once: Permits for requests that must run at most once.
         biller: Stores bills durably outside this host.
         sessions: Session affinity: pins sessions to model versions.
@@ -42,11 +42,11 @@
 
     clock: Callable[[], float]
     router: router_lib.Router
-    poller: load_poller.LoadPoller
-    gate: limits.Gate
+    load_poller: load_poller.LoadPoller
+    admission: admission_control.AdmissionController
     once: once_lib.AtMostOnceGuard
     biller: biller_lib.Biller
-    sessions: sessions_lib.Sessions
+    sessions: session_affinity_lib.SessionAffinity
     explanations: explanations_lib.Explanations
     decision_log: decision_log_lib.DecisionLog
     ratings: rating_queue.RatingQueue
--- a/src/hoistmoor/entry/connection_drainer.py
+++ b/src/hoistmoor/entry/connection_drainer.py
@@ -35,7 +35,7 @@
         self, request: web.Request, response: web.StreamResponse
     ) -> None:
         """Makes each response sent during a stop close its connection."""
-        if self._readiness.stopping:
+        if self._readiness.is_stopping:
             response.force_close()
             # aiohttp has already prepared the headers, so set this one too.
             response.headers[hdrs.CONNECTION] = "close"
--- a/src/hoistmoor/entry/decision_log.py
+++ b/src/hoistmoor/entry/decision_log.py
@@ -16,7 +16,7 @@
 
     from hoistmoor.core import identity
     from hoistmoor.core.requests import decisions
-    from hoistmoor.entry import log_port
+    from hoistmoor.entry import log_interface
 
 MAX_SCANNED_RECORDS = 5_000  # Records read to find one decision.
 PAGE_SIZE = 500  # Records per read.
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        log: log_port.Log,
+        log: log_interface.Log,
         incarnation: identity.Incarnation,
         host_count: Callable[[], int],
     ) -> None:
--- a/src/hoistmoor/entry/delivery.py
+++ b/src/hoistmoor/entry/delivery.py
@@ -13,12 +13,12 @@
 from hoistmoor.core.requests import wire
 from hoistmoor.entry import channel as channel_lib
 from hoistmoor.entry import responses
-from hoistmoor.entry import sessions as sessions_lib
+from hoistmoor.entry import session_affinity as session_affinity_lib
 
 if TYPE_CHECKING:
     from hoistmoor.core.requests import messages
-    from hoistmoor.entry import parts as parts_lib
-    from hoistmoor.entry import reception
+    from hoistmoor.entry import components as components_lib
+    from hoistmoor.entry import request_receiver
 
 _MS_PER_SECOND = 1000.0
 
@@ -28,8 +28,8 @@
 
     def __init__(
         self,
-        parts: parts_lib.Parts,
-        running: reception.Running,
+        parts: components_lib.Components,
+        running: request_receiver.RunningRequest,
         http: web.Request,
     ) -> None:
         self._parts = parts
@@ -53,7 +53,7 @@
                 item = await self._task.channel.get()
                 await self._on_item(item)
         except (asyncio.CancelledError, ConnectionError):
-            self._task.caller_left()
+            self._task.on_caller_left()
             self._parts.metrics.count("request.cancelled")
             raise
         assert self._response is not None
@@ -137,8 +137,10 @@
         why = decision.choice.reason if decision.choice else ""
         headers = {
             responses.REQUEST_ID_HEADER: self._id,
-            responses.VERSION_HEADER: responses.header_text(decision.version),
-            responses.WHY_HEADER: responses.header_text(why),
+            responses.VERSION_HEADER: responses.to_header_value(
+                decision.version
+            ),
+            responses.REASON_HEADER: responses.to_header_value(why),
             responses.OUTCOME_HEADER: "done",
         }
         if self._pin is not None:
@@ -146,28 +148,30 @@
         return headers
 
     async def _session_headers(
-        self, pin: sessions_lib.SessionPin
+        self, pin: session_affinity_lib.SessionPin
     ) -> dict[str, str]:
         envelope = self._request.envelope
         assert isinstance(self._request, request_types.ChatRequest)
         version = self._task.machine.decision.version
         sessions = self._parts.sessions
         if envelope.session and version != pin.version:
-            version = await sessions.remember(
+            version = await sessions.pin_version(
                 envelope.account, pin.session, self._request.model, version
             )
-        token = sessions.token_for(
+        token = sessions.make_token(
             envelope.account, pin.session, self._request.model, version
         )
         headers = {responses.SESSION_HEADER: token}
         previous = _previous_version(pin, version)
         if previous:
             self._parts.metrics.count("session.moved")
-            headers[responses.MOVED_HEADER] = f"from {previous}"
+            headers[responses.SESSION_MOVED_HEADER] = f"from {previous}"
         return headers
 
 
-def _previous_version(pin: sessions_lib.SessionPin, version: str) -> str | None:
+def _previous_version(
+    pin: session_affinity_lib.SessionPin, version: str
+) -> str | None:
     """Returns the version that a session moves from, if it moves.
 
     Args:
--- a/src/hoistmoor/entry/evidence_task.py
+++ b/src/hoistmoor/entry/evidence_task.py
@@ -18,7 +18,7 @@
     from hoistmoor.clients import log as log_client
     from hoistmoor.clients import ratings
     from hoistmoor.core.routing import router as router_lib
-    from hoistmoor.entry import log_port
+    from hoistmoor.entry import log_interface
 
 RATINGS_POLL_SECONDS = 0.5  # Interval between polls for ratings.
 FLUSH_INTERVAL_SECONDS = 0.2  # Interval between appends of new evidence.
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        log: log_port.Log,
+        log: log_interface.Log,
         client: ratings.RatingsClient,
         router: router_lib.Router,
         clock: Callable[[], float],
--- a/src/hoistmoor/entry/factory.py
+++ b/src/hoistmoor/entry/factory.py
@@ -17,27 +17,27 @@
 from hoistmoor.core.membership import view
 from hoistmoor.core.routing import router as router_lib
 from hoistmoor.entry import admin
+from hoistmoor.entry import admission_control
 from hoistmoor.entry import biller as biller_lib
+from hoistmoor.entry import components as components_lib
 from hoistmoor.entry import connection_drainer as connection_drainer_lib
 from hoistmoor.entry import decision_log as decision_log_lib
 from hoistmoor.entry import evidence_task
 from hoistmoor.entry import explanations as explanations_lib
 from hoistmoor.entry import forwarding
 from hoistmoor.entry import handlers
-from hoistmoor.entry import intake as intake_lib
-from hoistmoor.entry import limits
 from hoistmoor.entry import load_poller
 from hoistmoor.entry import membership
-from hoistmoor.entry import neighbours as neighbours_lib
 from hoistmoor.entry import once as once_lib
 from hoistmoor.entry import operator_guard
-from hoistmoor.entry import parts as parts_lib
 from hoistmoor.entry import peer_auth
+from hoistmoor.entry import peer_directory as peer_directory_lib
 from hoistmoor.entry import pin_store
 from hoistmoor.entry import rating_queue
 from hoistmoor.entry import readiness as readiness_lib
-from hoistmoor.entry import reception as reception_lib
-from hoistmoor.entry import sessions
+from hoistmoor.entry import request_reader as request_reader_lib
+from hoistmoor.entry import request_receiver as request_receiver_lib
+from hoistmoor.entry import session_affinity
 from hoistmoor.entry import table_follower
 from hoistmoor.entry import table_listeners
 from hoistmoor.peers import handlers as peer_handlers
@@ -74,11 +74,11 @@
         auth: Authenticates this host and its peers to each other.
     """
 
-    parts: parts_lib.Parts
+    parts: components_lib.Components
     follower: table_follower.TableFollower
     members: membership.MembershipTask
     readiness: readiness_lib.Readiness
-    reception: reception_lib.Reception
+    reception: request_receiver_lib.RequestReceiver
     evidence: evidence_task.EvidenceTask
     steering: feed.SteeringFeed
     connection_drainer: connection_drainer_lib.ConnectionDrainer
@@ -123,13 +123,13 @@
     def make(self) -> Entry:
         """Returns the connected components, without starting any task."""
         follower = table_follower.TableFollower(
-            self._log, on_table=self._table_listeners.tell, clock=self._clock
+            self._log, on_table=self._table_listeners.notify, clock=self._clock
         )
         members = self._make_members(follower)
-        neighbours = neighbours_lib.Neighbours(members, self._clock)
+        neighbours = peer_directory_lib.PeerDirectory(members, self._clock)
         readiness = readiness_lib.Readiness(follower, neighbours, self._clock)
         parts = self._make_parts(members, neighbours, readiness)
-        reception = reception_lib.Reception(parts)
+        reception = request_receiver_lib.RequestReceiver(parts)
         evidence = evidence_task.EvidenceTask(
             self._log, parts.ratings.client, parts.router, self._clock
         )
@@ -179,7 +179,7 @@
         return membership.MembershipTask(
             own,
             hosts.HostListClient(self._session, settings.hosts_base).fetch,
-            neighbours_lib.PeerFinder(self._session, self._auth.link).find,
+            peer_directory_lib.PeerFinder(self._session, self._auth.link).find,
             follower,
             clients=self._auth.clients,
             clock=self._clock,
@@ -188,9 +188,9 @@
     def _make_parts(
         self,
         members: membership.MembershipTask,
-        neighbours: neighbours_lib.Neighbours,
+        neighbours: peer_directory_lib.PeerDirectory,
         readiness: readiness_lib.Readiness,
-    ) -> parts_lib.Parts:
+    ) -> components_lib.Components:
         settings = self._settings
         seed = xxhash.xxh3_64_intdigest(str(self._incarnation).encode())
         store = pin_store.PeerPinStore(members.clients, neighbours.peer_address)
@@ -200,16 +200,16 @@
         router = router_lib.Router(
             settings.failure_domain, seed, str(self._incarnation)
         )
-        return parts_lib.Parts(
+        return components_lib.Components(
             clock=self._clock,
             router=router,
-            poller=load_poller.LoadPoller(
+            load_poller=load_poller.LoadPoller(
                 engines.EngineClient(self._session),
                 router,
                 members,
                 self._clock,
             ),
-            gate=limits.Gate(
+            admission=admission_control.AdmissionController(
                 self._log, self._incarnation, self._clock, neighbours
             ),
             once=once_lib.AtMostOnceGuard(
@@ -221,14 +221,14 @@
                 self._metrics,
                 self._clock,
                 settings.claim_window,
-                neighbours.eldest,
+                neighbours.longest_running_address,
                 settings.claim_shards,
-                neighbours.addresses,
+                neighbours.http_addresses,
             ),
             biller=biller_lib.Biller(
                 self._log, self._incarnation, neighbours, self._metrics
             ),
-            sessions=sessions.Sessions(
+            sessions=session_affinity.SessionAffinity(
                 settings.host, settings.secrets, self._clock, store
             ),
             explanations=explanations_lib.Explanations(),
@@ -243,12 +243,14 @@
 
     def _make_web(
         self,
-        parts: parts_lib.Parts,
+        parts: components_lib.Components,
         readiness: readiness_lib.Readiness,
-        reception: reception_lib.Reception,
+        reception: request_receiver_lib.RequestReceiver,
         operators: admin.AdminHandlers,
     ) -> web.Application:
-        intake = intake_lib.Intake(self._incarnation, readiness, self._clock)
+        intake = request_reader_lib.RequestReader(
+            self._incarnation, readiness, self._clock
+        )
         forwarder = forwarding.Forwarder(
             self._session, self._settings.host, self._auth.link
         )
@@ -260,7 +262,7 @@
 
 
 def _make_peers(
-    parts: parts_lib.Parts,
+    parts: components_lib.Components,
     members: membership.MembershipTask,
     operators: admin.AdminHandlers,
     auth: peer_auth.PeerAuth,
@@ -275,7 +277,7 @@
             find_decision=operators.find_decision,
             find_session=parts.sessions.find_session,
             keep_session=parts.sessions.keep_session,
-            shares=parts.gate.answer_peer,
+            shares=parts.admission.handle_share_message,
         ),
         auth.guard,
         auth.tls.peers if auth.tls else None,
@@ -285,21 +287,21 @@
 def _connect(
     entry: Entry,
     tables: table_listeners.TableListeners,
-    neighbours: neighbours_lib.Neighbours,
+    neighbours: peer_directory_lib.PeerDirectory,
 ) -> None:
     """Subscribes components to changes of the table, hosts and servers."""
     parts = entry.parts
 
     def on_table(in_force: model.ActiveTable) -> None:
         entry.steering.on_table(in_force)
-        parts.gate.on_table(in_force)
+        parts.admission.on_table(in_force)
         parts.sessions.on_table(in_force)
-        parts.poller.on_table(in_force)
+        parts.load_poller.on_table(in_force)
         parts.metrics.gauge("table.revision", in_force.revision)
 
     def on_hosts(live: tuple[view.HostView, ...]) -> None:
         neighbours.on_hosts(live)
-        parts.gate.on_hosts(live)
+        parts.admission.on_hosts(live)
         parts.sessions.on_hosts(live)
         parts.router.on_hosts(max(1, len(live)))
         parts.metrics.gauge("peers.alive", len(live))
--- a/src/hoistmoor/entry/handlers.py
+++ b/src/hoistmoor/entry/handlers.py
@@ -15,20 +15,20 @@
 from hoistmoor.core.requests import parsing
 from hoistmoor.core.requests import request_types
 from hoistmoor.entry import delivery
-from hoistmoor.entry import reception as reception_lib
+from hoistmoor.entry import request_receiver as request_receiver_lib
 from hoistmoor.entry import responses
 from hoistmoor.utils import logs
 
 if TYPE_CHECKING:
     from hoistmoor.core import identity
+    from hoistmoor.entry import components as components_lib
     from hoistmoor.entry import forwarding
-    from hoistmoor.entry import intake as intake_lib
-    from hoistmoor.entry import parts as parts_lib
+    from hoistmoor.entry import request_reader as request_reader_lib
 
 _LOG = logs.PartLogger("entry")
 
 _Read = Callable[
-    [web.Request, "intake_lib.Caller"], Awaitable[request_types.Request]
+    [web.Request, "request_reader_lib.Caller"], Awaitable[request_types.Request]
 ]
 
 
@@ -37,9 +37,9 @@
 
     def __init__(
         self,
-        parts: parts_lib.Parts,
-        intake: intake_lib.Intake,
-        reception: reception_lib.Reception,
+        parts: components_lib.Components,
+        intake: request_reader_lib.RequestReader,
+        reception: request_receiver_lib.RequestReceiver,
         forwarder: forwarding.Forwarder,
     ) -> None:
         self._parts = parts
@@ -65,9 +65,9 @@
 
     async def models(self, http: web.Request) -> web.StreamResponse:
         """Lists the models that the caller may use."""
-        request_id = self._intake.next_id()
+        request_id = self._intake.next_request_id()
         try:
-            caller = self._intake.identify(http, request_id)
+            caller = self._intake.authenticate(http, request_id)
         except parsing.RefusedError as error:
             return self._refuse(error.refusal, request_id)
         table = caller.in_force.table
@@ -81,9 +81,9 @@
 
     async def ticket(self, http: web.Request) -> web.StreamResponse:
         """Issues a ticket, an idempotency key that works without the log."""
-        request_id = self._intake.next_id()
+        request_id = self._intake.next_request_id()
         try:
-            caller = self._intake.identify(http, request_id)
+            caller = self._intake.authenticate(http, request_id)
         except parsing.RefusedError as error:
             return self._refuse(error.refusal, request_id)
         ticket = self._parts.once.issue_ticket(caller.account.account)
@@ -92,18 +92,18 @@
     async def _serve(
         self, http: web.Request, read: _Read
     ) -> web.StreamResponse:
-        request_id = self._intake.next_id()
+        request_id = self._intake.next_request_id()
         self._parts.metrics.count("request.accepted")
-        self._reception.note_handler()
+        self._reception.track_handler()
         target = f"{http.method} {http.path}"
         decision = decisions.Decision.unauthenticated(str(request_id), target)
         try:
-            caller = self._intake.identify(http, request_id)
+            caller = self._intake.authenticate(http, request_id)
             decision.account = caller.account.account
             decision.revision = caller.in_force.revision
             request = await read(http, caller)
         except parsing.RefusedError as error:
-            self._reception.note_refused(decision, error.refusal)
+            self._reception.record_refusal(decision, error.refusal)
             return self._refuse(error.refusal, request_id)
         reply = await self._reception.receive(request, caller.in_force)
         return await self._reply(http, request, reply)
@@ -112,9 +112,9 @@
         self,
         http: web.Request,
         request: request_types.Request,
-        reply: reception_lib.Reply,
+        reply: request_receiver_lib.ReceiveResult,
     ) -> web.StreamResponse:
-        if isinstance(reply, reception_lib.Running):
+        if isinstance(reply, request_receiver_lib.RunningRequest):
             running = delivery.Delivery(self._parts, reply, http)
             return await running.deliver()
         if isinstance(reply, permits.StoredAnswer):
@@ -155,7 +155,7 @@
     headers = {
         responses.REQUEST_ID_HEADER: answer.request_id,
         responses.OUTCOME_HEADER: outcomes.Outcome.DONE.value,
-        responses.WHY_HEADER: "the key was used before: its stored answer",
+        responses.REASON_HEADER: "the key was used before: its stored answer",
         "Content-Type": answer.content_type,
     }
     return web.Response(body=answer.body, status=answer.status, headers=headers)
--- a/src/hoistmoor/entry/limits_status.py
+++ b/src/hoistmoor/entry/limits_status.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from hoistmoor.core.table import model
-    from hoistmoor.entry import limits
+    from hoistmoor.entry import admission_control
 
 
 @attrs.frozen
@@ -88,28 +88,32 @@
     pools: tuple[PoolStatus, ...]
 
 
-def status_of(controller: limits.Gate, now: float) -> LimitsStatus:
+def status_of(
+    controller: admission_control.AdmissionController, now: float
+) -> LimitsStatus:
     """Returns the current status of the limits that ``controller`` applies."""
     rows = controller.in_force.table.accounts
     return LimitsStatus(
-        controller.present,
-        controller.keeper.book.hosts,
-        controller.keeper.log_is_up,
+        controller.request_count,
+        controller.share_sync.ledger.hosts,
+        controller.share_sync.log_is_up,
         tuple(
             _account_status(controller, rows[key], now) for key in sorted(rows)
         ),
         tuple(
             _pool_status(controller, name)
-            for name in sorted(controller.slots.pools)
+            for name in sorted(controller.pool_queues.pools)
         ),
     )
 
 
 def _account_status(
-    controller: limits.Gate, row: model.Account, now: float
+    controller: admission_control.AdmissionController,
+    row: model.Account,
+    now: float,
 ) -> AccountStatus:
     day = records.day_of(now)
-    book = controller.keeper.book
+    book = controller.share_sync.ledger
     share = book.local_shares.share(row.account, day)
     use = controller.accounts.usage.get(row.account)
     return AccountStatus(
@@ -127,8 +131,10 @@
     )
 
 
-def _pool_status(controller: limits.Gate, name: str) -> PoolStatus:
-    pool = controller.slots.pools[name]
+def _pool_status(
+    controller: admission_control.AdmissionController, name: str
+) -> PoolStatus:
+    pool = controller.pool_queues.pools[name]
     return PoolStatus(
         name,
         pool.slots.slots,
--- a/src/hoistmoor/entry/listeners.py
+++ b/src/hoistmoor/entry/listening_sockets.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen
-class Listeners:
+class ListeningSockets:
     """Listening sockets, bound early so that other components know the ports.
 
     Attributes:
@@ -26,7 +26,7 @@
     peers: socket.socket
 
     @classmethod
-    def bind(cls, settings: settings_lib.EntrySettings) -> Listeners:
+    def bind(cls, settings: settings_lib.EntrySettings) -> ListeningSockets:
         """Binds the configured addresses; port 0 selects a free port.
 
         Raises:
@@ -37,7 +37,7 @@
             listening.bind(settings.peer_listen),
         )
 
-    def describe(
+    def with_bound_ports(
         self, settings: settings_lib.EntrySettings
     ) -> settings_lib.EntrySettings:
         """Returns the settings with the ports that are actually bound."""
--- a/src/hoistmoor/entry/load_poller.py
+++ b/src/hoistmoor/entry/load_poller.py
@@ -51,8 +51,8 @@
     only a report tells which versions a server has.
 
     Attributes:
-        started: Whether each backend server of the first table was polled, or
-            the start timed out.
+        initial_polls_done: Whether each backend server of the first table was
+            polled, or the start timed out.
         polls: Number of polls made.
         failures: Number of polls that returned no report.
     """
@@ -64,7 +64,7 @@
         listener: ServerStateListener,
         clock: Callable[[], float],
     ) -> None:
-        self.started = False
+        self.initial_polls_done = False
         self._first_poll_at = 0.0
         self.polls = 0
         self.failures = 0
@@ -95,9 +95,9 @@
         """Requests polls of the service that a request was dispatched to."""
         row = self._table.servers.get(server)
         if row is not None:
-            self.on_wanted(row.service)
+            self.request_polls(row.service)
 
-    def on_wanted(self, service: str) -> None:
+    def request_polls(self, service: str) -> None:
         """Requests polls of a service that is, or would be, in use."""
         self._pending_services.extend([service] * POLLS_PER_DISPATCH)
         self._wake_up.set()
@@ -133,14 +133,14 @@
 
     async def _update_started(self) -> None:
         """Sets ``started`` once the initial polls are done or time is up."""
-        if self.started or not self._table.servers:
+        if self.initial_polls_done or not self._table.servers:
             return
         self._first_poll_at = self._first_poll_at or self._clock()
         is_late = self._clock() - self._first_poll_at > MAX_STARTUP_SECONDS
         if self._unpolled and not is_late:
             return
         await asyncio.gather(*self._poll_tasks)
-        self.started = True
+        self.initial_polls_done = True
 
     async def _wait_for_next_poll(self) -> None:
         """Waits until a poll is requested or the idle interval has passed."""
--- a/src/hoistmoor/entry/membership.py
+++ b/src/hoistmoor/entry/membership.py
@@ -34,7 +34,7 @@
 _LOG = logs.PartLogger("membership")
 
 
-class Table(Protocol):
+class TableReplica(Protocol):
     """The part of ``TableFollower`` that the task uses."""
 
     last_contact: float
@@ -46,7 +46,7 @@
     def snapshot(self) -> bytes | None:
         """Returns a snapshot for a peer, or None if there is no table."""
 
-    def offer(self, payload: bytes) -> bool:
+    def adopt_if_newer(self, payload: bytes) -> bool:
         """Merges a peer's snapshot; returns whether it was newer."""
 
 
@@ -63,10 +63,10 @@
         own: view.HostView,
         fetch_hosts: host_list_reader.FetchHosts,
         find_peer: host_list_reader.FindPeer,
-        table: Table,
+        table: TableReplica,
         *,
         clients: peers_client.PeerClients | None = None,
-        listeners: membership_listeners.Listeners | None = None,
+        listeners: membership_listeners.MembershipListeners | None = None,
         clock: Callable[[], float] = time.time,
         timing: timing_lib.Timing | None = None,
     ) -> None:
@@ -84,7 +84,7 @@
                 defaults.
         """
         self.clients = clients or peers_client.PeerClients()
-        self.listeners = listeners or membership_listeners.Listeners()
+        self.listeners = listeners or membership_listeners.MembershipListeners()
         self._clock = clock
         self._table = table
         self._shuffler = shuffling.Shuffler(own.incarnation)
@@ -245,7 +245,7 @@
 
     @singledispatchmethod
     def _perform(self, effect: messages.Effect) -> None:
-        self.listeners.tell(effect, self.live_hosts())
+        self.listeners.notify(effect, self.live_hosts())
 
     @_perform.register
     def _perform_ping(self, effect: messages.Ping) -> None:
@@ -288,7 +288,7 @@
             snapshot = await self._gossip_calls.fetch_table(
                 fetch, self._table.revision
             )
-            if snapshot and self._table.offer(snapshot):
+            if snapshot and self._table.adopt_if_newer(snapshot):
                 _LOG.info("Fetched a newer table from host %s", fetch.peer)
         except errors.HoistmoorError as error:
             _LOG.warning(
--- a/src/hoistmoor/entry/membership_listeners.py
+++ b/src/hoistmoor/entry/membership_listeners.py
@@ -19,7 +19,7 @@
 
 
 @attrs.define(kw_only=True)
-class Listeners:
+class MembershipListeners:
     """Callbacks for membership changes; they must not block.
 
     Attributes:
@@ -35,7 +35,7 @@
     hosts_changed: Callable[[tuple[view.HostView, ...]], None] = _do_nothing
 
     @singledispatchmethod
-    def tell(
+    def notify(
         self, change: messages.Effect, live: tuple[view.HostView, ...]
     ) -> None:
         """Logs a change and calls the callback for it.
@@ -46,14 +46,14 @@
         """
         raise NotImplementedError(type(change).__name__)
 
-    @tell.register
+    @notify.register
     def _host_changed(
         self, change: messages.HostChanged, live: tuple[view.HostView, ...]
     ) -> None:
         _LOG.info("Host %s is now %s", change.host.name, change.host.state.name)
         self.hosts_changed(live)
 
-    @tell.register
+    @notify.register
     def _server_left(
         self, change: messages.ServerLeft, live: tuple[view.HostView, ...]
     ) -> None:
@@ -61,7 +61,7 @@
         _LOG.info("Backend server %s is leaving", change.address)
         self.server_left(change.address, change.incarnation)
 
-    @tell.register
+    @notify.register
     def _server_returned(
         self, change: messages.ServerReturned, live: tuple[view.HostView, ...]
     ) -> None:
--- a/src/hoistmoor/entry/once.py
+++ b/src/hoistmoor/entry/once.py
@@ -21,7 +21,7 @@
 
     from hoistmoor.core import identity
     from hoistmoor.core import outcomes
-    from hoistmoor.entry import log_port
+    from hoistmoor.entry import log_interface
 
 
 class AtMostOnceGuard:
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        log: log_port.Log,
+        log: log_interface.Log,
         incarnation: identity.Incarnation,
         address: str,
         secrets: Sequence[bytes],
--- a/src/hoistmoor/entry/operator_guard.py
+++ b/src/hoistmoor/entry/operator_guard.py
@@ -26,16 +26,16 @@
     """Restricts handlers to callers with a valid operator key.
 
     Attributes:
-        hashes: SHA-256 hash of each key in use; if empty, the handlers are
+        key_hashes: SHA-256 hash of each key in use; if empty, the handlers are
             open to everyone.
     """
 
     def __init__(
-        self, hashes: tuple[str, ...], metrics: metrics_lib.Metrics
+        self, key_hashes: tuple[str, ...], metrics: metrics_lib.Metrics
     ) -> None:
-        self.hashes = hashes
+        self.key_hashes = key_hashes
         self._metrics = metrics
-        if not hashes:
+        if not key_hashes:
             _LOG.warning(
                 "/status and /explain are open to all: no operator key is "
                 "set. See --operator-keys"
@@ -52,15 +52,17 @@
         if reason is None:
             return await handler(http)
         self._metrics.refusal(reason)
-        refusal = responses.bare_refusal(reason, "only operators may ask this")
+        refusal = responses.not_run_refusal(
+            reason, "only operators may ask this"
+        )
         return responses.refusal_response(refusal, "")
 
     def _auth_failure(self, authorization: str) -> refusals.Reason | None:
-        if not self.hashes:
+        if not self.key_hashes:
             return None
         scheme, _, key = authorization.partition(" ")
         if scheme.lower() != _BEARER_SCHEME or not key:
             return refusals.Reason.NO_KEY
-        if not operators.is_operator(key.strip(), self.hashes):
+        if not operators.is_operator(key.strip(), self.key_hashes):
             return refusals.Reason.WRONG_KEY
         return None
--- a/src/hoistmoor/entry/peer_batches.py
+++ b/src/hoistmoor/entry/peer_batches.py
@@ -15,7 +15,7 @@
     from collections.abc import Awaitable, Callable
 
     from hoistmoor.core import identity
-    from hoistmoor.entry import log_port
+    from hoistmoor.entry import log_interface
 
     HandOver = Callable[[held_lib.Batch], Awaitable[bool]]
 
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        log: log_port.Log,
+        log: log_interface.Log,
         is_alive: Callable[[identity.Incarnation], bool],
     ) -> None:
         self.held = held_lib.HeldBatches()
@@ -73,7 +73,7 @@
             self.held.release((batch.batch_id,))
             _LOG.info("appended batch %s of a dead host", batch.batch_id)
 
-    async def pass_on(self, hand_over: HandOver) -> None:
+    async def hand_over_all(self, hand_over: HandOver) -> None:
         """Appends or hands over all batches, for a graceful stop.
 
         This includes the batches of live owners: an owner may be stopping too
--- a/src/hoistmoor/entry/neighbours.py
+++ b/src/hoistmoor/entry/peer_directory.py
@@ -12,7 +12,7 @@
 from hoistmoor.core.membership import preference
 from hoistmoor.core.membership import view
 from hoistmoor.entry import bill_holders
-from hoistmoor.entry import share_peers
+from hoistmoor.entry import share_exchange
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -37,7 +37,7 @@
     peer_address: str
 
 
-class Neighbours:
+class PeerDirectory:
     """Other entry hosts, as billing, claims, shares and readiness see them.
 
     Attributes:
@@ -76,7 +76,9 @@
     def on_hosts(self, live: tuple[view.HostView, ...]) -> None:
         """Updates the live hosts, this one included."""
         own = self.members.own
-        self._preferred_holders = preference.preferred_peers(own, live, MAX_HOLDERS)
+        self._preferred_holders = preference.preferred_peers(
+            own, live, MAX_HOLDERS
+        )
 
     def _holder(self, host: view.HostView) -> bill_holders.Holder:
         incarnation = identity.Incarnation(host.name, host.incarnation)
@@ -88,12 +90,12 @@
             self._recent_holders.pop(next(iter(self._recent_holders)))
         return holder
 
-    def givers(self) -> Sequence[share_peers.Giver]:
+    def share_peers(self) -> Sequence[share_exchange.SharePeer]:
         """Returns a random sample of the other live hosts."""
         own = self.members.own.name
         hosts = [h for h in self.members.live_hosts() if h.name != own]
         return [
-            share_peers.Giver(
+            share_exchange.SharePeer(
                 host.name, self.members.peer(host.name), host.incarnation
             )
             for host in random.sample(hosts, min(MAX_SHARE_PEERS, len(hosts)))
@@ -113,14 +115,14 @@
         started = self.members.own.incarnation / _MILLISECONDS_PER_SECOND
         return self._clock() - started < _DISCOVERY_SECONDS
 
-    def eldest(self) -> str:
+    def longest_running_address(self) -> str:
         """Returns ``ip:port`` of the longest-running live host."""
         live = self.members.live_hosts()
         if not live:
             return ""
         return min(live, key=lambda host: host.incarnation).http_address
 
-    def addresses(self) -> dict[str, str]:
+    def http_addresses(self) -> dict[str, str]:
         """Returns the ``ip:port`` of each live host by name."""
         return {
             host.name: host.http_address for host in self.members.live_hosts()
--- a/src/hoistmoor/entry/slots.py
+++ b/src/hoistmoor/entry/pool_queues.py
@@ -31,18 +31,18 @@
     future: asyncio.Future[queue.Effect]
 
 
-class Slots:
+class PoolQueues:
     """Queues of all pools, and the tasks that wait in them.
 
     Attributes:
         pools: Pool of each service.
-        hosts: Number of live entry hosts, which share each pool.
+        host_count: Number of live entry hosts, which share each pool.
         table: The table in force.
     """
 
     def __init__(self, clock: Callable[[], float], table: model.Table) -> None:
         self.pools: dict[str, pools.Pool] = {}
-        self.hosts = 1
+        self.host_count = 1
         self.table = table
         self._clock = clock
         self._waiters: dict[int, _Waiter] = {}
@@ -56,7 +56,7 @@
     def resize(self, table: model.Table, hosts: int) -> None:
         """Applies a new table or a new number of live hosts."""
         self.table = table
-        self.hosts = hosts
+        self.host_count = hosts
         now = self._clock()
         for name, pool in self.pools.items():
             self._apply_effects(name, pool.on_table(table, name, hosts, now))
@@ -66,10 +66,10 @@
         if name not in self.pools:
             now = self._clock()
             pool = self.pools[name] = pools.Pool.create(now)
-            pool.on_table(self.table, name, self.hosts, now)
+            pool.on_table(self.table, name, self.host_count, now)
         return self.pools[name]
 
-    async def take(
+    async def acquire(
         self, name: str, entry: queue.Entry
     ) -> refusals.Refusal | None:
         """Waits until the request has a slot, or returns why it gets none."""
@@ -88,7 +88,7 @@
             return _to_refusal(effect)
         return None
 
-    def free(
+    def release(
         self,
         name: str,
         priority: model.Priority,
@@ -111,7 +111,7 @@
             return
         # It may have received its slot just before.
         if not future.cancelled() and isinstance(future.result(), queue.Start):
-            self.free(name, entry.priority, 0.0, pools.Result.FAILED)
+            self.release(name, entry.priority, 0.0, pools.Result.FAILED)
 
     def _apply_effects(
         self, name: str, effects: tuple[queue.Effect, ...]
@@ -126,7 +126,7 @@
                 cancelled_entries.append(waiter.entry)
         self._set_timer(name)
         for entry in cancelled_entries:
-            self.free(name, entry.priority, 0.0, pools.Result.FAILED)
+            self.release(name, entry.priority, 0.0, pools.Result.FAILED)
 
     def _set_timer(self, name: str) -> None:
         timer = self._timers.pop(name, None)
--- a/src/hoistmoor/entry/readiness.py
+++ b/src/hoistmoor/entry/readiness.py
@@ -25,7 +25,7 @@
     """Combines the conditions under which this host accepts new work.
 
     Attributes:
-        stopping: Whether a graceful stop is in progress.
+        is_stopping: Whether a graceful stop is in progress.
     """
 
     def __init__(
@@ -34,14 +34,14 @@
         freshness: Freshness,
         clock: Callable[[], float],
     ) -> None:
-        self.stopping = False
+        self.is_stopping = False
         self._follower = follower
         self._freshness = freshness
         self._clock = clock
 
     def check(self) -> model.ActiveTable | refusals.Refusal:
         """Returns the table for new work, or why the host accepts none."""
-        if self.stopping:
+        if self.is_stopping:
             return _refusal(refusals.Reason.STOPPING, "this host is stopping")
         return self.check_table()
 
--- a/src/hoistmoor/entry/intake.py
+++ b/src/hoistmoor/entry/request_reader.py
@@ -37,17 +37,17 @@
         headers: Validated request headers.
         in_force: The table that applies to the request.
         request_id: ID of the request.
-        now: Arrival time of the request, in seconds since the epoch.
+        arrived_at: Arrival time of the request, in seconds since the epoch.
     """
 
     account: model.Account
     headers: parsing.Headers
     in_force: model.ActiveTable
     request_id: identity.RequestId
-    now: float
+    arrived_at: float
 
 
-class Intake:
+class RequestReader:
     """Authenticates callers and parses their requests.
 
     Attributes:
@@ -66,11 +66,11 @@
         self._serial_numbers = itertools.count(1)
         self._kind_registry = kind_registry.KindRegistry()
 
-    def next_id(self) -> identity.RequestId:
+    def next_request_id(self) -> identity.RequestId:
         """Returns a new request ID."""
         return identity.RequestId(self.incarnation, next(self._serial_numbers))
 
-    def identify(
+    def authenticate(
         self, http: web.Request, request_id: identity.RequestId
     ) -> Caller:
         """Authenticates the caller of an HTTP request.
@@ -176,7 +176,7 @@
             caller.request_id,
             caller.account.account,
             parsing.fingerprint(http.method, http.path_qs, body),
-            caller.now,
+            caller.arrived_at,
             timeout,
             priority,
         )
--- a/src/hoistmoor/entry/reception.py
+++ b/src/hoistmoor/entry/request_receiver.py
@@ -16,19 +16,19 @@
 from hoistmoor.core.requests import pricing
 from hoistmoor.core.requests import request_types
 from hoistmoor.core.requests import routes
-from hoistmoor.entry import limits
+from hoistmoor.entry import admission_control
 from hoistmoor.entry import request_task
-from hoistmoor.entry import sessions as sessions_lib
+from hoistmoor.entry import session_affinity as session_affinity_lib
 
 if TYPE_CHECKING:
     from hoistmoor.core.table import model
-    from hoistmoor.entry import parts as parts_lib
+    from hoistmoor.entry import components as components_lib
 
 _MILLISECONDS_PER_SECOND = 1000.0
 
 
 @attrs.frozen
-class Running:
+class RunningRequest:
     """A request that a task is processing.
 
     Attributes:
@@ -37,36 +37,38 @@
     """
 
     task: request_task.RequestTask
-    pin: sessions_lib.SessionPin | None
+    pin: session_affinity_lib.SessionPin | None
 
 
-Reply = Running | permits.StoredAnswer | permits.ForwardTo | refusals.Refusal
+ReceiveResult = (
+    RunningRequest | permits.StoredAnswer | permits.ForwardTo | refusals.Refusal
+)
 
 
-class Reception:
+class RequestReceiver:
     """Admits requests and keeps track of their tasks.
 
     Attributes:
-        parts: The host's components.
+        components: The host's components.
         running: Request tasks in progress.
-        handling: HTTP handlers that have not finished their response.
+        handler_tasks: HTTP handlers that have not finished their response.
     """
 
-    def __init__(self, parts: parts_lib.Parts) -> None:
-        self.parts = parts
-        self.running: set[asyncio.Task[None]] = set()
-        self.handling: set[asyncio.Task[Any]] = set()
+    def __init__(self, components: components_lib.Components) -> None:
+        self.components = components
+        self.request_tasks: set[asyncio.Task[None]] = set()
+        self.handler_tasks: set[asyncio.Task[Any]] = set()
 
-    def note_handler(self) -> None:
+    def track_handler(self) -> None:
         """Registers the calling handler, so that ``drain`` waits for it."""
         handler = asyncio.current_task()
         assert handler is not None
-        self.handling.add(handler)
-        handler.add_done_callback(self.handling.discard)
+        self.handler_tasks.add(handler)
+        handler.add_done_callback(self.handler_tasks.discard)
 
     async def receive(
         self, request: request_types.Request, in_force: model.ActiveTable
-    ) -> Reply:
+    ) -> ReceiveResult:
         """Admits a request and starts its task.
 
         Args:
@@ -86,8 +88,8 @@
 
     async def drain(self) -> None:
         """Waits until every caller has received its final response."""
-        while self.running or self.handling:
-            await asyncio.wait(self.running | self.handling)
+        while self.request_tasks or self.handler_tasks:
+            await asyncio.wait(self.request_tasks | self.handler_tasks)
 
     def _new_decision(
         self, request: request_types.Request, in_force: model.ActiveTable
@@ -101,7 +103,7 @@
             arrived=envelope.arrived,
             revision=in_force.revision,
         )
-        self.parts.explanations.add(decision)
+        self.components.explanations.add(decision)
         return decision
 
     def _close_decision(
@@ -109,11 +111,11 @@
     ) -> None:
         decision.outcome = refusal.outcome
         decision.reason = refusal.reason
-        decision.record_step(self.parts.clock(), "refused", refusal.detail)
+        decision.record_step(self.components.clock(), "refused", refusal.detail)
         if decision.account:  # Unauthenticated requests must not fill the log.
-            self.parts.decision_log.add(decision)
+            self.components.decision_log.add(decision)
 
-    def note_refused(
+    def record_refusal(
         self, decision: decisions.Decision, refusal: refusals.Refusal
     ) -> None:
         """Records the decision on a request that failed validation.
@@ -122,8 +124,8 @@
             decision: What was known of the request by then.
             refusal: The refusal that the caller receives.
         """
-        decision.arrived = self.parts.clock()
-        self.parts.explanations.add(decision)
+        decision.arrived = self.components.clock()
+        self.components.explanations.add(decision)
         self._close_decision(decision, refusal)
 
     async def _admit(
@@ -131,15 +133,15 @@
         request: request_types.Request,
         in_force: model.ActiveTable,
         decision: decisions.Decision,
-    ) -> Reply:
-        if not self.parts.biller.can_secure():
+    ) -> ReceiveResult:
+        if not self.components.biller.can_secure():
             return refusals.Refusal(
                 refusals.Reason.BILL_UNSECURED,
                 outcomes.Outcome.NOT_RUN,
                 "neither the log nor a peer can take the bill now",
             )
         envelope = request.envelope
-        admitted = await self.parts.gate.admit(
+        admitted = await self.components.admission.admit(
             envelope.account,
             envelope.priority,
             envelope.deadline,
@@ -148,8 +150,8 @@
         )
         if isinstance(admitted, refusals.Refusal):
             return admitted
-        queued = self.parts.clock() - envelope.arrived
-        self.parts.metrics.timing(
+        queued = self.components.clock() - envelope.arrived
+        self.components.metrics.timing(
             "request.queued", queued * _MILLISECONDS_PER_SECOND
         )
         try:
@@ -157,7 +159,7 @@
                 request, in_force, decision, admitted
             )
         except BaseException:
-            self.parts.gate.release(admitted, 0)
+            self.components.admission.release(admitted, 0)
             raise
 
     async def _acquire_permit(
@@ -165,14 +167,14 @@
         request: request_types.Request,
         in_force: model.ActiveTable,
         decision: decisions.Decision,
-        admitted: limits.Admitted,
-    ) -> Reply:
+        admitted: admission_control.AdmittedRequest,
+    ) -> ReceiveResult:
         pin = await self._find_pin(request)
         if isinstance(pin, refusals.Refusal):
-            self.parts.gate.release(admitted, 0)
+            self.components.admission.release(admitted, 0)
             return pin
         envelope = request.envelope
-        permit = await self.parts.once.begin(
+        permit = await self.components.once.begin(
             envelope.account,
             envelope.idempotency_key,
             envelope.fingerprint,
@@ -181,7 +183,7 @@
             forwarded=envelope.forwarded,
         )
         if not isinstance(permit, permits.Permit):
-            self.parts.gate.release(admitted, 0)
+            self.components.admission.release(admitted, 0)
             return permit
         decision.pin = pin.version if pin else None
         return self._start_task(
@@ -190,11 +192,11 @@
 
     async def _find_pin(
         self, request: request_types.Request
-    ) -> sessions_lib.SessionPin | refusals.Refusal | None:
+    ) -> session_affinity_lib.SessionPin | refusals.Refusal | None:
         if not isinstance(request, request_types.ChatRequest):
             return None
         envelope = request.envelope
-        return await self.parts.sessions.pin_for(
+        return await self.components.sessions.resolve_pin(
             envelope.account,
             envelope.session,
             request.model,
@@ -206,10 +208,10 @@
         request: request_types.Request,
         in_force: model.ActiveTable,
         decision: decisions.Decision,
-        admitted: limits.Admitted,
+        admitted: admission_control.AdmittedRequest,
         permit: permits.Permit,
-        pin: sessions_lib.SessionPin | None,
-    ) -> Running:
+        pin: session_affinity_lib.SessionPin | None,
+    ) -> RunningRequest:
         in_session = bool(pin and request.envelope.session)
         route = routes.make_route(
             request,
@@ -218,14 +220,14 @@
         )
         machine = machine_lib.RequestMachine(request, decision, in_force.table)
         task = request_task.RequestTask(
-            self.parts, machine, route, permit, admitted
+            self.components, machine, route, permit, admitted
         )
         running = asyncio.create_task(
             task.run(), name=f"request {decision.request_id}"
         )
-        self.running.add(running)
-        running.add_done_callback(self.running.discard)
-        return Running(task, pin)
+        self.request_tasks.add(running)
+        running.add_done_callback(self.request_tasks.discard)
+        return RunningRequest(task, pin)
 
 
 def _requested_target(request: request_types.Request) -> str:
--- a/src/hoistmoor/entry/request_task.py
+++ b/src/hoistmoor/entry/request_task.py
@@ -21,22 +21,22 @@
 from hoistmoor.core.requests import routes
 from hoistmoor.core.requests import wire
 from hoistmoor.core.routing import messages as routing
+from hoistmoor.entry import admission_control
 from hoistmoor.entry import attempt_reporter
 from hoistmoor.entry import attempts
 from hoistmoor.entry import biller as biller_lib
 from hoistmoor.entry import channel as channel_lib
-from hoistmoor.entry import limits
 from hoistmoor.utils import logs
 
 if TYPE_CHECKING:
     from hoistmoor.core import identity
     from hoistmoor.core.requests import machine as machine_lib
-    from hoistmoor.entry import parts as parts_lib
+    from hoistmoor.entry import components as components_lib
 
 _LOG = logs.PartLogger("request")
-_ADMISSION_RESULTS: dict[str, limits.Result] = {
-    refusals.Reason.BACKEND_DECLINED: limits.Result.DECLINED,
-    refusals.Reason.NO_CAPACITY: limits.Result.DECLINED,
+_ADMISSION_RESULTS: dict[str, admission_control.Result] = {
+    refusals.Reason.BACKEND_DECLINED: admission_control.Result.DECLINED,
+    refusals.Reason.NO_CAPACITY: admission_control.Result.DECLINED,
 }
 
 
@@ -50,16 +50,16 @@
 
     def __init__(
         self,
-        parts: parts_lib.Parts,
+        components: components_lib.Components,
         machine: machine_lib.RequestMachine,
         route: routes.Route,
         permit: permits.Permit,
-        admitted: limits.Admitted,
+        admitted: admission_control.AdmittedRequest,
     ) -> None:
         """Creates the task; ``run`` executes it.
 
         Args:
-            parts: The host's components.
+            components: The host's components.
             machine: State machine of the request.
             route: Adapts the router to this request.
             permit: Permit for one run; finished by this task.
@@ -67,13 +67,15 @@
         """
         self.machine = machine
         self.channel = channel_lib.Channel()
-        self._parts = parts
+        self._components = components
         self._route = route
         self._permit = permit
         self._admitted = admitted
         self._inbox: asyncio.Queue[messages.Event] = asyncio.Queue()
         self._attempt: attempts.Attempt | None = None
-        self._reports = attempt_reporter.AttemptReporter(parts, machine.request)
+        self._reports = attempt_reporter.AttemptReporter(
+            components, machine.request
+        )
         self._forwarded: list[bytes] = []
         self._final_facts: messages.ResponseMetadata | None = None
         self._background: set[asyncio.Task[None]] = set()
@@ -82,14 +84,14 @@
         """Queues an event without waiting."""
         self._inbox.put_nowait(event)
 
-    def caller_left(self) -> None:
+    def on_caller_left(self) -> None:
         """Handles the disconnection of the caller."""
         self.post(messages.CallerDisconnected(self._exchange_state))
 
     async def run(self) -> None:
         """Runs the state machine until the request is closed."""
         loop = asyncio.get_running_loop()
-        left = self._deadline - self._parts.clock()
+        left = self._deadline - self._components.clock()
         timer = loop.call_later(left, self._on_deadline)
         try:
             self.post(messages.Started())
@@ -105,7 +107,7 @@
             event = self._with_exchange_state(await self._inbox.get())
             self._report_event(event)
             late_before = self.machine.late_frames
-            effects = self.machine.handle(event, self._parts.clock())
+            effects = self.machine.handle(event, self._components.clock())
             for effect in effects:
                 await self._perform(effect)
             self._return_credit(event, effects, late_before)
@@ -133,7 +135,7 @@
         if not isinstance(event, messages.FrameReceived):
             return
         if self.machine.late_frames > late_before:
-            self._parts.metrics.count("attempt.late_frame")
+            self._components.metrics.count("attempt.late_frame")
         if not effects:
             self.channel.release_credit()
 
@@ -178,20 +180,20 @@
     @_perform.register
     async def _(self, effect: messages.ChooseServer) -> None:
         if effect.retry_reason:
-            if not self._parts.gate.retry_allowed(self._admitted.pool):
+            if not self._components.admission.take_retry(self._admitted.pool):
                 self.post(messages.NoServerChosen(_retry_budget_refusal()))
                 return
-            self._parts.metrics.count(f"retry.{effect.retry_reason}")
+            self._components.metrics.count(f"retry.{effect.retry_reason}")
         # The process may have been suspended since the request was admitted.
-        table = self._parts.readiness.check_table()
+        table = self._components.readiness.check_table()
         if isinstance(table, refusals.Refusal):
             self.post(messages.NoServerChosen(table))
             return
         chosen = self._route.choose(
-            self._parts.router, effect.excluded, self._parts.clock()
+            self._components.router, effect.excluded, self._components.clock()
         )
         if isinstance(chosen, refusals.Refusal):
-            self._parts.poller.on_wanted(self._admitted.pool)
+            self._components.load_poller.request_polls(self._admitted.pool)
             self.post(messages.NoServerChosen(chosen))
             return
         refined = await self._probe_alternatives(chosen, effect.excluded)
@@ -201,17 +203,17 @@
         self, choice: routing.Choice, excluded: frozenset[str]
     ) -> routing.Choice:
         """Probes backend servers and chooses again if their load is unknown."""
-        router = self._parts.router
-        now = self._parts.clock()
+        router = self._components.router
+        now = self._components.clock()
         names = self._route.servers_to_probe(router, choice, excluded, now)
         if not names:
             return choice
-        await self._parts.poller.probe(names)
+        await self._components.load_poller.probe(names)
         return router.choose_probed(choice, names)
 
     @_perform.register
     async def _(self, effect: messages.Dispatch) -> None:
-        now = self._parts.clock()
+        now = self._components.clock()
         request = self.machine.request
         call = wire.make_backend_request(
             request, effect.choice, effect.attempt, now
@@ -226,7 +228,7 @@
         now: float,
     ) -> None:
         self._attempt = attempts.Attempt(
-            self._parts.http,
+            self._components.http,
             attempt_id,
             call,
             self._route.timeout(self._deadline - now),
@@ -255,18 +257,18 @@
 
     @_perform.register
     async def _(self, effect: messages.Judge) -> None:
-        table = self._parts.readiness.check_table()
+        table = self._components.readiness.check_table()
         if isinstance(table, refusals.Refusal):
             self.post(messages.ResponseAccepted(table.detail))
             return
         judged = self._route.judge(
-            self._parts.router,
+            self._components.router,
             effect.choice,
             effect.metadata,
-            self._parts.clock(),
+            self._components.clock(),
         )
         if isinstance(judged, routing.Escalate):
-            self._parts.metrics.count("cascade.escalated")
+            self._components.metrics.count("cascade.escalated")
             self._reports.submit_for_rating(
                 effect.choice, effect.metadata, self.machine.held_frames
             )
@@ -282,7 +284,7 @@
 
     async def _secure_bill(self, effect: messages.SecureBill) -> None:
         try:
-            await self._parts.biller.secure(effect.bill)
+            await self._components.biller.secure(effect.bill)
         except biller_lib.BillUnsecuredError as error:
             _LOG.warning(
                 "Bill of request %s is not stored durably yet: %s",
@@ -296,7 +298,7 @@
     @_perform.register
     async def _(self, effect: messages.Complete) -> None:
         self.channel.put(channel_lib.Completed(effect.metadata))
-        self._parts.metrics.count("request.served")
+        self._components.metrics.count("request.served")
 
     @_perform.register
     async def _(self, effect: messages.Refuse) -> None:
@@ -309,21 +311,23 @@
         await self._close(effect.outcome, effect.cost)
 
     async def _close(self, outcome: outcomes.Outcome, cost: int) -> None:
-        self._parts.gate.release(
+        self._components.admission.release(
             self._admitted, cost, self._admission_result(outcome)
         )
-        self._parts.decision_log.add(self.machine.decision)
+        self._components.decision_log.add(self.machine.decision)
         response = None
         if outcome is outcomes.Outcome.DONE and self._final_facts is not None:
             response = self._stored_answer(self._final_facts)
             self._submit_for_rating(self._final_facts)
-        await self._parts.once.finish(self._permit, outcome, response)
+        await self._components.once.finish(self._permit, outcome, response)
 
-    def _admission_result(self, outcome: outcomes.Outcome) -> limits.Result:
+    def _admission_result(
+        self, outcome: outcomes.Outcome
+    ) -> admission_control.Result:
         if outcome is outcomes.Outcome.DONE:
-            return limits.Result.DONE
+            return admission_control.Result.DONE
         return _ADMISSION_RESULTS.get(
-            self.machine.decision.reason, limits.Result.FAILED
+            self.machine.decision.reason, admission_control.Result.FAILED
         )
 
     def _stored_answer(
--- a/src/hoistmoor/entry/responses.py
+++ b/src/hoistmoor/entry/responses.py
@@ -14,9 +14,9 @@
 
 REQUEST_ID_HEADER = "X-Hoistmoor-Request-Id"
 VERSION_HEADER = "X-Hoistmoor-Version"
-WHY_HEADER = "X-Hoistmoor-Why"
+REASON_HEADER = "X-Hoistmoor-Why"
 SESSION_HEADER = "X-Hoistmoor-Session"
-MOVED_HEADER = "X-Hoistmoor-Session-Moved"
+SESSION_MOVED_HEADER = "X-Hoistmoor-Session-Moved"
 OUTCOME_HEADER = "X-Hoistmoor-Outcome"
 RETRY_AFTER_HEADER = "Retry-After"
 _JSON = "application/json"
@@ -41,7 +41,7 @@
     return str(value)
 
 
-def header_text(text: str) -> str:
+def to_header_value(text: str) -> str:
     """Returns ``text`` as a header value: printable ASCII of bounded length."""
     ascii_only = text.encode("ascii", "replace").decode()
     return "".join(c if c.isprintable() else " " for c in ascii_only)[
@@ -73,7 +73,7 @@
     headers = {
         REQUEST_ID_HEADER: request_id,
         OUTCOME_HEADER: refusal.outcome.value,
-        WHY_HEADER: refusal.reason.value,
+        REASON_HEADER: refusal.reason.value,
         RETRY_AFTER_HEADER: str(refusal.wait),
     }
     return json_response(
@@ -87,6 +87,6 @@
     return chunks.encode_event(orjson.dumps(body))
 
 
-def bare_refusal(reason: refusals.Reason, detail: str) -> refusals.Refusal:
+def not_run_refusal(reason: refusals.Reason, detail: str) -> refusals.Refusal:
     """Returns the refusal of a request that was sent to no backend server."""
     return refusals.Refusal(reason, outcomes.Outcome.NOT_RUN, detail)
--- a/src/hoistmoor/entry/sessions.py
+++ b/src/hoistmoor/entry/session_affinity.py
@@ -29,7 +29,7 @@
 _T = TypeVar("_T")
 
 
-class Verdict(enum.StrEnum):
+class PinStatus(enum.StrEnum):
     """How a request affects the version that its session is pinned to."""
 
     NEW = "new"  # First request of the session for this model.
@@ -45,13 +45,13 @@
         session: Name of the session.
         version: Key of the version; None if the router may choose one, in
             which case ``remember`` must be called with its choice.
-        verdict: How the request affects the session's version.
+        status: How the request affects the session's version.
         moved_from: Key of the previous version, if the session moved.
     """
 
     session: str
     version: str | None
-    verdict: Verdict
+    status: PinStatus
     moved_from: str | None = None
 
 
@@ -71,7 +71,7 @@
         ...
 
 
-class Sessions:
+class SessionAffinity:
     """Session pins of this host, with access to those of other hosts.
 
     Attributes:
@@ -79,7 +79,7 @@
         secrets: Signing secrets; the first one signs, all of them verify.
         store: Access to other hosts; None if there are none.
         pins: Pins stored here, for this host's own use and as a home host.
-        unreachable: Number of failed calls to home hosts.
+        failed_calls: Number of failed calls to home hosts.
     """
 
     def __init__(
@@ -97,7 +97,7 @@
         self.store = store
         self.peer_timeout = peer_timeout
         self.pins = pins.PinMap(capacity)
-        self.unreachable = 0
+        self.failed_calls = 0
         self.hosts: tuple[rendezvous.EntryHost, ...] = ()
         self.in_force = model.ActiveTable(-1, model.Table())
 
@@ -127,7 +127,7 @@
             return b""
         return codec.encode(self.pins.keep(offered))
 
-    def token_for(
+    def make_token(
         self, account: str, session: str, model_name: str, version: str
     ) -> str:
         """Returns the signed session token to send in the response header."""
@@ -136,7 +136,7 @@
         )
         return tokens.sign(token, self.secrets)
 
-    async def pin_for(
+    async def resolve_pin(
         self,
         account: str,
         header_value: str | None,
@@ -152,7 +152,7 @@
             new_session: Session name to use if the caller sent none.
         """
         if not header_value:
-            return SessionPin(new_session, None, Verdict.NEW)
+            return SessionPin(new_session, None, PinStatus.NEW)
         if not tokens.is_token(header_value):
             return await self._resolve_id(account, header_value, model_name)
         try:
@@ -161,7 +161,7 @@
             return _bad_header_refusal(str(error))
         return await self._resolve_token(token, model_name)
 
-    async def remember(
+    async def pin_version(
         self, account: str, session: str, model_name: str, version: str
     ) -> str:
         """Pins a session to the version that the router chose.
@@ -184,7 +184,7 @@
         if token.model != model_name:
             return await self._resolve_key(key, None)
         if rendezvous.is_usable(table, token.account, token.version):
-            return SessionPin(token.session, token.version, Verdict.KEEP)
+            return SessionPin(token.session, token.version, PinStatus.KEEP)
         return await self._resolve_key(key, token.version)
 
     async def _resolve_id(
@@ -205,12 +205,12 @@
         if known is None or not known.settled or not self._is_usable(known):
             known = await self._find_at_homes(key)
         if known and self._is_usable(known):
-            return _as_session_pin(known, left_version, Verdict.KEEP)
+            return _as_session_pin(known, left_version, PinStatus.KEEP)
         left_version = left_version or (known.version if known else None)
         version = rendezvous.choose_version(
             self.in_force.table, key.account, key.session, key.model
         )
-        verdict = Verdict.MOVED if left_version else Verdict.NEW
+        verdict = PinStatus.MOVED if left_version else PinStatus.NEW
         if version is None:
             return SessionPin(key.session, None, verdict, left_version)
         moves = (known.moves if known else 0) + (1 if left_version else 0)
@@ -241,7 +241,9 @@
             key, lambda host: self._keep_at_host(host, offered)
         )
         usable = [pin for pin in stored.values() if self._is_usable(pin)]
-        return await self._write_back(pins.preferred_pin(usable) or offered, stored)
+        return await self._write_back(
+            pins.preferred_pin(usable) or offered, stored
+        )
 
     async def _write_back(
         self, winner: pins.Pin, stored: dict[str, pins.Pin]
@@ -289,7 +291,7 @@
         try:
             return await asyncio.wait_for(call, self.peer_timeout)
         except (errors.HoistmoorError, TimeoutError, OSError) as error:
-            self.unreachable += 1
+            self.failed_calls += 1
             logging.debug("sessions: Call to a home host failed: %r.", error)
             return None
 
@@ -303,13 +305,13 @@
 
 
 def _as_session_pin(
-    pin: pins.Pin, left_version: str | None, verdict: Verdict
+    pin: pins.Pin, left_version: str | None, verdict: PinStatus
 ) -> SessionPin:
     moved = left_version is not None and left_version != pin.version
     return SessionPin(
         pin.session,
         pin.version,
-        Verdict.MOVED if moved else verdict,
+        PinStatus.MOVED if moved else verdict,
         left_version if moved else None,
     )
 
--- a/src/hoistmoor/entry/share_peers.py
+++ b/src/hoistmoor/entry/share_exchange.py
@@ -20,19 +20,22 @@
     from collections.abc import Callable, Sequence
 
 PEER_TIMEOUT_SECONDS = 0.25
-MOST_ASKED = 3  # Per attempt to reserve a cost.
+MAX_PEERS_ASKED = 3  # Per attempt to reserve a cost.
 MAX_HANDOFF_PEERS = 3  # They get equal parts of the shares of a stopping host.
 # Pause after peers provided too little; it doubles with each failure.
-QUIET_SECONDS = 2.0
-MOST_QUIET_SECONDS = 30.0
+BACKOFF_SECONDS = 2.0
+MAX_BACKOFF_SECONDS = 30.0
 
 # Results that neither the log nor a peer can change.
-DECIDED = (ledger_lib.ReserveResult.RESERVED, ledger_lib.ReserveResult.EXHAUSTED)
+FINAL_RESULTS = (
+    ledger_lib.ReserveResult.RESERVED,
+    ledger_lib.ReserveResult.EXHAUSTED,
+)
 
 _LOG = logs.PartLogger("limits")
 
 
-class Peer(Protocol):
+class ShareClient(Protocol):
     """Client for calls to another entry host."""
 
     async def shares(self, message: bytes) -> bytes:
@@ -40,7 +43,7 @@
 
 
 @attrs.frozen
-class Giver:
+class SharePeer:
     """A live host to exchange shares with.
 
     Attributes:
@@ -50,21 +53,21 @@
     """
 
     name: str
-    peer: Peer
+    peer: ShareClient
     incarnation: int = 0
 
 
-class Neighbours(Protocol):
+class ShareDirectory(Protocol):
     """Directory of the other hosts."""
 
-    def givers(self) -> Sequence[Giver]:
+    def share_peers(self) -> Sequence[SharePeer]:
         """Returns other live hosts in random order."""
 
 
-class NoNeighbours:
+class EmptyShareDirectory:
     """Directory of a host without peers."""
 
-    def givers(self) -> Sequence[Giver]:
+    def share_peers(self) -> Sequence[SharePeer]:
         """Returns no hosts."""
         return ()
 
@@ -86,22 +89,22 @@
     waiting_cost: int = 0
 
 
-class SharePeers:
+class ShareExchange:
     """Requests shares from peers and serves their requests.
 
     Attributes:
-        book: Spend shares of this host.
-        neighbours: Directory of the other hosts.
+        ledger: Spend shares of this host.
+        directory: Directory of the other hosts.
     """
 
     def __init__(
         self,
-        book: ledger_lib.ShareLedger,
-        neighbours: Neighbours,
+        ledger: ledger_lib.ShareLedger,
+        directory: ShareDirectory,
         clock: Callable[[], float],
     ) -> None:
-        self.book = book
-        self.neighbours = neighbours
+        self.ledger = ledger
+        self.directory = directory
         self._clock = clock
         self._request_states: dict[tuple[str, bool], _RequestState] = {}
 
@@ -126,7 +129,7 @@
         finally:
             state.waiting_cost -= cost
 
-    async def answer(self, message: bytes) -> bytes:
+    async def handle_message(self, message: bytes) -> bytes:
         """Handles a peer's message and returns the encoded reply.
 
         Raises:
@@ -134,18 +137,18 @@
         """
         return codec.encode(self._handle(codec.decode(message)))
 
-    async def leave_shares(self) -> None:
+    async def hand_off_shares(self) -> None:
         """Hands the shares of this host over to other hosts permanently.
 
         No part is sent twice: if its receipt is lost, the recipient may have
         counted it already.
         """
-        recipients = self.neighbours.givers()[:MAX_HANDOFF_PEERS]
+        recipients = self.directory.share_peers()[:MAX_HANDOFF_PEERS]
         today = records.day_of(self._clock())
         sent = [
             self._hand_off(
                 recipient,
-                self.book.handoffs.prepare(
+                self.ledger.handoffs.prepare(
                     recipient.incarnation, today, len(recipients) - number
                 ),
             )
@@ -153,7 +156,9 @@
         ]
         await asyncio.gather(*sent)
 
-    async def _hand_off(self, recipient: Giver, handoff: handoffs.Handoff) -> None:
+    async def _hand_off(
+        self, recipient: SharePeer, handoff: handoffs.Handoff
+    ) -> None:
         if not handoff.items:
             return
         try:
@@ -178,11 +183,11 @@
 
     @_handle.register
     def _handle_request(self, request: transfers.TransferRequest) -> object:
-        return self.book.grant_transfer(request, self._clock())
+        return self.ledger.grant_transfer(request, self._clock())
 
     @_handle.register
     def _handle_handoff(self, handoff: handoffs.Handoff) -> object:
-        return self.book.handoffs.receive(handoff)
+        return self.ledger.handoffs.receive(handoff)
 
     async def _reserve(
         self,
@@ -193,15 +198,15 @@
         urgent: bool,
     ) -> ledger_lib.ReserveResult:
         verdict = self._reserve_locally(account, cost, day, urgent)
-        if verdict in DECIDED or self._clock() < state.retry_at:
+        if verdict in FINAL_RESULTS or self._clock() < state.retry_at:
             return verdict
-        for giver in self.neighbours.givers()[:MOST_ASKED]:
-            request = self.book.request_transfer(
+        for giver in self.directory.share_peers()[:MAX_PEERS_ASKED]:
+            request = self.ledger.request_transfer(
                 giver.name, account, state.waiting_cost, day, urgent
             )
             await self._request_from(giver, request)
             verdict = self._reserve_locally(account, cost, day, urgent)
-            if verdict in DECIDED:
+            if verdict in FINAL_RESULTS:
                 break
         self._update_backoff(state, verdict)
         return verdict
@@ -209,10 +214,10 @@
     def _reserve_locally(
         self, account: str, cost: int, day: int, urgent: bool
     ) -> ledger_lib.ReserveResult:
-        return self.book.reserve(account, cost, day, self._clock(), urgent)
+        return self.ledger.reserve(account, cost, day, self._clock(), urgent)
 
     async def _request_from(
-        self, giver: Giver, request: transfers.TransferRequest
+        self, giver: SharePeer, request: transfers.TransferRequest
     ) -> None:
         """Requests a share from one peer; without a reply it stays pending."""
         try:
@@ -225,7 +230,7 @@
             _LOG.info("Host %s provided no share: %s", giver.name, error)
             return
         if isinstance(reply, transfers.TransferAnswer):
-            self.book.transfers.accept(reply)
+            self.ledger.transfers.accept(reply)
 
     def _update_backoff(
         self, state: _RequestState, verdict: ledger_lib.ReserveResult
@@ -233,6 +238,6 @@
         if verdict is ledger_lib.ReserveResult.RESERVED:
             state.failures = 0
             return
-        pause = QUIET_SECONDS * 2.0 ** min(state.failures, 10)
+        pause = BACKOFF_SECONDS * 2.0 ** min(state.failures, 10)
         state.failures += 1
-        state.retry_at = self._clock() + min(pause, MOST_QUIET_SECONDS)
+        state.retry_at = self._clock() + min(pause, MAX_BACKOFF_SECONDS)
--- a/src/hoistmoor/entry/share_keeper.py
+++ b/src/hoistmoor/entry/share_sync.py
@@ -10,7 +10,7 @@
 from hoistmoor.core import errors
 from hoistmoor.core.limits import ledger as ledger_lib
 from hoistmoor.core.limits import records
-from hoistmoor.entry import share_peers
+from hoistmoor.entry import share_exchange
 from hoistmoor.utils import logs
 
 if TYPE_CHECKING:
@@ -20,7 +20,7 @@
     from hoistmoor.core import identity
     from hoistmoor.core.limits import rates
     from hoistmoor.core.table import model
-    from hoistmoor.entry import log_port
+    from hoistmoor.entry import log_interface
 
 PLAN_INTERVAL_SECONDS = 1.0  # While no request waits for a share.
 _WAITING_PLAN_INTERVAL_SECONDS = 0.02  # While a request waits for a share.
@@ -31,28 +31,30 @@
 _LOG = logs.PartLogger("limits")
 
 
-class ShareKeeper:
+class ShareSync:
     """Synchronizes the spend shares of one process with the log.
 
     Attributes:
-        book: Spend shares and the decisions on them, without I/O.
+        ledger: Spend shares and the decisions on them, without I/O.
         shares: This host's fraction of each account's rate limit.
-        peers: Exchange of shares with other hosts.
+        exchange: Exchange of shares with other hosts.
         bad_records: Number of records that could not be decoded.
     """
 
     def __init__(
         self,
-        log: log_port.Log,
+        log: log_interface.Log,
         incarnation: identity.Incarnation,
         shares: rates.RateShares,
         clock: Callable[[], float] = time.time,
-        neighbours: share_peers.Neighbours | None = None,
+        share_directory: share_exchange.ShareDirectory | None = None,
     ) -> None:
-        self.book = ledger_lib.ShareLedger(incarnation)
+        self.ledger = ledger_lib.ShareLedger(incarnation)
         self.shares = shares
-        self.peers = share_peers.SharePeers(
-            self.book, neighbours or share_peers.NoNeighbours(), clock
+        self.exchange = share_exchange.ShareExchange(
+            self.ledger,
+            share_directory or share_exchange.EmptyShareDirectory(),
+            clock,
         )
         self.bad_records = 0
         self._log = log
@@ -67,11 +69,11 @@
     @property
     def log_is_up(self) -> bool:
         """Whether the last call to the log succeeded."""
-        return self.book.log_is_up
+        return self.ledger.log_is_up
 
     def on_table(self, in_force: model.ActiveTable) -> None:
         """Applies a new table and requests the first shares at once."""
-        self.book.in_force = in_force
+        self.ledger.in_force = in_force
         self._writer_wakeup.set()
 
     def start(self) -> None:
@@ -93,10 +95,10 @@
         No share is requested afterwards.
         """
         self._draining = True
-        for request in self.book.release_all(self._clock()):
+        for request in self.ledger.release_all(self._clock()):
             await self._append(request)
         if not self.log_is_up:
-            await self.peers.leave_shares()
+            await self.exchange.hand_off_shares()
 
     async def reserve(
         self,
@@ -122,17 +124,17 @@
             The result; WAIT if no share was obtained in time.
         """
         now = self._clock()
-        verdict = self.book.reserve(account, cost, day, now, urgent)
+        verdict = self.ledger.reserve(account, cost, day, now, urgent)
         if self._may_change(verdict):
             log_deadline = min(deadline, now + LOG_TIMEOUT_SECONDS)
             verdict = await self._reserve_from_log(
                 account, cost, day, log_deadline, urgent
             )
-        if verdict in share_peers.DECIDED or self._draining:
+        if verdict in share_exchange.FINAL_RESULTS or self._draining:
             return verdict
         try:
             async with asyncio.timeout(deadline - self._clock()):
-                return await self.peers.reserve(account, cost, day, urgent)
+                return await self.exchange.reserve(account, cost, day, urgent)
         except TimeoutError:
             return verdict
 
@@ -157,7 +159,7 @@
         async with self._changed:
             while True:
                 now = self._clock()
-                verdict = self.book.reserve(account, cost, day, now, urgent)
+                verdict = self.ledger.reserve(account, cost, day, now, urgent)
                 if not self._may_change(verdict):
                     return verdict
                 await self._changed.wait()
@@ -193,22 +195,22 @@
         waiting_costs = {
             name: cost for name, cost in self._waiting_costs.items() if cost
         }
-        for request in self.book.plan(now, waiting_costs):
+        for request in self.ledger.plan(now, waiting_costs):
             await self._append(request)
-        accounts = self.book.in_force.table.accounts
+        accounts = self.ledger.in_force.table.accounts
         limits = {row.account: row.rate_limit for row in accounts.values()}
         report = self.shares.report_due(limits, now)
         if report and not await self._append(report):
             self.shares.on_append_failed()
-        if self.log_is_up and self.book.is_snapshot_due(now):
-            await self._append(self.book.fold.snapshot())
+        if self.log_is_up and self.ledger.is_snapshot_due(now):
+            await self._append(self.ledger.fold.snapshot())
 
     async def _append(self, record: object) -> bool:
         try:
             await self._log.append(records.STREAM, codec.encode(record))
         except errors.LogUnavailableError:
             if isinstance(record, records.ShareRequest):
-                self.book.revert(record)
+                self.ledger.revert(record)
             await self._set_log_state(log_is_up=False)
             return False
         except errors.PlatformError as error:
@@ -235,7 +237,9 @@
         if not self._is_reading:
             await self._start_reading()
         page = await self._log.read(
-            records.STREAM, self.book.fold.next_offset, wait=_LONG_POLL_SECONDS
+            records.STREAM,
+            self.ledger.fold.next_offset,
+            wait=_LONG_POLL_SECONDS,
         )
         now = self._clock()
         changed = [self._apply(item, now) for item in page.records]
@@ -245,7 +249,7 @@
     async def _start_reading(self) -> None:
         """Starts reading at the oldest available record."""
         bounds = await self._log.bounds(records.STREAM)
-        self.book.fold.restart(bounds.first)
+        self.ledger.fold.restart(bounds.first)
         self._is_reading = True
         self._writer_wakeup.set()
         if bounds.first == bounds.next and bounds.first > 0:
@@ -262,16 +266,16 @@
             _LOG.warning("Skipped record %d: %s", item.offset, error)
         if isinstance(record, records.DemandReport):
             self.shares.on_report(record, now)
-        return self.book.apply(item.offset, item.at, record, now)
+        return self.ledger.apply(item.offset, item.at, record, now)
 
     async def _set_log_state(self, log_is_up: bool) -> None:
         """Sets whether the log is up and wakes up the waiting requests."""
         if log_is_up != self.log_is_up:
             _LOG.info("The log is %s", "up" if log_is_up else "down")
-        self.book.log_is_up = log_is_up
+        self.ledger.log_is_up = log_is_up
         async with self._changed:
             self._changed.notify_all()
 
     def _empty_demand_report(self) -> records.DemandReport:
-        owner = self.book.incarnation
+        owner = self.ledger.incarnation
         return records.DemandReport(owner.host, owner.number, ())
--- a/src/hoistmoor/entry/watched_tasks.py
+++ b/src/hoistmoor/entry/supervised_tasks.py
@@ -9,7 +9,7 @@
     from collections.abc import Coroutine
 
 
-class WatchedTasks:
+class SupervisedTasks:
     """Background tasks that run until stopped; an exception is a failure."""
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def watch(self) -> None:
+    async def wait_for_failure(self) -> None:
         """Waits until a task fails and raises its exception."""
         await self._failed.wait()
         if self._error is not None:
--- a/src/hoistmoor/entry/table_follower.py
+++ b/src/hoistmoor/entry/table_follower.py
@@ -68,7 +68,9 @@
         self._on_table = on_table
         self._on_verdict = on_verdict
         self._clock = clock
-        self._pacing = attrs.evolve(polling.TABLE, long_poll_timeout=poll_seconds)
+        self._pacing = attrs.evolve(
+            polling.TABLE, long_poll_timeout=poll_seconds
+        )
         self._reader = stream_reader.StreamReader(
             client, streams.TABLE, self, self._pacing, decode=bytes
         )
@@ -103,7 +105,7 @@
         """
         await self._reader.step(self._pacing.long_poll_timeout)
 
-    async def wait_for(self, revision: int) -> model.ActiveTable:
+    async def wait_for_revision(self, revision: int) -> model.ActiveTable:
         """Waits for ``revision`` or a newer one and returns the table."""
         while self.in_force is None or self.in_force.revision < revision:
             self._changed.clear()
@@ -116,7 +118,7 @@
             return None
         return snapshots.encode_snapshot(self.replay.fold)
 
-    def offer(self, payload: bytes) -> bool:
+    def adopt_if_newer(self, payload: bytes) -> bool:
         """Merges a peer's ``snapshot()`` if it is newer than this host's table.
 
         Returns:
--- a/src/hoistmoor/entry/table_listeners.py
+++ b/src/hoistmoor/entry/table_listeners.py
@@ -21,7 +21,7 @@
         """Adds a callback for subsequent tables."""
         self._listeners.append(listener)
 
-    def tell(self, in_force: model.ActiveTable) -> None:
+    def notify(self, in_force: model.ActiveTable) -> None:
         """Calls all callbacks with a new table."""
         for listener in self._listeners:
             listener(in_force)
--- a/tests/entry/limits/conftest.py
+++ b/tests/entry/limits/conftest.py
@@ -11,7 +11,7 @@
 
 from hoistmoor.core import identity
 from hoistmoor.core.limits import records
-from hoistmoor.entry import limits
+from hoistmoor.entry import admission_control
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -27,8 +27,8 @@
 @pytest.fixture
 async def idle_controller(
     log: limits_log.FakeLog,
-) -> AsyncIterator[limits.Gate]:
-    controller = limits.Gate(
+) -> AsyncIterator[admission_control.AdmissionController]:
+    controller = admission_control.AdmissionController(
         log, identity.Incarnation("h1", 1), limits_rows.clock
     )
     controller.on_table(limits_rows.table_of())
@@ -38,8 +38,9 @@
 
 @pytest.fixture
 async def controller(
-    idle_controller: limits.Gate, monkeypatch: pytest.MonkeyPatch
-) -> limits.Gate:
+    idle_controller: admission_control.AdmissionController,
+    monkeypatch: pytest.MonkeyPatch,
+) -> admission_control.AdmissionController:
     """Returns a started controller that holds its minimum share."""
     idle_controller.start()
     await _wait_for_share(idle_controller, 1)
@@ -52,8 +53,10 @@
     return idle_controller
 
 
-async def _wait_for_share(controller: limits.Gate, amount: int) -> None:
+async def _wait_for_share(
+    controller: admission_control.AdmissionController, amount: int
+) -> None:
     day = records.day_of(limits_rows.clock())
-    wallet = controller.keeper.book.local_shares
+    wallet = controller.share_sync.ledger.local_shares
     while wallet.share(limits_rows.ACCOUNT, day).granted < amount:
         await asyncio.sleep(0)
--- a/tests/entry/limits/test_entry_limits.py
+++ b/tests/entry/limits/test_entry_limits.py
@@ -20,7 +20,7 @@
 from hoistmoor.core.limits import records
 from hoistmoor.core.sessions import rendezvous
 from hoistmoor.core.table import model
-from hoistmoor.entry import limits
+from hoistmoor.entry import admission_control
 from hoistmoor.entry import limits_status
 from hoistmoor.entry import responses
 
@@ -33,11 +33,11 @@
 
 
 async def admit(
-    controller: limits.Gate,
+    controller: admission_control.AdmissionController,
     cost: int = 0,
     priority: model.Priority = NORMAL,
     timeout: float = 30.0,
-) -> limits.Admitted | refusals.Refusal:
+) -> admission_control.AdmittedRequest | refusals.Refusal:
     deadline = limits_rows.clock() + timeout
     return await controller.admit(
         limits_rows.ACCOUNT, priority, deadline, cost, "llm"
@@ -54,7 +54,8 @@
 
 
 async def test_cost_is_reserved_once_its_share_is_read_back(
-    idle_controller: limits.Gate, log: limits_log.FakeLog
+    idle_controller: admission_control.AdmissionController,
+    log: limits_log.FakeLog,
 ) -> None:
     log.hold.clear()
     idle_controller.start()
@@ -66,17 +67,18 @@
     admitted = await waiting
     idle_controller.release(admitted, 200)
     idle_controller.release(admitted, 200)
-    share = idle_controller.keeper.book.local_shares.share(
+    share = idle_controller.share_sync.ledger.local_shares.share(
         limits_rows.ACCOUNT, admitted.day
     )
     assertions.assert_that(
-        (share.spent, share.reserved, idle_controller.present),
+        (share.spent, share.reserved, idle_controller.request_count),
         matchers.Equals((200, 0, 0)),
     )
 
 
 async def test_share_counts_although_the_reply_to_its_append_is_lost(
-    idle_controller: limits.Gate, log: limits_log.FakeLog
+    idle_controller: admission_control.AdmissionController,
+    log: limits_log.FakeLog,
 ) -> None:
     log.lose_replies = 1
     log.hold.clear()
@@ -84,31 +86,37 @@
     assert_refused(await admit(idle_controller, cost=500), REASON.SPEND_LIMITED)
     assertions.assert_that(log.lose_replies, matchers.Equals(0))
     log.hold.set()
-    while not idle_controller.keeper.log_is_up:
+    while not idle_controller.share_sync.log_is_up:
         await asyncio.sleep(0)
     found = await admit(idle_controller, cost=500)
-    assertions.assert_that(found, matchers.IsInstance(limits.Admitted))
+    assertions.assert_that(
+        found, matchers.IsInstance(admission_control.AdmittedRequest)
+    )
     assertions.assert_that(log.records, matchers.HasLength(1))
 
 
 async def test_outage_refuses_only_costs_beyond_the_held_share(
-    controller: limits.Gate, log: limits_log.FakeLog
+    controller: admission_control.AdmissionController, log: limits_log.FakeLog
 ) -> None:
     controller.release(await admit(controller, cost=500), 500)
     log.set_down(True)
-    while controller.keeper.log_is_up:
+    while controller.share_sync.log_is_up:
         await asyncio.sleep(0)
     held = await admit(controller, cost=50_000)
-    assertions.assert_that(held, matchers.IsInstance(limits.Admitted))
+    assertions.assert_that(
+        held, matchers.IsInstance(admission_control.AdmittedRequest)
+    )
     assert_refused(await admit(controller, cost=900_000), REASON.SPEND_LIMITED)
 
 
-async def spend_until_refused(controllers: list[limits.Gate], cost: int) -> int:
+async def spend_until_refused(
+    controllers: list[admission_control.AdmissionController], cost: int
+) -> int:
     spent = 0
     for _ in range(40):
         for controller in controllers:
             found = await admit(controller, cost)
-            if isinstance(found, limits.Admitted):
+            if isinstance(found, admission_control.AdmittedRequest):
                 controller.release(found, cost)
                 spent += cost
     return spent
@@ -119,7 +127,9 @@
 ) -> None:
     hosts = [rendezvous.HomeHost("h1", "d1"), rendezvous.HomeHost("h2", "d2")]
     controllers = [
-        limits.Gate(log, identity.Incarnation(host.name, 1), limits_rows.clock)
+        admission_control.AdmissionController(
+            log, identity.Incarnation(host.name, 1), limits_rows.clock
+        )
         for host in hosts
     ]
     for controller in controllers:
@@ -134,7 +144,7 @@
 
 
 async def test_lowered_limit_applies_to_shares_already_held(
-    controller: limits.Gate,
+    controller: admission_control.AdmissionController,
 ) -> None:
     controller.release(await admit(controller, cost=100), 100)
     cut = limits_rows.table_of(spend_limit=1_000)
@@ -144,13 +154,13 @@
 
 
 async def test_graceful_stop_returns_shares(
-    controller: limits.Gate, log: limits_log.FakeLog
+    controller: admission_control.AdmissionController, log: limits_log.FakeLog
 ) -> None:
     admitted = await admit(controller, cost=500)
     controller.release(admitted, 500)
     await controller.drain()
     assert_refused(await admit(controller, cost=500), REASON.SPEND_LIMITED)
-    fold = controller.keeper.book.fold
+    fold = controller.share_sync.ledger.fold
     while fold.next_offset < len(log.records):
         await asyncio.sleep(0)
     known = fold.sum_for(limits_rows.ACCOUNT, admitted.day)
@@ -158,16 +168,18 @@
 
 
 async def test_spend_limit_of_zero_refuses_any_cost(
-    controller: limits.Gate,
+    controller: admission_control.AdmissionController,
 ) -> None:
     controller.on_table(limits_rows.table_of(spend_limit=0))
     assert_refused(await admit(controller, cost=1), REASON.SPEND_LIMITED)
     free = await admit(controller, cost=0)
-    assertions.assert_that(free, matchers.IsInstance(limits.Admitted))
+    assertions.assert_that(
+        free, matchers.IsInstance(admission_control.AdmittedRequest)
+    )
 
 
 async def test_rate_and_concurrency_refusals_include_a_wait(
-    controller: limits.Gate,
+    controller: admission_control.AdmissionController,
 ) -> None:
     controller.on_table(limits_rows.table_of(rate_limit=2.0, concurrency=1))
     first = await admit(controller)
@@ -178,7 +190,7 @@
 
 
 async def test_urgent_request_starts_before_waiting_ones(
-    controller: limits.Gate,
+    controller: admission_control.AdmissionController,
 ) -> None:
     first = await admit(controller, priority=URGENT)
     second = await admit(controller, priority=URGENT)
@@ -203,24 +215,24 @@
 
 
 async def test_waiting_request_is_refused_at_its_deadline(
-    controller: limits.Gate,
+    controller: admission_control.AdmissionController,
 ) -> None:
     for _ in range(2):
         await admit(controller, priority=URGENT)
     assert_refused(
         await admit(controller, timeout=0.05), REASON.DEADLINE_EXCEEDED
     )
-    assertions.assert_that(controller.present, matchers.Equals(2))
+    assertions.assert_that(controller.request_count, matchers.Equals(2))
 
 
 async def test_cancelled_request_releases_everything(
-    controller: limits.Gate,
+    controller: admission_control.AdmissionController,
 ) -> None:
     held = [await admit(controller, priority=URGENT) for _ in range(2)]
     cancelled = [
         asyncio.create_task(admit(controller, cost=100)) for _ in range(2)
     ]
-    pool = controller.slots.pool("llm")
+    pool = controller.pool_queues.pool("llm")
     while len(pool.admission.waiting) < 2:
         await asyncio.sleep(0)
     cancelled[0].cancel()
@@ -231,16 +243,18 @@
     await asyncio.gather(*cancelled, return_exceptions=True)
     use = controller.accounts.usage[limits_rows.ACCOUNT]
     assertions.assert_that(
-        (controller.present, pool.admission.in_use, use.in_flight),
+        (controller.request_count, pool.admission.in_use, use.in_flight),
         matchers.Equals((0, 0, 0)),
     )
     day = held[0].day
-    share = controller.keeper.book.local_shares.share(limits_rows.ACCOUNT, day)
+    share = controller.share_sync.ledger.local_shares.share(
+        limits_rows.ACCOUNT, day
+    )
     assertions.assert_that(share.reserved, matchers.Equals(0))
 
 
 async def test_status_shows_reserved_and_spent_amounts(
-    controller: limits.Gate,
+    controller: admission_control.AdmissionController,
 ) -> None:
     admitted = await admit(controller, cost=500)
     held = limits_status.status_of(controller, limits_rows.clock())
@@ -257,7 +271,8 @@
 
 
 async def test_no_spend_while_the_records_of_the_day_are_incomplete(
-    idle_controller: limits.Gate, log: limits_log.FakeLog
+    idle_controller: admission_control.AdmissionController,
+    log: limits_log.FakeLog,
 ) -> None:
     expired = log_client.LogRecord(0, limits_rows.clock(), b"gone")
     log.records.append(expired)
@@ -265,14 +280,16 @@
     idle_controller.start()
     assert_refused(await admit(idle_controller, cost=1), REASON.SPEND_LIMITED)
     free = await admit(idle_controller, cost=0)
-    assertions.assert_that(free, matchers.IsInstance(limits.Admitted))
+    assertions.assert_that(
+        free, matchers.IsInstance(admission_control.AdmittedRequest)
+    )
     # One record dates the stream; no share is requested.
     kinds = [codec.decode(item.payload) for item in log.records[1:]]
     assertions.assert_that(
         kinds,
         matchers.MatchesListwise([matchers.IsInstance(records.DemandReport)]),
     )
-    fold = idle_controller.keeper.book.fold
+    fold = idle_controller.share_sync.ledger.fold
     while fold.complete_from is None:
         await asyncio.sleep(0)
     tomorrow = records.day_of(limits_rows.clock()) + 2
@@ -280,11 +297,11 @@
 
 
 async def test_host_paused_past_retention_spends_only_its_held_share(
-    controller: limits.Gate, log: limits_log.FakeLog
+    controller: admission_control.AdmissionController, log: limits_log.FakeLog
 ) -> None:
     controller.release(await admit(controller, cost=500), 500)
-    keeper = controller.keeper
-    while keeper.book.fold.next_offset < len(log.records):
+    keeper = controller.share_sync
+    while keeper.ledger.fold.next_offset < len(log.records):
         await asyncio.sleep(0)
     await keeper.stop()
     expired = log_client.LogRecord(
@@ -293,15 +310,17 @@
     log.records.append(expired)
     log.first = len(log.records)
     keeper.start()
-    while keeper.book.fold.next_offset < log.first:
+    while keeper.ledger.fold.next_offset < log.first:
         await asyncio.sleep(0)
     held = await admit(controller, cost=1_000)
-    assertions.assert_that(held, matchers.IsInstance(limits.Admitted))
+    assertions.assert_that(
+        held, matchers.IsInstance(admission_control.AdmittedRequest)
+    )
     assert_refused(await admit(controller, cost=900_000), REASON.SPEND_LIMITED)
 
 
 async def test_console_sums_the_limits_of_all_hosts(
-    controller: limits.Gate,
+    controller: admission_control.AdmissionController,
 ) -> None:
     controller.release(await admit(controller, cost=300), 200)
     await admit(controller, cost=500)
--- a/tests/entry/limits/test_entry_share_peers.py
+++ b/tests/entry/limits/test_entry_share_peers.py
@@ -19,8 +19,8 @@
 from hoistmoor.core.limits import local_shares
 from hoistmoor.core.limits import records
 from hoistmoor.core.table import model
-from hoistmoor.entry import limits
-from hoistmoor.entry import share_peers
+from hoistmoor.entry import admission_control
+from hoistmoor.entry import share_exchange
 from hoistmoor.peers import errors as peer_errors
 
 if TYPE_CHECKING:
@@ -34,7 +34,7 @@
 class FakePeer:
     """Passes messages to a controller and loses some of the replies."""
 
-    controller: limits.Gate
+    controller: admission_control.AdmissionController
     lost_replies: int = 0
     calls: int = 0
 
@@ -42,15 +42,15 @@
         """Returns the reply of the controller, unless it is to be lost."""
         self.calls += 1
         await asyncio.sleep(0)
-        reply = await self.controller.answer_peer(message)
+        reply = await self.controller.handle_share_message(message)
         if self.lost_replies:
             self.lost_replies -= 1
             raise peer_errors.PeerTimeoutError("no reply", "Try another.")
         return reply
 
-    def givers(self) -> Sequence[share_peers.Giver]:
+    def share_peers(self) -> Sequence[share_exchange.SharePeer]:
         """Returns this peer."""
-        return (share_peers.Giver("h1", self),)
+        return (share_exchange.SharePeer("h1", self),)
 
 
 @attrs.frozen
@@ -60,22 +60,24 @@
     peer: FakePeer
     incarnation: int
 
-    def givers(self) -> Sequence[share_peers.Giver]:
+    def share_peers(self) -> Sequence[share_exchange.SharePeer]:
         """Returns the peer."""
-        return (share_peers.Giver("h2", self.peer, self.incarnation),)
+        return (share_exchange.SharePeer("h2", self.peer, self.incarnation),)
 
 
 @pytest.fixture
-def peer(controller: limits.Gate) -> FakePeer:
+def peer(controller: admission_control.AdmissionController) -> FakePeer:
     return FakePeer(controller)
 
 
 @pytest.fixture
-async def late_controller(peer: FakePeer) -> AsyncIterator[limits.Gate]:
+async def late_controller(
+    peer: FakePeer,
+) -> AsyncIterator[admission_control.AdmissionController]:
     """Returns a controller that is started while the log is down."""
     log = limits_log.FakeLog(limits_rows.clock)
     log.set_down(True)
-    controller = limits.Gate(
+    controller = admission_control.AdmissionController(
         log, identity.Incarnation("h2", 1), limits_rows.clock, peer
     )
     controller.on_table(limits_rows.table_of())
@@ -85,17 +87,23 @@
 
 
 async def admit(
-    controller: limits.Gate, cost: int, priority: model.Priority = URGENT
-) -> limits.Admitted | refusals.Refusal:
+    controller: admission_control.AdmissionController,
+    cost: int,
+    priority: model.Priority = URGENT,
+) -> admission_control.AdmittedRequest | refusals.Refusal:
     deadline = limits_rows.clock() + 30.0
     return await controller.admit(
         limits_rows.ACCOUNT, priority, deadline, cost, "llm"
     )
 
 
-def share_of(controller: limits.Gate) -> local_shares.Share:
+def share_of(
+    controller: admission_control.AdmissionController,
+) -> local_shares.Share:
     day = records.day_of(limits_rows.clock())
-    return controller.keeper.book.local_shares.share(limits_rows.ACCOUNT, day)
+    return controller.share_sync.ledger.local_shares.share(
+        limits_rows.ACCOUNT, day
+    )
 
 
 def assert_refused(found: object) -> None:
@@ -106,11 +114,14 @@
 
 
 async def test_host_started_during_an_outage_uses_a_share_of_a_peer(
-    controller: limits.Gate, late_controller: limits.Gate
+    controller: admission_control.AdmissionController,
+    late_controller: admission_control.AdmissionController,
 ) -> None:
     held = share_of(controller).granted
     found = await admit(late_controller, 2_000)
-    assertions.assert_that(found, matchers.IsInstance(limits.Admitted))
+    assertions.assert_that(
+        found, matchers.IsInstance(admission_control.AdmittedRequest)
+    )
     given = share_of(controller).given
     assertions.assert_that(
         (share_of(late_controller).taken, share_of(controller).granted),
@@ -119,15 +130,15 @@
 
 
 async def test_concurrent_requests_share_calls_to_peers(
-    late_controller: limits.Gate, peer: FakePeer
+    late_controller: admission_control.AdmissionController, peer: FakePeer
 ) -> None:
-    while late_controller.keeper.log_is_up:
+    while late_controller.share_sync.log_is_up:
         await asyncio.sleep(0)
     day = records.day_of(limits_rows.clock())
     deadline = limits_rows.clock() + 30.0
     found = await asyncio.gather(
         *(
-            late_controller.keeper.reserve(
+            late_controller.share_sync.reserve(
                 limits_rows.ACCOUNT, 100, day, deadline
             )
             for _ in range(20)
@@ -141,18 +152,22 @@
 
 
 async def test_lost_reply_is_requested_again_and_counted_once(
-    controller: limits.Gate,
-    late_controller: limits.Gate,
+    controller: admission_control.AdmissionController,
+    late_controller: admission_control.AdmissionController,
     peer: FakePeer,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     peer.lost_replies = 1
     assert_refused(await admit(late_controller, 2_000))
     given = share_of(controller).given
-    clock_offset = limits_rows.CLOCK_OFFSET[0] + share_peers.MOST_QUIET_SECONDS
+    clock_offset = (
+        limits_rows.CLOCK_OFFSET[0] + share_exchange.MAX_BACKOFF_SECONDS
+    )
     monkeypatch.setattr(limits_rows, "CLOCK_OFFSET", [clock_offset])
     found = await admit(late_controller, 2_000)
-    assertions.assert_that(found, matchers.IsInstance(limits.Admitted))
+    assertions.assert_that(
+        found, matchers.IsInstance(admission_control.AdmittedRequest)
+    )
     assertions.assert_that(
         (
             share_of(late_controller).taken,
@@ -164,11 +179,12 @@
 
 
 async def test_only_urgent_requests_get_the_rest_of_a_peers_share(
-    controller: limits.Gate, late_controller: limits.Gate
+    controller: admission_control.AdmissionController,
+    late_controller: admission_control.AdmissionController,
 ) -> None:
     share = share_of(controller)
     remainder = share.granted // 5
-    controller.keeper.book.local_shares.settle(
+    controller.share_sync.ledger.local_shares.settle(
         limits_rows.ACCOUNT,
         records.day_of(limits_rows.clock()),
         0,
@@ -176,23 +192,29 @@
     )
     assert_refused(await admit(late_controller, remainder // 4, DEFERRABLE))
     found = await admit(late_controller, remainder // 4)
-    assertions.assert_that(found, matchers.IsInstance(limits.Admitted))
+    assertions.assert_that(
+        found, matchers.IsInstance(admission_control.AdmittedRequest)
+    )
 
 
 async def test_only_urgent_requests_get_the_rest_of_the_own_share(
-    controller: limits.Gate, log: limits_log.FakeLog
+    controller: admission_control.AdmissionController, log: limits_log.FakeLog
 ) -> None:
     log.set_down(True)
-    while controller.keeper.log_is_up:
+    while controller.share_sync.log_is_up:
         await asyncio.sleep(0)
     most = share_of(controller).granted
     assert_refused(await admit(controller, int(most * 0.8), DEFERRABLE))
     found = await admit(controller, int(most * 0.8))
-    assertions.assert_that(found, matchers.IsInstance(limits.Admitted))
+    assertions.assert_that(
+        found, matchers.IsInstance(admission_control.AdmittedRequest)
+    )
 
 
 async def test_peers_that_provide_too_little_are_not_asked_each_time(
-    controller: limits.Gate, late_controller: limits.Gate, peer: FakePeer
+    controller: admission_control.AdmissionController,
+    late_controller: admission_control.AdmissionController,
+    peer: FakePeer,
 ) -> None:
     assert_refused(await admit(late_controller, 900_000))
     calls = peer.calls
@@ -202,14 +224,14 @@
 
 
 async def test_unknown_message_raises_codec_error(
-    controller: limits.Gate,
+    controller: admission_control.AdmissionController,
 ) -> None:
     with pytest.raises(errors.CodecError):
-        await controller.answer_peer(b"{}")
+        await controller.handle_share_message(b"{}")
 
 
 async def test_unresponsive_peer_does_not_block_other_peers(
-    late_controller: limits.Gate, peer: FakePeer
+    late_controller: admission_control.AdmissionController, peer: FakePeer
 ) -> None:
     class UnresponsivePeer:
         async def shares(self, message: bytes) -> bytes:
@@ -217,18 +239,27 @@
             return message
 
     class Neighbours:
-        def givers(self) -> Sequence[share_peers.Giver]:
-            return (share_peers.Giver("h0", UnresponsivePeer()), *peer.givers())
+        def givers(self) -> Sequence[share_exchange.SharePeer]:
+            return (
+                share_exchange.SharePeer("h0", UnresponsivePeer()),
+                *peer.share_peers(),
+            )
 
-    late_controller.keeper.peers.neighbours = Neighbours()
+    late_controller.share_sync.exchange.directory = Neighbours()
     found = await admit(late_controller, 2_000)
-    assertions.assert_that(found, matchers.IsInstance(limits.Admitted))
+    assertions.assert_that(
+        found, matchers.IsInstance(admission_control.AdmittedRequest)
+    )
 
 
 async def test_pending_requests_for_two_accounts_are_both_repeated(
-    controller: limits.Gate, late_controller: limits.Gate
+    controller: admission_control.AdmissionController,
+    late_controller: admission_control.AdmissionController,
 ) -> None:
-    giver, requester = controller.keeper.book, late_controller.keeper.book
+    giver, requester = (
+        controller.share_sync.ledger,
+        late_controller.share_sync.ledger,
+    )
     day = records.day_of(limits_rows.clock())
     first = requester.request_transfer(
         "h1", limits_rows.ACCOUNT, 500, day, urgent=True
@@ -246,15 +277,15 @@
 
 
 async def test_host_stopped_during_an_outage_hands_its_share_to_peers(
-    controller: limits.Gate,
-    late_controller: limits.Gate,
+    controller: admission_control.AdmissionController,
+    late_controller: admission_control.AdmissionController,
     log: limits_log.FakeLog,
 ) -> None:
     recipient = FakePeer(late_controller)
-    controller.keeper.peers.neighbours = SinglePeer(recipient, 1)
+    controller.share_sync.exchange.directory = SinglePeer(recipient, 1)
     held = share_of(controller).left
     log.set_down(True)
-    while controller.keeper.log_is_up:
+    while controller.share_sync.log_is_up:
         await asyncio.sleep(0)
     await controller.drain()
     assertions.assert_that(
@@ -264,15 +295,15 @@
 
 
 async def test_share_handed_to_an_ended_process_is_not_counted(
-    controller: limits.Gate,
-    late_controller: limits.Gate,
+    controller: admission_control.AdmissionController,
+    late_controller: admission_control.AdmissionController,
     log: limits_log.FakeLog,
 ) -> None:
-    controller.keeper.peers.neighbours = SinglePeer(
+    controller.share_sync.exchange.directory = SinglePeer(
         FakePeer(late_controller), 7
     )
     log.set_down(True)
-    while controller.keeper.log_is_up:
+    while controller.share_sync.log_is_up:
         await asyncio.sleep(0)
     await controller.drain()
     assertions.assert_that(
--- a/tests/entry/sessions/session_hosts.py
+++ b/tests/entry/sessions/session_hosts.py
@@ -9,7 +9,7 @@
 
 from hoistmoor.core.sessions import rendezvous
 from hoistmoor.core.table import model
-from hoistmoor.entry import sessions
+from hoistmoor.entry import session_affinity
 from hoistmoor.peers import errors
 
 if TYPE_CHECKING:
@@ -55,13 +55,15 @@
         loop_iterations: Number of event loop iterations that a call takes.
     """
 
-    hosts: dict[str, sessions.Sessions] = attrs.field(factory=dict)
+    hosts: dict[str, session_affinity.SessionAffinity] = attrs.field(
+        factory=dict
+    )
     unreachable: set[str] = attrs.field(factory=set)
     loop_iterations: int = 1
 
     def add(self, name: str, in_force: model.ActiveTable) -> None:
         """Starts a host, or restarts it with no pins."""
-        host = sessions.Sessions(
+        host = session_affinity.SessionAffinity(
             name, ["secret"], clock=lambda: 1_000.0, store=self
         )
         host.on_table(in_force)
@@ -85,15 +87,17 @@
         """Implements ``PinStore.keep``."""
         return (await self._connect(host)).pins.keep(pin)
 
-    async def _connect(self, host: str) -> sessions.Sessions:
+    async def _connect(self, host: str) -> session_affinity.SessionAffinity:
         for _ in range(self.loop_iterations):
             await asyncio.sleep(0)
         if host in self.unreachable or host not in self.hosts:
             raise errors.PeerUnreachableError("host is down", "Wait.")
         return self.hosts[host]
 
-    async def request_pin(self, host: str, header: str) -> sessions.SessionPin:
+    async def request_pin(
+        self, host: str, header: str
+    ) -> session_affinity.SessionPin:
         """Returns the pin of a session's request at one host."""
-        pin = await self.hosts[host].pin_for(ACCOUNT, header, MODEL, "new")
-        assert isinstance(pin, sessions.SessionPin)
+        pin = await self.hosts[host].resolve_pin(ACCOUNT, header, MODEL, "new")
+        assert isinstance(pin, session_affinity.SessionPin)
         return pin
--- a/tests/entry/sessions/test_entry_pin_store.py
+++ b/tests/entry/sessions/test_entry_pin_store.py
@@ -11,7 +11,7 @@
 
 from hoistmoor.core.sessions import rendezvous
 from hoistmoor.entry import pin_store
-from hoistmoor.entry import sessions
+from hoistmoor.entry import session_affinity
 from hoistmoor.peers import client
 from hoistmoor.peers import handlers
 from hoistmoor.peers import server
@@ -26,14 +26,14 @@
 
 
 @pytest_asyncio.fixture
-async def hosts() -> AsyncIterator[dict[str, sessions.Sessions]]:
+async def hosts() -> AsyncIterator[dict[str, session_affinity.SessionAffinity]]:
     clients = client.PeerClients()
     addresses: dict[str, str] = {}
     store = pin_store.PeerPinStore(clients, addresses.get)
-    created: dict[str, sessions.Sessions] = {}
+    created: dict[str, session_affinity.SessionAffinity] = {}
     servers = []
     for name in NAMES:
-        host = sessions.Sessions(
+        host = session_affinity.SessionAffinity(
             name, ["secret"], lambda: 1.0, store, peer_timeout=PEER_TIMEOUT
         )
         host.on_table(FIRST)
@@ -54,32 +54,34 @@
 
 
 async def test_pin_is_found_at_every_host_after_an_edit(
-    hosts: dict[str, sessions.Sessions],
+    hosts: dict[str, session_affinity.SessionAffinity],
 ) -> None:
     account, name = session_hosts.ACCOUNT, session_hosts.MODEL
     for number in range(20):
         session = f"s{number}"
         hosts["h1"].on_table(FIRST)
-        first = await hosts["h1"].pin_for(account, session, name, "new")
+        first = await hosts["h1"].resolve_pin(account, session, name, "new")
         versions = set()
         for host in hosts.values():
             host.on_table(EDITED)
-            pin = await host.pin_for(account, session, name, "new")
+            pin = await host.resolve_pin(account, session, name, "new")
             versions.add(pin.version)
         assertions.assert_that(versions, matchers.Equals({first.version}))
-    unreachable = sum(host.unreachable for host in hosts.values())
+    unreachable = sum(host.failed_calls for host in hosts.values())
     assertions.assert_that(unreachable, matchers.Equals(0))
 
 
 async def test_request_succeeds_if_its_home_hosts_are_unknown(
-    hosts: dict[str, sessions.Sessions],
+    hosts: dict[str, session_affinity.SessionAffinity],
 ) -> None:
     host = hosts["h1"]
     host.on_hosts(
         [rendezvous.HomeHost("h8", "d1"), rendezvous.HomeHost("h9", "d2")]
     )
-    pin = await host.pin_for(
+    pin = await host.resolve_pin(
         session_hosts.ACCOUNT, "s1", session_hosts.MODEL, "new"
     )
-    assertions.assert_that(pin.verdict, matchers.Equals(sessions.Verdict.NEW))
-    assertions.assert_that(host.unreachable, matchers.GreaterThan(0))
+    assertions.assert_that(
+        pin.status, matchers.Equals(session_affinity.PinStatus.NEW)
+    )
+    assertions.assert_that(host.failed_calls, matchers.GreaterThan(0))
--- a/tests/entry/sessions/test_entry_sessions.py
+++ b/tests/entry/sessions/test_entry_sessions.py
@@ -14,7 +14,7 @@
 from hoistmoor.core import refusals
 from hoistmoor.core.sessions import rendezvous
 from hoistmoor.core.table import model
-from hoistmoor.entry import sessions
+from hoistmoor.entry import session_affinity
 
 STAGES = st.sampled_from(list(model.Stage))
 TABLES = st.tuples(
@@ -45,7 +45,7 @@
     async def run() -> None:
         network = session_hosts.Network()
         network.add("h1", FIRST)
-        token = network.hosts["h1"].token_for(
+        token = network.hosts["h1"].make_token(
             session_hosts.ACCOUNT, "s1", session_hosts.MODEL, key
         )
         for revision, (stages, weights) in enumerate(edits, start=2):
@@ -55,11 +55,11 @@
             row = in_force.table.versions.get(key)
             gone = row is None or row.stage is model.Stage.WITHDRAWN
             if gone:
-                assert pin.verdict is sessions.Verdict.MOVED
+                assert pin.status is session_affinity.PinStatus.MOVED
                 assert pin.version != key
                 assert pin.moved_from == key
             else:
-                assert pin.verdict is sessions.Verdict.KEEP
+                assert pin.status is session_affinity.PinStatus.KEEP
                 assert pin.version == key
 
     asyncio.run(run())
@@ -173,7 +173,7 @@
 async def test_bad_header_is_refused(
     network: session_hosts.Network, header: str
 ) -> None:
-    found = await network.hosts["h1"].pin_for(
+    found = await network.hosts["h1"].resolve_pin(
         session_hosts.ACCOUNT, header, session_hosts.MODEL, "new"
     )
     assertions.assert_that(
@@ -185,10 +185,14 @@
     network: session_hosts.Network,
 ) -> None:
     account = session_hosts.ACCOUNT
-    first = await network.hosts["h1"].pin_for(account, "s1", "auto", "new")
-    kept = await network.hosts["h1"].remember(account, "s1", "auto", "thai@b")
-    rival = await network.hosts["h2"].remember(account, "s1", "auto", "thai@a")
-    later = await network.hosts["h3"].pin_for(account, "s1", "auto", "new")
+    first = await network.hosts["h1"].resolve_pin(account, "s1", "auto", "new")
+    kept = await network.hosts["h1"].pin_version(
+        account, "s1", "auto", "thai@b"
+    )
+    rival = await network.hosts["h2"].pin_version(
+        account, "s1", "auto", "thai@a"
+    )
+    later = await network.hosts["h3"].resolve_pin(account, "s1", "auto", "new")
     assertions.assert_that(first.version, matchers.Is(None))
     assertions.assert_that(
         {kept, rival, later.version}, matchers.Equals({"thai@b"})
--- a/tests/entry/test_entry_membership.py
+++ b/tests/entry/test_entry_membership.py
@@ -44,7 +44,7 @@
     def snapshot(self) -> bytes:
         return str(self.revision).encode()
 
-    def offer(self, payload: bytes) -> bool:
+    def adopt_if_newer(self, payload: bytes) -> bool:
         is_newer = int(payload) > self.revision
         self.revision = max(self.revision, int(payload))
         return is_newer
--- a/tests/entry/test_entry_request_task.py
+++ b/tests/entry/test_entry_request_task.py
@@ -78,7 +78,9 @@
     # The event is queued before the first two events lead to the dispatch.
     task.post(messages.Started())
     task.post(
-        messages.ServerChosen(task._parts.router.choose_server.return_value)
+        messages.ServerChosen(
+            task._components.router.choose_server.return_value
+        )
     )
     task.post(event(STATES.UNSENT))
     await task._drive()
--- a/tests/entry/test_table_follower.py
+++ b/tests/entry/test_table_follower.py
@@ -53,7 +53,7 @@
 
     async def in_force(self, revision: int) -> model.ActiveTable:
         return await asyncio.wait_for(
-            self.follower.wait_for(revision), _TIMEOUT_SECONDS
+            self.follower.wait_for_revision(revision), _TIMEOUT_SECONDS
         )
 
     def make_follower(self) -> table_follower.TableFollower:
@@ -140,7 +140,7 @@
 
     task = asyncio.create_task(late_follower.run())
     table = await asyncio.wait_for(
-        late_follower.wait_for(bench.last), _TIMEOUT_SECONDS
+        late_follower.wait_for_revision(bench.last), _TIMEOUT_SECONDS
     )
     task.cancel()
 
@@ -162,7 +162,7 @@
 
     offer = bench.follower.snapshot()
     assert offer is not None
-    assert late_follower.offer(offer)
+    assert late_follower.adopt_if_newer(offer)
     assert late_follower.in_force == before
     await late_follower.step()
     assert late_follower.last_contact > 0
@@ -173,6 +173,6 @@
 ) -> None:
     edit = edits.TableEdit("x", -1, "ann", 0.0, ())
     with pytest.raises(errors.CodecError):
-        bench.follower.offer(codec.encode(edit))
+        bench.follower.adopt_if_newer(codec.encode(edit))
     with pytest.raises(errors.CodecError):
-        bench.follower.offer(b"junk")
+        bench.follower.adopt_if_newer(b"junk")
--- a/tests/entry/test_table_processes.py
+++ b/tests/entry/test_table_processes.py
@@ -123,9 +123,7 @@
 async def test_delayed_snapshot_reverts_neither_running_nor_starting_host(
     cluster: Cluster,
 ) -> None:
-    stale = snapshots.encode_snapshot(
-        cluster.fold
-    )  # Contains record 0 only.
+    stale = snapshots.encode_snapshot(cluster.fold)  # Contains record 0 only.
     await cluster.edit("second")
     await cluster.edit("third")
     await cluster.append_snapshot(stale)
--- a/tests/system/broken_entry.py
+++ b/tests/system/broken_entry.py
@@ -20,8 +20,8 @@
 from hoistmoor.entry import claims
 from hoistmoor.entry import main
 from hoistmoor.entry import readiness
-from hoistmoor.entry import reception
-from hoistmoor.entry import sessions
+from hoistmoor.entry import request_receiver
+from hoistmoor.entry import session_affinity
 from hoistmoor.peers import guard
 
 
@@ -70,9 +70,9 @@
 def _sessions() -> None:
     async def pin_for(
         self: Any, account: str, value: str, name: str, new: str
-    ) -> sessions.SessionPin:
-        return sessions.SessionPin(
-            value or new, None, sessions.Verdict.NEW, None
+    ) -> session_affinity.SessionPin:
+        return session_affinity.SessionPin(
+            value or new, None, session_affinity.PinStatus.NEW, None
         )
 
     async def remember(
@@ -80,15 +80,15 @@
     ) -> str:
         return version
 
-    sessions.Sessions.pin_for = pin_for  # type: ignore[method-assign]
-    sessions.Sessions.remember = remember  # type: ignore[method-assign]
+    session_affinity.SessionAffinity.resolve_pin = pin_for  # type: ignore[method-assign]
+    session_affinity.SessionAffinity.pin_version = remember  # type: ignore[method-assign]
 
 
 def _drain() -> None:
     async def drain(self: Any) -> None:
         return None
 
-    reception.Reception.drain = drain  # type: ignore[method-assign]
+    request_receiver.RequestReceiver.drain = drain  # type: ignore[method-assign]
 
 
 def _peer_guard() -> None:
