--- a/tests/entry/limits/test_entry_share_peers.py
+++ b/tests/entry/limits/test_entry_share_peers.py
@@ -238,14 +238,14 @@
             await asyncio.Event().wait()
             return message
 
-    class Neighbours:
-        def givers(self) -> Sequence[share_exchange.SharePeer]:
+    class DirectoryWithDeadPeer:
+        def share_peers(self) -> Sequence[share_exchange.SharePeer]:
             return (
                 share_exchange.SharePeer("h0", UnresponsivePeer()),
                 *peer.share_peers(),
             )
 
-    late_controller.share_sync.exchange.directory = Neighbours()
+    late_controller.share_sync.exchange.directory = DirectoryWithDeadPeer()
     found = await admit(late_controller, 2_000)
     assertions.assert_that(
         found, matchers.IsInstance(admission_control.AdmittedRequest)
