--- a/src/hoistmoor/clients/__init__.py
+++ b/src/hoistmoor/clients/__init__.py
@@ -1,7 +1,8 @@
-"""Thin clients of the platform's services and of the backend servers.
+"""Thin clients for the platform's services and for backend servers.
 
-One module a service. Each call takes a bounded time, is sent once, and ends
-in a typed value or a typed error that names the remedy.
+There is one module per service. Every call has a timeout, is sent at most
+once, and either returns a typed value or raises a typed error that includes a
+remedy.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/clients/answer_body.py
+++ b/src/hoistmoor/clients/answer_body.py
@@ -1,4 +1,4 @@
-"""Reads the body of an answer and knows whether it is whole."""
+"""Reads response bodies and tracks whether they are complete."""
 
 from __future__ import annotations
 
@@ -13,17 +13,18 @@
 
     import aiohttp
 
-_BODILESS = frozenset({204, 304})
-_SETTLE_TIMEOUT = 0.2  # Seconds from the end mark to the end of the body.
+_BODILESS_STATUSES = frozenset({204, 304})
+_DRAIN_TIMEOUT = 0.2  # Seconds from the end marker to the end of the body.
 
 
 class AnswerBody:
-    """The body of one answer: events of a stream, or some bytes at a time.
+    """The body of one response, read event by event or in byte chunks.
 
     Attributes:
-        is_whole: Whether the end mark of a stream was read, or all of a body
-            whose end can be told from a cut.
-        dropped: Events dropped because they belong to another attempt.
+        is_whole: Whether the end marker of a stream was read, or all of a
+            body whose end can be distinguished from a truncation.
+        dropped: Number of events dropped because they belong to another
+            attempt.
     """
 
     def __init__(
@@ -42,12 +43,12 @@
         self._has_end_mark = has_end_mark
 
     async def read(self) -> AsyncIterator[bytes]:
-        """Yields the parts of the body; look at ``is_whole`` at each.
+        """Yields the body in parts; ``is_whole`` is up to date at each part.
 
         Raises:
-            EventTooLargeError: An event exceeds its bound.
-            aiohttp.ClientError: The connection broke.
-            TimeoutError: The rest did not come in time.
+            EventTooLargeError: An event exceeds the size limit.
+            aiohttp.ClientError: The connection failed.
+            TimeoutError: The rest of the body did not arrive in time.
         """
         is_stream = self._response.content_type == frames.EVENT_STREAM
         if is_stream and self._has_end_mark:
@@ -56,17 +57,17 @@
             return
         async for data in self._response.content.iter_any():
             yield data
-        # A connection that was reset has raised by now; one that was closed
-        # ends an answer without a length, if the servers are known to do so.
-        self.is_whole = self._has_length() or not self._has_end_mark
+        # A reset connection has already raised. A regular close ends a
+        # response without a length only for servers without end markers.
+        self.is_whole = self._is_delimited() or not self._has_end_mark
 
     async def settle(self) -> None:
-        """Waits shortly for the end of the body after the end mark.
+        """Waits briefly for the end of the body after the end marker.
 
-        The connection can be reused only after that.
+        The connection can be reused only after the body has ended.
         """
         try:
-            async with asyncio.timeout(_SETTLE_TIMEOUT):
+            async with asyncio.timeout(_DRAIN_TIMEOUT):
                 await self._response.content.readany()
         except replies.TRANSPORT_ERRORS:
             self._response.close()
@@ -85,10 +86,13 @@
                 else:
                     self.dropped += 1
 
-    def _has_length(self) -> bool:
-        """Returns whether the end of the body can be told from a cut."""
+    def _is_delimited(self) -> bool:
+        """Returns whether HTTP framing can reveal a truncated body."""
         headers = self._response.headers
-        if self._method == "HEAD" or self._response.status in _BODILESS:
+        if (
+            self._method == "HEAD"
+            or self._response.status in _BODILESS_STATUSES
+        ):
             return True
         if "Content-Length" in headers:
             return True
--- a/src/hoistmoor/clients/dialect.py
+++ b/src/hoistmoor/clients/dialect.py
@@ -1,4 +1,4 @@
-"""How a backend server names an attempt, and how it says what became of it."""
+"""Header and status conventions of the different kinds of backend server."""
 
 from __future__ import annotations
 
@@ -12,15 +12,17 @@
 
 @attrs.frozen
 class Dialect:
-    """Names and marks that one kind of backend server uses.
+    """Header and status conventions of one kind of backend server.
 
     Attributes:
-        attempt_header: Names the attempt; the answer echoes it.
-        not_run_header: Present in an answer if the request was not run.
-        not_run_reason_header: Why it was not run.
-        not_run_statuses: Status codes that say so by themselves.
-        has_end_mark: Whether a stream of events ends with an end mark. If
-            not, it is read as bytes and ends as other answers do.
+        attempt_header: Header with the attempt id, echoed in the response.
+        not_run_header: Response header that is set if the request was not
+            executed.
+        not_run_reason_header: Response header with the reason for that.
+        not_run_statuses: Status codes that by themselves mean that the
+            request was not executed.
+        has_end_mark: Whether event streams end with an end marker. If not,
+            they are read as bytes, like any other response.
     """
 
     attempt_header: str = "X-Attempt-Id"
@@ -30,10 +32,10 @@
     has_end_mark: bool = True
 
     def says_not_run(self, status: int, headers: Mapping[str, str]) -> bool:
-        """Returns whether an answer's head says that nothing was run."""
+        """Returns whether a response head says that nothing was executed."""
         if status in self.not_run_statuses:
             return True
         return status >= 400 and headers.get(self.not_run_header) == "1"
 
 
-OWN = Dialect()  # Of the engines and services that hoistmoor describes.
+OWN = Dialect()  # The native convention of hoistmoor's own backend API.
--- a/src/hoistmoor/clients/engines.py
+++ b/src/hoistmoor/clients/engines.py
@@ -1,7 +1,7 @@
-"""Client of the control interface of backend servers.
+"""Client for the control API of backend servers.
 
-Requests themselves go through ``exchange``; this is for load reports, orders
-and cache events.
+It covers load reports, orders and cache events. Inference requests go through
+``exchange``.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 @attrs.frozen
 class Order:
-    """The condition that an engine should be in; a repeat does no harm.
+    """The desired state of an engine; sending it again is idempotent.
 
     Attributes:
-        fencing: Fencing number of whoever gives the order.
-        versions: Keys of the versions to have loaded, and no others.
-        role: What the engine serves, for example ``mixed``.
+        fencing: Fencing token of the sender.
+        versions: Keys of exactly those versions that should be loaded.
+        role: Kind of work that the engine serves, for example ``mixed``.
     """
 
     fencing: int
@@ -35,14 +35,14 @@
 
 @attrs.frozen
 class EngineState:
-    """What an engine says of its orders.
+    """The desired and actual state that an engine reports.
 
     Attributes:
-        fencing: Highest fencing number seen; -1 before the first order.
-        wanted: Versions of the newest order taken.
-        role: Role of the newest order taken.
+        fencing: Highest fencing token seen; -1 before the first order.
+        wanted: Versions in the newest accepted order.
+        role: Role in the newest accepted order.
         loaded: Versions that serve requests now.
-        loading: Versions on their way.
+        loading: Versions that are being loaded.
     """
 
     fencing: int
@@ -54,12 +54,13 @@
 
 @attrs.frozen
 class CacheEventPage:
-    """Cache events read at once.
+    """One page of cache events.
 
     Attributes:
-        incarnation: Of the engine; a new one starts with an empty cache.
-        next: Where to read on.
-        events: In the order of their sequence numbers, with gaps.
+        incarnation: Incarnation of the engine; a new one starts with an empty
+            cache.
+        next: Sequence number at which the next page starts.
+        events: Events ordered by sequence number, possibly with gaps.
     """
 
     incarnation: int
@@ -68,33 +69,33 @@
 
 
 class OrderRefusedError(errors.PlatformError):
-    """An engine refused an order: its fencing number is old.
+    """An engine rejected an order because of a stale fencing token.
 
     Attributes:
-        highest: Highest fencing number that the engine has seen.
+        highest: Highest fencing token that the engine has seen.
     """
 
     def __init__(self, address: str, fencing: int, highest: int) -> None:
         super().__init__(
-            f"{address} refused an order with fencing number {fencing}, "
-            f"it has seen {highest}",
+            f"{address} rejected an order with stale fencing token {fencing}; "
+            f"the highest token seen is {highest}",
             "Stop acting as steward until the lease is held again.",
         )
         self.highest = highest
 
 
 @attrs.frozen
-class _Refused:
+class _StaleFencing:
     fencing: int
 
 
 class EngineClient:
-    """Talks to the control interface of any backend server, by address."""
+    """Calls the control API of backend servers, selected by address."""
 
     def __init__(
         self, session: aiohttp.ClientSession, timeout: float = 2.0
     ) -> None:
-        """Makes a client; ``timeout`` is in seconds."""
+        """Creates a client; ``timeout`` is in seconds."""
         self.session = session
         self.timeout = timeout
 
@@ -102,36 +103,39 @@
         """Returns the load report of the backend server at ``ip:port``.
 
         Raises:
-            ServiceUnavailableError: No usable answer in time.
+            ServiceUnavailableError: No valid response in time.
         """
         return await self._fetch(address, "/load", messages.LoadReport)
 
     async def state(self, address: str) -> EngineState:
-        """Reads back which orders an engine follows.
+        """Returns the desired and actual state of an engine.
 
         Raises:
-            ServiceUnavailableError: No usable answer in time.
+            ServiceUnavailableError: No valid response in time.
         """
         return await self._fetch(address, "/orders", EngineState)
 
     async def cache_events(self, address: str, since: int) -> CacheEventPage:
-        """Returns cache events from ``since`` on; start at 0.
+        """Returns cache events from sequence number ``since`` on.
+
+        The first event has number 0.
 
         Raises:
-            ServiceUnavailableError: No usable answer in time.
+            ServiceUnavailableError: No valid response in time.
         """
         path = f"/cache-events?since={since}"
         return await self._fetch(address, path, CacheEventPage)
 
     async def order(self, address: str, order: Order) -> EngineState:
-        """Gives an order, sent once.
+        """Sends an order once, without retries.
 
         Returns:
-            The engine's state after it took the order.
+            The engine's state after it accepted the order.
 
         Raises:
-            OrderRefusedError: The engine has seen a higher fencing number.
-            ServiceUnavailableError: No answer; read the state back.
+            OrderRefusedError: The engine has seen a higher fencing token.
+            ServiceUnavailableError: No valid response in time; whether the
+                order was accepted can be read with ``state``.
         """
         url = f"http://{address}/orders"
         content = {
@@ -142,12 +146,12 @@
             self.session, "POST", url, content, self.timeout
         )
         if status == 409:
-            seen = replies.parse(body, _Refused, address).fencing
-            raise OrderRefusedError(address, order.fencing, seen)
+            highest = replies.parse(body, _StaleFencing, address).fencing
+            raise OrderRefusedError(address, order.fencing, highest)
         if status != 200:
             raise replies.ServiceUnavailableError(
-                f"{address} answered an order with {status}",
-                "Read the state back, then order again.",
+                f"{address} responded to an order with HTTP status {status}",
+                "Read the engine's state, then send the order again.",
             )
         return replies.parse(body, EngineState, address)
 
@@ -155,10 +159,10 @@
         """Cancels an attempt.
 
         Returns:
-            Whether the engine knew it and it had not ended.
+            Whether the attempt was known to the engine and still running.
 
         Raises:
-            ServiceUnavailableError: No answer in time.
+            ServiceUnavailableError: No response in time.
         """
         url = f"http://{address}/v1/attempts/{attempt_id}"
         status, _ = await replies.send(
--- a/src/hoistmoor/clients/exchange.py
+++ b/src/hoistmoor/clients/exchange.py
@@ -1,8 +1,9 @@
-"""One exchange of one attempt with one backend server.
+"""A single HTTP exchange: one attempt, sent to one backend server.
 
-The state says at any time what may be told of the request, see
-``core.outcomes``. It errs on the safe side: a state that makes a request
-``not_run`` needs proof, an answer counts as whole only with its end mark.
+At any time, the state of the exchange determines which outcome may be reported
+for the request, see ``core.outcomes``. The state is conservative: a request is
+``not_run`` only with proof, and a response is complete only with its end
+marker.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 _State = outcomes.ExchangeState
 
-# A state only moves on; the last two are final.
+# States only advance to a higher rank; the last two are final.
 _RANKS = {
     _State.UNSENT: 0,
     _State.SENDING: 1,
@@ -43,12 +44,12 @@
 
 @attrs.frozen
 class Timeouts:
-    """Bounds on one exchange, in seconds.
+    """Timeouts of one exchange, in seconds.
 
     Attributes:
-        total: From the start to the end mark; None for no bound.
-        connect: To get a connection.
-        silence: Between two arrivals of bytes; None for no bound.
+        total: From the start to the end marker; None for no timeout.
+        connect: To acquire a connection.
+        silence: Between two reads from the socket; None for no timeout.
     """
 
     total: float | None = 60.0
@@ -58,14 +59,14 @@
 
 @attrs.frozen
 class BackendRequest:
-    """What to ask of a backend server.
+    """A request to a backend server.
 
     Attributes:
         method: HTTP method.
-        url: Whole URL; its path and query go out as written.
-        attempt_id: Names this attempt; goes out in the dialect's header.
-        headers: Further headers; names may stand several times.
-        body: The body, whole.
+        url: Absolute URL; its path and query are sent without re-encoding.
+        attempt_id: Id of this attempt, sent in the dialect's header.
+        headers: Additional headers; names may occur several times.
+        body: The complete body.
     """
 
     method: str
@@ -77,11 +78,11 @@
 
 @attrs.frozen
 class Head:
-    """The head of the answer.
+    """The head of the response.
 
     Attributes:
         status: HTTP status code.
-        headers: As received.
+        headers: Headers as received.
     """
 
     status: int
@@ -90,10 +91,10 @@
 
 @attrs.frozen
 class Frame:
-    """A part of the answer's body: one event of a stream, or some bytes.
+    """A part of the response body: one event of a stream, or some bytes.
 
     Attributes:
-        data: As received, the blank line after an event included.
+        data: Bytes as received, including the blank line after an event.
     """
 
     data: bytes
@@ -101,27 +102,27 @@
 
 @attrs.frozen
 class End:
-    """The answer is whole."""
+    """Marks the end of a complete response."""
 
 
 Part = Head | Frame | End
 
 
 class Exchange:
-    """Sends one request once and yields the parts of its answer.
+    """Sends one request once and yields the parts of its response.
 
     Use it as an asynchronous context manager and iterate over it:
 
         async with Exchange(session, request) as exchange:
             async for part in exchange: ...
 
-    Leaving the block before ``End``, and cancelling the task, close the
-    connection, so that nothing of this attempt can reach a later one.
+    Leaving the block before ``End`` or cancelling the task closes the
+    connection, so that no data of this attempt can reach a later one.
 
     Attributes:
-        request: What is asked.
-        state: How far the exchange has come; still valid after the end.
-        not_run_reason: The server's reason, in state ``DECLINED``.
+        request: The request to send.
+        state: Progress of the exchange; remains valid after its end.
+        not_run_reason: The server's reason in state ``DECLINED``.
     """
 
     def __init__(
@@ -131,16 +132,16 @@
         timeouts: Timeouts | None = None,
         dialect: dialect_lib.Dialect = dialect_lib.OWN,
     ) -> None:
-        """Makes an exchange; nothing is sent yet.
+        """Creates an exchange without sending anything.
 
         Raises:
-            ConfigurationError: The session is not from ``make_session``, so
-                that the state could not be known.
+            ConfigurationError: The session was not opened by ``make_session``
+                and does not report the progress of requests.
         """
         if sessions.TRACE not in session.trace_configs:
             raise errors.ConfigurationError(
-                "this session does not tell when bytes leave",
-                "Open it with sessions.make_session.",
+                "the HTTP session does not trace when request bytes are sent",
+                "Open the session with sessions.make_session.",
             )
         self.request = request
         self.state = _State.UNSENT
@@ -150,12 +151,12 @@
         self._timeouts = timeouts or Timeouts()
         self._response: aiohttp.ClientResponse | None = None
         self._body: answer_body.AnswerBody | None = None
-        self._heads_dropped = 0
-        self._reused = False
+        self._dropped_heads = 0
+        self._is_reused = False
         self._unsent_bytes = len(request.body)
 
     async def __aenter__(self) -> Self:
-        """Sends nothing yet; the iteration does."""
+        """Returns the exchange; the request is sent on iteration."""
         return self
 
     async def __aexit__(
@@ -164,50 +165,50 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Closes the connection unless the answer is whole."""
+        """Closes the connection unless the response is complete."""
         self.cancel()
 
     @property
     def dropped(self) -> int:
-        """Heads and frames dropped because they belong to other attempts."""
-        frames_dropped = self._body.dropped if self._body else 0
-        return self._heads_dropped + frames_dropped
+        """Number of heads and frames of other attempts that were dropped."""
+        dropped_frames = self._body.dropped if self._body else 0
+        return self._dropped_heads + dropped_frames
 
     def cancel(self) -> None:
-        """Closes the connection unless the answer is whole."""
+        """Closes the connection unless the response is complete."""
         if self._response is not None:
             self._response.close()
 
     def on_connection(self, reused: bool) -> None:
-        """A connection is there; bytes may leave from now on."""
-        self._reused = reused
+        """Called with a connection, before any bytes are sent on it."""
+        self._is_reused = reused
         self._advance(_State.SENDING)
 
     def on_headers(self) -> None:
-        """The head is being sent."""
+        """Called when the request head is written to the connection."""
         if not self._unsent_bytes:
             self._advance(_State.SENT)
 
     def on_body(self, size: int) -> None:
-        """``size`` more bytes of the body are being sent."""
+        """Called when ``size`` more bytes of the body are written."""
         self._unsent_bytes -= size
         if self._unsent_bytes <= 0:
             self._advance(_State.SENT)
 
     async def __aiter__(self) -> AsyncIterator[Part]:
-        """Yields the head, the frames and the end of the answer.
+        """Yields the head, the frames and the end of the response.
 
         Raises:
-            ExchangeError: The answer is not whole; a subclass says why and
-                ``state`` what may be said of the request.
+            ExchangeError: The response is incomplete. The subclass identifies
+                the cause, and ``state`` the possible outcome of the request.
         """
         try:
-            response = await self._open()
-            yield self._take_head(response)
+            response = await self._send()
+            yield self._accept_head(response)
             if self.state is _State.DECLINED:
                 yield End()
                 return
-            async for part in self._read(response):
+            async for part in self._read_body(response):
                 yield part
         except replies.TRANSPORT_ERRORS as error:
             raise exchange_errors.of_transport(
@@ -216,16 +217,16 @@
         except frames.EventTooLargeError as error:
             raise exchange_errors.of_large_event(self.state, error) from error
         finally:
-            # After a whole answer this leaves the connection reusable.
+            # The connection stays reusable if the response is complete.
             self.cancel()
 
-    async def _open(self) -> aiohttp.ClientResponse:
+    async def _send(self) -> aiohttp.ClientResponse:
         request = self.request
         self._response = await self._session.request(
             request.method,
             yarl.URL(request.url, encoded=True),
             data=request.body or None,
-            headers=_headers_of(request, self._dialect.attempt_header),
+            headers=_make_headers(request, self._dialect.attempt_header),
             timeout=aiohttp.ClientTimeout(
                 total=self._timeouts.total,
                 connect=self._timeouts.connect,
@@ -235,15 +236,15 @@
         )
         return self._response
 
-    def _take_head(self, response: aiohttp.ClientResponse) -> Head:
+    def _accept_head(self, response: aiohttp.ClientResponse) -> Head:
         echoed = response.headers.get(self._dialect.attempt_header)
-        # On a new connection nothing else was asked, so that an answer
-        # without an id can only be this attempt's.
-        is_ours = echoed == self.request.attempt_id or (
-            echoed is None and not self._reused
+        # A new connection has carried no other request, so a response without
+        # an id can only belong to this attempt.
+        is_own_response = echoed == self.request.attempt_id or (
+            echoed is None and not self._is_reused
         )
-        if not is_ours:
-            self._heads_dropped += 1
+        if not is_own_response:
+            self._dropped_heads += 1
             raise exchange_errors.of_other_attempt(self.state, self.request.url)
         if self._dialect.says_not_run(response.status, response.headers):
             self.not_run_reason = response.headers.get(
@@ -253,7 +254,7 @@
         self._advance(_State.ANSWERING)
         return Head(response.status, response.headers)
 
-    async def _read(
+    async def _read_body(
         self, response: aiohttp.ClientResponse
     ) -> AsyncIterator[Part]:
         body = answer_body.AnswerBody(
@@ -278,7 +279,7 @@
             self.state = state
 
 
-def _headers_of(
+def _make_headers(
     request: BackendRequest, attempt_header: str
 ) -> CIMultiDict[str]:
     headers = CIMultiDict(request.headers)
--- a/src/hoistmoor/clients/exchange_errors.py
+++ b/src/hoistmoor/clients/exchange_errors.py
@@ -1,4 +1,4 @@
-"""Why an exchange with a backend server ended without a whole answer."""
+"""Errors of exchanges with backend servers that end incomplete."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 if TYPE_CHECKING:
     from hoistmoor.clients import frames
 
-_LOOK_FIRST = "Look at the outcome before asking again."
+_CHECK_OUTCOME = "Check the outcome of the request before sending it again."
 
 
 class ExchangeError(errors.HoistmoorError):
-    """An exchange ended without a whole answer.
+    """An exchange ended without a complete response.
 
     Attributes:
-        state: How far the exchange had come.
+        state: Progress of the exchange when it failed.
     """
 
     def __init__(
@@ -28,56 +28,58 @@
 
 
 class BackendUnreachableError(ExchangeError):
-    """No connection: no byte of the request has left this host."""
+    """No connection was opened, so no byte of the request was sent."""
 
 
 class BackendTimeoutError(ExchangeError):
-    """The answer did not come, or did not go on, in time."""
+    """The response did not start or continue in time."""
 
 
 class BackendCutError(ExchangeError):
-    """The connection ended before the answer's end mark."""
+    """The connection was lost before the end of the response."""
 
 
 class BackendProtocolError(ExchangeError):
-    """What came cannot be an answer to this attempt."""
+    """The received data cannot be a response to this attempt."""
 
 
 def of_transport(
     state: outcomes.ExchangeState, url: str, error: Exception
 ) -> ExchangeError:
-    """Returns the error for one that the HTTP library raised."""
+    """Converts an error of the HTTP library."""
     if state is outcomes.ExchangeState.UNSENT:
         return BackendUnreachableError(
             state,
-            f"no connection to {url}: {error!r}",
+            f"cannot connect to {url}: {error!r}",
             "Try another backend server.",
         )
     if isinstance(error, TimeoutError):
         return BackendTimeoutError(
-            state, f"no whole answer in time from {url}: {error!r}", _LOOK_FIRST
+            state,
+            f"{url} did not complete its response in time: {error!r}",
+            _CHECK_OUTCOME,
         )
     return BackendCutError(
-        state, f"connection cut by {url}: {error!r}", _LOOK_FIRST
+        state, f"connection to {url} was lost: {error!r}", _CHECK_OUTCOME
     )
 
 
 def without_end_mark(
     state: outcomes.ExchangeState, url: str
 ) -> BackendCutError:
-    """Returns the error for an answer that ended before its end mark."""
+    """Returns the error for a response that ended without its end marker."""
     return BackendCutError(
-        state, f"{url} ended its answer without an end mark", _LOOK_FIRST
+        state, f"{url} ended its response without an end marker", _CHECK_OUTCOME
     )
 
 
 def of_other_attempt(
     state: outcomes.ExchangeState, url: str
 ) -> BackendProtocolError:
-    """Returns the error for an answer that echoes another attempt's id."""
+    """Returns the error for a response that is not for this attempt."""
     return BackendProtocolError(
         state,
-        f"{url} answered another attempt than asked",
+        f"{url} sent a response that belongs to another attempt",
         "Check that the backend server echoes X-Attempt-Id.",
     )
 
@@ -85,5 +87,5 @@
 def of_large_event(
     state: outcomes.ExchangeState, error: frames.EventTooLargeError
 ) -> BackendProtocolError:
-    """Returns the error for a frame that is too large to be one."""
+    """Returns the error for an event that exceeds the size limit."""
     return BackendProtocolError(state, error.problem, error.remedy)
--- a/src/hoistmoor/clients/frames.py
+++ b/src/hoistmoor/clients/frames.py
@@ -1,4 +1,4 @@
-"""Events of a streamed answer: where they end and whose they are."""
+"""Splits streams of server-sent events and matches events to attempts."""
 
 from __future__ import annotations
 
@@ -15,41 +15,41 @@
 MAX_EVENT_BYTES = 1024 * 1024
 
 _DATA = b"data:"
-_END_MARK = b"[DONE]"
-_BLANK_LINES = (b"\n\n", b"\r\n\r\n")
+_END_MARKER = b"[DONE]"
+_EVENT_DELIMITERS = (b"\n\n", b"\r\n\r\n")
 
 
 class EventTooLargeError(errors.HoistmoorError):
-    """A stream goes on and on without a blank line."""
+    """An event exceeds ``MAX_EVENT_BYTES`` without ending in a blank line."""
 
 
 class EventSplitter:
-    """Cuts a stream of bytes into events, each with its blank line."""
+    """Splits a byte stream into events, each with its blank line."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Yields the events that ``data`` completes.
+        """Adds ``data`` to the buffer and yields the events that are complete.
 
         Raises:
-            EventTooLargeError: No event ends within the bound.
+            EventTooLargeError: An event exceeds the size limit.
         """
-        rest = self._rest + data
-        while (end := _end_of_event(rest)) > 0:
-            event, rest = rest[:end], rest[end:]
-            self._rest = rest
+        buffer = self._buffer + data
+        while (end := _find_event_end(buffer)) > 0:
+            event, buffer = buffer[:end], buffer[end:]
+            self._buffer = buffer
             yield event
-        if len(rest) > MAX_EVENT_BYTES:
+        if len(buffer) > MAX_EVENT_BYTES:
             raise EventTooLargeError(
-                f"an event is longer than {MAX_EVENT_BYTES} bytes",
+                f"an event of the stream exceeds {MAX_EVENT_BYTES} bytes",
                 "Check that the backend server sends server-sent events.",
             )
-        self._rest = rest
+        self._buffer = buffer
 
 
 def payload_of(event: bytes) -> bytes:
-    """Returns the data lines of an event, without their field name."""
+    """Returns the joined ``data`` fields of an event."""
     lines = [
         line[len(_DATA) :].strip()
         for line in event.splitlines()
@@ -59,15 +59,15 @@
 
 
 def is_end_mark(payload: bytes) -> bool:
-    """Returns whether an event's payload says that the answer is whole."""
-    return payload == _END_MARK
+    """Returns whether a payload marks the end of a complete response."""
+    return payload == _END_MARKER
 
 
 def belongs_to(payload: bytes, attempt_id: str) -> bool:
-    """Returns whether an event's payload is part of an attempt's answer.
+    """Returns whether a payload belongs to the response of an attempt.
 
-    A payload without an id is taken to be: the head of the answer named the
-    attempt.
+    A payload without an id does, since the response head has already named
+    the attempt.
     """
     try:
         fields = orjson.loads(payload)
@@ -78,10 +78,10 @@
     return bool(fields.get("attempt_id", attempt_id) == attempt_id)
 
 
-def _end_of_event(data: bytes) -> int:
+def _find_event_end(data: bytes) -> int:
     ends = [
-        at + len(blank)
-        for blank in _BLANK_LINES
-        if (at := data.find(blank)) >= 0
+        at + len(delimiter)
+        for delimiter in _EVENT_DELIMITERS
+        if (at := data.find(delimiter)) >= 0
     ]
     return min(ends, default=-1)
--- a/src/hoistmoor/clients/hosts.py
+++ b/src/hoistmoor/clients/hosts.py
@@ -1,4 +1,4 @@
-"""Client of the platform's list of hosts, which lags."""
+"""Client for the platform's host list, which is eventually consistent."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Role(enum.StrEnum):
-    """What a listed host does."""
+    """The role of a listed host."""
 
     ENTRY = "entry"
     BACKEND = "backend"
 
 
 class ListedState(enum.StrEnum):
-    """What the platform says of a listed host."""
+    """The state of a listed host as the platform reports it."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -25,15 +25,15 @@
 
 @attrs.frozen
 class ListedHost:
-    """One row of the list.
+    """One entry of the host list.
 
     Attributes:
-        name: Name of the host or of the backend server.
-        address: ``ip:port`` of its HTTP interface.
-        failure_domain: Where it stands.
-        role: What it does.
+        name: Name of the host or backend server.
+        address: ``ip:port`` of its HTTP endpoint.
+        failure_domain: Failure domain in which it runs.
+        role: Whether it is an entry host or a backend server.
         state: Whether it is about to leave.
-        incarnation: Grows each time the host is replaced or restarted.
+        incarnation: Increases each time the host is replaced or restarted.
     """
 
     name: str
@@ -45,18 +45,18 @@
 
 
 @attrs.frozen
-class _Listing:
+class _HostList:
     hosts: tuple[ListedHost, ...]
 
 
 class HostListClient(replies.ServiceClient):
-    """Reads the list of hosts."""
+    """Fetches the host list."""
 
     async def fetch(self) -> tuple[ListedHost, ...]:
-        """Returns the hosts as the platform saw them a while ago.
+        """Returns the listed hosts, which may be outdated.
 
         Raises:
-            ServiceUnavailableError: No usable answer in time.
+            ServiceUnavailableError: No valid response in time.
         """
-        listing = await self.get("/hosts", _Listing)
-        return listing.hosts
+        host_list = await self.get("/hosts", _HostList)
+        return host_list.hosts
--- a/src/hoistmoor/clients/log.py
+++ b/src/hoistmoor/clients/log.py
@@ -1,4 +1,4 @@
-"""Client of the platform's append-only log service."""
+"""Client for the platform's append-only log service."""
 
 from __future__ import annotations
 
@@ -16,9 +16,10 @@
 
 _LOG = logs.PartLogger("log")
 
-READ_LIMIT = 500  # Records a page.
+READ_LIMIT = 500  # Records per page.
 
-_NOT_STORED = frozenset({429, 503})  # The log's own word: nothing stored.
+# Statuses with which the log guarantees that it stored nothing.
+_NOT_STORED_STATUSES = frozenset({429, 503})
 
 
 @attrs.frozen
@@ -26,9 +27,10 @@
     """One record of a stream.
 
     Attributes:
-        offset: Its place in the stream; the first is 0.
-        at: When the log stored it, in seconds since the epoch, by its clock.
-        payload: What was appended.
+        offset: Offset in the stream, starting at 0.
+        at: When the log stored the record, in seconds since the epoch on the
+            clock of the log.
+        payload: The appended bytes.
     """
 
     offset: int
@@ -38,7 +40,7 @@
 
 @attrs.frozen
 class LogBounds:
-    """What a stream holds.
+    """The range of offsets of a stream.
 
     Attributes:
         first: The oldest offset that can still be read.
@@ -51,12 +53,12 @@
 
 @attrs.frozen
 class LogPage:
-    """Records read at once.
+    """One page of records.
 
     Attributes:
         first: The oldest offset that can still be read.
-        next: Where to read on.
-        records: In the order of their offsets, without gaps.
+        next: Offset at which the next page starts.
+        records: Records in order of offset, without gaps.
     """
 
     first: int
@@ -79,7 +81,7 @@
 
 
 @attrs.frozen
-class _Expired:
+class _ExpiredOffset:
     first: int
 
 
@@ -87,47 +89,50 @@
 class LogClient(replies.ServiceClient):
     """Appends to and reads from the streams of the log service.
 
-    A log that gives an offset out again has lost records. From then on every
-    call on that stream fails until the process is restarted.
+    A log that assigns an offset a second time has lost records. From then on,
+    every append to and read from that stream fails until the process is
+    restarted.
     """
 
-    _ends: dict[str, int] = attrs.field(factory=dict, init=False)
-    _rewound: dict[str, errors.LogRewoundError] = attrs.field(
+    _end_offsets: dict[str, int] = attrs.field(factory=dict, init=False)
+    _rewind_errors: dict[str, errors.LogRewoundError] = attrs.field(
         factory=dict, init=False
     )
 
     async def append(self, stream: str, payload: bytes) -> int:
-        """Appends one record, sent once.
+        """Appends one record, without retries.
 
         Returns:
             The offset of the record.
 
         Raises:
             LogUnavailableError: Nothing was stored.
-            LogOutcomeUnknownError: No reply; the record may be stored.
+            LogOutcomeUnknownError: No valid response; the record may be
+                stored.
             LogRewoundError: The log has lost records of the stream.
-            PlatformError: The log refused the record itself.
+            PlatformError: The log rejected the record itself.
         """
-        self._check(stream)
-        # Of appends under way at once, a later one may be answered first.
-        known = self._ends.get(stream, 0)
+        self._check_not_rewound(stream)
+        # Taken before sending: responses to concurrent appends may arrive in
+        # any order.
+        known_end = self._end_offsets.get(stream, 0)
         url = f"{self.base_url}/streams/{stream}/records"
         try:
             async with self.session.post(
                 url,
                 data=payload,
                 timeout=replies.timeout_of(self.timeout),
-            ) as reply:
-                body = await reply.read()
+            ) as response:
+                body = await response.read()
         except replies.TRANSPORT_ERRORS as error:
-            raise _append_error(stream, error) from error
-        if reply.status == 200:
+            raise _transport_error(stream, error) from error
+        if response.status == 200:
             offset = _stored_offset(stream, body)
-            if offset < known:
-                raise self._note_rewound(stream, known, offset)
-            self._note_end(stream, offset + 1)
+            if offset < known_end:
+                raise self._record_rewind(stream, known_end, offset)
+            self._record_end(stream, offset + 1)
             return offset
-        raise _append_refusal(stream, reply.status)
+        raise _status_error(stream, response.status)
 
     async def read(
         self,
@@ -140,16 +145,16 @@
 
         Args:
             stream: Name of the stream.
-            start: The first offset wanted.
-            limit: Records at most.
+            start: The first offset to read.
+            limit: Maximum number of records.
             wait: Seconds to wait for a record if there is none yet.
 
         Raises:
-            LogOffsetExpiredError: ``start`` is past the retention.
+            LogOffsetExpiredError: ``start`` is older than the retention.
             LogRewoundError: The log has lost records of the stream.
-            LogUnavailableError: No usable answer in time.
+            LogUnavailableError: No valid response in time.
         """
-        self._check(stream)
+        self._check_not_rewound(stream)
         url = f"{self.base_url}/streams/{stream}/records"
         query = {
             "from": str(start),
@@ -157,33 +162,33 @@
             "wait_ms": str(int(wait * 1000)),
         }
         body = await self._get(stream, url, start, query, self.timeout + wait)
-        page = _page(_parse(body, _WirePage, stream), stream)
+        page = _decode_page(_parse(body, _WirePage, stream), stream)
         if page.records:
-            self._note_end(stream, page.records[-1].offset + 1)
+            self._record_end(stream, page.records[-1].offset + 1)
         return page
 
     async def bounds(self, stream: str) -> LogBounds:
         """Returns the oldest and the next offset of a stream.
 
         Raises:
-            LogUnavailableError: No usable answer in time.
+            LogUnavailableError: No valid response in time.
         """
         url = f"{self.base_url}/streams/{stream}"
         body = await self._get(stream, url, 0, {}, self.timeout)
         return _parse(body, LogBounds, stream)
 
-    def _check(self, stream: str) -> None:
-        if stream in self._rewound:
-            raise self._rewound[stream]
+    def _check_not_rewound(self, stream: str) -> None:
+        if stream in self._rewind_errors:
+            raise self._rewind_errors[stream]
 
-    def _note_end(self, stream: str, end: int) -> None:
-        self._ends[stream] = max(end, self._ends.get(stream, 0))
+    def _record_end(self, stream: str, end: int) -> None:
+        self._end_offsets[stream] = max(end, self._end_offsets.get(stream, 0))
 
-    def _note_rewound(
-        self, stream: str, known: int, offset: int
+    def _record_rewind(
+        self, stream: str, known_end: int, offset: int
     ) -> errors.LogRewoundError:
-        error = errors.LogRewoundError(stream, known, offset)
-        self._rewound[stream] = error
+        error = errors.LogRewoundError(stream, known_end, offset)
+        self._rewind_errors[stream] = error
         _LOG.error("%s", error)
         return error
 
@@ -198,25 +203,27 @@
         try:
             async with self.session.get(
                 url, params=query, timeout=replies.timeout_of(timeout)
-            ) as reply:
-                body = await reply.read()
+            ) as response:
+                body = await response.read()
         except replies.TRANSPORT_ERRORS as error:
             raise errors.LogUnavailableError(
                 f"reading stream {stream} failed: {error!r}",
-                "Check the log's address and that it runs, then read again.",
+                "Check the address of the log and that it is running, then "
+                "retry.",
             ) from error
-        if reply.status == 410:
-            first = _parse(body, _Expired, stream).first
+        if response.status == 410:
+            first = _parse(body, _ExpiredOffset, stream).first
             raise errors.LogOffsetExpiredError(stream, start, first)
-        if reply.status != 200:
+        if response.status != 200:
             raise errors.LogUnavailableError(
-                f"reading stream {stream} was answered {reply.status}",
-                "Wait, then read again.",
+                f"reading stream {stream} failed with HTTP status "
+                f"{response.status}",
+                "Wait, then retry.",
             )
         return body
 
 
-def _page(wire: _WirePage, stream: str) -> LogPage:
+def _decode_page(wire: _WirePage, stream: str) -> LogPage:
     try:
         records = tuple(
             LogRecord(row.offset, row.at, base64.b64decode(row.payload))
@@ -224,8 +231,8 @@
         )
     except ValueError as error:
         raise errors.LogUnavailableError(
-            f"the log (stream {stream}) sent a record that is not base64",
-            "Check that the address belongs to that service.",
+            f"the log (stream {stream}) sent a record that is not valid base64",
+            "Check that the address is that of the log service.",
         ) from error
     return LogPage(wire.first, wire.next, records)
 
@@ -242,35 +249,35 @@
         return int(orjson.loads(body)["offset"])
     except (ValueError, KeyError, TypeError) as error:
         raise errors.LogOutcomeUnknownError(
-            f"append to stream {stream} got an unreadable reply",
-            "Read the stream for the record's own id.",
+            f"append to stream {stream} got a malformed response",
+            "Search the stream for the record's id before appending again.",
         ) from error
 
 
-def _append_error(stream: str, error: Exception) -> errors.PlatformError:
+def _transport_error(stream: str, error: Exception) -> errors.PlatformError:
     if replies.was_unsent(error):
         return errors.LogUnavailableError(
             f"append to stream {stream} could not be sent: {error!r}",
-            "Check the log's address and that it runs, then try again.",
+            "Check the address of the log and that it is running, then retry.",
         )
     return errors.LogOutcomeUnknownError(
-        f"append to stream {stream} got no reply: {error!r}",
-        "Read the stream for the record's own id before appending again.",
+        f"append to stream {stream} got no response: {error!r}",
+        "Search the stream for the record's id before appending again.",
     )
 
 
-def _append_refusal(stream: str, status: int) -> errors.PlatformError:
-    if status in _NOT_STORED:
+def _status_error(stream: str, status: int) -> errors.PlatformError:
+    if status in _NOT_STORED_STATUSES:
         return errors.LogUnavailableError(
-            f"append to stream {stream} was refused with {status}",
-            "Wait, then try again.",
+            f"append to stream {stream} was rejected with HTTP status {status}",
+            "Wait, then retry.",
         )
     if status < 500:
         return errors.PlatformError(
-            f"append to stream {stream} was refused with {status}",
-            "Check the stream's name and the record's size.",
+            f"append to stream {stream} was rejected with HTTP status {status}",
+            "Check the name of the stream and the size of the record.",
         )
     return errors.LogOutcomeUnknownError(
-        f"append to stream {stream} was answered {status}",
-        "Read the stream for the record's own id before appending again.",
+        f"append to stream {stream} failed with HTTP status {status}",
+        "Search the stream for the record's id before appending again.",
     )
--- a/src/hoistmoor/clients/ratings.py
+++ b/src/hoistmoor/clients/ratings.py
@@ -1,4 +1,4 @@
-"""Client of the platform's service that rates answers."""
+"""Client for the platform's rating service."""
 
 from __future__ import annotations
 
@@ -15,14 +15,15 @@
 
 @attrs.frozen
 class Answer:
-    """An answer that may be rated.
+    """A model response submitted for rating.
 
     Attributes:
-        answer_id: The request's id; a later answer of the same id is ignored.
+        answer_id: Id of the request; the service ignores further responses
+            with the same id.
         model: Name of the model.
-        version: Name of the version that gave it.
-        kind: Kind of request, as the router groups them.
-        text: The answer itself.
+        version: Name of the version that produced the response.
+        kind: Kind of request, as classified by the router.
+        text: Text of the response.
     """
 
     answer_id: str
@@ -34,11 +35,11 @@
 
 @attrs.frozen
 class RatingPage:
-    """Ratings read at once.
+    """One page of ratings.
 
     Attributes:
-        next: Offset to poll from next.
-        ratings: In the order in which they were made.
+        next: Offset at which the next page starts.
+        ratings: Ratings in the order in which they were created.
     """
 
     next: int
@@ -46,19 +47,22 @@
 
 
 class RatingsClient(replies.ServiceClient):
-    """Submits answers, and polls for ratings, which come late and sparse."""
+    """Submits responses and polls for their ratings.
+
+    Ratings are sparse and arrive with a delay.
+    """
 
     async def submit(self, *answers: Answer) -> None:
-        """Hands in answers, all in one call.
+        """Submits responses for rating, all in one call.
 
         Raises:
-            ServiceUnavailableError: They may or may not have been taken;
-                submitting again does no harm.
+            ServiceUnavailableError: The responses may or may not have been
+                accepted; submitting them again is safe.
         """
         await self.submit_all(answers)
 
     async def submit_all(self, answers: Sequence[Answer]) -> None:
-        """Does what ``submit`` does for a sequence."""
+        """Submits a sequence of responses; see ``submit``."""
         url = f"{self.base_url}/ratings/answers"
         content = [attrs.asdict(answer) for answer in answers]
         status, _ = await replies.send(
@@ -66,14 +70,15 @@
         )
         if status != 202:
             raise replies.ServiceUnavailableError(
-                f"{url} answered {status}", "Wait, then submit again."
+                f"{url} responded with HTTP status {status}",
+                "Wait, then submit the responses again.",
             )
 
     async def poll(self, offset: int, limit: int = 1000) -> RatingPage:
-        """Returns the ratings made since ``offset``; start at 0.
+        """Returns the ratings from ``offset`` on; the first offset is 0.
 
         Raises:
-            ServiceUnavailableError: No usable answer in time.
+            ServiceUnavailableError: No valid response in time.
         """
         query = {"from": str(offset), "limit": str(limit)}
         return await self.get("/ratings", RatingPage, query)
--- a/src/hoistmoor/clients/replies.py
+++ b/src/hoistmoor/clients/replies.py
@@ -1,4 +1,4 @@
-"""What every client does with the JSON replies of the platform's services."""
+"""JSON over HTTP calls that all clients of the platform's services share."""
 
 from __future__ import annotations
 
@@ -19,59 +19,65 @@
 
 DEFAULT_TIMEOUT = 2.0  # Seconds.
 
-# What aiohttp raises when a call fails on the way.
+# Exceptions that aiohttp raises when the transport of a call fails.
 TRANSPORT_ERRORS = (aiohttp.ClientError, TimeoutError, OSError)
 
 _REMEDIES = {
-    400: "Check that both sides speak the same version of the interface.",
-    404: "Check the name, and that the address belongs to that service.",
+    400: "Check that client and service use the same version of the API.",
+    404: "Check the name and that the address is that of the service.",
 }
 
 
 class ServiceUnavailableError(errors.PlatformError):
-    """A service of the platform gave no usable answer to a read."""
+    """A service of the platform gave no valid response."""
 
 
 class RateLimitedError(errors.PlatformError):
-    """A service of the platform asks to come back later.
+    """A service of the platform rejected a call because of a rate limit.
 
     Attributes:
-        retry_after: Seconds to wait.
+        retry_after: Seconds to wait before the next call.
     """
 
-    def __init__(self, what: str, retry_after: float) -> None:
+    def __init__(self, url: str, retry_after: float) -> None:
         super().__init__(
-            f"{what} is rate-limited",
-            f"Try again in {retry_after:g} seconds.",
+            f"{url} is rate-limited",
+            f"Retry in {retry_after:g} seconds.",
         )
         self.retry_after = retry_after
 
 
 def timeout_of(seconds: float) -> aiohttp.ClientTimeout:
-    """Returns a bound on a whole call, with a shorter one on connecting."""
+    """Returns the timeout of a call, of which connecting may use up to 1 s."""
     return aiohttp.ClientTimeout(total=seconds, connect=min(seconds, 1.0))
 
 
 def was_unsent(error: BaseException) -> bool:
-    """Returns whether the failed call cannot have left this host."""
+    """Returns whether a failed call is certain not to have been sent."""
     return isinstance(
         error, aiohttp.ClientConnectorError | aiohttp.ConnectionTimeoutError
     )
 
 
 def parse(body: bytes, cls: type[_T], source: str) -> _T:
-    """Returns a reply's JSON body as an instance of ``cls``.
+    """Decodes the JSON body of a response as an instance of ``cls``.
 
     Raises:
-        ServiceUnavailableError: The body is not JSON of that shape.
+        ServiceUnavailableError: The body is not JSON or does not match
+            ``cls``.
     """
     try:
         return codec.structure(orjson.loads(body), cls)
-    except (ValueError, TypeError, KeyError, cattrs.BaseValidationError) as bad:
+    except (
+        ValueError,
+        TypeError,
+        KeyError,
+        cattrs.BaseValidationError,
+    ) as error:
         raise ServiceUnavailableError(
-            f"{source} sent a reply that cannot be read: {bad!r}",
-            "Check that the address belongs to that service.",
-        ) from bad
+            f"{source} sent a malformed response: {error!r}",
+            "Check that the address is that of the service.",
+        ) from error
 
 
 async def fetch(
@@ -82,54 +88,58 @@
     params: dict[str, Any] | None = None,
     verify: ssl.SSLContext | bool = True,
 ) -> _T:
-    """Reads one JSON document.
+    """Fetches one JSON document.
 
     Raises:
-        RateLimitedError: The service answered 429.
-        ServiceUnavailableError: Any other answer but 200, or none in time.
+        RateLimitedError: The service responded with status 429.
+        ServiceUnavailableError: The status was neither 200 nor 429, the
+            response was malformed, or there was none in time.
     """
     try:
         async with session.get(
             url, params=params, timeout=timeout_of(timeout), ssl=verify
-        ) as reply:
-            body = await reply.read()
-            status = reply.status
-            wait = reply.headers.get("Retry-After", "1")
+        ) as response:
+            body = await response.read()
+            status = response.status
+            retry_after = response.headers.get("Retry-After", "1")
     except TRANSPORT_ERRORS as error:
         raise ServiceUnavailableError(
-            f"no answer from {url}: {error!r}",
-            "Check the address and that the service runs, then try again.",
+            f"no response from {url}: {error!r}",
+            "Check the address and that the service is running, then retry.",
         ) from error
     if status == 429:
-        raise RateLimitedError(url, _seconds(wait))
+        raise RateLimitedError(url, _parse_retry_after(retry_after))
     if status != 200:
-        remedy = _REMEDIES.get(status, "Wait, then try again.")
-        raise ServiceUnavailableError(f"{url} answered {status}", remedy)
+        remedy = _REMEDIES.get(status, "Wait, then retry.")
+        raise ServiceUnavailableError(
+            f"{url} responded with HTTP status {status}", remedy
+        )
     return parse(body, cls, url)
 
 
-def _without_slash(base_url: str) -> str:
+def _strip_trailing_slash(base_url: str) -> str:
     return base_url.rstrip("/")
 
 
 @attrs.define(eq=False, slots=False)
 class ServiceClient:
-    """Base of the clients of the platform's services.
+    """Base class for clients of the platform's services.
 
     Attributes:
-        session: From ``sessions.make_session``; stays the caller's.
-        base_url: For example ``http://127.0.0.1:9000``.
-        timeout: Seconds for one call; a long poll adds its wait.
+        session: A session from ``sessions.make_session``, which the caller
+            closes.
+        base_url: Base URL, for example ``http://127.0.0.1:9000``.
+        timeout: Timeout of one call in seconds; a long poll adds its wait.
     """
 
     session: aiohttp.ClientSession
-    base_url: str = attrs.field(converter=_without_slash)
+    base_url: str = attrs.field(converter=_strip_trailing_slash)
     timeout: float = DEFAULT_TIMEOUT
 
     async def get(
         self, path: str, cls: type[_T], params: dict[str, Any] | None = None
     ) -> _T:
-        """Reads one JSON document; raises what the function ``fetch`` does."""
+        """Fetches one JSON document; raises the errors of ``fetch``."""
         url = self.base_url + path
         return await fetch(self.session, url, cls, self.timeout, params)
 
@@ -144,11 +154,11 @@
     """Sends one JSON document.
 
     Returns:
-        The status code and the body of the answer.
+        The status code and the body of the response.
 
     Raises:
-        ServiceUnavailableError: No whole answer in time; the call may have
-            taken effect.
+        ServiceUnavailableError: No complete response in time; the call may
+            have taken effect.
     """
     try:
         async with session.request(
@@ -157,16 +167,16 @@
             data=orjson.dumps(content),
             headers={"Content-Type": "application/json"},
             timeout=timeout_of(timeout),
-        ) as reply:
-            return reply.status, await reply.read()
+        ) as response:
+            return response.status, await response.read()
     except TRANSPORT_ERRORS as error:
         raise ServiceUnavailableError(
-            f"no answer from {url}: {error!r}",
-            "Read the state back, then send again if it is not the wanted one.",
+            f"no response from {url}: {error!r}",
+            "Check whether the call took effect before sending it again.",
         ) from error
 
 
-def _seconds(text: str) -> float:
+def _parse_retry_after(text: str) -> float:
     try:
         return max(0.0, float(text))
     except ValueError:
--- a/src/hoistmoor/clients/sessions.py
+++ b/src/hoistmoor/clients/sessions.py
@@ -1,10 +1,10 @@
-"""The one place where HTTP client sessions are opened.
+"""Opens all HTTP client sessions.
 
-aiohttp sends a request of an idempotent HTTP method a second time when a
-reused connection turns out to be cut, follows redirects, and hands an answer
-that arrived on an idle connection to the next request on it. None of this may
-happen here: whether to send again is the router's decision, and an answer
-belongs to one attempt.
+By default, aiohttp sends a request with an idempotent method again when a
+reused connection turns out to be closed, follows redirects, and takes a
+response that arrived on an idle connection as that to the next request. These
+sessions do none of this: the router alone decides about retries, and each
+response belongs to one attempt.
 """
 
 from __future__ import annotations
@@ -26,27 +26,27 @@
 
 CONNECT_TIMEOUT = 1.0  # Seconds to open a connection.
 TOTAL_TIMEOUT = 30.0  # Seconds for calls that set no timeout of their own.
-# Seconds that an unused connection is kept: less than common servers keep it,
-# or a request could meet a connection that is just being closed.
+# Seconds that an idle connection is kept. Common servers keep theirs longer;
+# otherwise a request could be sent while the server closes the connection.
 IDLE_TIMEOUT = 1.5
-MAX_CONNECTIONS = 2000  # Connections open at once, over all addresses.
+MAX_CONNECTIONS = 2000  # Open connections to all addresses together.
 
 
 class Watcher(Protocol):
-    """Told how far the sending of one request has come."""
+    """Observes the progress of sending one request."""
 
     def on_connection(self, reused: bool) -> None:
-        """A connection is there; bytes may leave from now on."""
+        """Called with a connection, before any bytes are sent on it."""
 
     def on_headers(self) -> None:
-        """The head is being sent."""
+        """Called when the request head is written to the connection."""
 
     def on_body(self, size: int) -> None:
-        """``size`` more bytes of the body are being sent."""
+        """Called when ``size`` more bytes of the body are written."""
 
 
 class QuietConnector(aiohttp.TCPConnector):
-    """Reuses a connection only if nothing arrived on it while it was idle."""
+    """Reuses a connection only if no data arrived while it was idle."""
 
     def __init__(self, **options: Any) -> None:
         super().__init__(**options)
@@ -63,14 +63,14 @@
 
 
 class ResetAwareHandler(client_proto.ResponseHandler):
-    """Tells an answer that was reset from one that ended.
+    """Distinguishes a reset connection from the regular end of a response.
 
-    aiohttp takes the end of a connection for the end of an answer without a
-    length, also where the connection was reset.
+    aiohttp treats the end of a connection as the end of a response without a
+    length, even if the connection was reset.
     """
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Marks the answer under way as cut."""
+        """Fails the current response if the connection ended with an error."""
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
             payload.set_exception(
@@ -80,38 +80,41 @@
 
 
 class AttemptResponse(aiohttp.ClientResponse):
-    """Lets its connection be reused only if it names the attempt asked for.
+    """Allows its connection to be reused only if it echoes the attempt id.
 
-    The connection of an answer without the id, or with another one, could
-    hand a late answer to the next request.
+    A server that sent a response without the id, or with another one, could
+    send a late response on the same connection, which the next request would
+    receive.
 
     Attributes:
-        attempt_header: Names the attempt, in the request and the answer.
+        attempt_header: Header with the attempt id in request and response.
     """
 
     attempt_header = ATTEMPT_HEADER
-    _head_known = False
+    _is_head_checked = False
 
     async def start(
         self, connection: aiohttp.connector.Connection
     ) -> aiohttp.ClientResponse:
-        """Reads the head of the answer."""
+        """Reads the head of the response."""
         await super().start(connection)
-        asked = self.request_info.headers.get(self.attempt_header)
-        foreign = asked and self.headers.get(self.attempt_header) != asked
-        if foreign and connection.protocol is not None:
+        sent_id = self.request_info.headers.get(self.attempt_header)
+        is_mismatch = (
+            sent_id and self.headers.get(self.attempt_header) != sent_id
+        )
+        if is_mismatch and connection.protocol is not None:
             connection.protocol.force_close()
-        self._head_known = True
+        self._is_head_checked = True
         if self.content.is_eof():
             self._response_eof()
         return self
 
     def _response_eof(self) -> None:
-        # An answer may end before its head was looked at.
-        if not self._head_known:
+        # The response may end before ``start`` has checked its head.
+        if not self._is_head_checked:
             return
-        # It may also end before the request's body is out: what the server
-        # still expects must not be taken from the next request.
+        # The response may also end before the request body is fully sent. The
+        # server would then read the next request as the rest of that body.
         writer = self._writer
         if writer is not None and not writer.done() and self._connection:
             protocol = self._connection.protocol
@@ -120,7 +123,7 @@
         super()._response_eof()
 
 
-def _response_class(attempt_header: str) -> type[AttemptResponse]:
+def _make_response_class(attempt_header: str) -> type[AttemptResponse]:
     return type(
         "AttemptResponse",
         (AttemptResponse,),
@@ -128,51 +131,51 @@
     )
 
 
-def _watcher(context: SimpleNamespace) -> Watcher | None:
+def _find_watcher(context: SimpleNamespace) -> Watcher | None:
     watcher: Watcher | None = context.trace_request_ctx
     return watcher
 
 
-async def _on_connected(
+async def _on_connection_created(
     _session: object, context: SimpleNamespace, _params: object
 ) -> None:
-    if watcher := _watcher(context):
+    if watcher := _find_watcher(context):
         watcher.on_connection(reused=False)
 
 
-async def _on_reused(
+async def _on_connection_reused(
     _session: object, context: SimpleNamespace, _params: object
 ) -> None:
-    if watcher := _watcher(context):
+    if watcher := _find_watcher(context):
         watcher.on_connection(reused=True)
 
 
-async def _on_headers(
+async def _on_headers_sent(
     _session: object, context: SimpleNamespace, _params: object
 ) -> None:
-    if watcher := _watcher(context):
+    if watcher := _find_watcher(context):
         watcher.on_headers()
 
 
-async def _on_chunk(
+async def _on_chunk_sent(
     _session: object,
     context: SimpleNamespace,
     params: aiohttp.TraceRequestChunkSentParams,
 ) -> None:
-    if watcher := _watcher(context):
+    if watcher := _find_watcher(context):
         watcher.on_body(len(params.chunk))
 
 
 def _make_trace() -> aiohttp.TraceConfig:
     trace = aiohttp.TraceConfig()
-    trace.on_connection_create_end.append(_on_connected)
-    trace.on_connection_reuseconn.append(_on_reused)
-    trace.on_request_headers_sent.append(_on_headers)
-    trace.on_request_chunk_sent.append(_on_chunk)
+    trace.on_connection_create_end.append(_on_connection_created)
+    trace.on_connection_reuseconn.append(_on_connection_reused)
+    trace.on_request_headers_sent.append(_on_headers_sent)
+    trace.on_request_chunk_sent.append(_on_chunk_sent)
     return trace
 
 
-TRACE = _make_trace()  # Feeds the watcher given as ``trace_request_ctx``.
+TRACE = _make_trace()  # Notifies the watcher passed as ``trace_request_ctx``.
 
 
 def make_session(
@@ -188,23 +191,24 @@
 
     Args:
         connect_timeout: Seconds to open a connection.
-        total_timeout: Seconds for a whole call unless the call says
-            otherwise; None for no bound.
-        reuse_connections: False opens a connection for each request, which
-            rules out that a stale one leaves the outcome unknown.
-        idle_timeout: Seconds that an unused connection is kept.
-        attempt_header: Names the attempt, in requests and answers.
+        total_timeout: Seconds for a call that sets no timeout of its own; None
+            for no timeout.
+        reuse_connections: False opens a new connection for each request, so
+            that no stale connection can leave an outcome unknown.
+        idle_timeout: Seconds that an idle connection is kept.
+        attempt_header: Header with the attempt id in requests and responses.
         unanswered_timeout: Seconds that sent bytes may stay unacknowledged
-            before the connection counts as lost; None for the system's.
+            before the connection counts as lost; None for the default of the
+            operating system.
 
     Returns:
-        The session; the caller closes it.
+        The session, which the caller closes.
     """
     connector = QuietConnector(
         limit=MAX_CONNECTIONS,
         keepalive_timeout=idle_timeout if reuse_connections else None,
         force_close=not reuse_connections,
-        socket_factory=_socket_factory(unanswered_timeout),
+        socket_factory=_make_socket_factory(unanswered_timeout),
     )
     session = aiohttp.ClientSession(
         connector=connector,
@@ -219,17 +223,17 @@
             "User-Agent",
         ),
         auto_decompress=False,
-        response_class=_response_class(attempt_header),
+        response_class=_make_response_class(attempt_header),
         trace_configs=[TRACE],
     )
-    _send_once(session)
+    _disable_resending(session)
     return session
 
 
-def _socket_factory(
+def _make_socket_factory(
     unanswered_timeout: float | None,
 ) -> Callable[[aiohappyeyeballs.AddrInfoType], socket.socket] | None:
-    """Returns what opens sockets that notice a lost peer in time."""
+    """Returns a factory of sockets that detect a lost peer in time."""
     if unanswered_timeout is None:
         return None
     timeout_ms = int(unanswered_timeout * 1000)
@@ -246,15 +250,16 @@
     return open_socket
 
 
-def _send_once(session: aiohttp.ClientSession) -> None:
-    """Keeps ``session`` from sending a request again by itself.
+def _disable_resending(session: aiohttp.ClientSession) -> None:
+    """Disables redirects and automatic retries in ``session``.
 
-    aiohttp has no public switches for a whole session; tests prove these.
+    aiohttp has no public options for this per session, so private attributes
+    are set. Tests verify that they still have an effect.
     """
     request = session._request
 
-    async def request_once(*words: Any, **options: Any) -> Any:
-        return await request(*words, **{**options, "allow_redirects": False})
+    async def request_once(*args: Any, **options: Any) -> Any:
+        return await request(*args, **{**options, "allow_redirects": False})
 
     session._request = request_once  # type: ignore[method-assign]
     session._retry_connection = False
--- a/src/hoistmoor/clients/stream_reader.py
+++ b/src/hoistmoor/clients/stream_reader.py
@@ -1,8 +1,8 @@
-"""The one reader of a stream of the log.
+"""Reads a stream of the log on behalf of a consumer.
 
-It owns the start, the long poll, the pace, gaps, outages and records that do
-not decode. What records mean is for its consumer, which also knows where to
-read on.
+The reader handles the start, long polling, polling intervals, gaps, outages
+and records that cannot be decoded. The consumer interprets the records and
+keeps the offset at which to continue.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class Readable(Protocol):
-    """The part of ``log.LogClient`` that a reader needs."""
+    """The methods of ``log.LogClient`` that a reader needs."""
 
     async def read(
         self, stream: str, start: int, limit: int = 500, wait: float = 0.0
@@ -42,55 +42,55 @@
 
 
 class Consumer(abc.ABC):
-    """What a stream's records are read for."""
+    """Processes the records of a stream."""
 
     @property
     @abc.abstractmethod
     def next_offset(self) -> int:
-        """Where to read on."""
+        """Offset of the next record to read."""
 
     @property
     def is_needed(self) -> bool:
-        """Whether somebody waits for a record that is on its way."""
+        """Whether something is waiting for a record that is not yet read."""
         return False
 
     @abc.abstractmethod
     def on_start(self, bounds: log_client.LogBounds) -> None:
-        """Chooses where to start, before the first read."""
+        """Sets the start offset before the first read."""
 
     @abc.abstractmethod
     def on_gap(self, first: int) -> None:
-        """Reads on at ``first``: the records before it expired unread."""
+        """Continues at ``first``; the unread records before it have expired."""
 
     @abc.abstractmethod
     def on_record(self, record: log_client.LogRecord, decoded: Any) -> None:
-        """Takes the next record.
+        """Processes the next record.
 
         Raises:
-            CodecError: No such record belongs on the stream.
+            CodecError: The record does not belong on this stream.
         """
 
     @abc.abstractmethod
     def on_bad_record(self, record: log_client.LogRecord) -> None:
-        """Passes over a record that does not decode."""
+        """Skips a record that cannot be decoded."""
 
     async def on_page(self, page: log_client.LogPage) -> bool:
-        """Notes that a page was taken; returns whether to read on at once."""
+        """Called after each page; returns whether to read on at once."""
         del page
         return False
 
     def on_failure(self, error: errors.HoistmoorError) -> None:
-        """Notes that the stream could not be read."""
+        """Called when the stream could not be read."""
         del error
 
 
 class StreamReader:
-    """Reads a stream for a consumer, at a pace.
+    """Polls a stream for a consumer.
 
     Attributes:
-        bad_records: Records that do not decode.
-        failures: Failed attempts in a row; 0 while the log answers.
-        polls: Reads that were answered.
+        bad_records: Number of records that could not be decoded.
+        failures: Consecutive failed reads; 0 while the log is available.
+        polls: Number of successful reads.
     """
 
     def __init__(
@@ -103,16 +103,16 @@
         clock: Callable[[], float] = time.monotonic,
         wait: Wait | None = None,
     ) -> None:
-        """Reads nothing yet; see ``run``.
+        """Creates a reader; ``run`` starts reading.
 
         Args:
             log: The log service.
             stream: Name of the stream.
-            consumer: Takes the records.
-            pace: How often to read.
-            decode: Makes a record of a payload, or raises ``CodecError``.
-            clock: Returns seconds, from any start.
-            wait: Waits for that many seconds, or until the event is set.
+            consumer: Processes the records.
+            pace: Limits how often to poll.
+            decode: Decodes a payload, or raises ``CodecError``.
+            clock: Returns monotonic time in seconds.
+            wait: Waits for that many seconds or until the event is set.
         """
         self.bad_records = 0
         self.failures = 0
@@ -123,52 +123,53 @@
         self._pace = pace
         self._decode = decode
         self._clock = clock
-        self._wait = wait or _wait
-        self._hurried = asyncio.Event()
-        self._beside: set[asyncio.Task[None]] = set()
+        self._wait = wait or _wait_for_event
+        self._wake_event = asyncio.Event()
+        self._extra_reads: set[asyncio.Task[None]] = set()
         self._is_started = False
-        self._may_hold = False
+        self._may_long_poll = False
         self._polled_at = clock()
 
     def hurry(self) -> None:
-        """Ends the pause before the next poll, since it is needed now."""
-        self._hurried.set()
+        """Ends the delay before the next poll."""
+        self._wake_event.set()
 
     async def catch_up(self, patience: float) -> None:
-        """Reads a page at once, beside a poll that may be under way.
+        """Reads a page at once, concurrently with any poll in progress.
 
-        For a consumer that passes over records that it has taken.
+        The consumer must skip records that it has already processed.
 
         Args:
-            patience: Seconds to wait for the log; its failure ends the wait.
+            patience: Seconds to wait for the log; a failed read ends the wait.
         """
-        task = asyncio.create_task(self._read_beside())
-        self._beside.add(task)
-        task.add_done_callback(self._beside.discard)
-        # Not cancelled when late: who waits for its page is woken at its end.
+        task = asyncio.create_task(self._read_once())
+        self._extra_reads.add(task)
+        task.add_done_callback(self._extra_reads.discard)
+        # The read is not cancelled after the timeout, since others may wait for
+        # its page.
         await asyncio.wait({task}, timeout=patience)
 
     async def run(self) -> None:
-        """Reads on for ever, also through outages."""
+        """Reads until cancelled, retrying after failures."""
         while True:
-            self._hurried.clear()  # This poll serves who set it.
+            self._wake_event.clear()  # This poll serves pending wake-ups.
             try:
                 has_more = await self.step(self._pace.hold)
             except errors.HoistmoorError as error:
-                await self._back_off(error)
+                await self._wait_after_failure(error)
                 continue
             if not has_more:
-                await self._rest()
+                await self._wait_for_next_poll()
 
     async def step(self, hold: float) -> bool:
-        """Reads one page. Several may run at once, if the consumer lets them.
+        """Reads one page; may run concurrently if the consumer allows it.
 
         Args:
             hold: Seconds that the log may wait for a record; the first read
                 after a start or a gap does not wait.
 
         Returns:
-            Whether there may be more to read at once.
+            Whether more records may be available at once.
 
         Raises:
             PlatformError: The log could not be read.
@@ -178,16 +179,16 @@
             if not self._is_started:
                 self._is_started = True
                 self._consumer.on_start(bounds)
-        page = await self._read(hold if self._may_hold else 0.0)
+        page = await self._read(hold if self._may_long_poll else 0.0)
         if page is None:
             return True
-        await self._take(page)
-        reads_on = await self._consumer.on_page(page)
+        await self._process(page)
+        has_more = await self._consumer.on_page(page)
         self.failures = 0
-        return reads_on or len(page.records) == self._pace.page
+        return has_more or len(page.records) == self._pace.page
 
     async def _read(self, hold: float) -> log_client.LogPage | None:
-        """Returns a page; None if there is a gap to read on after."""
+        """Returns a page, or None if the offset has expired."""
         self._polled_at = self._clock()
         try:
             page = await self._log.read(
@@ -197,20 +198,20 @@
                 hold,
             )
         except errors.LogOffsetExpiredError as error:
-            self._may_hold = False
+            self._may_long_poll = False
             self._consumer.on_gap(error.first_offset)
             return None
         self.polls += 1
-        self._may_hold = True
+        self._may_long_poll = True
         return page
 
-    async def _take(self, page: log_client.LogPage) -> None:
+    async def _process(self, page: log_client.LogPage) -> None:
         for number, record in enumerate(page.records, start=1):
-            self._take_record(record)
+            self._process_record(record)
             if number % self._pace.burst == 0:
-                await asyncio.sleep(0)  # A long page must not stall requests.
+                await asyncio.sleep(0)  # Requests run meanwhile.
 
-    def _take_record(self, record: log_client.LogRecord) -> None:
+    def _process_record(self, record: log_client.LogRecord) -> None:
         try:
             self._consumer.on_record(record, self._decode(record.payload))
         except errors.CodecError as error:
@@ -218,37 +219,38 @@
             self._consumer.on_bad_record(record)
             if _is_power_of_two(self.bad_records):
                 _LOG.warning(
-                    "record %d of stream %s skipped, %d so far. %s",
+                    "skipped malformed record %d of stream %s (%d so far): %s",
                     record.offset,
                     self._stream,
                     self.bad_records,
                     error,
                 )
 
-    async def _read_beside(self) -> None:
+    async def _read_once(self) -> None:
         with contextlib.suppress(errors.PlatformError):
             await self.step(0.0)
 
-    async def _rest(self) -> None:
+    async def _wait_for_next_poll(self) -> None:
         since_poll = self._clock() - self._polled_at
-        pause = self._pace.pause(since_poll, self._consumer.is_needed)
-        if pause > 0:
-            await self._wait(pause, self._hurried)
+        delay = self._pace.pause(since_poll, self._consumer.is_needed)
+        if delay > 0:
+            await self._wait(delay, self._wake_event)
 
-    async def _back_off(self, error: errors.HoistmoorError) -> None:
+    async def _wait_after_failure(self, error: errors.HoistmoorError) -> None:
         self.failures += 1
         self._consumer.on_failure(error)
         if _is_power_of_two(self.failures):
-            _LOG.warning("stream %s is not read. %s", self._stream, error)
-        pause = self._pace.retry_pause(self.failures, random.random())
-        # A need does not shorten this: it would hammer a log that is down.
-        await self._wait(pause, asyncio.Event())
+            _LOG.warning("cannot read stream %s: %s", self._stream, error)
+        delay = self._pace.retry_pause(self.failures, random.random())
+        # Nothing shortens this delay, since frequent retries would overload a
+        # log that is recovering.
+        await self._wait(delay, asyncio.Event())
 
 
-async def _wait(seconds: float, hurried: asyncio.Event) -> None:
+async def _wait_for_event(seconds: float, event: asyncio.Event) -> None:
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(seconds):
-            await hurried.wait()
+            await event.wait()
 
 
 def _is_power_of_two(count: int) -> bool:
--- a/src/hoistmoor/clients/weights.py
+++ b/src/hoistmoor/clients/weights.py
@@ -1,4 +1,4 @@
-"""Client of the platform's weight store, which is rate-limited."""
+"""Client for the platform's weight store, which is rate-limited."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 @attrs.frozen
 class WeightInfo:
-    """What the weight store knows of one version.
+    """Metadata of the weights of one version.
 
     Attributes:
         model: Name of the model.
         version: Name of the version.
-        size_bytes: Bytes that an engine fetches to load it.
-        digest: Hash of the weights, in hex.
+        size_bytes: Number of bytes that an engine downloads to load it.
+        digest: Hash of the weights in hexadecimal.
     """
 
     model: str
@@ -26,15 +26,15 @@
 
 @attrs.define(eq=False, slots=False)
 class WeightStoreClient(replies.ServiceClient):
-    """Asks about weights."""
+    """Fetches metadata of weights."""
 
     timeout: float = 5.0  # Seconds.
 
     async def fetch_info(self, model: str, version: str) -> WeightInfo:
-        """Returns what the store holds of one version.
+        """Returns the metadata of one version.
 
         Raises:
-            RateLimitedError: Too many calls; it says when to come back.
-            ServiceUnavailableError: Not found, or no usable answer in time.
+            RateLimitedError: Too many calls; the error says when to retry.
+            ServiceUnavailableError: Not found, or no valid response in time.
         """
         return await self.get(f"/weights/{model}/{version}", WeightInfo)
