--- a/src/hoistmoor/peers/__init__.py
+++ b/src/hoistmoor/peers/__init__.py
@@ -1,3 +1,3 @@
-"""Calls between the entry hosts, over gRPC."""
+"""gRPC calls between entry hosts."""
 
 from __future__ import annotations
--- a/src/hoistmoor/peers/client.py
+++ b/src/hoistmoor/peers/client.py
@@ -1,4 +1,4 @@
-"""Calls to one peer, and the bounded set of open connections to all."""
+"""Client for calls to a peer, and a bounded pool of such clients."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 PING_TIMEOUT = 0.5  # Seconds.
 CALL_TIMEOUT = 1.0  # Seconds.
-FETCH_TIMEOUT = 5.0  # Seconds; a snapshot of the table can be large.
+FETCH_TIMEOUT = 5.0  # Seconds; table snapshots can be large.
 MAX_CONNECTIONS = 32
-# A connection across a cut network swallows calls without an error; after so
-# many timeouts in a row it is replaced.
+# Calls on a connection across a network partition time out without any other
+# error, so the connection is replaced after this many consecutive timeouts.
 _TIMEOUTS_BEFORE_RECONNECT = 2
 
 
@@ -42,16 +42,17 @@
 
 
 class PeerClient:
-    """One channel to one peer.
+    """Client for calls to one peer over one channel.
 
     Attributes:
         address: The peer's ``ip:port``.
-        calls: Calls in progress.
+        calls: Number of calls in progress.
 
-    Every method raises:
-        PeerUnreachableError: No connection, or it broke.
+    Every call raises:
+        PeerUnreachableError: There was no connection, it failed, or the reply
+            could not be authenticated.
         PeerTimeoutError: No reply in time.
-        PeerRefusedError: The peer answered with an error.
+        PeerRefusedError: The peer replied with an error.
     """
 
     def __init__(
@@ -60,13 +61,13 @@
         signing: signing_lib.Signing | None = None,
         tls: ssl.SSLContext | None = None,
     ) -> None:
-        """Opens nothing yet.
+        """Creates a client; the first call opens the connection.
 
         Args:
             address: The peer's ``ip:port``.
-            signing: Signs calls and checks replies; None for neither, for
+            signing: Signs calls and verifies replies; None disables both, for
                 tests only.
-            tls: Makes the connection encrypted.
+            tls: TLS settings; None for an unencrypted connection.
         """
         parsed = addresses.parse(address)
         self.address = address
@@ -79,14 +80,14 @@
         self._stub = peer_grpc.PeerStub(self._channel)
 
     async def ping(self, digest: peer_pb2.Digest) -> peer_pb2.Digest:
-        """Sends a digest and returns the peer's."""
+        """Sends a digest and returns the digest of the peer."""
         reply: peer_pb2.Digest = await self._call(
             self._stub.Ping, digest, PING_TIMEOUT
         )
         return reply
 
     async def ping_for(self, target: str, peer_address: str) -> bool:
-        """Returns whether ``target`` answers a ping from this peer."""
+        """Returns whether ``target`` replies to a ping from this peer."""
         request = peer_pb2.PingForRequest(
             target=target, peer_address=peer_address
         )
@@ -94,23 +95,23 @@
         return bool(reply.reached)
 
     async def hold_bills(self, batch_id: str, batch: bytes) -> None:
-        """Has the peer keep an encoded batch of bills."""
+        """Asks the peer to hold an encoded batch of bills."""
         request = peer_pb2.HoldBillsRequest(batch_id=batch_id, batch=batch)
         await self._call(self._stub.HoldBills, request, CALL_TIMEOUT)
 
     async def release_bills(self, batch_ids: tuple[str, ...]) -> None:
-        """Has the peer drop batches that it holds."""
+        """Asks the peer to drop batches that it holds."""
         request = peer_pb2.ReleaseBillsRequest(batch_ids=batch_ids)
         await self._call(self._stub.ReleaseBills, request, CALL_TIMEOUT)
 
     async def fetch_table(self, revision: int) -> bytes:
-        """Returns a snapshot newer than ``revision``, or nothing."""
+        """Returns a snapshot newer than ``revision``, or empty bytes."""
         request = peer_pb2.FetchTableRequest(table_mark=revision + 1)
         reply = await self._call(self._stub.FetchTable, request, FETCH_TIMEOUT)
         return bytes(reply.snapshot)
 
     async def find_decision(self, request_id: str) -> bytes:
-        """Returns the encoded decision on a request, or nothing."""
+        """Returns the encoded decision on a request, or empty bytes."""
         request = peer_pb2.FindDecisionRequest(request_id=request_id)
         reply = await self._call(self._stub.FindDecision, request, CALL_TIMEOUT)
         return bytes(reply.decision)
@@ -118,7 +119,7 @@
     async def find_key(
         self, account: str, key: str, claim_id: str
     ) -> handlers.KeyFound:
-        """Returns what the peer knows of a caller's idempotency key."""
+        """Returns the peer's state of an idempotency key."""
         request = peer_pb2.FindKeyRequest(
             account=account, key=key, claim_id=claim_id
         )
@@ -126,7 +127,7 @@
         return handlers.KeyFound(reply.state, bytes(reply.answer))
 
     async def find_session(self, account: str, session: str) -> bytes:
-        """Returns the encoded pin of a session, or nothing."""
+        """Returns the encoded pin of a session, or empty bytes."""
         request = peer_pb2.FindSessionRequest(account=account, session=session)
         reply = await self._call(self._stub.FindSession, request, CALL_TIMEOUT)
         return bytes(reply.pin)
@@ -134,7 +135,7 @@
     async def keep_session(
         self, account: str, session: str, pin: bytes
     ) -> bytes:
-        """Offers an encoded pin; returns the encoded pin that stands."""
+        """Proposes an encoded pin; returns the encoded pin in effect."""
         request = peer_pb2.KeepSessionRequest(
             account=account, session=session, pin=pin
         )
@@ -142,7 +143,7 @@
         return bytes(reply.pin)
 
     async def shares(self, message: bytes) -> bytes:
-        """Sends an encoded message on shares of limits; returns the answer."""
+        """Sends an encoded message about limit shares; returns the reply."""
         request = peer_pb2.SharesRequest(message=message)
         reply = await self._call(self._stub.Shares, request, CALL_TIMEOUT)
         return bytes(reply.message)
@@ -157,16 +158,16 @@
             async with asyncio.timeout(timeout):
                 reply = await self._exchange(method, message, timeout)
         except TimeoutError as error:
-            self._count_timeout()
+            self._record_timeout()
             raise errors.PeerTimeoutError(
                 f"peer {self.address} did not reply within {timeout} s",
                 "Try another peer.",
             ) from error
         except grpclib.GRPCError as error:
-            raise _refusal(self.address, error) from error
+            raise _make_refused_error(self.address, error) from error
         except (OSError, exceptions.StreamTerminatedError) as error:
             raise errors.PeerUnreachableError(
-                f"peer {self.address} cannot be reached: {error}",
+                f"peer {self.address} is unreachable: {error}",
                 "Try another peer.",
             ) from error
         finally:
@@ -179,14 +180,14 @@
     ) -> Any:
         body = message.SerializeToString()
         reply = await self._send(method, body, timeout)
-        if reply is None:  # The peer's clock differs, and is known now.
+        if reply is None:  # Retried once with the clock offset of the peer.
             reply = await self._send(method, body, timeout)
         return method.reply_type.FromString(reply)
 
     async def _send(
         self, method: _Method, body: bytes, timeout: float
     ) -> bytes | None:
-        """Returns the reply, or None for a call worth to be signed again."""
+        """Returns the reply, or None if the call should be signed again."""
         signed = self._signing.sign(method.name, body)
         try:
             async with method.open(
@@ -203,7 +204,7 @@
         signed.check_reply(stream.initial_metadata, reply)
         return reply
 
-    def _count_timeout(self) -> None:
+    def _record_timeout(self) -> None:
         self._timeouts += 1
         if self._timeouts >= _TIMEOUTS_BEFORE_RECONNECT:
             self._timeouts = 0
@@ -211,9 +212,9 @@
 
 
 class PeerClients:
-    """The clients in use, by address.
+    """A pool of clients by address.
 
-    Above the limit the least recently used idle ones are closed.
+    Above the limit, the least recently used idle clients are closed.
     """
 
     def __init__(
@@ -228,7 +229,7 @@
         )
 
     def get(self, address: str) -> PeerClient:
-        """Returns the client of the peer at ``address``."""
+        """Returns the client for the peer at ``address``."""
         peer = self._clients.get(address)
         if peer is None:
             peer = self._clients[address] = self._make_client(address)
@@ -255,17 +256,21 @@
             peer.close()
 
 
-_REFUSALS = {const.Status.UNAUTHENTICATED: errors.PeerDistrustError}
-_REMEDIES = {
+_ERRORS_BY_STATUS = {const.Status.UNAUTHENTICATED: errors.PeerDistrustError}
+_REMEDIES_BY_STATUS = {
     const.Status.UNAUTHENTICATED: (
         "See docs/operators/keys.md on refused calls."
     )
 }
 
 
-def _refusal(address: str, error: grpclib.GRPCError) -> errors.PeerRefusedError:
-    kind = _REFUSALS.get(error.status, errors.PeerRefusedError)
-    remedy = _REMEDIES.get(
+def _make_refused_error(
+    address: str, error: grpclib.GRPCError
+) -> errors.PeerRefusedError:
+    error_type = _ERRORS_BY_STATUS.get(error.status, errors.PeerRefusedError)
+    remedy = _REMEDIES_BY_STATUS.get(
         error.status, "Check that both hosts run the same release."
     )
-    return kind(f"peer {address} refused: {error.message}", remedy)
+    return error_type(
+        f"peer {address} refused the call: {error.message}", remedy
+    )
--- a/src/hoistmoor/peers/digest_codec.py
+++ b/src/hoistmoor/peers/digest_codec.py
@@ -1,4 +1,4 @@
-"""Digests of the membership machine as messages of the wire, and back."""
+"""Converts membership digests to and from protobuf messages."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from hoistmoor.core.membership import view
 from hoistmoor.peers import peer_pb2
 
-_STATES = {
+_WIRE_STATES = {
     view.MemberState.ALIVE: peer_pb2.ALIVE,
     view.MemberState.SUSPECT: peer_pb2.SUSPECT,
     view.MemberState.LEAVING: peer_pb2.LEAVING,
@@ -15,12 +15,12 @@
 
 
 def to_wire(digest: messages.Digest) -> peer_pb2.Digest:
-    """Returns the wire form of a digest."""
+    """Converts a digest to a protobuf message."""
     return peer_pb2.Digest(
         sender=digest.sender,
         incarnation=digest.incarnation,
         version=digest.version,
-        state=_STATES[digest.state],
+        state=_WIRE_STATES[digest.state],
         table_mark=digest.table_revision + 1,
         view_hash=digest.view_hash,
         members=map(_member_to_wire, digest.members),
@@ -30,7 +30,7 @@
 
 
 def from_wire(digest: peer_pb2.Digest) -> messages.Digest:
-    """Returns the digest that a wire message holds."""
+    """Converts a protobuf message to a digest."""
     return messages.Digest(
         sender=digest.sender,
         incarnation=digest.incarnation,
@@ -49,7 +49,7 @@
         name=news.name,
         incarnation=news.incarnation,
         version=news.version,
-        state=_STATES[news.state],
+        state=_WIRE_STATES[news.state],
         http_address=news.http_address,
         peer_address=news.peer_address,
         failure_domain=news.failure_domain,
--- a/src/hoistmoor/peers/errors.py
+++ b/src/hoistmoor/peers/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong with a call to a peer."""
+"""Errors of calls to peers."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 
 class PeerError(errors.HoistmoorError):
-    """A call to a peer did not succeed."""
+    """A call to a peer failed."""
 
 
 class PeerUnreachableError(PeerError):
-    """No connection, or it broke: the call may or may not have arrived."""
+    """No connection, or it failed; the call may or may not have arrived."""
 
 
 class PeerTimeoutError(PeerError):
-    """No reply in time: the call may or may not have taken effect."""
+    """No reply in time; the call may or may not have taken effect."""
 
 
 class PeerRefusedError(PeerError):
-    """The peer answered that it did not do what was asked."""
+    """The peer replied that it did not execute the call."""
 
 
 class PeerNotGenuineError(PeerUnreachableError):
-    """A reply is not signed by a host of this deployment, or was altered."""
+    """A reply has no valid signature of a host of this deployment."""
 
 
 class PeerDistrustError(PeerRefusedError):
-    """The peer takes this host for none of its deployment's; it did nothing."""
+    """The peer could not authenticate this host and did nothing."""
--- a/src/hoistmoor/peers/guard.py
+++ b/src/hoistmoor/peers/guard.py
@@ -1,4 +1,4 @@
-"""Takes only the calls that hosts of this deployment signed."""
+"""Server-side authentication of calls from peers."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
     from collections.abc import Callable
 
 _LOG = logs.PartLogger("security")
-_SHOWN_CHARS = 80  # A refused caller may call itself anything.
+_MAX_NAME_CHARS = 80  # The name of an unauthenticated caller is arbitrary.
 
 
 class Guard(Protocol):
-    """Stands in front of the handlers of calls."""
+    """Intercepts calls before their handlers."""
 
     def wrap(self, mapping: dict[str, Any]) -> dict[str, Any]:
-        """Returns the handlers by path, behind the guard."""
+        """Returns the wrapped handlers by path."""
 
 
 class CallGuard:
-    """Checks each call, counts and logs the refused ones."""
+    """Authenticates calls; counts and logs those that it refuses."""
 
     def __init__(
         self,
@@ -39,18 +39,18 @@
         self.verifier = verifier
         self._clock = clock
         self._metrics = metrics or metrics_lib.Metrics()
-        self._refusals = limited_log.LimitedLog(_LOG, clock)
+        self._refusal_log = limited_log.LimitedLog(_LOG, clock)
 
     def wrap(self, mapping: dict[str, Any]) -> dict[str, Any]:
-        """Returns the handlers by path, behind the guard."""
+        """Returns the wrapped handlers by path."""
         return {
             path: handler._replace(
-                func=functools.partial(self._take, path, handler)
+                func=functools.partial(self._authenticate, path, handler)
             )
             for path, handler in mapping.items()
         }
 
-    async def _take(self, path: str, handler: Any, stream: Any) -> None:
+    async def _authenticate(self, path: str, handler: Any, stream: Any) -> None:
         header = (stream.metadata or {}).get(signing.CALL_HEADER)
         verdict = self.verifier.verify(path, header, self._clock())
         if isinstance(verdict, calls.Refused):
@@ -62,50 +62,52 @@
             await self._refuse(stream, altered, path)
             return
         message = handler.request_type.FromString(body)
-        await handler.func(_Exchange(stream, message, verdict))
+        await handler.func(_CallStream(stream, message, verdict))
 
     async def _refuse(
         self, stream: Any, refused: calls.Refused, path: str
     ) -> None:
         self._metrics.peer_refusal(refused.why)
-        self._log(refused, path, stream)
-        times = {signing.TIME_HEADER: refused.time_header}
+        self._log_refusal(refused, path, stream)
+        metadata = {signing.TIME_HEADER: refused.time_header}
         await stream.send_trailing_metadata(
             status=const.Status.UNAUTHENTICATED,
             status_message=str(refused.why),
-            metadata=times if refused.time_header else None,
+            metadata=metadata if refused.time_header else None,
         )
 
-    def _log(self, refused: calls.Refused, path: str, stream: Any) -> None:
+    def _log_refusal(
+        self, refused: calls.Refused, path: str, stream: Any
+    ) -> None:
         address = stream.peer.addr() if stream.peer else None
-        self._refusals.warning(
+        self._refusal_log.warning(
             refused.why,
-            "Refused %s from %s, which says it is %r: %s",
+            "Refused %s call from %s, which claims to be %r: %s",
             path.rpartition("/")[2],
             address[0] if address else "an unknown address",
-            refused.caller[:_SHOWN_CHARS],
+            refused.caller[:_MAX_NAME_CHARS],
             str(refused.why),
         )
 
 
 class OpenGuard:
-    """Takes every call; for tests."""
+    """Accepts every call; for tests only."""
 
     def wrap(self, mapping: dict[str, Any]) -> dict[str, Any]:
-        """Returns the handlers by path."""
+        """Returns the wrapped handlers by path."""
         return {
-            path: handler._replace(func=functools.partial(_pass, handler))
+            path: handler._replace(func=functools.partial(_handle, handler))
             for path, handler in mapping.items()
         }
 
 
-async def _pass(handler: Any, stream: Any) -> None:
+async def _handle(handler: Any, stream: Any) -> None:
     message = handler.request_type.FromString(await stream.recv_message())
-    await handler.func(_Exchange(stream, message, None))
+    await handler.func(_CallStream(stream, message, None))
 
 
-class _Exchange:
-    """A checked call, as the generated handlers see a stream."""
+class _CallStream:
+    """A call with its decoded request, in place of the gRPC stream."""
 
     def __init__(
         self, stream: Any, message: Any, call: calls.Genuine | None
--- a/src/hoistmoor/peers/handlers.py
+++ b/src/hoistmoor/peers/handlers.py
@@ -1,7 +1,7 @@
-"""What a host does with its peers' calls.
+"""Handlers of calls from peers.
 
-The parts of a host each bring the functions for their own calls. A call that
-no part takes is answered as unimplemented.
+Each component of a host sets the handlers of its own calls. Calls without a
+handler fail with the gRPC status UNIMPLEMENTED.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 @attrs.frozen
 class KeyFound:
-    """What a peer knows of a caller's idempotency key.
+    """A peer's state of an idempotency key.
 
     Attributes:
-        state: State of the key's claim; empty where it is not known.
-        answer: The stored answer, if any.
+        state: State of the claim on the key; empty if the claim is unknown.
+        answer: The stored response, if any.
     """
 
     state: str = ""
@@ -35,22 +35,27 @@
 
 @attrs.define(kw_only=True)
 class PeerHandlers:
-    """One function per call; each may be set once its part is ready.
+    """One handler per call, each set when its component is ready.
 
     Attributes:
-        ping: Takes in a peer's digest and returns this host's.
-        ping_for: Name and peer address of a host; returns whether that host
-            answers a ping from here.
-        hold_bills: Id and bytes of a batch of bills to keep until released.
-        release_bills: Ids of held batches that their owner has on the log.
-        fetch_table: A revision; returns a newer snapshot, or nothing.
-        find_decision: A request id; returns the encoded decision, or nothing.
-        find_key: Client account, key and claim id; returns what is known.
-        find_session: Client account and session; returns the encoded pin, or
-            nothing.
-        keep_session: Client account, session and encoded pin to keep; returns
-            the encoded pin that stands.
-        shares: An encoded message on shares of limits; returns the answer.
+        ping: Merges the digest of a peer and returns that of this host.
+        ping_for: Takes the name and the peer address of a host; returns
+            whether that host replies to a ping from this one.
+        hold_bills: Takes the id and the bytes of a batch of bills, and holds
+            the batch until it is released.
+        release_bills: Takes the ids of held batches that their owner has
+            appended to the log.
+        fetch_table: Takes a revision; returns a newer snapshot, or empty
+            bytes.
+        find_decision: Takes a request id; returns the encoded decision, or
+            empty bytes.
+        find_key: Takes a client account, a key and a claim id; returns the
+            state of the key.
+        find_session: Takes a client account and a session; returns the encoded
+            pin, or empty bytes.
+        keep_session: Takes a client account, a session and a proposed encoded
+            pin; returns the encoded pin in effect.
+        shares: Takes an encoded message about limit shares; returns the reply.
     """
 
     ping: Callable[[peer_pb2.Digest], Awaitable[peer_pb2.Digest]] = (
--- a/src/hoistmoor/peers/raw_codec.py
+++ b/src/hoistmoor/peers/raw_codec.py
@@ -1,4 +1,7 @@
-"""Leaves messages on the wire as bytes, since their signature covers these."""
+"""gRPC codec that passes encoded messages through.
+
+Signatures cover the encoded bytes, so signing code needs exactly those.
+"""
 
 from __future__ import annotations
 
@@ -6,14 +9,14 @@
 
 
 class RawCodec(base.CodecBase):
-    """Sends and receives encoded messages."""
+    """Sends and receives messages as encoded bytes."""
 
     __content_subtype__ = "proto"
 
     def encode(self, message: bytes, message_type: object) -> bytes:
-        """Returns the message as it is."""
+        """Returns the message unchanged."""
         return message
 
     def decode(self, data: bytes, message_type: object) -> bytes:
-        """Returns the message as it came."""
+        """Returns the received bytes unchanged."""
         return data
--- a/src/hoistmoor/peers/server.py
+++ b/src/hoistmoor/peers/server.py
@@ -1,4 +1,4 @@
-"""The gRPC server on which a host takes its peers' calls."""
+"""gRPC server for calls from peers."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class _PeerService(peer_grpc.PeerBase):
-    """Maps calls of the wire to handlers with plain arguments."""
+    """Dispatches gRPC calls to handlers with plain arguments."""
 
     def __init__(
         self, handlers: handlers_lib.PeerHandlers, guard: guard_lib.Guard
@@ -28,7 +28,7 @@
         self._guard = guard
 
     def __mapping__(self) -> dict[str, Any]:
-        """Returns the handler of each path, behind the guard."""
+        """Returns the handlers by path, wrapped by the guard."""
         return self._guard.wrap(super().__mapping__())
 
     async def Ping(self, stream: Any) -> None:  # noqa: N802
@@ -90,10 +90,11 @@
 
 
 class _ClosingServer(server.Server):
-    """A server that hangs up when closed.
+    """A server whose ``close`` also closes open connections.
 
-    ``grpclib`` stops listening only: it would go on to take calls on open
-    connections, such as bills to hold that die with this process.
+    By itself, ``grpclib`` only stops listening and still serves calls on open
+    connections. It could accept bills to hold that are lost when this process
+    exits.
     """
 
     def __init__(self, service: _PeerService) -> None:
@@ -113,10 +114,10 @@
 
 
 class PeerServer:
-    """Serves peers' calls until closed.
+    """Serves calls from peers until closed.
 
     Attributes:
-        port: The TCP port bound; known once started.
+        port: The bound TCP port; 0 before the start.
     """
 
     def __init__(
@@ -125,12 +126,12 @@
         guard: guard_lib.Guard | None = None,
         tls: ssl.SSLContext | None = None,
     ) -> None:
-        """Makes a server that does not listen yet.
+        """Creates a server that does not listen yet.
 
         Args:
-            handlers: What to do with calls.
-            guard: Which calls to take; None for all, for tests only.
-            tls: Makes connections encrypted.
+            handlers: Handlers of the calls.
+            guard: Authenticates calls; None accepts all, for tests only.
+            tls: TLS settings; None for unencrypted connections.
         """
         self.port = 0
         self._tls = tls
@@ -139,7 +140,7 @@
         )
 
     async def start(self, host: str, port: int) -> None:
-        """Binds and listens; port 0 takes a free one.
+        """Binds and listens; port 0 selects a free port.
 
         Raises:
             OSError: The address cannot be bound.
@@ -147,11 +148,11 @@
         await self.start_on(socket.create_server((host, port)))
 
     async def start_on(self, listener: socket.socket) -> None:
-        """Listens on a socket that is bound already."""
+        """Listens on a socket that is already bound."""
         await self._server.start(sock=listener, ssl=self._tls)
         self.port = listener.getsockname()[1]
 
     async def close(self) -> None:
-        """Stops listening, cancels the calls in progress and hangs up."""
+        """Stops listening, cancels calls in progress and closes connections."""
         self._server.close()
         await self._server.wait_closed()
--- a/src/hoistmoor/peers/signing.py
+++ b/src/hoistmoor/peers/signing.py
@@ -1,4 +1,4 @@
-"""Signs the calls of this host and checks the replies."""
+"""Client-side signing of calls and verification of replies."""
 
 from __future__ import annotations
 
@@ -17,47 +17,47 @@
 REPLY_HEADER = "hm-reply"
 TIME_HEADER = "hm-time"
 
-_NOT_SIGNED = "its reply is not signed"
-_REASONS = frozenset({*map(str, calls.Why), _NOT_SIGNED})
+_UNVERIFIED_REPLY = "the signature of a reply is missing or invalid"
+_REASONS = frozenset({*map(str, calls.Why), _UNVERIFIED_REPLY})
 
 _LOG = logs.PartLogger("security")
 
 
 class SignedCall(Protocol):
-    """One call on its way.
+    """A signed call that is in progress.
 
     Attributes:
-        metadata: What to send with it.
+        metadata: The gRPC metadata to send with the call.
     """
 
     metadata: dict[str, str]
 
     def note_refusal(self, why: str) -> None:
-        """Tells the operators that a peer distrusts this host."""
+        """Logs that authentication between this host and the peer failed."""
 
     def learn_time(self, metadata: Any) -> bool:
-        """Returns whether a refusal told the peer's time, now taken over."""
+        """Adopts the peer's time from a refusal; returns whether it has one."""
 
     def check_reply(self, metadata: Any, body: bytes) -> None:
-        """Raises PeerNotGenuineError where the reply may be forged."""
+        """Raises PeerNotGenuineError unless the reply is authentic."""
 
 
 class PeerSigning(Protocol):
     """Signs the calls to one peer."""
 
     def sign(self, method: str, body: bytes) -> SignedCall:
-        """Returns a call to be sent now."""
+        """Signs a call that is to be sent now."""
 
 
 class Signing(Protocol):
-    """Signs the calls to any peer."""
+    """Creates the signers of calls to individual peers."""
 
     def to(self, address: str) -> PeerSigning:
-        """Returns what signs the calls to one peer."""
+        """Returns the signer of calls to one peer."""
 
 
 class CallSigning:
-    """Signs with the deployment's secret."""
+    """Signs calls with the shared secret of the deployment."""
 
     def __init__(
         self, signer: calls.Signer, clock: Callable[[], float]
@@ -67,15 +67,15 @@
         self.distrust = limited_log.LimitedLog(_LOG, clock)
 
     def to(self, address: str) -> PeerSigning:
-        """Returns what signs the calls to one peer."""
-        return _Peer(self, address)
+        """Returns the signer of calls to one peer."""
+        return _PeerSigner(self, address)
 
 
-class _Peer:
+class _PeerSigner:
     """Signs the calls to one peer.
 
     Attributes:
-        ahead: Seconds that the peer's clock is known to be ahead.
+        ahead: Known offset of the peer's clock from this host's, in seconds.
     """
 
     def __init__(self, signing: CallSigning, address: str) -> None:
@@ -85,26 +85,28 @@
         self.address = address
         self.ahead = 0.0
 
-    def sign(self, method: str, body: bytes) -> _Call:
+    def sign(self, method: str, body: bytes) -> _SignedPeerCall:
         now = self.clock() + self.ahead
-        return _Call(self, self.signer.sign(method, self.address, body, now))
+        return _SignedPeerCall(
+            self, self.signer.sign(method, self.address, body, now)
+        )
 
 
-class _Call:
-    def __init__(self, peer: _Peer, signed: calls.Signed) -> None:
+class _SignedPeerCall:
+    def __init__(self, peer: _PeerSigner, signed: calls.Signed) -> None:
         self._peer = peer
         self._signed = signed
         self.metadata = {CALL_HEADER: signed.header}
 
     def note_refusal(self, why: str) -> None:
-        # Anybody may answer in a peer's place: only known words are shown.
-        known = why if why in _REASONS else "for no known reason"
+        # An impostor may send arbitrary text, so only known reasons are logged.
+        known_reason = why if why in _REASONS else "unknown reason"
         self._peer.distrust.warning(
-            known,
-            "Peer %s and this host do not trust each other: %s. Check "
+            known_reason,
+            "Authentication between this host and peer %s failed: %s. Check "
             "HOISTMOOR_SECRET",
             self._peer.address,
-            known,
+            known_reason,
         )
 
     def learn_time(self, metadata: Mapping[str, str] | None) -> bool:
@@ -115,7 +117,7 @@
             return False
         peer.ahead = time - peer.clock()
         _LOG.info(
-            "The clock of peer %s is %+.1f s from here",
+            "The clock of peer %s differs by %+.1f s from that of this host",
             peer.address,
             peer.ahead,
         )
@@ -126,16 +128,16 @@
     ) -> None:
         header = metadata.get(REPLY_HEADER) if metadata else None
         if not self._peer.signer.is_reply(self._signed, header, body):
-            self.note_refusal(_NOT_SIGNED)
+            self.note_refusal(_UNVERIFIED_REPLY)
             raise errors.PeerNotGenuineError(
-                f"the reply of {self._peer.address} is not signed by a host "
-                "of this deployment",
-                "Check that HOISTMOOR_SECRET is alike at both hosts.",
+                f"the reply of peer {self._peer.address} has no valid "
+                "signature of a host of this deployment",
+                "Check that HOISTMOOR_SECRET is the same on both hosts.",
             )
 
 
 class _NoSigning:
-    """Neither signs nor checks; for tests."""
+    """Neither signs calls nor verifies replies; for tests only."""
 
     metadata: dict[str, str] = {}
 
--- a/tests/peers/test_peers_calls.py
+++ b/tests/peers/test_peers_calls.py
@@ -1,4 +1,4 @@
-"""Calls between two hosts over loopback."""
+"""Tests calls between two hosts over loopback."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class _Peer:
-    """A peer that holds bills, and replies to pings once let."""
+    """A peer that holds bills and replies to pings once ``gate`` is set."""
 
     def __init__(self) -> None:
         self.held: dict[str, bytes] = {}
@@ -97,14 +97,14 @@
     )
 
 
-async def test_a_call_that_no_handler_takes_is_refused(
+async def test_calls_without_a_handler_are_refused(
     peer: client.PeerClient,
 ) -> None:
     with pytest.raises(errors.PeerRefusedError):
         await peer.find_session("acme", "s")
 
 
-async def test_a_silent_peer_is_a_timeout_and_then_answers_again(
+async def test_calls_succeed_after_the_timeouts_of_a_silent_peer(
     peer: client.PeerClient, callee: _Peer
 ) -> None:
     for _ in range(2):  # The second timeout replaces the connection.
@@ -120,7 +120,7 @@
 ) -> None:
     await peer.hold_bills("1", b"bills")
     await peer_server.close()
-    with pytest.raises(errors.PeerUnreachableError):  # On the old connection.
+    with pytest.raises(errors.PeerUnreachableError):  # On the open connection.
         await peer.hold_bills("2", b"bills")
     assertions.assert_that(callee.held, matchers.Equals({"1": b"bills"}))
     with pytest.raises(errors.PeerUnreachableError):
--- a/tests/peers/test_peers_security.py
+++ b/tests/peers/test_peers_security.py
@@ -1,4 +1,4 @@
-"""Calls of wrong hosts, repeats, clocks and impostors, over loopback."""
+"""Tests the authentication of calls and replies, over loopback."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
     from collections.abc import AsyncIterator
 
 SECRET = "a-secret-of-the-tests"
-WRONG = "another-secret-altogether"
-NEXT = "the-next-secret-in-turn"
+WRONG_SECRET = "another-secret-altogether"
+NEXT_SECRET = "the-next-secret-in-turn"
 _PATH = "/hoistmoor.peers.Peer/HoldBills"
 
 
@@ -48,23 +48,23 @@
 
 
 class _Callee:
-    """A host that holds bills for hosts that know the secret."""
+    """A host that holds bills for callers with the shared secret."""
 
     def __init__(self) -> None:
         self.clock = _Clock()
         self.metrics = _Metrics()
         self.held: list[str] = []
-        self.opened: list[Any] = []
+        self.connections: list[Any] = []
 
-    async def start(self, *secrets: str, guarded: bool = True) -> None:
+    async def start(self, *secrets: str, is_guarded: bool = True) -> None:
         await self.close()
         self.server = server.PeerServer(
             handlers.PeerHandlers(hold_bills=self._hold),
-            self._guard(secrets) if guarded else None,
+            self._guard(secrets) if is_guarded else None,
         )
         await self.server.start("127.0.0.1", 0)
         self.address = f"127.0.0.1:{self.server.port}"
-        if guarded:
+        if is_guarded:
             self.verifier.callee = self.address
 
     def _guard(self, secrets: tuple[str, ...]) -> guard.CallGuard:
@@ -78,18 +78,18 @@
     def caller(
         self, *secrets: str, clock: _Clock | None = None
     ) -> client.PeerClient:
-        signer = calls.Signer("entry-9", len(self.opened) + 1, secrets)
-        opened = client.PeerClient(
+        signer = calls.Signer("entry-9", len(self.connections) + 1, secrets)
+        caller = client.PeerClient(
             self.address, signing.CallSigning(signer, clock or self.clock)
         )
-        self.opened.append(opened)
-        return opened
+        self.connections.append(caller)
+        return caller
 
     async def send_raw(self, header: str | None, body: bytes) -> None:
-        """Sends what an attacker may have recorded or made up."""
+        """Sends a call with a recorded or forged header."""
         ip, _, port = self.address.partition(":")
         channel = grpc_client.Channel(ip, int(port), codec=raw_codec.RawCodec())
-        self.opened.append(channel)
+        self.connections.append(channel)
         method = grpc_client.UnaryUnaryMethod(
             channel, _PATH, peer_pb2.HoldBillsRequest, peer_pb2.HoldBillsReply
         )
@@ -97,8 +97,8 @@
         await method(body, timeout=5.0, metadata=metadata)
 
     async def close(self) -> None:
-        for opened in self.opened:
-            opened.close()
+        for connection in self.connections:
+            connection.close()
         if hasattr(self, "server"):
             await self.server.close()
 
@@ -117,34 +117,37 @@
     assertions.assert_that(callee.metrics.refused, matchers.Equals([]))
 
 
-async def test_a_host_with_a_wrong_secret_is_refused_and_told_of(
+async def test_a_host_with_a_wrong_secret_is_refused_and_logged(
     callee: _Callee, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.WARNING, "absl")
-    stranger = callee.caller(WRONG)
+    caller = callee.caller(WRONG_SECRET)
     for _ in range(5):
         with pytest.raises(errors.PeerDistrustError) as caught:
-            await stranger.hold_bills("1", b"b")
+            await caller.hold_bills("1", b"b")
     assertions.assert_that(callee.held, matchers.Equals([]))
     assertions.assert_that(
         callee.metrics.refused, matchers.Equals(["wrong_signature"] * 5)
     )
-    for word in ("Refused", "do not trust"):  # Here and at the stranger.
+    # The callee and the caller each log only the first refusal.
+    for word in ("Refused", "Authentication between"):
         lines = [line for line in caplog.messages if word in line]
-        assertions.assert_that(lines, matchers.HasLength(1))  # Not five.
+        assertions.assert_that(lines, matchers.HasLength(1))
     for text in (*caplog.messages, str(caught.value)):
-        assert WRONG not in text
+        assert WRONG_SECRET not in text
         assert SECRET not in text
 
 
-async def test_each_secret_of_a_rotation_is_honoured(callee: _Callee) -> None:
-    await callee.start(NEXT, SECRET)
-    await callee.caller(SECRET, NEXT).hold_bills("1", b"b")
-    await callee.caller(NEXT).hold_bills("2", b"b")
+async def test_both_secrets_are_accepted_during_a_rotation(
+    callee: _Callee,
+) -> None:
+    await callee.start(NEXT_SECRET, SECRET)
+    await callee.caller(SECRET, NEXT_SECRET).hold_bills("1", b"b")
+    await callee.caller(NEXT_SECRET).hold_bills("2", b"b")
     assertions.assert_that(callee.held, matchers.Equals(["1", "2"]))
 
 
-async def test_a_recorded_call_is_not_taken_again(callee: _Callee) -> None:
+async def test_replayed_and_forged_calls_are_refused(callee: _Callee) -> None:
     signer = calls.Signer("entry-9", 1, (SECRET,))
     body = peer_pb2.HoldBillsRequest(batch_id="1").SerializeToString()
     other = peer_pb2.HoldBillsRequest(batch_id="2").SerializeToString()
@@ -188,7 +191,7 @@
 @pytest.mark.parametrize(
     ("ahead", "refused"), [(9.0, 0), (-9.0, 0), (3600.0, 1), (-3600.0, 1)]
 )
-async def test_clocks_may_differ_at_the_cost_of_one_call(
+async def test_clock_skew_costs_at_most_one_refused_call(
     callee: _Callee, ahead: float, refused: int
 ) -> None:
     clock = _Clock(callee.clock.now + ahead)
@@ -201,30 +204,31 @@
     )
 
 
-async def test_a_host_whose_clock_stood_still_is_not_shut_out(
+async def test_a_host_is_served_after_its_clock_stopped(
     callee: _Callee,
 ) -> None:
     clock = _Clock(callee.clock.now)
     caller = callee.caller(SECRET, clock=clock)
     await caller.hold_bills("1", b"b")
-    callee.clock.now += 900  # The caller's stays, as in a suspended machine.
+    # The caller's clock stops, as on a suspended machine.
+    callee.clock.now += 900
     await caller.hold_bills("2", b"b")
-    clock.now += 900  # Now it is set right.
+    clock.now += 900  # The caller's clock is corrected.
     await caller.hold_bills("3", b"b")
     assertions.assert_that(callee.held, matchers.Equals(["1", "2", "3"]))
 
 
-async def test_an_impostor_that_answers_is_not_believed(
+async def test_unsigned_replies_are_rejected(
     callee: _Callee,
 ) -> None:
-    await callee.start(guarded=False)
+    await callee.start(is_guarded=False)
     with pytest.raises(errors.PeerNotGenuineError):
         await callee.caller(SECRET).hold_bills("1", b"b")
 
 
-async def test_without_the_guard_anybody_is_served(callee: _Callee) -> None:
-    """Shows that it is the guard that refuses strangers above."""
-    await callee.start(guarded=False)
+async def test_without_a_guard_every_caller_is_served(callee: _Callee) -> None:
+    """Shows that the refusals in the tests above come from the guard."""
+    await callee.start(is_guarded=False)
     body = peer_pb2.HoldBillsRequest(batch_id="1").SerializeToString()
     await callee.send_raw(None, body)
     assertions.assert_that(callee.held, matchers.Equals(["1"]))
