--- a/tests/clients/conftest.py
+++ b/tests/clients/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the clients' tests: sessions and backends that misbehave."""
+"""Fixtures for client tests: sessions and misbehaving backend servers."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 @attrs.define
 class RawBackend:
-    """A TCP server whose answers are written byte by byte.
+    """A TCP server whose handler writes raw HTTP responses.
 
     Attributes:
-        answer: Called with each request that came whole.
+        respond: Called with each complete request.
         address: ``ip:port``.
-        requests: The requests that came whole, as bytes.
-        connections: Connections accepted.
-        closed: Set when the peer closes a connection.
+        requests: The complete requests received, as bytes.
+        connections: Number of accepted connections.
+        closed: Set when a connection has ended.
     """
 
-    answer: Callable[[bytes, asyncio.StreamWriter], Awaitable[None]]
+    respond: Callable[[bytes, asyncio.StreamWriter], Awaitable[None]]
     address: str = ""
     requests: list[bytes] = attrs.field(factory=list)
     connections: int = 0
@@ -37,13 +37,13 @@
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Reads requests off one connection and has them answered."""
+        """Reads requests from a connection and passes them to the handler."""
         self.connections += 1
         with contextlib.suppress(asyncio.IncompleteReadError, OSError):
             while not writer.is_closing():
                 request = await _read_request(reader)
                 self.requests.append(request)
-                await self.answer(request, writer)
+                await self.respond(request, writer)
         self.closed.set()
         writer.close()
 
@@ -74,9 +74,9 @@
     async with contextlib.AsyncExitStack() as stack:
 
         async def make(
-            answer: Callable[[bytes, asyncio.StreamWriter], Awaitable[None]],
+            respond: Callable[[bytes, asyncio.StreamWriter], Awaitable[None]],
         ) -> RawBackend:
-            backend = RawBackend(answer)
+            backend = RawBackend(respond)
             server = await asyncio.start_server(backend.serve, "127.0.0.1", 0)
             stack.callback(server.close)
             host, port = server.sockets[0].getsockname()
--- a/tests/clients/test_clients_exchange.py
+++ b/tests/clients/test_clients_exchange.py
@@ -1,9 +1,9 @@
-"""The state of an exchange whose backend server fails at each point."""
+"""Tests the exchange state when the backend server fails at each point."""
 
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING
+from typing import Any, TYPE_CHECKING
 
 import aiohttp
 import ended_exchange
@@ -19,7 +19,6 @@
 
 if TYPE_CHECKING:
     from collections.abc import Callable
-from typing import Any
 
 State = outcomes.ExchangeState
 
@@ -28,12 +27,13 @@
 OTHER = b"X-Attempt-Id: h9.2.3.1\r\n"
 OK = b"HTTP/1.1 200 OK\r\n"
 REFUSED = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n"
-LENGTH_4 = b"Content-Length: 4\r\n\r\n"
+CONTENT_LENGTH_4 = b"Content-Length: 4\r\n\r\n"
 CHUNKED = b"Transfer-Encoding: chunked\r\n\r\n"
 EVENTS = b"Content-Type: text/event-stream\r\n" + CHUNKED
-# Bounds that a busy machine keeps to; only silent servers get a short one.
-PATIENT = exchange.Timeouts(connect=30.0)
-IMPATIENT = exchange.Timeouts(connect=30.0, silence=0.2)
+# Long timeouts avoid failures on a busy machine; only tests of silent servers
+# use a short one.
+LONG_TIMEOUTS = exchange.Timeouts(connect=30.0)
+SHORT_TIMEOUTS = exchange.Timeouts(connect=30.0, silence=0.2)
 
 
 def chunk(data: bytes) -> bytes:
@@ -55,10 +55,10 @@
     )
 
 
-def sends(data: bytes, end: str = "close") -> Callable:
-    """Returns an answer that sends ``data`` and then ends the connection."""
+def make_handler(data: bytes, end: str = "close") -> Callable:
+    """Returns a handler that sends ``data``, then ends the connection."""
 
-    async def answer(_: bytes, writer: asyncio.StreamWriter) -> None:
+    async def respond(_: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
         await writer.drain()
         if end == "close":
@@ -66,7 +66,7 @@
         if end == "abort":
             writer.transport.abort()
 
-    return answer
+    return respond
 
 
 Cut = exchange_errors.BackendCutError
@@ -74,22 +74,32 @@
 Protocol = exchange_errors.BackendProtocolError
 
 CASES = {
-    # What the backend server sends, how it ends, the state, the error.
-    "before the answer": (b"", "close", State.SENT, Cut),
-    "reset before the answer": (b"", "abort", State.SENT, Cut),
+    # Data sent, end of the connection, expected state, expected error.
+    "before the response": (b"", "close", State.SENT, Cut),
+    "reset before the response": (b"", "abort", State.SENT, Cut),
     "silent": (b"", "keep", State.SENT, Timeout),
-    "half a head": (OK + b"Content-Le", "close", State.SENT, Cut),
-    "no HTTP": (b"hello\r\n\r\n", "close", State.SENT, Cut),
-    "after the head": (OK + ECHO + LENGTH_4, "close", State.ANSWERING, Cut),
+    "incomplete head": (OK + b"Content-Le", "close", State.SENT, Cut),
+    "not HTTP": (b"hello\r\n\r\n", "close", State.SENT, Cut),
+    "after the head": (
+        OK + ECHO + CONTENT_LENGTH_4,
+        "close",
+        State.ANSWERING,
+        Cut,
+    ),
     "silent after the head": (
-        OK + ECHO + LENGTH_4,
+        OK + ECHO + CONTENT_LENGTH_4,
         "keep",
         State.ANSWERING,
         Timeout,
     ),
-    "mid-body": (OK + ECHO + LENGTH_4 + b"ab", "close", State.ANSWERING, Cut),
+    "mid-body": (
+        OK + ECHO + CONTENT_LENGTH_4 + b"ab",
+        "close",
+        State.ANSWERING,
+        Cut,
+    ),
     "reset mid-body": (
-        OK + ECHO + LENGTH_4 + b"ab",
+        OK + ECHO + CONTENT_LENGTH_4 + b"ab",
         "abort",
         State.ANSWERING,
         Cut,
@@ -106,7 +116,7 @@
         State.ANSWERING,
         Cut,
     ),
-    "before the end mark": (
+    "before the end marker": (
         OK + ECHO + EVENTS + event(b"a") + LAST_CHUNK,
         "keep",
         State.ANSWERING,
@@ -118,13 +128,18 @@
         State.ANSWERING,
         Cut,
     ),
-    "after the end mark": (
+    "after the end marker": (
         OK + ECHO + EVENTS + event(b"a") + DONE,
         "close",
         State.ANSWERED,
         None,
     ),
-    "whole": (OK + ECHO + LENGTH_4 + b"abcd", "keep", State.ANSWERED, None),
+    "complete": (
+        OK + ECHO + CONTENT_LENGTH_4 + b"abcd",
+        "keep",
+        State.ANSWERED,
+        None,
+    ),
     "empty": (
         b"HTTP/1.1 204 No Content\r\n" + ECHO + b"\r\n",
         "keep",
@@ -132,31 +147,31 @@
         None,
     ),
     "declined": (
-        REFUSED + ECHO + LENGTH_4 + b"busy",
+        REFUSED + ECHO + CONTENT_LENGTH_4 + b"busy",
         "keep",
         State.DECLINED,
         None,
     ),
-    "declined, then cut": (
-        REFUSED + ECHO + LENGTH_4,
+    "declined, then closed": (
+        REFUSED + ECHO + CONTENT_LENGTH_4,
         "close",
         State.DECLINED,
         None,
     ),
-    "other's refusal": (
-        REFUSED + OTHER + LENGTH_4 + b"busy",
+    "other attempt declined": (
+        REFUSED + OTHER + CONTENT_LENGTH_4 + b"busy",
         "keep",
         State.SENT,
         Protocol,
     ),
-    "other's answer": (
-        OK + OTHER + LENGTH_4 + b"abcd",
+    "other attempt": (
+        OK + OTHER + CONTENT_LENGTH_4 + b"abcd",
         "keep",
         State.SENT,
         Protocol,
     ),
-    "done, not run": (
-        OK + b"X-Not-Run: 1\r\n" + ECHO + LENGTH_4 + b"abcd",
+    "success marked as not run": (
+        OK + b"X-Not-Run: 1\r\n" + ECHO + CONTENT_LENGTH_4 + b"abcd",
         "keep",
         State.ANSWERED,
         None,
@@ -169,8 +184,8 @@
     session: aiohttp.ClientSession, make_backend: Callable[..., Any], name: str
 ) -> None:
     data, end, state, error = CASES[name]
-    backend = await make_backend(sends(data, end))
-    timeouts = IMPATIENT if error is Timeout else PATIENT
+    backend = await make_backend(make_handler(data, end))
+    timeouts = SHORT_TIMEOUTS if error is Timeout else LONG_TIMEOUTS
     opened = exchange.Exchange(session, make_request(backend.address), timeouts)
     ended = await ended_exchange.run(opened)
     assertions.assert_that(opened.state, matchers.Is(state))
@@ -181,7 +196,7 @@
     assertions.assert_that(backend.requests, matchers.HasLength(1))
 
 
-async def test_refused_connection_leaves_it_unsent(
+async def test_refused_connection_leaves_the_request_unsent(
     session: aiohttp.ClientSession,
 ) -> None:
     server = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
@@ -197,26 +212,26 @@
     )
 
 
-async def test_wait_for_a_connection_leaves_it_unsent(
+async def test_connection_pool_timeout_leaves_the_request_unsent(
     make_backend: Callable[..., Any],
 ) -> None:
-    held = asyncio.Event()
+    is_received = asyncio.Event()
 
-    async def hold(_: bytes, writer: asyncio.StreamWriter) -> None:
-        held.set()
+    async def block(_: bytes, writer: asyncio.StreamWriter) -> None:
+        is_received.set()
         await asyncio.Event().wait()
 
-    backend = await make_backend(hold)
+    backend = await make_backend(block)
     async with sessions.make_session() as session:
         session.connector._limit = 1
         first = asyncio.create_task(
             ended_exchange.run(
                 exchange.Exchange(
-                    session, make_request(backend.address), PATIENT
+                    session, make_request(backend.address), LONG_TIMEOUTS
                 )
             )
         )
-        await held.wait()
+        await is_received.wait()
         opened = exchange.Exchange(
             session,
             make_request(backend.address),
@@ -232,7 +247,9 @@
     assertions.assert_that(backend.requests, matchers.HasLength(1))
 
 
-async def test_cut_at_accept_is_unknown(session: aiohttp.ClientSession) -> None:
+async def test_reset_on_accept_is_unknown(
+    session: aiohttp.ClientSession,
+) -> None:
     server = await asyncio.start_server(
         lambda _, writer: writer.transport.abort(), "127.0.0.1", 0
     )
@@ -252,9 +269,11 @@
 ) -> None:
     stream = event(b"a") + event(b"x", "h9.2.3.1") + event(b"b") + DONE
     backend = await make_backend(
-        sends(OK + ECHO + EVENTS + stream + LAST_CHUNK, "keep")
+        make_handler(OK + ECHO + EVENTS + stream + LAST_CHUNK, "keep")
+    )
+    opened = exchange.Exchange(
+        session, make_request(backend.address), LONG_TIMEOUTS
     )
-    opened = exchange.Exchange(session, make_request(backend.address), PATIENT)
     texts = (await ended_exchange.run(opened)).frames
     assertions.assert_that(texts, matchers.HasLength(3))
     assertions.assert_that(
@@ -264,36 +283,38 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "connections"),
+    ("response", "connections"),
     [
-        (OK + ECHO + LENGTH_4 + b"abcd", 1),
-        # The server names no attempt: a late answer could not be told.
-        (OK + LENGTH_4 + b"abcd", 2),
+        (OK + ECHO + CONTENT_LENGTH_4 + b"abcd", 1),
+        # Without an attempt id, a late response could not be recognized.
+        (OK + CONTENT_LENGTH_4 + b"abcd", 2),
     ],
 )
 async def test_only_echoing_connections_are_reused(
     session: aiohttp.ClientSession,
     make_backend: Callable[..., Any],
-    answer: bytes,
+    response: bytes,
     connections: int,
 ) -> None:
-    backend = await make_backend(sends(answer, "keep"))
+    backend = await make_backend(make_handler(response, "keep"))
     for _ in range(2):
         opened = exchange.Exchange(
-            session, make_request(backend.address), PATIENT
+            session, make_request(backend.address), LONG_TIMEOUTS
         )
         await ended_exchange.run(opened)
         assertions.assert_that(opened.state, matchers.Is(State.ANSWERED))
     assertions.assert_that(backend.connections, matchers.Equals(connections))
 
 
-async def test_leaving_early_closes_the_connection(
+async def test_leaving_the_block_early_closes_the_connection(
     session: aiohttp.ClientSession, make_backend: Callable[..., Any]
 ) -> None:
     backend = await make_backend(
-        sends(OK + ECHO + EVENTS + event(b"a"), "keep")
+        make_handler(OK + ECHO + EVENTS + event(b"a"), "keep")
+    )
+    opened = exchange.Exchange(
+        session, make_request(backend.address), LONG_TIMEOUTS
     )
-    opened = exchange.Exchange(session, make_request(backend.address), PATIENT)
     async with opened:
         async for part in opened:
             if isinstance(part, exchange.Frame):
@@ -303,7 +324,7 @@
     assertions.assert_that(opened.state, matchers.Is(State.ANSWERING))
 
 
-async def test_a_session_that_cannot_tell_is_refused() -> None:
+async def test_a_session_without_tracing_is_rejected() -> None:
     async with aiohttp.ClientSession() as plain:
         with pytest.raises(errors.ConfigurationError):
             exchange.Exchange(plain, make_request("127.0.0.1:1"))
--- a/tests/clients/test_clients_frames.py
+++ b/tests/clients/test_clients_frames.py
@@ -1,4 +1,4 @@
-"""Events are cut the same wherever the bytes are cut."""
+"""Tests the splitting of streams into events."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
 
 @settings(derandomize=True, deadline=None)
 @given(strategies.lists(strategies.integers(0, 80)))
-def test_cuts_do_not_matter(places: list[int]) -> None:
+def test_chunk_boundaries_do_not_matter(positions: list[int]) -> None:
     stream = b"".join(EVENTS)
-    edges = [0, *sorted(min(place, len(stream)) for place in places), None]
+    bounds = [0, *sorted(min(each, len(stream)) for each in positions), None]
     splitter = frames.EventSplitter()
     found = []
-    for start, end in itertools.pairwise(edges):
+    for start, end in itertools.pairwise(bounds):
         found += splitter.feed(stream[start:end])
     assertions.assert_that(found, matchers.Equals(EVENTS))
 
 
-def test_an_endless_event_is_refused() -> None:
+def test_an_oversized_event_is_rejected() -> None:
     splitter = frames.EventSplitter()
     with pytest.raises(frames.EventTooLargeError):
         list(splitter.feed(b"x" * (frames.MAX_EVENT_BYTES + 1)))
 
 
 @pytest.mark.parametrize(
-    ("payload", "ours"),
+    ("payload", "is_own"),
     [
         (b'{"attempt_id":"a"}', True),
         (b'{"attempt_id":"b"}', False),
@@ -50,5 +50,5 @@
         (b"not json", True),
     ],
 )
-def test_whose_an_event_is(payload: bytes, ours: bool) -> None:
-    assertions.assert_that(frames.belongs_to(payload, "a"), matchers.Is(ours))
+def test_event_ownership(payload: bytes, is_own: bool) -> None:
+    assertions.assert_that(frames.belongs_to(payload, "a"), matchers.Is(is_own))
--- a/tests/clients/test_clients_log.py
+++ b/tests/clients/test_clients_log.py
@@ -1,4 +1,4 @@
-"""The log client's word on what became of an append, under faults."""
+"""Tests the outcomes that the log client reports when the log fails."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
     import aiohttp
 
 
-PATIENT = 30.0  # Seconds; a busy machine keeps to it.
-IMPATIENT = 0.2  # Seconds; for faults that leave the client waiting.
-SILENT = (
+LONG_TIMEOUT = 30.0  # Seconds; avoids failures on a busy machine.
+SHORT_TIMEOUT = 0.2  # Seconds; for faults that leave the client waiting.
+HANGING_FAULTS = (
     faults.ApplyButLoseReply(hang=True),
     faults.CutAfterBytes(bytes=3, hang=True),
     faults.Freeze(),
@@ -35,53 +35,55 @@
 
 
 @attrs.frozen
-class Rig:
-    """A client, the stand-in that it talks to, and its faults."""
+class LogFixture:
+    """A client, the stand-in log that it calls, and the faults of that log."""
 
     client: log.LogClient
     standin: log_standin.LogStandin
     book: fault_book.FaultBook
 
     def stored(self) -> int:
-        """Returns how many records stream ``s`` was given."""
+        """Returns the number of records stored in stream ``s``."""
         stream = self.standin.streams.get("s")
         return stream.next if stream else 0
 
 
 @pytest.fixture
-async def rig(session: aiohttp.ClientSession) -> AsyncIterator[Rig]:
+async def log_fixture(
+    session: aiohttp.ClientSession,
+) -> AsyncIterator[LogFixture]:
     book = fault_book.FaultBook()
     standin = log_standin.LogStandin(book)
     application = web.make_application(book)
     standin.add_routes(application)
     async with runner.running(runner.Program(application)) as address:
-        yield Rig(
-            log.LogClient(session, f"http://{address}", PATIENT),
+        yield LogFixture(
+            log.LogClient(session, f"http://{address}", LONG_TIMEOUT),
             standin,
             book,
         )
 
 
-async def test_reads_back_what_was_appended(rig: Rig) -> None:
+async def test_reads_back_what_was_appended(log_fixture: LogFixture) -> None:
     payloads = [b"a", b"\x00\xff", b""]
-    offsets = [await rig.client.append("s", row) for row in payloads]
-    page = await rig.client.read("s", 0)
+    offsets = [await log_fixture.client.append("s", row) for row in payloads]
+    page = await log_fixture.client.read("s", 0)
     assertions.assert_that(offsets, matchers.Equals([0, 1, 2]))
     assertions.assert_that(
         [row.payload for row in page.records], matchers.Equals(payloads)
     )
     assertions.assert_that(page.next, matchers.Equals(3))
-    rest = await rig.client.read("s", 1, limit=1)
+    rest = await log_fixture.client.read("s", 1, limit=1)
     assertions.assert_that(rest.next, matchers.Equals(2))
-    bounds = await rig.client.bounds("s")
+    bounds = await log_fixture.client.bounds("s")
     assertions.assert_that(bounds, matchers.Equals(log.LogBounds(0, 3)))
 
 
-async def test_long_poll_wakes_with_the_record(rig: Rig) -> None:
-    reader = asyncio.create_task(rig.client.read("s", 0, wait=20.0))
-    while "s" not in rig.standin.streams:
+async def test_long_poll_wakes_with_the_record(log_fixture: LogFixture) -> None:
+    reader = asyncio.create_task(log_fixture.client.read("s", 0, wait=20.0))
+    while "s" not in log_fixture.standin.streams:
         await asyncio.sleep(0)
-    await rig.client.append("s", b"a")
+    await log_fixture.client.append("s", b"a")
     page = await asyncio.wait_for(reader, 10)
     assertions.assert_that(page.records, matchers.HasLength(1))
 
@@ -97,20 +99,25 @@
         (faults.ApplyButLoseReply(), Unknown, 1),
         (faults.CutBeforeAnswer(), Unknown, 0),
         (faults.CutAfterBytes(bytes=3), Unknown, 1),
-        *zip(SILENT, [Unknown] * 4, [1, 1, 0, 0], strict=True),
+        *zip(HANGING_FAULTS, [Unknown] * 4, [1, 1, 0, 0], strict=True),
     ],
 )
 async def test_append_under_a_fault(
-    rig: Rig, fault: faults.Fault, error: type[Exception], stored: int
+    log_fixture: LogFixture,
+    fault: faults.Fault,
+    error: type[Exception],
+    stored: int,
 ) -> None:
-    # The first append passes, so that the second one reuses a connection.
-    rig.book.add(attrs.evolve(fault, after=1))
-    await rig.client.append("s", b"a")
-    rig.client.timeout = IMPATIENT if fault in SILENT else PATIENT
+    # The first append succeeds, so the second one reuses its connection.
+    log_fixture.book.add(attrs.evolve(fault, after=1))
+    await log_fixture.client.append("s", b"a")
+    log_fixture.client.timeout = (
+        SHORT_TIMEOUT if fault in HANGING_FAULTS else LONG_TIMEOUT
+    )
     with pytest.raises(error) as raised:
-        await rig.client.append("s", b"b")
+        await log_fixture.client.append("s", b"b")
     assertions.assert_that(raised.type, matchers.Is(error))
-    assertions.assert_that(rig.stored(), matchers.Equals(1 + stored))
+    assertions.assert_that(log_fixture.stored(), matchers.Equals(1 + stored))
 
 
 @pytest.mark.parametrize(
@@ -122,11 +129,15 @@
         faults.Freeze(),
     ],
 )
-async def test_read_under_a_fault(rig: Rig, fault: faults.Fault) -> None:
-    rig.book.add(fault)
-    rig.client.timeout = IMPATIENT if fault in SILENT else PATIENT
+async def test_read_under_a_fault(
+    log_fixture: LogFixture, fault: faults.Fault
+) -> None:
+    log_fixture.book.add(fault)
+    log_fixture.client.timeout = (
+        SHORT_TIMEOUT if fault in HANGING_FAULTS else LONG_TIMEOUT
+    )
     with pytest.raises(Unavailable):
-        await rig.client.read("s", 0)
+        await log_fixture.client.read("s", 0)
 
 
 async def test_append_without_a_listener_is_unavailable(
@@ -141,31 +152,35 @@
         await client.append("s", b"a")
 
 
-async def test_expired_offsets_name_the_first_one(rig: Rig) -> None:
-    rig.standin.max_records = 2
+async def test_expired_offset_errors_have_the_first_offset(
+    log_fixture: LogFixture,
+) -> None:
+    log_fixture.standin.max_records = 2
     for _ in range(5):
-        await rig.client.append("s", b"a")
+        await log_fixture.client.append("s", b"a")
     with pytest.raises(errors.LogOffsetExpiredError) as raised:
-        await rig.client.read("s", 2)
+        await log_fixture.client.read("s", 2)
     assertions.assert_that(raised.value.first_offset, matchers.Equals(3))
-    page = await rig.client.read("s", 3)
+    page = await log_fixture.client.read("s", 3)
     assertions.assert_that(
         [row.offset for row in page.records], matchers.Equals([3, 4])
     )
 
 
-async def test_appends_past_the_rate_are_not_stored(rig: Rig) -> None:
-    rig.standin.bound.per_second = 3.0
-    rig.standin.bound.tokens = 3.0
+async def test_rate_limited_appends_are_not_stored(
+    log_fixture: LogFixture,
+) -> None:
+    log_fixture.standin.bound.per_second = 3.0
+    log_fixture.standin.bound.tokens = 3.0
     results = await asyncio.gather(
-        *(rig.client.append("s", b"a") for _ in range(20)),
+        *(log_fixture.client.append("s", b"a") for _ in range(20)),
         return_exceptions=True,
     )
-    refused = [row for row in results if isinstance(row, Unavailable)]
+    rejected = [row for row in results if isinstance(row, Unavailable)]
     assertions.assert_that(
-        rig.stored(), matchers.Equals(len(results) - len(refused))
+        log_fixture.stored(), matchers.Equals(len(results) - len(rejected))
     )
-    assertions.assert_that(len(refused), matchers.GreaterThan(0))
+    assertions.assert_that(len(rejected), matchers.GreaterThan(0))
 
 
 NOT_BASE64 = (
@@ -176,14 +191,14 @@
 @pytest.mark.parametrize(
     "body", [b"no", b"{}", b"[]", b'{"offset":null}', NOT_BASE64]
 )
-async def test_nonsense_replies_are_typed(
+async def test_malformed_responses_raise_typed_errors(
     session: aiohttp.ClientSession, make_backend: Any, body: bytes
 ) -> None:
-    async def answer(_: bytes, writer: asyncio.StreamWriter) -> None:
+    async def respond(_: bytes, writer: asyncio.StreamWriter) -> None:
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
         writer.write(head + body)
 
-    backend = await make_backend(answer)
+    backend = await make_backend(respond)
     client = log.LogClient(session, f"http://{backend.address}")
     with pytest.raises(Unknown):
         await client.append("s", b"a")
@@ -194,41 +209,43 @@
 async def test_a_redirected_append_is_not_sent_again(
     session: aiohttp.ClientSession, make_backend: Any
 ) -> None:
-    async def answer(_: bytes, writer: asyncio.StreamWriter) -> None:
+    async def respond(_: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(
             b"HTTP/1.1 307 Temporary Redirect\r\nLocation: /other\r\n"
             b"Content-Length: 0\r\n\r\n"
         )
 
-    backend = await make_backend(answer)
+    backend = await make_backend(respond)
     client = log.LogClient(session, f"http://{backend.address}")
     with pytest.raises(errors.PlatformError):
         await client.append("s", b"a")
     assertions.assert_that(backend.requests, matchers.HasLength(1))
 
 
-async def test_a_log_that_lost_records_is_not_written_to_in_silence(
-    rig: Rig,
+async def test_a_log_that_lost_records_is_neither_written_nor_read(
+    log_fixture: LogFixture,
 ) -> None:
     for payload in (b"a", b"b", b"c"):
-        await rig.client.append("s", payload)
-    del rig.standin.streams["s"].records[1:]
+        await log_fixture.client.append("s", payload)
+    del log_fixture.standin.streams["s"].records[1:]
     with pytest.raises(errors.LogRewoundError):
-        await rig.client.append("s", b"d")
-    stored = rig.stored()
-    # Also once it has grown as long as it was, and whoever calls.
+        await log_fixture.client.append("s", b"d")
+    stored = log_fixture.stored()
+    # This holds for appends and reads, also after the stream has grown again.
     for _ in range(3):
         with pytest.raises(errors.LogRewoundError):
-            await rig.client.append("s", b"e")
+            await log_fixture.client.append("s", b"e")
     with pytest.raises(errors.LogRewoundError):
-        await rig.client.read("s", 0)
-    assertions.assert_that(rig.stored(), matchers.Equals(stored))
-    await rig.client.append("other", b"f")
+        await log_fixture.client.read("s", 0)
+    assertions.assert_that(log_fixture.stored(), matchers.Equals(stored))
+    await log_fixture.client.append("other", b"f")
 
 
-async def test_appends_that_are_answered_out_of_order_lose_nothing(
-    rig: Rig,
+async def test_responses_out_of_order_are_not_taken_for_lost_records(
+    log_fixture: LogFixture,
 ) -> None:
-    appends = [rig.client.append("s", b"%d" % each) for each in range(20)]
+    appends = [
+        log_fixture.client.append("s", b"%d" % each) for each in range(20)
+    ]
     offsets = await asyncio.gather(*appends)
     assertions.assert_that(sorted(offsets), matchers.Equals(list(range(20))))
--- a/tests/clients/test_clients_platform.py
+++ b/tests/clients/test_clients_platform.py
@@ -1,4 +1,4 @@
-"""Clients of the host list, the ratings, the weights and the engines."""
+"""Tests the clients for the host list, ratings, weights and engines."""
 
 from __future__ import annotations
 
@@ -28,33 +28,33 @@
 
     import aiohttp
 
-ROW = "entry-1,10.0.0.1:80,bangna,entry"
+HOST = "entry-1,10.0.0.1:80,bangna,entry"
 
 
 @attrs.frozen
-class Rig:
-    """A running stand-in and its faults."""
+class StandIn:
+    """A running stand-in service and its faults."""
 
     url: str
     address: str
     book: fault_book.FaultBook
 
 
-async def _serve(program: runner.Program) -> AsyncIterator[Rig]:
+async def _serve(program: runner.Program) -> AsyncIterator[StandIn]:
     async with runner.running(program) as address:
         book = program.application[fault_points.FAULTS]
-        yield Rig(f"http://{address}", address, book)
+        yield StandIn(f"http://{address}", address, book)
 
 
 @pytest.fixture
-async def platform() -> AsyncIterator[Rig]:
-    flags = flags_module.PlatformFlags(host=(ROW,), weights_rate=2.0)
-    async for rig in _serve(programs.platform(flags)):
-        yield rig
+async def platform() -> AsyncIterator[StandIn]:
+    flags = flags_module.PlatformFlags(host=(HOST,), weights_rate=2.0)
+    async for stand_in in _serve(programs.platform(flags)):
+        yield stand_in
 
 
 @pytest.fixture
-async def engine() -> AsyncIterator[Rig]:
+async def engine() -> AsyncIterator[StandIn]:
     settings = engine_standin.EngineSettings(
         name="engine-1",
         incarnation=7,
@@ -64,11 +64,13 @@
         event_lag=0.0,
         load_time=0.0,
     )
-    async for rig in _serve(programs.engine(settings)):
-        yield rig
+    async for stand_in in _serve(programs.engine(settings)):
+        yield stand_in
 
 
-async def test_host_list(platform: Rig, session: aiohttp.ClientSession) -> None:
+async def test_host_list(
+    platform: StandIn, session: aiohttp.ClientSession
+) -> None:
     client = hosts.HostListClient(session, platform.url)
     expected = hosts.ListedHost(
         "entry-1",
@@ -82,16 +84,18 @@
     leaving = {**attrs.asdict(expected), "state": "leaving"}
     put = f"{platform.url}/hosts/entry-1"
     platform.book.add(faults.Lag(match="/hosts", seconds=60.0))
-    async with session.put(put, json=leaving) as reply:
-        assertions.assert_that(reply.status, matchers.Equals(200))
-    # The list lags: it still shows what was true a minute ago.
+    async with session.put(put, json=leaving) as response:
+        assertions.assert_that(response.status, matchers.Equals(200))
+    # The list is delayed and still shows the state before the change.
     assertions.assert_that(await client.fetch(), matchers.Equals((expected,)))
     platform.book.clear()
     (row,) = await client.fetch()
     assertions.assert_that(row.state, matchers.Is(hosts.ListedState.LEAVING))
 
 
-async def test_ratings(platform: Rig, session: aiohttp.ClientSession) -> None:
+async def test_ratings(
+    platform: StandIn, session: aiohttp.ClientSession
+) -> None:
     client = ratings.RatingsClient(session, platform.url)
     good = ratings.Answer("1", "fast", "1", "chat", marks.make(True, "a"))
     bad = ratings.Answer("2", "fast", "1", "chat", marks.make(False, "b"))
@@ -106,7 +110,7 @@
 
 
 async def test_weights_are_rate_limited(
-    platform: Rig, session: aiohttp.ClientSession
+    platform: StandIn, session: aiohttp.ClientSession
 ) -> None:
     client = weights.WeightStoreClient(session, platform.url)
     info = await client.fetch_info("fast", "1")
@@ -117,7 +121,9 @@
     assertions.assert_that(raised.value.retry_after, matchers.Equals(1.0))
 
 
-async def test_load_report(engine: Rig, session: aiohttp.ClientSession) -> None:
+async def test_load_report(
+    engine: StandIn, session: aiohttp.ClientSession
+) -> None:
     client = engines.EngineClient(session)
     report = await client.load(engine.address)
     assertions.assert_that(
@@ -129,8 +135,8 @@
     assertions.assert_that(report.state, matchers.Equals("leaving"))
 
 
-async def test_orders_honour_fencing_unless_told(
-    engine: Rig, session: aiohttp.ClientSession
+async def test_stale_orders_are_rejected_while_fencing_is_honoured(
+    engine: StandIn, session: aiohttp.ClientSession
 ) -> None:
     client = engines.EngineClient(session)
     new = engines.Order(9, ("fast@1", "fast@2"))
@@ -148,8 +154,8 @@
     assertions.assert_that(state.fencing, matchers.Equals(9))
 
 
-async def test_order_with_a_lost_reply_is_read_back(
-    engine: Rig, session: aiohttp.ClientSession
+async def test_the_state_shows_an_order_whose_response_was_lost(
+    engine: StandIn, session: aiohttp.ClientSession
 ) -> None:
     client = engines.EngineClient(session)
     engine.book.add(faults.ApplyButLoseReply(match="/orders", count=1))
@@ -161,12 +167,12 @@
     )
 
 
-async def test_cache_events_come_with_gaps(
-    engine: Rig, session: aiohttp.ClientSession
+async def test_cache_events_may_have_gaps(
+    engine: StandIn, session: aiohttp.ClientSession
 ) -> None:
     client = engines.EngineClient(session)
     for text in "abcd":
-        await _ask(session, engine, text * 1100)
+        await _complete(session, engine, text * 1100)
     page = await client.cache_events(engine.address, 0)
     sequences = [event.sequence for event in page.events]
     assertions.assert_that(sequences, matchers.Equals([0, 1, 2, 3]))
@@ -177,15 +183,17 @@
     assertions.assert_that(sequences, matchers.Equals([0, 2]))
 
 
-async def _ask(session: aiohttp.ClientSession, engine: Rig, text: str) -> None:
+async def _complete(
+    session: aiohttp.ClientSession, engine: StandIn, text: str
+) -> None:
     body: dict[str, Any] = {
         "model": "fast@1",
         "max_tokens": 1,
         "messages": [{"role": "user", "content": text}],
     }
     url = f"{engine.url}/v1/chat/completions"
-    async with session.post(url, json=body) as reply:
-        await reply.read()
+    async with session.post(url, json=body) as response:
+        await response.read()
 
 
 @pytest.mark.parametrize(
@@ -197,8 +205,8 @@
         faults.Freeze(),
     ],
 )
-async def test_each_read_is_bounded_and_typed(
-    platform: Rig, session: aiohttp.ClientSession, fault: faults.Fault
+async def test_failed_reads_time_out_with_typed_errors(
+    platform: StandIn, session: aiohttp.ClientSession, fault: faults.Fault
 ) -> None:
     platform.book.add(fault)
     with pytest.raises(replies.ServiceUnavailableError):
--- a/tests/clients/test_clients_sessions.py
+++ b/tests/clients/test_clients_sessions.py
@@ -1,8 +1,9 @@
-"""Sessions send once, and hand no late answer to the next request."""
+"""Tests that sessions send once and never mix up responses."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+import asyncio
+from typing import Any, TYPE_CHECKING
 
 import aiohttp
 import ended_exchange
@@ -16,10 +17,8 @@
 
 if TYPE_CHECKING:
     from collections.abc import Callable
-import asyncio
-from typing import Any
 
-ANSWER = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %b\r\nContent-Length: 2\r\n\r\n%b"
+RESPONSE = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %b\r\nContent-Length: 2\r\n\r\n%b"
 
 
 def attempt_of(request: bytes) -> bytes:
@@ -29,39 +28,41 @@
     return found[0][len(name) :]
 
 
-async def ask(
+async def send_get(
     session: aiohttp.ClientSession, address: str, attempt: str
 ) -> tuple[outcomes.ExchangeState, bytes]:
-    """Returns how a GET ended and the body that came."""
+    """Sends a GET; returns its final state and the received body."""
     request = exchange.BackendRequest("GET", f"http://{address}/", attempt)
     opened = exchange.Exchange(session, request)
     ended = await ended_exchange.run(opened)
     return opened.state, b"".join(ended.frames)
 
 
-async def cut_second(request: bytes, writer: asyncio.StreamWriter) -> None:
-    """Answers attempt 1, and cuts the connection at any other."""
+async def close_after_first(
+    request: bytes, writer: asyncio.StreamWriter
+) -> None:
+    """Responds to attempt 1 and closes the connection on any other."""
     if attempt_of(request) == b"1":
-        writer.write(ANSWER % (b"1", b"ab"))
+        writer.write(RESPONSE % (b"1", b"ab"))
         return
     writer.close()
 
 
 @pytest.mark.parametrize(
     ("library_resends", "requests"),
-    # True shows that the library would send again, and that this test sees it.
+    # True shows that aiohttp would send again and that this test detects it.
     [(False, 2), (True, 3)],
 )
-async def test_cut_of_a_reused_connection_is_not_resent(
+async def test_requests_on_closed_reused_connections_are_not_resent(
     session: aiohttp.ClientSession,
     make_backend: Callable[..., Any],
     library_resends: bool,
     requests: int,
 ) -> None:
-    backend = await make_backend(cut_second)
+    backend = await make_backend(close_after_first)
     session._retry_connection = session._retry_connection or library_resends
-    await ask(session, backend.address, "1")
-    state, _ = await ask(session, backend.address, "2")
+    await send_get(session, backend.address, "1")
+    state, _ = await send_get(session, backend.address, "2")
     assertions.assert_that(state, matchers.Is(outcomes.ExchangeState.SENT))
     assertions.assert_that(backend.requests, matchers.HasLength(requests))
 
@@ -80,28 +81,28 @@
 
     backend = await make_backend(redirect)
     send = getattr(session, method.lower())
-    async with send(f"http://{backend.address}/") as reply:
-        assertions.assert_that(reply.status, matchers.Equals(307))
+    async with send(f"http://{backend.address}/") as response:
+        assertions.assert_that(response.status, matchers.Equals(307))
     assertions.assert_that(backend.requests, matchers.HasLength(1))
 
 
 class LateBackend:
-    """Answers each request, and on demand sends one answer unasked."""
+    """Responds to each request, and on demand without a request."""
 
     def __init__(self) -> None:
         self.writer: asyncio.StreamWriter | None = None
 
-    async def answer(
+    async def respond(
         self, request: bytes, writer: asyncio.StreamWriter
     ) -> None:
-        """Answers a request at once."""
+        """Responds to a request at once."""
         self.writer = writer
-        writer.write(ANSWER % (attempt_of(request), b"ok"))
+        writer.write(RESPONSE % (attempt_of(request), b"ok"))
 
     async def send_late(self, session: aiohttp.ClientSession) -> None:
-        """Sends an old answer, and waits until it lies at the client."""
+        """Sends an outdated response and waits until the client has it."""
         assert self.writer is not None
-        self.writer.write(ANSWER % (b"0", b"no"))
+        self.writer.write(RESPONSE % (b"0", b"no"))
         async with asyncio.timeout(10):
             while not any(
                 entry[0].should_close
@@ -111,21 +112,21 @@
                 await asyncio.sleep(0)
 
 
-async def test_late_answer_is_not_taken_for_the_next(
+async def test_late_responses_are_not_taken_for_the_next_request(
     session: aiohttp.ClientSession, make_backend: Callable[..., Any]
 ) -> None:
     late = LateBackend()
-    backend = await make_backend(late.answer)
+    backend = await make_backend(late.respond)
     for attempt in ("1", "2", "3"):
-        found = await ask(session, backend.address, attempt)
+        result = await send_get(session, backend.address, attempt)
         assertions.assert_that(
-            found, matchers.Equals((outcomes.ExchangeState.ANSWERED, b"ok"))
+            result, matchers.Equals((outcomes.ExchangeState.ANSWERED, b"ok"))
         )
         await late.send_late(session)
     assertions.assert_that(backend.connections, matchers.Equals(3))
 
 
-async def test_late_answer_is_dropped_if_it_slips_through(
+async def test_late_responses_on_reused_connections_are_dropped(
     session: aiohttp.ClientSession,
     make_backend: Callable[..., Any],
     monkeypatch: pytest.MonkeyPatch,
@@ -134,10 +135,10 @@
         sessions.QuietConnector, "_get", aiohttp.TCPConnector._get
     )
     late = LateBackend()
-    backend = await make_backend(late.answer)
-    await ask(session, backend.address, "1")
+    backend = await make_backend(late.respond)
+    await send_get(session, backend.address, "1")
     await late.send_late(session)
-    state, body = await ask(session, backend.address, "2")
+    state, body = await send_get(session, backend.address, "2")
     assertions.assert_that(body, matchers.Equals(b""))
     assertions.assert_that(
         outcomes.OUTCOME_BY_STATE[state],
@@ -148,11 +149,11 @@
 async def test_sessions_without_reuse_connect_each_time(
     make_backend: Callable[..., Any],
 ) -> None:
-    async def answer(request: bytes, writer: asyncio.StreamWriter) -> None:
-        writer.write(ANSWER % (attempt_of(request), b"ok"))
+    async def respond(request: bytes, writer: asyncio.StreamWriter) -> None:
+        writer.write(RESPONSE % (attempt_of(request), b"ok"))
 
-    backend = await make_backend(answer)
+    backend = await make_backend(respond)
     async with sessions.make_session(reuse_connections=False) as session:
         for attempt in ("1", "2"):
-            await ask(session, backend.address, attempt)
+            await send_get(session, backend.address, attempt)
     assertions.assert_that(backend.connections, matchers.Equals(2))
--- a/tests/ended_exchange.py
+++ b/tests/ended_exchange.py
@@ -1,4 +1,4 @@
-"""Runs an exchange with a backend server to its end, whatever that is."""
+"""Runs exchanges with backend servers to their end, for tests."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 @attrs.frozen
 class EndedExchange:
-    """What an exchange gave.
+    """The result of an exchange.
 
     Attributes:
-        parts: In the order in which they came.
-        error: Why the answer is not whole; None if it is.
+        parts: The parts in the order in which they were received.
+        error: Why the response is incomplete; None if it is complete.
     """
 
     parts: tuple[exchange.Part, ...]
@@ -22,14 +22,14 @@
 
     @property
     def frames(self) -> list[bytes]:
-        """The events of a stream, or the pieces of a body."""
+        """The events of a stream, or the chunks of another body."""
         return [
             part.data for part in self.parts if isinstance(part, exchange.Frame)
         ]
 
 
 async def run(opened: exchange.Exchange) -> EndedExchange:
-    """Runs an exchange; an error of its own ends it too."""
+    """Runs an exchange until it is complete or fails."""
     parts: list[exchange.Part] = []
     try:
         async with opened:
