--- a/src/hoistmoor/clients/sessions.py
+++ b/src/hoistmoor/clients/sessions.py
@@ -32,7 +32,7 @@
 MAX_CONNECTIONS = 2000  # Open connections to all addresses together.
 
 
-class Watcher(Protocol):
+class SendObserver(Protocol):
     """Observes the progress of sending one request."""
 
     def on_connection(self, reused: bool) -> None:
@@ -131,30 +131,30 @@
     )
 
 
-def _find_watcher(context: SimpleNamespace) -> Watcher | None:
-    watcher: Watcher | None = context.trace_request_ctx
-    return watcher
+def _find_observer(context: SimpleNamespace) -> SendObserver | None:
+    observer: SendObserver | None = context.trace_request_ctx
+    return observer
 
 
 async def _on_connection_created(
     _session: object, context: SimpleNamespace, _params: object
 ) -> None:
-    if watcher := _find_watcher(context):
-        watcher.on_connection(reused=False)
+    if observer := _find_observer(context):
+        observer.on_connection(reused=False)
 
 
 async def _on_connection_reused(
     _session: object, context: SimpleNamespace, _params: object
 ) -> None:
-    if watcher := _find_watcher(context):
-        watcher.on_connection(reused=True)
+    if observer := _find_observer(context):
+        observer.on_connection(reused=True)
 
 
 async def _on_headers_sent(
     _session: object, context: SimpleNamespace, _params: object
 ) -> None:
-    if watcher := _find_watcher(context):
-        watcher.on_headers()
+    if observer := _find_observer(context):
+        observer.on_headers()
 
 
 async def _on_chunk_sent(
@@ -162,8 +162,8 @@
     context: SimpleNamespace,
     params: aiohttp.TraceRequestChunkSentParams,
 ) -> None:
-    if watcher := _find_watcher(context):
-        watcher.on_body(len(params.chunk))
+    if observer := _find_observer(context):
+        observer.on_body(len(params.chunk))
 
 
 def _make_trace() -> aiohttp.TraceConfig:
@@ -175,7 +175,7 @@
     return trace
 
 
-TRACE = _make_trace()  # Notifies the watcher passed as ``trace_request_ctx``.
+TRACE = _make_trace()  # Notifies the observer passed as ``trace_request_ctx``.
 
 
 def make_session(
