--- a/src/hoistmoor/clients/answer_body.py
+++ b/src/hoistmoor/clients/answer_body.py
@@ -40,10 +40,10 @@
         self._response = response
         self._method = method
         self._attempt_id = attempt_id
-        self._has_end_mark = has_end_mark
+        self._has_end_marker = has_end_mark
 
     async def read(self) -> AsyncIterator[bytes]:
-        """Yields the body in parts; ``is_whole`` is up to date at each part.
+        """Yields the body in parts, updating its completeness before each.
 
         Raises:
             EventTooLargeError: An event exceeds the size limit.
@@ -51,7 +51,7 @@
             TimeoutError: The rest of the body did not arrive in time.
         """
         is_stream = self._response.content_type == frames.EVENT_STREAM
-        if is_stream and self._has_end_mark:
+        if is_stream and self._has_end_marker:
             async for event in self._read_events():
                 yield event
             return
@@ -59,7 +59,7 @@
             yield data
         # A reset connection has already raised. A regular close ends a
         # response without a length only for servers without end markers.
-        self.is_whole = self._is_delimited() or not self._has_end_mark
+        self.is_whole = self._is_delimited() or not self._has_end_marker
 
     async def settle(self) -> None:
         """Waits briefly for the end of the body after the end marker.
--- a/src/hoistmoor/clients/exchange.py
+++ b/src/hoistmoor/clients/exchange.py
@@ -170,9 +170,9 @@
 
     @property
     def dropped(self) -> int:
-        """Number of heads and frames of other attempts that were dropped."""
-        dropped_frames = self._body.dropped if self._body else 0
-        return self._dropped_heads + dropped_frames
+        """Number of heads and events of other attempts that were dropped."""
+        dropped_events = self._body.dropped if self._body else 0
+        return self._dropped_heads + dropped_events
 
     def cancel(self) -> None:
         """Closes the connection unless the response is complete."""
@@ -196,7 +196,7 @@
             self._advance(_State.SENT)
 
     async def __aiter__(self) -> AsyncIterator[Part]:
-        """Yields the head, the frames and the end of the response.
+        """Yields the head, the body parts and the end of the response.
 
         Raises:
             ExchangeError: The response is incomplete. The subclass identifies
--- a/src/hoistmoor/clients/ratings.py
+++ b/src/hoistmoor/clients/ratings.py
@@ -64,7 +64,7 @@
     async def submit_all(self, answers: Sequence[Answer]) -> None:
         """Submits a sequence of responses; see ``submit``."""
         url = f"{self.base_url}/ratings/answers"
-        content = [attrs.asdict(answer) for answer in answers]
+        content = [attrs.asdict(response) for response in answers]
         status, _ = await replies.send(
             self.session, "POST", url, content, self.timeout
         )
--- a/src/hoistmoor/peers/digest_codec.py
+++ b/src/hoistmoor/peers/digest_codec.py
@@ -44,39 +44,39 @@
     )
 
 
-def _member_to_wire(news: messages.MemberNews) -> peer_pb2.MemberNews:
+def _member_to_wire(member: messages.MemberNews) -> peer_pb2.MemberNews:
     return peer_pb2.MemberNews(
-        name=news.name,
-        incarnation=news.incarnation,
-        version=news.version,
-        state=_WIRE_STATES[news.state],
-        http_address=news.http_address,
-        peer_address=news.peer_address,
-        failure_domain=news.failure_domain,
-        region=news.region,
-        age=news.age,
+        name=member.name,
+        incarnation=member.incarnation,
+        version=member.version,
+        state=_WIRE_STATES[member.state],
+        http_address=member.http_address,
+        peer_address=member.peer_address,
+        failure_domain=member.failure_domain,
+        region=member.region,
+        age=member.age,
     )
 
 
-def _member_from_wire(news: peer_pb2.MemberNews) -> messages.MemberNews:
+def _member_from_wire(member: peer_pb2.MemberNews) -> messages.MemberNews:
     return messages.MemberNews(
-        name=news.name,
-        incarnation=news.incarnation,
-        version=news.version,
-        state=view.MemberState(news.state),
-        http_address=news.http_address,
-        peer_address=news.peer_address,
-        failure_domain=news.failure_domain,
-        region=news.region,
-        age=news.age,
+        name=member.name,
+        incarnation=member.incarnation,
+        version=member.version,
+        state=view.MemberState(member.state),
+        http_address=member.http_address,
+        peer_address=member.peer_address,
+        failure_domain=member.failure_domain,
+        region=member.region,
+        age=member.age,
     )
 
 
-def _server_to_wire(news: messages.ServerNews) -> peer_pb2.ServerNews:
+def _server_to_wire(server: messages.ServerNews) -> peer_pb2.ServerNews:
     return peer_pb2.ServerNews(
-        address=news.address, incarnation=news.incarnation, age=news.age
+        address=server.address, incarnation=server.incarnation, age=server.age
     )
 
 
-def _server_from_wire(news: peer_pb2.ServerNews) -> messages.ServerNews:
-    return messages.ServerNews(news.address, news.incarnation, news.age)
+def _server_from_wire(server: peer_pb2.ServerNews) -> messages.ServerNews:
+    return messages.ServerNews(server.address, server.incarnation, server.age)
--- a/tests/clients/test_clients_exchange_sweep.py
+++ b/tests/clients/test_clients_exchange_sweep.py
@@ -154,6 +154,6 @@
 
 
 def advance_on_response_only(opened: exchange.Exchange, state: State) -> None:
-    """Skips the states between sending and the response."""
+    """Skips SENDING and SENT, as if nothing were sent before a response."""
     if state not in (State.SENDING, State.SENT):
         opened.state = state
