--- a/src/hoistmoor/steward/__init__.py
+++ b/src/hoistmoor/steward/__init__.py
@@ -1,7 +1,7 @@
 """The program ``hoistmoor-steward``.
 
-One runs beside each entry host and one of them acts at a time: it moves
-roll-outs on, gives orders to engines, and keeps snapshots on the log.
+One steward runs on each entry host. The one that holds the lease is active: it
+advances rollouts, sends orders to engines and writes snapshots to the log.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/steward/application.py
+++ b/src/hoistmoor/steward/application.py
@@ -1,4 +1,4 @@
-"""Puts a steward's parts together and runs them until a stop signal."""
+"""Assembles a steward and runs it until a stop signal."""
 
 from __future__ import annotations
 
@@ -35,84 +35,87 @@
 
     from hoistmoor.config import settings as settings_lib
 
-RELEASE_SECONDS = 3.0  # A stop does not wait longer for the log.
+# Bounds a graceful stop when the log does not respond.
+LEASE_RELEASE_TIMEOUT = 3.0
 
 _LOG = logs.PartLogger("steward")
 
 
 async def serve(settings: settings_lib.StewardSettings) -> None:
-    """Runs a steward until SIGTERM or SIGINT, then gives its lease up."""
+    """Runs a steward until SIGTERM or SIGINT, then releases its lease."""
     stop = signals.stop_event()
     async with sessions.make_session() as session:
-        tools = make_tools(settings, session)
+        context = make_context(settings, session)
         async with (
-            _listening(settings, tools),
-            _running(_duties(settings, session, tools)) as tasks,
+            _serve_status(settings, context),
+            _run_tasks(_make_tasks(settings, session, context)) as tasks,
         ):
             await _wait_for_any(stop.wait(), tasks)
-        await release(tools)
-    tools.metrics.close()
+        await release_lease(context)
+    context.metrics.close()
 
 
-def make_tools(
+def make_context(
     settings: settings_lib.StewardSettings, session: aiohttp.ClientSession
 ) -> duties.Tools:
-    """Returns what the duties share, for these settings."""
-    started = int(time.time() * 1000)
-    me = identity.Incarnation(settings.host, started)
+    """Returns the state that the tasks share, for the given settings."""
+    started_ms = int(time.time() * 1000)
+    incarnation = identity.Incarnation(settings.host, started_ms)
     client = log.LogClient(session, settings.log_url)
     return duties.Tools(
         client=client,
-        stream=watch.WatchedStream(client, actor_lib.Actor(me)),
+        stream=watch.WatchedStream(client, actor_lib.Actor(incarnation)),
         table=table_follower.TableFollower(client),
         metrics=metrics_lib.Metrics(settings.statsd),
     )
 
 
-async def release(tools: duties.Tools) -> None:
-    """Gives the lease up, so that another steward acts at once."""
-    record = tools.stream.actor.release_record()
+async def release_lease(context: duties.Tools) -> None:
+    """Releases the lease, so that another steward can take over at once."""
+    record = context.stream.actor.release_record()
     if record is None:
         return
     try:
-        async with asyncio.timeout(RELEASE_SECONDS):
-            await tools.append(record)
+        async with asyncio.timeout(LEASE_RELEASE_TIMEOUT):
+            await context.append(record)
     except (errors.PlatformError, TimeoutError):
-        _LOG.warning("The lease was not released and will lapse by itself.")
+        _LOG.warning("Could not release the lease; it will expire")
 
 
-def _duties(
+def _make_tasks(
     settings: settings_lib.StewardSettings,
     session: aiohttp.ClientSession,
-    tools: duties.Tools,
+    context: duties.Tools,
 ) -> list[Coroutine[Any, Any, None]]:
     client = engine_clients.EngineClient(session)
     store = weights.WeightStoreClient(session, settings.weights_base)
-    desk = engines.OrderDesk(client, store, tools.stream, tools.metrics)
+    order_sender = engines.OrderDesk(
+        client, store, context.stream, context.metrics
+    )
     reconciler = duties.Reconciler(
-        tools,
+        context,
         engines.EngineMonitor(client),
-        desk,
+        order_sender,
         hosts.HostListClient(session, settings.hosts_base),
     )
     rating_client = ratings.RatingsClient(session, settings.ratings_base)
     return [
-        tools.stream.run(),
-        tools.table.run(),
-        duties.keep_lease(tools),
-        duties.move_rollouts(tools),
-        duties.count_ratings(tools, rating_client),
-        duties.keep_snapshots(tools),
-        evidence_keeper.EvidenceKeeper(tools).run(),
+        context.stream.run(),
+        context.table.run(),
+        duties.keep_lease(context),
+        duties.move_rollouts(context),
+        duties.count_ratings(context, rating_client),
+        duties.keep_snapshots(context),
+        evidence_keeper.EvidenceKeeper(context).run(),
         reconciler.run(),
     ]
 
 
 @contextlib.asynccontextmanager
-async def _listening(
-    settings: settings_lib.StewardSettings, tools: duties.Tools
+async def _serve_status(
+    settings: settings_lib.StewardSettings, context: duties.Tools
 ) -> AsyncIterator[None]:
-    runner = web.AppRunner(status.make_application(tools))
+    runner = web.AppRunner(status.make_application(context))
     await runner.setup()
     try:
         listener = listening.bind(settings.listen)
@@ -124,10 +127,10 @@
 
 
 @contextlib.asynccontextmanager
-async def _running(
+async def _run_tasks(
     coroutines: list[Coroutine[Any, Any, None]],
 ) -> AsyncIterator[set[asyncio.Task[None]]]:
-    """Runs the duties, which go on until they are cancelled here."""
+    """Runs the coroutines as tasks, and cancels them on exit."""
     tasks = {asyncio.create_task(coroutine) for coroutine in coroutines}
     try:
         yield tasks
@@ -138,13 +141,13 @@
 
 
 async def _wait_for_any(
-    stopped: Coroutine[Any, Any, Any], tasks: set[asyncio.Task[None]]
+    stop_requested: Coroutine[Any, Any, Any], tasks: set[asyncio.Task[None]]
 ) -> None:
-    """Returns when a stop is asked for; raises what a duty raised."""
-    stopping = asyncio.create_task(stopped)
+    """Returns when a stop is requested; raises the error of a failed task."""
+    stop_task = asyncio.create_task(stop_requested)
     done, _ = await asyncio.wait(
-        {stopping, *tasks}, return_when=asyncio.FIRST_COMPLETED
+        {stop_task, *tasks}, return_when=asyncio.FIRST_COMPLETED
     )
-    stopping.cancel()
+    stop_task.cancel()
     for task in done:
         task.result()
--- a/src/hoistmoor/steward/duties.py
+++ b/src/hoistmoor/steward/duties.py
@@ -1,7 +1,7 @@
-"""What a steward does, one duty a task.
+"""The background tasks of a steward.
 
-Each duty looks at the fold and the world afresh on every pass, so that it can
-be cut short anywhere and taken up by another steward.
+Each task reads the fold and the state of the system again on every pass, so it
+can be cancelled at any point and continued by another steward.
 """
 
 from __future__ import annotations
@@ -29,24 +29,25 @@
 from hoistmoor.utils import logs
 from hoistmoor.utils import metrics as metrics_lib
 
-LEASE_TICK = 0.2  # Seconds between looks at the lease.
-ROLLOUT_TICK = 1.0
-RATINGS_TICK = 5.0  # Bounds the records on ratings, and how late they are.
-RATINGS_PAGE = 1000
-SNAPSHOT_TICK = 5.0
+LEASE_TICK = 0.2  # Seconds between checks of the lease.
+ROLLOUT_INTERVAL = 1.0
+# Limits how many records of ratings are written, and how late they are.
+RATINGS_INTERVAL = 5.0
+RATINGS_PAGE_SIZE = 1000
+SNAPSHOT_INTERVAL = 5.0
 
 _LOG = logs.PartLogger("steward")
 
 
 @attrs.define
 class Tools:
-    """What the duties share.
+    """State and clients that the tasks share.
 
     Attributes:
-        client: The platform's log.
-        stream: This steward's reading of its stream.
-        table: The table in force.
-        metrics: Where counters go.
+        client: Client of the platform's log.
+        stream: The stream ``steward``, read through this steward's actor.
+        table: Follower of the active table.
+        metrics: Sends the metrics.
         clock: Returns seconds since the epoch.
     """
 
@@ -57,22 +58,22 @@
     clock: Callable[[], float] = time.time
 
     def acting(self) -> int | None:
-        """Returns the fencing number to act with, or None to stand by."""
+        """Returns the fencing token of the lease, or None while on standby."""
         return self.stream.actor.acting(self.clock())
 
     def rows(self) -> model.Table | None:
-        """Returns the table in force, or None before there is one."""
-        in_force = self.table.in_force
-        return in_force.table if in_force else None
+        """Returns the active table, or None before there is one."""
+        active = self.table.in_force
+        return active.table if active else None
 
     async def append(self, record: Any) -> None:
-        """Appends one record to the stream, and reads on past it.
+        """Appends a record to the stream, then reads to the stream's end.
 
-        A reply may be lost after the record was stored: what counts is what
-        is read back, so the outcome of the append itself is not needed.
+        The reply may be lost after the record was stored, so only the stream
+        as read back tells whether the append succeeded.
 
         Raises:
-            PlatformError: The log could not be reached or read.
+            PlatformError: The log could not be written or read.
         """
         try:
             await self.client.append(streams.STEWARD, codec.encode(record))
@@ -80,125 +81,127 @@
             await self.stream.catch_up()
 
 
-async def keep_lease(tools: Tools) -> None:
-    """Asks for the lease when it is free, and renews it while held."""
-    acted = False
+async def keep_lease(context: Tools) -> None:
+    """Requests the lease when it is free, and renews it while held."""
+    was_active = False
     while True:
-        record = tools.stream.actor.lease_record(tools.clock())
+        record = context.stream.actor.lease_record(context.clock())
         if record is not None:
             try:
-                await tools.append(record)
+                await context.append(record)
             except errors.PlatformError as error:
-                _LOG.warning("Cannot ask for the lease: %s", error)
-        acts = tools.acting() is not None
-        if acts != acted:
-            _LOG.info("Acting" if acts else "Standing by")
-            tools.metrics.gauge("steward.acting", int(acts))
-        acted = acts
+                _LOG.warning("Could not request or renew the lease: %s", error)
+        is_active = context.acting() is not None
+        if is_active != was_active:
+            _LOG.info("Active" if is_active else "On standby")
+            context.metrics.gauge("steward.acting", int(is_active))
+        was_active = is_active
         await asyncio.sleep(LEASE_TICK)
 
 
-async def move_rollouts(tools: Tools) -> None:
-    """Appends the roll-out records that are due."""
+async def move_rollouts(context: Tools) -> None:
+    """Appends the rollout records that are due."""
     while True:
-        await asyncio.sleep(ROLLOUT_TICK)
-        table = tools.rows()
-        if table is None or tools.acting() is None:
+        await asyncio.sleep(ROLLOUT_INTERVAL)
+        table = context.rows()
+        if table is None or context.acting() is None:
             continue
         try:
-            await tools.stream.catch_up()
-            now = tools.clock()
-            for record in tools.stream.actor.rollout_records(table, now):
-                _LOG.info("Roll-out: %s", record)
-                await tools.append(record)
+            await context.stream.catch_up()
+            now = context.clock()
+            for record in context.stream.actor.rollout_records(table, now):
+                _LOG.info("Rollout: %s", record)
+                await context.append(record)
         except errors.PlatformError as error:
-            _LOG.warning("Roll-outs stand still: %s", error)
+            _LOG.warning("Could not advance rollouts: %s", error)
 
 
-async def count_ratings(tools: Tools, client: ratings.RatingsClient) -> None:
-    """Puts counts of new ratings on the log."""
+async def count_ratings(context: Tools, client: ratings.RatingsClient) -> None:
+    """Appends counts of new ratings to the log."""
     while True:
         counted = 0
         try:
-            if tools.acting() is not None:
-                counted = await _count_page(tools, client)
+            if context.acting() is not None:
+                counted = await _count_ratings_page(context, client)
         except errors.PlatformError as error:
-            _LOG.warning("Ratings wait: %s", error)
-        if counted < RATINGS_PAGE:
-            await asyncio.sleep(RATINGS_TICK)
-
-
-async def _count_page(tools: Tools, client: ratings.RatingsClient) -> int:
-    """Counts one page of ratings; returns how many there were."""
-    start = tools.stream.fold.state.ratings_next
-    page = await client.poll(start, RATINGS_PAGE)
-    record = tools.stream.actor.evidence_record(
-        evidence.count_ratings(page.ratings), start, page.next, tools.clock()
+            _LOG.warning("Could not count ratings: %s", error)
+        if counted < RATINGS_PAGE_SIZE:
+            await asyncio.sleep(RATINGS_INTERVAL)
+
+
+async def _count_ratings_page(
+    context: Tools, client: ratings.RatingsClient
+) -> int:
+    """Counts one page of ratings and returns its size."""
+    start = context.stream.fold.state.ratings_next
+    page = await client.poll(start, RATINGS_PAGE_SIZE)
+    record = context.stream.actor.evidence_record(
+        evidence.count_ratings(page.ratings), start, page.next, context.clock()
     )
     if record is not None:
-        await tools.append(record)
+        await context.append(record)
     return len(page.ratings)
 
 
-async def keep_snapshots(tools: Tools) -> None:
-    """Appends snapshots of both streams before retention takes them."""
-    known = table_snapshots.LogState(first=0, next=0)
+async def keep_snapshots(context: Tools) -> None:
+    """Appends snapshots of both streams before their records expire."""
+    log_state = table_snapshots.LogState(first=0, next=0)
     while True:
-        await asyncio.sleep(SNAPSHOT_TICK)
-        if tools.acting() is None:
+        await asyncio.sleep(SNAPSHOT_INTERVAL)
+        if context.acting() is None:
             continue
         try:
-            if tools.stream.actor.needs_snapshot(
-                tools.stream.first, tools.clock()
+            if context.stream.actor.needs_snapshot(
+                context.stream.first, context.clock()
             ):
-                await tools.append(tools.stream.fold.snapshot())
-            known = await _snapshot_table(tools, known)
+                await context.append(context.stream.fold.snapshot())
+            log_state = await _snapshot_table(context, log_state)
         except errors.PlatformError as error:
-            _LOG.warning("Snapshots wait: %s", error)
+            _LOG.warning("Could not write a snapshot: %s", error)
 
 
 async def _snapshot_table(
-    tools: Tools, known: table_snapshots.LogState
+    context: Tools, log_state: table_snapshots.LogState
 ) -> table_snapshots.LogState:
-    bounds = await tools.client.bounds(streams.TABLE)
-    known = attrs.evolve(known, first=bounds.first, next=bounds.next)
-    fold = tools.table.replay.fold
-    now = tools.clock()
-    if fold is None or not table_snapshots.is_due(fold, known, now):
-        return known
+    bounds = await context.client.bounds(streams.TABLE)
+    log_state = attrs.evolve(log_state, first=bounds.first, next=bounds.next)
+    fold = context.table.replay.fold
+    now = context.clock()
+    if fold is None or not table_snapshots.is_due(fold, log_state, now):
+        return log_state
     as_of = fold.as_of
-    await tools.client.append(streams.TABLE, table_snapshots.make(fold))
-    return attrs.evolve(known, snapshot_as_of=as_of, snapshot_at=now)
+    await context.client.append(streams.TABLE, table_snapshots.make(fold))
+    return attrs.evolve(log_state, snapshot_as_of=as_of, snapshot_at=now)
 
 
 class Reconciler:
-    """Brings engines to the wanted condition, pass after pass.
+    """Brings the engines to their desired state in repeated passes.
 
     Attributes:
-        monitor: What the engines said of themselves.
-        planner: Decides on the orders.
-        passes: Passes done in all.
+        monitor: The engines' reported states.
+        planner: Plans the orders.
+        passes: Number of completed passes.
     """
 
     def __init__(
         self,
-        tools: Tools,
+        context: Tools,
         monitor: engines.EngineMonitor,
-        desk: engines.OrderDesk,
+        order_sender: engines.OrderDesk,
         host_list: hosts.HostListClient,
     ) -> None:
-        """Makes a reconciler; ``run`` starts it."""
-        self.tools = tools
+        """Creates a reconciler; ``run`` starts it."""
+        self.tools = context
         self.monitor = monitor
-        self.desk = desk
+        self.order_sender = order_sender
         self.host_list = host_list
         self.planner = planner_lib.Planner()
         self.passes = 0
         self._fencing = -1
-        self._leaving: frozenset[str] = frozenset()
+        self._leaving_servers: frozenset[str] = frozenset()
 
     async def run(self) -> None:
-        """Makes passes until cancelled, while this steward acts."""
+        """Makes passes while this steward is active, until cancelled."""
         while True:
             table = self.tools.rows()
             fencing = self.tools.acting()
@@ -206,17 +209,17 @@
                 await asyncio.sleep(engines.MIN_PASS_SECONDS)
                 continue
             await self.make_pass(table, fencing)
-            await self._pause(table)
+            await self._wait_for_next_pass(table)
 
     async def make_pass(self, table: model.Table, fencing: int) -> None:
-        """Reads every engine back and gives the orders that are due."""
+        """Reads the state of every engine and sends the orders that are due."""
         if fencing != self._fencing:
-            # What it remembers of a former term says nothing of the present.
+            # The planner's state from an earlier lease may be outdated.
             self.planner = planner_lib.Planner()
             self._fencing = fencing
-        await self._read_leaving()
+        await self._refresh_leaving_servers()
         rows = engines.listed_engines(table)
-        await self.monitor.read_all(rows, self._leaving)
+        await self.monitor.read_all(rows, self._leaving_servers)
         orders = self.planner.plan(
             table,
             self.tools.stream.actor.view(),
@@ -224,23 +227,23 @@
             fencing,
             self.tools.clock(),
         )
-        await self.desk.give(orders, fencing, self.monitor)
+        await self.order_sender.give(orders, fencing, self.monitor)
         self.passes += 1
 
-    async def _pause(self, done: model.Table) -> None:
-        """Waits for the next pass; less if what is wanted has changed."""
+    async def _wait_for_next_pass(self, done: model.Table) -> None:
+        """Waits for the next pass, which a new desired state brings forward."""
         count = len(engines.listed_engines(done))
         deadline = self.tools.clock() + engines.pass_seconds(count)
-        soonest = self.tools.clock() + engines.MIN_CHANGE_SECONDS
-        wish = self._wish(done)
+        earliest = self.tools.clock() + engines.MIN_CHANGE_SECONDS
+        desired = self._desired_state(done)
         while self.tools.clock() < deadline:
-            await asyncio.sleep(ROLLOUT_TICK)
-            changed = self._wish(self.tools.rows() or done) != wish
-            if changed and self.tools.clock() >= soonest:
+            await asyncio.sleep(ROLLOUT_INTERVAL)
+            changed = self._desired_state(self.tools.rows() or done) != desired
+            if changed and self.tools.clock() >= earliest:
                 return
 
-    def _wish(self, table: model.Table) -> tuple[Any, ...]:
-        """Returns all that the wanted condition of engines rests on."""
+    def _desired_state(self, table: model.Table) -> tuple[Any, ...]:
+        """Returns everything that determines the desired state of engines."""
         state = self.tools.stream.fold.state
         shares = {key: row.share for key, row in state.rollouts.items()}
         return (
@@ -251,12 +254,12 @@
             state.draining,
         )
 
-    async def _read_leaving(self) -> None:
+    async def _refresh_leaving_servers(self) -> None:
         try:
             listed = await self.host_list.fetch()
         except errors.PlatformError:
-            return  # The list lags anyway; the last one serves.
-        self._leaving = frozenset(
+            return  # The list is delayed anyway; keeps the last one.
+        self._leaving_servers = frozenset(
             host.name
             for host in listed
             if host.role is hosts.Role.BACKEND
--- a/src/hoistmoor/steward/engines.py
+++ b/src/hoistmoor/steward/engines.py
@@ -1,4 +1,4 @@
-"""Reads engines' conditions back and gives them orders."""
+"""Reads the state of engines and sends them orders."""
 
 from __future__ import annotations
 
@@ -23,60 +23,60 @@
 
     from hoistmoor.steward import watch
 
-READS_PER_SECOND = 10.0  # Bounds the traffic when there are many engines.
+MAX_READS_PER_SECOND = 10.0  # Limits the traffic with many engines.
 MIN_PASS_SECONDS = 2.0
-MIN_CHANGE_SECONDS = 5.0  # Until a pass that a change of wishes brings on.
-READS_AT_ONCE = 8
+MIN_CHANGE_SECONDS = 5.0  # Before a pass that a new desired state triggers.
+MAX_CONCURRENT_READS = 8
 
 _LOG = logs.PartLogger("steward")
 
 
 def pass_seconds(servers: int) -> float:
-    """Returns how long one pass over that many engines should take."""
-    return max(MIN_PASS_SECONDS, servers / READS_PER_SECOND)
+    """Returns the seconds from one pass over the engines to the next."""
+    return max(MIN_PASS_SECONDS, servers / MAX_READS_PER_SECOND)
 
 
 class EngineMonitor:
-    """Keeps what each engine said of itself when last read.
+    """Keeps the state that each engine last reported.
 
     Attributes:
-        conditions: Engines' conditions by name of the server.
+        conditions: State of each engine, by name of the server.
     """
 
     def __init__(self, client: engines.EngineClient) -> None:
-        """Makes a monitor that knows no engine yet."""
+        """Creates a monitor that has read no engine yet."""
         self.client = client
         self.conditions: dict[str, placement.EngineCondition] = {}
 
     async def read_all(
         self, servers: list[model.Server], leaving: frozenset[str]
     ) -> None:
-        """Reads each engine once, a few at a time.
+        """Reads each engine once, with limited concurrency.
 
         Args:
             servers: The engines in the table.
             leaving: Names of those that the platform lists as leaving.
         """
-        limit = asyncio.Semaphore(READS_AT_ONCE)
+        limit = asyncio.Semaphore(MAX_CONCURRENT_READS)
 
         async def read(server: model.Server) -> None:
             async with limit:
                 await self.read_one(server, server.server in leaving)
 
         await asyncio.gather(*(read(server) for server in servers))
-        gone = self.conditions.keys() - {server.server for server in servers}
-        for name in gone:
+        removed = self.conditions.keys() - {server.server for server in servers}
+        for name in removed:
             del self.conditions[name]
 
     async def read_one(
         self, server: model.Server, leaving: bool | None = None
     ) -> None:
-        """Reads one engine back; a failed read counts as missed.
+        """Reads the state of one engine, and counts failed reads.
 
         Args:
             server: The engine.
-            leaving: Whether the platform lists it as leaving; None if that
-                was not asked again.
+            leaving: Whether the platform lists it as leaving; None keeps the
+                last known value.
         """
         known = self.conditions.get(server.server)
         if leaving is None:
@@ -85,8 +85,8 @@
             state = await self.client.state(server.address)
         except errors.PlatformError:
             if known is not None:
-                missed = attrs.evolve(known, missed=known.missed + 1)
-                self.conditions[server.server] = missed
+                failed = attrs.evolve(known, missed=known.missed + 1)
+                self.conditions[server.server] = failed
             return
         self.conditions[server.server] = _condition(state, leaving)
 
@@ -104,11 +104,11 @@
 
 
 class OrderDesk:
-    """Gives orders, each under the fencing number of the lease.
+    """Sends orders, each with the fencing token of the lease.
 
     Attributes:
-        weights_blocked_until: No load is ordered before, as the weight store
-            asked to wait.
+        weights_blocked_until: Time before which no load is ordered, as the
+            weight store limits the rate of requests.
     """
 
     def __init__(
@@ -119,7 +119,7 @@
         metrics: metrics_lib.Metrics,
         clock: Callable[[], float] = time.time,
     ) -> None:
-        """Makes a desk that orders nothing by itself."""
+        """Creates a sender; ``give`` sends orders."""
         self.client = client
         self.store = store
         self.stream = stream
@@ -133,25 +133,28 @@
         fencing: int,
         monitor: EngineMonitor,
     ) -> None:
-        """Gives the orders one by one, and reads each outcome back.
+        """Sends the orders one by one, and reads each engine afterwards.
 
-        Stops where the lease is found to be lost. A log that cannot be read
-        stops only orders to engines that ignore fencing numbers.
+        Stops once the lease is lost, or at an order to an engine that ignores
+        fencing tokens while the log cannot be read.
         """
         for order in orders:
-            if not await self._weights_allow(order):
+            if not await self._are_weights_available(order):
                 continue
-            if not await self._still_acting(order.server, fencing):
+            if not await self._is_still_active(order.server, fencing):
                 return
-            await self._give_one(order, fencing)
+            await self._send_order(order, fencing)
             await monitor.read_one(order.server)
 
-    async def _still_acting(self, server: model.Server, fencing: int) -> bool:
-        """Returns whether this steward should still give orders.
+    async def _is_still_active(
+        self, server: model.Server, fencing: int
+    ) -> bool:
+        """Returns whether this steward should still send orders.
 
-        An engine that ignores fencing numbers obeys anybody, so the stream is
-        read to its end just before. That narrows the window in which a late
-        order can slip through; the next pass of whoever acts closes it.
+        An engine that ignores fencing tokens accepts orders from any steward,
+        so the stream is read to its end first. An outdated order can still be
+        sent in the short time after the read; the next pass of the active
+        steward corrects it.
         """
         if not server.checks_fencing:
             try:
@@ -160,8 +163,8 @@
                 return False
         return self.stream.actor.acting(self._clock()) == fencing
 
-    async def _weights_allow(self, order: planner.PlannedOrder) -> bool:
-        """Returns whether the weight store can serve the order's loads."""
+    async def _are_weights_available(self, order: planner.PlannedOrder) -> bool:
+        """Returns whether the weight store has the weights to be loaded."""
         if not order.loads:
             return True
         if self._clock() < self.weights_blocked_until:
@@ -174,11 +177,15 @@
             self.weights_blocked_until = self._clock() + error.retry_after
             return False
         except errors.PlatformError as error:
-            _LOG.warning("No order to %s: %s", order.server.server, error)
+            _LOG.warning(
+                "Sent no order to %s; checking the weights failed: %s",
+                order.server.server,
+                error,
+            )
             return False
         return True
 
-    async def _give_one(
+    async def _send_order(
         self, planned: planner.PlannedOrder, fencing: int
     ) -> None:
         wanted = tuple(sorted(planned.wanted))
@@ -191,11 +198,13 @@
             _LOG.warning("Order to %s failed: %s", name, error)
             return
         self.metrics.count("steward.order")
-        _LOG.info("Ordered %s to have %s", name, ", ".join(wanted) or "none")
+        _LOG.info(
+            "Ordered %s to keep loaded: %s", name, ", ".join(wanted) or "none"
+        )
 
 
 def listed_engines(table: model.Table) -> list[model.Server]:
-    """Returns the rows of all backend servers that are model engines."""
+    """Returns the table rows of all backend servers that are engines."""
     kinds: Mapping[str, model.Service] = table.services
     return [
         server
--- a/src/hoistmoor/steward/evidence_keeper.py
+++ b/src/hoistmoor/steward/evidence_keeper.py
@@ -1,10 +1,9 @@
-"""Keeps what the stream ``evidence`` says beyond the log's retention.
+"""Keeps records of the stream ``evidence`` beyond the log's retention.
 
-Entries put claims on exposure caps and withdrawals there. The acting steward
-appends a tally of the claims, and the withdrawals that still hold, before
-retention takes them. Neither needs a fencing number: a tally stands for the
-claims up to its own offset, whoever writes it, and a repeated withdrawal
-changes nothing.
+Entries append claims on exposure caps and withdrawals. The active steward
+appends a tally of the claims, and the withdrawals still in force, before they
+expire. Neither needs a fencing token: a tally covers the claims up to its own
+offset, whoever writes it, and a repeated withdrawal has no effect.
 """
 
 from __future__ import annotations
@@ -26,48 +25,50 @@
     from hoistmoor.core.table import model
     from hoistmoor.steward import duties
 
-TICK = 1.0  # Seconds between reads.
-PAGE_RECORDS = 500
+POLL_INTERVAL = 1.0  # Seconds between reads.
+PAGE_SIZE = 500
 ALL_KINDS = "*"
 
 _LOG = logs.PartLogger("steward")
 
 
 class EvidenceKeeper:
-    """Follows the stream while this steward acts.
+    """Follows the stream while this steward is active.
 
     Attributes:
-        fold: Claims on exposure caps.
-        withdrawals: Newest withdrawal by version and kind of request.
-        tally_as_of: Offset after the last record in the newest tally.
-        next_offset: Where to read on; None before the first read.
-        first: The oldest offset that the log has.
+        fold: The claims on exposure caps.
+        withdrawals: The latest withdrawal by version and kind of request.
+        tally_as_of: Offset after the last record that the latest tally covers.
+        next_offset: Offset of the next read; None before the first one.
+        first_offset: The oldest offset on the log.
     """
 
-    def __init__(self, tools: duties.Tools) -> None:
-        """Makes a keeper; ``run`` starts it."""
-        self.tools = tools
+    def __init__(self, context: duties.Tools) -> None:
+        """Creates a keeper; ``run`` starts it."""
+        self.tools = context
         self.reset()
 
     def reset(self) -> None:
-        """Forgets everything read."""
+        """Discards everything that was read."""
         self.fold = exposure.ExposureFold()
         self.withdrawals: dict[tuple[str, str], messages.Withdrawal] = {}
         self.tally_as_of = 0
         self.next_offset: int | None = None
-        self.first = 0
+        self.first_offset = 0
 
     async def run(self) -> None:
-        """Works until cancelled."""
+        """Follows the stream until cancelled."""
         while True:
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(POLL_INTERVAL)
             if self.tools.acting() is None:
                 self.reset()
                 continue
             try:
                 await self.step()
             except errors.PlatformError as error:
-                _LOG.warning("Evidence waits: %s", error)
+                _LOG.warning(
+                    "Could not maintain the evidence stream: %s", error
+                )
 
     async def step(self) -> None:
         """Reads to the stream's end and appends what is due.
@@ -82,78 +83,81 @@
             await self._append_tally()
 
     async def _read_page(self) -> bool:
-        """Returns whether there may be more to read at once."""
+        """Reads one page; returns whether more records may be available."""
         if self.next_offset is None:
             bounds = await self.tools.client.bounds(streams.EVIDENCE)
             self._begin(bounds.first)
         try:
             page = await self.tools.client.read(
-                streams.EVIDENCE, self.next_offset or 0, PAGE_RECORDS
+                streams.EVIDENCE, self.next_offset or 0, PAGE_SIZE
             )
         except errors.LogOffsetExpiredError as error:
             self._begin(error.first_offset)
             return True
-        self.first = page.first
+        self.first_offset = page.first
         for row in page.records:
             self.next_offset = row.offset + 1
-            self._take(row.payload, row.offset)
-        return len(page.records) == PAGE_RECORDS
+            self._apply_payload(row.payload, row.offset)
+        return len(page.records) == PAGE_SIZE
 
     def _begin(self, first: int) -> None:
         self.next_offset = first
         if first > 0:
             self.fold.on_gap(first)
 
-    def _take(self, payload: bytes, offset: int) -> None:
+    def _apply_payload(self, payload: bytes, offset: int) -> None:
         try:
             record = codec.decode(payload)
         except errors.CodecError:
-            return  # Entries count and name it.
+            return  # Entries count and log it.
         _apply(record, self, offset)
 
-    def _rows(self) -> dict[str, model.Version]:
+    def _versions(self) -> dict[str, model.Version]:
         table = self.tools.rows()
         return table.versions if table else {}
 
-    def _in_force(self) -> list[messages.Withdrawal]:
-        """Returns the withdrawals of rows that still stand in the table."""
-        rows = self._rows()
+    def _active_withdrawals(self) -> list[messages.Withdrawal]:
+        """Returns the withdrawals whose rows in the table are unchanged."""
+        versions = self._versions()
         return [
-            found
-            for found in self.withdrawals.values()
-            if found.version in rows
-            and exposure.row_digest(rows[found.version]) == found.row_digest
+            withdrawal
+            for withdrawal in self.withdrawals.values()
+            if withdrawal.version in versions
+            and exposure.row_digest(versions[withdrawal.version])
+            == withdrawal.row_digest
         ]
 
     async def _record_withdrawals(self) -> None:
         known = self.tools.stream.fold.state.withdrawn
-        for found in self._in_force():
-            old = known.get(found.version)
-            if found.kind != ALL_KINDS or (
-                old and old.row_digest == found.row_digest
+        for withdrawal in self._active_withdrawals():
+            recorded = known.get(withdrawal.version)
+            if withdrawal.kind != ALL_KINDS or (
+                recorded and recorded.row_digest == withdrawal.row_digest
             ):
                 continue
             record = records.VersionWithdrawn(
-                found.version,
+                withdrawal.version,
                 "found bad in service",
-                found.by,
-                found.evidence,
-                found.row_digest,
+                withdrawal.by,
+                withdrawal.evidence,
+                withdrawal.row_digest,
             )
-            _LOG.info("Withdrawn: %s", record)
+            _LOG.info("Version withdrawn: %s", record)
             await self.tools.append(record)
 
     def _tally_is_due(self) -> bool:
         next_offset = self.next_offset or 0
         if not self.fold.is_complete or next_offset == self.tally_as_of:
             return False
-        return snapshots.is_late(self.tally_as_of - 1, next_offset, self.first)
+        return snapshots.is_late(
+            self.tally_as_of - 1, next_offset, self.first_offset
+        )
 
     async def _append_tally(self) -> None:
         tally = messages.ExposureTally(
             self.next_offset or 0, dict(self.fold.granted)
         )
-        for record in (*self._in_force(), tally):
+        for record in (*self._active_withdrawals(), tally):
             await self.tools.client.append(
                 streams.EVIDENCE, codec.encode(record)
             )
@@ -161,7 +165,7 @@
 
 @functools.singledispatch
 def _apply(record: Any, keeper: EvidenceKeeper, offset: int) -> None:
-    """Takes one record of the stream; others are of no concern here."""
+    """Applies a record of the stream; records of other types are ignored."""
 
 
 @_apply.register
--- a/src/hoistmoor/steward/feed.py
+++ b/src/hoistmoor/steward/feed.py
@@ -1,4 +1,4 @@
-"""Gives an entry's router the table with roll-outs and drains applied."""
+"""Passes the table, with rollouts and drains applied, to an entry's router."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 class SteeringFeed:
-    """Delivers a table when either the table or the stream has changed.
+    """Delivers a table whenever the table or the stream changes it.
 
-    Before the stream was read, candidates get nothing and nothing counts as
-    draining; the operators' own stages hold all the same.
+    Until the stream has been read, candidates get no requests and no server
+    counts as draining; the stages that operators set apply nevertheless.
 
     Attributes:
-        stream: The stream ``steward`` as this entry has read it.
+        stream: The stream ``steward``, as read by this entry.
     """
 
     def __init__(
@@ -33,16 +33,16 @@
         deliver: Deliver,
         clock: Callable[[], float] = time.time,
     ) -> None:
-        """Makes a feed; ``run`` starts it.
+        """Creates a feed; ``run`` starts it.
 
         Args:
             client: Reads the log.
-            deliver: Takes each table, such as a router's ``on_table``.
+            deliver: Called with each table, such as a router's ``on_table``.
             clock: Returns seconds since the epoch.
         """
         self.stream = stream_lib.StewardStream(client, self._on_view, clock)
         self._deliver = deliver
-        self._in_force: model.TableInForce | None = None
+        self._active: model.TableInForce | None = None
         self._delivered: model.TableInForce | None = None
 
     async def run(self) -> None:
@@ -50,17 +50,17 @@
         await self.stream.run()
 
     def on_table(self, in_force: model.TableInForce) -> None:
-        """Takes a new table of the operators."""
-        self._in_force = in_force
-        self._tell(self.stream.fold.view())
+        """Handles a new table of the operators."""
+        self._active = in_force
+        self._deliver_if_changed(self.stream.fold.view())
 
     def _on_view(self, view: rollouts.RolloutView) -> None:
-        self._tell(view)
+        self._deliver_if_changed(view)
 
-    def _tell(self, view: rollouts.RolloutView) -> None:
-        if self._in_force is None:
+    def _deliver_if_changed(self, view: rollouts.RolloutView) -> None:
+        if self._active is None:
             return
-        steered = steering.steer(self._in_force, view)
+        steered = steering.steer(self._active, view)
         if steered != self._delivered:
             self._delivered = steered
             self._deliver(steered)
--- a/src/hoistmoor/steward/operator_records.py
+++ b/src/hoistmoor/steward/operator_records.py
@@ -1,7 +1,7 @@
-"""Puts operators' records on the stream ``steward``.
+"""Appends operators' records to the stream ``steward``.
 
-Each of them states a condition, not a change, so that a record whose reply
-was lost may be sent again without harm.
+Each record states the desired state rather than a change. This makes appends
+idempotent: a record whose reply was lost can be appended again.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 async def read(client: log.LogClient) -> stream.StewardStream:
-    """Returns the stream, read to its present end.
+    """Returns the stream, read to its current end.
 
     Raises:
         PlatformError: The log could not be read.
@@ -36,35 +36,36 @@
 async def put(
     client: log.LogClient, record: Any, is_in_force: Check
 ) -> rollouts.RolloutView:
-    """Appends ``record`` and reads back that it is in force.
+    """Appends ``record`` and confirms by reading that it is in force.
 
     Args:
-        client: The platform's log.
-        record: The record.
-        is_in_force: Whether the stream shows what the record asks for.
+        client: Client of the platform's log.
+        record: The record to append.
+        is_in_force: Returns whether a view shows the state that the record
+            requests.
 
     Raises:
-        LogUnavailableError: Nothing was changed.
-        LogOutcomeUnknownError: The reply was lost and the log does not show
-            the record.
+        LogUnavailableError: The record was not stored.
+        LogOutcomeUnknownError: The reply was lost and the record was not
+            found in force.
         PlatformError: The log could not be read, or the record had no effect.
     """
-    lost = False
+    reply_lost = False
     try:
         await client.append(streams.STEWARD, codec.encode(record))
     except errors.LogOutcomeUnknownError:
-        lost = True
+        reply_lost = True
     reader = stream.StewardStream(client)
     with contextlib.suppress(errors.LogUnavailableError):
         await reader.catch_up()
         if is_in_force(reader.fold.view()):
             return reader.fold.view()
-        if not lost:
+        if not reply_lost:
             raise errors.PlatformError(
                 "the record is on the log but had no effect",
-                "Look at `hoistmoor rollout status`.",
+                "Check `hoistmoor rollout status`.",
             )
     raise errors.LogOutcomeUnknownError(
         "the record may or may not be on the log",
-        "Give the same command again; that does no harm.",
+        "Run the same command again; it is idempotent.",
     )
--- a/src/hoistmoor/steward/status.py
+++ b/src/hoistmoor/steward/status.py
@@ -13,45 +13,45 @@
     from hoistmoor.steward import duties
 
 
-def make_application(tools: duties.Tools) -> web.Application:
-    """Returns the application that answers for this steward."""
+def make_application(context: duties.Tools) -> web.Application:
+    """Returns the web application of a steward."""
 
     async def healthz(_: web.Request) -> web.Response:
         return web.json_response({"live": True})
 
     async def readyz(_: web.Request) -> web.Response:
-        ready = tools.stream.fold.complete and tools.rows() is not None
+        ready = context.stream.fold.complete and context.rows() is not None
         status = 200 if ready else 503
         return web.json_response({"ready": ready}, status=status)
 
-    async def show(_: web.Request) -> web.Response:
-        return web.json_response(describe(tools))
+    async def status_page(_: web.Request) -> web.Response:
+        return web.json_response(describe(context))
 
     application = web.Application()
     application.router.add_get("/healthz", healthz)
     application.router.add_get("/readyz", readyz)
-    application.router.add_get("/status", show)
+    application.router.add_get("/status", status_page)
     return application
 
 
-def describe(tools: duties.Tools) -> dict[str, Any]:
-    """Returns what ``/status`` shows."""
-    fold = tools.stream.fold
+def describe(context: duties.Tools) -> dict[str, Any]:
+    """Returns the document that ``/status`` serves."""
+    fold = context.stream.fold
     lease = fold.state.lease
     return {
-        "host": tools.stream.actor.me.host,
-        "incarnation": tools.stream.actor.me.number,
-        "acting": tools.acting() is not None,
+        "host": context.stream.actor.me.host,
+        "incarnation": context.stream.actor.me.number,
+        "acting": context.acting() is not None,
         "lease": codec.converter.unstructure(lease) if lease else None,
         "complete": fold.complete,
         "next_offset": fold.next_offset,
-        "table_revision": tools.table.revision,
+        "table_revision": context.table.revision,
         "rollouts": codec.converter.unstructure(fold.state.rollouts),
         "withdrawn": {
             key: attrs.asdict(record)
             for key, record in fold.state.withdrawn.items()
         },
         "draining": fold.state.draining,
-        "last_contact": tools.stream.last_contact,
-        "undecodable": tools.stream.undecodable,
+        "last_contact": context.stream.last_contact,
+        "undecodable": context.stream.undecodable,
     }
--- a/src/hoistmoor/steward/stream.py
+++ b/src/hoistmoor/steward/stream.py
@@ -21,14 +21,14 @@
 
 
 class StewardStream(stream_reader.Consumer):
-    """Follows the stream and keeps its fold.
+    """Follows the stream and maintains its fold.
 
     Attributes:
-        fold: What was read so far.
-        first: The oldest offset that the log had when last read.
-        last_contact: When the log last answered, seconds since the epoch; 0
-            before the first answer.
-        outages: How often the log could not be read.
+        fold: State from the records read so far.
+        first: The oldest offset on the log, as of the last read.
+        last_contact: Time of the log's last response, in seconds since the
+            epoch; 0 before the first response.
+        outages: Number of failed reads of the log.
     """
 
     def __init__(
@@ -37,12 +37,12 @@
         on_view: OnView | None = None,
         clock: Callable[[], float] = time.time,
     ) -> None:
-        """Makes a reader; ``run`` starts it.
+        """Creates a reader; ``run`` starts it.
 
         Args:
             client: Reads the log.
-            on_view: Called with the roll-outs after each page that changed
-                them.
+            on_view: Called with a view of the rollouts after each page that
+                changed the state.
             clock: Returns seconds since the epoch.
         """
         self.client = client
@@ -52,24 +52,25 @@
         self.outages = 0
         self._on_view = on_view
         self._clock = clock
-        # What was told of last.
-        self._before = (self.fold.state, self.fold.complete)
-        self._tail_end = -1  # Where a start near the end is judged; -1: not.
+        self._last_reported = (self.fold.state, self.fold.complete)
+        # Offset at which a start near the end is checked for completeness; -1
+        # for no check.
+        self._tail_end = -1
         self._reader = stream_reader.StreamReader(
             client, streams.STEWARD, self, pacing.STEWARD
         )
 
     @property
     def undecodable(self) -> int:
-        """Returns how many records could not be read."""
+        """Returns how many records could not be decoded."""
         return self._reader.bad_records
 
     async def run(self) -> None:
-        """Follows the stream until cancelled, through the log's outages."""
+        """Follows the stream until cancelled, across outages of the log."""
         await self._reader.run()
 
     async def catch_up(self) -> None:
-        """Reads to the stream's present end.
+        """Reads to the stream's current end.
 
         Raises:
             PlatformError: The log could not be read.
@@ -80,11 +81,11 @@
     async def step(self, wait: float) -> bool:
         """Reads one page; waits for up to ``wait`` seconds for a record.
 
-        Several may run at once: each applies records by their offsets, and
-        those that another applied first are passed over.
+        Several calls may run concurrently: records are applied in order of
+        their offsets, and those that another call has applied are skipped.
 
         Returns:
-            Whether there may be more to read at once.
+            Whether more records may be available without waiting.
 
         Raises:
             PlatformError: The log could not be read.
@@ -92,45 +93,45 @@
         return await self._reader.step(wait)
 
     def begin(self, start: int) -> None:
-        """Starts anew at ``start``, with nothing known before it."""
+        """Resets the fold to start at ``start``, without earlier state."""
         self.fold = fold_lib.StewardFold(start=start)
 
     def fold_record(self, offset: int, at: float, record: Any) -> None:
-        """Folds one record; stewards watch their lease here."""
+        """Applies a record; stewards override it to track their lease."""
         self.fold.apply(offset, at, record)
 
-    # What the reader calls.
+    # Implementation of ``stream_reader.Consumer``.
 
     @property
     def next_offset(self) -> int:
-        """Returns where to read on."""
+        """Returns the offset of the next read."""
         return self.fold.next_offset
 
     def on_start(self, bounds: log.LogBounds) -> None:
-        """Starts near the end; see ``on_page`` if that does not do."""
+        """Starts near the end; ``on_page`` restarts if that is incomplete."""
         self.first = bounds.first
         self._tail_end = bounds.next
         tail = bounds.next - snapshots.TAIL_RECORDS
         self.begin(max(bounds.first, tail))
 
     def on_gap(self, first: int) -> None:
-        """Starts anew at ``first``."""
+        """Resets the fold to start at ``first``."""
         self.begin(first)
 
     def on_record(self, record: log.LogRecord, decoded: Any) -> None:
-        """Folds a record, unless a read at the same time has."""
+        """Applies a record, unless a concurrent read already has."""
         if record.offset == self.fold.next_offset:
             self.fold_record(record.offset, record.at, decoded)
 
     def on_bad_record(self, record: log.LogRecord) -> None:
-        """Passes over a record."""
+        """Applies a record that does not decode as None, to skip it."""
         self.on_record(record, None)
 
     async def on_page(self, page: log.LogPage) -> bool:
-        """Tells of what changed; reads from the beginning if it must."""
+        """Reports changes; starts from the oldest record if needed."""
         self.first = page.first
         self.last_contact = self._clock()
-        self._tell()
+        self._report_change()
         if not 0 <= self._tail_end <= self.fold.next_offset:
             return False
         starts_over = not self.fold.complete and self.fold.start > self.first
@@ -140,14 +141,14 @@
         return starts_over
 
     def on_failure(self, error: errors.HoistmoorError) -> None:
-        """Counts an outage."""
+        """Counts a failed read."""
         del error
         self.outages += 1
 
-    def _tell(self) -> None:
+    def _report_change(self) -> None:
         state = (self.fold.state, self.fold.complete)
-        if state == self._before:
+        if state == self._last_reported:
             return
-        self._before = state
+        self._last_reported = state
         if self._on_view is not None:
             self._on_view(self.fold.view())
--- a/src/hoistmoor/steward/watch.py
+++ b/src/hoistmoor/steward/watch.py
@@ -1,4 +1,4 @@
-"""A steward's own reading of the stream, which also watches its lease."""
+"""The stream ``steward`` as read by a steward, which tracks its lease."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class WatchedStream(stream.StewardStream):
-    """Folds records through the actor, so that it learns of its lease.
+    """Applies records through the actor, so that it can track its lease.
 
     Attributes:
-        actor: The state of this steward.
+        actor: State of this steward.
     """
 
     def __init__(
@@ -27,16 +27,16 @@
         actor: actor_lib.Actor,
         clock: Callable[[], float] = time.time,
     ) -> None:
-        """Makes a reader that feeds ``actor``."""
+        """Creates a reader that applies records through ``actor``."""
         super().__init__(client, clock=clock)
         self.actor = actor
 
     def begin(self, start: int) -> None:
-        """Starts anew at ``start``, with nothing known before it."""
+        """Resets the fold and the actor to start at ``start``."""
         super().begin(start)
         self.actor.begin(start, self._clock())
         self.fold = self.actor.fold
 
     def fold_record(self, offset: int, at: float, record: Any) -> None:
-        """Folds one record through the actor."""
+        """Applies a record through the actor."""
         self.actor.on_record(offset, at, record, self._clock())
