--- a/src/hoistmoor/config/__init__.py
+++ b/src/hoistmoor/config/__init__.py
@@ -1,3 +1,3 @@
-"""Settings of the programs: flags and environment variables."""
+"""Settings of the programs, from flags and environment variables."""
 
 from __future__ import annotations
--- a/src/hoistmoor/config/checks.py
+++ b/src/hoistmoor/config/checks.py
@@ -1,4 +1,4 @@
-"""Checks of settings as a whole; each fault names its flag and remedy."""
+"""Validates settings; each fault names its flag and how to correct it."""
 
 from __future__ import annotations
 
@@ -24,7 +24,8 @@
         raise errors.ConfigurationError("no value", "Give a name.")
     if not value.replace("-", "").replace("_", "").isalnum():
         raise errors.ConfigurationError(
-            f"{value!r} is not a name", "Use letters, digits, - and _ only."
+            f"{value!r} is not a valid name",
+            "Use only letters, digits, - and _.",
         )
 
 
@@ -43,7 +44,8 @@
     parts = url_parse.urlsplit(value or "")
     if parts.scheme not in _URL_SCHEMES or not parts.netloc:
         raise errors.ConfigurationError(
-            f"{value or ''!r} is not a URL", "Write http://ip:port."
+            f"{value or ''!r} is not a valid URL",
+            "Give a URL such as http://ip:port.",
         )
 
 
@@ -55,7 +57,7 @@
 def _check_positive(value: float) -> None:
     if not value > 0:
         raise errors.ConfigurationError(
-            f"{value} is not above 0", "Give a number of seconds above 0."
+            f"{value} is not greater than 0", "Give a number greater than 0."
         )
 
 
@@ -63,16 +65,17 @@
     if any(len(key) < _SECRET_MIN_LENGTH for key in value.split(",")):
         raise errors.ConfigurationError(
             f"a key is shorter than {_SECRET_MIN_LENGTH} characters",
-            "Set it alike at every host; commas part an old key from a new.",
+            "Set the same value on every host; separate an old key from a new "
+            "one by a comma.",
         )
 
 
 def _check_operator_keys(value: str) -> None:
-    for part in filter(None, value.split(",")):
-        if not operators.is_hash(part):
+    for item in filter(None, value.split(",")):
+        if not operators.is_hash(item):
             raise errors.ConfigurationError(
-                "a part is not a SHA-256 in hex",
-                "Give hashes, not keys, parted by commas; see "
+                "an item is not a SHA-256 hash in hexadecimal",
+                "Give hashes rather than keys, separated by commas; see "
                 "docs/operators/keys.md.",
             )
 
@@ -99,27 +102,32 @@
 
 _TLS_FIELDS = ("tls_certificate", "tls_key", "tls_ca")
 
-# A wildcard to listen on says nothing about where others find the host.
-_ADVERTISED = {"listen": "advertise", "peer_listen": "peer_advertise"}
+# Others cannot connect to a wildcard address, so it needs an advertised one.
+_ADVERTISED_FIELDS = {"listen": "advertise", "peer_listen": "peer_advertise"}
 
 
 def find_faults(settings: settings_lib.CommonSettings) -> tuple[str, ...]:
-    """Returns a sentence for each fault, all at once."""
+    """Returns a description of every fault."""
     values = attrs.asdict(settings, recurse=False)
     faults = []
     for field, value in values.items():
         try:
             _CHECKS.get(field, lambda _: None)(value)
         except errors.ConfigurationError as error:
-            faults.append(f"{_spell(field)}: {error}")
-    return (*faults, *_find_wildcards(values), *_find_missing_tls(values))
+            faults.append(f"{_describe_field(field)}: {error}")
+    return (
+        *faults,
+        *_find_missing_advertised(values),
+        *_find_missing_tls(values),
+    )
 
 
-def _find_wildcards(values: dict[str, Any]) -> tuple[str, ...]:
+def _find_missing_advertised(values: dict[str, Any]) -> tuple[str, ...]:
     return tuple(
-        f"{_spell(advertised)}: no value, and {environment.flag_of(field)} "
-        "is a wildcard. Give the ip:port that others use."
-        for field, advertised in _ADVERTISED.items()
+        f"{_describe_field(advertised)}: no value, and "
+        f"{environment.flag_of(field)} is a wildcard. Give the ip:port that "
+        "others connect to."
+        for field, advertised in _ADVERTISED_FIELDS.items()
         if not values.get(advertised) and _is_wildcard(values.get(field))
     )
 
@@ -128,8 +136,8 @@
     if not any(values.get(field) for field in _TLS_FIELDS):
         return ()
     return tuple(
-        f"{_spell(field)}: no value, and TLS needs all three files. "
-        "Give it, or none of them."
+        f"{_describe_field(field)}: no value, and TLS needs all three files. "
+        "Set all of them or none."
         for field in _TLS_FIELDS
         if not values.get(field)
     )
@@ -142,7 +150,7 @@
         return False
 
 
-def _spell(field: str) -> str:
+def _describe_field(field: str) -> str:
     if field == "secret":
         return environment.SECRET_VARIABLE
     flag = environment.flag_of(field)
@@ -150,14 +158,16 @@
 
 
 def check(settings: settings_lib.CommonSettings) -> None:
-    """Raises one error that names every fault.
+    """Raises a single error that names every fault.
 
     Raises:
-        ConfigurationError: At least one setting is wrong.
+        ConfigurationError: At least one setting is invalid.
     """
     faults = find_faults(settings)
     if faults:
         raise errors.ConfigurationError(
-            "wrong settings:\n  " + "\n  ".join(faults) + "\nNothing started",
-            "Correct them and start again; --help lists all.",
+            "invalid settings:\n  "
+            + "\n  ".join(faults)
+            + "\nThe program was not started",
+            "Correct them and start it again; --help lists all settings.",
         )
--- a/src/hoistmoor/config/command_line.py
+++ b/src/hoistmoor/config/command_line.py
@@ -1,6 +1,6 @@
 """Reads a program's settings from its flags and environment.
 
-Exit codes of every program: 0 done, 1 failed, 2 wrong flags or settings.
+Exit codes of every program: 0 success, 1 failure, 2 invalid flags or settings.
 """
 
 from __future__ import annotations
@@ -24,31 +24,32 @@
 
 
 def read(program: type[_S], arguments: list[str] | None = None) -> _S:
-    """Returns checked settings.
+    """Returns the validated settings.
 
     Args:
-        program: Settings class of the program.
-        arguments: Words after the program's name; None for this process's.
+        program: The settings class of the program.
+        arguments: Arguments after the program's name; None for those of this
+            process.
 
     Raises:
-        ConfigurationError: A setting is wrong.
-        SystemExit: ``--help``, ``--version`` or an unknown flag.
+        ConfigurationError: A setting is invalid.
+        SystemExit: For ``--help``, ``--version`` or an unknown flag.
     """
-    words = sys.argv[1:] if arguments is None else arguments
-    if environment.secret_on_command_line(words):
+    argv = sys.argv[1:] if arguments is None else arguments
+    if environment.secret_on_command_line(argv):
         raise errors.ConfigurationError(
-            "--secret is no flag, as command lines are visible to others",
+            "--secret is not a flag, as other users can read command lines",
             f"Set {environment.SECRET_VARIABLE} instead.",
         )
     settings = cappa.parse(
-        program, argv=words, version=hoistmoor.__version__, completion=False
+        program, argv=argv, version=hoistmoor.__version__, completion=False
     )
     checks.check(settings)
     return settings
 
 
 def read_or_exit(program: type[_S], arguments: list[str] | None = None) -> _S:
-    """Returns checked settings, or ends the process with ``EXIT_USAGE``."""
+    """Returns the validated settings, or exits with ``EXIT_USAGE``."""
     try:
         return read(program, arguments)
     except errors.ConfigurationError as error:
