--- a/src/hoistmoor/utils/__init__.py
+++ b/src/hoistmoor/utils/__init__.py
@@ -1,3 +1,3 @@
-"""Logs, metrics, addresses and signals, used by every program."""
+"""Logs, metrics, addresses and signals, shared by all programs."""
 
 from __future__ import annotations
--- a/src/hoistmoor/utils/clocks.py
+++ b/src/hoistmoor/utils/clocks.py
@@ -1,18 +1,18 @@
-"""The clock by which beliefs age."""
+"""The monotonic clock of leases, ages and deadlines."""
 
 from __future__ import annotations
 
 import time
 
-# Counts the time for which the machine was suspended, unlike the clock of
-# timers. Where a system has none, its own steady clock has to do.
+# Includes the time for which the machine was suspended, unlike the clock of
+# timers. Systems without it use their monotonic clock instead.
 _CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 def steady() -> float:
-    """Returns the seconds since the machine started, suspended or not.
+    """Returns the seconds since the machine booted, including suspensions.
 
-    A lease, an age or a deadline that did not count a suspension would end
-    later than it says: a key that was taken away would be served on.
+    If a suspension did not count, leases, ages and deadlines would end too
+    late, and requests with a revoked key would still be served.
     """
     return time.clock_gettime(_CLOCK)
--- a/src/hoistmoor/utils/limited_log.py
+++ b/src/hoistmoor/utils/limited_log.py
@@ -1,4 +1,4 @@
-"""Warnings that others can bring about, written now and then only."""
+"""Rate-limited warnings, for events that remote parties can cause."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 
     from hoistmoor.utils import logs
 
-PAUSE = 10.0  # Seconds between two lines of one kind.
+MIN_INTERVAL = 10.0  # Seconds between two lines of the same kind.
 
 
 class LimitedLog:
-    """Writes one line of a kind at a time, and how many it left out.
+    """Limits the rate of warnings per kind and counts the suppressed ones.
 
-    Kinds must be few and this program's own.
+    The set of kinds must be small and fixed by the program, as the state of
+    each kind is kept.
     """
 
     def __init__(
@@ -23,17 +24,19 @@
     ) -> None:
         self._log = log
         self._clock = clock
-        self._written: dict[str, float] = {}
-        self._left_out: dict[str, int] = {}
+        self._last_logged: dict[str, float] = {}
+        self._suppressed: dict[str, int] = {}
 
     def warning(self, kind: str, text: str, *values: object) -> None:
-        """Writes a line, unless one of its kind was just written."""
+        """Logs a warning, unless one of its kind was logged recently."""
         now = self._clock()
-        since = now - self._written.get(kind, float("-inf"))
-        if 0 <= since < PAUSE:
-            self._left_out[kind] = self._left_out.get(kind, 0) + 1
+        elapsed = now - self._last_logged.get(kind, float("-inf"))
+        if 0 <= elapsed < MIN_INTERVAL:
+            self._suppressed[kind] = self._suppressed.get(kind, 0) + 1
             return
-        self._written[kind] = now
-        left_out = self._left_out.pop(kind, 0)
-        more = f" ({left_out} more like it before)" if left_out else ""
-        self._log.warning(f"{text}%s", *values, more)
+        self._last_logged[kind] = now
+        suppressed = self._suppressed.pop(kind, 0)
+        suffix = (
+            f" ({suppressed} similar warnings suppressed)" if suppressed else ""
+        )
+        self._log.warning(f"{text}%s", *values, suffix)
--- a/src/hoistmoor/utils/listening.py
+++ b/src/hoistmoor/utils/listening.py
@@ -1,4 +1,4 @@
-"""Sockets that a program listens on."""
+"""Listening sockets."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from hoistmoor.core import errors
 from hoistmoor.utils import addresses
 
-BACKLOG = 1024  # Connections that may wait to be accepted.
+BACKLOG = 1024  # Connections that can wait to be accepted.
 
 
 class ListenError(errors.HoistmoorError):
-    """An address that the settings name cannot be listened on."""
+    """A configured address cannot be listened on."""
 
 
 def bind(text: str) -> socket.socket:
-    """Returns a socket that listens on ``ip:port``; port 0 takes a free one.
+    """Returns a socket that listens on ``ip:port``; port 0 selects a free port.
 
     Raises:
-        ListenError: The address is taken or is not this machine's.
+        ListenError: The address is in use or not an address of this machine.
     """
     address = addresses.parse(text)
     family = socket.AF_INET6 if ":" in address.ip else socket.AF_INET
@@ -29,14 +29,14 @@
     except OSError as error:
         raise ListenError(
             f"cannot listen on {text}: {error.strerror or error}",
-            "End the process that holds the port, or set another address.",
+            "Stop the process that uses the port, or set another address.",
         ) from error
-    # Accepted connections inherit it; small frames must not wait.
+    # Accepted connections inherit the option; small frames must not be delayed.
     listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return listener
 
 
 def address_of(listener: socket.socket) -> str:
-    """Returns the ``ip:port`` that a socket was bound to."""
+    """Returns the ``ip:port`` that a socket is bound to."""
     ip, port, *_ = listener.getsockname()
     return str(addresses.Address(ip, port))
--- a/src/hoistmoor/utils/logs.py
+++ b/src/hoistmoor/utils/logs.py
@@ -1,4 +1,4 @@
-"""Log lines on standard error: text or JSON, with a fixed prefix per part."""
+"""Logging to standard error, as text or JSON, with a prefix per part."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class PartLogger(logging.LoggerAdapter[logging.Logger]):
-    """Writes to the ``absl`` log with the name of a part in front.
+    """Writes to the ``absl`` log, with the name of a part as a prefix.
 
     Args:
         part: Name of the part, such as ``entry`` or ``table``.
@@ -34,18 +34,18 @@
     def process(
         self, msg: Any, kwargs: MutableMapping[str, Any]
     ) -> tuple[Any, MutableMapping[str, Any]]:
-        """Puts the prefix in front of a message."""
+        """Adds the prefix to a message."""
         return f"{self.part}: {msg}", {**kwargs, "extra": {_PART: self.part}}
 
 
 class KeyFilter(logging.Filter):
-    """Hides bearer keys, should one slip into a message.
+    """Redacts bearer keys in messages.
 
-    The programs log no headers and no bodies; this is the second guard.
+    The programs log no headers or bodies; this is a second line of defense.
     """
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Rewrites a record's message without its keys."""
+        """Redacts the keys in a record's message; keeps every record."""
         message = record.getMessage()
         if _BEARER.search(message):
             record.msg = _BEARER.sub(_HIDDEN, message)
@@ -54,7 +54,7 @@
 
 
 class JsonFormatter(logging.Formatter):
-    """One JSON object a line: time, level, part, message, error."""
+    """Formats records as a JSON object per line."""
 
     def format(self, record: logging.LogRecord) -> str:
         """Returns the line for ``record``."""
@@ -72,13 +72,13 @@
 
 
 def configure(settings: settings_lib.CommonSettings) -> None:
-    """Sends all log lines of this process where the settings say."""
-    flags.FLAGS.mark_as_parsed()  # Flags are cappa's; absl waits for its own.
+    """Configures the logging of this process."""
+    flags.FLAGS.mark_as_parsed()  # cappa parses the flags; absl's are unused.
     absl_logging.use_absl_handler()
     absl_logging.set_verbosity(settings.log_level.value)
     handler = absl_logging.get_absl_handler()
     handler.addFilter(KeyFilter())
     if settings.log_format is settings_lib.LogFormat.JSON:
         handler.setFormatter(JsonFormatter())
-    # Access lines would repeat each request; metrics and explanations do that.
+    # Metrics and explanations already cover each request.
     logging.getLogger("aiohttp.access").setLevel(logging.ERROR)
--- a/src/hoistmoor/utils/metrics.py
+++ b/src/hoistmoor/utils/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and timings over UDP to statsd, and the list of all of them."""
+"""Metrics sent to statsd over UDP, and the list of all metrics."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Kind(enum.StrEnum):
-    """How a metric is sent."""
+    """Type of a metric."""
 
     COUNTER = "counter"
     TIMING = "timing"  # Milliseconds.
@@ -24,12 +24,12 @@
 
 @attrs.frozen
 class Metric:
-    """One line of the list.
+    """Description of a metric.
 
     Attributes:
-        name: Name below the prefix ``hoistmoor.``.
-        kind: How it is sent.
-        meaning: What one unit of it says.
+        name: Name without the prefix ``hoistmoor.``.
+        kind: Type of the metric.
+        meaning: What it counts or measures.
     """
 
     name: str
@@ -44,30 +44,48 @@
     refusals.Reason.BACKEND_ERROR,
 )
 
-_PLAIN = (
+_GENERAL = (
+    Metric("request.accepted", Kind.COUNTER, "Requests received by the entry."),
     Metric(
-        "request.accepted", Kind.COUNTER, "Requests that reached the entry."
+        "request.served", Kind.COUNTER, "Requests with a complete response."
+    ),
+    Metric(
+        "request.cancelled",
+        Kind.COUNTER,
+        "Callers that disconnected before the end.",
     ),
-    Metric("request.served", Kind.COUNTER, "Requests with a whole answer."),
-    Metric("request.cancelled", Kind.COUNTER, "Callers gone before the end."),
     Metric("request.time", Kind.TIMING, "From arrival to the last byte."),
-    Metric("request.first_byte", Kind.TIMING, "Until the answer's first byte."),
+    Metric(
+        "request.first_byte",
+        Kind.TIMING,
+        "Until the first byte of the response.",
+    ),
     Metric("request.queued", Kind.TIMING, "Time in the admission queue."),
-    Metric("attempt.sent", Kind.COUNTER, "Attempts at backend servers."),
-    Metric("attempt.time", Kind.TIMING, "Length of one attempt."),
-    Metric("attempt.late_frame", Kind.COUNTER, "Frames of ended attempts."),
-    Metric("cascade.escalated", Kind.COUNTER, "Answers judged too poor."),
-    Metric("session.moved", Kind.COUNTER, "Sessions put on another version."),
-    Metric("once.claim", Kind.COUNTER, "Claims put on the log."),
-    Metric("once.stored_answer", Kind.COUNTER, "Answers given a second time."),
+    Metric("attempt.sent", Kind.COUNTER, "Attempts sent to backend servers."),
+    Metric("attempt.time", Kind.TIMING, "Duration of an attempt."),
+    Metric(
+        "attempt.late_frame",
+        Kind.COUNTER,
+        "Frames received after an attempt ended.",
+    ),
+    Metric(
+        "cascade.escalated",
+        Kind.COUNTER,
+        "Responses escalated for low quality.",
+    ),
+    Metric("session.moved", Kind.COUNTER, "Sessions moved to another version."),
+    Metric("once.claim", Kind.COUNTER, "Claims appended to the log."),
+    Metric(
+        "once.stored_answer", Kind.COUNTER, "Stored responses returned again."
+    ),
     Metric("once.ticket", Kind.COUNTER, "Tickets issued."),
-    Metric("bill.written", Kind.COUNTER, "Bills on the log."),
+    Metric("bill.written", Kind.COUNTER, "Bills written to the log."),
     Metric("bill.held", Kind.COUNTER, "Bills held by a peer."),
-    Metric("table.revision", Kind.GAUGE, "Revision of the table in force."),
-    Metric("log.append_time", Kind.TIMING, "Length of one append."),
-    Metric("log.failed", Kind.COUNTER, "Calls to the log that failed."),
-    Metric("peers.alive", Kind.GAUGE, "Hosts thought alive."),
-    Metric("steward.acting", Kind.GAUGE, "1 while this steward acts."),
+    Metric("table.revision", Kind.GAUGE, "Revision of the active table."),
+    Metric("log.append_time", Kind.TIMING, "Duration of an append."),
+    Metric("log.failed", Kind.COUNTER, "Failed calls to the log."),
+    Metric("peers.alive", Kind.GAUGE, "Hosts considered alive."),
+    Metric("steward.acting", Kind.GAUGE, "1 while this steward is active."),
     Metric("steward.order", Kind.COUNTER, "Orders sent to engines."),
 )
 
@@ -77,28 +95,31 @@
 )
 
 _RETRIES = tuple(
-    Metric(f"retry.{reason}", Kind.COUNTER, f"Attempts repeated: {reason}.")
+    Metric(f"retry.{reason}", Kind.COUNTER, f"Retried attempts: {reason}.")
     for reason in RETRY_REASONS
 )
 
 _PEERS = tuple(
-    Metric(f"peer.refused.{why}", Kind.COUNTER, f"Peers' calls refused: {why}.")
+    Metric(
+        f"peer.refused.{why}", Kind.COUNTER, f"Refused calls of peers: {why}."
+    )
     for why in calls.Why
 )
 
 METRICS = {
-    metric.name: metric for metric in (*_PLAIN, *_REFUSALS, *_RETRIES, *_PEERS)
+    metric.name: metric
+    for metric in (*_GENERAL, *_REFUSALS, *_RETRIES, *_PEERS)
 }
 
 
 class Metrics:
     """Sends metrics; does nothing without an address.
 
-    A UDP datagram that nobody reads is lost without harm. Names should stand
-    in ``METRICS``; a test holds the sources to that.
+    UDP datagrams without a receiver are lost, which is harmless. All names must
+    be listed in ``METRICS``, which a test checks.
 
     Args:
-        address: ``ip:port`` of statsd, or empty.
+        address: ``ip:port`` of statsd; empty to send nothing.
     """
 
     def __init__(self, address: str = "") -> None:
@@ -115,12 +136,12 @@
             self.client.incr(name, n)
 
     def timing(self, name: str, ms: float) -> None:
-        """Reports a duration in milliseconds."""
+        """Sends a duration in milliseconds."""
         if self.client:
             self.client.timing(name, ms)
 
     def gauge(self, name: str, value: float) -> None:
-        """Reports a current value."""
+        """Sends the current value of a gauge."""
         if self.client:
             self.client.gauge(name, value)
 
@@ -129,11 +150,11 @@
         self.count(f"refusal.{reason}")
 
     def retry(self, reason: refusals.Reason) -> None:
-        """Counts a repeated attempt under its reason."""
+        """Counts a retried attempt under its reason."""
         self.count(f"retry.{reason}")
 
     def peer_refusal(self, why: calls.Why) -> None:
-        """Counts a peer's call that was refused under its reason."""
+        """Counts a refused call of a peer under its reason."""
         self.count(f"peer.refused.{why}")
 
     def close(self) -> None:
--- a/src/hoistmoor/utils/program.py
+++ b/src/hoistmoor/utils/program.py
@@ -1,4 +1,4 @@
-"""Runs one of the programs that serve until a stop signal."""
+"""Runs a program that serves until a stop signal."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 _S = TypeVar("_S", bound=settings_lib.CommonSettings)
 
-# What an operator can mend; any other error keeps its traceback.
+# Errors that an operator can correct; all others keep their traceback.
 _EXIT_CODES: dict[type[errors.HoistmoorError], int] = {
     errors.ConfigurationError: command_line.EXIT_USAGE,
     listening.ListenError: command_line.EXIT_FAILED,
@@ -28,11 +28,11 @@
 def run(
     program: type[_S], serve: Callable[[_S], Coroutine[Any, Any, None]]
 ) -> int:
-    """Reads the settings and serves; returns the exit code.
+    """Reads the settings and runs the program; returns its exit code.
 
     Args:
-        program: Settings class of the program.
-        serve: Runs until a stop signal, which it handles itself.
+        program: The settings class of the program.
+        serve: Serves until a stop signal, which it handles itself.
     """
     settings = command_line.read_or_exit(program)
     logs.configure(settings)
--- a/src/hoistmoor/utils/signals.py
+++ b/src/hoistmoor/utils/signals.py
@@ -1,4 +1,4 @@
-"""Graceful stop on SIGTERM and SIGINT, and a look at settings on SIGHUP."""
+"""Handlers for SIGTERM and SIGINT (graceful stop) and SIGHUP (reload)."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 def stop_event() -> asyncio.Event:
-    """Returns an event that the first stop signal sets.
+    """Returns an event that is set by the first stop signal.
 
-    Must be called inside the running event loop. A second signal changes
-    nothing: the stop stays graceful, bounded by ``--stop-timeout``.
+    Must be called inside the running event loop. Further signals have no
+    effect: the stop remains graceful, limited by ``--stop-timeout``.
     """
     event = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -26,7 +26,7 @@
 
 
 def on_reload(callback: Callable[[], None]) -> None:
-    """Has ``callback`` called for each SIGHUP, which then ends no process.
+    """Calls ``callback`` on each SIGHUP, which then no longer ends the process.
 
     Must be called inside the running event loop.
     """
--- a/src/hoistmoor/utils/tls.py
+++ b/src/hoistmoor/utils/tls.py
@@ -1,4 +1,4 @@
-"""TLS from mounted files: between hosts, and for callers."""
+"""TLS between hosts and for callers, from files that may be replaced."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from hoistmoor.core import errors
 from hoistmoor.utils import logs
 
-RELOAD_PAUSE = 30.0  # Seconds between two looks at the files.
+RELOAD_INTERVAL = 30.0  # Seconds between two checks of the files.
 _HTTP2 = "h2"
 
 _LOG = logs.PartLogger("security")
@@ -19,11 +19,11 @@
 
 @attrs.frozen
 class Link:
-    """How to reach other hosts over HTTP.
+    """How to connect to other hosts over HTTP.
 
     Attributes:
         scheme: ``http`` or ``https``.
-        verify: What ``aiohttp`` checks certificates with.
+        verify: The ``ssl`` argument of ``aiohttp``, to verify certificates.
     """
 
     scheme: str = "http"
@@ -40,109 +40,116 @@
 class TlsFiles:
     """A host's certificate, its key, and the authority of all hosts.
 
-    Hosts call each other by IP address, so a certificate proves that its
-    owner is one of the deployment's hosts, not which one.
+    Hosts connect to one another by IP address, so a certificate only proves
+    that its owner is a host of the deployment, and not which one.
 
     Attributes:
-        callers: For the port that callers use; asks for no certificate.
-        peers: For the port that other hosts use; asks for one.
-        to_peers: For calls to other hosts' peer port.
-        link: For calls to other hosts over HTTP.
+        callers: Server context of the port for callers; requests no
+            certificate.
+        peers: Server context of the port for other hosts; requires a
+            certificate.
+        to_peers: Client context for calls to the peer port of other hosts.
+        link: How to call other hosts over HTTP.
     """
 
     def __init__(self, certificate: str, key: str, authority: str) -> None:
         """Reads the files.
 
         Raises:
-            ConfigurationError: A file cannot be read or is no good.
+            ConfigurationError: A file cannot be read or is invalid.
         """
         self._files = (certificate, key, authority)
-        self._seen = self._look()
-        self.callers = _server()
-        self.peers = _server()
+        self._loaded_states = self._file_states()
+        self.callers = _server_context()
+        self.peers = _server_context()
         self.peers.verify_mode = ssl.CERT_REQUIRED
-        self.to_peers = _client()
-        self._to_hosts = _client()
+        self.to_peers = _client_context()
+        self._to_hosts = _client_context()
         self.link = Link("https", self._to_hosts)
         for context in (self.peers, self.to_peers):
             context.set_alpn_protocols([_HTTP2])
         self._load()
 
     def reload_if_changed(self) -> bool:
-        """Takes over files that are new; returns whether it did.
+        """Loads the files if they have changed; returns whether it did.
 
-        Open connections go on; new ones use the new files. Files that are no
-        good, or not written to their end, change nothing.
+        Open connections continue; new ones use the new files. Files that are
+        invalid or incompletely written are not loaded.
         """
-        found = self._look()
-        if found == self._seen:
+        current = self._file_states()
+        if current == self._loaded_states:
             return False
         try:
             self._load()
         except errors.ConfigurationError as error:
-            _LOG.error("Kept the old certificate: %s", error)
+            _LOG.error(
+                "Could not load the new TLS files; keeping the old ones: %s",
+                error,
+            )
             return False
-        self._seen = found
-        _LOG.info("Took over the certificate of %s", self._files[0])
+        self._loaded_states = current
+        _LOG.info("Loaded the certificate from %s", self._files[0])
         return True
 
-    async def watch(self, pause: float = RELOAD_PAUSE) -> None:
-        """Takes over new files until cancelled."""
+    async def watch(self, interval: float = RELOAD_INTERVAL) -> None:
+        """Reloads changed files until cancelled."""
         while True:
-            await asyncio.sleep(pause)
+            await asyncio.sleep(interval)
             self.reload_if_changed()
 
-    def _look(self) -> tuple[object, ...]:
-        return tuple(_state_of(name) for name in self._files)
+    def _file_states(self) -> tuple[object, ...]:
+        return tuple(_file_state(name) for name in self._files)
 
     def _load(self) -> None:
         certificate, key, authority = self._files
         try:
-            # Tried first: a context must not keep half of a change.
-            _server().load_cert_chain(certificate, key)
+            # Tries the files on a new context first: a failure must not leave
+            # the others partly updated.
+            _server_context().load_cert_chain(certificate, key)
             for context in (self.callers, self.peers, self.to_peers):
                 context.load_cert_chain(certificate, key)
             for context in (self.peers, self.to_peers, self._to_hosts):
                 context.load_verify_locations(authority)
         except (OSError, ssl.SSLError) as error:
             raise errors.ConfigurationError(
-                f"the files {', '.join(self._files)} are no good: {error}",
+                f"cannot load the TLS files {', '.join(self._files)}: {error}",
                 "Give a certificate, its key and the authority, all in PEM.",
             ) from error
 
 
 def make_client(authority: str) -> Link:
-    """Returns how to reach hosts whose certificates an authority signed.
+    """Returns a link to hosts whose certificates the authority signed.
 
     Raises:
-        ConfigurationError: The file is no good.
+        ConfigurationError: The file cannot be read or is invalid.
     """
-    context = _client()
+    context = _client_context()
     try:
         context.load_verify_locations(authority)
     except (OSError, ssl.SSLError) as error:
         raise errors.ConfigurationError(
-            f"{authority} is no good: {error}", "Give certificates in PEM."
+            f"cannot load certificates from {authority}: {error}",
+            "Give certificates in PEM format.",
         ) from error
     return Link("https", context)
 
 
-def _server() -> ssl.SSLContext:
+def _server_context() -> ssl.SSLContext:
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     return context
 
 
-def _client() -> ssl.SSLContext:
+def _client_context() -> ssl.SSLContext:
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
-    context.check_hostname = False  # Hosts are called by IP address.
+    context.check_hostname = False  # Hosts connect by IP address.
     return context
 
 
-def _state_of(name: str) -> object:
+def _file_state(name: str) -> object:
     try:
-        found = pathlib.Path(name).stat()
+        status = pathlib.Path(name).stat()
     except OSError:
         return None
-    return found.st_mtime_ns, found.st_ino, found.st_size
+    return status.st_mtime_ns, status.st_ino, status.st_size
