--- a/tests/steward/conftest.py
+++ b/tests/steward/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the stewards' process tests."""
+"""Fixtures of the process tests of stewards."""
 
 from __future__ import annotations
 
@@ -13,6 +13,6 @@
 
 @pytest.fixture
 async def rig(processes: system_processes.Processes) -> steward_rig.Rig:
-    made = steward_rig.Rig(processes)
-    await made.start()
-    return made
+    running = steward_rig.Rig(processes)
+    await running.start()
+    return running
--- a/tests/steward/quick_steward.py
+++ b/tests/steward/quick_steward.py
@@ -1,4 +1,4 @@
-"""Runs ``hoistmoor-steward`` with a lease short enough for a test."""
+"""Runs ``hoistmoor-steward`` with a short lease, for tests."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 lease.LEASE_SECONDS = 3.0
 lease.TAKEOVER_SECONDS = 1.0
 
-# The program reads the length of the lease when it is imported.
+# The program reads the duration of the lease on import.
 from hoistmoor.steward import main  # noqa: E402
 
 if __name__ == "__main__":
--- a/tests/steward/steward_rig.py
+++ b/tests/steward/steward_rig.py
@@ -1,4 +1,4 @@
-"""Real stewards and stand-ins as processes, and a table for them."""
+"""Runs stewards and stand-ins as processes, with a table for them."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 @attrs.frozen
 class Rig:
-    """The processes of one test; ``start`` comes first.
+    """The processes of a test; call ``start`` first.
 
     Attributes:
-        processes: Stewards and engines by name, and the platform stand-in.
+        processes: The stewards and engines by name, and the platform stand-in.
     """
 
     processes: system_processes.Processes
@@ -44,7 +44,7 @@
 
     @property
     def session(self) -> aiohttp.ClientSession:
-        """Talks to them."""
+        """HTTP session for requests to the processes."""
         return self.processes.session
 
     @property
@@ -54,11 +54,11 @@
 
     @property
     def log(self) -> log.LogClient:
-        """A client of the log."""
+        """Client of the log."""
         return log.LogClient(self.session, self.url)
 
     async def start_engine(self, name: str, *flags: str) -> str:
-        """Starts an engine that serves the old version; returns its address."""
+        """Starts an engine with the old version; returns its address."""
         program = await self.processes.start(
             name, "hoistmoor-standin", "engine", "--serve", OLD,
             "--load-time", "0.05", *flags,
@@ -66,7 +66,7 @@
         return program.address
 
     async def start_steward(self, host: str) -> system_processes.Program:
-        """Starts a steward with a lease of seconds."""
+        """Starts a steward with a short lease."""
         return await self.processes.start_unheard(
             host, sys.executable, str(_QUICK), "--host", host,
             "--failure-domain", "d0", "--listen", "127.0.0.1:0",
@@ -74,24 +74,24 @@
         )  # fmt: skip
 
     async def publish(self, table: model.Table) -> None:
-        """Puts a first table on the log."""
+        """Appends an initial table to the log."""
         changes = edits.diff(model.Table(), table)
         edit = edits.TableEdit("first", -1, "test", 0.0, changes)
         await self.log.append(streams.TABLE, codec.encode(edit))
 
     async def fold(self) -> fold_lib.StewardFold:
-        """Returns the stream as a new reader finds it."""
+        """Returns the state of the stream, as read by a new reader."""
         reader = stream.StewardStream(self.log)
         await reader.catch_up()
         return reader.fold
 
     async def holder(self) -> str:
-        """Returns the host that holds the lease; empty if none does."""
+        """Returns the host that holds the lease, or an empty string."""
         lease = (await self.fold()).state.lease
         return lease.holder.host if lease and not lease.released else ""
 
     async def engine(self, address: str) -> engines.EngineState:
-        """Reads an engine back."""
+        """Returns the state of an engine."""
         return await engines.EngineClient(self.session).state(address)
 
 
--- a/tests/steward/test_steward_duties.py
+++ b/tests/steward/test_steward_duties.py
@@ -1,4 +1,4 @@
-"""Duties against a log in memory: lost replies, retention, withdrawals."""
+"""Tasks of a steward on an in-memory log: lost replies and retention."""
 
 from __future__ import annotations
 
@@ -33,48 +33,48 @@
 
 @attrs.define
 class FakeLog:
-    """Streams with retention by count; an append may lose its reply."""
+    """Log that retains a number of records and can lose replies."""
 
-    kept: int = 10_000
+    retained: int = 10_000
     loses_replies: bool = False
-    rows: dict[str, list[bytes]] = attrs.field(factory=dict)
+    payloads: dict[str, list[bytes]] = attrs.field(factory=dict)
 
     def first(self, name: str) -> int:
-        """Returns the oldest offset kept."""
-        return max(0, len(self.rows.get(name, [])) - self.kept)
+        """Returns the oldest retained offset."""
+        return max(0, len(self.payloads.get(name, [])) - self.retained)
 
     async def append(self, name: str, payload: bytes) -> int:
-        """Stores a record, and perhaps says nothing of it."""
-        self.rows.setdefault(name, []).append(payload)
+        """Stores a record; fails afterwards if replies are lost."""
+        self.payloads.setdefault(name, []).append(payload)
         if self.loses_replies:
-            raise errors.LogOutcomeUnknownError("no reply", "Read on.")
-        return len(self.rows[name]) - 1
+            raise errors.LogOutcomeUnknownError("no reply", "Read the stream.")
+        return len(self.payloads[name]) - 1
 
     async def bounds(self, name: str) -> log.LogBounds:
-        """Returns what is kept."""
-        return log.LogBounds(self.first(name), len(self.rows.get(name, [])))
+        """Returns the oldest retained and the next offset."""
+        return log.LogBounds(self.first(name), len(self.payloads.get(name, [])))
 
     async def read(
         self, name: str, start: int, limit: int = 500, wait: float = 0.0
     ) -> log.LogPage:
-        """Returns one page."""
+        """Returns a page of records."""
         first = self.first(name)
         if start < first:
             raise errors.LogOffsetExpiredError(name, start, first)
-        page = self.rows.get(name, [])[start : start + limit]
-        rows = tuple(
+        page = self.payloads.get(name, [])[start : start + limit]
+        page_records = tuple(
             log.LogRecord(start + n, NOW, payload)
             for n, payload in enumerate(page)
         )
-        return log.LogPage(first, start + len(rows), rows)
+        return log.LogPage(first, start + len(page_records), page_records)
 
 
-async def make_tools(fake: Any) -> duties.Tools:
-    """Returns the tools of a steward that acts and has a table."""
+async def make_context(fake: Any) -> duties.Tools:
+    """Returns the context of an active steward that has a table."""
     actor = actor_lib.Actor(identity.Incarnation("a", 1))
     reader = watch.WatchedStream(fake, actor, clock=lambda: NOW)
     follower = table_follower.TableFollower(fake, poll_seconds=0.0)
-    tools = duties.Tools(
+    context = duties.Tools(
         fake, reader, follower, metrics.Metrics(), clock=lambda: NOW
     )
     changes = edits.diff(model.Table(), steward_rig.make_table("10.0.0.1:1"))
@@ -83,27 +83,27 @@
     await follower.step()
     await reader.catch_up()
     actor.asked_at = NOW
-    await tools.append(records.LeaseRequest(actor.me, 15.0))
-    assert tools.acting() == 0
-    return tools
+    await context.append(records.LeaseRequest(actor.me, 15.0))
+    assert context.acting() == 0
+    return context
 
 
-async def test_lost_reply_of_a_roll_out_record_is_read_back() -> None:
+async def test_rollout_record_with_a_lost_reply_is_read_back() -> None:
     fake = FakeLog()
-    tools = await make_tools(fake)
+    context = await make_context(fake)
     fake.loses_replies = True
-    table = tools.rows()
+    table = context.rows()
     assert table
     for _ in range(4):
-        for record in tools.stream.actor.rollout_records(table, NOW):
+        for record in context.stream.actor.rollout_records(table, NOW):
             with pytest.raises(errors.LogOutcomeUnknownError):
-                await tools.append(record)
-    rollout = tools.stream.fold.state.rollouts[steward_rig.NEW]
+                await context.append(record)
+    rollout = context.stream.fold.state.rollouts[steward_rig.NEW]
     assert rollout.stage_index == 0
-    assert len(fake.rows[streams.STEWARD]) == 3
+    assert len(fake.payloads[streams.STEWARD]) == 3
 
 
-async def test_operator_record_with_a_lost_reply_is_settled() -> None:
+async def test_operator_record_with_a_lost_reply_is_confirmed() -> None:
     fake: Any = FakeLog(loses_replies=True)
     record = records.ServerDrain("s0", True, "op")
     view = await operator_records.put(
@@ -114,30 +114,30 @@
         await operator_records.put(fake, record, lambda view: False)
 
 
-async def test_tally_and_withdrawals_outlive_retention() -> None:
+async def test_tally_and_withdrawals_are_kept_beyond_retention() -> None:
     fake = FakeLog()
-    tools = await make_tools(fake)
-    table = tools.rows()
+    context = await make_context(fake)
+    table = context.rows()
     assert table
     digest = exposure.row_digest(table.versions[steward_rig.NEW])
     bad = messages.Withdrawal(steward_rig.NEW, "*", digest, "x.1", NOW, "e")
     stale = attrs.evolve(bad, version=steward_rig.OLD, row_digest="older")
     for record in (bad, stale, *(make_claim(n, digest) for n in range(40))):
         await fake.append(streams.EVIDENCE, codec.encode(record))
-    keeper = evidence_keeper.EvidenceKeeper(tools)
+    keeper = evidence_keeper.EvidenceKeeper(context)
     await keeper.step()
-    view = tools.stream.actor.view()
+    view = context.stream.actor.view()
     assert view.withdrawn(table.versions[steward_rig.NEW])
     assert not view.withdrawn(table.versions[steward_rig.OLD])
 
-    fake.kept = 20  # Retention takes the withdrawals and half the claims.
+    fake.retained = 20  # The withdrawals and half the claims expire.
     await keeper.step()
     await keeper.step()
     offset = fake.first(streams.EVIDENCE)
     late = exposure.ExposureFold()
     late.on_gap(offset)
     withdrawn = []
-    for payload in fake.rows[streams.EVIDENCE][offset:]:
+    for payload in fake.payloads[streams.EVIDENCE][offset:]:
         record = codec.decode(payload)
         if isinstance(record, messages.ExposureTally):
             late.on_tally(record)
@@ -154,9 +154,9 @@
     )
 
 
-async def test_starter_reads_the_tail_or_else_everything() -> None:
+async def test_new_reader_reads_the_tail_or_else_the_whole_stream() -> None:
     fake: Any = FakeLog()
-    tools = await make_tools(fake)
+    context = await make_context(fake)
     drain = codec.encode(records.ServerDrain("s0", True, "op"))
     await fake.append(streams.STEWARD, drain)
     for _ in range(2500):
@@ -164,8 +164,8 @@
     reader = stream.StewardStream(fake)
     await reader.catch_up()
     assert (reader.fold.start, reader.fold.complete) == (0, True)
-    await tools.stream.catch_up()
-    await tools.append(tools.stream.fold.snapshot())
+    await context.stream.catch_up()
+    await context.append(context.stream.fold.snapshot())
     reader = stream.StewardStream(fake)
     await reader.catch_up()
     assert reader.fold.start > 0
@@ -173,29 +173,29 @@
     assert reader.undecodable < 2500
 
 
-async def test_feed_tells_of_table_and_stream() -> None:
+async def test_feed_delivers_changes_of_table_and_stream() -> None:
     fake: Any = FakeLog()
-    tools = await make_tools(fake)
-    told: list[model.TableInForce] = []
-    entry = feed.SteeringFeed(fake, told.append, clock=lambda: NOW)
-    in_force = tools.table.in_force
+    context = await make_context(fake)
+    delivered: list[model.TableInForce] = []
+    entry = feed.SteeringFeed(fake, delivered.append, clock=lambda: NOW)
+    in_force = context.table.in_force
     assert in_force
     entry.on_table(in_force)
-    assert told[-1].table.versions[steward_rig.NEW].weight == 0
+    assert delivered[-1].table.versions[steward_rig.NEW].weight == 0
     for _ in range(3):
-        for record in tools.stream.actor.rollout_records(in_force.table, NOW):
-            await tools.append(record)
+        for record in context.stream.actor.rollout_records(in_force.table, NOW):
+            await context.append(record)
     await entry.stream.catch_up()
-    assert told[-1].table.versions[steward_rig.NEW].weight == 0.25
-    assert len(told) == 2
+    assert delivered[-1].table.versions[steward_rig.NEW].weight == 0.25
+    assert len(delivered) == 2
     drain = records.ServerDrain("s0", True, "op")
     await fake.append(streams.STEWARD, codec.encode(drain))
     await entry.stream.catch_up()
-    assert told[-1].table.servers == {}
-    assert told[-1].revision == in_force.revision
+    assert delivered[-1].table.servers == {}
+    assert delivered[-1].revision == in_force.revision
 
 
-async def test_page_read_before_a_restart_leaves_no_gap() -> None:
+async def test_page_read_before_a_reset_leaves_no_gap() -> None:
     fake: Any = FakeLog()
     for name in ("s0", "s1", "s2"):
         drain = codec.encode(records.ServerDrain(name, True, "op"))
--- a/tests/steward/test_steward_processes.py
+++ b/tests/steward/test_steward_processes.py
@@ -1,4 +1,8 @@
-"""Two real stewards, of which one is frozen past its lease."""
+"""Steward processes: leases, failover and rollouts.
+
+A suspended steward does not notice that its lease expires, so it may still
+append records and send orders when it resumes. These must have no effect.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +25,7 @@
 
 
 async def start_pool(rig: steward_rig.Rig) -> list[str]:
-    """Starts two engines and puts them in the table."""
+    """Starts two engines and publishes a table with them."""
     addresses = [
         await rig.start_engine("honours-fencing"),
         await rig.start_engine("ignores-fencing", "--ignore-fencing"),
@@ -31,7 +35,7 @@
 
 
 async def lease_of(rig: steward_rig.Rig) -> lease_lib.Lease:
-    """Returns the lease once one is held."""
+    """Waits for a steward to hold the lease and returns it."""
 
     async def held() -> Any:
         lease = (await rig.fold()).state.lease
@@ -48,7 +52,7 @@
     return sum(version in state.loaded for state in states)
 
 
-async def test_frozen_steward_changes_nothing_when_it_wakes(
+async def test_steward_resumed_after_its_lease_expired_changes_nothing(
     rig: steward_rig.Rig,
 ) -> None:
     addresses = await start_pool(rig)
@@ -69,38 +73,38 @@
     await system_processes.until(superseded, "another steward")
     second = await lease_of(rig)
 
-    # What the frozen one might still have under way: records and orders.
+    # Records and orders that the frozen steward could have in flight.
     late = records.RolloutStep(NEW, 1, 0.05, first.fencing)
     await rig.log.append(streams.STEWARD, codec.encode(late))
-    await give_late_orders(rig, addresses, first.fencing, second.fencing)
+    await send_late_orders(rig, addresses, first.fencing, second.fencing)
     rig.processes.programs[frozen].thaw()
 
     async def corrected() -> bool:
         old = await replicas_of(rig, addresses, OLD)
         return (old, await replicas_of(rig, addresses, NEW)) == (2, 1)
 
-    await system_processes.until(corrected, "the wanted condition")
+    await system_processes.until(corrected, "the desired state")
     fold = await rig.fold()
     assert fold.state.rollouts[NEW].stage_index == 0
     assert await rig.holder() == second.holder.host
 
 
-async def give_late_orders(
+async def send_late_orders(
     rig: steward_rig.Rig, addresses: list[str], old: int, new: int
 ) -> None:
-    """Gives each engine an order with the superseded number."""
+    """Sends each engine an order with the superseded fencing token."""
     client = engines.EngineClient(rig.session)
-    nothing = engines.Order(old, ())
+    no_versions = engines.Order(old, ())
     honouring, ignoring = addresses
-    present = await rig.engine(honouring)
-    await client.order(honouring, engines.Order(new, present.wanted))
+    current = await rig.engine(honouring)
+    await client.order(honouring, engines.Order(new, current.wanted))
     with pytest.raises(engines.OrderRefusedError):
-        await client.order(honouring, nothing)
-    await client.order(ignoring, nothing)
+        await client.order(honouring, no_versions)
+    await client.order(ignoring, no_versions)
     assert (await rig.engine(ignoring)).wanted == ()
 
 
-async def test_stopped_steward_hands_its_office_over(
+async def test_stopped_steward_releases_its_lease(
     rig: steward_rig.Rig,
 ) -> None:
     stopped = await rig.start_steward("a")
@@ -111,10 +115,10 @@
     assert rig.processes.log_of("a").read_text() == ""
     assert (await rig.fold()).state.lease.released
 
-    async def taken() -> bool:
+    async def taken_over() -> bool:
         return await rig.holder() == "b"
 
-    await system_processes.until(taken, "the other steward")
+    await system_processes.until(taken_over, "the other steward")
     assert (await lease_of(rig)).fencing > first.fencing
 
 
@@ -128,7 +132,7 @@
     assert await stopped.exit_code() == 0
 
 
-async def test_ratings_move_a_roll_out_over_two_stewards(
+async def test_rollout_advances_with_ratings_across_two_stewards(
     rig: steward_rig.Rig,
 ) -> None:
     await start_pool(rig)
