--- a/tests/config/test_config_security.py
+++ b/tests/config/test_config_security.py
@@ -1,4 +1,4 @@
-"""Settings on keys and TLS: checked as a whole, no key in any text."""
+"""Settings of keys and TLS: validation, and no key in any message."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 OLD, NEW = "an-old-secret-of-a-length", "a-new-secret-of-a-length"
 HASH = hashlib.sha256(b"an operator's key").hexdigest()
-WORDS = [
+ARGUMENTS = [
     *("--host", "entry-1", "--failure-domain", "a"),
     *("--listen", "127.0.0.1:1", "--peer-listen", "127.0.0.1:2"),
     *("--log-url", "http://127.0.0.1:3"),
@@ -23,22 +23,26 @@
 
 @pytest.fixture(autouse=True)
 def secret(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Gives the programs two secrets."""
+    """Sets two secrets in the environment."""
     monkeypatch.setenv("HOISTMOOR_SECRET", f"{OLD},{NEW}")
 
 
-def _read(*words: str) -> settings_lib.EntrySettings:
-    return command_line.read(settings_lib.EntrySettings, [*WORDS, *words])
+def _read(*arguments: str) -> settings_lib.EntrySettings:
+    return command_line.read(
+        settings_lib.EntrySettings, [*ARGUMENTS, *arguments]
+    )
 
 
-def test_lists_of_secrets_and_hashes_are_read() -> None:
-    read = _read("--operator-keys", f"{HASH},{HASH}")
-    assertions.assert_that(read.secrets, matchers.Equals((OLD, NEW)))
-    assertions.assert_that(read.operator_hashes, matchers.Equals((HASH, HASH)))
+def test_lists_of_secrets_and_hashes_are_parsed() -> None:
+    settings = _read("--operator-keys", f"{HASH},{HASH}")
+    assertions.assert_that(settings.secrets, matchers.Equals((OLD, NEW)))
+    assertions.assert_that(
+        settings.operator_hashes, matchers.Equals((HASH, HASH))
+    )
     assertions.assert_that(_read().operator_hashes, matchers.Equals(()))
 
 
-def test_a_key_in_place_of_its_hash_is_refused_and_not_shown() -> None:
+def test_key_in_place_of_its_hash_is_rejected_and_not_shown() -> None:
     with pytest.raises(errors.ConfigurationError) as caught:
         _read("--operator-keys", "an operator's key")
     text = str(caught.value)
@@ -46,7 +50,7 @@
     assert "an operator's key" not in text
 
 
-def test_tls_needs_all_of_its_files() -> None:
+def test_tls_requires_all_files() -> None:
     with pytest.raises(errors.ConfigurationError) as caught:
         _read("--tls-certificate", "tls.crt")
     text = str(caught.value)
