--- a/tests/utils/test_utils_logs.py
+++ b/tests/utils/test_utils_logs.py
@@ -1,4 +1,4 @@
-"""Log lines: prefix, JSON form, and no key in any of them."""
+"""Log lines: the prefix, the JSON format and redacted keys."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 @pytest.fixture
 def stream() -> Iterator[io.StringIO]:
-    """What the absl handler writes while a test runs."""
+    """Captures the output of the absl handler during a test."""
     root = logging.getLogger()
     root_handlers = list(root.handlers)
     handler = absl_logging.get_absl_handler()
-    before = handler.python_handler.stream
+    original_stream = handler.python_handler.stream
     buffer = io.StringIO()
     handler.python_handler.stream = buffer
     yield buffer
-    handler.python_handler.stream = before
+    handler.python_handler.stream = original_stream
     handler.setFormatter(absl_logging.PythonFormatter())
     root.handlers[:] = root_handlers
 
 
 @pytest.mark.parametrize("log_format", list(settings_lib.LogFormat))
-def test_lines_hold_the_part_and_no_key(
+def test_lines_contain_the_part_and_no_key(
     stream: io.StringIO, log_format: settings_lib.LogFormat
 ) -> None:
     logs.configure(settings_lib.CommonSettings(log_format=log_format))
@@ -46,7 +46,7 @@
     assertions.assert_that(text, matchers.Not(matchers.Contains("taemsuk-key")))
 
 
-def test_json_lines_hold_part_level_and_error(stream: io.StringIO) -> None:
+def test_json_lines_contain_part_level_and_error(stream: io.StringIO) -> None:
     logs.configure(
         settings_lib.CommonSettings(log_format=settings_lib.LogFormat.JSON)
     )
--- a/tests/utils/test_utils_metrics.py
+++ b/tests/utils/test_utils_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics arrive on a UDP socket; the list and the sources agree."""
+"""Metrics sent over UDP, and the list of all metrics."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 _USE = re.compile(
     r"""metrics\.(?:count|timing|gauge)\(\s*"([^"]+)\"""", re.VERBOSE
 )
-_RECEIVE_SECONDS = 10.0
+_RECEIVE_TIMEOUT = 10.0
 
 
 @pytest.fixture
 def receiver() -> Iterator[socket.socket]:
-    """A UDP socket in statsd's place."""
+    """A UDP socket that receives metrics in place of statsd."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as receiver:
         receiver.bind(("127.0.0.1", 0))
-        receiver.settimeout(_RECEIVE_SECONDS)
+        receiver.settimeout(_RECEIVE_TIMEOUT)
         yield receiver
 
 
-def test_each_refusal_and_retry_is_read_off_the_socket(
+def test_refusals_and_retries_are_sent_to_the_socket(
     receiver: socket.socket,
 ) -> None:
     port = receiver.getsockname()[1]
@@ -60,11 +60,11 @@
     metrics.close()
 
 
-def test_no_address_sends_nothing() -> None:
+def test_without_an_address_nothing_is_sent() -> None:
     metrics_lib.Metrics().timing("request.time", 3.0)
 
 
-def test_the_list_and_the_sources_agree() -> None:
+def test_all_metrics_used_in_the_sources_are_listed_and_vice_versa() -> None:
     used = {
         name
         for path in SOURCES.rglob("*.py")
--- a/tests/utils/test_utils_program.py
+++ b/tests/utils/test_utils_program.py
@@ -1,4 +1,4 @@
-"""What the programs that serve say when they cannot start."""
+"""Error messages of programs that cannot start."""
 
 from __future__ import annotations
 
@@ -23,20 +23,22 @@
 
 
 @pytest.mark.parametrize("program", ["hoistmoor-entry", "hoistmoor-steward"])
-def test_a_taken_port_ends_in_one_line_with_the_remedy(program: str) -> None:
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        address = f"127.0.0.1:{taken.getsockname()[1]}"
-        ended = subprocess.run(
+def test_port_in_use_fails_with_a_single_line_and_a_remedy(
+    program: str,
+) -> None:
+    with socket.create_server(("127.0.0.1", 0)) as occupied:
+        address = f"127.0.0.1:{occupied.getsockname()[1]}"
+        completed = subprocess.run(
             [SCRIPTS / program, "--listen", address],
             env=SETTINGS,
             capture_output=True,
             text=True,
-            timeout=60,  # Seconds; then the program is killed.
+            timeout=60,  # Seconds until the program is killed.
             check=False,
         )
-    assertions.assert_that(ended.returncode, matchers.Equals(1))
+    assertions.assert_that(completed.returncode, matchers.Equals(1))
     assertions.assert_that(
-        ended.stderr.splitlines(),
+        completed.stderr.splitlines(),
         matchers.MatchesListwise(
             [matchers.MatchesRegex(f".*{address}.*set another address")]
         ),
--- a/tests/utils/test_utils_tls.py
+++ b/tests/utils/test_utils_tls.py
@@ -1,4 +1,4 @@
-"""TLS files: taken over when they change, kept when the new ones are bad."""
+"""TLS files: reloaded on a change, kept if the new ones are invalid."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 async def _subject(files: tls.TlsFiles) -> str:
-    """Returns the name in the certificate that a new connection shows."""
+    """Returns the common name of the certificate on a new connection."""
     async with _connect(files.callers, files.to_peers) as (_, writer):
         certificate = writer.get_extra_info("peercert")
     return str(dict(part[0] for part in certificate["subject"])["commonName"])
@@ -48,24 +48,26 @@
 async def _connect(
     server: ssl.SSLContext, client: ssl.SSLContext
 ) -> AsyncIterator[tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
-    """Yields a connection to one who greets each that it lets in."""
+    """Yields a connection to a server that greets each accepted client."""
 
     def greet(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"welcome")
         writer.close()
 
-    listening = await asyncio.start_server(greet, "127.0.0.1", 0, ssl=server)
-    port = listening.sockets[0].getsockname()[1]
+    server_socket = await asyncio.start_server(
+        greet, "127.0.0.1", 0, ssl=server
+    )
+    port = server_socket.sockets[0].getsockname()[1]
     reader, writer = await asyncio.open_connection(
         "127.0.0.1", port, ssl=client
     )
     yield reader, writer
     writer.close()
-    listening.close()
+    server_socket.close()
 
 
-async def _is_let_in(files: tls.TlsFiles, client: ssl.SSLContext) -> bool:
-    """Returns whether the peer port greets; a stranger meets an end."""
+async def _is_accepted(files: tls.TlsFiles, client: ssl.SSLContext) -> bool:
+    """Returns whether the peer port greets a client, or else disconnects it."""
     try:
         async with _connect(files.peers, client) as (reader, _):
             return bool(await reader.read())
@@ -73,18 +75,19 @@
         return False
 
 
-async def test_the_peer_port_lets_in_hosts_only(files: tls.TlsFiles) -> None:
-    assert await _is_let_in(files, files.to_peers)
-    stranger = tls.make_client(str(_FIXTURES / "ca.crt")).verify
-    assert isinstance(stranger, ssl.SSLContext)
-    assert not await _is_let_in(files, stranger)  # Shows no certificate.
-    stranger.load_cert_chain(
+async def test_peer_port_accepts_only_hosts(files: tls.TlsFiles) -> None:
+    assert await _is_accepted(files, files.to_peers)
+    unknown_client = tls.make_client(str(_FIXTURES / "ca.crt")).verify
+    assert isinstance(unknown_client, ssl.SSLContext)
+    # The client presents no certificate.
+    assert not await _is_accepted(files, unknown_client)
+    unknown_client.load_cert_chain(
         _FIXTURES / "stranger.crt", _FIXTURES / "stranger.key"
     )
-    assert not await _is_let_in(files, stranger)
+    assert not await _is_accepted(files, unknown_client)
 
 
-async def test_new_files_are_taken_over(
+async def test_new_files_are_loaded(
     files: tls.TlsFiles, tmp_path: pathlib.Path
 ) -> None:
     assert not files.reload_if_changed()
@@ -94,11 +97,11 @@
     assertions.assert_that(await _subject(files), matchers.Equals("renewed"))
 
 
-async def test_files_that_do_not_belong_together_change_nothing(
+async def test_mismatched_or_missing_files_are_not_loaded(
     files: tls.TlsFiles, tmp_path: pathlib.Path
 ) -> None:
     shutil.copy(_FIXTURES / "renewed.crt", tmp_path / "tls.crt")
-    assert not files.reload_if_changed()  # The key is not there yet.
+    assert not files.reload_if_changed()  # The new key is still missing.
     assertions.assert_that(await _subject(files), matchers.Equals("host"))
     shutil.copy(_FIXTURES / "renewed.key", tmp_path / "tls.key")
     assert files.reload_if_changed()
@@ -107,7 +110,7 @@
     assertions.assert_that(await _subject(files), matchers.Equals("renewed"))
 
 
-def test_files_that_are_no_good_are_named_at_the_start(
+def test_missing_files_are_named_in_the_error(
     tmp_path: pathlib.Path,
 ) -> None:
     missing = str(tmp_path / "none.crt")
