--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures for every directory of tests."""
+"""Fixtures shared by all tests."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 async def processes(
     tmp_path: pathlib.Path,
 ) -> AsyncIterator[system_processes.Processes]:
-    """Programs that end with the test."""
+    """Starts programs as processes and kills them after the test."""
     async with sessions.make_session() as session:
-        made = system_processes.Processes(session, tmp_path)
+        started = system_processes.Processes(session, tmp_path)
         try:
-            yield made
+            yield started
         finally:
-            await made.end()
+            await started.end()
--- a/tests/system_processes.py
+++ b/tests/system_processes.py
@@ -1,4 +1,4 @@
-"""Starts the programs as processes and ends them by their ids."""
+"""Runs the programs as processes in tests; kills only those it started."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-BOUND = 60.0  # Seconds after which a condition counts as never coming.
+BOUND = 60.0  # Maximum seconds to wait for a condition, a start or an exit.
 SECRET = "not-much-of-a-secret"
 _SCRIPTS = pathlib.Path(sys.executable).parent
 _READY = b"LISTENING "
 
 
 async def until(condition: Callable[[], Awaitable[Any]], what: str) -> Any:
-    """Returns the first true value of ``condition``."""
+    """Polls ``condition`` and returns its first true value."""
     deadline = time.monotonic() + BOUND
     while time.monotonic() < deadline:
         if found := await condition():
             return found
         await asyncio.sleep(0.02)
-    raise AssertionError(f"never came: {what}")
+    raise AssertionError(f"timed out waiting for {what}")
 
 
 @attrs.define
 class Program:
-    """One running program.
+    """A program started as a process.
 
     Attributes:
         name: Name of the host or backend server.
         address: ``ip:port`` of its HTTP interface.
         process: The process.
-        frozen: Whether it is stopped by SIGSTOP.
+        frozen: Whether SIGSTOP has suspended it.
     """
 
     name: str
@@ -53,38 +53,38 @@
         return f"http://{self.address}"
 
     async def kill(self) -> None:
-        """Ends it at once, as a power cut would."""
+        """Kills it without cleanup, as a power failure would."""
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
 
     def freeze(self) -> None:
-        """Pauses it, unaware."""
+        """Suspends it, which it cannot notice."""
         self.process.send_signal(signal.SIGSTOP)
         self.frozen = True
 
     def thaw(self) -> None:
-        """Lets it go on."""
+        """Resumes it."""
         self.process.send_signal(signal.SIGCONT)
         self.frozen = False
 
     def ask_to_stop(self) -> None:
-        """Asks for a graceful stop."""
+        """Requests a graceful stop."""
         self.process.send_signal(signal.SIGTERM)
 
     async def exit_code(self) -> int:
-        """Returns the exit code once it has ended."""
+        """Waits for the process to exit and returns its exit code."""
         async with asyncio.timeout(BOUND):
             return await self.process.wait()
 
 
 class Processes:
-    """All programs of one test.
+    """The programs of a test.
 
     Attributes:
-        session: Talks to them.
-        programs: By name.
-        variables: Environment variables of programs started from now on.
+        session: HTTP session for requests to the programs.
+        programs: The programs by name.
+        variables: Additional environment variables of programs started later.
     """
 
     def __init__(
@@ -96,21 +96,22 @@
         self._logs = logs
 
     async def start(self, name: str, *words: str) -> Program:
-        """Starts a program that says where it listens."""
+        """Starts a program that prints the address it listens on."""
         program = await self.start_unheard(name, *words)
         assert program.process.stdout is not None
         async with asyncio.timeout(BOUND):
             line = await program.process.stdout.readline()
-        assert line.startswith(_READY), f"{name} said {line!r}"
+        assert line.startswith(_READY), f"{name} printed {line!r}"
         program.address = line[len(_READY) :].decode().strip()
         return program
 
     async def start_unheard(self, name: str, *words: str) -> Program:
-        """Starts a program that does not say where it listens.
+        """Starts a program without waiting for the address it listens on.
 
         Args:
-            name: Names it and its log.
-            words: A program of this project or a whole path, and its flags.
+            name: Name of the program and of its log file.
+            words: Name of a script of this project or an absolute path, and its
+                arguments.
         """
         script, *arguments = words
         with self.log_of(name).open("ab") as log:
@@ -129,38 +130,38 @@
         return self.programs[name]
 
     def log_of(self, name: str) -> pathlib.Path:
-        """Returns the file that a program's standard error goes to."""
+        """Returns the file with a program's standard error."""
         return self._logs / f"{name}.log"
 
     async def end(self) -> None:
-        """Ends every program that still runs."""
+        """Kills every program that is still running."""
         for program in self.programs.values():
             await program.kill()
 
     async def fault(self, name: str, kind: str, **fields: Any) -> int:
-        """Turns a fault of a stand-in on; returns its number."""
+        """Injects a fault into a stand-in; returns its number."""
         url = f"{self.programs[name].url}/_faults"
         body = {"kind": kind, **fields}
-        async with self.session.post(url, json=body) as answer:
-            assert answer.status < 300, await answer.text()
-            return int((await answer.json())["id"])
+        async with self.session.post(url, json=body) as response:
+            assert response.status < 300, await response.text()
+            return int((await response.json())["id"])
 
     async def clear_fault(self, name: str, number: int) -> None:
-        """Turns one fault of a stand-in off."""
+        """Clears a fault of a stand-in."""
         url = f"{self.programs[name].url}/_faults/{number}"
-        async with self.session.delete(url) as answer:
-            assert answer.status < 300, await answer.text()
+        async with self.session.delete(url) as response:
+            assert response.status < 300, await response.text()
 
     async def clear_faults(self, name: str) -> None:
-        """Turns every fault of a stand-in off."""
+        """Clears all faults of a stand-in."""
         url = f"{self.programs[name].url}/_faults"
-        async with self.session.delete(url) as answer:
-            assert answer.status < 300, await answer.text()
+        async with self.session.delete(url) as response:
+            assert response.status < 300, await response.text()
 
     async def get(self, url: str) -> Any:
-        """Returns a JSON document, or None where none came."""
+        """Returns a JSON document, or None if the request fails."""
         try:
-            async with self.session.get(url) as answer:
-                return await answer.json()
+            async with self.session.get(url) as response:
+                return await response.json()
         except (aiohttp.ClientError, OSError, TimeoutError):
             return None
