--- a/src/hoistmoor/steward/duties.py
+++ b/src/hoistmoor/steward/duties.py
@@ -93,7 +93,7 @@
                 _LOG.warning("Could not request or renew the lease: %s", error)
         is_active = context.acting() is not None
         if is_active != was_active:
-            _LOG.info("Active" if is_active else "On standby")
+            _LOG.info("Acting" if is_active else "Standing by")
             context.metrics.gauge("steward.acting", int(is_active))
         was_active = is_active
         await asyncio.sleep(LEASE_TICK)
