--- a/src/hoistmoor/steward/feed.py
+++ b/src/hoistmoor/steward/feed.py
@@ -42,25 +42,25 @@
         """
         self.stream = stream_lib.StewardStream(client, self._on_view, clock)
         self._deliver = deliver
-        self._active: model.TableInForce | None = None
+        self._active_table: model.TableInForce | None = None
         self._delivered: model.TableInForce | None = None
 
     async def run(self) -> None:
         """Follows the stream until cancelled."""
         await self.stream.run()
 
-    def on_table(self, in_force: model.TableInForce) -> None:
+    def on_table(self, active_table: model.TableInForce) -> None:
         """Handles a new table of the operators."""
-        self._active = in_force
+        self._active_table = active_table
         self._deliver_if_changed(self.stream.fold.view())
 
     def _on_view(self, view: rollouts.RolloutView) -> None:
         self._deliver_if_changed(view)
 
     def _deliver_if_changed(self, view: rollouts.RolloutView) -> None:
-        if self._active is None:
+        if self._active_table is None:
             return
-        steered = steering.steer(self._active, view)
+        steered = steering.steer(self._active_table, view)
         if steered != self._delivered:
             self._delivered = steered
             self._deliver(steered)
--- a/tests/steward/test_steward_duties.py
+++ b/tests/steward/test_steward_duties.py
@@ -178,12 +178,14 @@
     context = await make_context(fake)
     delivered: list[model.TableInForce] = []
     entry = feed.SteeringFeed(fake, delivered.append, clock=lambda: NOW)
-    in_force = context.table.in_force
-    assert in_force
-    entry.on_table(in_force)
+    active_table = context.table.in_force
+    assert active_table
+    entry.on_table(active_table)
     assert delivered[-1].table.versions[steward_rig.NEW].weight == 0
     for _ in range(3):
-        for record in context.stream.actor.rollout_records(in_force.table, NOW):
+        for record in context.stream.actor.rollout_records(
+            active_table.table, NOW
+        ):
             await context.append(record)
     await entry.stream.catch_up()
     assert delivered[-1].table.versions[steward_rig.NEW].weight == 0.25
@@ -192,7 +194,7 @@
     await fake.append(streams.STEWARD, codec.encode(drain))
     await entry.stream.catch_up()
     assert delivered[-1].table.servers == {}
-    assert delivered[-1].revision == in_force.revision
+    assert delivered[-1].revision == active_table.revision
 
 
 async def test_page_read_before_a_reset_leaves_no_gap() -> None:
--- a/tests/steward/test_steward_processes.py
+++ b/tests/steward/test_steward_processes.py
@@ -95,13 +95,13 @@
     """Sends each engine an order with the superseded fencing token."""
     client = engines.EngineClient(rig.session)
     no_versions = engines.Order(old, ())
-    honouring, ignoring = addresses
-    current = await rig.engine(honouring)
-    await client.order(honouring, engines.Order(new, current.wanted))
+    checks_fencing, ignores_fencing = addresses
+    current = await rig.engine(checks_fencing)
+    await client.order(checks_fencing, engines.Order(new, current.wanted))
     with pytest.raises(engines.OrderRefusedError):
-        await client.order(honouring, no_versions)
-    await client.order(ignoring, no_versions)
-    assert (await rig.engine(ignoring)).wanted == ()
+        await client.order(checks_fencing, no_versions)
+    await client.order(ignores_fencing, no_versions)
+    assert (await rig.engine(ignores_fencing)).wanted == ()
 
 
 async def test_stopped_steward_releases_its_lease(
