--- a/src/hoistmoor/steward/evidence_keeper.py
+++ b/src/hoistmoor/steward/evidence_keeper.py
@@ -142,7 +142,7 @@
                 withdrawal.evidence,
                 withdrawal.row_digest,
             )
-            _LOG.info("Version withdrawn: %s", record)
+            _LOG.info("Withdrawn: %s", record)
             await self.tools.append(record)
 
     def _tally_is_due(self) -> bool:
