--- a/benchmarks/promises.py
+++ b/benchmarks/promises.py
@@ -235,7 +235,7 @@
     async def works() -> bool:
         return bool(await deployment.runs_of(name))
 
-    await system_processes.until(works, f"{name} gets work")
+    await system_processes.wait_until(works, f"{name} gets work")
 
 
 async def _await_known(
--- a/benchmarks/security.py
+++ b/benchmarks/security.py
@@ -122,7 +122,7 @@
     return client.PeerClient(
         address,
         signing.CallSigning(signer, time.time) if way.signed else None,
-        files.to_peers if way.encrypted else None,
+        files.peer_client_context if way.encrypted else None,
     )
 
 
@@ -142,7 +142,7 @@
     callee = server.PeerServer(
         handlers.PeerHandlers(ping=ping, hold_bills=hold),
         guard.CallGuard(verifier, time.time) if way.signed else None,
-        files.peers if way.encrypted else None,
+        files.peer_context if way.encrypted else None,
     )
     await callee.start("127.0.0.1", 0)
     tap = _Tap(callee.port)
@@ -250,7 +250,7 @@
     say("callers' port: us of processor time a request, both ends")
     for name, context, link in (
         ("plain", None, tls_lib.PLAIN),
-        ("TLS", files.callers, files.link),
+        ("TLS", files.caller_context, files.link),
     ):
         kept, fresh = await _measure_port(context, link)
         say(f"{name:<22}{kept:>8.0f} kept connection{fresh:>9.0f} a new one")
--- a/benchmarks/steward.py
+++ b/benchmarks/steward.py
@@ -25,7 +25,7 @@
 from hoistmoor.core.steward import planner as planner_lib
 from hoistmoor.core.steward import rollouts
 from hoistmoor.core.table import model
-from hoistmoor.steward import duties
+from hoistmoor.steward import background_tasks
 from hoistmoor.steward import engines
 
 HOSTS = (4, 9, 36, 100, 360)
@@ -63,10 +63,12 @@
             self.start(f"host{number}", 0.0)
         next_kill = KILL_EVERY
         killed_at: float | None = None
-        for tick in range(int(HOUR / duties.LEASE_TICK)):
+        for tick in range(int(HOUR / background_tasks.LEASE_CHECK_INTERVAL)):
             for index, actor in enumerate(self.actors):
-                phase = duties.LEASE_TICK * index / self.hosts
-                now = tick * duties.LEASE_TICK + phase
+                phase = (
+                    background_tasks.LEASE_CHECK_INTERVAL * index / self.hosts
+                )
+                now = tick * background_tasks.LEASE_CHECK_INTERVAL + phase
                 self.look(actor, now)
                 if actor.active_fencing_token(now) is None:
                     continue
@@ -199,7 +201,7 @@
         table = make_table(runners, address)
         plan = time_plan(table)
         reads = asyncio.run(time_reads(table))
-        period = engines.pass_seconds(runners)
+        period = engines.pass_interval(runners)
         write_line(
             f"{runners:7}  {plan * 1e3:7.2f}  {reads * 1e3:12.1f}  "
             f"{period:12.0f}  {(plan + reads) / period:14.2%}"
--- a/benchmarks/steward_process.py
+++ b/benchmarks/steward_process.py
@@ -136,7 +136,7 @@
             for host in ("a", "b")
         }  # fmt: skip
         time.sleep(SETTLE)
-        window = max(MIN_WINDOW, engines.pass_seconds(runners) * 1.05)
+        window = max(MIN_WINDOW, engines.pass_interval(runners) * 1.05)
         before = {host: Usage.of(pid) for host, pid in stewards.items()}
         time.sleep(window)
         after = {host: Usage.of(pid) for host, pid in stewards.items()}
--- a/src/hoistmoor/config/command_line.py
+++ b/src/hoistmoor/config/command_line.py
@@ -16,8 +16,8 @@
 from hoistmoor.config import settings as settings_lib
 from hoistmoor.core import errors
 
-EXIT_DONE = 0
-EXIT_FAILED = 1
+EXIT_SUCCESS = 0
+EXIT_FAILURE = 1
 EXIT_USAGE = 2
 
 _S = TypeVar("_S", bound=settings_lib.CommonSettings)
--- a/src/hoistmoor/console/commands/drain.py
+++ b/src/hoistmoor/console/commands/drain.py
@@ -60,7 +60,9 @@
             record = records.ServerDrain(
                 self.server, not self.undo, self.author
             )
-            await operator_records.put(client, record, self._is_in_force)
+            await operator_records.append_and_confirm(
+                client, record, self._is_in_force
+            )
 
     async def _check_name(self, client: log.LogClient) -> None:
         current = (await log_table.LogTable(client).read()).fold
--- a/src/hoistmoor/console/commands/rollout.py
+++ b/src/hoistmoor/console/commands/rollout.py
@@ -46,7 +46,7 @@
     async def _read(self) -> fold_lib.StewardFold:
         async with sessions.make_session() as session:
             client = log.LogClient(session, self.log_url)
-            return (await operator_records.read(client)).fold
+            return (await operator_records.read_stream(client)).fold
 
 
 @attrs.frozen(kw_only=True)
@@ -79,13 +79,15 @@
 
         async with sessions.make_session() as session:
             client = log.LogClient(session, self.log_url)
-            fold = (await operator_records.read(client)).fold
+            fold = (await operator_records.read_stream(client)).fold
             if self.version not in fold.state.rollouts:
                 raise errors.ConfigurationError(
                     f"there is no roll-out of {self.version!r}",
                     "Write MODEL@VERSION; see `hoistmoor rollout status`.",
                 )
-            await operator_records.put(client, record, is_in_force)
+            await operator_records.append_and_confirm(
+                client, record, is_in_force
+            )
 
 
 @cappa.command(name="pause", help="Keep a roll-out at its present stage.")
@@ -135,7 +137,7 @@
         record = records.HistoryReset(self.author)
         async with sessions.make_session() as session:
             client = log.LogClient(session, self.log_url)
-            await operator_records.put(
+            await operator_records.append_and_confirm(
                 client, record, lambda view: view.complete
             )
 
--- a/src/hoistmoor/console/commands/status.py
+++ b/src/hoistmoor/console/commands/status.py
@@ -75,7 +75,7 @@
         try:
             client = log_table.client_of(session, self.log_url)
             reading = await log_table.LogTable(client).read()
-            steward = (await operator_records.read(client)).fold
+            steward = (await operator_records.read_stream(client)).fold
         except errors.PlatformError as error:
             return [f"versions and roll-outs: {error}"]
         in_force = reading.fold.active
--- a/src/hoistmoor/console/entry_access.py
+++ b/src/hoistmoor/console/entry_access.py
@@ -47,7 +47,7 @@
 
 @functools.cache
 def _link(authority: str) -> tls.Link:
-    return tls.make_client(authority) if authority else tls.PLAIN
+    return tls.make_link(authority) if authority else tls.PLAIN
 
 
 def _headers(key: str) -> dict[str, Any]:
--- a/src/hoistmoor/entry/application.py
+++ b/src/hoistmoor/entry/application.py
@@ -62,7 +62,7 @@
         )
         _raise_first_failure(tasks)
         await _stop_gracefully(entry, settings.stop_timeout)
-        tls = entry.auth.tls.callers if entry.auth.tls else None
+        tls = entry.auth.tls.caller_context if entry.auth.tls else None
         await entry.connection_drainer.close(
             runner, site, listeners.callers, tls
         )
@@ -92,7 +92,7 @@
         "bills": parts.biller.watch(),
     }
     if entry.auth.tls:
-        loops["tls"] = entry.auth.tls.watch()
+        loops["tls"] = entry.auth.tls.reload_periodically()
     return [asyncio.create_task(loop, name=n) for n, loop in loops.items()]
 
 
@@ -117,7 +117,7 @@
         runner,
         listeners.callers,
         backlog=listening.BACKLOG,
-        ssl_context=entry.auth.tls.callers if entry.auth.tls else None,
+        ssl_context=entry.auth.tls.caller_context if entry.auth.tls else None,
     )
     await site.start()
     _LOG.info(
--- a/src/hoistmoor/entry/factory.py
+++ b/src/hoistmoor/entry/factory.py
@@ -280,7 +280,7 @@
             shares=parts.admission.handle_share_message,
         ),
         auth.guard,
-        auth.tls.peers if auth.tls else None,
+        auth.tls.peer_context if auth.tls else None,
     )
 
 
--- a/src/hoistmoor/entry/peer_auth.py
+++ b/src/hoistmoor/entry/peer_auth.py
@@ -65,7 +65,7 @@
         make_client = functools.partial(
             client.PeerClient,
             signing=signing.CallSigning(signer, clock),
-            tls=tls.to_peers if tls else None,
+            tls=tls.peer_client_context if tls else None,
         )
         verifier = calls.Verifier(
             settings.peer_advertise or settings.peer_listen,
--- a/src/hoistmoor/peers/guard.py
+++ b/src/hoistmoor/peers/guard.py
@@ -9,9 +9,9 @@
 
 from hoistmoor.core.security import calls
 from hoistmoor.peers import signing
-from hoistmoor.utils import limited_log
 from hoistmoor.utils import logs
 from hoistmoor.utils import metrics as metrics_lib
+from hoistmoor.utils import rate_limited_log
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -39,7 +39,7 @@
         self.verifier = verifier
         self._clock = clock
         self._metrics = metrics or metrics_lib.Metrics()
-        self._refusal_log = limited_log.LimitedLog(_LOG, clock)
+        self._refusal_log = rate_limited_log.RateLimitedLog(_LOG, clock)
 
     def wrap(self, mapping: dict[str, Any]) -> dict[str, Any]:
         """Returns the wrapped handlers by path."""
--- a/src/hoistmoor/peers/signing.py
+++ b/src/hoistmoor/peers/signing.py
@@ -6,8 +6,8 @@
 
 from hoistmoor.core.security import calls
 from hoistmoor.peers import errors
-from hoistmoor.utils import limited_log
 from hoistmoor.utils import logs
+from hoistmoor.utils import rate_limited_log
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
@@ -64,7 +64,7 @@
     ) -> None:
         self.signer = signer
         self.clock = clock
-        self.distrust = limited_log.LimitedLog(_LOG, clock)
+        self.distrust = rate_limited_log.RateLimitedLog(_LOG, clock)
 
     def to(self, address: str) -> PeerSigning:
         """Returns the signer of calls to one peer."""
--- a/src/hoistmoor/relay/application.py
+++ b/src/hoistmoor/relay/application.py
@@ -75,7 +75,7 @@
         backends: backend_connector_lib.BackendSessions,
         peer_session: aiohttp.ClientSession,
         read_settings: Callable[[], settings_lib.RelaySettings],
-        clock: Callable[[], float] = clocks.steady,
+        clock: Callable[[], float] = clocks.monotonic,
     ) -> None:
         """Initializes a relay without starting its tasks.
 
--- a/src/hoistmoor/steward/watch.py
+++ b/src/hoistmoor/steward/actor_stream.py
@@ -14,7 +14,7 @@
     from hoistmoor.core.steward import actor as actor_lib
 
 
-class WatchedStream(stream.StewardStream):
+class ActorStream(stream.StewardStream):
     """Applies records through the actor, so that it can track its lease.
 
     Attributes:
--- a/src/hoistmoor/steward/application.py
+++ b/src/hoistmoor/steward/application.py
@@ -20,11 +20,11 @@
 from hoistmoor.core import identity
 from hoistmoor.core.steward import actor as actor_lib
 from hoistmoor.entry import table_follower
-from hoistmoor.steward import duties
+from hoistmoor.steward import actor_stream
+from hoistmoor.steward import background_tasks
 from hoistmoor.steward import engines
 from hoistmoor.steward import evidence_keeper
 from hoistmoor.steward import status
-from hoistmoor.steward import watch
 from hoistmoor.utils import listening
 from hoistmoor.utils import logs
 from hoistmoor.utils import metrics as metrics_lib
@@ -57,20 +57,20 @@
 
 def make_context(
     settings: settings_lib.StewardSettings, session: aiohttp.ClientSession
-) -> duties.Tools:
+) -> background_tasks.StewardContext:
     """Returns the state that the tasks share, for the given settings."""
     started_ms = int(time.time() * 1000)
     incarnation = identity.Incarnation(settings.host, started_ms)
     client = log.LogClient(session, settings.log_url)
-    return duties.Tools(
+    return background_tasks.StewardContext(
         client=client,
-        stream=watch.WatchedStream(client, actor_lib.Actor(incarnation)),
+        stream=actor_stream.ActorStream(client, actor_lib.Actor(incarnation)),
         table=table_follower.TableFollower(client),
         metrics=metrics_lib.Metrics(settings.statsd),
     )
 
 
-async def release_lease(context: duties.Tools) -> None:
+async def release_lease(context: background_tasks.StewardContext) -> None:
     """Releases the lease, so that another steward can take over at once."""
     record = context.stream.actor.release_record()
     if record is None:
@@ -85,14 +85,14 @@
 def _make_tasks(
     settings: settings_lib.StewardSettings,
     session: aiohttp.ClientSession,
-    context: duties.Tools,
+    context: background_tasks.StewardContext,
 ) -> list[Coroutine[Any, Any, None]]:
     client = engine_clients.EngineClient(session)
     store = weights.WeightStoreClient(session, settings.weights_base)
-    order_sender = engines.OrderDesk(
+    order_sender = engines.OrderSender(
         client, store, context.stream, context.metrics
     )
-    reconciler = duties.Reconciler(
+    reconciler = background_tasks.Reconciler(
         context,
         engines.EngineMonitor(client),
         order_sender,
@@ -102,10 +102,10 @@
     return [
         context.stream.run(),
         context.table.run(),
-        duties.keep_lease(context),
-        duties.move_rollouts(context),
-        duties.count_ratings(context, rating_client),
-        duties.keep_snapshots(context),
+        background_tasks.keep_lease(context),
+        background_tasks.advance_rollouts(context),
+        background_tasks.count_ratings(context, rating_client),
+        background_tasks.keep_snapshots(context),
         evidence_keeper.EvidenceKeeper(context).run(),
         reconciler.run(),
     ]
@@ -113,7 +113,8 @@
 
 @contextlib.asynccontextmanager
 async def _serve_status(
-    settings: settings_lib.StewardSettings, context: duties.Tools
+    settings: settings_lib.StewardSettings,
+    context: background_tasks.StewardContext,
 ) -> AsyncIterator[None]:
     runner = web.AppRunner(status.make_application(context))
     await runner.setup()
--- a/src/hoistmoor/steward/duties.py
+++ b/src/hoistmoor/steward/background_tasks.py
@@ -24,12 +24,12 @@
 from hoistmoor.core.table import model
 from hoistmoor.core.table import snapshots as table_snapshots
 from hoistmoor.entry import table_follower
+from hoistmoor.steward import actor_stream
 from hoistmoor.steward import engines
-from hoistmoor.steward import watch
 from hoistmoor.utils import logs
 from hoistmoor.utils import metrics as metrics_lib
 
-LEASE_TICK = 0.2  # Seconds between checks of the lease.
+LEASE_CHECK_INTERVAL = 0.2  # Seconds between checks of the lease.
 ROLLOUT_INTERVAL = 1.0
 # Limits how many records of ratings are written, and how late they are.
 RATINGS_INTERVAL = 5.0
@@ -40,7 +40,7 @@
 
 
 @attrs.define
-class Tools:
+class StewardContext:
     """State and clients that the tasks share.
 
     Attributes:
@@ -52,16 +52,16 @@
     """
 
     client: log.LogClient
-    stream: watch.WatchedStream
+    stream: actor_stream.ActorStream
     table: table_follower.TableFollower
     metrics: metrics_lib.Metrics
     clock: Callable[[], float] = time.time
 
-    def acting(self) -> int | None:
+    def active_fencing_token(self) -> int | None:
         """Returns the fencing token of the lease, or None while on standby."""
         return self.stream.actor.active_fencing_token(self.clock())
 
-    def rows(self) -> model.Table | None:
+    def active_table(self) -> model.Table | None:
         """Returns the active table, or None before there is one."""
         active = self.table.in_force
         return active.table if active else None
@@ -81,7 +81,7 @@
             await self.stream.catch_up()
 
 
-async def keep_lease(context: Tools) -> None:
+async def keep_lease(context: StewardContext) -> None:
     """Requests the lease when it is free, and renews it while held."""
     was_active = False
     while True:
@@ -91,20 +91,20 @@
                 await context.append(record)
             except errors.PlatformError as error:
                 _LOG.warning("Could not request or renew the lease: %s", error)
-        is_active = context.acting() is not None
+        is_active = context.active_fencing_token() is not None
         if is_active != was_active:
             _LOG.info("Acting" if is_active else "Standing by")
             context.metrics.gauge("steward.acting", int(is_active))
         was_active = is_active
-        await asyncio.sleep(LEASE_TICK)
+        await asyncio.sleep(LEASE_CHECK_INTERVAL)
 
 
-async def move_rollouts(context: Tools) -> None:
+async def advance_rollouts(context: StewardContext) -> None:
     """Appends the rollout records that are due."""
     while True:
         await asyncio.sleep(ROLLOUT_INTERVAL)
-        table = context.rows()
-        if table is None or context.acting() is None:
+        table = context.active_table()
+        if table is None or context.active_fencing_token() is None:
             continue
         try:
             await context.stream.catch_up()
@@ -116,12 +116,14 @@
             _LOG.warning("Could not advance rollouts: %s", error)
 
 
-async def count_ratings(context: Tools, client: ratings.RatingsClient) -> None:
+async def count_ratings(
+    context: StewardContext, client: ratings.RatingsClient
+) -> None:
     """Appends counts of new ratings to the log."""
     while True:
         counted = 0
         try:
-            if context.acting() is not None:
+            if context.active_fencing_token() is not None:
                 counted = await _count_ratings_page(context, client)
         except errors.PlatformError as error:
             _LOG.warning("Could not count ratings: %s", error)
@@ -130,7 +132,7 @@
 
 
 async def _count_ratings_page(
-    context: Tools, client: ratings.RatingsClient
+    context: StewardContext, client: ratings.RatingsClient
 ) -> int:
     """Counts one page of ratings and returns its size."""
     start = context.stream.fold.state.ratings_next
@@ -143,16 +145,16 @@
     return len(page.ratings)
 
 
-async def keep_snapshots(context: Tools) -> None:
+async def keep_snapshots(context: StewardContext) -> None:
     """Appends snapshots of both streams before their records expire."""
     log_state = table_snapshots.LogState(first=0, next=0)
     while True:
         await asyncio.sleep(SNAPSHOT_INTERVAL)
-        if context.acting() is None:
+        if context.active_fencing_token() is None:
             continue
         try:
             if context.stream.actor.needs_snapshot(
-                context.stream.first, context.clock()
+                context.stream.first_offset, context.clock()
             ):
                 await context.append(context.stream.fold.snapshot())
             log_state = await _snapshot_table(context, log_state)
@@ -161,7 +163,7 @@
 
 
 async def _snapshot_table(
-    context: Tools, log_state: table_snapshots.LogState
+    context: StewardContext, log_state: table_snapshots.LogState
 ) -> table_snapshots.LogState:
     bounds = await context.client.bounds(streams.TABLE)
     log_state = attrs.evolve(log_state, first=bounds.first, next=bounds.next)
@@ -187,13 +189,13 @@
 
     def __init__(
         self,
-        context: Tools,
+        context: StewardContext,
         monitor: engines.EngineMonitor,
-        order_sender: engines.OrderDesk,
+        order_sender: engines.OrderSender,
         host_list: hosts.HostListClient,
     ) -> None:
         """Creates a reconciler; ``run`` starts it."""
-        self.tools = context
+        self.context = context
         self.monitor = monitor
         self.order_sender = order_sender
         self.host_list = host_list
@@ -205,15 +207,15 @@
     async def run(self) -> None:
         """Makes passes while this steward is active, until cancelled."""
         while True:
-            table = self.tools.rows()
-            fencing = self.tools.acting()
+            table = self.context.active_table()
+            fencing = self.context.active_fencing_token()
             if table is None or fencing is None:
-                await asyncio.sleep(engines.MIN_PASS_SECONDS)
+                await asyncio.sleep(engines.MIN_PASS_INTERVAL)
                 continue
-            await self.make_pass(table, fencing)
+            await self.reconcile(table, fencing)
             await self._wait_for_next_pass(table)
 
-    async def make_pass(self, table: model.Table, fencing: int) -> None:
+    async def reconcile(self, table: model.Table, fencing: int) -> None:
         """Reads the state of every engine and sends the orders that are due."""
         if fencing != self._fencing:
             # The planner's state from an earlier lease may be outdated.
@@ -224,29 +226,32 @@
         await self.monitor.read_all(rows, self._leaving_servers)
         orders = self.planner.plan(
             table,
-            self.tools.stream.actor.view(),
+            self.context.stream.actor.view(),
             self.monitor.conditions,
             fencing,
-            self.tools.clock(),
+            self.context.clock(),
         )
-        await self.order_sender.give(orders, fencing, self.monitor)
+        await self.order_sender.send_all(orders, fencing, self.monitor)
         self.passes += 1
 
     async def _wait_for_next_pass(self, done: model.Table) -> None:
         """Waits for the next pass, which a new desired state brings forward."""
         count = len(engines.listed_engines(done))
-        deadline = self.tools.clock() + engines.pass_seconds(count)
-        earliest = self.tools.clock() + engines.MIN_CHANGE_SECONDS
+        deadline = self.context.clock() + engines.pass_interval(count)
+        earliest = self.context.clock() + engines.MIN_CHANGE_INTERVAL
         desired = self._desired_state(done)
-        while self.tools.clock() < deadline:
+        while self.context.clock() < deadline:
             await asyncio.sleep(ROLLOUT_INTERVAL)
-            changed = self._desired_state(self.tools.rows() or done) != desired
-            if changed and self.tools.clock() >= earliest:
+            changed = (
+                self._desired_state(self.context.active_table() or done)
+                != desired
+            )
+            if changed and self.context.clock() >= earliest:
                 return
 
     def _desired_state(self, table: model.Table) -> tuple[Any, ...]:
         """Returns everything that determines the desired state of engines."""
-        state = self.tools.stream.fold.state
+        state = self.context.stream.fold.state
         shares = {key: row.share for key, row in state.rollouts.items()}
         return (
             table.versions,
--- a/src/hoistmoor/steward/engines.py
+++ b/src/hoistmoor/steward/engines.py
@@ -21,19 +21,19 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-    from hoistmoor.steward import watch
+    from hoistmoor.steward import actor_stream
 
 MAX_READS_PER_SECOND = 10.0  # Limits the traffic with many engines.
-MIN_PASS_SECONDS = 2.0
-MIN_CHANGE_SECONDS = 5.0  # Before a pass that a new desired state triggers.
+MIN_PASS_INTERVAL = 2.0
+MIN_CHANGE_INTERVAL = 5.0  # Before a pass that a new desired state triggers.
 MAX_CONCURRENT_READS = 8
 
 _LOG = logs.PartLogger("steward")
 
 
-def pass_seconds(servers: int) -> float:
+def pass_interval(servers: int) -> float:
     """Returns the seconds from one pass over the engines to the next."""
-    return max(MIN_PASS_SECONDS, servers / MAX_READS_PER_SECOND)
+    return max(MIN_PASS_INTERVAL, servers / MAX_READS_PER_SECOND)
 
 
 class EngineMonitor:
@@ -105,7 +105,7 @@
     )
 
 
-class OrderDesk:
+class OrderSender:
     """Sends orders, each with the fencing token of the lease.
 
     Attributes:
@@ -117,7 +117,7 @@
         self,
         client: engines.EngineClient,
         store: weights.WeightStoreClient,
-        stream: watch.WatchedStream,
+        stream: actor_stream.ActorStream,
         metrics: metrics_lib.Metrics,
         clock: Callable[[], float] = time.time,
     ) -> None:
@@ -129,7 +129,7 @@
         self.weights_blocked_until = 0.0
         self._clock = clock
 
-    async def give(
+    async def send_all(
         self,
         orders: tuple[planner.PlannedOrder, ...],
         fencing: int,
--- a/src/hoistmoor/steward/evidence_keeper.py
+++ b/src/hoistmoor/steward/evidence_keeper.py
@@ -23,7 +23,7 @@
 
 if TYPE_CHECKING:
     from hoistmoor.core.table import model
-    from hoistmoor.steward import duties
+    from hoistmoor.steward import background_tasks
 
 POLL_INTERVAL = 1.0  # Seconds between reads.
 PAGE_SIZE = 500
@@ -43,9 +43,9 @@
         first_offset: The oldest offset on the log.
     """
 
-    def __init__(self, context: duties.Tools) -> None:
+    def __init__(self, context: background_tasks.StewardContext) -> None:
         """Creates a keeper; ``run`` starts it."""
-        self.tools = context
+        self.context = context
         self.reset()
 
     def reset(self) -> None:
@@ -60,7 +60,7 @@
         """Follows the stream until cancelled."""
         while True:
             await asyncio.sleep(POLL_INTERVAL)
-            if self.tools.acting() is None:
+            if self.context.active_fencing_token() is None:
                 self.reset()
                 continue
             try:
@@ -85,10 +85,10 @@
     async def _read_page(self) -> bool:
         """Reads one page; returns whether more records may be available."""
         if self.next_offset is None:
-            bounds = await self.tools.client.bounds(streams.EVIDENCE)
+            bounds = await self.context.client.bounds(streams.EVIDENCE)
             self._begin(bounds.first)
         try:
-            page = await self.tools.client.read(
+            page = await self.context.client.read(
                 streams.EVIDENCE, self.next_offset or 0, PAGE_SIZE
             )
         except errors.LogOffsetExpiredError as error:
@@ -113,7 +113,7 @@
         _apply(record, self, offset)
 
     def _versions(self) -> dict[str, model.Version]:
-        table = self.tools.rows()
+        table = self.context.active_table()
         return table.versions if table else {}
 
     def _active_withdrawals(self) -> list[messages.Withdrawal]:
@@ -128,7 +128,7 @@
         ]
 
     async def _record_withdrawals(self) -> None:
-        known = self.tools.stream.fold.state.withdrawn
+        known = self.context.stream.fold.state.withdrawn
         for withdrawal in self._active_withdrawals():
             recorded = known.get(withdrawal.version)
             if withdrawal.kind != ALL_KINDS or (
@@ -143,7 +143,7 @@
                 withdrawal.row_digest,
             )
             _LOG.info("Withdrawn: %s", record)
-            await self.tools.append(record)
+            await self.context.append(record)
 
     def _tally_is_due(self) -> bool:
         next_offset = self.next_offset or 0
@@ -158,7 +158,7 @@
             self.next_offset or 0, dict(self.fold.granted)
         )
         for record in (*self._active_withdrawals(), tally):
-            await self.tools.client.append(
+            await self.context.client.append(
                 streams.EVIDENCE, codec.encode(record)
             )
 
--- a/src/hoistmoor/steward/operator_records.py
+++ b/src/hoistmoor/steward/operator_records.py
@@ -22,7 +22,7 @@
 Check = Callable[[rollouts.RolloutView], bool]
 
 
-async def read(client: log.LogClient) -> stream.StewardStream:
+async def read_stream(client: log.LogClient) -> stream.StewardStream:
     """Returns the stream, read to its current end.
 
     Raises:
@@ -33,7 +33,7 @@
     return reader
 
 
-async def put(
+async def append_and_confirm(
     client: log.LogClient, record: Any, is_in_force: Check
 ) -> rollouts.RolloutView:
     """Appends ``record`` and confirms by reading that it is in force.
--- a/src/hoistmoor/steward/status.py
+++ b/src/hoistmoor/steward/status.py
@@ -10,17 +10,21 @@
 from hoistmoor.core import codec
 
 if TYPE_CHECKING:
-    from hoistmoor.steward import duties
+    from hoistmoor.steward import background_tasks
 
 
-def make_application(context: duties.Tools) -> web.Application:
+def make_application(
+    context: background_tasks.StewardContext,
+) -> web.Application:
     """Returns the web application of a steward."""
 
     async def healthz(_: web.Request) -> web.Response:
         return web.json_response({"live": True})
 
     async def readyz(_: web.Request) -> web.Response:
-        ready = context.stream.fold.complete and context.rows() is not None
+        ready = (
+            context.stream.fold.complete and context.active_table() is not None
+        )
         status = 200 if ready else 503
         return web.json_response({"ready": ready}, status=status)
 
@@ -34,14 +38,14 @@
     return application
 
 
-def describe(context: duties.Tools) -> dict[str, Any]:
+def describe(context: background_tasks.StewardContext) -> dict[str, Any]:
     """Returns the document that ``/status`` serves."""
     fold = context.stream.fold
     lease = fold.state.lease
     return {
         "host": context.stream.actor.incarnation.host,
         "incarnation": context.stream.actor.incarnation.number,
-        "acting": context.acting() is not None,
+        "acting": context.active_fencing_token() is not None,
         "lease": codec.converter.unstructure(lease) if lease else None,
         "complete": fold.complete,
         "next_offset": fold.next_offset,
--- a/src/hoistmoor/steward/stream.py
+++ b/src/hoistmoor/steward/stream.py
@@ -47,7 +47,7 @@
         """
         self.client = client
         self.fold = fold_lib.StewardFold()
-        self.first = 0
+        self.first_offset = 0
         self.last_contact = 0.0
         self.outages = 0
         self._on_view = on_view
@@ -109,7 +109,7 @@
 
     def on_start(self, bounds: log.LogBounds) -> None:
         """Starts near the end; ``on_page`` restarts if that is incomplete."""
-        self.first = bounds.first
+        self.first_offset = bounds.first
         self._tail_end = bounds.next
         tail = bounds.next - snapshots.TAIL_RECORDS
         self.begin(max(bounds.first, tail))
@@ -129,15 +129,17 @@
 
     async def on_page(self, page: log.LogPage) -> bool:
         """Reports changes; starts from the oldest record if needed."""
-        self.first = page.first
+        self.first_offset = page.first
         self.last_contact = self._clock()
         self._report_change()
         if not 0 <= self._tail_end <= self.fold.next_offset:
             return False
-        starts_over = not self.fold.complete and self.fold.start > self.first
+        starts_over = (
+            not self.fold.complete and self.fold.start > self.first_offset
+        )
         self._tail_end = -1
         if starts_over:
-            self.begin(self.first)
+            self.begin(self.first_offset)
         return starts_over
 
     def on_failure(self, error: errors.HoistmoorError) -> None:
--- a/src/hoistmoor/utils/clocks.py
+++ b/src/hoistmoor/utils/clocks.py
@@ -9,7 +9,7 @@
 _CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
-def steady() -> float:
+def monotonic() -> float:
     """Returns the seconds since the machine booted, including suspensions.
 
     If a suspension did not count, leases, ages and deadlines would end too
--- a/src/hoistmoor/utils/program.py
+++ b/src/hoistmoor/utils/program.py
@@ -21,7 +21,7 @@
 # Errors that an operator can correct; all others keep their traceback.
 _EXIT_CODES: dict[type[errors.HoistmoorError], int] = {
     errors.ConfigurationError: command_line.EXIT_USAGE,
-    listening.ListenError: command_line.EXIT_FAILED,
+    listening.ListenError: command_line.EXIT_FAILURE,
 }
 
 
@@ -42,4 +42,4 @@
     except tuple(_EXIT_CODES) as error:
         print(error, file=sys.stderr)  # noqa: T201
         return _EXIT_CODES[type(error)]
-    return command_line.EXIT_DONE
+    return command_line.EXIT_SUCCESS
--- a/src/hoistmoor/utils/limited_log.py
+++ b/src/hoistmoor/utils/rate_limited_log.py
@@ -12,7 +12,7 @@
 MIN_INTERVAL = 10.0  # Seconds between two lines of the same kind.
 
 
-class LimitedLog:
+class RateLimitedLog:
     """Limits the rate of warnings per kind and counts the suppressed ones.
 
     The set of kinds must be small and fixed by the program, as the state of
--- a/src/hoistmoor/utils/tls.py
+++ b/src/hoistmoor/utils/tls.py
@@ -60,13 +60,13 @@
         """
         self._files = (certificate, key, authority)
         self._loaded_states = self._file_states()
-        self.callers = _server_context()
-        self.peers = _server_context()
-        self.peers.verify_mode = ssl.CERT_REQUIRED
-        self.to_peers = _client_context()
+        self.caller_context = _server_context()
+        self.peer_context = _server_context()
+        self.peer_context.verify_mode = ssl.CERT_REQUIRED
+        self.peer_client_context = _client_context()
         self._to_hosts = _client_context()
         self.link = Link("https", self._to_hosts)
-        for context in (self.peers, self.to_peers):
+        for context in (self.peer_context, self.peer_client_context):
             context.set_alpn_protocols([_HTTP2])
         self._load()
 
@@ -91,7 +91,9 @@
         _LOG.info("Loaded the certificate from %s", self._files[0])
         return True
 
-    async def watch(self, interval: float = RELOAD_INTERVAL) -> None:
+    async def reload_periodically(
+        self, interval: float = RELOAD_INTERVAL
+    ) -> None:
         """Reloads changed files until cancelled."""
         while True:
             await asyncio.sleep(interval)
@@ -106,9 +108,17 @@
             # Tries the files on a new context first: a failure must not leave
             # the others partly updated.
             _server_context().load_cert_chain(certificate, key)
-            for context in (self.callers, self.peers, self.to_peers):
+            for context in (
+                self.caller_context,
+                self.peer_context,
+                self.peer_client_context,
+            ):
                 context.load_cert_chain(certificate, key)
-            for context in (self.peers, self.to_peers, self._to_hosts):
+            for context in (
+                self.peer_context,
+                self.peer_client_context,
+                self._to_hosts,
+            ):
                 context.load_verify_locations(authority)
         except (OSError, ssl.SSLError) as error:
             raise errors.ConfigurationError(
@@ -117,7 +127,7 @@
             ) from error
 
 
-def make_client(authority: str) -> Link:
+def make_link(authority: str) -> Link:
     """Returns a link to hosts whose certificates the authority signed.
 
     Raises:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -24,4 +24,4 @@
         try:
             yield started
         finally:
-            await started.end()
+            await started.kill_all()
--- a/tests/console/test_console_entry_access.py
+++ b/tests/console/test_console_entry_access.py
@@ -43,7 +43,7 @@
         monkeypatch.setenv(entry_access.AUTHORITY_VARIABLE, _AUTHORITY)
         context = tls.TlsFiles(
             str(_TLS / "host.crt"), str(_TLS / "host.key"), _AUTHORITY
-        ).callers
+        ).caller_context
     application = web.Application()
     application.router.add_get("/status", _status)
     runner = web.AppRunner(application)
--- a/tests/entry/test_table_processes.py
+++ b/tests/entry/test_table_processes.py
@@ -76,7 +76,7 @@
                 >= revision
             )
 
-        await system_processes.until(all_have_it, f"revision {revision}")
+        await system_processes.wait_until(all_have_it, f"revision {revision}")
 
     async def _read_revision(self, name: str) -> int:
         program = self.processes.programs[name]
--- a/tests/relay/test_relay_suspension.py
+++ b/tests/relay/test_relay_suspension.py
@@ -69,10 +69,10 @@
 
 
 def test_steady_clock_includes_suspensions(machine: Machine) -> None:
-    before = clocks.steady()
+    before = clocks.monotonic()
     machine.suspended = SUSPENDED
     assertions.assert_that(
-        clocks.steady() - before, matchers.GreaterThan(SUSPENDED - 1.0)
+        clocks.monotonic() - before, matchers.GreaterThan(SUSPENDED - 1.0)
     )
 
 
--- a/tests/steward/steward_rig.py
+++ b/tests/steward/steward_rig.py
@@ -67,7 +67,7 @@
 
     async def start_steward(self, host: str) -> system_processes.Program:
         """Starts a steward with a short lease."""
-        return await self.processes.start_unheard(
+        return await self.processes.launch(
             host, sys.executable, str(_QUICK), "--host", host,
             "--failure-domain", "d0", "--listen", "127.0.0.1:0",
             "--log-url", self.url, "--log-level", "error",
--- a/tests/steward/test_steward_duties.py
+++ b/tests/steward/test_steward_duties.py
@@ -20,12 +20,12 @@
 from hoistmoor.core.table import edits
 from hoistmoor.core.table import model
 from hoistmoor.entry import table_follower
-from hoistmoor.steward import duties
+from hoistmoor.steward import actor_stream
+from hoistmoor.steward import background_tasks
 from hoistmoor.steward import evidence_keeper
 from hoistmoor.steward import feed
 from hoistmoor.steward import operator_records
 from hoistmoor.steward import stream
-from hoistmoor.steward import watch
 from hoistmoor.utils import metrics
 
 NOW = 1000.0
@@ -69,12 +69,12 @@
         return log.LogPage(first, start + len(page_records), page_records)
 
 
-async def make_context(fake: Any) -> duties.Tools:
+async def make_context(fake: Any) -> background_tasks.StewardContext:
     """Returns the context of an active steward that has a table."""
     actor = actor_lib.Actor(identity.Incarnation("a", 1))
-    reader = watch.WatchedStream(fake, actor, clock=lambda: NOW)
+    reader = actor_stream.ActorStream(fake, actor, clock=lambda: NOW)
     follower = table_follower.TableFollower(fake, poll_seconds=0.0)
-    context = duties.Tools(
+    context = background_tasks.StewardContext(
         fake, reader, follower, metrics.Metrics(), clock=lambda: NOW
     )
     changes = edits.diff(model.Table(), steward_rig.make_table("10.0.0.1:1"))
@@ -84,7 +84,7 @@
     await reader.catch_up()
     actor.lease_record_sent_at = NOW
     await context.append(records.LeaseRequest(actor.incarnation, 15.0))
-    assert context.acting() == 0
+    assert context.active_fencing_token() == 0
     return context
 
 
@@ -92,7 +92,7 @@
     fake = FakeLog()
     context = await make_context(fake)
     fake.loses_replies = True
-    table = context.rows()
+    table = context.active_table()
     assert table
     for _ in range(4):
         for record in context.stream.actor.rollout_records(table, NOW):
@@ -106,18 +106,20 @@
 async def test_operator_record_with_a_lost_reply_is_confirmed() -> None:
     fake: Any = FakeLog(loses_replies=True)
     record = records.ServerDrain("s0", True, "op")
-    view = await operator_records.put(
+    view = await operator_records.append_and_confirm(
         fake, record, lambda view: view.is_draining("s0")
     )
     assert view.is_draining("s0")
     with pytest.raises(errors.LogOutcomeUnknownError):
-        await operator_records.put(fake, record, lambda view: False)
+        await operator_records.append_and_confirm(
+            fake, record, lambda view: False
+        )
 
 
 async def test_tally_and_withdrawals_are_kept_beyond_retention() -> None:
     fake = FakeLog()
     context = await make_context(fake)
-    table = context.rows()
+    table = context.active_table()
     assert table
     digest = exposure.row_digest(table.versions[steward_rig.NEW])
     bad = messages.Withdrawal(steward_rig.NEW, "*", digest, "x.1", NOW, "e")
--- a/tests/steward/test_steward_processes.py
+++ b/tests/steward/test_steward_processes.py
@@ -41,7 +41,7 @@
         lease = (await rig.fold()).state.lease
         return lease if lease and not lease.released else None
 
-    lease: lease_lib.Lease = await system_processes.until(held, "a lease")
+    lease: lease_lib.Lease = await system_processes.wait_until(held, "a lease")
     return lease
 
 
@@ -64,13 +64,13 @@
     async def started() -> bool:
         return await replicas_of(rig, addresses, NEW) == 1
 
-    await system_processes.until(started, "a replica of the candidate")
+    await system_processes.wait_until(started, "a replica of the candidate")
     rig.processes.programs[frozen].freeze()
 
     async def superseded() -> bool:
         return await rig.holder() not in ("", frozen)
 
-    await system_processes.until(superseded, "another steward")
+    await system_processes.wait_until(superseded, "another steward")
     second = await lease_of(rig)
 
     # Records and orders that the frozen steward could have in flight.
@@ -83,7 +83,7 @@
         old = await replicas_of(rig, addresses, OLD)
         return (old, await replicas_of(rig, addresses, NEW)) == (2, 1)
 
-    await system_processes.until(corrected, "the desired state")
+    await system_processes.wait_until(corrected, "the desired state")
     fold = await rig.fold()
     assert fold.state.rollouts[NEW].stage_index == 0
     assert await rig.holder() == second.holder.host
@@ -110,7 +110,7 @@
     stopped = await rig.start_steward("a")
     first = await lease_of(rig)
     await rig.start_steward("b")
-    stopped.ask_to_stop()
+    stopped.request_stop()
     assert await stopped.exit_code() == 0
     assert rig.processes.log_of("a").read_text() == ""
     assert (await rig.fold()).state.lease.released
@@ -118,7 +118,7 @@
     async def taken_over() -> bool:
         return await rig.holder() == "b"
 
-    await system_processes.until(taken_over, "the other steward")
+    await system_processes.wait_until(taken_over, "the other steward")
     assert (await lease_of(rig)).fencing > first.fencing
 
 
@@ -128,7 +128,7 @@
     stopped = await rig.start_steward("a")
     await lease_of(rig)
     rig.processes.programs[steward_rig.PLATFORM].freeze()
-    stopped.ask_to_stop()
+    stopped.request_stop()
     assert await stopped.exit_code() == 0
 
 
@@ -147,19 +147,19 @@
         rollout = (await rig.fold()).state.rollouts.get(NEW)
         return rollout is not None and rollout.stage_index >= wanted
 
-    await system_processes.until(lambda: stage(0), "the first stage")
+    await system_processes.wait_until(lambda: stage(0), "the first stage")
     await client.submit_all(good[:20])
-    await system_processes.until(lambda: stage(1), "the second stage")
+    await system_processes.wait_until(lambda: stage(1), "the second stage")
     await first.kill()
     await rig.start_steward("b")
     await client.submit_all(good[20:])
-    await system_processes.until(lambda: stage(2), "the third stage")
+    await system_processes.wait_until(lambda: stage(2), "the third stage")
 
     async def counted() -> bool:
         count = (await rig.fold()).state.counts[NEW]
         return count.rated >= 40
 
-    await system_processes.until(counted, "all ratings")
+    await system_processes.wait_until(counted, "all ratings")
     fold = await rig.fold()
     assert fold.state.counts[NEW] == records.RatedCount(40, 0)
     assert await rig.holder() == "b"
--- a/tests/system/conftest.py
+++ b/tests/system/conftest.py
@@ -23,7 +23,7 @@
         try:
             yield made
         finally:
-            await made.processes.end()
+            await made.processes.kill_all()
 
 
 @pytest.fixture
--- a/tests/system/system_deployment.py
+++ b/tests/system/system_deployment.py
@@ -152,7 +152,7 @@
     async def await_ready(self, *hosts: system_processes.Program) -> None:
         """Returns once each host takes new work."""
         for host in hosts:
-            await system_processes.until(
+            await system_processes.wait_until(
                 lambda host=host: self._is_ready(host), f"{host.name} ready"
             )
 
@@ -170,7 +170,9 @@
                 for status in statuses
             )
 
-        await system_processes.until(all_known, "all hosts know each other")
+        await system_processes.wait_until(
+            all_known, "all hosts know each other"
+        )
 
     async def _await_service(
         self, hosts: list[system_processes.Program]
@@ -186,7 +188,7 @@
             return told is not None and told.whole
 
         for host in hosts:
-            await system_processes.until(
+            await system_processes.wait_until(
                 lambda host=host: serves(host), f"{host.name} serves"
             )
 
@@ -260,7 +262,7 @@
     ) -> float:
         """Returns when each host had a revision in force."""
         for host in hosts:
-            await system_processes.until(
+            await system_processes.wait_until(
                 lambda host=host: self._has_revision(host, revision),
                 f"{host.name} has revision {revision} in force",
             )
@@ -292,7 +294,7 @@
     async def stop(self, host: system_processes.Program) -> None:
         """Asks a host to stop gracefully."""
         self.events.append(events.StopAsked(time.time(), host.name))
-        host.ask_to_stop()
+        host.request_stop()
 
     async def replace_counter(self, name: str) -> system_processes.Program:
         """Kills a counter and starts another at its address.
@@ -320,7 +322,7 @@
             statuses = [await self.status(host) for host in hosts]
             return all(status and holds(status) for status in statuses)
 
-        await system_processes.until(met, what)
+        await system_processes.wait_until(met, what)
 
     # The verdict.
 
--- a/tests/system/test_system_answers.py
+++ b/tests/system/test_system_answers.py
@@ -37,7 +37,9 @@
     hosts = await deployment.start(hosts=2)
     caller = deployment.caller
     for engine in ("engine-1", "engine-2"):
-        await deployment.processes.fault(engine, kind, match=CHAT, **fields)
+        await deployment.processes.inject_fault(
+            engine, kind, match=CHAT, **fields
+        )
     told = []
     for _ in range(4):
         told += await asyncio.gather(
--- a/tests/system/test_system_bills.py
+++ b/tests/system/test_system_bills.py
@@ -44,7 +44,7 @@
     deployment: system_deployment.Deployment, kind: str, fields: dict
 ) -> None:
     hosts = await deployment.start(hosts=2)
-    await deployment.processes.fault(
+    await deployment.processes.inject_fault(
         "platform", kind, match=BILLS, method="POST", **fields
     )
     await _ask_some(deployment, hosts, 12)
@@ -56,7 +56,7 @@
 ) -> None:
     hosts = await deployment.start(hosts=3)
     await _ask_some(deployment, hosts, 9)
-    await deployment.processes.fault(
+    await deployment.processes.inject_fault(
         "platform", "outage", match=BILLS, method="POST"
     )
     told = await _ask_some(deployment, hosts[:1], 6)
@@ -74,7 +74,7 @@
 ) -> None:
     hosts = await deployment.start(hosts=1)
     await _ask_some(deployment, hosts, 2)
-    await deployment.processes.fault("platform", "outage", match=BILLS)
+    await deployment.processes.inject_fault("platform", "outage", match=BILLS)
     words = []
     for _ in range(30):
         words += await _ask_some(deployment, hosts, 1)
--- a/tests/system/test_system_configuration.py
+++ b/tests/system/test_system_configuration.py
@@ -72,7 +72,9 @@
     hosts = await deployment.start(hosts=2)
     revision = await deployment.publish(_with_price(deployment.table, 7))
     await deployment.await_revision(revision, *hosts)
-    await deployment.processes.fault("platform", "outage", match="/streams")
+    await deployment.processes.inject_fault(
+        "platform", "outage", match="/streams"
+    )
     newcomer = await deployment.start_entry("entry-3")
     await deployment.await_revision(revision, newcomer)
     await deployment.await_ready(newcomer)
@@ -91,7 +93,7 @@
     deployment.program("platform").freeze()
     for host in hosts[1:]:
         host.freeze()
-    await system_processes.until(
+    await system_processes.wait_until(
         lambda: _refuses(deployment, hosts[0]), "the lone host refuses"
     )
     told = await deployment.caller.chat(hosts[0], deployment.caller.mark())
--- a/tests/system/test_system_explain.py
+++ b/tests/system/test_system_explain.py
@@ -38,7 +38,7 @@
             )
     await deployment.stop(hosts[0])
     await hosts[0].exit_code()
-    found = await system_processes.until(
+    found = await system_processes.wait_until(
         lambda: _explain(deployment, hosts[1], served.request_id),
         "the decision is found on the log",
     )
--- a/tests/system/test_system_faults.py
+++ b/tests/system/test_system_faults.py
@@ -99,7 +99,7 @@
     for link in links:
         link.is_down = True
         link.cut()
-    await deployment.processes.fault(
+    await deployment.processes.inject_fault(
         PLATFORM, "outage", match=BILLS, method="POST"
     )
     await _confirm_some(deployment, hosts, 12)
@@ -118,7 +118,7 @@
 ) -> None:
     hosts = await deployment.start(hosts=3)
     caller = deployment.caller
-    await deployment.processes.fault(
+    await deployment.processes.inject_fault(
         PLATFORM, "delay", match=STREAMS, seconds=0.4
     )
     calls = []
@@ -141,7 +141,7 @@
     await deployment.list_backend("counter-1", "live")
     for _ in range(2):
         await _confirm_some(deployment, hosts, 9)
-        await deployment.processes.fault("counter-1", "leaving")
+        await deployment.processes.inject_fault("counter-1", "leaving")
         await deployment.await_all(
             hosts,
             lambda status: address in status["leaving_servers"],
@@ -162,7 +162,7 @@
             await _confirm_some(deployment, hosts, 6)
             return bool(await deployment.runs_of("counter-1"))
 
-        await system_processes.until(returned, "the new one gets work")
+        await system_processes.wait_until(returned, "the new one gets work")
     await _no_violations(deployment)
 
 
@@ -173,7 +173,7 @@
     caller = deployment.caller
     await _confirm_some(deployment, hosts, 6)
     for counter in ("counter-1", "counter-2"):
-        await deployment.processes.fault(
+        await deployment.processes.inject_fault(
             counter, "delay", match="/confirm", seconds=0.5, count=2
         )
     ticket = await caller.ticket(hosts[0])
@@ -185,7 +185,7 @@
     await deployment.await_all(
         hosts[:1], lambda status: status["in_flight"] == 2, "both in flight"
     )
-    await deployment.processes.fault(PLATFORM, "outage", match=STREAMS)
+    await deployment.processes.inject_fault(PLATFORM, "outage", match=STREAMS)
     hosts[0].freeze()
     others = [
         await caller.confirm(host, mark, key, deadline=2.0)
@@ -211,7 +211,7 @@
     deployment.entry_flags["entry-1"] = ("--statsd", statsd.address)
     owner, holder = await deployment.start(hosts=2)
     await _confirm_some(deployment, [owner], 3)
-    await deployment.processes.fault(
+    await deployment.processes.inject_fault(
         PLATFORM, "outage", match=BILLS, method="POST"
     )
     told = await _confirm_some(deployment, [owner], 9)
@@ -226,7 +226,7 @@
     async def held_again() -> bool:
         return _held(statsd) >= before + len(told)
 
-    await system_processes.until(held_again, "the bills are held again")
+    await system_processes.wait_until(held_again, "the bills are held again")
     await deployment.kill(owner)
     await _await_dead(deployment, [heir], owner)
     await deployment.processes.clear_faults(PLATFORM)
@@ -276,7 +276,9 @@
     hosts = await deployment.start(hosts=3)
     await _confirm_some(deployment, hosts, 9)
     for _ in range(2):
-        await deployment.processes.fault(PLATFORM, "outage", match=STREAMS)
+        await deployment.processes.inject_fault(
+            PLATFORM, "outage", match=STREAMS
+        )
         told = await _confirm_some(deployment, hosts, 9)
         keyed = {word.reason for word in told[2::3]}
         assertions.assert_that(
@@ -288,7 +290,7 @@
             words = await _confirm_some(deployment, hosts, 9)
             return {word.outcome for word in words} == {DONE}
 
-        await system_processes.until(takes_keys, "keys are taken again")
+        await system_processes.wait_until(takes_keys, "keys are taken again")
     await _no_violations(deployment)
 
 
@@ -336,7 +338,7 @@
     async def is_due() -> bool:
         return time.time() > due
 
-    await system_processes.until(is_due, "the withdrawal binds every host")
+    await system_processes.wait_until(is_due, "the withdrawal binds every host")
     return revision
 
 
@@ -377,7 +379,7 @@
     caller = deployment.caller
     engines = ("engine-1", "engine-2")
     for engine in engines:
-        await deployment.processes.fault(
+        await deployment.processes.inject_fault(
             engine, "delay", match="/v1/chat", seconds=0.5
         )
     # A hard question: the cheap version's answer is not good enough.
@@ -392,11 +394,11 @@
         seen = [await _seen(deployment, engine) for engine in engines]
         return sum(seen) == len(asked)
 
-    await system_processes.until(all_sent, "all are at the engines")
+    await system_processes.wait_until(all_sent, "all are at the engines")
     hosts[0].freeze()
     await _withdraw(deployment, system_table.DEAR, hosts[1:])
     # The answers are there before the edit is.
-    await deployment.processes.fault(
+    await deployment.processes.inject_fault(
         PLATFORM, "delay", match="/streams/table", method="GET", seconds=1.0
     )
     hosts[0].thaw()
@@ -427,14 +429,14 @@
 ) -> None:
     """Sends work once every host has read that a backend server leaves."""
     await deployment.list_backend("counter-1", "leaving")
-    await deployment.processes.fault(
+    await deployment.processes.inject_fault(
         PLATFORM, "delay", match="/hosts", seconds=0
     )
 
     async def all_have_read() -> bool:
         return await _seen(deployment, PLATFORM) > 2 * len(hosts)
 
-    await system_processes.until(all_have_read, "the list was read twice")
+    await system_processes.wait_until(all_have_read, "the list was read twice")
     deployment.events.append(events.ServerLeft(time.time(), "counter-1"))
     await _confirm_some(deployment, hosts, 18)
 
--- a/tests/system/test_system_faults_pairs.py
+++ b/tests/system/test_system_faults_pairs.py
@@ -74,7 +74,7 @@
         async def come() -> bool:
             return len(caller.answers) >= due
 
-        await system_processes.until(come, f"{count} answers")
+        await system_processes.wait_until(come, f"{count} answers")
 
     # Faults. The first host dies, the second freezes, the third goes on.
 
@@ -122,12 +122,14 @@
 
     async def replace_server(self) -> None:
         """Has a backend server leave, and another come at its address."""
-        await self.deployment.processes.fault("counter-2", "leaving")
+        await self.deployment.processes.inject_fault("counter-2", "leaving")
         await self.await_answers()
         await self.deployment.replace_counter("counter-2")
 
     async def _fault(self, name: str, kind: str, **fields: object) -> None:
-        number = await self.deployment.processes.fault(name, kind, **fields)
+        number = await self.deployment.processes.inject_fault(
+            name, kind, **fields
+        )
         await self.await_answers()
         await self.deployment.processes.clear_fault(name, number)
 
--- a/tests/system/test_system_golden.py
+++ b/tests/system/test_system_golden.py
@@ -167,7 +167,7 @@
         transcript.answered(f"agents confirm at {host.name}, no key", told)
     ticket, mark = await caller.ticket(hosts[0]), caller.mark()
     transcript.note("agents take a ticket at entry-1")
-    await deployment.processes.fault(PLATFORM, "outage", match=STREAMS)
+    await deployment.processes.inject_fault(PLATFORM, "outage", match=STREAMS)
     transcript.say("the log goes down")
     own = caller.mark()
     told = await caller.confirm(hosts[0], own, "receipt-17")
@@ -251,10 +251,10 @@
 ) -> None:
     hosts = await deployment.start(hosts=2, engines=1, counters=1)
     caller = deployment.caller
-    await deployment.processes.fault(
+    await deployment.processes.inject_fault(
         "engine-1", "delay", match="/v1/chat", seconds=1.0
     )
-    await deployment.processes.fault(
+    await deployment.processes.inject_fault(
         "counter-1", "delay", match="/confirm", seconds=1.0
     )
     running = {}
--- a/tests/system/test_system_metrics.py
+++ b/tests/system/test_system_metrics.py
@@ -40,7 +40,7 @@
     assertions.assert_that(refused.reason, matchers.Equals("wrong_key"))
     await statsd.wait_for("hoistmoor.refusal.wrong_key:1|c")
     for counter in ("counter-1", "counter-2"):
-        await deployment.processes.fault(
+        await deployment.processes.inject_fault(
             counter, "decline", match="/confirm", count=1
         )
     served = await caller.confirm(host, caller.mark())
--- a/tests/system/test_system_mutations.py
+++ b/tests/system/test_system_mutations.py
@@ -49,7 +49,7 @@
     deployment: system_deployment.Deployment, hosts: Hosts
 ) -> None:
     for counter in ("counter-1", "counter-2"):
-        await deployment.processes.fault(
+        await deployment.processes.inject_fault(
             counter, "apply_but_lose_reply", match="/confirm"
         )
     caller = deployment.caller
@@ -86,7 +86,7 @@
     deployment: system_deployment.Deployment, hosts: Hosts
 ) -> None:
     for engine in ("engine-1", "engine-2"):
-        await deployment.processes.fault(
+        await deployment.processes.inject_fault(
             engine, "crossed_frames", match="/v1/chat"
         )
     await _chats(deployment, hosts)
@@ -127,7 +127,7 @@
     deployment: system_deployment.Deployment, hosts: Hosts
 ) -> None:
     for engine in ("engine-1", "engine-2"):
-        await deployment.processes.fault(
+        await deployment.processes.inject_fault(
             engine, "delay", match="/v1/chat", seconds=7.0
         )
     caller = deployment.caller
@@ -137,7 +137,7 @@
         status = await deployment.status(hosts[0])
         return bool(status["in_flight"])
 
-    await system_processes.until(in_flight, "a request in flight")
+    await system_processes.wait_until(in_flight, "a request in flight")
     await deployment.stop(hosts[0])
     await running
 
--- a/tests/system/test_system_once.py
+++ b/tests/system/test_system_once.py
@@ -52,7 +52,7 @@
 ) -> None:
     hosts = await deployment.start(hosts=2)
     caller = deployment.caller
-    await deployment.processes.fault(
+    await deployment.processes.inject_fault(
         "platform",
         "apply_but_lose_reply",
         match=CLAIMS,
@@ -74,7 +74,9 @@
     hosts = await deployment.start(hosts=2)
     caller = deployment.caller
     ticket = await caller.ticket(hosts[0])
-    await deployment.processes.fault("platform", "outage", match="/streams")
+    await deployment.processes.inject_fault(
+        "platform", "outage", match="/streams"
+    )
     keyed = await caller.confirm(hosts[0], caller.mark(), "while-down")
     mark = caller.mark()
     ticketed = await caller.confirm(hosts[1], mark, ticket)
@@ -95,7 +97,7 @@
     hosts = await deployment.start(hosts=3)
     caller = deployment.caller
     for counter in ("counter-1", "counter-2"):
-        await deployment.processes.fault(
+        await deployment.processes.inject_fault(
             counter, "delay", match="/confirm", seconds=1.0
         )
     mark = caller.mark()
@@ -148,7 +150,7 @@
 ) -> None:
     hosts = await deployment.start(hosts=2)
     caller = deployment.caller
-    await deployment.processes.fault(
+    await deployment.processes.inject_fault(
         "platform",
         "apply_but_lose_reply",
         match=CLAIMS,
@@ -158,7 +160,7 @@
     )
     mark = caller.mark()
     first = asyncio.create_task(caller.confirm(hosts[0], mark, "paused"))
-    await system_processes.until(
+    await system_processes.wait_until(
         lambda: _has_claim(deployment), "the claim is on the log"
     )
     hosts[0].freeze()
@@ -189,7 +191,9 @@
 ) -> None:
     hosts = await deployment.start(hosts=2)
     caller = deployment.caller
-    await deployment.processes.fault(NEAREST, kind, match="/confirm", **fields)
+    await deployment.processes.inject_fault(
+        NEAREST, kind, match="/confirm", **fields
+    )
     told = []
     for turn in range(12):
         ticket = await caller.ticket(hosts[0])
@@ -221,7 +225,7 @@
         status = await deployment.status(host)
         return found == count or status["in_flight"] == count
 
-    await system_processes.until(started, f"{count} calls in flight")
+    await system_processes.wait_until(started, f"{count} calls in flight")
 
 
 async def _await_dead(
@@ -237,4 +241,4 @@
                 return False
         return True
 
-    await system_processes.until(known, f"{name} is known to be dead")
+    await system_processes.wait_until(known, f"{name} is known to be dead")
--- a/tests/system/test_system_security.py
+++ b/tests/system/test_system_security.py
@@ -59,7 +59,7 @@
         found = [_log_of(tmp_path, host.name) for host in hosts]
         return all("entry-3" in text for text in found)
 
-    await system_processes.until(was_refused, "both hosts refused entry-3")
+    await system_processes.wait_until(was_refused, "both hosts refused entry-3")
     for host in hosts:
         status = await deployment.status(host)
         assertions.assert_that(
@@ -69,7 +69,9 @@
     status = await deployment.status(outsider)
     assertions.assert_that(_alive(status), matchers.Equals({"entry-3"}))
 
-    await deployment.processes.fault("platform", "outage", match="/streams")
+    await deployment.processes.inject_fault(
+        "platform", "outage", match="/streams"
+    )
     caller = deployment.caller
     for host in hosts:  # Each holds the other's bills; nobody the outsider's.
         told = await caller.confirm(
@@ -82,7 +84,7 @@
         told = await caller.chat(outsider, caller.mark())
         return told is not None and bool(told.reason)
 
-    await system_processes.until(is_refusing, "entry-3 takes no work")
+    await system_processes.wait_until(is_refusing, "entry-3 takes no work")
     await deployment.processes.clear_faults("platform")
     assertions.assert_that(await deployment.violations(), matchers.Equals(()))
     _check_no_key_in(tmp_path)
@@ -167,7 +169,7 @@
             for status in statuses
         )
 
-    await system_processes.until(all_joined, f"{name} is back")
+    await system_processes.wait_until(all_joined, f"{name} is back")
 
 
 async def test_a_secret_is_changed_in_three_steps_with_nobody_refused(
@@ -258,7 +260,7 @@
         HOISTMOOR_TLS_CA=str(_TLS / "ca.crt"),
     )
     hosts = [await deployment.start_entry(f"entry-{n}") for n in (1, 2)]
-    link = tls.make_client(str(_TLS / "ca.crt"))
+    link = tls.make_link(str(_TLS / "ca.crt"))
     session = deployment.processes.session
 
     async def all_joined() -> bool:
@@ -270,7 +272,7 @@
                 return False
         return True
 
-    await system_processes.until(all_joined, "both hosts know each other")
+    await system_processes.wait_until(all_joined, "both hosts know each other")
     for path in ("status", "peer-address"):  # No plain connections.
         assert await deployment.processes.get(f"{hosts[0].url}/{path}") is None
     headers = {
@@ -299,7 +301,7 @@
         )
         variables["HOISTMOOR_TLS_KEY"] = str(_TLS / f"{certificate}.key")
         await deployment.start_entry(f"entry-{number}")
-    link = tls.make_client(str(_TLS / "ca.crt"))
+    link = tls.make_link(str(_TLS / "ca.crt"))
     url = link.url(deployment.program("entry-1").address, "/status")
     session = deployment.processes.session
     wanted = 2 if name == "host" else 1
@@ -309,7 +311,9 @@
             status = await answer.json()
         return status["state"] == "ready" and len(_alive(status)) == wanted
 
-    await system_processes.until(has_read_the_list, f"{wanted} hosts known")
+    await system_processes.wait_until(
+        has_read_the_list, f"{wanted} hosts known"
+    )
 
 
 # A paused host.
@@ -324,7 +328,7 @@
     async def is_dead() -> bool:
         return "entry-2" not in _alive(await deployment.status(hosts[0]))
 
-    await system_processes.until(is_dead, "entry-2 is missed")
+    await system_processes.wait_until(is_dead, "entry-2 is missed")
     hosts[1].thaw()
 
     async def are_both_alive() -> bool:
@@ -335,5 +339,5 @@
             ]
         )
 
-    await system_processes.until(are_both_alive, "entry-2 is back")
+    await system_processes.wait_until(are_both_alive, "entry-2 is back")
     await _use_all(deployment, hosts)
--- a/tests/system/test_system_stops.py
+++ b/tests/system/test_system_stops.py
@@ -27,18 +27,20 @@
     for host in hosts:
         await caller.confirm(host, caller.mark())
     for engine in ("engine-1", "engine-2"):
-        await deployment.processes.fault(
+        await deployment.processes.inject_fault(
             engine, "delay", match="/v1/chat", seconds=0.5
         )
     running = [
         asyncio.create_task(caller.chat(hosts[0], caller.mark()))
         for _ in range(12)
     ]
-    await system_processes.until(
+    await system_processes.wait_until(
         lambda: _in_flight(deployment, hosts[0], 12), "12 in flight"
     )
     if log_is_down:
-        await deployment.processes.fault("platform", "outage", match="/streams")
+        await deployment.processes.inject_fault(
+            "platform", "outage", match="/streams"
+        )
     await deployment.stop(hosts[0])
     told = await asyncio.gather(*running)
     late = await caller.chat(hosts[0], caller.mark())
@@ -91,8 +93,8 @@
     if by_list:
         await _list_leaving(deployment, counter)
     else:
-        await deployment.processes.fault("counter-1", "leaving")
-    await system_processes.until(
+        await deployment.processes.inject_fault("counter-1", "leaving")
+    await system_processes.wait_until(
         lambda: _all_know(deployment, hosts, counter.address),
         "all hosts know that it leaves",
     )
--- a/tests/system_processes.py
+++ b/tests/system_processes.py
@@ -15,15 +15,17 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-BOUND = 60.0  # Maximum seconds to wait for a condition, a start or an exit.
+WAIT_TIMEOUT = (
+    60.0  # Maximum seconds to wait for a condition, a start or an exit.
+)
 SECRET = "not-much-of-a-secret"
 _SCRIPTS = pathlib.Path(sys.executable).parent
 _READY = b"LISTENING "
 
 
-async def until(condition: Callable[[], Awaitable[Any]], what: str) -> Any:
+async def wait_until(condition: Callable[[], Awaitable[Any]], what: str) -> Any:
     """Polls ``condition`` and returns its first true value."""
-    deadline = time.monotonic() + BOUND
+    deadline = time.monotonic() + WAIT_TIMEOUT
     while time.monotonic() < deadline:
         if found := await condition():
             return found
@@ -68,13 +70,13 @@
         self.process.send_signal(signal.SIGCONT)
         self.frozen = False
 
-    def ask_to_stop(self) -> None:
+    def request_stop(self) -> None:
         """Requests a graceful stop."""
         self.process.send_signal(signal.SIGTERM)
 
     async def exit_code(self) -> int:
         """Waits for the process to exit and returns its exit code."""
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(WAIT_TIMEOUT):
             return await self.process.wait()
 
 
@@ -97,15 +99,15 @@
 
     async def start(self, name: str, *words: str) -> Program:
         """Starts a program that prints the address it listens on."""
-        program = await self.start_unheard(name, *words)
+        program = await self.launch(name, *words)
         assert program.process.stdout is not None
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(WAIT_TIMEOUT):
             line = await program.process.stdout.readline()
         assert line.startswith(_READY), f"{name} printed {line!r}"
         program.address = line[len(_READY) :].decode().strip()
         return program
 
-    async def start_unheard(self, name: str, *words: str) -> Program:
+    async def launch(self, name: str, *words: str) -> Program:
         """Starts a program without waiting for the address it listens on.
 
         Args:
@@ -133,12 +135,12 @@
         """Returns the file with a program's standard error."""
         return self._logs / f"{name}.log"
 
-    async def end(self) -> None:
+    async def kill_all(self) -> None:
         """Kills every program that is still running."""
         for program in self.programs.values():
             await program.kill()
 
-    async def fault(self, name: str, kind: str, **fields: Any) -> int:
+    async def inject_fault(self, name: str, kind: str, **fields: Any) -> int:
         """Injects a fault into a stand-in; returns its number."""
         url = f"{self.programs[name].url}/_faults"
         body = {"kind": kind, **fields}
--- a/tests/utils/test_utils_tls.py
+++ b/tests/utils/test_utils_tls.py
@@ -39,7 +39,10 @@
 
 async def _subject(files: tls.TlsFiles) -> str:
     """Returns the common name of the certificate on a new connection."""
-    async with _connect(files.callers, files.to_peers) as (_, writer):
+    async with _connect(files.caller_context, files.peer_client_context) as (
+        _,
+        writer,
+    ):
         certificate = writer.get_extra_info("peercert")
     return str(dict(part[0] for part in certificate["subject"])["commonName"])
 
@@ -69,15 +72,15 @@
 async def _is_accepted(files: tls.TlsFiles, client: ssl.SSLContext) -> bool:
     """Returns whether the peer port greets a client, or else disconnects it."""
     try:
-        async with _connect(files.peers, client) as (reader, _):
+        async with _connect(files.peer_context, client) as (reader, _):
             return bool(await reader.read())
     except OSError:
         return False
 
 
 async def test_peer_port_accepts_only_hosts(files: tls.TlsFiles) -> None:
-    assert await _is_accepted(files, files.to_peers)
-    unknown_client = tls.make_client(str(_FIXTURES / "ca.crt")).verify
+    assert await _is_accepted(files, files.peer_client_context)
+    unknown_client = tls.make_link(str(_FIXTURES / "ca.crt")).verify
     assert isinstance(unknown_client, ssl.SSLContext)
     # The client presents no certificate.
     assert not await _is_accepted(files, unknown_client)
@@ -117,4 +120,4 @@
     with pytest.raises(errors.ConfigurationError, match=r"none\.crt"):
         tls.TlsFiles(missing, missing, missing)
     with pytest.raises(errors.ConfigurationError, match=r"none\.crt"):
-        tls.make_client(missing)
+        tls.make_link(missing)
