--- a/benchmarks/capacity/followers.py
+++ b/benchmarks/capacity/followers.py
@@ -100,7 +100,7 @@
     client = ratings_client.RatingsClient(
         made.session, f"http://{made.platform.address}"
     )
-    answer = ratings_client.Answer(
+    answer = ratings_client.ModelResponse(
         f"far-{number % 360}.18c1f2a3b4c.{number:x}-{time.time()}",
         "bench-model",
         "1",
--- a/benchmarks/standins.py
+++ b/benchmarks/standins.py
@@ -182,7 +182,7 @@
     frames = 0
     async with exchange.Exchange(session, request) as opened:
         async for part in opened:
-            frames += isinstance(part, exchange.Frame)
+            frames += isinstance(part, exchange.BodyChunk)
     return frames
 
 
--- a/src/hoistmoor/clients/dialect.py
+++ b/src/hoistmoor/clients/dialect.py
@@ -29,13 +29,13 @@
     not_run_header: str = "X-Not-Run"
     not_run_reason_header: str = "X-Not-Run-Reason"
     not_run_statuses: frozenset[int] = frozenset()
-    has_end_mark: bool = True
+    has_end_marker: bool = True
 
-    def says_not_run(self, status: int, headers: Mapping[str, str]) -> bool:
+    def is_not_run(self, status: int, headers: Mapping[str, str]) -> bool:
         """Returns whether a response head says that nothing was executed."""
         if status in self.not_run_statuses:
             return True
         return status >= 400 and headers.get(self.not_run_header) == "1"
 
 
-OWN = Dialect()  # The native convention of hoistmoor's own backend API.
+NATIVE = Dialect()  # The native convention of hoistmoor's own backend API.
--- a/src/hoistmoor/clients/engines.py
+++ b/src/hoistmoor/clients/engines.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from hoistmoor.clients import replies
+from hoistmoor.clients import service_client
 from hoistmoor.core import errors
 from hoistmoor.core.routing import messages
 
@@ -68,20 +68,22 @@
     events: tuple[messages.CacheEvent, ...]
 
 
-class OrderRefusedError(errors.PlatformError):
+class StaleOrderError(errors.PlatformError):
     """An engine rejected an order because of a stale fencing token.
 
     Attributes:
         highest: Highest fencing token that the engine has seen.
     """
 
-    def __init__(self, address: str, fencing: int, highest: int) -> None:
+    def __init__(
+        self, address: str, fencing: int, highest_fencing: int
+    ) -> None:
         super().__init__(
             f"{address} rejected an order with stale fencing token {fencing}; "
-            f"the highest token seen is {highest}",
+            f"the highest token seen is {highest_fencing}",
             "Stop acting as steward until the lease is held again.",
         )
-        self.highest = highest
+        self.highest_fencing = highest_fencing
 
 
 @attrs.frozen
@@ -99,7 +101,7 @@
         self.session = session
         self.timeout = timeout
 
-    async def load(self, address: str) -> messages.LoadReport:
+    async def fetch_load(self, address: str) -> messages.LoadReport:
         """Returns the load report of the backend server at ``ip:port``.
 
         Raises:
@@ -107,7 +109,7 @@
         """
         return await self._fetch(address, "/load", messages.LoadReport)
 
-    async def state(self, address: str) -> EngineState:
+    async def fetch_state(self, address: str) -> EngineState:
         """Returns the desired and actual state of an engine.
 
         Raises:
@@ -115,7 +117,9 @@
         """
         return await self._fetch(address, "/orders", EngineState)
 
-    async def cache_events(self, address: str, since: int) -> CacheEventPage:
+    async def fetch_cache_events(
+        self, address: str, since: int
+    ) -> CacheEventPage:
         """Returns cache events from sequence number ``since`` on.
 
         The first event has number 0.
@@ -126,7 +130,7 @@
         path = f"/cache-events?since={since}"
         return await self._fetch(address, path, CacheEventPage)
 
-    async def order(self, address: str, order: Order) -> EngineState:
+    async def send_order(self, address: str, order: Order) -> EngineState:
         """Sends an order once, without retries.
 
         Returns:
@@ -142,20 +146,22 @@
             "fencing": order.fencing,
             "wanted": {"versions": list(order.versions), "role": order.role},
         }
-        status, body = await replies.send(
+        status, body = await service_client.send_json(
             self.session, "POST", url, content, self.timeout
         )
         if status == 409:
-            highest = replies.parse(body, _StaleFencing, address).fencing
-            raise OrderRefusedError(address, order.fencing, highest)
+            highest = service_client.parse_json(
+                body, _StaleFencing, address
+            ).fencing
+            raise StaleOrderError(address, order.fencing, highest)
         if status != 200:
-            raise replies.ServiceUnavailableError(
+            raise service_client.ServiceUnavailableError(
                 f"{address} responded to an order with HTTP status {status}",
                 "Read the engine's state, then send the order again.",
             )
-        return replies.parse(body, EngineState, address)
+        return service_client.parse_json(body, EngineState, address)
 
-    async def cancel(self, address: str, attempt_id: str) -> bool:
+    async def cancel_attempt(self, address: str, attempt_id: str) -> bool:
         """Cancels an attempt.
 
         Returns:
@@ -165,13 +171,15 @@
             ServiceUnavailableError: No response in time.
         """
         url = f"http://{address}/v1/attempts/{attempt_id}"
-        status, _ = await replies.send(
+        status, _ = await service_client.send_json(
             self.session, "DELETE", url, {}, self.timeout
         )
         return status == 200
 
     async def _fetch(
-        self, address: str, path: str, cls: type[replies._T]
-    ) -> replies._T:
+        self, address: str, path: str, cls: type[service_client._T]
+    ) -> service_client._T:
         url = f"http://{address}{path}"
-        return await replies.fetch(self.session, url, cls, self.timeout)
+        return await service_client.fetch_json(
+            self.session, url, cls, self.timeout
+        )
--- a/src/hoistmoor/clients/frames.py
+++ b/src/hoistmoor/clients/events.py
@@ -48,7 +48,7 @@
         self._buffer = buffer
 
 
-def payload_of(event: bytes) -> bytes:
+def read_payload(event: bytes) -> bytes:
     """Returns the joined ``data`` fields of an event."""
     lines = [
         line[len(_DATA) :].strip()
@@ -58,12 +58,12 @@
     return b"\n".join(lines)
 
 
-def is_end_mark(payload: bytes) -> bool:
+def is_end_marker(payload: bytes) -> bool:
     """Returns whether a payload marks the end of a complete response."""
     return payload == _END_MARKER
 
 
-def belongs_to(payload: bytes, attempt_id: str) -> bool:
+def belongs_to_attempt(payload: bytes, attempt_id: str) -> bool:
     """Returns whether a payload belongs to the response of an attempt.
 
     A payload without an id does, since the response head has already named
--- a/src/hoistmoor/clients/exchange.py
+++ b/src/hoistmoor/clients/exchange.py
@@ -17,11 +17,11 @@
 from multidict import MultiMapping
 import yarl
 
-from hoistmoor.clients import answer_body
 from hoistmoor.clients import dialect as dialect_lib
+from hoistmoor.clients import events
 from hoistmoor.clients import exchange_errors
-from hoistmoor.clients import frames
-from hoistmoor.clients import replies
+from hoistmoor.clients import response_body
+from hoistmoor.clients import service_client
 from hoistmoor.clients import sessions
 from hoistmoor.core import errors
 from hoistmoor.core import outcomes
@@ -54,7 +54,7 @@
 
     total: float | None = 60.0
     connect: float = 1.0
-    silence: float | None = None
+    read: float | None = None
 
 
 @attrs.frozen
@@ -77,7 +77,7 @@
 
 
 @attrs.frozen
-class Head:
+class ResponseHead:
     """The head of the response.
 
     Attributes:
@@ -90,7 +90,7 @@
 
 
 @attrs.frozen
-class Frame:
+class BodyChunk:
     """A part of the response body: one event of a stream, or some bytes.
 
     Attributes:
@@ -101,11 +101,11 @@
 
 
 @attrs.frozen
-class End:
+class ResponseEnd:
     """Marks the end of a complete response."""
 
 
-Part = Head | Frame | End
+ResponsePart = ResponseHead | BodyChunk | ResponseEnd
 
 
 class Exchange:
@@ -130,7 +130,7 @@
         session: aiohttp.ClientSession,
         request: BackendRequest,
         timeouts: Timeouts | None = None,
-        dialect: dialect_lib.Dialect = dialect_lib.OWN,
+        dialect: dialect_lib.Dialect = dialect_lib.NATIVE,
     ) -> None:
         """Creates an exchange without sending anything.
 
@@ -150,7 +150,7 @@
         self._dialect = dialect
         self._timeouts = timeouts or Timeouts()
         self._response: aiohttp.ClientResponse | None = None
-        self._body: answer_body.AnswerBody | None = None
+        self._body: response_body.ResponseBody | None = None
         self._dropped_heads = 0
         self._is_reused = False
         self._unsent_bytes = len(request.body)
@@ -169,9 +169,9 @@
         self.cancel()
 
     @property
-    def dropped(self) -> int:
+    def dropped_parts(self) -> int:
         """Number of heads and events of other attempts that were dropped."""
-        dropped_events = self._body.dropped if self._body else 0
+        dropped_events = self._body.dropped_events if self._body else 0
         return self._dropped_heads + dropped_events
 
     def cancel(self) -> None:
@@ -184,18 +184,18 @@
         self._is_reused = reused
         self._advance(_State.SENDING)
 
-    def on_headers(self) -> None:
+    def on_headers_sent(self) -> None:
         """Called when the request head is written to the connection."""
         if not self._unsent_bytes:
             self._advance(_State.SENT)
 
-    def on_body(self, size: int) -> None:
+    def on_body_sent(self, size: int) -> None:
         """Called when ``size`` more bytes of the body are written."""
         self._unsent_bytes -= size
         if self._unsent_bytes <= 0:
             self._advance(_State.SENT)
 
-    async def __aiter__(self) -> AsyncIterator[Part]:
+    async def __aiter__(self) -> AsyncIterator[ResponsePart]:
         """Yields the head, the body parts and the end of the response.
 
         Raises:
@@ -206,16 +206,16 @@
             response = await self._send()
             yield self._accept_head(response)
             if self.state is _State.DECLINED:
-                yield End()
+                yield ResponseEnd()
                 return
             async for part in self._read_body(response):
                 yield part
-        except replies.TRANSPORT_ERRORS as error:
-            raise exchange_errors.of_transport(
+        except service_client.TRANSPORT_ERRORS as error:
+            raise exchange_errors.from_transport_error(
                 self.state, self.request.url, error
             ) from error
-        except frames.EventTooLargeError as error:
-            raise exchange_errors.of_large_event(self.state, error) from error
+        except events.EventTooLargeError as error:
+            raise exchange_errors.from_large_event(self.state, error) from error
         finally:
             # The connection stays reusable if the response is complete.
             self.cancel()
@@ -230,13 +230,13 @@
             timeout=aiohttp.ClientTimeout(
                 total=self._timeouts.total,
                 connect=self._timeouts.connect,
-                sock_read=self._timeouts.silence,
+                sock_read=self._timeouts.read,
             ),
             trace_request_ctx=self,
         )
         return self._response
 
-    def _accept_head(self, response: aiohttp.ClientResponse) -> Head:
+    def _accept_head(self, response: aiohttp.ClientResponse) -> ResponseHead:
         echoed = response.headers.get(self._dialect.attempt_header)
         # A new connection has carried no other request, so a response without
         # an id can only belong to this attempt.
@@ -245,34 +245,36 @@
         )
         if not is_own_response:
             self._dropped_heads += 1
-            raise exchange_errors.of_other_attempt(self.state, self.request.url)
-        if self._dialect.says_not_run(response.status, response.headers):
+            raise exchange_errors.wrong_attempt(self.state, self.request.url)
+        if self._dialect.is_not_run(response.status, response.headers):
             self.not_run_reason = response.headers.get(
                 self._dialect.not_run_reason_header, ""
             )
             self._advance(_State.DECLINED)
         self._advance(_State.ANSWERING)
-        return Head(response.status, response.headers)
+        return ResponseHead(response.status, response.headers)
 
     async def _read_body(
         self, response: aiohttp.ClientResponse
-    ) -> AsyncIterator[Part]:
-        body = answer_body.AnswerBody(
+    ) -> AsyncIterator[ResponsePart]:
+        body = response_body.ResponseBody(
             response,
             self.request.method,
             self.request.attempt_id,
-            has_end_mark=self._dialect.has_end_mark,
+            has_end_marker=self._dialect.has_end_marker,
         )
         self._body = body
         async for data in body.read():
-            if body.is_whole:
+            if body.is_complete:
                 self._advance(_State.ANSWERED)
-            yield Frame(data)
-        if not body.is_whole:
-            raise exchange_errors.without_end_mark(self.state, self.request.url)
+            yield BodyChunk(data)
+        if not body.is_complete:
+            raise exchange_errors.missing_end_marker(
+                self.state, self.request.url
+            )
         self._advance(_State.ANSWERED)
-        yield End()
-        await body.settle()
+        yield ResponseEnd()
+        await body.drain()
 
     def _advance(self, state: outcomes.ExchangeState) -> None:
         if _RANKS[state] > _RANKS[self.state]:
--- a/src/hoistmoor/clients/exchange_errors.py
+++ b/src/hoistmoor/clients/exchange_errors.py
@@ -8,7 +8,7 @@
 from hoistmoor.core import outcomes
 
 if TYPE_CHECKING:
-    from hoistmoor.clients import frames
+    from hoistmoor.clients import events
 
 _CHECK_OUTCOME = "Check the outcome of the request before sending it again."
 
@@ -35,7 +35,7 @@
     """The response did not start or continue in time."""
 
 
-class BackendCutError(ExchangeError):
+class BackendDisconnectedError(ExchangeError):
     """The connection was lost before the end of the response."""
 
 
@@ -43,7 +43,7 @@
     """The received data cannot be a response to this attempt."""
 
 
-def of_transport(
+def from_transport_error(
     state: outcomes.ExchangeState, url: str, error: Exception
 ) -> ExchangeError:
     """Converts an error of the HTTP library."""
@@ -59,21 +59,21 @@
             f"{url} did not complete its response in time: {error!r}",
             _CHECK_OUTCOME,
         )
-    return BackendCutError(
+    return BackendDisconnectedError(
         state, f"connection to {url} was lost: {error!r}", _CHECK_OUTCOME
     )
 
 
-def without_end_mark(
+def missing_end_marker(
     state: outcomes.ExchangeState, url: str
-) -> BackendCutError:
+) -> BackendDisconnectedError:
     """Returns the error for a response that ended without its end marker."""
-    return BackendCutError(
+    return BackendDisconnectedError(
         state, f"{url} ended its response without an end marker", _CHECK_OUTCOME
     )
 
 
-def of_other_attempt(
+def wrong_attempt(
     state: outcomes.ExchangeState, url: str
 ) -> BackendProtocolError:
     """Returns the error for a response that is not for this attempt."""
@@ -84,8 +84,8 @@
     )
 
 
-def of_large_event(
-    state: outcomes.ExchangeState, error: frames.EventTooLargeError
+def from_large_event(
+    state: outcomes.ExchangeState, error: events.EventTooLargeError
 ) -> BackendProtocolError:
     """Returns the error for an event that exceeds the size limit."""
     return BackendProtocolError(state, error.problem, error.remedy)
--- a/src/hoistmoor/clients/hosts.py
+++ b/src/hoistmoor/clients/hosts.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from hoistmoor.clients import replies
+from hoistmoor.clients import service_client
 
 
 class Role(enum.StrEnum):
@@ -49,7 +49,7 @@
     hosts: tuple[ListedHost, ...]
 
 
-class HostListClient(replies.ServiceClient):
+class HostListClient(service_client.ServiceClient):
     """Fetches the host list."""
 
     async def fetch(self) -> tuple[ListedHost, ...]:
@@ -58,5 +58,5 @@
         Raises:
             ServiceUnavailableError: No valid response in time.
         """
-        host_list = await self.get("/hosts", _HostList)
+        host_list = await self.fetch_json("/hosts", _HostList)
         return host_list.hosts
--- a/src/hoistmoor/clients/log.py
+++ b/src/hoistmoor/clients/log.py
@@ -8,7 +8,7 @@
 import attrs
 import orjson
 
-from hoistmoor.clients import replies
+from hoistmoor.clients import service_client
 from hoistmoor.core import errors
 from hoistmoor.utils import logs
 
@@ -86,7 +86,7 @@
 
 
 @attrs.define(eq=False, slots=False)
-class LogClient(replies.ServiceClient):
+class LogClient(service_client.ServiceClient):
     """Appends to and reads from the streams of the log service.
 
     A log that assigns an offset a second time has lost records. From then on,
@@ -121,10 +121,10 @@
             async with self.session.post(
                 url,
                 data=payload,
-                timeout=replies.timeout_of(self.timeout),
+                timeout=service_client.make_timeout(self.timeout),
             ) as response:
                 body = await response.read()
-        except replies.TRANSPORT_ERRORS as error:
+        except service_client.TRANSPORT_ERRORS as error:
             raise _transport_error(stream, error) from error
         if response.status == 200:
             offset = _stored_offset(stream, body)
@@ -202,10 +202,10 @@
     ) -> bytes:
         try:
             async with self.session.get(
-                url, params=query, timeout=replies.timeout_of(timeout)
+                url, params=query, timeout=service_client.make_timeout(timeout)
             ) as response:
                 body = await response.read()
-        except replies.TRANSPORT_ERRORS as error:
+        except service_client.TRANSPORT_ERRORS as error:
             raise errors.LogUnavailableError(
                 f"reading stream {stream} failed: {error!r}",
                 "Check the address of the log and that it is running, then "
@@ -239,8 +239,10 @@
 
 def _parse(body: bytes, cls: type[_T], stream: str) -> _T:
     try:
-        return replies.parse(body, cls, f"the log (stream {stream})")
-    except replies.ServiceUnavailableError as error:
+        return service_client.parse_json(
+            body, cls, f"the log (stream {stream})"
+        )
+    except service_client.ServiceUnavailableError as error:
         raise errors.LogUnavailableError(error.problem, error.remedy) from error
 
 
@@ -255,7 +257,7 @@
 
 
 def _transport_error(stream: str, error: Exception) -> errors.PlatformError:
-    if replies.was_unsent(error):
+    if service_client.is_unsent(error):
         return errors.LogUnavailableError(
             f"append to stream {stream} could not be sent: {error!r}",
             "Check the address of the log and that it is running, then retry.",
--- a/src/hoistmoor/clients/ratings.py
+++ b/src/hoistmoor/clients/ratings.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from hoistmoor.clients import replies
+from hoistmoor.clients import service_client
 from hoistmoor.core.routing import messages
 
 if TYPE_CHECKING:
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen
-class Answer:
+class ModelResponse:
     """A model response submitted for rating.
 
     Attributes:
@@ -46,30 +46,30 @@
     ratings: tuple[messages.Rating, ...]
 
 
-class RatingsClient(replies.ServiceClient):
+class RatingsClient(service_client.ServiceClient):
     """Submits responses and polls for their ratings.
 
     Ratings are sparse and arrive with a delay.
     """
 
-    async def submit(self, *answers: Answer) -> None:
+    async def submit(self, *responses: ModelResponse) -> None:
         """Submits responses for rating, all in one call.
 
         Raises:
             ServiceUnavailableError: The responses may or may not have been
                 accepted; submitting them again is safe.
         """
-        await self.submit_all(answers)
+        await self.submit_all(responses)
 
-    async def submit_all(self, answers: Sequence[Answer]) -> None:
+    async def submit_all(self, responses: Sequence[ModelResponse]) -> None:
         """Submits a sequence of responses; see ``submit``."""
         url = f"{self.base_url}/ratings/answers"
-        content = [attrs.asdict(response) for response in answers]
-        status, _ = await replies.send(
+        content = [attrs.asdict(response) for response in responses]
+        status, _ = await service_client.send_json(
             self.session, "POST", url, content, self.timeout
         )
         if status != 202:
-            raise replies.ServiceUnavailableError(
+            raise service_client.ServiceUnavailableError(
                 f"{url} responded with HTTP status {status}",
                 "Wait, then submit the responses again.",
             )
@@ -81,4 +81,4 @@
             ServiceUnavailableError: No valid response in time.
         """
         query = {"from": str(offset), "limit": str(limit)}
-        return await self.get("/ratings", RatingPage, query)
+        return await self.fetch_json("/ratings", RatingPage, query)
--- a/src/hoistmoor/clients/answer_body.py
+++ b/src/hoistmoor/clients/response_body.py
@@ -5,8 +5,8 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from hoistmoor.clients import frames
-from hoistmoor.clients import replies
+from hoistmoor.clients import events
+from hoistmoor.clients import service_client
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -17,7 +17,7 @@
 _DRAIN_TIMEOUT = 0.2  # Seconds from the end marker to the end of the body.
 
 
-class AnswerBody:
+class ResponseBody:
     """The body of one response, read event by event or in byte chunks.
 
     Attributes:
@@ -33,14 +33,14 @@
         method: str,
         attempt_id: str,
         *,
-        has_end_mark: bool = True,
+        has_end_marker: bool = True,
     ) -> None:
-        self.is_whole = False
-        self.dropped = 0
+        self.is_complete = False
+        self.dropped_events = 0
         self._response = response
         self._method = method
         self._attempt_id = attempt_id
-        self._has_end_marker = has_end_mark
+        self._has_end_marker = has_end_marker
 
     async def read(self) -> AsyncIterator[bytes]:
         """Yields the body in parts, updating its completeness before each.
@@ -50,7 +50,7 @@
             aiohttp.ClientError: The connection failed.
             TimeoutError: The rest of the body did not arrive in time.
         """
-        is_stream = self._response.content_type == frames.EVENT_STREAM
+        is_stream = self._response.content_type == events.EVENT_STREAM
         if is_stream and self._has_end_marker:
             async for event in self._read_events():
                 yield event
@@ -59,9 +59,9 @@
             yield data
         # A reset connection has already raised. A regular close ends a
         # response without a length only for servers without end markers.
-        self.is_whole = self._is_delimited() or not self._has_end_marker
+        self.is_complete = self._is_delimited() or not self._has_end_marker
 
-    async def settle(self) -> None:
+    async def drain(self) -> None:
         """Waits briefly for the end of the body after the end marker.
 
         The connection can be reused only after the body has ended.
@@ -69,22 +69,22 @@
         try:
             async with asyncio.timeout(_DRAIN_TIMEOUT):
                 await self._response.content.readany()
-        except replies.TRANSPORT_ERRORS:
+        except service_client.TRANSPORT_ERRORS:
             self._response.close()
 
     async def _read_events(self) -> AsyncIterator[bytes]:
-        splitter = frames.EventSplitter()
+        splitter = events.EventSplitter()
         async for data in self._response.content.iter_any():
             for event in splitter.feed(data):
-                payload = frames.payload_of(event)
-                if frames.is_end_mark(payload):
-                    self.is_whole = True
+                payload = events.read_payload(event)
+                if events.is_end_marker(payload):
+                    self.is_complete = True
                     yield event
                     return
-                if frames.belongs_to(payload, self._attempt_id):
+                if events.belongs_to_attempt(payload, self._attempt_id):
                     yield event
                 else:
-                    self.dropped += 1
+                    self.dropped_events += 1
 
     def _is_delimited(self) -> bool:
         """Returns whether HTTP framing can reveal a truncated body."""
--- a/src/hoistmoor/clients/replies.py
+++ b/src/hoistmoor/clients/service_client.py
@@ -47,19 +47,19 @@
         self.retry_after = retry_after
 
 
-def timeout_of(seconds: float) -> aiohttp.ClientTimeout:
+def make_timeout(seconds: float) -> aiohttp.ClientTimeout:
     """Returns the timeout of a call, of which connecting may use up to 1 s."""
     return aiohttp.ClientTimeout(total=seconds, connect=min(seconds, 1.0))
 
 
-def was_unsent(error: BaseException) -> bool:
+def is_unsent(error: BaseException) -> bool:
     """Returns whether a failed call is certain not to have been sent."""
     return isinstance(
         error, aiohttp.ClientConnectorError | aiohttp.ConnectionTimeoutError
     )
 
 
-def parse(body: bytes, cls: type[_T], source: str) -> _T:
+def parse_json(body: bytes, cls: type[_T], source: str) -> _T:
     """Decodes the JSON body of a response as an instance of ``cls``.
 
     Raises:
@@ -80,7 +80,7 @@
         ) from error
 
 
-async def fetch(
+async def fetch_json(
     session: aiohttp.ClientSession,
     url: str,
     cls: type[_T],
@@ -97,7 +97,7 @@
     """
     try:
         async with session.get(
-            url, params=params, timeout=timeout_of(timeout), ssl=verify
+            url, params=params, timeout=make_timeout(timeout), ssl=verify
         ) as response:
             body = await response.read()
             status = response.status
@@ -114,7 +114,7 @@
         raise ServiceUnavailableError(
             f"{url} responded with HTTP status {status}", remedy
         )
-    return parse(body, cls, url)
+    return parse_json(body, cls, url)
 
 
 def _strip_trailing_slash(base_url: str) -> str:
@@ -136,15 +136,15 @@
     base_url: str = attrs.field(converter=_strip_trailing_slash)
     timeout: float = DEFAULT_TIMEOUT
 
-    async def get(
+    async def fetch_json(
         self, path: str, cls: type[_T], params: dict[str, Any] | None = None
     ) -> _T:
         """Fetches one JSON document; raises the errors of ``fetch``."""
         url = self.base_url + path
-        return await fetch(self.session, url, cls, self.timeout, params)
+        return await fetch_json(self.session, url, cls, self.timeout, params)
 
 
-async def send(
+async def send_json(
     session: aiohttp.ClientSession,
     method: str,
     url: str,
@@ -166,7 +166,7 @@
             url,
             data=orjson.dumps(content),
             headers={"Content-Type": "application/json"},
-            timeout=timeout_of(timeout),
+            timeout=make_timeout(timeout),
         ) as response:
             return response.status, await response.read()
     except TRANSPORT_ERRORS as error:
--- a/src/hoistmoor/clients/sessions.py
+++ b/src/hoistmoor/clients/sessions.py
@@ -38,14 +38,14 @@
     def on_connection(self, reused: bool) -> None:
         """Called with a connection, before any bytes are sent on it."""
 
-    def on_headers(self) -> None:
+    def on_headers_sent(self) -> None:
         """Called when the request head is written to the connection."""
 
-    def on_body(self, size: int) -> None:
+    def on_body_sent(self, size: int) -> None:
         """Called when ``size`` more bytes of the body are written."""
 
 
-class QuietConnector(aiohttp.TCPConnector):
+class IdleCheckConnector(aiohttp.TCPConnector):
     """Reuses a connection only if no data arrived while it was idle."""
 
     def __init__(self, **options: Any) -> None:
@@ -154,7 +154,7 @@
     _session: object, context: SimpleNamespace, _params: object
 ) -> None:
     if observer := _find_observer(context):
-        observer.on_headers()
+        observer.on_headers_sent()
 
 
 async def _on_chunk_sent(
@@ -163,7 +163,7 @@
     params: aiohttp.TraceRequestChunkSentParams,
 ) -> None:
     if observer := _find_observer(context):
-        observer.on_body(len(params.chunk))
+        observer.on_body_sent(len(params.chunk))
 
 
 def _make_trace() -> aiohttp.TraceConfig:
@@ -185,7 +185,7 @@
     reuse_connections: bool = True,
     idle_timeout: float = IDLE_TIMEOUT,
     attempt_header: str = ATTEMPT_HEADER,
-    unanswered_timeout: float | None = None,
+    unacknowledged_timeout: float | None = None,
 ) -> aiohttp.ClientSession:
     """Opens a session that sends each request at most once.
 
@@ -204,11 +204,11 @@
     Returns:
         The session, which the caller closes.
     """
-    connector = QuietConnector(
+    connector = IdleCheckConnector(
         limit=MAX_CONNECTIONS,
         keepalive_timeout=idle_timeout if reuse_connections else None,
         force_close=not reuse_connections,
-        socket_factory=_make_socket_factory(unanswered_timeout),
+        socket_factory=_make_socket_factory(unacknowledged_timeout),
     )
     session = aiohttp.ClientSession(
         connector=connector,
@@ -231,12 +231,12 @@
 
 
 def _make_socket_factory(
-    unanswered_timeout: float | None,
+    unacknowledged_timeout: float | None,
 ) -> Callable[[aiohappyeyeballs.AddrInfoType], socket.socket] | None:
     """Returns a factory of sockets that detect a lost peer in time."""
-    if unanswered_timeout is None:
+    if unacknowledged_timeout is None:
         return None
-    timeout_ms = int(unanswered_timeout * 1000)
+    timeout_ms = int(unacknowledged_timeout * 1000)
 
     def open_socket(address: aiohappyeyeballs.AddrInfoType) -> socket.socket:
         family, kind, protocol, _, _ = address
--- a/src/hoistmoor/clients/stream_reader.py
+++ b/src/hoistmoor/clients/stream_reader.py
@@ -29,7 +29,7 @@
 _LOG = logs.PartLogger("log")
 
 
-class Readable(Protocol):
+class ReadableLog(Protocol):
     """The methods of ``log.LogClient`` that a reader needs."""
 
     async def read(
@@ -95,7 +95,7 @@
 
     def __init__(
         self,
-        log: Readable,
+        log: ReadableLog,
         stream: str,
         consumer: Consumer,
         pace: polling.PollPolicy,
@@ -130,11 +130,11 @@
         self._may_long_poll = False
         self._polled_at = clock()
 
-    def hurry(self) -> None:
+    def poll_now(self) -> None:
         """Ends the delay before the next poll."""
         self._wake_event.set()
 
-    async def catch_up(self, patience: float) -> None:
+    async def catch_up(self, timeout: float) -> None:
         """Reads a page at once, concurrently with any poll in progress.
 
         The consumer must skip records that it has already processed.
@@ -147,21 +147,21 @@
         task.add_done_callback(self._extra_reads.discard)
         # The read is not cancelled after the timeout, since others may wait for
         # its page.
-        await asyncio.wait({task}, timeout=patience)
+        await asyncio.wait({task}, timeout=timeout)
 
     async def run(self) -> None:
         """Reads until cancelled, retrying after failures."""
         while True:
             self._wake_event.clear()  # This poll serves pending wake-ups.
             try:
-                has_more = await self.step(self._pace.long_poll_timeout)
+                has_more = await self.poll(self._pace.long_poll_timeout)
             except errors.HoistmoorError as error:
                 await self._wait_after_failure(error)
                 continue
             if not has_more:
                 await self._wait_for_next_poll()
 
-    async def step(self, hold: float) -> bool:
+    async def poll(self, long_poll_timeout: float) -> bool:
         """Reads one page; may run concurrently if the consumer allows it.
 
         Args:
@@ -179,7 +179,9 @@
             if not self._is_started:
                 self._is_started = True
                 self._consumer.on_start(bounds)
-        page = await self._read(hold if self._may_long_poll else 0.0)
+        page = await self._read(
+            long_poll_timeout if self._may_long_poll else 0.0
+        )
         if page is None:
             return True
         await self._process(page)
@@ -187,7 +189,9 @@
         self.failures = 0
         return has_more or len(page.records) == self._pace.page
 
-    async def _read(self, hold: float) -> log_client.LogPage | None:
+    async def _read(
+        self, long_poll_timeout: float
+    ) -> log_client.LogPage | None:
         """Returns a page, or None if the offset has expired."""
         self._polled_at = self._clock()
         try:
@@ -195,7 +199,7 @@
                 self._stream,
                 self._consumer.next_offset,
                 self._pace.page,
-                hold,
+                long_poll_timeout,
             )
         except errors.LogOffsetExpiredError as error:
             self._may_long_poll = False
@@ -228,7 +232,7 @@
 
     async def _read_once(self) -> None:
         with contextlib.suppress(errors.PlatformError):
-            await self.step(0.0)
+            await self.poll(0.0)
 
     async def _wait_for_next_poll(self) -> None:
         since_poll = self._clock() - self._polled_at
--- a/src/hoistmoor/clients/weights.py
+++ b/src/hoistmoor/clients/weights.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from hoistmoor.clients import replies
+from hoistmoor.clients import service_client
 
 
 @attrs.frozen
@@ -25,7 +25,7 @@
 
 
 @attrs.define(eq=False, slots=False)
-class WeightStoreClient(replies.ServiceClient):
+class WeightStoreClient(service_client.ServiceClient):
     """Fetches metadata of weights."""
 
     timeout: float = 5.0  # Seconds.
@@ -37,4 +37,4 @@
             RateLimitedError: Too many calls; the error says when to retry.
             ServiceUnavailableError: Not found, or no valid response in time.
         """
-        return await self.get(f"/weights/{model}/{version}", WeightInfo)
+        return await self.fetch_json(f"/weights/{model}/{version}", WeightInfo)
--- a/src/hoistmoor/entry/attempt_reporter.py
+++ b/src/hoistmoor/entry/attempt_reporter.py
@@ -116,7 +116,7 @@
             choice.escalated,
         )
         self._parts.ratings.add(
-            ratings_client.Answer(
+            ratings_client.ModelResponse(
                 tag, model_name, version, request.kind, chunks.join_text(frames)
             )
         )
--- a/src/hoistmoor/entry/attempts.py
+++ b/src/hoistmoor/entry/attempts.py
@@ -85,7 +85,7 @@
     @property
     def dropped_frames(self) -> int:
         """How many frames were dropped for belonging to another attempt."""
-        return self._exchange.dropped
+        return self._exchange.dropped_parts
 
     def start(self) -> None:
         """Starts the exchange."""
@@ -114,12 +114,12 @@
         raise NotImplementedError(type(part))
 
     @_on_part.register
-    async def _(self, part: exchange_lib.Head) -> None:
+    async def _(self, part: exchange_lib.ResponseHead) -> None:
         self._status = part.status
         self._content_type = part.headers.get("Content-Type", "")
 
     @_on_part.register
-    async def _(self, part: exchange_lib.Frame) -> None:
+    async def _(self, part: exchange_lib.BodyChunk) -> None:
         if self._is_engine_error:
             return
         if self._backend_request.is_streaming:
@@ -130,7 +130,7 @@
         self._inbox.post(messages.FrameReceived(self.attempt_id, part.data))
 
     @_on_part.register
-    async def _(self, part: exchange_lib.End) -> None:
+    async def _(self, part: exchange_lib.ResponseEnd) -> None:
         if self.state is outcomes.ExchangeState.DECLINED:
             reason = self._exchange.not_run_reason or "no reason given"
             self._fail(self.state, f"the backend server declined: {reason}")
--- a/src/hoistmoor/entry/claim_reader.py
+++ b/src/hoistmoor/entry/claim_reader.py
@@ -85,7 +85,7 @@
 
     def poll_now(self) -> None:
         """Polls without delay, to read back a claim of this host."""
-        self._reader.hurry()
+        self._reader.poll_now()
 
     async def catch_up(self, timeout: float) -> None:
         """Reads to the end of the stream; see ``StreamReader.catch_up``.
--- a/src/hoistmoor/entry/evidence_task.py
+++ b/src/hoistmoor/entry/evidence_task.py
@@ -117,4 +117,4 @@
                 _LOG.warning("Cannot append evidence, retrying: %s", error)
                 return
             self._pending.pop(0)
-            self._reader.hurry()
+            self._reader.poll_now()
--- a/src/hoistmoor/entry/gossip_client.py
+++ b/src/hoistmoor/entry/gossip_client.py
@@ -19,7 +19,7 @@
     """Calls peers and returns the results as membership messages."""
 
     def __init__(
-        self, clients: client.PeerClients, clock: Callable[[], float]
+        self, clients: client.PeerClientPool, clock: Callable[[], float]
     ) -> None:
         self._clients = clients
         self._clock = clock
--- a/src/hoistmoor/entry/load_poller.py
+++ b/src/hoistmoor/entry/load_poller.py
@@ -183,7 +183,7 @@
 
     async def _poll(self, server: model.Server) -> None:
         try:
-            report = await self._client.load(server.address)
+            report = await self._client.fetch_load(server.address)
         except errors.PlatformError:
             self.failures += 1
             return
--- a/src/hoistmoor/entry/membership.py
+++ b/src/hoistmoor/entry/membership.py
@@ -65,7 +65,7 @@
         find_peer: host_list_reader.FindPeer,
         table: TableReplica,
         *,
-        clients: peers_client.PeerClients | None = None,
+        clients: peers_client.PeerClientPool | None = None,
         listeners: membership_listeners.MembershipListeners | None = None,
         clock: Callable[[], float] = time.time,
         timing: timing_lib.Timing | None = None,
@@ -83,7 +83,7 @@
             timing: Intervals and timeouts of the protocol; None for the
                 defaults.
         """
-        self.clients = clients or peers_client.PeerClients()
+        self.clients = clients or peers_client.PeerClientPool()
         self.listeners = listeners or membership_listeners.MembershipListeners()
         self._clock = clock
         self._table = table
--- a/src/hoistmoor/entry/peer_auth.py
+++ b/src/hoistmoor/entry/peer_auth.py
@@ -36,7 +36,7 @@
         tls: TLS files; None for unencrypted connections.
     """
 
-    clients: client.PeerClients
+    clients: client.PeerClientPool
     guard: guard_lib.CallGuard
     tls: tls_lib.TlsFiles | None
 
@@ -73,7 +73,7 @@
             clock(),
         )
         return cls(
-            client.PeerClients(make_client=make_client),
+            client.PeerClientPool(make_client=make_client),
             guard_lib.CallGuard(verifier, clock, metrics),
             tls,
         )
--- a/src/hoistmoor/entry/peer_directory.py
+++ b/src/hoistmoor/entry/peer_directory.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from hoistmoor.clients import replies
+from hoistmoor.clients import service_client
 from hoistmoor.core import identity
 from hoistmoor.core.membership import preference
 from hoistmoor.core.membership import view
@@ -151,7 +151,7 @@
         Raises:
             PlatformError: The host does not respond or sends no address.
         """
-        contact = await replies.fetch(
+        contact = await service_client.fetch_json(
             self._session,
             self._link.url(host.address, "/peer-address"),
             _Contact,
--- a/src/hoistmoor/entry/pin_store.py
+++ b/src/hoistmoor/entry/pin_store.py
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        clients: client.PeerClients,
+        clients: client.PeerClientPool,
         address_of: Callable[[str], str | None],
     ) -> None:
         self.clients = clients
--- a/src/hoistmoor/entry/rating_queue.py
+++ b/src/hoistmoor/entry/rating_queue.py
@@ -31,9 +31,9 @@
     def __init__(self, client: ratings.RatingsClient) -> None:
         self.client = client
         self.dropped = 0
-        self._queue: deque[ratings.Answer] = deque()
+        self._queue: deque[ratings.ModelResponse] = deque()
 
-    def add(self, answer: ratings.Answer) -> None:
+    def add(self, answer: ratings.ModelResponse) -> None:
         """Queues a response without waiting."""
         self._queue.append(answer)
         if len(self._queue) > MAX_QUEUED:
--- a/src/hoistmoor/entry/table_follower.py
+++ b/src/hoistmoor/entry/table_follower.py
@@ -103,7 +103,7 @@
             PlatformError: The log could not be read.
             TableGapError: The log omitted a record.
         """
-        await self._reader.step(self._pacing.long_poll_timeout)
+        await self._reader.poll(self._pacing.long_poll_timeout)
 
     async def wait_for_revision(self, revision: int) -> model.ActiveTable:
         """Waits for ``revision`` or a newer one and returns the table."""
--- a/src/hoistmoor/peers/client.py
+++ b/src/hoistmoor/peers/client.py
@@ -71,9 +71,9 @@
         """
         parsed = addresses.parse(address)
         self.address = address
-        self.calls = 0
+        self.active_calls = 0
         self._timeouts = 0
-        self._signing = (signing or signing_lib.NO_SIGNING).to(address)
+        self._signing = (signing or signing_lib.NO_SIGNING).for_peer(address)
         self._channel = client.Channel(
             parsed.ip, parsed.port, codec=raw_codec.RawCodec(), ssl=tls
         )
@@ -118,13 +118,13 @@
 
     async def find_key(
         self, account: str, key: str, claim_id: str
-    ) -> handlers.KeyFound:
+    ) -> handlers.KeyLookup:
         """Returns the peer's state of an idempotency key."""
         request = peer_pb2.FindKeyRequest(
             account=account, key=key, claim_id=claim_id
         )
         reply = await self._call(self._stub.FindKey, request, CALL_TIMEOUT)
-        return handlers.KeyFound(reply.state, bytes(reply.answer))
+        return handlers.KeyLookup(reply.state, bytes(reply.answer))
 
     async def find_session(self, account: str, session: str) -> bytes:
         """Returns the encoded pin of a session, or empty bytes."""
@@ -153,7 +153,7 @@
         self._channel.close()
 
     async def _call(self, method: _Method, message: Any, timeout: float) -> Any:
-        self.calls += 1
+        self.active_calls += 1
         try:
             async with asyncio.timeout(timeout):
                 reply = await self._exchange(method, message, timeout)
@@ -171,7 +171,7 @@
                 "Try another peer.",
             ) from error
         finally:
-            self.calls -= 1
+            self.active_calls -= 1
         self._timeouts = 0
         return reply
 
@@ -196,12 +196,12 @@
                 await stream.send_message(body, end=True)
                 reply: bytes = await stream.recv_message() or b""
         except grpclib.GRPCError as error:
-            if signed.learn_time(stream.trailing_metadata):
+            if signed.adopt_time(stream.trailing_metadata):
                 return None
             if error.status is const.Status.UNAUTHENTICATED:
-                signed.note_refusal(str(error.message))
+                signed.log_refusal(str(error.message))
             raise
-        signed.check_reply(stream.initial_metadata, reply)
+        signed.verify_reply(stream.initial_metadata, reply)
         return reply
 
     def _record_timeout(self) -> None:
@@ -211,7 +211,7 @@
             self._channel.close()
 
 
-class PeerClients:
+class PeerClientPool:
     """A pool of clients by address.
 
     Above the limit, the least recently used idle clients are closed.
@@ -243,7 +243,7 @@
         idle = [
             peer
             for peer in self._clients.values()
-            if peer.calls == 0 and peer is not kept
+            if peer.active_calls == 0 and peer is not kept
         ]
         for peer in idle[:surplus]:
             del self._clients[peer.address]
@@ -256,7 +256,9 @@
             peer.close()
 
 
-_ERRORS_BY_STATUS = {const.Status.UNAUTHENTICATED: errors.PeerDistrustError}
+_ERRORS_BY_STATUS = {
+    const.Status.UNAUTHENTICATED: errors.PeerAuthenticationError
+}
 _REMEDIES_BY_STATUS = {
     const.Status.UNAUTHENTICATED: (
         "See docs/operators/keys.md on refused calls."
--- a/src/hoistmoor/peers/errors.py
+++ b/src/hoistmoor/peers/errors.py
@@ -21,9 +21,9 @@
     """The peer replied that it did not execute the call."""
 
 
-class PeerNotGenuineError(PeerUnreachableError):
+class PeerUnverifiedError(PeerUnreachableError):
     """A reply has no valid signature of a host of this deployment."""
 
 
-class PeerDistrustError(PeerRefusedError):
+class PeerAuthenticationError(PeerRefusedError):
     """The peer could not authenticate this host and did nothing."""
--- a/src/hoistmoor/peers/guard.py
+++ b/src/hoistmoor/peers/guard.py
@@ -92,7 +92,7 @@
         )
 
 
-class OpenGuard:
+class AllowAllGuard:
     """Accepts every call; for tests only."""
 
     def wrap(self, mapping: dict[str, Any]) -> dict[str, Any]:
--- a/src/hoistmoor/peers/handlers.py
+++ b/src/hoistmoor/peers/handlers.py
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen
-class KeyFound:
+class KeyLookup:
     """A peer's state of an idempotency key.
 
     Attributes:
@@ -66,7 +66,7 @@
     release_bills: Callable[[tuple[str, ...]], Awaitable[None]] = _unimplemented
     fetch_table: Callable[[int], Awaitable[bytes]] = _unimplemented
     find_decision: Callable[[str], Awaitable[bytes]] = _unimplemented
-    find_key: Callable[[str, str, str], Awaitable[KeyFound]] = _unimplemented
+    find_key: Callable[[str, str, str], Awaitable[KeyLookup]] = _unimplemented
     find_session: Callable[[str, str], Awaitable[bytes]] = _unimplemented
     keep_session: Callable[[str, str, bytes], Awaitable[bytes | None]] = (
         _unimplemented
--- a/src/hoistmoor/peers/server.py
+++ b/src/hoistmoor/peers/server.py
@@ -136,7 +136,7 @@
         self.port = 0
         self._tls = tls
         self._server = _ClosingServer(
-            _PeerService(handlers, guard or guard_lib.OpenGuard())
+            _PeerService(handlers, guard or guard_lib.AllowAllGuard())
         )
 
     async def start(self, host: str, port: int) -> None:
--- a/src/hoistmoor/peers/signing.py
+++ b/src/hoistmoor/peers/signing.py
@@ -32,13 +32,13 @@
 
     metadata: dict[str, str]
 
-    def note_refusal(self, why: str) -> None:
+    def log_refusal(self, why: str) -> None:
         """Logs that authentication between this host and the peer failed."""
 
-    def learn_time(self, metadata: Any) -> bool:
+    def adopt_time(self, metadata: Any) -> bool:
         """Adopts the peer's time from a refusal; returns whether it has one."""
 
-    def check_reply(self, metadata: Any, body: bytes) -> None:
+    def verify_reply(self, metadata: Any, body: bytes) -> None:
         """Raises PeerNotGenuineError unless the reply is authentic."""
 
 
@@ -52,7 +52,7 @@
 class Signing(Protocol):
     """Creates the signers of calls to individual peers."""
 
-    def to(self, address: str) -> PeerSigning:
+    def for_peer(self, address: str) -> PeerSigning:
         """Returns the signer of calls to one peer."""
 
 
@@ -64,9 +64,9 @@
     ) -> None:
         self.signer = signer
         self.clock = clock
-        self.distrust = rate_limited_log.RateLimitedLog(_LOG, clock)
+        self.refusal_log = rate_limited_log.RateLimitedLog(_LOG, clock)
 
-    def to(self, address: str) -> PeerSigning:
+    def for_peer(self, address: str) -> PeerSigning:
         """Returns the signer of calls to one peer."""
         return _PeerSigner(self, address)
 
@@ -81,12 +81,12 @@
     def __init__(self, signing: CallSigning, address: str) -> None:
         self.signer = signing.signer
         self.clock = signing.clock
-        self.distrust = signing.distrust
+        self.refusal_log = signing.refusal_log
         self.address = address
-        self.ahead = 0.0
+        self.clock_offset = 0.0
 
     def sign(self, method: str, body: bytes) -> _SignedPeerCall:
-        now = self.clock() + self.ahead
+        now = self.clock() + self.clock_offset
         return _SignedPeerCall(
             self, self.signer.sign(method, self.address, body, now)
         )
@@ -98,10 +98,10 @@
         self._signed = signed
         self.metadata = {CALL_HEADER: signed.header}
 
-    def note_refusal(self, why: str) -> None:
+    def log_refusal(self, why: str) -> None:
         # An impostor may send arbitrary text, so only known reasons are logged.
         known_reason = why if why in _REASONS else "unknown reason"
-        self._peer.distrust.warning(
+        self._peer.refusal_log.warning(
             known_reason,
             "Authentication between this host and peer %s failed: %s. Check "
             "HOISTMOOR_SECRET",
@@ -109,27 +109,27 @@
             known_reason,
         )
 
-    def learn_time(self, metadata: Mapping[str, str] | None) -> bool:
+    def adopt_time(self, metadata: Mapping[str, str] | None) -> bool:
         header = metadata.get(TIME_HEADER) if metadata else None
         peer = self._peer
         time = peer.signer.read_time(self._signed, header)
         if time is None:
             return False
-        peer.ahead = time - peer.clock()
+        peer.clock_offset = time - peer.clock()
         _LOG.info(
             "The clock of peer %s differs by %+.1f s from that of this host",
             peer.address,
-            peer.ahead,
+            peer.clock_offset,
         )
         return True
 
-    def check_reply(
+    def verify_reply(
         self, metadata: Mapping[str, str] | None, body: bytes
     ) -> None:
         header = metadata.get(REPLY_HEADER) if metadata else None
         if not self._peer.signer.verify_reply(self._signed, header, body):
-            self.note_refusal(_UNVERIFIED_REPLY)
-            raise errors.PeerNotGenuineError(
+            self.log_refusal(_UNVERIFIED_REPLY)
+            raise errors.PeerUnverifiedError(
                 f"the reply of peer {self._peer.address} has no valid "
                 "signature of a host of this deployment",
                 "Check that HOISTMOOR_SECRET is the same on both hosts.",
@@ -141,19 +141,19 @@
 
     metadata: dict[str, str] = {}
 
-    def to(self, address: str) -> PeerSigning:
+    def for_peer(self, address: str) -> PeerSigning:
         return self
 
     def sign(self, method: str, body: bytes) -> SignedCall:
         return self
 
-    def note_refusal(self, why: str) -> None:
+    def log_refusal(self, why: str) -> None:
         return None
 
-    def learn_time(self, metadata: Any) -> bool:
+    def adopt_time(self, metadata: Any) -> bool:
         return False
 
-    def check_reply(self, metadata: Any, body: bytes) -> None:
+    def verify_reply(self, metadata: Any, body: bytes) -> None:
         return None
 
 
--- a/src/hoistmoor/platform/store.py
+++ b/src/hoistmoor/platform/store.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from hoistmoor.clients import replies
+from hoistmoor.clients import service_client
 from hoistmoor.core import errors
 from hoistmoor.core.relay.beliefs import store_era as store_era_lib
 from hoistmoor.core.relay.beliefs import topics
@@ -168,13 +168,13 @@
                 self._base + call,
                 params={"topic": self.topic, "part": _PARTITION, **query},
                 data=body or None,
-                timeout=replies.timeout_of(CALL_TIMEOUT + wait),
+                timeout=service_client.make_timeout(CALL_TIMEOUT + wait),
             ) as reply:
                 era = self.store_era.record_response(
                     _parse_era(reply.headers), known
                 )
                 return reply.status, await reply.read(), era
-        except replies.TRANSPORT_ERRORS as error:
+        except service_client.TRANSPORT_ERRORS as error:
             raise errors.LogOutcomeUnknownError(
                 f"no response from the store to {call}: {error!r}",
                 "Read the topic before writing again.",
--- a/src/hoistmoor/relay/application.py
+++ b/src/hoistmoor/relay/application.py
@@ -108,7 +108,7 @@
             attempt_header=platform.headers.request_id,
             not_run_header=platform.headers.not_run,
             not_run_statuses=platform.not_run_statuses,
-            has_end_mark=False,
+            has_end_marker=False,
         )
         deadlines = suspension.SuspensionAwareTimeouts()
         self.suspension = suspension.SuspensionMonitor(self.state, deadlines)
@@ -255,7 +255,7 @@
     stop = signals.stop_event()
     async with contextlib.AsyncExitStack() as stack:
         platform_session = await stack.enter_async_context(
-            sessions.make_session(unanswered_timeout=UNACKNOWLEDGED_TIMEOUT)
+            sessions.make_session(unacknowledged_timeout=UNACKNOWLEDGED_TIMEOUT)
         )
         platform = connect(platform_session)
         make_backend_session = functools.partial(
@@ -264,7 +264,7 @@
             total_timeout=None,
             idle_timeout=BACKEND_IDLE_TIMEOUT,
             attempt_header=platform.headers.request_id,
-            unanswered_timeout=UNACKNOWLEDGED_TIMEOUT,
+            unacknowledged_timeout=UNACKNOWLEDGED_TIMEOUT,
         )
         backends = backend_connector_lib.BackendSessions(
             await stack.enter_async_context(make_backend_session()),
--- a/src/hoistmoor/relay/front/attempt.py
+++ b/src/hoistmoor/relay/front/attempt.py
@@ -67,7 +67,7 @@
     send: messages.Send
     started: float
     exchange: exchange_lib.Exchange
-    head: exchange_lib.Head | None = None
+    head: exchange_lib.ResponseHead | None = None
     first: float | None = None
     latest_event_at: float = 0.0
     longest_pause: float = 0.0
--- a/src/hoistmoor/relay/front/backend_connector.py
+++ b/src/hoistmoor/relay/front/backend_connector.py
@@ -96,7 +96,7 @@
             exchange_lib.Timeouts(
                 total=max(0.0, send.deadline - now),
                 connect=CONNECT_TIMEOUT,
-                silence=send.read_timeout,
+                read=send.read_timeout,
             ),
             self.dialect,
         )
--- a/src/hoistmoor/relay/front/caller_response.py
+++ b/src/hoistmoor/relay/front/caller_response.py
@@ -42,7 +42,7 @@
         self._keep_open = keep_open
         self._wait_for = retry_after_for
 
-    async def start(self, head: exchange_lib.Head) -> None:
+    async def start(self, head: exchange_lib.ResponseHead) -> None:
         """Sends a server's response head; the body follows in chunks."""
         response = web.StreamResponse(
             status=head.status, headers=forwarding.to_caller(head.headers)
@@ -62,7 +62,7 @@
         return self.response
 
     async def deliver(
-        self, head: exchange_lib.Head, body: bytes
+        self, head: exchange_lib.ResponseHead, body: bytes
     ) -> web.StreamResponse:
         """Sends a complete response of a server."""
         response = web.Response(
--- a/src/hoistmoor/relay/front/relay_task.py
+++ b/src/hoistmoor/relay/front/relay_task.py
@@ -188,17 +188,19 @@
             streams.StreamOrderError,
         ) as error:
             attempt.detail = error.problem
-            attempt.is_cut = isinstance(error, exchange_errors.BackendCutError)
+            attempt.is_cut = isinstance(
+                error, exchange_errors.BackendDisconnectedError
+            )
             state = attempt.exchange.state
             return _State.ANSWERING if state is _State.ANSWERED else state
         return attempt.exchange.state
 
     async def _handle_part(
-        self, attempt: attempt_lib.Attempt, part: exchange_lib.Part
+        self, attempt: attempt_lib.Attempt, part: exchange_lib.ResponsePart
     ) -> None:
-        if isinstance(part, exchange_lib.Head):
+        if isinstance(part, exchange_lib.ResponseHead):
             await self._handle_head(attempt, part)
-        elif isinstance(part, exchange_lib.Frame):
+        elif isinstance(part, exchange_lib.BodyChunk):
             await self._handle_data(attempt, part.data)
         elif self._is_passed_through(attempt) and self._sequence.has_partial:
             raise streams.StreamOrderError(
@@ -207,7 +209,7 @@
             )
 
     async def _handle_head(
-        self, attempt: attempt_lib.Attempt, head: exchange_lib.Head
+        self, attempt: attempt_lib.Attempt, head: exchange_lib.ResponseHead
     ) -> None:
         names = self._links.names
         self._apply_report(attempt, head)
@@ -232,7 +234,7 @@
             attempt.detail = f"confidence {confidence}"
 
     def _apply_report(
-        self, attempt: attempt_lib.Attempt, head: exchange_lib.Head
+        self, attempt: attempt_lib.Attempt, head: exchange_lib.ResponseHead
     ) -> None:
         """Applies the server's report, unless another server responded."""
         if head.status in self._links.dialect.not_run_statuses:
@@ -248,7 +250,7 @@
         )
 
     def _check_authentic(
-        self, attempt: attempt_lib.Attempt, head: exchange_lib.Head
+        self, attempt: attempt_lib.Attempt, head: exchange_lib.ResponseHead
     ) -> None:
         """Checks that a response was made by the server and is unmodified.
 
--- a/src/hoistmoor/relay/peers/peer_client.py
+++ b/src/hoistmoor/relay/peers/peer_client.py
@@ -6,7 +6,7 @@
 
 import aiohttp
 
-from hoistmoor.clients import replies
+from hoistmoor.clients import service_client
 from hoistmoor.relay.peers import peer_codec
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
         """Returns a host's response, or None if the request failed."""
         try:
             return await self._exchange(host, peer_codec.encode(question))
-        except (*replies.TRANSPORT_ERRORS, ValueError) as error:
+        except (*service_client.TRANSPORT_ERRORS, ValueError) as error:
             self._state.log.write(
                 "host_silent", peer=host.name, detail=repr(error)
             )
--- a/src/hoistmoor/standins/ratings.py
+++ b/src/hoistmoor/standins/ratings.py
@@ -38,7 +38,9 @@
     seed: int = 0
     first: int = 0
     made: list[messages.Rating] = attrs.field(factory=list)
-    pending: list[tuple[float, int, ratings.Answer]] = attrs.field(factory=list)
+    pending: list[tuple[float, int, ratings.ModelResponse]] = attrs.field(
+        factory=list
+    )
     submitted: set[str] = attrs.field(factory=set)
 
     def add_routes(self, application: web.Application) -> None:
@@ -46,7 +48,7 @@
         application.router.add_post(_PATH + "/answers", self.handle_submit)
         application.router.add_get(_PATH, self.handle_poll)
 
-    def submit(self, answer: ratings.Answer, now: float) -> None:
+    def submit(self, answer: ratings.ModelResponse, now: float) -> None:
         """Takes an answer; one that was taken before is ignored."""
         if answer.answer_id in self.submitted:
             return
@@ -74,7 +76,7 @@
         """Takes a list of answers."""
         fields = await answers.read_json(request)
         try:
-            submitted = codec.structure(fields, list[ratings.Answer])
+            submitted = codec.structure(fields, list[ratings.ModelResponse])
         except cattrs.BaseValidationError as error:
             raise web.HTTPBadRequest(text=repr(error)) from error
         now = time.time()
@@ -96,7 +98,7 @@
         )
 
 
-def _rating(answer: ratings.Answer, now: float) -> messages.Rating:
+def _rating(answer: ratings.ModelResponse, now: float) -> messages.Rating:
     return messages.Rating(
         answer_id=answer.answer_id,
         model=answer.model,
--- a/src/hoistmoor/steward/engines.py
+++ b/src/hoistmoor/steward/engines.py
@@ -9,7 +9,7 @@
 import attrs
 
 from hoistmoor.clients import engines
-from hoistmoor.clients import replies
+from hoistmoor.clients import service_client
 from hoistmoor.clients import weights
 from hoistmoor.core import errors
 from hoistmoor.core.steward import placement
@@ -82,7 +82,7 @@
         if leaving is None:
             leaving = known is not None and known.leaving
         try:
-            state = await self.client.state(server.address)
+            state = await self.client.fetch_state(server.address)
         except errors.PlatformError:
             if known is not None:
                 failed = attrs.evolve(
@@ -175,7 +175,7 @@
             for key in sorted(order.loads):
                 name, _, version = key.partition("@")
                 await self.store.fetch_info(name, version)
-        except replies.RateLimitedError as error:
+        except service_client.RateLimitedError as error:
             self.weights_blocked_until = self._clock() + error.retry_after
             return False
         except errors.PlatformError as error:
@@ -193,7 +193,7 @@
         wanted = tuple(sorted(planned.wanted))
         name = planned.server.server
         try:
-            await self.client.order(
+            await self.client.send_order(
                 planned.server.address, engines.Order(fencing, wanted)
             )
         except errors.PlatformError as error:
--- a/src/hoistmoor/steward/stream.py
+++ b/src/hoistmoor/steward/stream.py
@@ -90,7 +90,7 @@
         Raises:
             PlatformError: The log could not be read.
         """
-        return await self._reader.step(wait)
+        return await self._reader.poll(wait)
 
     def begin(self, start: int) -> None:
         """Resets the fold to start at ``start``, without earlier state."""
--- a/tests/clients/test_clients_exchange.py
+++ b/tests/clients/test_clients_exchange.py
@@ -33,7 +33,7 @@
 # Long timeouts avoid failures on a busy machine; only tests of silent servers
 # use a short one.
 LONG_TIMEOUTS = exchange.Timeouts(connect=30.0)
-SHORT_TIMEOUTS = exchange.Timeouts(connect=30.0, silence=0.2)
+SHORT_TIMEOUTS = exchange.Timeouts(connect=30.0, read=0.2)
 
 
 def chunk(data: bytes) -> bytes:
@@ -69,7 +69,7 @@
     return respond
 
 
-Cut = exchange_errors.BackendCutError
+Cut = exchange_errors.BackendDisconnectedError
 Timeout = exchange_errors.BackendTimeoutError
 Protocol = exchange_errors.BackendProtocolError
 
@@ -191,7 +191,7 @@
     assertions.assert_that(opened.state, matchers.Is(state))
     assertions.assert_that(type(ended.error), matchers.Is(error or type(None)))
     assertions.assert_that(
-        exchange.End() in ended.parts, matchers.Equals(error is None)
+        exchange.ResponseEnd() in ended.parts, matchers.Equals(error is None)
     )
     assertions.assert_that(backend.requests, matchers.HasLength(1))
 
@@ -274,12 +274,12 @@
     opened = exchange.Exchange(
         session, make_request(backend.address), LONG_TIMEOUTS
     )
-    texts = (await ended_exchange.run(opened)).frames
+    texts = (await ended_exchange.run(opened)).chunks
     assertions.assert_that(texts, matchers.HasLength(3))
     assertions.assert_that(
         b"".join(texts), matchers.Not(matchers.Contains(b"h9.2.3.1"))
     )
-    assertions.assert_that(opened.dropped, matchers.Equals(1))
+    assertions.assert_that(opened.dropped_parts, matchers.Equals(1))
 
 
 @pytest.mark.parametrize(
@@ -317,7 +317,7 @@
     )
     async with opened:
         async for part in opened:
-            if isinstance(part, exchange.Frame):
+            if isinstance(part, exchange.BodyChunk):
                 break
     async with asyncio.timeout(10):
         await backend.closed.wait()
--- a/tests/clients/test_clients_frames.py
+++ b/tests/clients/test_clients_frames.py
@@ -11,7 +11,7 @@
 from testtools import assertions
 from testtools import matchers
 
-from hoistmoor.clients import frames
+from hoistmoor.clients import events
 
 EVENTS = [
     b'data: {"attempt_id":"a"}\n\n',
@@ -26,7 +26,7 @@
 def test_chunk_boundaries_do_not_matter(positions: list[int]) -> None:
     stream = b"".join(EVENTS)
     bounds = [0, *sorted(min(each, len(stream)) for each in positions), None]
-    splitter = frames.EventSplitter()
+    splitter = events.EventSplitter()
     found = []
     for start, end in itertools.pairwise(bounds):
         found += splitter.feed(stream[start:end])
@@ -34,9 +34,9 @@
 
 
 def test_an_oversized_event_is_rejected() -> None:
-    splitter = frames.EventSplitter()
-    with pytest.raises(frames.EventTooLargeError):
-        list(splitter.feed(b"x" * (frames.MAX_EVENT_BYTES + 1)))
+    splitter = events.EventSplitter()
+    with pytest.raises(events.EventTooLargeError):
+        list(splitter.feed(b"x" * (events.MAX_EVENT_BYTES + 1)))
 
 
 @pytest.mark.parametrize(
@@ -51,4 +51,6 @@
     ],
 )
 def test_event_ownership(payload: bytes, is_own: bool) -> None:
-    assertions.assert_that(frames.belongs_to(payload, "a"), matchers.Is(is_own))
+    assertions.assert_that(
+        events.belongs_to_attempt(payload, "a"), matchers.Is(is_own)
+    )
--- a/tests/clients/test_clients_platform.py
+++ b/tests/clients/test_clients_platform.py
@@ -12,7 +12,7 @@
 from hoistmoor.clients import engines
 from hoistmoor.clients import hosts
 from hoistmoor.clients import ratings
-from hoistmoor.clients import replies
+from hoistmoor.clients import service_client
 from hoistmoor.clients import weights
 from hoistmoor.standins import engine as engine_standin
 from hoistmoor.standins import fault_book
@@ -97,9 +97,13 @@
     platform: StandIn, session: aiohttp.ClientSession
 ) -> None:
     client = ratings.RatingsClient(session, platform.url)
-    good = ratings.Answer("1", "fast", "1", "chat", marks.make(True, "a"))
-    bad = ratings.Answer("2", "fast", "1", "chat", marks.make(False, "b"))
-    unmarked = ratings.Answer("3", "fast", "1", "chat", "no mark")
+    good = ratings.ModelResponse(
+        "1", "fast", "1", "chat", marks.make(True, "a")
+    )
+    bad = ratings.ModelResponse(
+        "2", "fast", "1", "chat", marks.make(False, "b")
+    )
+    unmarked = ratings.ModelResponse("3", "fast", "1", "chat", "no mark")
     await client.submit(good, bad, unmarked)
     await client.submit(good)
     page = await client.poll(0)
@@ -115,7 +119,7 @@
     client = weights.WeightStoreClient(session, platform.url)
     info = await client.fetch_info("fast", "1")
     assertions.assert_that(info.version, matchers.Equals("1"))
-    with pytest.raises(replies.RateLimitedError) as raised:
+    with pytest.raises(service_client.RateLimitedError) as raised:
         for _ in range(50):
             await client.fetch_info("fast", "1")
     assertions.assert_that(raised.value.retry_after, matchers.Equals(1.0))
@@ -125,13 +129,13 @@
     engine: StandIn, session: aiohttp.ClientSession
 ) -> None:
     client = engines.EngineClient(session)
-    report = await client.load(engine.address)
+    report = await client.fetch_load(engine.address)
     assertions.assert_that(
         (report.server, report.incarnation, report.state, report.versions),
         matchers.Equals(("engine-1", 7, "live", ("fast@1",))),
     )
     engine.book.add(faults.Leaving())
-    report = await client.load(engine.address)
+    report = await client.fetch_load(engine.address)
     assertions.assert_that(report.state, matchers.Equals("leaving"))
 
 
@@ -142,14 +146,15 @@
     new = engines.Order(9, ("fast@1", "fast@2"))
     old = engines.Order(8, ("fast@1",))
     assertions.assert_that(
-        (await client.order(engine.address, new)).fencing, matchers.Equals(9)
+        (await client.send_order(engine.address, new)).fencing,
+        matchers.Equals(9),
     )
-    await client.order(engine.address, new)
-    with pytest.raises(engines.OrderRefusedError) as raised:
-        await client.order(engine.address, old)
-    assertions.assert_that(raised.value.highest, matchers.Equals(9))
+    await client.send_order(engine.address, new)
+    with pytest.raises(engines.StaleOrderError) as raised:
+        await client.send_order(engine.address, old)
+    assertions.assert_that(raised.value.highest_fencing, matchers.Equals(9))
     engine.book.add(faults.Fencing(honoured=False))
-    state = await client.order(engine.address, old)
+    state = await client.send_order(engine.address, old)
     assertions.assert_that(state.wanted, matchers.Equals(("fast@1",)))
     assertions.assert_that(state.fencing, matchers.Equals(9))
 
@@ -159,9 +164,9 @@
 ) -> None:
     client = engines.EngineClient(session)
     engine.book.add(faults.ApplyButLoseReply(match="/orders", count=1))
-    with pytest.raises(replies.ServiceUnavailableError):
-        await client.order(engine.address, engines.Order(3, ("fast@2",)))
-    state = await client.state(engine.address)
+    with pytest.raises(service_client.ServiceUnavailableError):
+        await client.send_order(engine.address, engines.Order(3, ("fast@2",)))
+    state = await client.fetch_state(engine.address)
     assertions.assert_that(
         (state.fencing, state.wanted), matchers.Equals((3, ("fast@2",)))
     )
@@ -173,12 +178,12 @@
     client = engines.EngineClient(session)
     for text in "abcd":
         await _complete(session, engine, text * 1100)
-    page = await client.cache_events(engine.address, 0)
+    page = await client.fetch_cache_events(engine.address, 0)
     sequences = [event.sequence for event in page.events]
     assertions.assert_that(sequences, matchers.Equals([0, 1, 2, 3]))
     assertions.assert_that(page.events[0].stored, matchers.HasLength(2))
     engine.book.add(faults.Gap(every=2))
-    page = await client.cache_events(engine.address, 0)
+    page = await client.fetch_cache_events(engine.address, 0)
     sequences = [event.sequence for event in page.events]
     assertions.assert_that(sequences, matchers.Equals([0, 2]))
 
@@ -209,11 +214,11 @@
     platform: StandIn, session: aiohttp.ClientSession, fault: faults.Fault
 ) -> None:
     platform.book.add(fault)
-    with pytest.raises(replies.ServiceUnavailableError):
+    with pytest.raises(service_client.ServiceUnavailableError):
         await hosts.HostListClient(session, platform.url, 0.2).fetch()
-    with pytest.raises(replies.ServiceUnavailableError):
+    with pytest.raises(service_client.ServiceUnavailableError):
         await ratings.RatingsClient(session, platform.url, 0.2).poll(0)
-    with pytest.raises(replies.ServiceUnavailableError):
+    with pytest.raises(service_client.ServiceUnavailableError):
         await weights.WeightStoreClient(session, platform.url, 0.2).fetch_info(
             "fast", "1"
         )
--- a/tests/clients/test_clients_sessions.py
+++ b/tests/clients/test_clients_sessions.py
@@ -35,7 +35,7 @@
     request = exchange.BackendRequest("GET", f"http://{address}/", attempt)
     opened = exchange.Exchange(session, request)
     ended = await ended_exchange.run(opened)
-    return opened.state, b"".join(ended.frames)
+    return opened.state, b"".join(ended.chunks)
 
 
 async def close_after_first(
@@ -132,7 +132,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(
-        sessions.QuietConnector, "_get", aiohttp.TCPConnector._get
+        sessions.IdleCheckConnector, "_get", aiohttp.TCPConnector._get
     )
     late = LateBackend()
     backend = await make_backend(late.respond)
--- a/tests/clients/test_clients_stream_reader.py
+++ b/tests/clients/test_clients_stream_reader.py
@@ -195,7 +195,9 @@
     consumer = Consumer()
     reader = make_reader(log, consumer)
     log.payloads = [b"good"] * 2
-    consumer.on_offset = lambda offset: reader.hurry() if offset == 1 else None
+    consumer.on_offset = lambda offset: (
+        reader.poll_now() if offset == 1 else None
+    )
     with pytest.raises(_EndOfTestError):
         await reader.run()
     # No record arrives during the delay; the poll itself waits for one.
@@ -219,7 +221,7 @@
     for _ in range(20):
         await asyncio.sleep(0)
     assertions.assert_that(reader.polls, matchers.Equals(1))
-    reader.hurry()
+    reader.poll_now()
     while reader.polls < 2:
         await asyncio.sleep(0)
     task.cancel()
@@ -257,11 +259,11 @@
     consumer = Consumer()
     consumer.needed_until = 10**6
     reader = make_reader(log, consumer)
-    reader.hurry()
+    reader.poll_now()
     task = asyncio.create_task(reader.run())
     while reader.failures < 50:
         await asyncio.sleep(0)
-        reader.hurry()
+        reader.poll_now()
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
     assertions.assert_that(
--- a/tests/ended_exchange.py
+++ b/tests/ended_exchange.py
@@ -17,20 +17,22 @@
         error: Why the response is incomplete; None if it is complete.
     """
 
-    parts: tuple[exchange.Part, ...]
+    parts: tuple[exchange.ResponsePart, ...]
     error: exchange_errors.ExchangeError | None
 
     @property
-    def frames(self) -> list[bytes]:
+    def chunks(self) -> list[bytes]:
         """The events of a stream, or the chunks of another body."""
         return [
-            part.data for part in self.parts if isinstance(part, exchange.Frame)
+            part.data
+            for part in self.parts
+            if isinstance(part, exchange.BodyChunk)
         ]
 
 
 async def run(opened: exchange.Exchange) -> EndedExchange:
     """Runs an exchange until it is complete or fails."""
-    parts: list[exchange.Part] = []
+    parts: list[exchange.ResponsePart] = []
     try:
         async with opened:
             async for part in opened:
--- a/tests/entry/sessions/test_entry_pin_store.py
+++ b/tests/entry/sessions/test_entry_pin_store.py
@@ -27,7 +27,7 @@
 
 @pytest_asyncio.fixture
 async def hosts() -> AsyncIterator[dict[str, session_affinity.SessionAffinity]]:
-    clients = client.PeerClients()
+    clients = client.PeerClientPool()
     addresses: dict[str, str] = {}
     store = pin_store.PeerPinStore(clients, addresses.get)
     created: dict[str, session_affinity.SessionAffinity] = {}
--- a/tests/peers/test_peers_calls.py
+++ b/tests/peers/test_peers_calls.py
@@ -50,8 +50,8 @@
 
     async def _find_key(
         self, account: str, key: str, claim_id: str
-    ) -> handlers.KeyFound:
-        return handlers.KeyFound(claim_id, f"{account}/{key}".encode())
+    ) -> handlers.KeyLookup:
+        return handlers.KeyLookup(claim_id, f"{account}/{key}".encode())
 
 
 @pytest.fixture
@@ -130,10 +130,10 @@
 async def test_only_idle_connections_are_closed_above_the_limit(
     peer_server: server.PeerServer, callee: _Peer
 ) -> None:
-    clients = client.PeerClients(limit=1)
+    clients = client.PeerClientPool(limit=1)
     busy = clients.get(f"127.0.0.1:{peer_server.port}")
     call = asyncio.create_task(busy.ping(peer_pb2.Digest(sender="a")))
-    while busy.calls == 0:
+    while busy.active_calls == 0:
         await asyncio.sleep(0)
     clients.get("127.0.0.1:1")
     callee.gate.set()
--- a/tests/peers/test_peers_security.py
+++ b/tests/peers/test_peers_security.py
@@ -123,7 +123,7 @@
     caplog.set_level(logging.WARNING, "absl")
     caller = callee.caller(WRONG_SECRET)
     for _ in range(5):
-        with pytest.raises(errors.PeerDistrustError) as caught:
+        with pytest.raises(errors.PeerAuthenticationError) as caught:
             await caller.hold_bills("1", b"b")
     assertions.assert_that(callee.held, matchers.Equals([]))
     assertions.assert_that(
@@ -222,7 +222,7 @@
     callee: _Callee,
 ) -> None:
     await callee.start(is_guarded=False)
-    with pytest.raises(errors.PeerNotGenuineError):
+    with pytest.raises(errors.PeerUnverifiedError):
         await callee.caller(SECRET).hold_bills("1", b"b")
 
 
--- a/tests/standins/conftest.py
+++ b/tests/standins/conftest.py
@@ -65,7 +65,7 @@
         )
         opened = exchange.Exchange(self.session, request)
         ended = await ended_exchange.run(opened)
-        return opened, ended.frames
+        return opened, ended.chunks
 
     def chat_body(self, text: str = "hello", **fields: Any) -> dict[str, Any]:
         """Returns the body of a chat completion."""
--- a/tests/standins/test_standins_main.py
+++ b/tests/standins/test_standins_main.py
@@ -63,7 +63,7 @@
         opened = exchange.Exchange(session, request)
         async with opened:
             async for part in opened:
-                if isinstance(part, exchange.Head):
+                if isinstance(part, exchange.ResponseHead):
                     process.terminate()
         async with asyncio.timeout(30):
             code = await process.wait()
--- a/tests/steward/steward_rig.py
+++ b/tests/steward/steward_rig.py
@@ -92,7 +92,7 @@
 
     async def engine(self, address: str) -> engines.EngineState:
         """Returns the state of an engine."""
-        return await engines.EngineClient(self.session).state(address)
+        return await engines.EngineClient(self.session).fetch_state(address)
 
 
 def make_table(*addresses: str) -> model.Table:
--- a/tests/steward/test_steward_processes.py
+++ b/tests/steward/test_steward_processes.py
@@ -97,10 +97,10 @@
     no_versions = engines.Order(old, ())
     checks_fencing, ignores_fencing = addresses
     current = await rig.engine(checks_fencing)
-    await client.order(checks_fencing, engines.Order(new, current.wanted))
-    with pytest.raises(engines.OrderRefusedError):
-        await client.order(checks_fencing, no_versions)
-    await client.order(ignores_fencing, no_versions)
+    await client.send_order(checks_fencing, engines.Order(new, current.wanted))
+    with pytest.raises(engines.StaleOrderError):
+        await client.send_order(checks_fencing, no_versions)
+    await client.send_order(ignores_fencing, no_versions)
     assert (await rig.engine(ignores_fencing)).wanted == ()
 
 
@@ -139,7 +139,7 @@
     first = await rig.start_steward("a")
     client = ratings.RatingsClient(rig.session, rig.url)
     good = [
-        ratings.Answer(f"r{n}", "m", "2", "k", marks.make(True, f"{n}"))
+        ratings.ModelResponse(f"r{n}", "m", "2", "k", marks.make(True, f"{n}"))
         for n in range(40)
     ]
 
--- a/tests/system/broken_entry.py
+++ b/tests/system/broken_entry.py
@@ -9,7 +9,7 @@
 import sys
 from typing import Any
 
-from hoistmoor.clients import frames
+from hoistmoor.clients import events
 from hoistmoor.core import outcomes
 from hoistmoor.core.membership import freshness
 from hoistmoor.core.membership import servers
@@ -52,7 +52,7 @@
 
 
 def _frames() -> None:
-    frames.belongs_to = lambda *_: True  # type: ignore[assignment]
+    events.belongs_to_attempt = lambda *_: True  # type: ignore[assignment]
 
 
 def _grants() -> None:
@@ -92,7 +92,7 @@
 
 
 def _peer_guard() -> None:
-    guard.CallGuard.wrap = guard.OpenGuard.wrap  # type: ignore[assignment]
+    guard.CallGuard.wrap = guard.AllowAllGuard.wrap  # type: ignore[assignment]
 
 
 def _leaving() -> None:
--- a/tests/system/system_strangers.py
+++ b/tests/system/system_strangers.py
@@ -37,7 +37,7 @@
     for name, attempt in attempts.items():
         try:
             await attempt()
-        except errors.PeerDistrustError:
+        except errors.PeerAuthenticationError:
             continue
         except errors.PeerError as error:
             taken.append(f"{name}: {error}")
