--- a/src/hoistmoor/core/identity.py
+++ b/src/hoistmoor/core/identity.py
@@ -36,7 +36,7 @@
     serial: int
 
     def __str__(self) -> str:
-        """Returns the form shown to clients: ``host.number.serial``."""
+        """Returns the form shown to callers: ``host.number.serial``."""
         return f"{self.incarnation}.{self.serial:x}"
 
     @classmethod
--- a/src/hoistmoor/core/limits/accounts.py
+++ b/src/hoistmoor/core/limits/accounts.py
@@ -39,7 +39,7 @@
 
     Attributes:
         shares: This host's fraction of each account's limits.
-        uses: Current use, by account name.
+        usage: Current use, by account name.
     """
 
     def __init__(self, incarnation: identity.Incarnation) -> None:
@@ -68,7 +68,7 @@
     def undo(self, account: str) -> None:
         """Reverts the admission of a request that a later check refused.
 
-        Unlike ``leave``, this also refunds the rate token.
+        Unlike ``release``, this also refunds the rate token.
         """
         self.leave(account)
         self.uses[account].bucket.give_back()
--- a/src/hoistmoor/core/limits/book.py
+++ b/src/hoistmoor/core/limits/book.py
@@ -19,7 +19,8 @@
     from hoistmoor.core import identity
 
 SNAPSHOT_SECONDS = 600.0  # Age at which a new snapshot is due.
-_SNAPSHOT_SPREAD = 300.0  # Seconds over which the hosts' snapshots are spread.
+# Seconds over which the hosts' snapshots are spread.
+_SNAPSHOT_SPREAD_SECONDS = 300.0
 # Fraction of a share reserved for urgent requests while the log is down.
 _URGENT_FRACTION = 0.25
 
@@ -39,11 +40,11 @@
     Attributes:
         incarnation: Incarnation of this process.
         fold: State of the limits stream.
-        wallet: Shares that this process holds.
+        local_shares: Shares that this process holds.
         in_force: The table in force.
         log_is_up: Whether shares can be requested from the log.
         transfers: Transfers between this host and its peers.
-        gifts: Handoffs from and to hosts that stop.
+        handoffs: Handoffs from and to hosts that stop.
     """
 
     def __init__(self, incarnation: identity.Incarnation) -> None:
@@ -185,7 +186,9 @@
     def is_snapshot_due(self, now: float) -> bool:
         """Returns whether this host should append a snapshot."""
         age = now - self.fold.snapshot_at
-        max_age = SNAPSHOT_SECONDS + self._schedule.place * _SNAPSHOT_SPREAD
+        max_age = (
+            SNAPSHOT_SECONDS + self._schedule.place * _SNAPSHOT_SPREAD_SECONDS
+        )
         return self.fold.can_snapshot and age >= max_age
 
     def _plan_day(
--- a/src/hoistmoor/core/limits/gifts.py
+++ b/src/hoistmoor/core/limits/gifts.py
@@ -67,7 +67,7 @@
 
     Attributes:
         incarnation: Incarnation of this process.
-        wallet: Shares that this process holds.
+        local_shares: Shares that this process holds.
     """
 
     def __init__(
--- a/src/hoistmoor/core/limits/queue.py
+++ b/src/hoistmoor/core/limits/queue.py
@@ -83,7 +83,7 @@
         service_times: Moving average of the seconds that a request holds its
             slot, by priority class.
         waiting: Waiting requests, by serial.
-        counts: Number of waiting requests, by priority class.
+        waiting_counts: Number of waiting requests, by priority class.
     """
 
     def __init__(self, slots: int, max_waiting: int = MAX_WAITING) -> None:
--- a/src/hoistmoor/core/limits/shares.py
+++ b/src/hoistmoor/core/limits/shares.py
@@ -54,7 +54,7 @@
         sums: Granted totals, by account and day.
         demands: Newest demand report, by host.
         complete_from: First day without missing records; None until it is
-            known from ``begin_at`` or a record.
+            known from ``restart`` or a record.
         snapshot_at: Time at which the log stored the newest snapshot, or the
             first record read.
         ignored: Number of records that had no effect.
--- a/src/hoistmoor/core/limits/transfers.py
+++ b/src/hoistmoor/core/limits/transfers.py
@@ -95,7 +95,7 @@
 
     Attributes:
         incarnation: Incarnation of this process.
-        wallet: Shares that this process holds.
+        local_shares: Shares that this process holds.
     """
 
     def __init__(
--- a/src/hoistmoor/core/limits/turns.py
+++ b/src/hoistmoor/core/limits/turns.py
@@ -11,7 +11,7 @@
 # each of them holds some if the log is down over midnight. The requests are
 # spread over 50 minutes by a hash to avoid a burst of appends.
 _PREFETCH_SECONDS = 25_200.0
-_PREFETCH_SPREAD = 3_000.0
+_PREFETCH_SPREAD_SECONDS = 3_000.0
 # Time in which a host learns of the others; then it requests its full floor.
 _SETTLE_SECONDS = 5.0
 _HASH_SPAN = 2.0**32
@@ -21,7 +21,7 @@
     """Schedule of one host's share requests among the other hosts.
 
     Attributes:
-        place: Fixed position of this host among the hosts, from 0 to 1.
+        position: Fixed position of this host among the hosts, from 0 to 1.
         hosts: Number of live entry hosts.
         is_settled: Whether this host has had time to learn of the others.
     """
@@ -58,4 +58,7 @@
     def is_prefetch_time(self, now: float) -> bool:
         """Returns whether to request shares of the next day."""
         remaining = records.SECONDS_PER_DAY - now % records.SECONDS_PER_DAY
-        return remaining <= _PREFETCH_SECONDS - self.place * _PREFETCH_SPREAD
+        return (
+            remaining
+            <= _PREFETCH_SECONDS - self.place * _PREFETCH_SPREAD_SECONDS
+        )
--- a/src/hoistmoor/core/once/claimant.py
+++ b/src/hoistmoor/core/once/claimant.py
@@ -108,7 +108,7 @@
         """Returns whether a request may run on this host now.
 
         A request that gets a ``Wait`` calls this method again after each change
-        of the named claim, and calls ``leave`` if it stops waiting.
+        of the named claim, and calls ``stop_waiting`` if it stops waiting.
         """
         key = records.key_digest(request.account, request.key)
         run = self._runs.get(key)
@@ -186,7 +186,7 @@
         """Returns the next batch to append, if any.
 
         Only one append may be in flight. Its result must be reported by one of
-        ``appended``, ``append_lost`` and ``append_refused``.
+        ``on_append_stored``, ``on_append_lost`` and ``on_append_refused``.
         """
         if not self.outbox:
             return None
--- a/src/hoistmoor/core/once/runs.py
+++ b/src/hoistmoor/core/once/runs.py
@@ -29,7 +29,7 @@
         stage: Current stage.
         waiters: Ids of the requests that wait for the run.
         sent: Whether an append with the claim was started.
-        lost: Whether the reply to such an append was lost.
+        reply_lost: Whether the reply to such an append was lost.
         outcome: Outcome of the run, once it has ended.
     """
 
--- a/src/hoistmoor/core/once/view.py
+++ b/src/hoistmoor/core/once/view.py
@@ -82,7 +82,7 @@
         fingerprint: Digest of the holder's request.
         answer_offset: Offset of the batch with the answer; -1 if there is none.
         last_at: Time at which the newest record for the key was stored.
-        spent: Ids of claims that can no longer win.
+        void_claims: Ids of claims that can no longer win.
     """
 
     status: Status = Status.FREE
--- a/src/hoistmoor/core/outcomes.py
+++ b/src/hoistmoor/core/outcomes.py
@@ -10,7 +10,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """Outcome of a request as reported to the client."""
+    """Outcome of a request as reported to the caller."""
 
     NOT_RUN = "not_run"
     DONE = "done"
--- a/src/hoistmoor/core/pacing.py
+++ b/src/hoistmoor/core/pacing.py
@@ -17,11 +17,11 @@
     Attributes:
         period: Minimum seconds between the starts of two polls, unless a task
             waits for a record or more records are available.
-        hold: Long-poll timeout in seconds: how long the log may delay its
-            reply while there is no new record.
+        long_poll_timeout: Seconds for which the log may delay its response
+            while there is no new record.
         page: Maximum number of records per read.
         retry: Delay in seconds before the first retry after a failure.
-        most_retry: Maximum delay in seconds between two retries.
+        max_retry: Maximum delay in seconds between two retries.
         burst: Number of records processed before the reader yields to other
             tasks.
     """
@@ -63,8 +63,9 @@
 LIMITS = Pace(period=0.25, hold=10.0)
 STEWARD = Pace(period=0.25, hold=5.0, retry=0.25)
 # Edits are rare and should take effect immediately, so there is no minimum
-# interval. Each reply confirms that the table is current, at least once per
-# ``hold``. Applying an edit may be slow, so the reader yields after each one.
+# interval. Each response confirms that the table is current, at least once per
+# ``long_poll_timeout``. Applying an edit may be slow, so the reader yields
+# after each one.
 TABLE = Pace(
     period=0.0, hold=1.0, page=200, retry=0.25, most_retry=0.5, burst=1
 )
--- a/src/hoistmoor/core/refusals.py
+++ b/src/hoistmoor/core/refusals.py
@@ -1,4 +1,4 @@
-"""Reasons for refusing a request, and how each is reported to clients."""
+"""Reasons for refusing a request, and how each is reported to callers."""
 
 from __future__ import annotations
 
@@ -57,13 +57,13 @@
 
 @attrs.frozen
 class Rule:
-    """How a refusal reason is reported to clients.
+    """How a refusal reason is reported to callers.
 
     Attributes:
         status: HTTP status code.
         retry_after: Seconds after which a retry is useful. Requests that stay
             refused until the request or the configuration changes get an hour.
-        remedy: What the client should do next.
+        remedy: What the caller should do next.
     """
 
     status: HTTPStatus
@@ -236,7 +236,7 @@
 
     Attributes:
         reason: Why the request was refused.
-        outcome: Whether this attempt of the client ran.
+        outcome: Whether this attempt of the caller ran.
         detail: Human-readable explanation in one sentence. It must contain no
             API key and no part of the body.
         retry_after: Seconds after which a retry is useful; None to use the
--- a/src/hoistmoor/core/relay/beliefs/configuration.py
+++ b/src/hoistmoor/core/relay/beliefs/configuration.py
@@ -117,7 +117,7 @@
 
 @attrs.frozen
 class Limits:
-    """Limits on client requests and connections.
+    """Limits on callers' requests and connections.
 
     Attributes:
         header_bytes: Maximum size of the request headers.
@@ -140,7 +140,7 @@
         routes: Routes, in no particular order.
         services: Services by name.
         accounts: Client accounts; empty if no route requires an API key.
-        limits: Limits on client requests and connections.
+        limits: Limits on callers' requests and connections.
     """
 
     revision: int
--- a/src/hoistmoor/core/relay/beliefs/freshness.py
+++ b/src/hoistmoor/core/relay/beliefs/freshness.py
@@ -1,7 +1,7 @@
 """Lease on the configuration, which bounds how long revoked keys are accepted.
 
 Each read of the newest configuration proves that it was current when the read
-was *sent*, or later if the store delayed its reply. For a limited time after
+was *sent*, or later if the store delayed its response. For a limited time after
 that moment, a key in the configuration cannot have been revoked for longer than
 the operators allow.
 
--- a/src/hoistmoor/core/relay/beliefs/history.py
+++ b/src/hoistmoor/core/relay/beliefs/history.py
@@ -50,7 +50,7 @@
 UnusableObserver = Callable[[Unusable, EraWord], None]
 
 
-def _ignore(kind: Unusable, word: EraWord) -> None:
+def _ignore(kind: Unusable, header: EraWord) -> None:
     """Default observer of unusable eras; does nothing."""
 
 
@@ -69,36 +69,36 @@
     observers: list[Observer] = attrs.field(factory=list)
     on_unusable: UnusableObserver = _ignore
 
-    def take_answer(self, word: EraWord, known: int) -> int:
+    def take_answer(self, header: EraWord, known: int) -> int:
         """Processes the era header of a response; returns its effective era.
 
         A response without an era, or with a lower era than was known when the
         request was sent, is attributed to the known era.
 
         Args:
-            word: Era header of the response.
+            header: Era header of the response.
             known: Era that was known when the request was sent.
         """
-        kind = _classify(word, known)
+        kind = _classify(header, known)
         if kind is not None:
-            self.on_unusable(kind, word)
-        if word.era is None or word.era < known:
+            self.on_unusable(kind, header)
+        if header.era is None or header.era < known:
             return known
-        self.learn(word.era, STORE)
-        return word.era
+        self.learn(header.era, STORE)
+        return header.era
 
-    def learn(self, era: int, told_by: str) -> None:
+    def learn(self, era: int, source: str) -> None:
         """Records an era and notifies the observers if it is newer."""
         if era <= self.era:
             return
         previous, self.era = self.era, era
         for observer in self.observers:
-            observer(previous, era, told_by)
+            observer(previous, era, source)
 
 
-def _classify(word: EraWord, known: int) -> Unusable | None:
-    if word.era is not None:
-        return Unusable.FALLING if word.era < known else None
-    if word.text is not None:
+def _classify(header: EraWord, known: int) -> Unusable | None:
+    if header.era is not None:
+        return Unusable.FALLING if header.era < known else None
+    if header.text is not None:
         return Unusable.JUNK
     return Unusable.ABSENT if known != UNNAMED else None
--- a/src/hoistmoor/core/relay/beliefs/mirror.py
+++ b/src/hoistmoor/core/relay/beliefs/mirror.py
@@ -32,10 +32,10 @@
 # Sources in other failure domains that are asked in addition.
 MAX_REMOTE_SOURCES = 2
 # Hosts in any failure domain that are asked if neither the sources nor the
-# store reply.
+# store response.
 FALLBACK_SOURCES = 2
 # Hosts per failure domain, and first hosts of failure domains, that read the
-# store without waiting for others; see ``Sources.reads_early``.
+# store without waiting for others; see ``SourceSelector.reads_early``.
 EARLY_READERS = 2
 INITIAL_BACKOFF = 2.0  # Seconds for which a failed host is not asked.
 MAX_BACKOFF = 30.0
@@ -247,7 +247,7 @@
         self._backoffs[name] = (now + delay, delay)
 
     def note_answered(self, name: str) -> None:
-        """Records a reply of a host and resets its backoff."""
+        """Records a response of a host and resets its backoff."""
         self._backoffs.pop(name, None)
 
 
--- a/src/hoistmoor/core/relay/beliefs/reading.py
+++ b/src/hoistmoor/core/relay/beliefs/reading.py
@@ -37,7 +37,7 @@
 # third of all hosts may be starting at the same time.
 START_ROUNDS = 4
 # Minimum ratio of link bandwidths for which a starting host waits for another
-# one, except at the first start of the cluster, when there are no clients yet.
+# one, except at the first start of the cluster, when there are no callers yet.
 # 1,400 routes are 700 KB from the store, which takes 0.3 s at 20 Mbit/s, or
 # 0.1 s from a host with 200 Mbit/s.
 MIN_LINK_RATIO = 4.0
@@ -46,7 +46,7 @@
 SLOW_TOPICS_DELAY = 1.0
 SLOW_TOPICS = frozenset({"phases", "hosts", "quarantine"})
 # Topics that a host reads while it knows no other hosts: the store may be
-# unavailable, and these suffice to detect its return.
+# unavailable, and these suffice to detect when it is available again.
 ALONE_TOPICS = frozenset({"operator", "hosts"})
 
 
--- a/src/hoistmoor/core/relay/course/attempt_counts.py
+++ b/src/hoistmoor/core/relay/course/attempt_counts.py
@@ -16,7 +16,7 @@
 # are selected uniformly, one request in 81 hits four dead ones in a row, and
 # one in 6,561 hits eight.
 MAX_UNREACHABLE = 8
-# Servers that may terminate while they run a request without counting as
+# Servers that may end while they run a request without counting as
 # attempts of the route.
 MAX_UNCOUNTED = 3
 
@@ -30,7 +30,7 @@
             route.
         declined: Attempts that a server declined.
         unreachable: Attempts that reached no server.
-        uncounted: Attempts whose server terminated, but not because of the
+        uncounted: Attempts whose server ended, but not because of the
             request.
     """
 
@@ -55,7 +55,7 @@
 
         Args:
             state: Final state of the exchange.
-            is_beside: Whether the server terminated, but not because of the
+            is_beside: Whether the server ended, but not because of the
                 request.
         """
         if state is outcomes.ExchangeState.UNSENT:
--- a/src/hoistmoor/core/relay/course/budget.py
+++ b/src/hoistmoor/core/relay/course/budget.py
@@ -42,7 +42,7 @@
     )
 
     def note_request(self, now: float) -> None:
-        """Counts a client request."""
+        """Counts a request of a caller."""
         _add(self._requests, now)
 
     def note_repeat(self, now: float) -> None:
--- a/src/hoistmoor/core/relay/course/fingerprint.py
+++ b/src/hoistmoor/core/relay/course/fingerprint.py
@@ -1,6 +1,6 @@
 """Fingerprints that identify retries of the same request.
 
-Retries by a client have different request ids and may arrive at different
+Retries by a caller have different request ids and may arrive at different
 hosts. The fingerprint therefore covers the content of the request and the
 client account.
 """
--- a/src/hoistmoor/core/relay/course/machine.py
+++ b/src/hoistmoor/core/relay/course/machine.py
@@ -47,7 +47,7 @@
     _State.DECLINED: refusals.Reason.BACKEND_DECLINED,
 }
 
-# Conditions that exclude all servers and are reported to the client.
+# Conditions that exclude all servers and are reported to the caller.
 _REASON_BY_BAR = {
     access.Bar.COLD: refusals.Reason.NO_CAPACITY,
     access.Bar.LEAVING: refusals.Reason.SERVERS_LEAVING,
@@ -77,7 +77,7 @@
         self.may_have_run = False
         self._router = router
         self._counts = attempt_counts.AttemptCounts()
-        self._has_begun = False  # Whether the client has part of a response.
+        self._has_begun = False  # Whether the caller has part of a response.
         self._escalating = False
         self._keeps_model = False  # Whether escalation is ruled out.
         self._excluded: frozenset[str] = frozenset()
@@ -156,7 +156,7 @@
         self._fall_back_to_small(event.state)
         if self._may_retry(event.state, now):
             effect = self._send(now, _REASON_BY_STATE[event.state])
-            # The failure reported by the server is more useful to the client
+            # The failure reported by the server is more useful to the caller
             # than a refusal because no other server was available.
             if isinstance(effect, messages.Send) or not can_deliver:
                 return effect
@@ -179,7 +179,7 @@
     def _is_failure(self, event: messages.AttemptEnded) -> bool:
         """Returns whether a complete response counts as a failure.
 
-        Once the client has part of a response, only a successful response can
+        Once the caller has part of a response, only a successful response can
         provide the remaining part.
         """
         if self._has_begun:
@@ -191,7 +191,7 @@
         if outcome is not outcomes.Outcome.NOT_RUN:
             self.may_have_run = True
         suspects = self._router.suspects
-        # A request that merely happened to run on a server that terminated is
+        # A request that merely happened to run on a server that ended is
         # not given up because of it.
         is_bystander = event.server_ended and not suspects.is_likely_cause(
             self.request.fingerprint
@@ -226,7 +226,7 @@
         return self._fail(refusals.Reason.DEADLINE_EXCEEDED)
 
     def note_begun(self) -> None:
-        """Records that the client received part of the response."""
+        """Records that the caller received part of the response."""
         self._has_begun = True
 
     def _send(self, now: float, reason: refusals.Reason) -> messages.Effect:
--- a/src/hoistmoor/core/relay/course/messages.py
+++ b/src/hoistmoor/core/relay/course/messages.py
@@ -37,7 +37,7 @@
         state: Final state of the exchange.
         status: HTTP status code of the response; 0 if there was none.
         detail: Human-readable description of the problem.
-        server_ended: Whether the server terminated during the attempt.
+        server_ended: Whether the server ended during the attempt.
         asks_rest: Whether the response asks for a rest: a pause in requests to
             the server.
     """
@@ -73,9 +73,9 @@
         work_class: Class of work of the request.
         serial: Serial number of the attempt at this host.
         deadline: Monotonic time at which the server should give up.
-        patience: Read timeout of the attempt in seconds; None to wait until
+        read_timeout: Read timeout of the attempt in seconds; None to wait until
             the deadline.
-        is_repeat: Whether a server has already received the request.
+        is_retry: Whether a server has already received the request.
         run: Execution of the request at the server.
     """
 
@@ -91,7 +91,7 @@
 
 @attrs.frozen
 class Pass:
-    """Stream the response to the client."""
+    """Stream the response to the caller."""
 
 
 @attrs.frozen
@@ -101,12 +101,12 @@
 
 @attrs.frozen
 class Deliver:
-    """Deliver the completed response to the client as the final result."""
+    """Deliver the completed response to the caller as the final result."""
 
 
 @attrs.frozen
 class Refuse:
-    """Send a refusal to the client as the final result."""
+    """Send a refusal to the caller as the final result."""
 
     refusal: refusals.Refusal
 
--- a/src/hoistmoor/core/relay/course/requests.py
+++ b/src/hoistmoor/core/relay/course/requests.py
@@ -63,7 +63,7 @@
     """A request that was read completely.
 
     Attributes:
-        request_id: Id assigned by the client; differs for each retry.
+        request_id: Id assigned by the caller; differs for each retry.
         route: Route that the request matched.
         service: Service selected for the request.
         account: Name of the client account; empty on an anonymous route.
@@ -72,8 +72,8 @@
         deadline: Monotonic time at which its final response is due.
         prompt: Prompt of a model request; None for other requests.
         model_costs: Cost of the models of the service, by name.
-        session: Session name given by the client, or empty.
-        last_event: Id of the last event that the client received; None if
+        session: Session name given by the caller, or empty.
+        last_event: Id of the last event that the caller received; None if
             there is none.
         priority: Priority of the client account, or else of the route; 0 is
             the most urgent.
--- a/src/hoistmoor/core/relay/course/retry_after.py
+++ b/src/hoistmoor/core/relay/course/retry_after.py
@@ -1,6 +1,6 @@
 """Retry delays for refused requests.
 
-If only one host is unable to serve, its clients should retry immediately, as
+If only one host is unable to serve, its callers should retry immediately, as
 they will reach another host. If a host still receives requests after several
 seconds, however, the other hosts cannot serve either, and an immediate retry
 would only be refused again. This happens if all hosts were killed or
@@ -15,9 +15,9 @@
 # Seconds before a retry at another host, if only this one cannot serve.
 OTHER_HOST_DELAY = 0.05
 FOR_ROOM = 0.5  # Seconds until a server may have capacity again.
-# Maximum delay in seconds: clients should be served soon after an outage ends.
+# Maximum delay in seconds: callers should be served soon after an outage ends.
 MAX_DELAY = 3.0
-# Jitter as a fraction of the delay, so that clients refused at the same time do
+# Jitter as a fraction of the delay, so that callers refused at the same time do
 # not retry at the same time.
 JITTER = 0.5
 
@@ -36,7 +36,7 @@
 
 
 def wait_for(reason: refusals.Reason, unable_for: float, draw: float) -> float:
-    """Returns the seconds after which a refused client should retry.
+    """Returns the seconds after which a refused caller should retry.
 
     Args:
         reason: Reason for the refusal.
--- a/src/hoistmoor/core/relay/placement/bounds.py
+++ b/src/hoistmoor/core/relay/placement/bounds.py
@@ -13,14 +13,14 @@
     """Operator-defined bounds of the relay.
 
     Attributes:
-        repeat_ratio: Repeats permitted per request to a service.
-        repeat_window: Seconds over which requests and repeats are counted.
-        repeat_spare: Repeats that one host may make regardless of its number
+        repeat_ratio: Retries permitted per request to a service.
+        repeat_window: Seconds over which requests and retries are counted.
+        repeat_spare: Retries that one host may make regardless of its number
             of requests.
-        repeat_slack: Repeats that all hosts together may make regardless of
+        repeat_slack: Retries that all hosts together may make regardless of
             their number of requests; None if not bounded.
         session_life: Seconds from its last request until a session expires.
-        warmup_excess: Tolerance for cold servers above their services' rates.
+        rate_tolerance: Tolerance for cold servers above their services' rates.
         longest_rest: Maximum rest in seconds that a server may request from a
             host.
     """
--- a/src/hoistmoor/core/relay/placement/router.py
+++ b/src/hoistmoor/core/relay/placement/router.py
@@ -1,6 +1,6 @@
 """Selects the backend server for each attempt and records the results.
 
-The router holds this host's state of backend servers, rollouts and repeat
+The router holds this host's state of backend servers, rollouts and retry
 budgets. All request state machines share one router.
 """
 
@@ -42,7 +42,7 @@
     Attributes:
         fleet: Backend servers.
         rollouts: Rollouts and versions.
-        paces: Usual durations of responses.
+        response_times: Usual durations of responses.
         suspects: Requests that may crash the servers running them.
         serials: Source of serials for changes sent to other hosts.
         zone: Failure domain of this host.
@@ -78,11 +78,11 @@
         self._outcome_handlers: dict[
             pace_lib.AttemptOutcome, _OutcomeHandler
         ] = {
-            pace_lib.AttemptOutcome.WELL: self._note_success,
-            pace_lib.AttemptOutcome.FAILED: self._note_failure,
-            pace_lib.AttemptOutcome.FULL: self._note_full,
-            pace_lib.AttemptOutcome.REPLACED: self._note_replaced,
-            pace_lib.AttemptOutcome.UNREACHABLE: self._note_unreachable,
+            pace_lib.AttemptOutcome.WELL: self._record_success,
+            pace_lib.AttemptOutcome.FAILED: self._record_failure,
+            pace_lib.AttemptOutcome.FULL: self._record_full,
+            pace_lib.AttemptOutcome.REPLACED: self._record_replaced,
+            pace_lib.AttemptOutcome.UNREACHABLE: self._record_unreachable,
         }
         self.take_bounds(bounds)
 
@@ -97,7 +97,7 @@
             service.budget.window = bounds.repeat_window
 
     def note_request(self, request: requests.RelayRequest, now: float) -> None:
-        """Counts a caller's request, which adds to the repeat budget."""
+        """Counts a caller's request, which adds to the retry budget."""
         service = self._service(request.service)
         service.budget.note_request(now)
         if request.prompt is not None:
@@ -106,11 +106,11 @@
     def may_repeat(self, request: requests.RelayRequest, now: float) -> bool:
         """Returns whether the budget permits another attempt at a request."""
         service = self._service(request.service)
-        service.budget.spare = self._spare_repeats()
+        service.budget.spare = self._spare_retries()
         return service.budget.allows(now)
 
-    def _spare_repeats(self) -> float:
-        """Returns the repeats permitted regardless of the request count."""
+    def _spare_retries(self) -> float:
+        """Returns the retries permitted regardless of the request count."""
         bounds = self._bounds
         if bounds.repeat_slack is None:
             return bounds.repeat_spare
@@ -207,7 +207,7 @@
     def expected_first(
         self, request: requests.RelayRequest, model: str, now: float
     ) -> float:
-        """Returns the expected seconds until a model's first response part."""
+        """Returns the expected seconds until a model's first byte."""
         work_class = self.class_of(request, model)
         return self._service(request.service).delays.expected(work_class, now)
 
@@ -281,36 +281,36 @@
         if handler is not None:
             handler(request, send, now)
 
-    def _note_success(
+    def _record_success(
         self, request: requests.RelayRequest, send: messages.Send, now: float
     ) -> None:
         # A server that reports no start time may return with the same identity.
         send.server.has_ended = False
-        self._note_health(send.server.health, now, is_success=True)
+        self._record_health(send.server.health, now, is_success=True)
 
-    def _note_failure(
+    def _record_failure(
         self, request: requests.RelayRequest, send: messages.Send, now: float
     ) -> None:
-        self._note_health(send.server.health, now, is_success=False)
+        self._record_health(send.server.health, now, is_success=False)
 
-    def _note_health(
+    def _record_health(
         self, health: health_lib.Health, now: float, *, is_success: bool
     ) -> None:
         health.note(is_success, 1.0)
         if health.is_outlier():
             health.eject(now)
 
-    def _note_full(
+    def _record_full(
         self, request: requests.RelayRequest, send: messages.Send, now: float
     ) -> None:
         send.server.health.full_until = now + fleet_lib.FULL_REST
 
-    def _note_replaced(
+    def _record_replaced(
         self, request: requests.RelayRequest, send: messages.Send, now: float
     ) -> None:
         send.server.absent_until = now + fleet_lib.ABSENT
 
-    def _note_unreachable(
+    def _record_unreachable(
         self, request: requests.RelayRequest, send: messages.Send, now: float
     ) -> None:
         if send.is_repeat:
@@ -392,7 +392,7 @@
                 budget.RepeatBudget(
                     bounds.repeat_ratio,
                     bounds.repeat_window,
-                    self._spare_repeats(),
+                    self._spare_retries(),
                 )
             )
             self._services[name] = known
--- a/src/hoistmoor/core/relay/placement/service_state.py
+++ b/src/hoistmoor/core/relay/placement/service_state.py
@@ -18,12 +18,12 @@
     """Statistics that this host keeps for one service.
 
     Attributes:
-        budget: Budget for repeats.
+        budget: Budget for retries.
         partition: Request classes.
-        delays: Delays until the first response part, by class.
+        delays: Delays until the first byte of a response, by class.
         mean_work: Mean work per request; 0 before the first.
-        lacking_since: Monotonic time since which no server has been ready for
-            any request; None if one was ready for the latest request.
+        unavailable_since: Monotonic time since which no server has been ready
+            for any request; None if one was ready for the latest request.
     """
 
     budget: budget.RepeatBudget
--- a/src/hoistmoor/core/relay/servers/access.py
+++ b/src/hoistmoor/core/relay/servers/access.py
@@ -47,8 +47,8 @@
     """Earliest time at which a service without eligible servers has one again.
 
     Attributes:
-        bar: Reason that blocks the server which becomes eligible first.
-        wait: Seconds until then; ``FOR_GOOD`` if no end is known.
+        reason: Reason that blocks the server which becomes eligible first.
+        wait: Seconds until then; ``INDEFINITE`` if no end is known.
     """
 
     bar: Bar
--- a/src/hoistmoor/core/relay/servers/departures.py
+++ b/src/hoistmoor/core/relay/servers/departures.py
@@ -21,7 +21,7 @@
     """Departure of one incarnation of a server, as known to this host.
 
     Attributes:
-        said_at: Monotonic time of the first response, to any host, that
+        announced_at: Monotonic time of the first response, to any host, that
             announced the departure; None if there was none.
         last_announced_at: Monotonic time of the latest such response.
     """
--- a/src/hoistmoor/core/relay/servers/fleet.py
+++ b/src/hoistmoor/core/relay/servers/fleet.py
@@ -382,7 +382,7 @@
         now: float,
         ignored: Container[eligibility_lib.Bar] = (),
     ) -> set[str]:
-        """Returns the versions of the eligible servers; see ``usable``."""
+        """Returns the versions of the eligible servers; see ``eligible``."""
         usable = self.usable(service, now, ignored)
         return {server.entry.version for server in usable}
 
--- a/src/hoistmoor/core/relay/servers/limit_words.py
+++ b/src/hoistmoor/core/relay/servers/limit_words.py
@@ -42,37 +42,37 @@
 
 def told_by(fleet: fleet_lib.Fleet, now: float) -> LimitWords:
     """Returns the limits that this host sends, by server identity."""
-    messages = {
-        server.entry.identity: message
+    gossiped = {
+        server.entry.identity: limit
         for server in fleet
-        if (message := server.limit.word(now)) is not None
+        if (limit := server.limit.word(now)) is not None
     }
-    if len(messages) <= MAX_PER_MESSAGE:
-        return messages
+    if len(gossiped) <= MAX_PER_MESSAGE:
+        return gossiped
     newest = heapq.nsmallest(
-        MAX_PER_MESSAGE, messages.items(), key=lambda item: item[1].age
+        MAX_PER_MESSAGE, gossiped.items(), key=lambda item: item[1].age
     )
     return dict(newest)
 
 
 def take(
     fleet: fleet_lib.Fleet,
-    messages: Mapping[str, limits.LimitWord],
+    gossiped: Mapping[str, limits.LimitWord],
     now: float,
 ) -> list[LimitNews]:
     """Merges the limits sent by another host; returns the changes.
 
     Args:
         fleet: The servers.
-        messages: Limits by server identity.
-        now: Monotonic time to which the ages in ``messages`` refer.
+        gossiped: Limits by server identity.
+        now: Monotonic time to which the ages in ``gossiped`` refer.
     """
     changes = []
-    for identity, message in messages.items():
+    for identity, limit in gossiped.items():
         server = fleet.find(identity)
         if server is None:
             continue
         before = server.limit.rate
-        if server.limit.take(message, now):
+        if server.limit.take(limit, now):
             changes.append(LimitNews(server, before))
     return changes
--- a/src/hoistmoor/core/relay/servers/limits.py
+++ b/src/hoistmoor/core/relay/servers/limits.py
@@ -59,7 +59,7 @@
 
     Attributes:
         rate: Requests a second; None if the server no longer has a limit.
-        generation: How often the set of sending hosts has changed.
+        turn: How often the set of sending hosts has changed.
         age: Seconds since the response that named the limit.
     """
 
@@ -113,27 +113,27 @@
         self.generation = 0
         self.at = at
 
-    def take(self, message: LimitWord, now: float) -> bool:
+    def take(self, gossiped: LimitWord, now: float) -> bool:
         """Merges a limit sent by another host; returns whether it changed.
 
         Args:
-            message: The limit.
+            gossiped: The limit.
             now: Monotonic time to which its age refers.
         """
-        at = now - message.age
-        margin = ECHO_MARGIN if message.rate == self.rate else 0.0
+        at = now - gossiped.age
+        margin = ECHO_MARGIN if gossiped.rate == self.rate else 0.0
         if at <= self.at + margin:
-            if self.rate is None and message.rate is not None:
+            if self.rate is None and gossiped.rate is not None:
                 self.gossip_end_until = now + END_TOLD
             return False
-        is_news = message.rate != self.rate
-        if message.rate is None:
+        is_news = gossiped.rate != self.rate
+        if gossiped.rate is None:
             self._clear(at)
         else:
-            self.rate = message.rate
-            self.generation = message.generation
+            self.rate = gossiped.rate
+            self.generation = gossiped.generation
             self.at = at
-        if is_news and message.rate is None:
+        if is_news and gossiped.rate is None:
             self.gossip_end_until = now + END_TOLD
         return is_news
 
--- a/src/hoistmoor/core/relay/servers/outstanding.py
+++ b/src/hoistmoor/core/relay/servers/outstanding.py
@@ -2,9 +2,10 @@
 
 A host only sees its own requests, which with many hosts are a small fraction of
 a server's work, and responses are too rare to learn the rest from them. Hosts
-fetch copies of topics from one another along a tree (``mirror.Sources``), and
-the work totals travel with these requests: a host reports the total of its own
-subtree to its source, and the reply contains the total of all other hosts.
+fetch copies of topics from one another along a tree (see
+``replication.SourceSelector``), and the work totals travel with these requests:
+a host reports the total of its own subtree to its source, and the response
+contains the total of all other hosts.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/core/relay/servers/reports.py
+++ b/src/hoistmoor/core/relay/servers/reports.py
@@ -48,7 +48,8 @@
         rest: Seconds for which the receiving host should send it nothing; None
             if absent or malformed.
         unreadable: Malformed values, by field.
-        unread: Names of reported fields, as received, that are not supported.
+        unsupported: Names, as received, of reported fields that are not
+            supported.
     """
 
     load: LoadReport | None = None
--- a/src/hoistmoor/core/relay/servers/runs.py
+++ b/src/hoistmoor/core/relay/servers/runs.py
@@ -36,9 +36,9 @@
         stage: Its progress.
         response_started_at: Monotonic time at which the response began; None
             before.
-        is_over: Whether it is known to have finished at the server.
+        is_finished: Whether it is known to have finished at the server.
         is_cut: Whether the server closed the connection.
-        left_at: Monotonic time at which it ended for this host; None before.
+        ended_at: Monotonic time at which it ended for this host; None before.
     """
 
     fingerprint: str = ""
--- a/src/hoistmoor/core/relay/servers/server.py
+++ b/src/hoistmoor/core/relay/servers/server.py
@@ -99,19 +99,20 @@
         work: Work of these requests for an engine, in prompt tokens.
         mean_work: Mean work of this host's requests to it; 0 before the first.
         load: Load of other hosts, from its latest report.
-        told: Outstanding work of other hosts, as reported by them.
-        told_until: Time at which ``told`` expires.
-        lapsed_until: Time until which it is kept although its entry is missing,
+        peer_work: Outstanding work of other hosts, as reported by them.
+        peer_work_until: Time at which ``peer_work`` expires.
+        expires_at: Time until which it is kept although its entry is missing,
             possibly due to a store outage; None while it is listed.
         cold_until: Time until which it counts as cold.
-        doubted_until: Time until which it may have restarted cold without its
-            new entry having been read.
-        absent_until: Time until which it counts as ended, because it crashed or
-            another server answers at its address.
+        possibly_cold_until: Time until which it may have restarted cold
+            without its new entry having been read.
+        presumed_ended_until: Time until which it counts as ended, because it
+            crashed or another server responds at its address.
         sends: Recent requests of this host to it.
         runs: Requests of this host that may be running on it.
-        followed_at: Time at which it replaced an earlier incarnation. Older
-            announcements under its identity belong to that incarnation.
+        replaced_predecessor_at: Time at which it replaced an earlier
+            incarnation. Older announcements under its identity belong to that
+            incarnation.
         has_ended: Whether this host found that the incarnation has ended.
         limit: Rate limit for all hosts together.
         departure: Whether it has announced that it is leaving.
--- a/src/hoistmoor/core/relay/servers/shares.py
+++ b/src/hoistmoor/core/relay/servers/shares.py
@@ -28,7 +28,7 @@
 
 _HASH_SEED = 61  # Seed of the order in which hosts are selected for a server.
 # Quotas that are cached. The cache is cleared when it is full.
-_MAX_CACHED_PARTS = 4096
+_MAX_CACHED_QUOTAS = 4096
 # Recent sends to a server that are stored. A larger quota is enforced over a
 # proportionally shorter window.
 MOST_SENDS = 256
@@ -40,7 +40,7 @@
 
     Attributes:
         own: Requests that this host may send; 0 if it is not selected.
-        all_hosts: Requests that all selected hosts together may send.
+        total: Requests that all selected hosts together may send.
     """
 
     own: int
@@ -60,14 +60,14 @@
     def __init__(self, host_name: str) -> None:
         self.host_name = host_name
         self._hosts: frozenset[str] = frozenset()
-        self._parts: dict[tuple[str, int], Part] = {}
+        self._quotas: dict[tuple[str, int], Part] = {}
 
     def take_hosts(self, names: Iterable[str]) -> None:
         """Sets the names of all listed hosts."""
         hosts = frozenset(names)
         if hosts != self._hosts:
             self._hosts = hosts
-            self._parts.clear()
+            self._quotas.clear()
 
     def part_of(self, key: str, requests: int) -> Part:
         """Returns the quota of this host.
@@ -77,21 +77,21 @@
                 hosts for the same key.
             requests: Requests that all hosts together may send in a window.
         """
-        known = self._parts.get((key, requests))
+        known = self._quotas.get((key, requests))
         if known is None:
-            known = self._compute_part(key, requests)
-            if len(self._parts) >= _MAX_CACHED_PARTS:
-                self._parts.clear()
-            self._parts[key, requests] = known
+            known = self._compute_quota(key, requests)
+            if len(self._quotas) >= _MAX_CACHED_QUOTAS:
+                self._quotas.clear()
+            self._quotas[key, requests] = known
         return known
 
     def equal_part(self, amount: float) -> float:
-        """Returns this host's part of an amount split evenly among hosts."""
+        """Returns this host's share of an amount split evenly among hosts."""
         if self.host_name not in self._hosts:
             return 0.0
         return amount / len(self._hosts)
 
-    def _compute_part(self, key: str, requests: int) -> Part:
+    def _compute_quota(self, key: str, requests: int) -> Part:
         if self.host_name not in self._hosts or requests < 1:
             return NO_QUOTA
         count = min(len(self._hosts), requests)
--- a/src/hoistmoor/core/relay/servers/suspect_state.py
+++ b/src/hoistmoor/core/relay/servers/suspect_state.py
@@ -36,7 +36,7 @@
         ends: Stage that its run had reached, by identity of the server that
             ended; the latest end is last.
         cleared: Servers whose ends no longer count, because the request has
-            been answered since.
+            been completed since.
         is_quarantined: Whether it is refused.
         age: Seconds since the latest end.
     """
@@ -54,9 +54,9 @@
 
     Attributes:
         fingerprint: Fingerprint of the request.
-        newest: Monotonic time of the latest end.
+        latest_end_at: Monotonic time of the latest end.
         ends: See ``Suspect.ends``.
-        learnt: Monotonic time at which this host learned of each end, by
+        learned_at: Monotonic time at which this host learned of each end, by
             server.
         cleared: See ``Suspect.cleared``.
         is_quarantined: Whether it is refused.
@@ -78,7 +78,7 @@
 
     @property
     def starts(self) -> list[str]:
-        """Servers among ``counted`` that ended just as its run had begun."""
+        """Servers in ``counted_ends`` that ended just as its run had begun."""
         return [
             server
             for server in self.counted
@@ -91,10 +91,10 @@
         if not self.counted:
             self.is_quarantined = False
 
-    def confirms(self, told: Suspect) -> bool:
+    def confirms(self, suspect: Suspect) -> bool:
         """Returns whether another host's quarantine is valid here too."""
-        counted = set(told.ends) - self.cleared
-        return told.is_quarantined and len(counted) >= STARTS_TO_QUARANTINE
+        counted = set(suspect.ends) - self.cleared
+        return suspect.is_quarantined and len(counted) >= STARTS_TO_QUARANTINE
 
     def add(self, server: str, stage: runs_lib.Stage, now: float) -> bool:
         """Adds a server's end; returns whether it is new or weighs more."""
--- a/src/hoistmoor/core/relay/servers/suspects.py
+++ b/src/hoistmoor/core/relay/servers/suspects.py
@@ -78,7 +78,7 @@
         self._states: dict[str, suspect_state.SuspectState] = {}
         # Monotonic time of the latest complete response to each request at
         # this host, oldest first.
-        self._answered: dict[str, float] = {}
+        self._completed: dict[str, float] = {}
 
     def note_end(
         self, server: str, runs: Iterable[runs_lib.Run], now: float
@@ -95,7 +95,7 @@
             stage = suspect_state.stage_of(run, now)
             if not run.fingerprint or stage is None:
                 continue
-            if self._was_answered(run.fingerprint, now):
+            if self._was_completed(run.fingerprint, now):
                 continue
             state = self._state_of(run.fingerprint, now)
             if state.add(server, stage, now):
@@ -105,10 +105,10 @@
 
     def note_answered(self, fingerprint: str, now: float) -> None:
         """Records that a server completed a request without ending."""
-        self._answered.pop(fingerprint, None)
-        self._answered[fingerprint] = now
-        if len(self._answered) > MOST_ANSWERED:
-            del self._answered[next(iter(self._answered))]
+        self._completed.pop(fingerprint, None)
+        self._completed[fingerprint] = now
+        if len(self._completed) > MOST_ANSWERED:
+            del self._completed[next(iter(self._completed))]
         state = self._states.get(fingerprint)
         if state is None or not state.counted:
             return
@@ -150,7 +150,7 @@
             if state.add(server, stage, now)
         ]
         cleared = state.ends.keys() & set(suspect.cleared) - state.cleared
-        if self._was_answered(suspect.fingerprint, now):
+        if self._was_completed(suspect.fingerprint, now):
             cleared = state.ends.keys() - state.cleared
         state.clear(cleared)
         is_quarantined = not state.is_quarantined and state.confirms(suspect)
@@ -227,10 +227,10 @@
         new, until = self.serials.batch(self._states.values(), after, MOST_TOLD)
         return tuple(state.told(now) for state in new), until
 
-    def _was_answered(self, fingerprint: str, now: float) -> bool:
-        """Returns whether this host recently saw the request answered."""
-        answered_at = self._answered.get(fingerprint)
-        return answered_at is not None and now - answered_at <= ANSWERED_LIFE
+    def _was_completed(self, fingerprint: str, now: float) -> bool:
+        """Returns whether this host recently saw the request completed."""
+        completed_at = self._completed.get(fingerprint)
+        return completed_at is not None and now - completed_at <= ANSWERED_LIFE
 
     def _state_of(
         self, fingerprint: str, newest: float
--- a/src/hoistmoor/core/relay/servers/warmup.py
+++ b/src/hoistmoor/core/relay/servers/warmup.py
@@ -66,7 +66,7 @@
     """Warm-up policies of all services.
 
     Attributes:
-        excess: Tolerance that operators grant above the services' rates.
+        tolerance: Tolerance that operators grant above the services' rates.
     """
 
     def __init__(self) -> None:
--- a/src/hoistmoor/relay/peers/listing.py
+++ b/src/hoistmoor/relay/peers/listing.py
@@ -30,7 +30,7 @@
 
     Attributes:
         listed: Entries in the newest era of the store, by host name.
-        missing: Set when that era lacks known hosts.
+        has_lost_hosts: Set when that era lacks known hosts.
     """
 
     def __init__(
--- a/src/hoistmoor/relay/peers/news_exchange.py
+++ b/src/hoistmoor/relay/peers/news_exchange.py
@@ -1,7 +1,8 @@
 """Exchanges state changes between hosts; each change is sent once per host.
 
 Each request and each response carries changes. A response acknowledges the
-changes in its request. A restarted host has a new run, and is sent everything.
+changes in its request. A restarted host is a new incarnation and is sent
+everything.
 """
 
 from __future__ import annotations
@@ -21,9 +22,9 @@
     """Which changes another host and this one have exchanged.
 
     Attributes:
-        run_name: Run of the other host.
-        sent: Serial of this host up to which that run has all changes.
-        received: Serial of that run up to which this host has all changes.
+        run_name: Incarnation of the other host.
+        sent: Serial of this host up to which that one has all changes.
+        received: Serial of that one up to which this host has all changes.
     """
 
     run_name: str = ""
@@ -50,7 +51,7 @@
         received: peer_codec.News,
         sent_at: float,
     ) -> None:
-        """Applies the changes in a host's response.
+        """Merges the changes in a host's response.
 
         Args:
             host: Name of the host.
@@ -64,7 +65,7 @@
                 received.run_name, sent.until, received.until
             )
         else:
-            # The new run received this request, but no earlier one.
+            # The new incarnation received this request, but no earlier one.
             self._acknowledged[host] = _Acknowledged(received.run_name)
         take(self._state, received, sent_at)
 
@@ -93,7 +94,7 @@
 
 
 def take(state: state_lib.RelayState, news: peer_codec.News, at: float) -> None:
-    """Applies the changes that another host has sent.
+    """Merges the changes that another host has sent.
 
     Args:
         state: Shared state of the relay.
--- a/src/hoistmoor/relay/peers/peer_codec.py
+++ b/src/hoistmoor/relay/peers/peer_codec.py
@@ -38,14 +38,14 @@
     """State changes that one host has not sent to another yet.
 
     Attributes:
-        run_name: Run of the sending host, to which the serials belong.
+        run_name: Incarnation of the sending host, to which the serials belong.
         suspects: Requests that are suspected of crashing servers, oldest
             change first; may be limited to a part.
         departures: Seconds since each leaving server announced it, by the
-            identity of the server's start; may be limited to a part.
+            identity of the server's incarnation; may be limited to a part.
         until: Serial of the newest change that is included.
-        heard: Serial of the receiving host's run up to which the sender has
-            all changes.
+        heard: Serial of the receiving host's incarnation up to which the
+            sender has all changes.
     """
 
     run_name: str = ""
--- a/src/hoistmoor/relay/store/era_watch.py
+++ b/src/hoistmoor/relay/store/era_watch.py
@@ -28,20 +28,20 @@
         self._logged_kinds: set[history_lib.Unusable] = set()
 
     def attach(self) -> None:
-        """Subscribes to the store's history."""
+        """Subscribes to the store's era."""
         self._state.history.observers.append(self.on_new_era)
         self._state.history.on_unusable = self.on_unusable_era
 
-    def on_new_era(self, before: int, era: int, told_by: str) -> None:
+    def on_new_era(self, before: int, era: int, source: str) -> None:
         """Logs a new era, and where each topic ended in the previous one."""
         self._state.counters.store_era.set(era)
-        if told_by == history_lib.STORE:
+        if source == history_lib.STORE:
             self._state.has_urgent_news.set()
         self._state.believe(
             "store_era",
             era=era,
             before=before,
-            told_by=told_by,
+            told_by=source,
             ends={
                 name: each.place.text if each.place else None
                 for name, each in self._followers.items()
@@ -49,7 +49,7 @@
         )
 
     def on_unusable_era(
-        self, kind: history_lib.Unusable, word: history_lib.EraWord
+        self, kind: history_lib.Unusable, header: history_lib.EraWord
     ) -> None:
         """Counts a response without a usable era; logs the first of a kind."""
         self._state.counters.unusable_eras.labels(kind.value).inc()
@@ -59,6 +59,6 @@
         self._state.believe(
             "store_era_unusable",
             why=kind.value,
-            text=word.text,
+            text=header.text,
             era=self._state.history.era,
         )
--- a/src/hoistmoor/relay/store/follower.py
+++ b/src/hoistmoor/relay/store/follower.py
@@ -28,7 +28,7 @@
             without records, the end of the requested wait.
         after_outage: Seconds since the store became available again;
             infinite if there was no outage.
-        is_return: Whether this is the first batch of a newer era of the
+        is_first_of_era: Whether this is the first batch of a newer era of the
             store, for a listener that has seen an older one.
     """
 
@@ -57,9 +57,9 @@
         place: Position of the next read; None before the first snapshot.
         current_at: Monotonic time at which the topic was last known to be
             current.
-        mirror: This host's copy of the topic.
+        replica: This host's copy of the topic.
         direct: Set while this host reads the store itself.
-        known: Set once the topic was read, by this host or another one.
+        loaded: Set once the topic was read, by this host or another one.
     """
 
     def __init__(
@@ -202,7 +202,7 @@
             self.name, place.era, self._state.history.era
         )
 
-    def _on_new_era(self, before: int, era: int, told_by: str) -> None:
+    def _on_new_era(self, before: int, era: int, source: str) -> None:
         """Cancels a read of an older era.
 
         The new era counts as the end of an outage, so that entries missing in
--- a/src/hoistmoor/relay/store/ports.py
+++ b/src/hoistmoor/relay/store/ports.py
@@ -121,7 +121,7 @@
         headers: Names of the platform's HTTP headers.
         not_run_statuses: HTTP statuses by which servers report that they did
             not run a request.
-        history: Era of the store, as reported by its responses to this relay.
+        store_era: Era of the store, as reported by its responses to this relay.
     """
 
     topics: Topics
--- a/src/hoistmoor/relay/store/store_gate.py
+++ b/src/hoistmoor/relay/store/store_gate.py
@@ -49,7 +49,7 @@
         await asyncio.sleep(pause)
 
     async def wait_until_heard(self) -> None:
-        """Waits until the store is available, for ``LONGEST_HOLD`` at most."""
+        """Waits until the store is available, for ``MAX_WAIT`` at most."""
         try:
             async with asyncio.timeout(LONGEST_HOLD):
                 await self._available.wait()
--- a/tests/core/relay/course/test_relay_machine.py
+++ b/tests/core/relay/course/test_relay_machine.py
@@ -326,10 +326,10 @@
     )
 
 
-def terminate_servers(
+def end_servers(
     router: router_lib.Router, fingerprint: str, count: int, stage: runs.Stage
 ) -> None:
-    """Reports that servers terminated while they ran a request."""
+    """Reports that servers ended while they ran a request."""
     ends = {f"gone{number}": stage for number in range(count)}
     router.take_suspects([suspect_state.Suspect(fingerprint, ends)], NOW - 2.0)
 
@@ -337,7 +337,7 @@
 def test_quarantined_request_is_refused_as_not_run(
     router: router_lib.Router,
 ) -> None:
-    terminate_servers(router, "bad", 2, runs.Stage.BEGUN)
+    end_servers(router, "bad", 2, runs.Stage.BEGUN)
     request = relay_parts.request(fingerprint="bad")
     machine = machine_lib.RelayMachine(request, router)
     refusal = get_refusal(machine.handle(messages.Started(), NOW))
@@ -361,7 +361,7 @@
     router.fleet.put(relay_parts.entry("e2", service="llm"))
     machine = machine_lib.RelayMachine(request, router)
     machine.handle(messages.Started(), NOW)
-    terminate_servers(router, "bad", 2, runs.Stage.BEGUN)
+    end_servers(router, "bad", 2, runs.Stage.BEGUN)
     refusal = get_refusal(
         machine.handle(messages.AttemptEnded(State.SENT), NOW)
     )
@@ -377,13 +377,13 @@
     ("ends_before", "sends"),
     [(0, 2 + attempt_counts.MAX_UNCOUNTED), (2, 2)],
 )
-def test_terminated_server_uses_no_attempt_of_an_unrelated_request(
+def test_ended_server_uses_no_attempt_of_an_unrelated_request(
     router: router_lib.Router, ends_before: int, sends: int
 ) -> None:
     # The route allows two attempts.
     for number in range(9):
         router.fleet.put(relay_parts.entry(f"d{number}"))
-    terminate_servers(router, "r", ends_before, runs.Stage.WAITING)
+    end_servers(router, "r", ends_before, runs.Stage.WAITING)
     request = relay_parts.request(fingerprint="r")
     for _ in range(20):
         router.note_request(request, NOW)
--- a/tests/core/relay/course/test_relay_retry_after.py
+++ b/tests/core/relay/course/test_relay_retry_after.py
@@ -1,4 +1,4 @@
-"""Retry delays for refused clients."""
+"""Retry delays for refused callers."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def count_refusals(fixed_delay: float | None, outage: float) -> int:
-    """Returns how often a client is refused that retries during an outage.
+    """Returns how often a caller is refused that retries during an outage.
 
     Args:
-        fixed_delay: Fixed retry delay; None to use ``wait_for``.
+        fixed_delay: Fixed retry delay; None to use ``delay_for_reason``.
         outage: Seconds for which all hosts refuse requests.
     """
     now, refused = 0.01, 0
--- a/tests/core/relay/versions/test_relay_returned_orders.py
+++ b/tests/core/relay/versions/test_relay_returned_orders.py
@@ -25,7 +25,7 @@
 
 
 @pytest.fixture
-def book() -> rollouts.RolloutBook:
+def registry() -> rollouts.RolloutBook:
     """Rollout of v3 in phase ``spread``, after a completed rollout of v2."""
     made = rollouts.RolloutBook(5.0)
     made.take_order(order("v2", 4), NOW - 50.0)
@@ -37,61 +37,61 @@
 
 
 def test_rewritten_order_continues_its_rollout(
-    book: rollouts.RolloutBook,
+    registry: rollouts.RolloutBook,
 ) -> None:
-    before = book.progress["llm"]
-    book.note_return(NOW + 2.0)
+    before = registry.progress["llm"]
+    registry.note_return(NOW + 2.0)
     # The copy contains the previous order, which was replaced.
-    is_new = book.take_order(order("v2", 4, 2), NOW + 2.0)
+    is_new = registry.take_order(order("v2", 4, 2), NOW + 2.0)
     assertions.assert_that(is_new, matchers.Is(False))
-    is_new = book.take_order(order("v3", 7, 2), NOW + 3.0)
+    is_new = registry.take_order(order("v3", 7, 2), NOW + 3.0)
     assertions.assert_that(is_new, matchers.Is(False))
-    found = book.progress["llm"]
+    found = registry.progress["llm"]
     assertions.assert_that(found, matchers.Is(before))
     assertions.assert_that(found.seen_at, matchers.Equals(NOW))
     assertions.assert_that(found.phase, matchers.Equals(phases.Phase.SPREAD))
     assertions.assert_that(found.is_doubted, matchers.Is(True))
     assertions.assert_that(
-        book.doubts(), matchers.Equals((relay_parts.at(7, 2).serial,))
+        registry.doubts(), matchers.Equals((relay_parts.at(7, 2).serial,))
     )
 
 
 def test_order_in_the_copy_and_its_rewrite_are_the_same(
-    book: rollouts.RolloutBook,
+    registry: rollouts.RolloutBook,
 ) -> None:
-    before = book.progress["llm"]
-    book.note_return(NOW + 2.0)
+    before = registry.progress["llm"]
+    registry.note_return(NOW + 2.0)
     for offset in (9, 11):
-        book.take_order(order("v3", offset, 2), NOW + 2.0)
-    assertions.assert_that(book.progress["llm"], matchers.Is(before))
+        registry.take_order(order("v3", offset, 2), NOW + 2.0)
+    assertions.assert_that(registry.progress["llm"], matchers.Is(before))
     # Long after the restore, it is a new order.
     later = NOW + 2.0 + history.HELD_FOR
-    is_new = book.take_order(order("v3", 15, 2), later)
+    is_new = registry.take_order(order("v3", 15, 2), later)
     assertions.assert_that(is_new, matchers.Is(True))
 
 
 def test_new_order_after_the_restore_is_applied(
-    book: rollouts.RolloutBook,
+    registry: rollouts.RolloutBook,
 ) -> None:
-    book.note_return(NOW + 2.0)
-    is_new = book.take_order(order("v4", 2, 2), NOW + 2.0)
+    registry.note_return(NOW + 2.0)
+    is_new = registry.take_order(order("v4", 2, 2), NOW + 2.0)
     assertions.assert_that(is_new, matchers.Is(True))
-    found = book.progress["llm"]
+    found = registry.progress["llm"]
     assertions.assert_that(found.phase, matchers.Equals(phases.Phase.TRIAL))
 
 
 def test_phase_from_an_older_copy_reverts_nothing(
-    book: rollouts.RolloutBook,
+    registry: rollouts.RolloutBook,
 ) -> None:
-    book.take_phase(phase("v3", 9, 1, "reverted"))
-    book.note_return(NOW + 2.0)
-    book.take_order(order("v3", 9, 2), NOW + 2.0)
-    is_new = book.take_phase(phase("v3", 9, 1, "spread"))
+    registry.take_phase(phase("v3", 9, 1, "reverted"))
+    registry.note_return(NOW + 2.0)
+    registry.take_order(order("v3", 9, 2), NOW + 2.0)
+    is_new = registry.take_phase(phase("v3", 9, 1, "spread"))
     assertions.assert_that(is_new, matchers.Is(False))
     assertions.assert_that(
-        book.progress["llm"].phase, matchers.Equals(phases.Phase.REVERTED)
+        registry.progress["llm"].phase, matchers.Equals(phases.Phase.REVERTED)
     )
-    assertions.assert_that("v3" in book.withdrawn["llm"], matchers.Is(True))
+    assertions.assert_that("v3" in registry.withdrawn["llm"], matchers.Is(True))
 
 
 def test_starting_host_applies_phases_in_the_copy() -> None:
@@ -122,14 +122,14 @@
 
 
 def test_order_of_same_version_long_after_the_restore_is_new(
-    book: rollouts.RolloutBook,
+    registry: rollouts.RolloutBook,
 ) -> None:
     # The previous order was lost and never written again.
-    book.take_phase(phase("v3", 9, 1, "reverted"))
-    book.note_return(NOW + 2.0)
+    registry.take_phase(phase("v3", 9, 1, "reverted"))
+    registry.note_return(NOW + 2.0)
     later = NOW + 3.0 + history.HELD_FOR
-    is_new = book.take_order(order("v3", 7, 2), later)
+    is_new = registry.take_order(order("v3", 7, 2), later)
     assertions.assert_that(is_new, matchers.Is(True))
     assertions.assert_that(
-        book.progress["llm"].phase, matchers.Equals(phases.Phase.TRIAL)
+        registry.progress["llm"].phase, matchers.Equals(phases.Phase.TRIAL)
     )
--- a/tests/core/relay/versions/test_relay_rollouts.py
+++ b/tests/core/relay/versions/test_relay_rollouts.py
@@ -22,7 +22,7 @@
 
 
 @pytest.fixture
-def book() -> rollouts.RolloutBook:
+def registry() -> rollouts.RolloutBook:
     made = rollouts.RolloutBook(session_life=5.0)
     made.take_order(ORDER, 0.0)
     return made
@@ -39,7 +39,7 @@
 
 
 def send(
-    book: rollouts.RolloutBook,
+    registry: rollouts.RolloutBook,
     count: int,
     session: str = "",
     begin: float = 1.0,
@@ -47,58 +47,58 @@
     versions = []
     for number in range(count):
         now = begin + number / 100
-        chosen = book.choose("llm", BOTH, session, NONE, now)
+        chosen = registry.choose("llm", BOTH, session, NONE, now)
         version = min(chosen)
-        book.note_sent("llm", version, session, now)
+        registry.note_sent("llm", version, session, now)
         versions.append(version)
     return versions
 
 
 def test_trial_gets_its_share_of_requests(
-    book: rollouts.RolloutBook,
+    registry: rollouts.RolloutBook,
 ) -> None:
-    versions = send(book, 500)
+    versions = send(registry, 500)
     share = versions.count("v2") / 500
     assertions.assert_that(share, matchers.LessThan(0.12))
     assertions.assert_that(share, matchers.GreaterThan(0.08))
 
 
 def test_some_sessions_join_a_trial_and_all_keep_their_version(
-    book: rollouts.RolloutBook,
+    registry: rollouts.RolloutBook,
 ) -> None:
-    send(book, 200)
+    send(registry, 200)
     joined = set()
     for number in range(100):
-        versions = set(send(book, 3, f"session {number}", SECOND_HALF))
+        versions = set(send(registry, 3, f"session {number}", SECOND_HALF))
         assertions.assert_that(versions, matchers.HasLength(1))
         joined |= versions
     assertions.assert_that(joined, matchers.Equals(BOTH))
 
 
 def test_no_session_joins_a_trial_in_its_first_half(
-    book: rollouts.RolloutBook,
+    registry: rollouts.RolloutBook,
 ) -> None:
     # With hundreds of hosts, the host that gets the next request of a session
     # does not know which version the session used before the order.
     for number in range(500):
         versions = send(
-            book, 1, f"session {number}", number / 500 * ORDER.duration / 2
+            registry, 1, f"session {number}", number / 500 * ORDER.duration / 2
         )
         assertions.assert_that(versions, matchers.Equals(["v1"]))
 
 
 def test_host_started_during_a_rollout_decides_like_the_others(
-    book: rollouts.RolloutBook,
+    registry: rollouts.RolloutBook,
 ) -> None:
     late = rollouts.RolloutBook(session_life=5.0)
     late.take_order(ORDER, SECOND_HALF - 1.0)
-    late.take_ages(book.ages(SECOND_HALF), SECOND_HALF)
+    late.take_ages(registry.ages(SECOND_HALF), SECOND_HALF)
     for number in range(200):
         session = f"session {number}"
         assertions.assert_that(
             late.choose("llm", BOTH, session, NONE, SECOND_HALF),
             matchers.Equals(
-                book.choose("llm", BOTH, session, NONE, SECOND_HALF)
+                registry.choose("llm", BOTH, session, NONE, SECOND_HALF)
             ),
         )
     # A lower age, from a host that has just started, changes nothing.
@@ -109,8 +109,8 @@
 
 def test_hosts_agree_on_session_versions_without_communication() -> None:
     idle, busy = (rollouts.RolloutBook(session_life=5.0) for _ in range(2))
-    for book in (idle, busy):
-        book.take_order(ORDER, 0.0)
+    for registry in (idle, busy):
+        registry.take_order(ORDER, 0.0)
     send(busy, 300)
     for number in range(200):
         session = f"session {number}"
@@ -122,33 +122,33 @@
 
 
 def test_session_older_than_the_order_keeps_its_version() -> None:
-    book = rollouts.RolloutBook(session_life=5.0)
+    registry = rollouts.RolloutBook(session_life=5.0)
     sessions = [f"session {number}" for number in range(50)]
     for session in sessions:
-        book.note_sent("llm", "v1", session, 0.5)
-    book.take_order(ORDER, 0.6)
-    send(book, 100)
+        registry.note_sent("llm", "v1", session, 0.5)
+    registry.take_order(ORDER, 0.6)
+    send(registry, 100)
     for session in sessions:
-        chosen = book.choose("llm", BOTH, session, NONE, 3.0)
+        chosen = registry.choose("llm", BOTH, session, NONE, 3.0)
         assertions.assert_that(chosen, matchers.Equals({"v1"}))
 
 
 def test_failures_at_one_host_stop_its_trial_at_once(
-    book: rollouts.RolloutBook,
+    registry: rollouts.RolloutBook,
 ) -> None:
-    progress = book.progress["llm"]
+    progress = registry.progress["llm"]
     for _ in range(evidence_lib.MIN_ANSWERS):
         progress.note_answer("chat", "v2", failed=True, slow=False)
-    assertions.assert_that(set(send(book, 100)), matchers.Equals({"v1"}))
+    assertions.assert_that(set(send(registry, 100)), matchers.Equals({"v1"}))
 
 
 def test_request_that_failed_in_a_trial_goes_to_the_old_version(
-    book: rollouts.RolloutBook,
+    registry: rollouts.RolloutBook,
 ) -> None:
-    book.note_sent("llm", "v2", "a session", 1.0)
-    kept = book.choose("llm", BOTH, "a session", NONE, 2.0)
+    registry.note_sent("llm", "v2", "a session", 1.0)
+    kept = registry.choose("llm", BOTH, "a session", NONE, 2.0)
     assertions.assert_that(kept, matchers.Equals({"v2"}))
-    moved = book.choose("llm", BOTH, "a session", frozenset({"v2"}), 2.0)
+    moved = registry.choose("llm", BOTH, "a session", frozenset({"v2"}), 2.0)
     assertions.assert_that(moved, matchers.Equals({"v1"}))
 
 
@@ -161,51 +161,53 @@
     ],
 )
 def test_versions_allowed_in_each_phase(
-    book: rollouts.RolloutBook, phase: Phase, expected: set[str]
+    registry: rollouts.RolloutBook, phase: Phase, expected: set[str]
 ) -> None:
-    book.take_phase(record(phase))
-    chosen = book.choose("llm", BOTH, "", NONE, 1.0)
+    registry.take_phase(record(phase))
+    chosen = registry.choose("llm", BOTH, "", NONE, 1.0)
     assertions.assert_that(chosen, matchers.Equals(expected))
 
 
 def test_withdrawn_version_is_excluded_from_the_next_rollout(
-    book: rollouts.RolloutBook,
+    registry: rollouts.RolloutBook,
 ) -> None:
-    book.take_phase(record(Phase.REVERTED))
-    book.take_order(phases.Order("llm", "v3", 20.0, 9), 5.0)
-    chosen = book.choose("llm", {"v1", "v2"}, "", NONE, 6.0)
+    registry.take_phase(record(Phase.REVERTED))
+    registry.take_order(phases.Order("llm", "v3", 20.0, 9), 5.0)
+    chosen = registry.choose("llm", {"v1", "v2"}, "", NONE, 6.0)
     assertions.assert_that(chosen, matchers.Equals({"v1"}))
 
 
 @pytest.mark.parametrize("phase", [Phase.TRIAL, Phase.REVERTED])
 @pytest.mark.parametrize("session", ["", "s"])
 def test_replaced_version_is_excluded_from_the_next_rollout(
-    book: rollouts.RolloutBook, phase: Phase, session: str
+    registry: rollouts.RolloutBook, phase: Phase, session: str
 ) -> None:
     # Its servers may still be listed, but no session uses it.
-    book.take_phase(record(Phase.COMPLETE))
-    book.note_sent("llm", "v2", session, 18.0)
-    book.take_order(phases.Order("llm", "v3", 20.0, 9), 18.2)
-    book.take_phase(phases.PhaseRecord("llm", "v3", 9, phase))
-    chosen = book.choose("llm", {"v1", "v2", "v3"}, session, NONE, 18.3)
+    registry.take_phase(record(Phase.COMPLETE))
+    registry.note_sent("llm", "v2", session, 18.0)
+    registry.take_order(phases.Order("llm", "v3", 20.0, 9), 18.2)
+    registry.take_phase(phases.PhaseRecord("llm", "v3", 9, phase))
+    chosen = registry.choose("llm", {"v1", "v2", "v3"}, session, NONE, 18.3)
     assertions.assert_that(chosen, matchers.Equals({"v2"}))
     # If the established version has no servers left, older ones are used.
-    chosen = book.choose("llm", {"v1", "v3"}, session, NONE, 18.5)
+    chosen = registry.choose("llm", {"v1", "v3"}, session, NONE, 18.5)
     assertions.assert_that(chosen, matchers.Equals({"v1"}))
 
 
-def test_older_order_is_ignored(book: rollouts.RolloutBook) -> None:
+def test_older_order_is_ignored(registry: rollouts.RolloutBook) -> None:
     older = phases.Order("llm", "v9", 20.0, 3)
-    assertions.assert_that(book.take_order(older, 1.0), matchers.Is(False))
-    assertions.assert_that(book.progress["llm"].order, matchers.Equals(ORDER))
+    assertions.assert_that(registry.take_order(older, 1.0), matchers.Is(False))
+    assertions.assert_that(
+        registry.progress["llm"].order, matchers.Equals(ORDER)
+    )
 
 
 def test_phase_read_before_its_order_applies() -> None:
-    book = rollouts.RolloutBook(session_life=5.0)
-    book.take_phase(record(Phase.COMPLETE))
-    book.take_order(ORDER, 0.0)
+    registry = rollouts.RolloutBook(session_life=5.0)
+    registry.take_phase(record(Phase.COMPLETE))
+    registry.take_order(ORDER, 0.0)
     assertions.assert_that(
-        book.progress["llm"].phase, matchers.Equals(Phase.COMPLETE)
+        registry.progress["llm"].phase, matchers.Equals(Phase.COMPLETE)
     )
 
 
@@ -313,14 +315,14 @@
 
 @pytest.mark.parametrize("phase", [Phase.TRIAL, Phase.SPREAD])
 def test_doubt_stops_requests_to_the_target_before_any_phase_record(
-    book: rollouts.RolloutBook, phase: Phase
+    registry: rollouts.RolloutBook, phase: Phase
 ) -> None:
-    book.take_phase(record(phase))
-    doubted = book.doubt(ORDER.number)
-    assertions.assert_that(doubted, matchers.Is(book.progress["llm"]))
-    assertions.assert_that(book.doubt(ORDER.number), matchers.Is(None))
-    assertions.assert_that(book.doubts(), matchers.Equals((ORDER.number,)))
-    assertions.assert_that(set(send(book, 100)), matchers.Equals({"v1"}))
+    registry.take_phase(record(phase))
+    doubted = registry.doubt(ORDER.number)
+    assertions.assert_that(doubted, matchers.Is(registry.progress["llm"]))
+    assertions.assert_that(registry.doubt(ORDER.number), matchers.Is(None))
+    assertions.assert_that(registry.doubts(), matchers.Equals((ORDER.number,)))
+    assertions.assert_that(set(send(registry, 100)), matchers.Equals({"v1"}))
 
 
 def test_turns_of_hosts_are_distinct() -> None:
@@ -351,13 +353,13 @@
     new = evidence_lib.Evidence("llm", 7, "a", evidence((3, 1, 0), (2, 0, 0)))
     other = evidence_lib.Evidence("llm", 7, "b", evidence((1, 0, 0), (0, 0, 0)))
     for copies in ([old, new, other], [new, other, old, new]):
-        book = evidence_lib.EvidenceBook()
+        registry = evidence_lib.EvidenceBook()
         for each in copies:
-            book.take(each)
+            registry.take(each)
         assertions.assert_that(
-            book.of("llm", 7),
+            registry.of("llm", 7),
             matchers.MatchesSetwise(
                 matchers.Equals(new), matchers.Equals(other)
             ),
         )
-        assertions.assert_that(book.of("llm", 8), matchers.Equals([]))
+        assertions.assert_that(registry.of("llm", 8), matchers.Equals([]))
--- a/tests/relay/peers/test_relay_peers.py
+++ b/tests/relay/peers/test_relay_peers.py
@@ -259,10 +259,12 @@
 ) -> None:
     order = phases.Order("llm", "v2", 60.0, 3)
     await platform.publish(platform.operator, "rollout", order)
-    books = [each.relay.state.router.rollouts for each in pair]
-    await until(lambda: all("llm" in book.progress for book in books))
-    for book in books:
-        book.progress["llm"].note_answer("chat", "v2", True, False)
+    registries = [each.relay.state.router.rollouts for each in pair]
+    await until(
+        lambda: all("llm" in registry.progress for registry in registries)
+    )
+    for registry in registries:
+        registry.progress["llm"].note_answer("chat", "v2", True, False)
 
     def reported_runs() -> set[str]:
         newest = platform.evidence.records[-1:]
