--- a/src/hoistmoor/clients/dialect.py
+++ b/src/hoistmoor/clients/dialect.py
@@ -21,7 +21,7 @@
         not_run_reason_header: Response header with the reason for that.
         not_run_statuses: Status codes that by themselves mean that the
             request was not executed.
-        has_end_mark: Whether event streams end with an end marker. If not,
+        has_end_marker: Whether event streams end with an end marker. If not,
             they are read as bytes, like any other response.
     """
 
--- a/src/hoistmoor/clients/engines.py
+++ b/src/hoistmoor/clients/engines.py
@@ -72,7 +72,7 @@
     """An engine rejected an order because of a stale fencing token.
 
     Attributes:
-        highest: Highest fencing token that the engine has seen.
+        highest_fencing: Highest fencing token that the engine has seen.
     """
 
     def __init__(
--- a/src/hoistmoor/clients/exchange.py
+++ b/src/hoistmoor/clients/exchange.py
@@ -49,7 +49,7 @@
     Attributes:
         total: From the start to the end marker; None for no timeout.
         connect: To acquire a connection.
-        silence: Between two reads from the socket; None for no timeout.
+        read: Between two reads from the socket; None for no timeout.
     """
 
     total: float | None = 60.0
@@ -116,7 +116,7 @@
         async with Exchange(session, request) as exchange:
             async for part in exchange: ...
 
-    Leaving the block before ``End`` or cancelling the task closes the
+    Leaving the block before ``ResponseEnd`` or cancelling the task closes the
     connection, so that no data of this attempt can reach a later one.
 
     Attributes:
--- a/src/hoistmoor/clients/response_body.py
+++ b/src/hoistmoor/clients/response_body.py
@@ -21,9 +21,9 @@
     """The body of one response, read event by event or in byte chunks.
 
     Attributes:
-        is_whole: Whether the end marker of a stream was read, or all of a
+        is_complete: Whether the end marker of a stream was read, or all of a
             body whose end can be distinguished from a truncation.
-        dropped: Number of events dropped because they belong to another
+        dropped_events: Number of events dropped because they belong to another
             attempt.
     """
 
--- a/src/hoistmoor/clients/sessions.py
+++ b/src/hoistmoor/clients/sessions.py
@@ -197,7 +197,7 @@
             that no stale connection can leave an outcome unknown.
         idle_timeout: Seconds that an idle connection is kept.
         attempt_header: Header with the attempt id in requests and responses.
-        unanswered_timeout: Seconds that sent bytes may stay unacknowledged
+        unacknowledged_timeout: Seconds that sent bytes may stay unacknowledged
             before the connection counts as lost; None for the default of the
             operating system.
 
--- a/src/hoistmoor/clients/stream_reader.py
+++ b/src/hoistmoor/clients/stream_reader.py
@@ -140,7 +140,7 @@
         The consumer must skip records that it has already processed.
 
         Args:
-            patience: Seconds to wait for the log; a failed read ends the wait.
+            timeout: Seconds to wait for the log; a failed read ends the wait.
         """
         task = asyncio.create_task(self._read_once())
         self._extra_reads.add(task)
@@ -165,8 +165,8 @@
         """Reads one page; may run concurrently if the consumer allows it.
 
         Args:
-            hold: Seconds that the log may wait for a record; the first read
-                after a start or a gap does not wait.
+            long_poll_timeout: Seconds that the log may wait for a record; the
+                first read after a start or a gap does not wait.
 
         Returns:
             Whether more records may be available at once.
--- a/src/hoistmoor/core/limits/accounts.py
+++ b/src/hoistmoor/core/limits/accounts.py
@@ -68,7 +68,7 @@
     def revert(self, account: str) -> None:
         """Reverts the admission of a request that a later check refused.
 
-        Unlike ``leave``, this also refunds the rate token.
+        Unlike ``release``, this also refunds the rate token.
         """
         self.release(account)
         self.usage[account].bucket.refund()
--- a/src/hoistmoor/core/polling.py
+++ b/src/hoistmoor/core/polling.py
@@ -17,8 +17,8 @@
     Attributes:
         period: Minimum seconds between the starts of two polls, unless a task
             waits for a record or more records are available.
-        long_poll_timeout: Long-poll timeout in seconds: how long the log may
-            delay its reply while there is no new record.
+        long_poll_timeout: Seconds for which the log may delay its response
+            while there is no new record.
         page: Maximum number of records per read.
         retry: Delay in seconds before the first retry after a failure.
         max_retry: Maximum delay in seconds between two retries.
@@ -63,8 +63,9 @@
 LIMITS = PollPolicy(period=0.25, long_poll_timeout=10.0)
 STEWARD = PollPolicy(period=0.25, long_poll_timeout=5.0, retry=0.25)
 # Edits are rare and should take effect immediately, so there is no minimum
-# interval. Each reply confirms that the table is current, at least once per
-# ``hold``. Applying an edit may be slow, so the reader yields after each one.
+# interval. Each response confirms that the table is current, at least once per
+# ``long_poll_timeout``. Applying an edit may be slow, so the reader yields
+# after each one.
 TABLE = PollPolicy(
     period=0.0,
     long_poll_timeout=1.0,
--- a/src/hoistmoor/core/relay/beliefs/store_era.py
+++ b/src/hoistmoor/core/relay/beliefs/store_era.py
@@ -50,7 +50,7 @@
 UnusableObserver = Callable[[EraProblem, EraHeader], None]
 
 
-def _ignore(kind: EraProblem, word: EraHeader) -> None:
+def _ignore(kind: EraProblem, header: EraHeader) -> None:
     """Default observer of unusable eras; does nothing."""
 
 
@@ -69,36 +69,36 @@
     observers: list[Observer] = attrs.field(factory=list)
     on_unusable: UnusableObserver = _ignore
 
-    def record_response(self, word: EraHeader, known: int) -> int:
+    def record_response(self, header: EraHeader, known: int) -> int:
         """Processes the era header of a response; returns its effective era.
 
         A response without an era, or with a lower era than was known when the
         request was sent, is attributed to the known era.
 
         Args:
-            word: Era header of the response.
+            header: Era header of the response.
             known: Era that was known when the request was sent.
         """
-        kind = _classify(word, known)
+        kind = _classify(header, known)
         if kind is not None:
-            self.on_unusable(kind, word)
-        if word.era is None or word.era < known:
+            self.on_unusable(kind, header)
+        if header.era is None or header.era < known:
             return known
-        self.record_era(word.era, STORE)
-        return word.era
+        self.record_era(header.era, STORE)
+        return header.era
 
-    def record_era(self, era: int, told_by: str) -> None:
+    def record_era(self, era: int, source: str) -> None:
         """Records an era and notifies the observers if it is newer."""
         if era <= self.era:
             return
         previous, self.era = self.era, era
         for observer in self.observers:
-            observer(previous, era, told_by)
+            observer(previous, era, source)
 
 
-def _classify(word: EraHeader, known: int) -> EraProblem | None:
-    if word.era is not None:
-        return EraProblem.FALLING if word.era < known else None
-    if word.text is not None:
+def _classify(header: EraHeader, known: int) -> EraProblem | None:
+    if header.era is not None:
+        return EraProblem.FALLING if header.era < known else None
+    if header.text is not None:
         return EraProblem.JUNK
     return EraProblem.ABSENT if known != UNKNOWN_ERA else None
--- a/src/hoistmoor/core/relay/course/budget.py
+++ b/src/hoistmoor/core/relay/course/budget.py
@@ -42,7 +42,7 @@
     )
 
     def record_request(self, now: float) -> None:
-        """Counts a client request."""
+        """Counts a request of a caller."""
         _add(self._requests, now)
 
     def record_retry(self, now: float) -> None:
--- a/src/hoistmoor/core/relay/course/messages.py
+++ b/src/hoistmoor/core/relay/course/messages.py
@@ -37,7 +37,7 @@
         state: Final state of the exchange.
         status: HTTP status code of the response; 0 if there was none.
         detail: Human-readable description of the problem.
-        server_ended: Whether the server terminated during the attempt.
+        server_ended: Whether the server ended during the attempt.
         asks_rest: Whether the response asks for a rest: a pause in requests to
             the server.
     """
@@ -91,7 +91,7 @@
 
 @attrs.frozen
 class Forward:
-    """Stream the response to the client."""
+    """Stream the response to the caller."""
 
 
 @attrs.frozen
@@ -101,12 +101,12 @@
 
 @attrs.frozen
 class Deliver:
-    """Deliver the completed response to the client as the final result."""
+    """Deliver the completed response to the caller as the final result."""
 
 
 @attrs.frozen
 class Refuse:
-    """Send a refusal to the client as the final result."""
+    """Send a refusal to the caller as the final result."""
 
     refusal: refusals.Refusal
 
--- a/src/hoistmoor/core/relay/servers/fleet.py
+++ b/src/hoistmoor/core/relay/servers/fleet.py
@@ -386,7 +386,7 @@
         now: float,
         ignored: Container[eligibility_lib.IneligibilityReason] = (),
     ) -> set[str]:
-        """Returns the versions of the eligible servers; see ``usable``."""
+        """Returns the versions of the eligible servers; see ``eligible``."""
         usable = self.eligible(service, now, ignored)
         return {server.entry.version for server in usable}
 
--- a/src/hoistmoor/core/relay/servers/reports.py
+++ b/src/hoistmoor/core/relay/servers/reports.py
@@ -48,7 +48,7 @@
         rest: Seconds for which the receiving host should send it nothing; None
             if absent or malformed.
         unreadable: Malformed values, by field.
-        unsupported: Names of reported fields, as received, that are not
+        unsupported: Names, as received, of reported fields that are not
             supported.
     """
 
--- a/src/hoistmoor/core/relay/servers/server.py
+++ b/src/hoistmoor/core/relay/servers/server.py
@@ -100,14 +100,14 @@
         mean_work: Mean work of this host's requests to it; 0 before the first.
         load: Load of other hosts, from its latest report.
         peer_work: Outstanding work of other hosts, as reported by them.
-        peer_work_until: Time at which ``told`` expires.
+        peer_work_until: Time at which ``peer_work`` expires.
         expires_at: Time until which it is kept although its entry is missing,
             possibly due to a store outage; None while it is listed.
         cold_until: Time until which it counts as cold.
-        possibly_cold_until: Time until which it may have restarted cold without
-            its new entry having been read.
+        possibly_cold_until: Time until which it may have restarted cold
+            without its new entry having been read.
         presumed_ended_until: Time until which it counts as ended, because it
-            crashed or another server answers at its address.
+            crashed or another server responds at its address.
         sends: Recent requests of this host to it.
         runs: Requests of this host that may be running on it.
         replaced_predecessor_at: Time at which it replaced an earlier
--- a/src/hoistmoor/core/relay/servers/suspect_state.py
+++ b/src/hoistmoor/core/relay/servers/suspect_state.py
@@ -36,7 +36,7 @@
         ends: Stage that its run had reached, by identity of the server that
             ended; the latest end is last.
         cleared: Servers whose ends no longer count, because the request has
-            been answered since.
+            been completed since.
         is_quarantined: Whether it is refused.
         age: Seconds since the latest end.
     """
@@ -78,7 +78,7 @@
 
     @property
     def ends_at_start(self) -> list[str]:
-        """Servers among ``counted`` that ended just as its run had begun."""
+        """Servers in ``counted_ends`` that ended just as its run had begun."""
         return [
             server
             for server in self.counted_ends
@@ -91,10 +91,10 @@
         if not self.counted_ends:
             self.is_quarantined = False
 
-    def confirms(self, told: Suspect) -> bool:
+    def confirms(self, suspect: Suspect) -> bool:
         """Returns whether another host's quarantine is valid here too."""
-        counted = set(told.ends) - self.cleared
-        return told.is_quarantined and len(counted) >= STARTS_TO_QUARANTINE
+        counted = set(suspect.ends) - self.cleared
+        return suspect.is_quarantined and len(counted) >= STARTS_TO_QUARANTINE
 
     def add(self, server: str, stage: runs_lib.Stage, now: float) -> bool:
         """Adds a server's end; returns whether it is new or weighs more."""
--- a/src/hoistmoor/entry/pin_store.py
+++ b/src/hoistmoor/entry/pin_store.py
@@ -15,7 +15,7 @@
 
 
 class PeerPinStore:
-    """A ``PinStore`` that calls the hosts over ``PeerClients``.
+    """A ``PinStore`` that calls the hosts over ``PeerClientPool``.
 
     Attributes:
         clients: Connections to peers.
--- a/src/hoistmoor/peers/client.py
+++ b/src/hoistmoor/peers/client.py
@@ -46,7 +46,7 @@
 
     Attributes:
         address: The peer's ``ip:port``.
-        calls: Number of calls in progress.
+        active_calls: Number of calls in progress.
 
     Every call raises:
         PeerUnreachableError: There was no connection, it failed, or the reply
--- a/src/hoistmoor/peers/signing.py
+++ b/src/hoistmoor/peers/signing.py
@@ -75,7 +75,8 @@
     """Signs the calls to one peer.
 
     Attributes:
-        ahead: Known offset of the peer's clock from this host's, in seconds.
+        clock_offset: Known offset of the peer's clock from this host's, in
+            seconds.
     """
 
     def __init__(self, signing: CallSigning, address: str) -> None:
--- a/src/hoistmoor/relay/store/follower.py
+++ b/src/hoistmoor/relay/store/follower.py
@@ -59,7 +59,7 @@
             current.
         replica: This host's copy of the topic.
         direct: Set while this host reads the store itself.
-        known: Set once the topic was read, by this host or another one.
+        loaded: Set once the topic was read, by this host or another one.
     """
 
     def __init__(
@@ -202,7 +202,7 @@
             self.name, place.era, self._state.store_era.era
         )
 
-    def _on_new_era(self, before: int, era: int, told_by: str) -> None:
+    def _on_new_era(self, before: int, era: int, source: str) -> None:
         """Cancels a read of an older era.
 
         The new era counts as the end of an outage, so that entries missing in
--- a/src/hoistmoor/steward/stream.py
+++ b/src/hoistmoor/steward/stream.py
@@ -25,7 +25,7 @@
 
     Attributes:
         fold: State from the records read so far.
-        first: The oldest offset on the log, as of the last read.
+        first_offset: The oldest offset on the log, as of the last read.
         last_contact: Time of the log's last response, in seconds since the
             epoch; 0 before the first response.
         outages: Number of failed reads of the log.
--- a/src/hoistmoor/utils/tls.py
+++ b/src/hoistmoor/utils/tls.py
@@ -44,11 +44,12 @@
     that its owner is a host of the deployment, and not which one.
 
     Attributes:
-        callers: Server context of the port for callers; requests no
+        caller_context: Server context of the port for callers; requests no
             certificate.
-        peers: Server context of the port for other hosts; requires a
+        peer_context: Server context of the port for other hosts; requires a
             certificate.
-        to_peers: Client context for calls to the peer port of other hosts.
+        peer_client_context: Client context for calls to the peer port of other
+            hosts.
         link: How to call other hosts over HTTP.
     """
 
