--- a/src/hoistmoor/peers/signing.py
+++ b/src/hoistmoor/peers/signing.py
@@ -39,7 +39,7 @@
         """Adopts the peer's time from a refusal; returns whether it has one."""
 
     def verify_reply(self, metadata: Any, body: bytes) -> None:
-        """Raises PeerNotGenuineError unless the reply is authentic."""
+        """Raises PeerUnverifiedError unless the reply is authentic."""
 
 
 class PeerSigning(Protocol):
