--- a/src/hoistmoor/console/commands/table/__init__.py
+++ b/src/hoistmoor/console/commands/table/__init__.py
@@ -1,4 +1,4 @@
-"""``hoistmoor table``: the operators' table, from sheets to hosts."""
+"""``hoistmoor table``: checks, publishes and shows the operators' table."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 @cappa.command(
-    name="table", help="Edit the table that drives all hosts.", description=" "
+    name="table", help="Manage the table that hosts follow.", description=" "
 )
 @attrs.frozen
 class Table:
-    """The commands that deal with the table."""
+    """Group of the commands on the table."""
 
     command: cappa.Subcommands[
         check.Check | diff.Diff | show.Show | publish.Publish | history.History
--- a/src/hoistmoor/console/commands/table/check.py
+++ b/src/hoistmoor/console/commands/table/check.py
@@ -1,4 +1,4 @@
-"""``hoistmoor table check``."""
+"""``hoistmoor table check``: validates sheets offline."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 )
 @attrs.frozen
 class Check:
-    """Checks sheets without a log.
+    """Validates sheets without access to the log.
 
     Attributes:
-        directory: Holds the sheets.
+        directory: Directory with the sheets.
     """
 
     directory: str
 
     def __call__(self) -> exit_codes.ExitCode:
-        """Prints the faults, or how many rows are sound."""
+        """Prints the faults, or the number of rows if there are none."""
         try:
-            found = directories.read(pathlib.Path(self.directory))
+            contents = directories.read(pathlib.Path(self.directory))
         except directories.SheetFaultsError as error:
             directories.report(error)
             return exit_codes.ExitCode.FAULTS
         for sheet in sheets.SHEETS:
-            count = len(sheets.rows_of(found.table, sheet))
+            count = len(sheets.rows_of(contents.table, sheet))
             sys.stdout.write(f"{sheet}: {count} rows\n")
         return exit_codes.ExitCode.DONE
--- a/src/hoistmoor/console/commands/table/describe.py
+++ b/src/hoistmoor/console/commands/table/describe.py
@@ -1,4 +1,4 @@
-"""Tables, changes and verdicts as lines of text."""
+"""Formats changes of the table and verdicts on edits as lines of text."""
 
 from __future__ import annotations
 
@@ -12,42 +12,46 @@
 from hoistmoor.core.table import sheets
 
 
-def changes(old: model.Table, made: tuple[edits.Change, ...]) -> Iterator[str]:
-    """Yields a line per row added or removed, and per cell changed."""
-    for change in made:
-        before = sheets.rows_of(old, change.sheet).get(change.key)
-        yield from _change(change, before)
+def changes(
+    old: model.Table, edit_changes: tuple[edits.Change, ...]
+) -> Iterator[str]:
+    """Yields one line per added or deleted row and per changed cell."""
+    for change in edit_changes:
+        old_row = sheets.rows_of(old, change.sheet).get(change.key)
+        yield from _describe_change(change, old_row)
 
 
-def _change(change: edits.Change, before: model.Row | None) -> Iterator[str]:
+def _describe_change(
+    change: edits.Change, old_row: model.Row | None
+) -> Iterator[str]:
     if isinstance(change, edits.RowDelete):
         yield f"- {change.name}"
         return
-    if before is None:
+    if old_row is None:
         yield f"+ {change.name}"
         return
     for column in sheets.SHEETS[change.sheet].columns:
-        was = getattr(before, column.name)
-        now = getattr(change.row, column.name)
-        if was != now:
-            shown = f"{column.render(was)} -> {column.render(now)}"
-            yield f"~ {change.name} {column.name}: {shown}"
+        old_value = getattr(old_row, column.name)
+        new_value = getattr(change.row, column.name)
+        if old_value != new_value:
+            values = f"{column.render(old_value)} -> {column.render(new_value)}"
+            yield f"~ {change.name} {column.name}: {values}"
 
 
 @functools.singledispatch
 def verdict(result: object) -> Iterator[str]:
-    """Yields the lines that tell what became of a record."""
+    """Yields the lines that describe the outcome of a record."""
     raise TypeError(type(result))
 
 
 @verdict.register
 def _(result: fold.Accepted) -> Iterator[str]:
-    yield f"{_head(result.offset, result.edit)}: accepted"
+    yield f"{_summary(result.offset, result.edit)}: accepted"
 
 
 @verdict.register
 def _(result: fold.Rejected) -> Iterator[str]:
-    yield f"{_head(result.offset, result.edit)}: rejected ({result.why})"
+    yield f"{_summary(result.offset, result.edit)}: rejected ({result.why})"
     yield from rejection(result)
 
 
@@ -57,14 +61,14 @@
 
 
 def rejection(result: fold.Rejected) -> Iterator[str]:
-    """Yields why an edit was rejected, a line per row or fault."""
-    for clash in result.clashes:
-        yield f"  {clash}"
+    """Yields one line per conflict or fault that an edit was rejected for."""
+    for conflict in result.clashes:
+        yield f"  {conflict}"
     for fault in result.faults:
         yield f"  {fault}"
 
 
-def _head(offset: int, edit: edits.TableEdit) -> str:
+def _summary(offset: int, edit: edits.TableEdit) -> str:
     at = datetime.datetime.fromtimestamp(edit.at, datetime.UTC)
     rows = len(edit.changes)
     return (
--- a/src/hoistmoor/console/commands/table/diff.py
+++ b/src/hoistmoor/console/commands/table/diff.py
@@ -1,4 +1,4 @@
-"""``hoistmoor table diff``."""
+"""``hoistmoor table diff``: shows the changes that sheets would make."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 )
 @attrs.frozen(kw_only=True)
 class Diff:
-    """Compares sheets with the table in force.
+    """Compares sheets with the active table.
 
     Attributes:
-        directory: Holds the sheets.
+        directory: Directory with the sheets.
         log_url: Base URL of the platform's log.
     """
 
@@ -34,18 +34,18 @@
     log_url: log_table.LogUrl
 
     def __call__(self) -> exit_codes.ExitCode:
-        """Prints a line per change, and what would keep them out."""
+        """Prints the changes, and why they would be rejected if so."""
         try:
-            found = directories.read(pathlib.Path(self.directory))
+            contents = directories.read(pathlib.Path(self.directory))
         except directories.SheetFaultsError as error:
             directories.report(error)
             return exit_codes.ExitCode.FAULTS
         current = asyncio.run(read_fold(self.log_url))
-        plan = publisher.plan(current, found.table, found.base, "", 0.0)
+        plan = publisher.plan(current, contents.table, contents.base, "", 0.0)
         if plan is None:
             return exit_codes.ExitCode.DONE
-        made = plan.edit.changes
-        for line in describe.changes(current.in_force.table, made):
+        planned = plan.edit.changes
+        for line in describe.changes(current.in_force.table, planned):
             sys.stdout.write(f"{line}\n")
         if not isinstance(plan.expected, fold.Rejected):
             return exit_codes.ExitCode.DONE
@@ -56,7 +56,7 @@
 
 
 async def read_fold(log_url: str) -> fold.TableFold:
-    """Returns the table that the log's records make now."""
+    """Returns the fold of all records that are on the log now."""
     async with sessions.make_session() as session:
         table = log_table.LogTable(log_table.client_of(session, log_url))
         return (await table.read()).fold
--- a/src/hoistmoor/console/commands/table/directory.py
+++ b/src/hoistmoor/console/commands/table/directory.py
@@ -1,7 +1,8 @@
-"""Directories that hold a table's sheets.
+"""Reads and writes directories with the sheets of a table.
 
-``show --out`` also leaves a file there that says what the sheets were made
-from, so that ``publish`` can tell the operator's own changes from others'.
+``show --out`` also writes a base file there with a snapshot of the table that
+the sheets are edited against, so that ``publish`` can distinguish the
+operator's own changes from those of others.
 """
 
 from __future__ import annotations
@@ -26,10 +27,10 @@
 
 
 class SheetFaultsError(errors.ConfigurationError):
-    """The sheets cannot be published.
+    """The sheets have faults and cannot be published.
 
     Attributes:
-        faults: Everything that is wrong.
+        faults: All faults that were found.
     """
 
     def __init__(
@@ -37,18 +38,19 @@
     ) -> None:
         super().__init__(
             f"the sheets in {directory} have {len(faults)} faults",
-            "Correct the cells named above.",
+            "Correct the cells listed above.",
         )
         self.faults = faults
 
 
 @attrs.frozen
 class Sheets:
-    """What a directory holds.
+    """Contents of a directory.
 
     Attributes:
-        table: The table.
-        base: What the sheets were made from, if ``show --out`` made them.
+        table: Table that the sheets describe.
+        base: Snapshot that the sheets are edited against; None if they were
+            not written by ``show --out``.
     """
 
     table: model.Table
@@ -56,27 +58,28 @@
 
 
 def read(directory: pathlib.Path) -> Sheets:
-    """Reads and checks the sheets in ``directory``.
+    """Reads and validates the sheets in ``directory``.
 
     Raises:
-        ConfigurationError: There is no such directory, or no text in it.
+        ConfigurationError: The directory does not exist, a sheet is not UTF-8
+            text, or the base file is damaged.
         SheetFaultsError: The sheets have faults.
     """
     if not directory.is_dir():
         raise errors.ConfigurationError(
-            f"there is no directory {directory}", "Check the path."
+            f"directory {directory} does not exist", "Check the path."
         )
     paths = sorted(directory.glob(f"*{sheets.SUFFIX}"))
-    result = check.check_sheets({path.name: _text(path) for path in paths})
+    result = check.check_sheets({path.name: _read_text(path) for path in paths})
     if result.faults:
         raise SheetFaultsError(directory, result.faults)
-    return Sheets(result.table, _base(directory))
+    return Sheets(result.table, _read_base(directory))
 
 
 def write(
     directory: pathlib.Path, table: model.Table, base: edits.TableSnapshot
 ) -> None:
-    """Writes the sheets of ``table``, and what they were made from."""
+    """Writes the sheets of ``table`` and the base file."""
     directory.mkdir(parents=True, exist_ok=True)
     for name, text in sheets.render_sheets(table).items():
         (directory / name).write_text(text, encoding="utf-8")
@@ -90,7 +93,7 @@
     sys.stderr.write(f"hoistmoor: {error}\n")
 
 
-def _text(path: pathlib.Path) -> str:
+def _read_text(path: pathlib.Path) -> str:
     try:
         return path.read_text(encoding="utf-8")
     except UnicodeDecodeError as error:
@@ -99,7 +102,7 @@
         ) from error
 
 
-def _base(directory: pathlib.Path) -> edits.TableSnapshot | None:
+def _read_base(directory: pathlib.Path) -> edits.TableSnapshot | None:
     path = directory / BASE_FILE
     if not path.exists():
         return None
@@ -111,6 +114,7 @@
         ) from error
     if not isinstance(base, edits.TableSnapshot):
         raise errors.ConfigurationError(
-            f"{path} holds no table", "Run `hoistmoor table show --out` again."
+            f"{path} is not a table snapshot",
+            "Run `hoistmoor table show --out` again.",
         )
     return base
--- a/src/hoistmoor/console/commands/table/history.py
+++ b/src/hoistmoor/console/commands/table/history.py
@@ -1,4 +1,4 @@
-"""``hoistmoor table history``."""
+"""``hoistmoor table history``: lists the edits of the table."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from hoistmoor.console.commands.table import log_table
 
 _Last = Annotated[
-    int, cappa.Arg(long="--last", help="How many records to show.")
+    int, cappa.Arg(long="--last", help="Number of records to show.")
 ]
 
 
@@ -26,24 +26,24 @@
 )
 @attrs.frozen(kw_only=True)
 class History:
-    """Shows what became of the records that the log still holds.
+    """Shows the outcome of the records that the log still holds.
 
     Attributes:
         log_url: Base URL of the platform's log.
-        last: How many records to show, the newest last.
+        last: Number of records to show, of which the newest comes last.
     """
 
     log_url: log_table.LogUrl
     last: _Last = 50
 
     def __call__(self) -> exit_codes.ExitCode:
-        """Prints the newest records."""
+        """Prints the outcome of the newest records."""
         reading = asyncio.run(self._read())
         for verdict in reading.verdicts[-self.last :]:
             for line in describe.verdict(verdict):
                 sys.stdout.write(f"{line}\n")
         if reading.unread:
-            sys.stdout.write(f"{reading.unread} records could not be read\n")
+            sys.stdout.write(f"{reading.unread} records could not be decoded\n")
         return exit_codes.ExitCode.DONE
 
     async def _read(self) -> log_table.Reading:
--- a/src/hoistmoor/console/commands/table/in_force.py
+++ b/src/hoistmoor/console/commands/table/in_force.py
@@ -1,4 +1,4 @@
-"""Asks the entry hosts which revision they have in force."""
+"""Follows the propagation of a table revision to the entry hosts."""
 
 from __future__ import annotations
 
@@ -12,39 +12,40 @@
 from hoistmoor.console import entry_access
 from hoistmoor.core import errors
 
-POLL_SECONDS = 0.1
-STATUS_TIMEOUT = 1.0  # Seconds for one answer of one host.
-_UNAUTHORIZED = 401
-CONCURRENCY = 64  # Hosts asked at once.
+POLL_INTERVAL = 0.1  # Seconds.
+STATUS_TIMEOUT = 1.0  # Seconds for a complete response of one host.
+_HTTP_UNAUTHORIZED = 401
+MAX_CONCURRENT_REQUESTS = 64
 
 
 @attrs.frozen
 class Laggard:
-    """A host that has not been seen to have the revision in force.
+    """A host that has not confirmed that the revision is active.
 
     Attributes:
         host: Name of the host.
-        address: ``ip:port`` that was asked.
-        state: What it said, or that it said nothing.
+        address: ``ip:port`` that was queried.
+        problem: Description of its response, or of the lack of one.
     """
 
     host: str
     address: str
-    state: str
+    problem: str
 
     def __str__(self) -> str:
-        """Returns the form used in messages."""
-        return f"{self.host} at {self.address}: {self.state}"
+        """Returns the host with its problem, as printed to the operator."""
+        return f"{self.host} at {self.address}: {self.problem}"
 
 
 @attrs.frozen
 class Spread:
-    """How far a revision has come.
+    """Propagation of a revision to the live entry hosts.
 
     Attributes:
-        reached: Names of the hosts that have it in force.
+        reached: Names of the hosts on which the revision is active.
         laggards: The other live hosts.
-        list_problem: Why the list of hosts is not known; empty if it is.
+        list_problem: Why the list of hosts is unavailable; empty if it is
+            available.
     """
 
     reached: tuple[str, ...]
@@ -53,12 +54,12 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether every live host is known to have it in force."""
+        """Whether the revision is known to be active on every live host."""
         return not self.laggards and not self.list_problem
 
 
 class SpreadWatch:
-    """Waits until a revision is in force at every live entry host."""
+    """Polls the live entry hosts until a revision is active on all of them."""
 
     def __init__(
         self,
@@ -66,25 +67,35 @@
         host_list: hosts.HostListClient,
         revision: int,
     ) -> None:
-        """Makes a watch for ``revision``."""
+        """Creates a watch for ``revision``.
+
+        Args:
+            session: HTTP session for the requests to hosts.
+            host_list: Client of the platform's host list.
+            revision: Revision to wait for.
+        """
         self.session = session
         self.host_list = host_list
         self.revision = revision
-        self._slots = asyncio.Semaphore(CONCURRENCY)
-        self._spread = Spread((), (), "the list of hosts was not read in time")
+        self._slots = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
+        self._spread = Spread((), (), "timed out reading the list of hosts")
+
+    async def wait(self, timeout: float) -> Spread:
+        """Returns once all hosts have the revision, or after ``timeout``.
 
-    async def wait(self, bound: float) -> Spread:
-        """Returns once all have it, or after ``bound`` seconds."""
+        Args:
+            timeout: Seconds.
+        """
         try:
-            async with asyncio.timeout(bound):
+            async with asyncio.timeout(timeout):
                 while not self._spread.is_complete:
-                    self._spread = await self._look()
-                    await asyncio.sleep(POLL_SECONDS)
+                    self._spread = await self._poll()
+                    await asyncio.sleep(POLL_INTERVAL)
         except TimeoutError:
             pass
         return self._spread
 
-    async def _look(self) -> Spread:
+    async def _poll(self) -> Spread:
         try:
             listed = await self.host_list.fetch()
         except errors.PlatformError as error:
@@ -95,22 +106,24 @@
             if host.role is hosts.Role.ENTRY
             and host.state is hosts.ListedState.LIVE
         ]
-        states = await asyncio.gather(*(self._ask(host) for host in live))
+        problems = await asyncio.gather(
+            *(self._query_host(host) for host in live)
+        )
         return Spread(
             tuple(
                 host.name
-                for host, state in zip(live, states, strict=True)
-                if not state
+                for host, problem in zip(live, problems, strict=True)
+                if not problem
             ),
             tuple(
-                Laggard(host.name, host.address, state)
-                for host, state in zip(live, states, strict=True)
-                if state
+                Laggard(host.name, host.address, problem)
+                for host, problem in zip(live, problems, strict=True)
+                if problem
             ),
         )
 
-    async def _ask(self, host: hosts.ListedHost) -> str:
-        """Returns what keeps ``host`` back; empty if nothing does."""
+    async def _query_host(self, host: hosts.ListedHost) -> str:
+        """Returns why ``host`` lags; empty if the revision is active on it."""
         try:
             async with (
                 self._slots,
@@ -119,11 +132,11 @@
                     host.address,
                     "/status?part=table",
                     STATUS_TIMEOUT,
-                ) as reply,
+                ) as response,
             ):
-                if reply.status == _UNAUTHORIZED:
+                if response.status == _HTTP_UNAUTHORIZED:
                     return f"refused; check {entry_access.KEY_VARIABLE}"
-                status = orjson.loads(await reply.read())
+                status = orjson.loads(await response.read())
                 revision = int(status["table_revision"])
         except (aiohttp.ClientError, TimeoutError):
             return "no answer"
--- a/src/hoistmoor/console/commands/table/log_table.py
+++ b/src/hoistmoor/console/commands/table/log_table.py
@@ -1,4 +1,4 @@
-"""The table as the log tells it, for commands that run once."""
+"""Reads the table from the log, for one-shot commands."""
 
 from __future__ import annotations
 
@@ -27,24 +27,24 @@
     """Returns a client of the log at ``log_url``.
 
     Raises:
-        ConfigurationError: There is no usable URL.
+        ConfigurationError: The URL is missing or invalid.
     """
     if not log_url.startswith(("http://", "https://")):
         raise errors.ConfigurationError(
-            f"--log-url is {log_url!r}, which is no URL",
-            "Give --log-url or set HOISTMOOR_LOG_URL, such as http://ip:port.",
+            f"--log-url must be an HTTP URL, not {log_url!r}",
+            "Pass --log-url or set HOISTMOOR_LOG_URL, such as http://ip:port.",
         )
     return log.LogClient(session, log_url)
 
 
 @attrs.frozen
 class Reading:
-    """The table's stream, read to its end.
+    """Result of reading the table's stream to its end.
 
     Attributes:
-        fold: The table after its last record.
-        verdicts: What became of each record that was still there.
-        unread: How many records could not be read.
+        fold: State of the table after the last record.
+        verdicts: Outcomes of the records that the log still holds.
+        unread: Number of records that were skipped as invalid.
     """
 
     fold: folds.TableFold
@@ -53,32 +53,34 @@
 
 
 class LogTable:
-    """Reads the table's stream, and reads on when asked again."""
+    """Reads the table's stream; repeated reads continue where it stopped."""
 
     def __init__(self, client: log.LogClient, wanted: int = -1) -> None:
-        """Makes a reader of ``client``'s table.
+        """Creates a reader of the table's stream.
 
         Args:
-            client: Reads the log.
-            wanted: A revision to keep when reading passes it.
+            client: Client of the log.
+            wanted: Revision of which to keep the table in ``wanted_table``;
+                -1 for none.
         """
         self.client = client
         self.wanted = wanted
         self.wanted_table: model.Table | None = None
         self._replay = replay.TableReplay()
         self._verdicts: list[folds.Verdict] = []
-        self._begun = False
+        self._started = False
 
     async def read(self) -> Reading:
-        """Reads up to the present end of the stream.
+        """Reads up to the current end of the stream.
 
         Raises:
             PlatformError: The log could not be read.
-            TableHistoryLostError: The log has no usable start.
+            TableHistoryLostError: Retention has deleted the first records and
+                the log holds no snapshot that covers them.
         """
         bounds = await self.client.bounds(streams.TABLE)
-        if not self._begun:
-            self._begun = True
+        if not self._started:
+            self._started = True
             self._replay.begin(bounds.first)
         while self._replay.next_offset < bounds.next:
             await self._read_page()
@@ -102,9 +104,9 @@
             self._verdicts.extend(
                 self._replay.feed(record.offset, record.payload)
             )
-            self._keep_wanted()
+            self._keep_wanted_table()
 
-    def _keep_wanted(self) -> None:
+    def _keep_wanted_table(self) -> None:
         table = self._replay.in_force
         if table is not None and table.revision == self.wanted:
             self.wanted_table = table.table
--- a/src/hoistmoor/console/commands/table/publish.py
+++ b/src/hoistmoor/console/commands/table/publish.py
@@ -1,4 +1,4 @@
-"""``hoistmoor table publish``."""
+"""``hoistmoor table publish``: publishes sheets as an edit of the table."""
 
 from __future__ import annotations
 
@@ -23,22 +23,25 @@
 
 _Overwrite = Annotated[
     bool,
-    cappa.Arg(long="--overwrite", help="Also replace rows that others made."),
+    cappa.Arg(long="--overwrite", help="Also replace rows changed by others."),
 ]
 
 
-@cappa.command(name="publish", help="Put the sheets in force.", description=" ")
+@cappa.command(
+    name="publish", help="Publish the sheets to all hosts.", description=" "
+)
 @attrs.frozen(kw_only=True)
 class Publish:
     """Publishes sheets as one edit.
 
     Attributes:
-        directory: Holds the sheets.
-        author: Who publishes.
+        directory: Directory with the sheets.
+        author: Name of the operator.
         log_url: Base URL of the platform's log.
-        hosts_url: Base URL of the host list; empty where it is ``log_url``.
-        wait: Seconds to wait until the edit is in force everywhere.
-        overwrite: Whether sheets without a base may undo others' changes.
+        hosts_url: Base URL of the host list; empty to use ``log_url``.
+        wait: Seconds to wait until the edit is active on every entry host.
+        overwrite: Whether sheets without a base may replace rows that others
+            have changed.
     """
 
     directory: str
@@ -49,44 +52,49 @@
     overwrite: _Overwrite = False
 
     def __call__(self) -> exit_codes.ExitCode:
-        """Publishes, and tells what became of it."""
+        """Publishes the sheets and reports the outcome."""
         try:
-            found = directories.read(pathlib.Path(self.directory))
+            contents = directories.read(pathlib.Path(self.directory))
         except directories.SheetFaultsError as error:
             directories.report(error)
             return exit_codes.ExitCode.FAULTS
-        return asyncio.run(self._run(found))
+        return asyncio.run(self._run(contents))
 
-    async def _run(self, found: directories.Sheets) -> exit_codes.ExitCode:
+    async def _run(self, contents: directories.Sheets) -> exit_codes.ExitCode:
         async with sessions.make_session() as session:
             client = log_table.client_of(session, self.log_url)
             table = log_table.LogTable(client)
-            revision = await self._put(client, table, found)
+            revision = await self._publish(client, table, contents)
             if revision is None:
                 return exit_codes.ExitCode.REJECTED
-            self._refresh(found, (await table.read()).fold)
+            self._refresh_sheets(contents, (await table.read()).fold)
             return await spread_report.wait_and_tell(
                 session, self.hosts_url or self.log_url, revision, self.wait
             )
 
-    async def _put(
+    async def _publish(
         self,
         client: log.LogClient,
         table: log_table.LogTable,
-        found: directories.Sheets,
+        contents: directories.Sheets,
     ) -> int | None:
-        """Returns the revision that is as wanted; None if it was rejected."""
+        """Publishes the edit unless the table already matches the sheets.
+
+        Returns:
+            The revision that matches the sheets; None if nothing was changed
+            because the edit was rejected or would replace rows of others.
+        """
         current = (await table.read()).fold
         plan = publisher.plan(
-            current, found.table, found.base, self.author, time.time()
+            current, contents.table, contents.base, self.author, time.time()
         )
         if plan is None:
-            _say("nothing to change")
+            _print_line("nothing to change")
             return current.in_force.revision
-        if found.base is None and not self.overwrite:
-            foreign = publisher.foreign_rows(current, plan.edit)
-            if foreign:
-                _tell_foreign(foreign)
+        if contents.base is None and not self.overwrite:
+            clashes = publisher.foreign_rows(current, plan.edit)
+            if clashes:
+                _report_foreign_rows(clashes)
                 return None
         verdict = plan.expected
         if isinstance(verdict, fold.Accepted):
@@ -94,46 +102,49 @@
                 client, table, publisher.SETTLE_SECONDS
             ).publish(plan.edit)
         if not isinstance(verdict, fold.Accepted):
-            _tell_rejected(verdict)
+            _report_rejection(verdict)
             return None
-        _say(f"accepted as revision {verdict.offset}")
-        _say(f"changed {publisher.row_count(plan.edit)}")
+        _print_line(f"accepted as revision {verdict.offset}")
+        _print_line(f"changed {publisher.row_count(plan.edit)}")
         return verdict.offset
 
-    def _refresh(
-        self, found: directories.Sheets, current: fold.TableFold
+    def _refresh_sheets(
+        self, contents: directories.Sheets, current: fold.TableFold
     ) -> None:
-        """Brings sheets that ``show --out`` made up to date."""
-        if found.base is None:
+        """Updates sheets that ``show --out`` wrote to the active table."""
+        if contents.base is None:
             return
-        where = pathlib.Path(self.directory)
+        directory = pathlib.Path(self.directory)
         try:
-            directories.write(where, current.in_force.table, current.snapshot())
-        except OSError as error:  # The edit is accepted all the same.
-            _complain(f"{where} was not brought up to date: {error}")
+            directories.write(
+                directory, current.in_force.table, current.snapshot()
+            )
+        except OSError as error:
+            # The edit has been accepted, so the command still succeeds.
+            _print_error(f"cannot update the sheets in {directory}: {error}")
 
 
-def _tell_foreign(foreign: tuple[fold.Clash, ...]) -> None:
-    for clash in foreign:
-        _complain(f"the sheets would undo a change by another: {clash}")
-    _complain(
+def _report_foreign_rows(clashes: tuple[fold.Clash, ...]) -> None:
+    for clash in clashes:
+        _print_error(f"the sheets would undo a change by another: {clash}")
+    _print_error(
         "nothing was changed; fetch the table with `hoistmoor table show "
         "--out DIR` and edit that, or add --overwrite to replace these rows"
     )
 
 
-def _tell_rejected(verdict: fold.Verdict) -> None:
+def _report_rejection(verdict: fold.Verdict) -> None:
     for line in describe.verdict(verdict):
-        _complain(line)
-    _complain(
+        _print_error(line)
+    _print_error(
         "nothing was changed; fetch the table with `hoistmoor table show "
         "--out DIR`, make the edit there and publish again"
     )
 
 
-def _say(line: str) -> None:
+def _print_line(line: str) -> None:
     sys.stdout.write(f"{line}\n")
 
 
-def _complain(line: str) -> None:
+def _print_error(line: str) -> None:
     sys.stderr.write(f"{line}\n")
--- a/src/hoistmoor/console/commands/table/publisher.py
+++ b/src/hoistmoor/console/commands/table/publisher.py
@@ -1,4 +1,4 @@
-"""Puts an edit on the log and finds out what became of it."""
+"""Appends an edit to the log and determines its outcome."""
 
 from __future__ import annotations
 
@@ -22,16 +22,17 @@
     from hoistmoor.console.commands.table import log_table
 
 SETTLE_SECONDS = 10.0  # How long to look for an edit whose reply was lost.
-RETRY_SECONDS = 0.2
+POLL_INTERVAL = 0.2  # Seconds.
 
 
 @attrs.frozen
 class Plan:
-    """An edit about to be published.
+    """An edit to be published.
 
     Attributes:
         edit: The edit.
-        expected: What would become of it if no other edit came first.
+        expected: Verdict on the edit, provided that no other edit is accepted
+            before it.
     """
 
     edit: edits.TableEdit
@@ -45,13 +46,17 @@
     author: str,
     now: float,
 ) -> Plan | None:
-    """Returns the edit that makes the table as wanted; None if it is so.
+    """Returns the edit that turns the table into ``wanted``, if any is needed.
+
+    The operator's changes are the differences between ``base`` and
+    ``wanted``, so that changes which others made since the base are kept.
+    Without a base, the result makes the whole table equal to ``wanted``.
 
     Args:
-        current: The table as the log tells it.
-        wanted: The operator's table.
-        base: What the operator's table was made from, if that is known.
-        author: Who publishes.
+        current: State of the table on the log.
+        wanted: Table that the operator wants.
+        base: Snapshot that ``wanted`` is edited against; None if unknown.
+        author: Name of the operator.
         now: Seconds since the epoch.
     """
     table = current.in_force.table
@@ -64,26 +69,32 @@
     )
     if not changes:
         return None
-    seen = base.as_of if base else current.as_of
-    edit = edits.TableEdit(uuid.uuid4().hex, seen, author, now, changes)
-    trial = fold.TableFold.from_snapshot(current.snapshot())
-    return Plan(edit, trial.apply(trial.as_of + 1, edit))
+    base_revision = base.as_of if base else current.as_of
+    edit = edits.TableEdit(
+        uuid.uuid4().hex, base_revision, author, now, changes
+    )
+    preview = fold.TableFold.from_snapshot(current.snapshot())
+    return Plan(edit, preview.apply(preview.as_of + 1, edit))
 
 
 def foreign_rows(
     current: fold.TableFold, edit: edits.TableEdit
 ) -> tuple[fold.Clash, ...]:
-    """Returns the rows of ``edit`` that somebody else changed last."""
-    found = []
+    """Returns the rows of ``edit`` that another author has changed last."""
+    clashes = []
     for change in edit.changes:
-        mark = current.memory.mark(change.name)
-        if mark is not None and mark.author != edit.author:
-            found.append(fold.Clash(change.name, mark.author, mark.revision))
-    return tuple(found)
+        last_change = current.memory.mark(change.name)
+        if last_change is not None and last_change.author != edit.author:
+            clashes.append(
+                fold.Clash(
+                    change.name, last_change.author, last_change.revision
+                )
+            )
+    return tuple(clashes)
 
 
 class Publisher:
-    """Appends edits and settles them by their ids."""
+    """Appends edits and looks up their outcomes by edit id."""
 
     def __init__(
         self,
@@ -91,27 +102,34 @@
         table: log_table.LogTable,
         settle_seconds: float = SETTLE_SECONDS,
     ) -> None:
-        """Makes a publisher that reads the log through ``table``."""
+        """Creates a publisher.
+
+        Args:
+            client: Client of the log.
+            table: Reader that outcomes are looked up with.
+            settle_seconds: How long to look for an appended edit.
+        """
         self.client = client
         self.table = table
         self.settle_seconds = settle_seconds
 
     async def publish(self, edit: edits.TableEdit) -> fold.Verdict:
-        """Appends ``edit``, once, and returns what became of it.
+        """Appends ``edit`` without retries and returns the verdict on it.
 
         Raises:
             LogUnavailableError: The edit is not on the log.
-            LogOutcomeUnknownError: It is not known whether it is.
+            LogOutcomeUnknownError: It is unknown whether the edit is on the
+                log.
         """
-        # An edit without a reply is found by its id, like any other.
+        # If the reply is lost, the edit is still found by its id.
         with contextlib.suppress(errors.LogOutcomeUnknownError):
             await self.client.append(streams.TABLE, codec.encode(edit))
-        return await self._settle(edit.edit_id)
+        return await self._wait_for_verdict(edit.edit_id)
 
-    async def _settle(self, edit_id: str) -> fold.Verdict:
+    async def _wait_for_verdict(self, edit_id: str) -> fold.Verdict:
         try:
             async with asyncio.timeout(self.settle_seconds):
-                return await self._find(edit_id)
+                return await self._find_verdict(edit_id)
         except TimeoutError as error:
             raise errors.LogOutcomeUnknownError(
                 f"edit {edit_id} may or may not be on the log",
@@ -119,31 +137,33 @@
                 "again is safe.",
             ) from error
 
-    async def _find(self, edit_id: str) -> fold.Verdict:
+    async def _find_verdict(self, edit_id: str) -> fold.Verdict:
         while True:
-            # The first copy on the log decides.
-            for verdict in await self._read():
-                if _edit_id(verdict) == edit_id:
+            # If the log holds several copies, the first one is decisive.
+            for verdict in await self._read_verdicts():
+                if _edit_id_of(verdict) == edit_id:
                     return verdict
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL)
 
-    async def _read(self) -> tuple[fold.Verdict, ...]:
+    async def _read_verdicts(self) -> tuple[fold.Verdict, ...]:
         try:
             return (await self.table.read()).verdicts
         except errors.PlatformError:
             return ()
 
 
-def _edit_id(verdict: fold.Verdict) -> str:
+def _edit_id_of(verdict: fold.Verdict) -> str:
     if isinstance(verdict, fold.Ignored):
         return ""
     return verdict.edit.edit_id
 
 
 def row_count(edit: edits.TableEdit) -> str:
-    """Returns how many rows ``edit`` changes, in words, by sheet."""
+    """Returns the number of rows that ``edit`` changes, by sheet, as text."""
     counts = {
         sheet: sum(change.sheet == sheet for change in edit.changes)
         for sheet in sheets.SHEETS
     }
-    return ", ".join(f"{n} in {sheet}" for sheet, n in counts.items() if n)
+    return ", ".join(
+        f"{count} in {sheet}" for sheet, count in counts.items() if count
+    )
--- a/src/hoistmoor/console/commands/table/show.py
+++ b/src/hoistmoor/console/commands/table/show.py
@@ -1,4 +1,4 @@
-"""``hoistmoor table show``."""
+"""``hoistmoor table show``: prints the table or fetches it for edits."""
 
 from __future__ import annotations
 
@@ -20,26 +20,26 @@
 from hoistmoor.core.table import sheets
 
 _Sheet = Annotated[
-    str | None, cappa.Arg(long="--sheet", help="One sheet only.")
+    str | None, cappa.Arg(long="--sheet", help="Print only this sheet.")
 ]
 _Out = Annotated[
     str | None,
-    cappa.Arg(long="--out", help="Directory to write sheets to, for edits."),
+    cappa.Arg(long="--out", help="Write the sheets to this directory."),
 ]
 _Revision = Annotated[
     int | None,
-    cappa.Arg(long="--revision", help="An older revision, to go back to."),
+    cappa.Arg(long="--revision", help="Older revision, to revert to."),
 ]
 
 
 @attrs.frozen
-class Found:
-    """What the log tells.
+class Selection:
+    """Table of the requested revision.
 
     Attributes:
-        current: The table in force.
-        revision: The revision asked for.
-        table: The table of that revision.
+        current: Fold of the table's stream, with the active table.
+        revision: Requested revision.
+        table: Table of that revision.
     """
 
     current: fold.TableFold
@@ -48,17 +48,17 @@
 
 
 @cappa.command(
-    name="show", help="Print or fetch the table in force.", description=" "
+    name="show", help="Print or fetch the active table.", description=" "
 )
 @attrs.frozen(kw_only=True)
 class Show:
-    """Shows a table.
+    """Shows the table of a revision.
 
     Attributes:
         log_url: Base URL of the platform's log.
         sheet: Name of the sheet to print; None for all.
         out: Directory to write the sheets to instead of printing them.
-        revision: The revision to show; None for the one in force.
+        revision: Revision to show; None for the active one.
     """
 
     log_url: log_table.LogUrl
@@ -67,38 +67,39 @@
     revision: _Revision = None
 
     def __call__(self) -> exit_codes.ExitCode:
-        """Prints the sheets, or writes them for an edit."""
+        """Prints the sheets, or writes them to a directory."""
         if self.sheet is not None and self.sheet not in sheets.SHEETS:
             raise errors.ConfigurationError(
-                f"--sheet: there is no sheet {self.sheet!r}",
+                f"--sheet: unknown sheet {self.sheet!r}",
                 f"Choose one of: {', '.join(sheets.SHEETS)}.",
             )
-        found = asyncio.run(self._find())
-        sys.stdout.write(f"revision {found.revision}\n")
+        selection = asyncio.run(self._select())
+        sys.stdout.write(f"revision {selection.revision}\n")
         if self.out is not None:
-            # The base is what is in force now, also below an older table: so
-            # publishing the sheets goes back to it, and clashes show.
-            base = found.current.snapshot()
-            directories.write(pathlib.Path(self.out), found.table, base)
+            # The base is the active table even if an older revision is shown.
+            # Publishing the sheets then reverts the table to that revision,
+            # and conflicts with later edits are detected.
+            base = selection.current.snapshot()
+            directories.write(pathlib.Path(self.out), selection.table, base)
             return exit_codes.ExitCode.DONE
-        self._print(found.table)
+        self._print(selection.table)
         return exit_codes.ExitCode.DONE
 
-    async def _find(self) -> Found:
+    async def _select(self) -> Selection:
         wanted = -1 if self.revision is None else self.revision
         async with sessions.make_session() as session:
             client = log_table.client_of(session, self.log_url)
-            log = log_table.LogTable(client, wanted)
-            current = (await log.read()).fold
+            reader = log_table.LogTable(client, wanted)
+            current = (await reader.read()).fold
         if self.revision is None:
             in_force = current.in_force
-            return Found(current, in_force.revision, in_force.table)
-        if log.wanted_table is None:
+            return Selection(current, in_force.revision, in_force.table)
+        if reader.wanted_table is None:
             raise errors.ConfigurationError(
                 f"--revision: the log does not hold revision {self.revision}",
-                "Choose an accepted edit of `hoistmoor table history`.",
+                "Choose an accepted edit from `hoistmoor table history`.",
             )
-        return Found(current, self.revision, log.wanted_table)
+        return Selection(current, self.revision, reader.wanted_table)
 
     def _print(self, table: model.Table) -> None:
         for name, text in sheets.render_sheets(table).items():
--- a/src/hoistmoor/console/commands/table/spread_report.py
+++ b/src/hoistmoor/console/commands/table/spread_report.py
@@ -1,4 +1,4 @@
-"""Tells an operator where a revision is in force; the flags that go with it."""
+"""Reports on which hosts a revision is active, and the flags for that."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     import aiohttp
 
-WAIT_SECONDS = 10.0
+WAIT_SECONDS = 10.0  # Default of --wait.
 
 Author = Annotated[
     str, cappa.Arg(long="--author", help="Your name, for the history.")
@@ -23,7 +23,7 @@
     float,
     cappa.Arg(
         long="--wait",
-        help="Seconds to wait until in force at every host; 0 for not at all.",
+        help="Seconds to wait until active on every host; 0 to not wait.",
     ),
 ]
 
@@ -34,13 +34,13 @@
     revision: int,
     wait: float,
 ) -> exit_codes.ExitCode:
-    """Waits until ``revision`` is in force everywhere, and names who lags.
+    """Waits until ``revision`` is active on every host and reports laggards.
 
     Args:
-        session: Asks the host list and the hosts.
+        session: HTTP session for the host list and the hosts.
         hosts_url: Base URL of the host list.
-        revision: The revision to wait for.
-        wait: Seconds; 0 asks nobody.
+        revision: Revision to wait for.
+        wait: Seconds to wait; 0 to skip the check.
     """
     if wait <= 0:
         return exit_codes.ExitCode.DONE
@@ -50,7 +50,9 @@
     if spread.is_complete:
         return exit_codes.ExitCode.DONE
     if spread.list_problem:
-        sys.stderr.write(f"cannot tell who lags: {spread.list_problem}\n")
+        sys.stderr.write(
+            f"cannot tell which hosts lag: {spread.list_problem}\n"
+        )
     for laggard in spread.laggards:
         sys.stderr.write(f"lags: {laggard}\n")
     return exit_codes.ExitCode.LAGGING
