--- a/src/hoistmoor/console/commands/__init__.py
+++ b/src/hoistmoor/console/commands/__init__.py
@@ -1,7 +1,7 @@
 """Commands of ``hoistmoor``.
 
-Each module or package here names its commands in ``COMMANDS``; that is all it
-takes to add one.
+Each module or package in this package lists its commands in ``COMMANDS``,
+where ``registry.find_commands`` discovers them.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/console/commands/bill.py
+++ b/src/hoistmoor/console/commands/bill.py
@@ -1,4 +1,4 @@
-"""``hoistmoor bill``: the statement of each client account."""
+"""``hoistmoor bill``: shows the billing statement of each client account."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
     from hoistmoor.entry import log_port
 
-_PAGE = 500  # Records.
-_MICROS = 1_000_000
-_COLUMNS = "{:<20} {:<36} {:>9} {:>12} {:>12} {:>16}"
+_PAGE_SIZE = 500  # Records per read from the log.
+_MICROS_PER_UNIT = 1_000_000
+_ROW_FORMAT = "{:<20} {:<36} {:>9} {:>12} {:>12} {:>16}"
 
 _Account = Annotated[
     str | None, cappa.Arg(long="--account", help="Only this client account.")
@@ -36,7 +36,7 @@
     bool,
     cappa.Arg(
         long="--checkpoint",
-        help="Also put the totals on the log, so that retention loses none.",
+        help="Also append the totals to the log, to keep them past retention.",
     ),
 ]
 
@@ -46,11 +46,11 @@
 )
 @attrs.frozen(kw_only=True)
 class Bill:
-    """Folds the bills on the log into a statement.
+    """Computes the statement from the bills on the log.
 
     Attributes:
         log_url: Base URL of the platform's log.
-        account: Only this client account; None for all.
+        account: Client account to show; None for all.
         json: Whether to print JSON.
         checkpoint: Whether to append the totals to the log.
     """
@@ -61,11 +61,11 @@
     checkpoint: _Checkpoint = False
 
     def __call__(self) -> exit_codes.ExitCode:
-        """Prints the statement; fails where it cannot be whole."""
+        """Prints the statement; fails if it is incomplete."""
         return asyncio.run(self.show())
 
     async def show(self) -> exit_codes.ExitCode:
-        """Reads the stream and prints what it adds up to."""
+        """Reads the stream and prints the statement."""
         async with sessions.make_session() as session:
             client = log_table.client_of(session, self.log_url)
             statement = await read_statement(client)
@@ -77,15 +77,18 @@
         return exit_codes.ExitCode.DONE
 
     def _print(self, statement: statement_lib.Statement) -> None:
-        render = _as_json if self.json else _as_text
+        render = _format_json if self.json else _format_text
         for line in render(statement, self.account):
             sys.stdout.write(f"{line}\n")
-        for line in _complaints(statement):
+        for line in _format_problems(statement):
             sys.stderr.write(f"{line}\n")
 
 
 async def read_statement(client: log_port.Log) -> statement_lib.Statement:
-    """Returns the statement through the newest record.
+    """Returns the statement up to the newest record.
+
+    If retention has deleted the oldest records, the statement resumes from
+    the newest checkpoint that covers them.
 
     Raises:
         LogUnavailableError: The stream cannot be read.
@@ -93,9 +96,11 @@
     bounds = await client.bounds(streams.BILLS)
     statement = statement_lib.Statement()
     if bounds.first > 0:
-        statement = await _resume(client, bounds)
+        statement = await _resume_from_checkpoint(client, bounds)
     statement.skip_to(bounds.first)
-    async for record in _records(client, statement.next_offset, bounds.next):
+    async for record in _iter_records(
+        client, statement.next_offset, bounds.next
+    ):
         statement.apply(record.offset, record.at, record.payload)
     return statement
 
@@ -103,35 +108,35 @@
 async def append_checkpoint(
     client: log_port.Log, statement: statement_lib.Statement
 ) -> None:
-    """Puts the totals on the log.
+    """Appends the totals to the log.
 
     Raises:
-        ConfigurationError: The totals are not whole.
-        PlatformError: The append failed. To repeat it does no harm.
+        ConfigurationError: The totals are incomplete.
+        PlatformError: The append failed. It is safe to retry.
     """
     if statement.missing:
         raise errors.ConfigurationError(
             f"{statement.missing} records are missing from the totals",
-            "Raise the log's retention and run --checkpoint more often.",
+            "Increase the log's retention and run --checkpoint more often.",
         )
     payload = codec.encode(statement.checkpoint())
     await client.append(streams.BILLS, payload)
 
 
-async def _resume(
+async def _resume_from_checkpoint(
     client: log_port.Log, bounds: log.LogBounds
 ) -> statement_lib.Statement:
-    newest = None
-    async for record in _records(client, bounds.first, bounds.next):
-        found = _checkpoint_in(record)
-        if found is not None and found.through >= bounds.first - 1:
-            newest = found
-    if newest is None:
+    latest = None
+    async for record in _iter_records(client, bounds.first, bounds.next):
+        checkpoint = _decode_checkpoint(record)
+        if checkpoint is not None and checkpoint.through >= bounds.first - 1:
+            latest = checkpoint
+    if latest is None:
         return statement_lib.Statement()
-    return statement_lib.Statement.resume(newest)
+    return statement_lib.Statement.resume(latest)
 
 
-def _checkpoint_in(
+def _decode_checkpoint(
     record: log.LogRecord,
 ) -> statement_lib.BillCheckpoint | None:
     try:
@@ -143,11 +148,11 @@
     return None
 
 
-async def _records(
+async def _iter_records(
     client: log_port.Log, start: int, end: int
 ) -> AsyncIterator[log.LogRecord]:
     while start < end:
-        page = await client.read(streams.BILLS, start, _PAGE)
+        page = await client.read(streams.BILLS, start, _PAGE_SIZE)
         for record in page.records:
             if record.offset < end:
                 yield record
@@ -156,7 +161,7 @@
         start = page.next
 
 
-def _lines(
+def _iter_lines(
     statement: statement_lib.Statement, account: str | None
 ) -> Iterator[tuple[str, str, statement_lib.Line]]:
     for name in sorted(statement.lines):
@@ -165,23 +170,23 @@
                 yield name, item, line
 
 
-def _as_text(
+def _format_text(
     statement: statement_lib.Statement, account: str | None
 ) -> Iterator[str]:
-    yield _COLUMNS.format(
+    yield _ROW_FORMAT.format(
         "account", "item", "requests", "prompt", "output", "amount"
     )
     total = statement_lib.Line()
-    for name, item, line in _lines(statement, account):
-        yield _row(name, item, line)
+    for name, item, line in _iter_lines(statement, account):
+        yield _format_row(name, item, line)
         total.merge(line)
-    yield _row("total", "", total)
-    yield f"{statement.repeats} repeated bills were dropped"
+    yield _format_row("total", "", total)
+    yield f"{statement.repeats} repeated bills were ignored"
 
 
-def _row(name: str, item: str, line: statement_lib.Line) -> str:
-    units, micros = divmod(line.amount, _MICROS)
-    return _COLUMNS.format(
+def _format_row(name: str, item: str, line: statement_lib.Line) -> str:
+    units, micros = divmod(line.amount, _MICROS_PER_UNIT)
+    return _ROW_FORMAT.format(
         name,
         item,
         line.count,
@@ -191,32 +196,35 @@
     )
 
 
-def _as_json(
+def _format_json(
     statement: statement_lib.Statement, account: str | None
 ) -> Iterator[str]:
     rows = [
         {"account": name, "item": item, **attrs.asdict(line)}
-        for name, item, line in _lines(statement, account)
+        for name, item, line in _iter_lines(statement, account)
     ]
-    shown = {
+    document = {
         "lines": rows,
         "repeats": statement.repeats,
         "through": statement.next_offset - 1,
         "missing": statement.missing,
-        "bad": [attrs.asdict(bad) for bad in statement.bad],
+        "bad": [attrs.asdict(record) for record in statement.bad],
     }
-    yield orjson.dumps(shown, option=orjson.OPT_INDENT_2).decode()
+    yield orjson.dumps(document, option=orjson.OPT_INDENT_2).decode()
 
 
-def _complaints(statement: statement_lib.Statement) -> Iterator[str]:
+def _format_problems(statement: statement_lib.Statement) -> Iterator[str]:
     if statement.missing:
         yield (
             f"hoistmoor: {statement.missing} records are past the log's "
-            "retention and in no checkpoint: the totals are too low. Run "
-            "`hoistmoor bill --checkpoint` more often."
+            "retention and not covered by a checkpoint, so the totals are too "
+            "low. Run `hoistmoor bill --checkpoint` more often."
+        )
+    for record in statement.bad:
+        yield (
+            f"hoistmoor: record {record.offset} is not counted: "
+            f"{record.problem}"
         )
-    for bad in statement.bad:
-        yield f"hoistmoor: record {bad.offset} is not counted: {bad.problem}"
 
 
 COMMANDS = (Bill,)
--- a/src/hoistmoor/console/commands/drain.py
+++ b/src/hoistmoor/console/commands/drain.py
@@ -1,8 +1,8 @@
 """``hoistmoor drain``: takes a backend server out of use.
 
-A record on the stream ``steward``, not a table edit: it says something of a
-machine for a while, races with no row of the operators' sheets, and must not
-be undone by a later publish of older sheets.
+A drain is a record on the stream ``steward`` and not a table edit: it is a
+temporary condition of a server, cannot conflict with edits of a table row, and
+must not be reverted when older sheets are published later.
 """
 
 from __future__ import annotations
@@ -25,20 +25,20 @@
 
 _Author = Annotated[str, cappa.Arg(long="--author", help="Your name.")]
 _Undo = Annotated[
-    bool, cappa.Arg(long="--undo", help="Give the server back to use.")
+    bool, cappa.Arg(long="--undo", help="Put the server back into use.")
 ]
 
 
 @cappa.command(name="drain", help="Take a backend server out of use.")
 @attrs.frozen(kw_only=True)
 class Drain:
-    """Gives a backend server no new work; what runs there may end.
+    """Stops new work on a backend server; running work may complete.
 
     Attributes:
         server: Name of the backend server, as in the table.
-        author: Who does it.
+        author: Name of the operator.
         log_url: Base URL of the platform's log.
-        undo: Whether to give it back instead.
+        undo: Whether to end the drain instead.
     """
 
     server: str
@@ -47,7 +47,7 @@
     undo: _Undo = False
 
     def __call__(self) -> exit_codes.ExitCode:
-        """Puts the record on the log, and reads it back."""
+        """Appends the record to the log and confirms that it took effect."""
         asyncio.run(self._run())
         state = "back in use" if self.undo else "draining"
         sys.stdout.write(f"{self.server}: {state}\n")
@@ -56,21 +56,21 @@
     async def _run(self) -> None:
         async with sessions.make_session() as session:
             client = log.LogClient(session, self.log_url)
-            await self._check_name(client)
+            await self._check_server(client)
             record = records.ServerDrain(
                 self.server, not self.undo, self.author
             )
-            await operator_records.put(client, record, self._is_in_force)
+            await operator_records.put(client, record, self._is_applied)
 
-    async def _check_name(self, client: log.LogClient) -> None:
+    async def _check_server(self, client: log.LogClient) -> None:
         current = (await log_table.LogTable(client).read()).fold
         if self.server not in current.in_force.table.servers and not self.undo:
             raise errors.ConfigurationError(
-                f"there is no backend server {self.server!r} in the table",
-                "See `hoistmoor table show --sheet servers`.",
+                f"backend server {self.server!r} is not in the table",
+                "Run `hoistmoor table show --sheet servers` to list them.",
             )
 
-    def _is_in_force(self, view: rollouts.RolloutView) -> bool:
+    def _is_applied(self, view: rollouts.RolloutView) -> bool:
         return view.draining(self.server) is not self.undo
 
 
--- a/src/hoistmoor/console/commands/explain.py
+++ b/src/hoistmoor/console/commands/explain.py
@@ -1,4 +1,4 @@
-"""``hoistmoor explain``: why a request was answered or refused as it was."""
+"""``hoistmoor explain``: shows the decisions made on a request."""
 
 from __future__ import annotations
 
@@ -27,37 +27,40 @@
     from hoistmoor.clients import hosts
     from hoistmoor.core.routing import messages as routing
 
-_OK = 200
-_MICROS = 1_000_000
+_HTTP_OK = 200
+_MICROS_PER_UNIT = 1_000_000
 
 
 @cappa.command(
-    name="explain", help="Tell why a request went as it did.", description=" "
+    name="explain", help="Explain the outcome of a request.", description=" "
 )
 @attrs.frozen(kw_only=True)
 class Explain:
     """Finds the decision on a request and prints it.
 
-    The host that the id names is asked first. It may be gone: every entry
-    host can look a decision up at its peers and on the log, so others follow.
+    The host that the request id names is queried first. If it is unavailable,
+    the other entry hosts follow: each of them can look up a decision at its
+    peers and on the log.
 
     Attributes:
-        request_id: As the caller got it.
+        request_id: Request id as the caller received it.
         log_url: Base URL of the platform's log.
-        hosts_url: Base URL of the host list; empty where it is ``log_url``.
+        hosts_url: Base URL of the host list; empty to use ``log_url``.
     """
 
-    request_id: Annotated[str, cappa.Arg(help="As the caller got it.")]
+    request_id: Annotated[
+        str, cappa.Arg(help="Request id as the caller received it.")
+    ]
     log_url: log_table.LogUrl = ""
     hosts_url: log_table.HostsUrl = ""
 
     def __call__(self) -> exit_codes.ExitCode:
-        """Prints the decision; fails if no host knows it."""
+        """Prints the decision; fails if no host has it."""
         decision = asyncio.run(self.find())
         if decision is None:
             sys.stderr.write(
-                f"hoistmoor: no host knows {self.request_id}. Decisions are "
-                "kept for a bounded time; see docs/callers.md.\n"
+                f"hoistmoor: no host has a decision on {self.request_id}. "
+                "Decisions are kept for a limited time; see docs/callers.md.\n"
             )
             return exit_codes.ExitCode.FAILED
         for line in describe(decision):
@@ -65,46 +68,50 @@
         return exit_codes.ExitCode.DONE
 
     async def find(self) -> decisions.Decision | None:
-        """Returns the decision, from the first host that knows it.
+        """Returns the decision from the first host that has it.
 
         Raises:
-            ConfigurationError: The id is misspelt or there is no usable URL.
+            ConfigurationError: The request id is malformed, or the URL is
+                missing or invalid.
             PlatformError: The list of hosts could not be read.
         """
-        decider = _host_in(self.request_id)
+        origin = _origin_host(self.request_id)
         async with sessions.make_session() as session:
             listed = await host_answers.fetch_hosts(
                 session, self.hosts_url, self.log_url
             )
             entries = host_answers.entries(listed)
-            entries.sort(key=lambda host: host.name != decider)
-            return await _first_answer(session, entries, self.request_id)
+            entries.sort(key=lambda host: host.name != origin)
+            return await _fetch_decision(session, entries, self.request_id)
 
 
-def _host_in(request_id: str) -> str:
+def _origin_host(request_id: str) -> str:
     try:
         return identity.RequestId.parse(request_id).incarnation.host
     except ValueError as error:
         raise errors.ConfigurationError(
             f"{request_id!r} is not a request id",
-            "Copy it from X-Hoistmoor-Request-Id or from the error object.",
+            "Copy it from the X-Hoistmoor-Request-Id header or from the error "
+            "object.",
         ) from error
 
 
-async def _first_answer(
+async def _fetch_decision(
     session: aiohttp.ClientSession,
     entries: list[hosts.ListedHost],
     request_id: str,
 ) -> decisions.Decision | None:
     for host in entries:
-        answer = await host_answers.ask(session, host, f"/explain/{request_id}")
-        if answer.status == _OK:
-            return codec.structure(answer.body, decisions.Decision)
+        response = await host_answers.ask(
+            session, host, f"/explain/{request_id}"
+        )
+        if response.status == _HTTP_OK:
+            return codec.structure(response.body, decisions.Decision)
     return None
 
 
 def describe(decision: decisions.Decision) -> Iterator[str]:
-    """Yields the lines that tell a decision."""
+    """Yields the lines that describe a decision."""
     arrived = datetime.datetime.fromtimestamp(
         decision.arrived, datetime.UTC
     ).isoformat(timespec="milliseconds")
@@ -116,9 +123,9 @@
         yield f"kind       {decision.kind}"
     yield f"table      revision {decision.revision}"
     yield f"session    {decision.pin or 'not pinned'}"
-    yield f"result     {_result(decision)}"
+    yield f"result     {_describe_result(decision)}"
     yield f"attempts   {decision.attempts}"
-    yield f"billed     {decision.cost / _MICROS:.6f}"
+    yield f"billed     {decision.cost / _MICROS_PER_UNIT:.6f}"
     yield "steps"
     for step in decision.steps:
         yield f"  +{step.after:8.3f} s  {step.event:<12} {step.detail}"
@@ -133,7 +140,7 @@
         yield f"  {name:<40} {note.verdict}"
 
 
-def _result(decision: decisions.Decision) -> str:
+def _describe_result(decision: decisions.Decision) -> str:
     if decision.reason:
         return f"refused: {decision.reason}, {decision.outcome}"
     if not decision.outcome:
--- a/src/hoistmoor/console/commands/rollout.py
+++ b/src/hoistmoor/console/commands/rollout.py
@@ -1,4 +1,4 @@
-"""``hoistmoor rollout``: looks at roll-outs, pauses and resumes them."""
+"""``hoistmoor rollout``: shows, pauses and resumes rollouts."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 _Author = Annotated[str, cappa.Arg(long="--author", help="Your name.")]
 
 
-@cappa.command(name="status", help="Show how far each roll-out has come.")
+@cappa.command(name="status", help="Show the progress of each rollout.")
 @attrs.frozen(kw_only=True)
 class Status:
-    """Shows the acting steward and every roll-out.
+    """Shows the active steward and every rollout.
 
     Attributes:
         log_url: Base URL of the platform's log.
@@ -38,7 +38,7 @@
     log_url: log_table.LogUrl
 
     def __call__(self) -> exit_codes.ExitCode:
-        """Prints a line for each."""
+        """Prints one line for each of them."""
         for line in describe(asyncio.run(self._read())):
             sys.stdout.write(f"{line}\n")
         return exit_codes.ExitCode.DONE
@@ -50,12 +50,12 @@
 
 
 @attrs.frozen(kw_only=True)
-class _Hold:
-    """What pause and resume have in common.
+class _HoldCommand:
+    """Base class of the pause and resume commands.
 
     Attributes:
         version: ``MODEL@VERSION``.
-        author: Who does it.
+        author: Name of the operator.
         log_url: Base URL of the platform's log.
     """
 
@@ -63,17 +63,17 @@
     author: _Author
     log_url: log_table.LogUrl
 
-    def put(self, paused: bool) -> exit_codes.ExitCode:
-        """Puts the record on the log, and reads it back."""
-        asyncio.run(self._put(paused))
+    def set_paused(self, paused: bool) -> exit_codes.ExitCode:
+        """Appends the record to the log and confirms that it took effect."""
+        asyncio.run(self._append(paused))
         state = "paused" if paused else "resumed"
         sys.stdout.write(f"{self.version}: {state}\n")
         return exit_codes.ExitCode.DONE
 
-    async def _put(self, paused: bool) -> None:
+    async def _append(self, paused: bool) -> None:
         record = records.RolloutHold(self.version, paused, self.author)
 
-        def is_in_force(view: rollouts.RolloutView) -> bool:
+        def is_applied(view: rollouts.RolloutView) -> bool:
             rollout = view.state.rollouts.get(self.version)
             return rollout is not None and rollout.paused is paused
 
@@ -82,43 +82,43 @@
             fold = (await operator_records.read(client)).fold
             if self.version not in fold.state.rollouts:
                 raise errors.ConfigurationError(
-                    f"there is no roll-out of {self.version!r}",
-                    "Write MODEL@VERSION; see `hoistmoor rollout status`.",
+                    f"there is no rollout of {self.version!r}",
+                    "Use MODEL@VERSION as shown by `hoistmoor rollout status`.",
                 )
-            await operator_records.put(client, record, is_in_force)
+            await operator_records.put(client, record, is_applied)
 
 
-@cappa.command(name="pause", help="Keep a roll-out at its present stage.")
+@cappa.command(name="pause", help="Keep a rollout at its current stage.")
 @attrs.frozen(kw_only=True)
-class Pause(_Hold):
-    """Pauses a roll-out."""
+class Pause(_HoldCommand):
+    """Pauses a rollout."""
 
     def __call__(self) -> exit_codes.ExitCode:
-        """Pauses it."""
-        return self.put(paused=True)
+        """Pauses the rollout."""
+        return self.set_paused(paused=True)
 
 
-@cappa.command(name="resume", help="Let a paused roll-out go on.")
+@cappa.command(name="resume", help="Resume a paused rollout.")
 @attrs.frozen(kw_only=True)
-class Resume(_Hold):
-    """Resumes a roll-out."""
+class Resume(_HoldCommand):
+    """Resumes a rollout."""
 
     def __call__(self) -> exit_codes.ExitCode:
-        """Resumes it."""
-        return self.put(paused=False)
+        """Resumes the rollout."""
+        return self.set_paused(paused=False)
 
 
-@cappa.command(name="reset", help="Begin anew after the stream was lost.")
+@cappa.command(name="reset", help="Start over after the stream was lost.")
 @attrs.frozen(kw_only=True)
 class Reset:
-    """Forgets roll-outs, withdrawals found in service, and drains.
+    """Discards rollouts, drains and the withdrawals of bad versions.
 
-    Needed where retention took the last snapshot of the stream, as after no
-    steward ran for longer than the log keeps records. Withdraw bad versions
-    in the table first.
+    Needed when retention has deleted the last snapshot of the stream, which
+    happens if no steward ran for longer than the log keeps records. Withdraw
+    bad versions in the table first, with `hoistmoor withdraw`.
 
     Attributes:
-        author: Who does it.
+        author: Name of the operator.
         log_url: Base URL of the platform's log.
     """
 
@@ -126,12 +126,12 @@
     log_url: log_table.LogUrl
 
     def __call__(self) -> exit_codes.ExitCode:
-        """Puts the record on the log."""
-        asyncio.run(self._put())
-        sys.stdout.write("the stream begins anew\n")
+        """Appends the record to the log."""
+        asyncio.run(self._append())
+        sys.stdout.write("the state of the stream was reset\n")
         return exit_codes.ExitCode.DONE
 
-    async def _put(self) -> None:
+    async def _append(self) -> None:
         record = records.HistoryReset(self.author)
         async with sessions.make_session() as session:
             client = log.LogClient(session, self.log_url)
@@ -140,43 +140,43 @@
             )
 
 
-@cappa.command(name="rollout", help="See and steer roll-outs.")
+@cappa.command(name="rollout", help="Show and control rollouts.")
 @attrs.frozen
 class RolloutCommand:
-    """The commands that deal with roll-outs."""
+    """Group of the commands on rollouts."""
 
     command: cappa.Subcommands[Status | Pause | Resume | Reset]
 
 
 def describe(fold: fold_lib.StewardFold) -> Iterator[str]:
-    """Yields the lines that tell how the stream stands."""
+    """Yields the lines that describe the state of the stream."""
     if not fold.complete:
-        yield "the stream's beginning is lost; no candidate gets work"
+        yield "the start of the stream is lost; no candidate gets work"
     lease = fold.state.lease
     if lease is None or lease.released:
-        yield "no steward acts"
+        yield "no steward is active"
     else:
         yield f"steward: {lease.holder} (fencing number {lease.fencing})"
     for version in sorted(fold.state.rollouts):
-        yield _rollout_line(version, fold.state)
-    for version, found in sorted(fold.state.withdrawn.items()):
-        yield f"{version}: withdrawn by {found.by}: {found.reason}"
+        yield _describe_rollout(version, fold.state)
+    for version, withdrawal in sorted(fold.state.withdrawn.items()):
+        yield f"{version}: withdrawn by {withdrawal.by}: {withdrawal.reason}"
     for server, author in sorted(fold.state.draining.items()):
         yield f"{server}: draining, by {author}"
 
 
-def _rollout_line(version: str, state: state_lib.StewardState) -> str:
+def _describe_rollout(version: str, state: state_lib.StewardState) -> str:
     rollout = state.rollouts[version]
     count = state.counts.get(version, records.RatedCount())
     stage = f"stage {rollout.stage_index + 1}/{len(state_lib.STAGE_SHARES)}"
-    words = [
+    parts = [
         "proved" if rollout.done else stage,
         f"share {rollout.share:g}",
         f"rated {count.good} good, {count.bad} bad",
     ]
     if rollout.paused:
-        words.append("paused")
-    return f"{version}: {', '.join(words)}"
+        parts.append("paused")
+    return f"{version}: {', '.join(parts)}"
 
 
 COMMANDS = (RolloutCommand,)
--- a/src/hoistmoor/console/commands/status.py
+++ b/src/hoistmoor/console/commands/status.py
@@ -1,4 +1,4 @@
-"""``hoistmoor status``: hosts, versions and roll-outs at a glance."""
+"""``hoistmoor status``: shows hosts, versions and rollouts."""
 
 from __future__ import annotations
 
@@ -26,31 +26,31 @@
 
     from hoistmoor.core.table import model
 
-_OK = 200
-_NOTHING = "-"
+_HTTP_OK = 200
+_NO_VALUE = "-"
 
 
 @cappa.command(
-    name="status", help="Show hosts, versions and roll-outs.", description=" "
+    name="status", help="Show hosts, versions and rollouts.", description=" "
 )
 @attrs.frozen(kw_only=True)
 class Status:
-    """Shows the deployment at a glance.
+    """Shows an overview of the deployment.
 
     Attributes:
         log_url: Base URL of the platform's log.
-        hosts_url: Base URL of the host list; empty where it is ``log_url``.
+        hosts_url: Base URL of the host list; empty to use ``log_url``.
     """
 
     log_url: log_table.LogUrl = ""
     hosts_url: log_table.HostsUrl = ""
 
     def __call__(self) -> exit_codes.ExitCode:
-        """Prints it; fails if some live entry host does not answer."""
+        """Prints the overview; fails if a live entry host is unresponsive."""
         return asyncio.run(self.show())
 
     async def show(self) -> exit_codes.ExitCode:
-        """Asks the hosts and the log, and prints what they say."""
+        """Queries the hosts and the log, and prints the overview."""
         async with sessions.make_session() as session:
             listed = await host_answers.fetch_hosts(
                 session, self.hosts_url, self.log_url
@@ -62,27 +62,27 @@
             _print(describe_backends(listed))
             _print(limits_lines.describe_limits(answers))
             _print(await self._read_log(session))
-        silent = any(
-            answer.status != _OK
+        unresponsive = any(
+            answer.status != _HTTP_OK
             for answer in answers
             if answer.host.state is hosts.ListedState.LIVE
         )
-        return exit_codes.ExitCode.FAILED if silent else _DONE
+        return exit_codes.ExitCode.FAILED if unresponsive else _DONE
 
     async def _read_log(self, session: aiohttp.ClientSession) -> list[str]:
         if not self.log_url:
-            return ["versions and roll-outs: give --log-url to see them"]
+            return ["versions and rollouts: pass --log-url to see them"]
         try:
             client = log_table.client_of(session, self.log_url)
-            reading = await log_table.LogTable(client).read()
-            steward = (await operator_records.read(client)).fold
+            table_reading = await log_table.LogTable(client).read()
+            steward_fold = (await operator_records.read(client)).fold
         except errors.PlatformError as error:
-            return [f"versions and roll-outs: {error}"]
-        in_force = reading.fold.in_force
+            return [f"versions and rollouts: {error}"]
+        in_force = table_reading.fold.in_force
         return [
             f"table: revision {in_force.revision}",
             *describe_versions(in_force.table),
-            *rollout.describe(steward),
+            *rollout.describe(steward_fold),
         ]
 
 
@@ -92,35 +92,35 @@
 def describe_hosts(
     answers: Iterable[host_answers.HostAnswer],
 ) -> Iterator[str]:
-    """Yields one line for each entry host."""
+    """Yields a header and one line per entry host."""
     yield (
         f"{'entry host':<16}{'address':<22}{'domain':<14}{'listed':<9}"
-        f"{'revision':>9}{'in flight':>11}  says"
+        f"{'revision':>9}{'in flight':>11}  state"
     )
     for answer in answers:
         host = answer.host
         yield (
             f"{host.name:<16}{host.address:<22}{host.failure_domain:<14}"
-            f"{host.state:<9}{_of(answer, 'table_revision'):>9}"
-            f"{_of(answer, 'in_flight'):>11}  {_word(answer)}"
+            f"{host.state:<9}{_format_field(answer, 'table_revision'):>9}"
+            f"{_format_field(answer, 'in_flight'):>11}  {_host_state(answer)}"
         )
 
 
-def _of(answer: host_answers.HostAnswer, member: str) -> str:
-    value = answer.body.get(member)
-    return _NOTHING if value is None else str(value)
+def _format_field(answer: host_answers.HostAnswer, field: str) -> str:
+    value = answer.body.get(field)
+    return _NO_VALUE if value is None else str(value)
 
 
-def _word(answer: host_answers.HostAnswer) -> str:
+def _host_state(answer: host_answers.HostAnswer) -> str:
     if not answer.status:
         return "no answer"
-    if answer.status != _OK:
+    if answer.status != _HTTP_OK:
         return f"HTTP status {answer.status}"
     return str(answer.body.get("state", "answers"))
 
 
 def describe_backends(listed: Iterable[hosts.ListedHost]) -> Iterator[str]:
-    """Yields a line on the backend servers as the platform lists them."""
+    """Yields a summary of the backend servers that the platform lists."""
     backends = [host for host in listed if host.role is hosts.Role.BACKEND]
     leaving = [
         host.name
@@ -134,7 +134,7 @@
 
 
 def describe_versions(table: model.Table) -> Iterator[str]:
-    """Yields one line for each version of the table."""
+    """Yields a header and one line per version of the table."""
     yield f"{'version':<30}{'stage':<11}{'weight':>8}{'quality prior':>15}"
     for key in sorted(table.versions):
         row = table.versions[key]
--- a/src/hoistmoor/console/commands/withdraw.py
+++ b/src/hoistmoor/console/commands/withdraw.py
@@ -1,8 +1,8 @@
-"""``hoistmoor withdraw``: takes a version out of service at once.
+"""``hoistmoor withdraw``: takes a version out of service immediately.
 
-A table edit, not a record of the steward's: the stage stands in the sheet
-that operators read, the edit shows in the history with its author, and entry
-hosts have it in force within seconds with no steward at work.
+A withdrawal is a table edit and not a record on the stream ``steward``:
+operators see the stage in the sheet, the history shows the edit with its
+author, and entry hosts apply it within seconds even if no steward is running.
 """
 
 from __future__ import annotations
@@ -25,20 +25,20 @@
 from hoistmoor.core.table import fold
 from hoistmoor.core.table import model
 
-_TRIES = 5  # Other operators may change the same row meanwhile.
+_MAX_ATTEMPTS = 5  # Other operators may edit the same row concurrently.
 
 
-@cappa.command(name="withdraw", help="Give a version no new work at all.")
+@cappa.command(name="withdraw", help="Stop all new work for a version.")
 @attrs.frozen(kw_only=True)
 class Withdraw:
-    """Sets a version's stage to withdrawn.
+    """Sets the stage of a version to withdrawn.
 
     Attributes:
         version: ``MODEL@VERSION``.
-        author: Who does it.
+        author: Name of the operator.
         log_url: Base URL of the platform's log.
-        hosts_url: Base URL of the host list; empty where it is ``log_url``.
-        wait: Seconds to wait until it is in force everywhere.
+        hosts_url: Base URL of the host list; empty to use ``log_url``.
+        wait: Seconds to wait until the edit is active on every entry host.
     """
 
     version: str
@@ -48,7 +48,7 @@
     wait: spread_report.Wait = spread_report.WAIT_SECONDS
 
     def __call__(self) -> exit_codes.ExitCode:
-        """Publishes the edit, and tells where it is in force."""
+        """Publishes the edit and reports on which hosts it is active."""
         return asyncio.run(self._run())
 
     async def _run(self) -> exit_codes.ExitCode:
@@ -56,45 +56,50 @@
             verdict = await self._publish(log.LogClient(session, self.log_url))
             if isinstance(verdict, fold.Accepted):
                 revision = verdict.offset
-                told = f"withdrawn at revision {revision}"
+                outcome = f"withdrawn at revision {revision}"
             elif isinstance(verdict, int):
                 revision = verdict
-                told = "withdrawn already"
+                outcome = "already withdrawn"
             else:
                 for line in describe.verdict(verdict):
                     sys.stderr.write(f"{line}\n")
                 return exit_codes.ExitCode.REJECTED
-            sys.stdout.write(f"{self.version}: {told}\n")
+            sys.stdout.write(f"{self.version}: {outcome}\n")
             return await spread_report.wait_and_tell(
                 session, self.hosts_url or self.log_url, revision, self.wait
             )
 
     async def _publish(self, client: log.LogClient) -> fold.Verdict | int:
-        """Returns what became of the edit, or the revision if none is due."""
+        """Publishes the edit unless the version is already withdrawn.
+
+        Returns:
+            The verdict on the edit, or the active revision if no edit is
+            needed.
+        """
         table = log_table.LogTable(client)
-        for tried in range(1, _TRIES + 1):
+        for attempt in range(1, _MAX_ATTEMPTS + 1):
             current = (await table.read()).fold
-            wanted = self._withdrawn(current.in_force.table)
-            plan = publisher.plan(
+            wanted = self._with_withdrawn_version(current.in_force.table)
+            planned = publisher.plan(
                 current, wanted, None, self.author, time.time()
             )
-            if plan is None:
+            if planned is None:
                 return current.in_force.revision
-            verdict = plan.expected
+            verdict = planned.expected
             if isinstance(verdict, fold.Accepted):
                 verdict = await publisher.Publisher(client, table).publish(
-                    plan.edit
+                    planned.edit
                 )
-            if tried == _TRIES or not _lost_race(verdict):
+            if attempt == _MAX_ATTEMPTS or not _is_row_conflict(verdict):
                 return verdict
         raise AssertionError("unreachable")
 
-    def _withdrawn(self, table: model.Table) -> model.Table:
+    def _with_withdrawn_version(self, table: model.Table) -> model.Table:
         row = table.versions.get(self.version)
         if row is None:
             raise errors.ConfigurationError(
-                f"there is no version {self.version!r} in the table",
-                "Write MODEL@VERSION; see `hoistmoor table show`.",
+                f"version {self.version!r} is not in the table",
+                "Use MODEL@VERSION as shown by `hoistmoor table show`.",
             )
         row = attrs.evolve(row, stage=model.Stage.WITHDRAWN)
         return attrs.evolve(
@@ -102,7 +107,7 @@
         )
 
 
-def _lost_race(verdict: fold.Verdict) -> bool:
+def _is_row_conflict(verdict: fold.Verdict) -> bool:
     return (
         isinstance(verdict, fold.Rejected)
         and verdict.why is fold.Why.ROW_CHANGED
