--- a/src/hoistmoor/console/__init__.py
+++ b/src/hoistmoor/console/__init__.py
@@ -1,3 +1,3 @@
-"""The operators' program ``hoistmoor``: one file per command."""
+"""Operator command line ``hoistmoor``, with one module per command."""
 
 from __future__ import annotations
--- a/src/hoistmoor/console/application.py
+++ b/src/hoistmoor/console/application.py
@@ -1,8 +1,8 @@
-"""Parses the command line of ``hoistmoor`` and runs the command.
+"""Parses the ``hoistmoor`` command line and runs the selected command.
 
-A command is an attrs class with the flags as attributes and a ``__call__``
-without arguments that returns an ``ExitCode``. Results go to standard output,
-errors to standard error.
+A command is an attrs class whose attributes are its flags and arguments. Its
+``__call__`` takes no arguments and returns an ``ExitCode``. Results go to
+standard output, errors to standard error.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from hoistmoor.console import registry
 from hoistmoor.core import errors
 
-_CODE_BY_ERROR: dict[type[Exception], exit_codes.ExitCode] = {
+_EXIT_CODE_BY_ERROR: dict[type[Exception], exit_codes.ExitCode] = {
     errors.ConfigurationError: exit_codes.ExitCode.USAGE,
     errors.LogOutcomeUnknownError: exit_codes.ExitCode.UNKNOWN,
     errors.PlatformError: exit_codes.ExitCode.UNAVAILABLE,
@@ -26,44 +26,42 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Runs one command.
+    """Runs one command and returns its exit code.
 
     Args:
-        arguments: Words after the program's name; None for this process's.
-
-    Returns:
-        The exit code.
+        arguments: Command-line arguments without the program name; None
+            to use ``sys.argv``.
     """
     try:
         code = cappa.invoke(
-            _program(),
+            _build_command(),
             argv=sys.argv[1:] if arguments is None else arguments,
             version=hoistmoor.__version__,
             completion=False,
         )
     except errors.HoistmoorError as error:
         sys.stderr.write(f"hoistmoor: {error}\n")
-        return _code_of(error)
+        return _exit_code_for(error)
     except KeyboardInterrupt:
         return exit_codes.ExitCode.FAILED
     return int(code or exit_codes.ExitCode.DONE)
 
 
-def _program() -> cappa.Command[Any]:
-    """Returns the command line with every command found."""
-    choices: Any = Union[registry.find_commands()]  # noqa: UP007
+def _build_command() -> cappa.Command[Any]:
+    """Returns the root command with all registered subcommands."""
+    commands: Any = Union[registry.find_commands()]  # noqa: UP007
     subcommands: Any = cappa.Subcommands
-    program = attrs.make_class(
-        "Hoistmoor", {"command": attrs.field(type=subcommands[choices])}
+    root = attrs.make_class(
+        "Hoistmoor", {"command": attrs.field(type=subcommands[commands])}
     )
     cappa.command(
-        program, name="hoistmoor", help="Operates a hoistmoor deployment."
+        root, name="hoistmoor", help="Operates a hoistmoor deployment."
     )
-    return cappa.Command.get(program)
+    return cappa.Command.get(root)
 
 
-def _code_of(error: errors.HoistmoorError) -> exit_codes.ExitCode:
-    for kind, code in _CODE_BY_ERROR.items():
-        if isinstance(error, kind):
+def _exit_code_for(error: errors.HoistmoorError) -> exit_codes.ExitCode:
+    for error_type, code in _EXIT_CODE_BY_ERROR.items():
+        if isinstance(error, error_type):
             return code
     return exit_codes.ExitCode.FAILED
--- a/src/hoistmoor/console/entry_access.py
+++ b/src/hoistmoor/console/entry_access.py
@@ -1,8 +1,8 @@
-"""How the console gets at entry hosts: an operator's key, and TLS.
+"""Authenticated HTTP requests to entry hosts.
 
-Both come from the environment, the same for all commands:
-``HOISTMOOR_OPERATOR_KEY`` and ``HOISTMOOR_TLS_CA``. Without the second,
-connections are plain.
+The operator key and the CA file for TLS come from the environment variables
+``HOISTMOOR_OPERATOR_KEY`` and ``HOISTMOOR_TLS_CA``, for all commands alike.
+Without a CA file, connections are unencrypted.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 def get(
     session: aiohttp.ClientSession, address: str, path: str, timeout: float
 ) -> AbstractAsyncContextManager[aiohttp.ClientResponse]:
-    """Asks an entry host as an operator.
+    """Sends a GET request to an entry host with the operator key.
 
     Args:
-        session: An open session.
+        session: Open HTTP session.
         address: ``ip:port`` of the host.
-        path: What to ask.
-        timeout: Seconds for the whole answer.
+        path: Path to request, with the query.
+        timeout: Seconds until the complete response must have arrived.
 
     Raises:
-        ConfigurationError: The file of the authority is no good.
+        ConfigurationError: The CA file is missing or invalid.
     """
-    link = _link(os.environ.get(AUTHORITY_VARIABLE, ""))
+    link = _tls_link(os.environ.get(AUTHORITY_VARIABLE, ""))
     return session.get(
         link.url(address, path),
         headers=_headers(os.environ.get(KEY_VARIABLE, "")),
@@ -46,8 +46,8 @@
 
 
 @functools.cache
-def _link(authority: str) -> tls.Link:
-    return tls.make_client(authority) if authority else tls.PLAIN
+def _tls_link(ca_file: str) -> tls.Link:
+    return tls.make_client(ca_file) if ca_file else tls.PLAIN
 
 
 def _headers(key: str) -> dict[str, Any]:
--- a/src/hoistmoor/console/exit_codes.py
+++ b/src/hoistmoor/console/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of ``hoistmoor``, for scripts."""
+"""Exit codes of ``hoistmoor``, which scripts can rely on."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What became of a command."""
+    """Outcome of a command."""
 
     DONE = 0
-    FAILED = 1  # For a reason that the other codes do not name.
-    USAGE = 2  # Wrong flags or arguments; nothing was tried.
-    FAULTS = 3  # The sheets have faults; nothing was published.
-    REJECTED = 4  # Another edit came first, or the checks failed.
-    UNAVAILABLE = 5  # The platform could not be reached; nothing changed.
-    UNKNOWN = 6  # The log gave no reply and does not show the edit yet.
-    LAGGING = 7  # Accepted, but not in force at every host in time.
+    FAILED = 1  # A failure that no other code describes.
+    USAGE = 2  # Invalid flags or arguments; nothing was attempted.
+    FAULTS = 3  # Sheets have faults (nothing was published), or bills do.
+    REJECTED = 4  # The edit conflicts with another one or failed the checks.
+    UNAVAILABLE = 5  # The platform is unreachable; nothing was changed.
+    UNKNOWN = 6  # The append got no reply and is not visible on the log yet.
+    LAGGING = 7  # Accepted, but not active on every host before the timeout.
--- a/src/hoistmoor/console/host_answers.py
+++ b/src/hoistmoor/console/host_answers.py
@@ -1,4 +1,4 @@
-"""Asks entry hosts over their HTTP interface, many at once."""
+"""Queries the HTTP interface of entry hosts, many of them concurrently."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-_TIMEOUT = 2.0  # Seconds for one answer of one host.
-_CONCURRENCY = 64  # Hosts asked at once.
+_RESPONSE_TIMEOUT = 2.0  # Seconds for a complete response of one host.
+_MAX_CONCURRENT_REQUESTS = 64
 
 
 @attrs.frozen
 class HostAnswer:
-    """What one host said.
+    """Response of one host.
 
     Attributes:
         host: The host as the platform lists it.
-        status: HTTP status; 0 where nothing came.
-        body: The JSON object it sent; empty where it sent none.
+        status: HTTP status; 0 if there was no valid response.
+        body: Decoded JSON object; empty if the body is not an object.
     """
 
     host: hosts.ListedHost
@@ -41,31 +41,31 @@
     """Returns the platform's list of hosts.
 
     Raises:
-        ConfigurationError: There is no usable URL.
+        ConfigurationError: The URL is missing or invalid.
         PlatformError: The list could not be read.
     """
     url = hosts_url or log_url
     if not url.startswith(("http://", "https://")):
         raise errors.ConfigurationError(
-            f"--hosts-url is {url!r}, which is no URL",
-            "Give --hosts-url or set HOISTMOOR_HOSTS_URL.",
+            f"--hosts-url must be an HTTP URL, not {url!r}",
+            "Pass --hosts-url or set HOISTMOOR_HOSTS_URL.",
         )
     return await hosts.HostListClient(session, url).fetch()
 
 
 def entries(listed: Iterable[hosts.ListedHost]) -> list[hosts.ListedHost]:
-    """Returns the entry hosts by name."""
-    found = [host for host in listed if host.role is hosts.Role.ENTRY]
-    return sorted(found, key=lambda host: host.name)
+    """Returns the entry hosts, sorted by name."""
+    entry_hosts = [host for host in listed if host.role is hosts.Role.ENTRY]
+    return sorted(entry_hosts, key=lambda host: host.name)
 
 
 async def ask(
     session: aiohttp.ClientSession, host: hosts.ListedHost, path: str
 ) -> HostAnswer:
-    """Returns what ``host`` says at ``path``."""
+    """Returns the response of ``host`` to a request for ``path``."""
     try:
         async with entry_access.get(
-            session, host.address, path, _TIMEOUT
+            session, host.address, path, _RESPONSE_TIMEOUT
         ) as response:
             body = orjson.loads(await response.read())
             status = response.status
@@ -79,11 +79,11 @@
     listed: Iterable[hosts.ListedHost],
     path: str,
 ) -> list[HostAnswer]:
-    """Returns what each host says at ``path``, in the order given."""
-    slots = asyncio.Semaphore(_CONCURRENCY)
+    """Returns the response of each host to ``path``, in the given order."""
+    slots = asyncio.Semaphore(_MAX_CONCURRENT_REQUESTS)
 
-    async def ask_one(host: hosts.ListedHost) -> HostAnswer:
+    async def ask_with_limit(host: hosts.ListedHost) -> HostAnswer:
         async with slots:
             return await ask(session, host, path)
 
-    return await asyncio.gather(*(ask_one(host) for host in listed))
+    return await asyncio.gather(*(ask_with_limit(host) for host in listed))
--- a/src/hoistmoor/console/limits_lines.py
+++ b/src/hoistmoor/console/limits_lines.py
@@ -1,4 +1,4 @@
-"""Lines on the limits in use, summed over the entry hosts that answered."""
+"""Formats the use of account limits, summed over the entry hosts."""
 
 from __future__ import annotations
 
@@ -13,16 +13,19 @@
 
 
 @attrs.define
-class _Use:
-    """One account over all hosts that answered; money in micros.
+class _AccountUsage:
+    """Usage of one client account on all hosts that responded.
+
+    Amounts are in micros.
 
     Attributes:
-        spend_limit: The limit of the UTC day.
-        granted: What the log has granted to hosts, also to ones that are gone.
-        held: Shares of the hosts that answered.
-        spent: Of them, spent.
-        reserved: Of them, set aside for requests that run.
-        in_flight: Requests let in.
+        spend_limit: Spend limit for the UTC day.
+        granted: Total that the log has granted to hosts, including hosts
+            that no longer exist.
+        held: Sum of the shares of the hosts that responded.
+        spent: Part of ``held`` that is spent.
+        reserved: Part of ``held`` that is reserved for running requests.
+        in_flight: Number of admitted requests that are still running.
     """
 
     spend_limit: int = 0
@@ -33,7 +36,7 @@
     in_flight: int = 0
 
     def add(self, fields: dict[str, Any]) -> None:
-        """Adds what one host says."""
+        """Adds the usage that one host reports."""
         self.spend_limit = max(self.spend_limit, fields["spend_limit"])
         self.granted = max(self.granted, fields["granted"])
         self.held += fields["share"]
@@ -45,21 +48,22 @@
 def describe_limits(
     answers: Iterable[host_answers.HostAnswer],
 ) -> Iterator[str]:
-    """Yields one line for each client account."""
-    uses: dict[str, _Use] = {}
+    """Yields a header and one line per client account."""
+    usages: dict[str, _AccountUsage] = {}
     for answer in answers:
         for fields in answer.body.get("limits", {}).get("accounts", ()):
-            uses.setdefault(fields["account"], _Use()).add(fields)
+            usages.setdefault(fields["account"], _AccountUsage()).add(fields)
     yield (
         f"{'account (micros today)':<24}{'limit':>16}{'spent':>16}"
-        f"{'set aside':>14}{'held by hosts':>16}{'not held':>16}"
+        f"{'reserved':>14}{'held by hosts':>16}{'not held':>16}"
         f"{'in flight':>11}"
     )
-    for account, use in sorted(uses.items()):
-        # Shares of hosts that died or did not answer, or on their way.
-        missing = max(0, use.granted - use.held)
+    for account, usage in sorted(usages.items()):
+        # Shares of hosts that have failed or did not respond, and shares in
+        # transfer between hosts.
+        not_held = max(0, usage.granted - usage.held)
         yield (
-            f"{account:<24}{use.spend_limit:>16}{use.spent:>16}"
-            f"{use.reserved:>14}{use.held:>16}{missing:>16}"
-            f"{use.in_flight:>11}"
+            f"{account:<24}{usage.spend_limit:>16}{usage.spent:>16}"
+            f"{usage.reserved:>14}{usage.held:>16}{not_held:>16}"
+            f"{usage.in_flight:>11}"
         )
--- a/src/hoistmoor/console/main.py
+++ b/src/hoistmoor/console/main.py
@@ -1,4 +1,4 @@
-"""Entry point of ``hoistmoor``."""
+"""Entry point of the ``hoistmoor`` command line."""
 
 from __future__ import annotations
 
--- a/src/hoistmoor/console/registry.py
+++ b/src/hoistmoor/console/registry.py
@@ -1,4 +1,4 @@
-"""Finds the commands of ``hoistmoor``."""
+"""Discovers the commands of ``hoistmoor``."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 def find_commands() -> tuple[type[Any], ...]:
-    """Returns each class that a module of ``commands`` lists."""
-    found: list[type[Any]] = []
+    """Returns the classes in ``COMMANDS`` of every module of ``commands``."""
+    classes: list[type[Any]] = []
     for module in pkgutil.iter_modules(commands.__path__):
         name = f"{commands.__name__}.{module.name}"
-        found.extend(importlib.import_module(name).COMMANDS)
-    return tuple(found)
+        classes.extend(importlib.import_module(name).COMMANDS)
+    return tuple(classes)
