--- a/tests/console/test_console_bill.py
+++ b/tests/console/test_console_bill.py
@@ -1,4 +1,4 @@
-"""``hoistmoor bill`` against the log stand-in."""
+"""Tests of ``hoistmoor bill`` against the log stand-in."""
 
 from __future__ import annotations
 
@@ -30,72 +30,80 @@
 
 @attrs.define
 class BillLog:
-    """The log stand-in, with a few records to keep, and its clients."""
+    """Log stand-in that retains few records, with a client.
+
+    Attributes:
+        url: Base URL of the stand-in.
+        client: Client of the stand-in.
+        capture: Captures what the command prints.
+    """
 
     url: str
     client: log_client.LogClient
     capture: pytest.CaptureFixture[str]
 
-    async def bill(self, *serials: int) -> None:
-        """Appends a batch of bills."""
-        made = tuple(
+    async def append_bills(self, *serials: int) -> None:
+        """Appends a batch with one bill per request serial."""
+        batch_bills = tuple(
             bills.Bill("acme", f"e1.7.{n:x}", "m@1", 2, 3, 1_500_000, 1, 0.0, 1)
             for n in serials
         )
-        batch = bills.BillBatch("e1", 7, "e1.7.1", made)
+        batch = bills.BillBatch("e1", 7, "e1.7.1", batch_bills)
         await self.client.append(streams.BILLS, codec.encode(batch))
 
     async def run(self, *flags: str) -> tuple[int, str, str]:
-        """Returns exit code, output and complaints of the command."""
-        words = ["bill", "--log-url", self.url, *flags]
-        code = await asyncio.to_thread(application.main, words)
-        shown = self.capture.readouterr()
-        return code, shown.out, shown.err
+        """Runs the command; returns exit code, output and error output."""
+        arguments = ["bill", "--log-url", self.url, *flags]
+        code = await asyncio.to_thread(application.main, arguments)
+        captured = self.capture.readouterr()
+        return code, captured.out, captured.err
 
 
 @pytest_asyncio.fixture
 async def bill_log(
     capsys: pytest.CaptureFixture[str],
 ) -> AsyncIterator[BillLog]:
-    served = web.Application()
+    server_app = web.Application()
     standin = log_standin.LogStandin(fault_book.FaultBook(), max_records=3)
-    standin.add_routes(served)
-    async with test_utils.TestServer(served) as server:
+    standin.add_routes(server_app)
+    async with test_utils.TestServer(server_app) as server:
         url = str(server.make_url("/"))
         async with sessions.make_session() as session:
             yield BillLog(url, log_client.LogClient(session, url), capsys)
 
 
-async def test_statement_shows_each_account_and_item(
+async def test_statement_shows_amount_and_repeats_of_an_account(
     bill_log: BillLog,
 ) -> None:
-    await bill_log.bill(1, 2)
-    await bill_log.bill(2)
+    await bill_log.append_bills(1, 2)
+    await bill_log.append_bills(2)
     code, out, _ = await bill_log.run("--account", "acme")
     assertions.assert_that(code, matchers.Equals(exit_codes.ExitCode.DONE))
     assertions.assert_that(out, matchers.Contains("3.000000"))
     assertions.assert_that(out, matchers.Contains("1 repeated bills"))
 
 
-async def test_checkpoint_outlives_the_records_that_it_counts(
+async def test_checkpoint_preserves_totals_of_deleted_records(
     bill_log: BillLog,
 ) -> None:
     for serial in (1, 2):
-        await bill_log.bill(serial)
+        await bill_log.append_bills(serial)
         await bill_log.run("--checkpoint")
     for serial in (2, 3):
-        await bill_log.bill(serial)
+        await bill_log.append_bills(serial)
     code, out, err = await bill_log.run("--json")
     assertions.assert_that(err, matchers.Equals(""))
     assertions.assert_that(code, matchers.Equals(exit_codes.ExitCode.DONE))
     statement = orjson.loads(out)
-    shown = (statement["lines"][0]["count"], statement["repeats"])
-    assertions.assert_that(shown, matchers.Equals((3, 1)))
+    counts = (statement["lines"][0]["count"], statement["repeats"])
+    assertions.assert_that(counts, matchers.Equals((3, 1)))
 
 
-async def test_lost_and_damaged_records_are_named(bill_log: BillLog) -> None:
+async def test_missing_and_invalid_records_are_reported(
+    bill_log: BillLog,
+) -> None:
     for serial in range(1, 5):
-        await bill_log.bill(serial)
+        await bill_log.append_bills(serial)
     await bill_log.client.append(streams.BILLS, b"no json")
     code, out, err = await bill_log.run()
     assertions.assert_that(code, matchers.Equals(exit_codes.ExitCode.FAULTS))
--- a/tests/console/test_console_entry_access.py
+++ b/tests/console/test_console_entry_access.py
@@ -1,4 +1,4 @@
-"""The console shows an operator's key to entry hosts, also over TLS."""
+"""Tests that the console sends the operator key, with and without TLS."""
 
 from __future__ import annotations
 
@@ -21,13 +21,15 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-KEY = "a-key-of-an-operator"
-_TLS = pathlib.Path(__file__).parents[1] / "fixtures" / "tls"
-_AUTHORITY = str(_TLS / "ca.crt")
+OPERATOR_KEY = "a-key-of-an-operator"
+_TLS_DIRECTORY = pathlib.Path(__file__).parents[1] / "fixtures" / "tls"
+_CA_FILE = str(_TLS_DIRECTORY / "ca.crt")
 
 
-async def _status(http: web.Request) -> web.Response:
-    is_operator = http.headers.get("Authorization") == f"Bearer {KEY}"
+async def _handle_status(request: web.Request) -> web.Response:
+    is_operator = (
+        request.headers.get("Authorization") == f"Bearer {OPERATOR_KEY}"
+    )
     return web.json_response(
         {"table_revision": 7}, status=200 if is_operator else 401
     )
@@ -37,15 +39,17 @@
 async def entry(
     request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch
 ) -> AsyncIterator[hosts.ListedHost]:
-    """An entry host that wants a key."""
+    """An entry host that requires the operator key."""
     context = None
     if request.param == "TLS":
-        monkeypatch.setenv(entry_access.AUTHORITY_VARIABLE, _AUTHORITY)
+        monkeypatch.setenv(entry_access.AUTHORITY_VARIABLE, _CA_FILE)
         context = tls.TlsFiles(
-            str(_TLS / "host.crt"), str(_TLS / "host.key"), _AUTHORITY
+            str(_TLS_DIRECTORY / "host.crt"),
+            str(_TLS_DIRECTORY / "host.key"),
+            _CA_FILE,
         ).callers
     application = web.Application()
-    application.router.add_get("/status", _status)
+    application.router.add_get("/status", _handle_status)
     runner = web.AppRunner(application)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0, ssl_context=context).start()
@@ -62,35 +66,39 @@
 
 
 @attrs.define
-class _List:
-    listed: hosts.ListedHost
+class _FakeHostList:
+    host: hosts.ListedHost
 
     async def fetch(self) -> tuple[hosts.ListedHost, ...]:
-        return (self.listed,)
+        return (self.host,)
+
 
+async def _query_status(entry: hosts.ListedHost) -> tuple[int, str]:
+    """Queries the host by ``ask`` and by ``SpreadWatch``.
 
-async def _ask_both_ways(entry: hosts.ListedHost) -> tuple[int, str]:
-    """Returns the status code and the word on who lags."""
-    listed: Any = _List(entry)
+    Returns:
+        The HTTP status of the first, and the lagging hosts of the second.
+    """
+    host_list: Any = _FakeHostList(entry)
     async with sessions.make_session() as session:
-        answer = await host_answers.ask(session, entry, "/status")
-        watch = in_force.SpreadWatch(session, listed, 7)
+        response = await host_answers.ask(session, entry, "/status")
+        watch = in_force.SpreadWatch(session, host_list, 7)
         spread = await watch.wait(2.0)
-    return answer.status, "; ".join(map(str, spread.laggards))
+    return response.status, "; ".join(map(str, spread.laggards))
 
 
-async def test_with_the_key_hosts_answer(
+async def test_hosts_accept_the_operator_key(
     entry: hosts.ListedHost, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setenv(entry_access.KEY_VARIABLE, KEY)
-    answered = await _ask_both_ways(entry)
-    assertions.assert_that(answered, matchers.Equals((200, "")))
+    monkeypatch.setenv(entry_access.KEY_VARIABLE, OPERATOR_KEY)
+    result = await _query_status(entry)
+    assertions.assert_that(result, matchers.Equals((200, "")))
 
 
-async def test_without_the_key_the_variable_is_named(
+async def test_missing_key_is_reported_with_its_variable(
     entry: hosts.ListedHost, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.delenv(entry_access.KEY_VARIABLE, raising=False)
-    status, lagging = await _ask_both_ways(entry)
+    status, lagging = await _query_status(entry)
     assertions.assert_that(status, matchers.Equals(401))
     assert entry_access.KEY_VARIABLE in lagging
--- a/tests/console/test_console_explain_status.py
+++ b/tests/console/test_console_explain_status.py
@@ -1,4 +1,4 @@
-"""``explain`` asks past a host that is gone; ``status`` names it."""
+"""Tests of ``hoistmoor explain`` and ``status`` with an unavailable host."""
 
 from __future__ import annotations
 
@@ -52,18 +52,18 @@
 
 @attrs.define
 class FakePlatform:
-    """A list of hosts: one that is gone and one that answers.
+    """Host list with one unavailable and one responsive host.
 
     Attributes:
         url: Base URL of the list.
-        asked: Paths that the host which answers was asked for.
+        requested_paths: Paths that the responsive host got requests for.
     """
 
     url: str
-    asked: list[str]
+    requested_paths: list[str]
 
 
-def _row(name: str, address: str) -> dict[str, object]:
+def _listed_host(name: str, address: str) -> dict[str, object]:
     host = hosts.ListedHost(
         name=name,
         address=address,
@@ -77,60 +77,66 @@
 
 @pytest.fixture
 async def platform() -> AsyncIterator[FakePlatform]:
-    """One small server that is both the list and the host that answers."""
-    asked: list[str] = []
+    """One server that is both the host list and the responsive host."""
+    requested_paths: list[str] = []
 
     async def handle(request: web.Request) -> web.Response:
-        asked.append(request.path)
-        rows = [_row("gone", "127.0.0.1:1"), _row("here", str(request.host))]
-        answers: dict[str, Callable[[], object]] = {
+        requested_paths.append(request.path)
+        rows = [
+            _listed_host("gone", "127.0.0.1:1"),
+            _listed_host("here", str(request.host)),
+        ]
+        responses: dict[str, Callable[[], object]] = {
             "/hosts": lambda: {"hosts": rows},
             "/status": lambda: {"table_revision": 7},
             f"/explain/{REQUEST_ID}": lambda: codec.converter.unstructure(
                 DECISION
             ),
         }
-        if request.path not in answers:
+        if request.path not in responses:
             return web.json_response({}, status=404)
-        return web.json_response(answers[request.path]())
+        return web.json_response(responses[request.path]())
 
     application = web.Application()
     application.router.add_get("/{path:.*}", handle)
     async with test_utils.TestServer(application) as server:
-        yield FakePlatform(str(server.make_url("")).rstrip("/"), asked)
+        yield FakePlatform(
+            str(server.make_url("")).rstrip("/"), requested_paths
+        )
 
 
-async def test_another_host_explains_for_one_that_is_gone(
+async def test_explain_queries_other_hosts_if_one_is_unavailable(
     platform: FakePlatform,
 ) -> None:
     command = explain.Explain(request_id=REQUEST_ID, hosts_url=platform.url)
     decision = await command.find()
     assert decision is not None
     text = "\n".join(explain.describe(decision))
-    for part in (
+    for expected in (
         *("bangna-agents", "revision 7", "khao-small@2025-08 at moor-1"),
         *("1.500000", "cheapest at 0.8", "khao-large@2025-09", "dearer"),
     ):
-        assertions.assert_that(text, matchers.Contains(part))
+        assertions.assert_that(text, matchers.Contains(expected))
 
 
-async def test_an_unknown_request_is_looked_for_at_every_host(
+async def test_explain_queries_every_host_for_an_unknown_request(
     platform: FakePlatform,
 ) -> None:
     command = explain.Explain(request_id="here.1.1", hosts_url=platform.url)
     assertions.assert_that(await command.find(), matchers.Is(None))
     assertions.assert_that(
-        platform.asked, matchers.Equals(["/hosts", "/explain/here.1.1"])
+        platform.requested_paths,
+        matchers.Equals(["/hosts", "/explain/here.1.1"]),
     )
 
 
-async def test_nonsense_is_no_request_id() -> None:
+async def test_explain_rejects_a_malformed_request_id() -> None:
     command = explain.Explain(request_id="nonsense", hosts_url="http://x")
     with pytest.raises(errors.ConfigurationError, match="not a request id"):
         await command.find()
 
 
-async def test_status_fails_on_a_silent_host_and_names_it(
+async def test_status_fails_and_names_an_unresponsive_host(
     platform: FakePlatform, capsys: pytest.CaptureFixture[str]
 ) -> None:
     code = await status.Status(hosts_url=platform.url).show()
--- a/tests/console/test_console_story.py
+++ b/tests/console/test_console_story.py
@@ -1,4 +1,4 @@
-"""``hoistmoor story`` on logs of several hosts."""
+"""Tests of ``hoistmoor story`` on logs of several hosts."""
 
 from __future__ import annotations
 
@@ -28,22 +28,22 @@
 """
 
 
-def test_a_story_has_what_was_believed_then(
+def test_story_shows_the_state_at_the_time_of_the_request(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     log = tmp_path / "a.log"
     log.write_text(LOG)
     code = application.main(["story", "r1", str(log)])
     assertions.assert_that(code, matchers.Equals(exit_codes.ExitCode.DONE))
-    told = capsys.readouterr().out
-    assertions.assert_that(told, matchers.Contains('"revision":4'))
-    assertions.assert_that(told, matchers.Contains('"server":"i-1"'))
-    assertions.assert_that(told, matchers.Contains("> "))
+    output = capsys.readouterr().out
+    assertions.assert_that(output, matchers.Contains('"revision":4'))
+    assertions.assert_that(output, matchers.Contains('"server":"i-1"'))
+    assertions.assert_that(output, matchers.Contains("> "))
     for absent in ('"revision":3', '"revision":5', "i-2", "h2"):
-        assertions.assert_that(told, matchers.Not(matchers.Contains(absent)))
+        assertions.assert_that(output, matchers.Not(matchers.Contains(absent)))
 
 
-def test_an_unknown_request_is_a_failure(
+def test_unknown_request_fails(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     log = tmp_path / "a.log"
@@ -53,12 +53,12 @@
     assertions.assert_that(capsys.readouterr().err, matchers.Contains("r9"))
 
 
-def test_a_story_tells_why_a_request_was_quarantined() -> None:
+def test_story_shows_why_a_request_was_quarantined() -> None:
     lines = [
         story.Line("h1", 1.0, "request_quarantined", {"fingerprint": "bad"}),
         story.Line("h1", 1.5, "request_quarantined", {"fingerprint": "other"}),
         story.Line("h1", 2.0, "request", {"id": "r1", "fingerprint": "bad"}),
     ]
-    told = story.tell(lines, "r1")
-    assertions.assert_that(told, matchers.HasLength(3))
-    assertions.assert_that(told[1], matchers.Contains('"bad"'))
+    output = story.tell(lines, "r1")
+    assertions.assert_that(output, matchers.HasLength(3))
+    assertions.assert_that(output[1], matchers.Contains('"bad"'))
--- a/tests/console/test_console_table.py
+++ b/tests/console/test_console_table.py
@@ -1,5 +1,5 @@
 # ruff: noqa: D102
-"""``hoistmoor table`` as operators run it, against a platform stand-in."""
+"""Tests of the ``hoistmoor table`` commands against a platform stand-in."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
     from collections.abc import Coroutine, Iterator
 from concurrent import futures
 
-Code = exit_codes.ExitCode
+ExitCode = exit_codes.ExitCode
 
-_BOUND = 20.0  # Seconds; only ends a test that hangs.
+_WAIT_TIMEOUT = 20.0  # Seconds; only fails a test that hangs.
 _EXAMPLES = pathlib.Path(__file__).parents[2] / "examples"
 
 
 @attrs.define
 class Platform:
-    """A log, a host list and the status page of an entry, in one place."""
+    """Server with a log, a host list and the status page of an entry host."""
 
     book: fault_book.FaultBook = attrs.field(factory=fault_book.FaultBook)
     log: log_standin.LogStandin = attrs.field(init=False)
@@ -45,17 +45,17 @@
     url: str = ""
     entry_revision: int = 1 << 30
 
-    def make(self) -> web.Application:
-        made = standin_web.make_application(self.book)
+    def make_application(self) -> web.Application:
+        app = standin_web.make_application(self.book)
         self.log = log_standin.LogStandin(self.book)
-        self.log.add_routes(made)
+        self.log.add_routes(app)
         self.hosts = hosts_standin.HostListStandin(self.book)
-        self.hosts.add_routes(made)
-        made.router.add_get("/status", self._status)
-        return made
+        self.hosts.add_routes(app)
+        app.router.add_get("/status", self._handle_status)
+        return app
 
     def list_entry(self, name: str, address: str) -> None:
-        row = host_client.ListedHost(
+        listed_host = host_client.ListedHost(
             name,
             address,
             "bangna",
@@ -63,14 +63,14 @@
             host_client.ListedState.LIVE,
             1,
         )
-        self.hosts.change({**self.hosts.newest, name: row}, 0.0)
+        self.hosts.change({**self.hosts.newest, name: listed_host}, 0.0)
 
-    async def _status(self, _: web.Request) -> web.Response:
+    async def _handle_status(self, _: web.Request) -> web.Response:
         return web.json_response({"table_revision": self.entry_revision})
 
     @property
     def records(self) -> int:
-        """How many records the table's stream holds."""
+        """Number of records on the table's stream."""
         stream = self.log.streams.get(streams.TABLE)
         return stream.next if stream else 0
 
@@ -79,14 +79,14 @@
 def platform() -> Iterator[Platform]:
     platform = Platform()
     loop = asyncio.new_event_loop()
-    runner = web.AppRunner(platform.make())
+    runner = web.AppRunner(platform.make_application())
 
     async def start() -> None:
         await runner.setup()
         await web.TCPSite(runner, "127.0.0.1", 0).start()
 
-    def run(step: Coroutine[None, None, None]) -> None:
-        asyncio.run_coroutine_threadsafe(step, loop).result(_BOUND)
+    def run(coroutine: Coroutine[None, None, None]) -> None:
+        asyncio.run_coroutine_threadsafe(coroutine, loop).result(_WAIT_TIMEOUT)
 
     thread = threading.Thread(target=loop.run_forever, daemon=True)
     thread.start()
@@ -97,7 +97,7 @@
     yield platform
     run(runner.cleanup())
     loop.call_soon_threadsafe(loop.stop)
-    thread.join(_BOUND)
+    thread.join(_WAIT_TIMEOUT)
     loop.close()
 
 
@@ -107,41 +107,41 @@
 
 
 def _publish(
-    platform: Platform, where: pathlib.Path, author: str, *more: str
+    platform: Platform, directory: pathlib.Path, author: str, *flags: str
 ) -> int:
-    words = ["table", "publish", str(where), "--author", author]
-    return application.main([*words, "--log-url", platform.url, *more])
+    arguments = ["table", "publish", str(directory), "--author", author]
+    return application.main([*arguments, "--log-url", platform.url, *flags])
 
 
-def _fetch(platform: Platform, out: pathlib.Path, *more: str) -> pathlib.Path:
-    words = ["table", "show", "--out", str(out), "--log-url", platform.url]
-    assert application.main([*words, *more]) == Code.DONE
+def _fetch(platform: Platform, out: pathlib.Path, *flags: str) -> pathlib.Path:
+    arguments = ["table", "show", "--out", str(out), "--log-url", platform.url]
+    assert application.main([*arguments, *flags]) == ExitCode.DONE
     return out
 
 
-def _replace(where: pathlib.Path, sheet: str, old: str, new: str) -> None:
-    path = where / f"{sheet}.csv"
+def _replace(directory: pathlib.Path, sheet: str, old: str, new: str) -> None:
+    path = directory / f"{sheet}.csv"
     text = path.read_text()
     assert old in text
     path.write_text(text.replace(old, new))
 
 
 @pytest.fixture
-def copies(
+def fetched_directories(
     platform: Platform, directory: pathlib.Path, tmp_path: pathlib.Path
 ) -> tuple[pathlib.Path, ...]:
-    """The sheets as two operators fetch them once ann has published."""
+    """Directories of two operators with the sheets that ann published."""
     _publish(platform, directory, "ann")
     names = ("first", "second")
     return tuple(_fetch(platform, tmp_path / name) for name in names)
 
 
 @pytest.mark.parametrize("name", ["taemsuk", "hafnarfjordur"])
-def test_the_examples_are_sound(name: str) -> None:
+def test_example_sheets_have_no_faults(name: str) -> None:
     assert application.main(["table", "check", str(_EXAMPLES / name)]) == 0
 
 
-def test_bad_sheets_are_reported_and_never_reach_the_log(
+def test_faulty_sheets_are_reported_and_not_published(
     platform: Platform,
     directory: pathlib.Path,
     capsys: pytest.CaptureFixture[str],
@@ -149,8 +149,10 @@
     _replace(directory, "calls", ",no,urgent", ",perhaps,urgent")
     _replace(directory, "grants", "isan-ledger,khao-small", "isan,khao-small")
 
-    assert application.main(["table", "check", str(directory)]) == Code.FAULTS
-    assert _publish(platform, directory, "ann") == Code.FAULTS
+    assert (
+        application.main(["table", "check", str(directory)]) == ExitCode.FAULTS
+    )
+    assert _publish(platform, directory, "ann") == ExitCode.FAULTS
 
     errors = capsys.readouterr().err
     assert "calls.csv, line 2" in errors
@@ -159,19 +161,19 @@
     assert platform.records == 0
 
 
-def test_an_edit_is_published_shown_and_listed(
+def test_edit_is_published_and_shown_in_diff_and_history(
     platform: Platform,
     directory: pathlib.Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    assert _publish(platform, directory, "ann") == Code.DONE
+    assert _publish(platform, directory, "ann") == ExitCode.DONE
     _replace(directory, "versions", "khao-small,2025-11,", "khao-small,2026,")
     diff = ["table", "diff", str(directory), "--log-url", platform.url]
-    assert application.main(diff) == Code.DONE
-    assert _publish(platform, directory, "ann") == Code.DONE
-    assert _publish(platform, directory, "ann") == Code.DONE
+    assert application.main(diff) == ExitCode.DONE
+    assert _publish(platform, directory, "ann") == ExitCode.DONE
+    assert _publish(platform, directory, "ann") == ExitCode.DONE
     history = ["table", "history", "--log-url", platform.url]
-    assert application.main(history) == Code.DONE
+    assert application.main(history) == ExitCode.DONE
 
     text = capsys.readouterr().out
     assert "in force at 1 entry hosts" in text
@@ -182,54 +184,58 @@
     assert platform.records == 2
 
 
-def test_the_loser_of_a_race_learns_the_row_and_the_winner(
+def test_conflict_names_the_row_and_the_author_of_the_other_edit(
     platform: Platform,
-    copies: tuple[pathlib.Path, ...],
+    fetched_directories: tuple[pathlib.Path, ...],
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    first, second = copies
+    first, second = fetched_directories
     _replace(first, "accounts", "training,", "trainees,")
     _replace(first, "grants", "training,", "trainees,")
     _replace(second, "accounts", "5000000,2.0,4", "9000000,2.0,4")
 
-    assert _publish(platform, first, "ann") == Code.DONE
+    assert _publish(platform, first, "ann") == ExitCode.DONE
     diff = ["table", "diff", str(second), "--log-url", platform.url]
-    assert application.main(diff) == Code.REJECTED
-    assert _publish(platform, second, "bo") == Code.REJECTED
+    assert application.main(diff) == ExitCode.REJECTED
+    assert _publish(platform, second, "bo") == ExitCode.REJECTED
 
     errors = capsys.readouterr().err
     assert "accounts row 'training' was changed by ann at 1" in errors
     assert platform.records == 2
 
 
-def test_of_two_at_the_same_moment_one_wins(
-    platform: Platform, copies: tuple[pathlib.Path, ...]
+def test_one_of_two_concurrent_edits_of_a_row_is_accepted(
+    platform: Platform, fetched_directories: tuple[pathlib.Path, ...]
 ) -> None:
-    for where, spend in zip(copies, ("7000000", "8000000"), strict=True):
-        _replace(where, "accounts", "5000000,2.0,4", f"{spend},2.0,4")
+    for directory, spend in zip(
+        fetched_directories, ("7000000", "8000000"), strict=True
+    ):
+        _replace(directory, "accounts", "5000000,2.0,4", f"{spend},2.0,4")
 
     with futures.ThreadPoolExecutor() as pool:
-        codes = pool.map(_publish, (platform,) * 2, copies, ("ann", "bo"))
+        codes = pool.map(
+            _publish, (platform,) * 2, fetched_directories, ("ann", "bo")
+        )
 
-    assert sorted(codes) == [Code.DONE, Code.REJECTED]
+    assert sorted(codes) == [ExitCode.DONE, ExitCode.REJECTED]
 
 
-def test_edits_of_other_rows_meet_in_the_same_table(
-    platform: Platform, copies: tuple[pathlib.Path, ...]
+def test_edits_of_different_rows_are_merged(
+    platform: Platform, fetched_directories: tuple[pathlib.Path, ...]
 ) -> None:
-    first, second = copies
+    first, second = fetched_directories
     _replace(first, "limits", "max_attempts,3.0", "max_attempts,2.0")
     _replace(second, "limits", "retry_ratio,0.1", "retry_ratio,0.2")
 
-    assert _publish(platform, first, "ann") == Code.DONE
-    assert _publish(platform, second, "bo") == Code.DONE
+    assert _publish(platform, first, "ann") == ExitCode.DONE
+    assert _publish(platform, second, "bo") == ExitCode.DONE
 
     merged = (second / "limits.csv").read_text()
     assert "max_attempts,2.0" in merged
     assert "retry_ratio,0.2" in merged
 
 
-def test_sheets_that_cannot_be_refreshed_do_not_hide_the_success(
+def test_publish_succeeds_if_sheets_cannot_be_updated(
     platform: Platform,
     directory: pathlib.Path,
     tmp_path: pathlib.Path,
@@ -239,15 +245,15 @@
     fetched = _fetch(platform, tmp_path / "fetched")
     _replace(fetched, "limits", "max_attempts,3.0", "max_attempts,2.0")
 
-    def refuse(*_: object) -> None:
+    def raise_permission_error(*_: object) -> None:
         raise PermissionError("read-only")
 
-    monkeypatch.setattr(directories, "write", refuse)
-    assert _publish(platform, fetched, "ann") == Code.DONE
+    monkeypatch.setattr(directories, "write", raise_permission_error)
+    assert _publish(platform, fetched, "ann") == ExitCode.DONE
     assert platform.records == 2
 
 
-def test_sheets_without_a_base_do_not_undo_what_others_did(
+def test_sheets_without_a_base_do_not_revert_changes_by_others(
     platform: Platform,
     directory: pathlib.Path,
     tmp_path: pathlib.Path,
@@ -256,19 +262,19 @@
     _publish(platform, directory, "ann")
     fetched = _fetch(platform, tmp_path / "fetched")
     _replace(fetched, "versions", "2025-11,moor-llm,candidate", _WITHDRAWN)
-    assert _publish(platform, fetched, "steward") == Code.DONE
+    assert _publish(platform, fetched, "steward") == ExitCode.DONE
 
-    assert _publish(platform, directory, "ann") == Code.REJECTED
+    assert _publish(platform, directory, "ann") == ExitCode.REJECTED
     assert "by another: versions row 'khao-small@2025-11' was changed by" in (
         capsys.readouterr().err
     )
-    assert _publish(platform, directory, "ann", "--overwrite") == Code.DONE
+    assert _publish(platform, directory, "ann", "--overwrite") == ExitCode.DONE
 
 
 _WITHDRAWN = "2025-11,moor-llm,withdrawn"
 
 
-def test_going_back_to_an_older_revision(
+def test_reverting_to_an_older_revision(
     platform: Platform, directory: pathlib.Path, tmp_path: pathlib.Path
 ) -> None:
     _publish(platform, directory, "ann")
@@ -276,22 +282,22 @@
     _publish(platform, directory, "ann")
 
     old = _fetch(platform, tmp_path / "old", "--revision", "0")
-    assert _publish(platform, old, "bo") == Code.DONE
+    assert _publish(platform, old, "bo") == ExitCode.DONE
 
     now = _fetch(platform, tmp_path / "now")
     assert "max_attempts,3.0" in (now / "limits.csv").read_text()
 
 
-def test_a_lost_reply_is_settled_by_the_log(
+def test_lost_append_reply_is_resolved_from_the_log(
     platform: Platform, directory: pathlib.Path
 ) -> None:
     platform.book.add(faults.ApplyButLoseReply(method="POST", count=1))
 
-    assert _publish(platform, directory, "ann") == Code.DONE
+    assert _publish(platform, directory, "ann") == ExitCode.DONE
     assert platform.records == 1
 
 
-def test_an_append_that_vanished_is_said_to_be_unknown(
+def test_lost_append_is_reported_as_unknown(
     platform: Platform,
     directory: pathlib.Path,
     monkeypatch: pytest.MonkeyPatch,
@@ -300,21 +306,21 @@
     monkeypatch.setattr(publisher, "SETTLE_SECONDS", 0.5)
     platform.book.add(faults.CutBeforeAnswer(method="POST", count=1))
 
-    assert _publish(platform, directory, "ann") == Code.UNKNOWN
+    assert _publish(platform, directory, "ann") == ExitCode.UNKNOWN
     assert "may or may not be on the log" in capsys.readouterr().err
-    assert _publish(platform, directory, "ann") == Code.DONE
+    assert _publish(platform, directory, "ann") == ExitCode.DONE
 
 
-def test_an_outage_changes_nothing_and_says_so(
+def test_publish_during_an_outage_fails_and_changes_nothing(
     platform: Platform, directory: pathlib.Path
 ) -> None:
     platform.book.add(faults.Outage())
 
-    assert _publish(platform, directory, "ann") == Code.UNAVAILABLE
+    assert _publish(platform, directory, "ann") == ExitCode.UNAVAILABLE
     assert platform.records == 0
 
 
-def test_hosts_that_lag_are_named(
+def test_lagging_hosts_are_reported(
     platform: Platform,
     directory: pathlib.Path,
     capsys: pytest.CaptureFixture[str],
@@ -324,16 +330,16 @@
 
     code = _publish(platform, directory, "ann", "--wait", "0.5")
 
-    assert code == Code.LAGGING
+    assert code == ExitCode.LAGGING
     errors = capsys.readouterr().err
     assert "lags: entry-1 at" in errors
     assert "still at revision -1" in errors
     assert "lags: entry-2 at 127.0.0.1:1: no answer" in errors
 
 
-def test_a_missing_url_is_named_with_its_remedy(
+def test_missing_log_url_is_reported_with_its_flag(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.delenv("HOISTMOOR_LOG_URL", raising=False)
-    assert application.main(["table", "show"]) == Code.USAGE
+    assert application.main(["table", "show"]) == ExitCode.USAGE
     assert "--log-url" in capsys.readouterr().err
