--- a/src/hoistmoor/console/commands/table/history.py
+++ b/src/hoistmoor/console/commands/table/history.py
@@ -43,7 +43,9 @@
             for line in describe.verdict(verdict):
                 sys.stdout.write(f"{line}\n")
         if reading.unread:
-            sys.stdout.write(f"{reading.unread} records could not be decoded\n")
+            sys.stdout.write(
+                f"{reading.unread} records were skipped as invalid\n"
+            )
         return exit_codes.ExitCode.DONE
 
     async def _read(self) -> log_table.Reading:
--- a/src/hoistmoor/console/commands/table/in_force.py
+++ b/src/hoistmoor/console/commands/table/in_force.py
@@ -67,7 +67,7 @@
         host_list: hosts.HostListClient,
         revision: int,
     ) -> None:
-        """Creates a watch for ``revision``.
+        """Creates a poller for ``revision``.
 
         Args:
             session: HTTP session for the requests to hosts.
@@ -78,7 +78,9 @@
         self.host_list = host_list
         self.revision = revision
         self._slots = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
-        self._spread = Spread((), (), "timed out reading the list of hosts")
+        self._propagation = Spread(
+            (), (), "timed out reading the list of hosts"
+        )
 
     async def wait(self, timeout: float) -> Spread:
         """Returns once all hosts have the revision, or after ``timeout``.
@@ -88,12 +90,12 @@
         """
         try:
             async with asyncio.timeout(timeout):
-                while not self._spread.is_complete:
-                    self._spread = await self._poll()
+                while not self._propagation.is_complete:
+                    self._propagation = await self._poll()
                     await asyncio.sleep(POLL_INTERVAL)
         except TimeoutError:
             pass
-        return self._spread
+        return self._propagation
 
     async def _poll(self) -> Spread:
         try:
@@ -135,13 +137,13 @@
                 ) as response,
             ):
                 if response.status == _HTTP_UNAUTHORIZED:
-                    return f"refused; check {entry_access.KEY_VARIABLE}"
+                    return f"unauthorized; check {entry_access.KEY_VARIABLE}"
                 status = orjson.loads(await response.read())
                 revision = int(status["table_revision"])
         except (aiohttp.ClientError, TimeoutError):
-            return "no answer"
+            return "no response"
         except (ValueError, KeyError, TypeError):
-            return "its status names no table revision"
+            return "its status has no table revision"
         if revision < self.revision:
             return f"still at revision {revision}"
         return ""
--- a/src/hoistmoor/console/commands/table/publish.py
+++ b/src/hoistmoor/console/commands/table/publish.py
@@ -111,7 +111,7 @@
     def _refresh_sheets(
         self, contents: directories.Sheets, current: fold.TableFold
     ) -> None:
-        """Updates sheets that ``show --out`` wrote to the active table."""
+        """Rewrites sheets from ``show --out`` with the active table."""
         if contents.base is None:
             return
         directory = pathlib.Path(self.directory)
--- a/src/hoistmoor/console/commands/table/spread_report.py
+++ b/src/hoistmoor/console/commands/table/spread_report.py
@@ -1,4 +1,4 @@
-"""Reports on which hosts a revision is active, and the flags for that."""
+"""Reports which hosts have a revision active, and defines related flags."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     revision: int,
     wait: float,
 ) -> exit_codes.ExitCode:
-    """Waits until ``revision`` is active on every host and reports laggards.
+    """Waits until ``revision`` is active on every host; reports the others.
 
     Args:
         session: HTTP session for the host list and the hosts.
@@ -45,14 +45,14 @@
     if wait <= 0:
         return exit_codes.ExitCode.DONE
     host_list = hosts.HostListClient(session, hosts_url)
-    spread = await in_force.SpreadWatch(session, host_list, revision).wait(wait)
-    sys.stdout.write(f"in force at {len(spread.reached)} entry hosts\n")
-    if spread.is_complete:
+    result = await in_force.SpreadWatch(session, host_list, revision).wait(wait)
+    sys.stdout.write(f"in force at {len(result.reached)} entry hosts\n")
+    if result.is_complete:
         return exit_codes.ExitCode.DONE
-    if spread.list_problem:
+    if result.list_problem:
         sys.stderr.write(
-            f"cannot tell which hosts lag: {spread.list_problem}\n"
+            f"cannot tell which hosts lag: {result.list_problem}\n"
         )
-    for laggard in spread.laggards:
-        sys.stderr.write(f"lags: {laggard}\n")
+    for lagging_host in result.laggards:
+        sys.stderr.write(f"lags: {lagging_host}\n")
     return exit_codes.ExitCode.LAGGING
--- a/tests/console/test_console_entry_access.py
+++ b/tests/console/test_console_entry_access.py
@@ -74,17 +74,17 @@
 
 
 async def _query_status(entry: hosts.ListedHost) -> tuple[int, str]:
-    """Queries the host by ``ask`` and by ``SpreadWatch``.
+    """Queries the status of the host, and whether revision 7 is active on it.
 
     Returns:
-        The HTTP status of the first, and the lagging hosts of the second.
+        The HTTP status, and the hosts reported as lagging.
     """
     host_list: Any = _FakeHostList(entry)
     async with sessions.make_session() as session:
         response = await host_answers.ask(session, entry, "/status")
         watch = in_force.SpreadWatch(session, host_list, 7)
-        spread = await watch.wait(2.0)
-    return response.status, "; ".join(map(str, spread.laggards))
+        result = await watch.wait(2.0)
+    return response.status, "; ".join(map(str, result.laggards))
 
 
 async def test_hosts_accept_the_operator_key(
--- a/tests/console/test_console_table.py
+++ b/tests/console/test_console_table.py
@@ -334,7 +334,7 @@
     errors = capsys.readouterr().err
     assert "lags: entry-1 at" in errors
     assert "still at revision -1" in errors
-    assert "lags: entry-2 at 127.0.0.1:1: no answer" in errors
+    assert "lags: entry-2 at 127.0.0.1:1: no response" in errors
 
 
 def test_missing_log_url_is_reported_with_its_flag(
