--- a/src/hoistmoor/console/commands/status.py
+++ b/src/hoistmoor/console/commands/status.py
@@ -55,17 +55,17 @@
             listed = await host_answers.fetch_hosts(
                 session, self.hosts_url, self.log_url
             )
-            answers = await host_answers.ask_all(
+            responses = await host_answers.ask_all(
                 session, host_answers.entries(listed), "/status?part=own"
             )
-            _print(describe_hosts(answers))
+            _print(describe_hosts(responses))
             _print(describe_backends(listed))
-            _print(limits_lines.describe_limits(answers))
+            _print(limits_lines.describe_limits(responses))
             _print(await self._read_log(session))
         unresponsive = any(
-            answer.status != _HTTP_OK
-            for answer in answers
-            if answer.host.state is hosts.ListedState.LIVE
+            response.status != _HTTP_OK
+            for response in responses
+            if response.host.state is hosts.ListedState.LIVE
         )
         return exit_codes.ExitCode.FAILED if unresponsive else _DONE
 
@@ -90,33 +90,33 @@
 
 
 def describe_hosts(
-    answers: Iterable[host_answers.HostAnswer],
+    responses: Iterable[host_answers.HostAnswer],
 ) -> Iterator[str]:
     """Yields a header and one line per entry host."""
     yield (
         f"{'entry host':<16}{'address':<22}{'domain':<14}{'listed':<9}"
         f"{'revision':>9}{'in flight':>11}  state"
     )
-    for answer in answers:
-        host = answer.host
+    for response in responses:
+        host = response.host
         yield (
             f"{host.name:<16}{host.address:<22}{host.failure_domain:<14}"
-            f"{host.state:<9}{_format_field(answer, 'table_revision'):>9}"
-            f"{_format_field(answer, 'in_flight'):>11}  {_host_state(answer)}"
+            f"{host.state:<9}{_format_field(response, 'table_revision'):>9}"
+            f"{_format_field(response, 'in_flight'):>11}  {_state_of(response)}"
         )
 
 
-def _format_field(answer: host_answers.HostAnswer, field: str) -> str:
-    value = answer.body.get(field)
+def _format_field(response: host_answers.HostAnswer, field: str) -> str:
+    value = response.body.get(field)
     return _NO_VALUE if value is None else str(value)
 
 
-def _host_state(answer: host_answers.HostAnswer) -> str:
-    if not answer.status:
-        return "no answer"
-    if answer.status != _HTTP_OK:
-        return f"HTTP status {answer.status}"
-    return str(answer.body.get("state", "answers"))
+def _state_of(response: host_answers.HostAnswer) -> str:
+    if not response.status:
+        return "no response"
+    if response.status != _HTTP_OK:
+        return f"HTTP status {response.status}"
+    return str(response.body.get("state", "answers"))
 
 
 def describe_backends(listed: Iterable[hosts.ListedHost]) -> Iterator[str]:
--- a/src/hoistmoor/console/host_answers.py
+++ b/src/hoistmoor/console/host_answers.py
@@ -55,8 +55,8 @@
 
 def entries(listed: Iterable[hosts.ListedHost]) -> list[hosts.ListedHost]:
     """Returns the entry hosts, sorted by name."""
-    entry_hosts = [host for host in listed if host.role is hosts.Role.ENTRY]
-    return sorted(entry_hosts, key=lambda host: host.name)
+    selected = [host for host in listed if host.role is hosts.Role.ENTRY]
+    return sorted(selected, key=lambda host: host.name)
 
 
 async def ask(
--- a/src/hoistmoor/console/limits_lines.py
+++ b/src/hoistmoor/console/limits_lines.py
@@ -46,12 +46,12 @@
 
 
 def describe_limits(
-    answers: Iterable[host_answers.HostAnswer],
+    responses: Iterable[host_answers.HostAnswer],
 ) -> Iterator[str]:
     """Yields a header and one line per client account."""
     usages: dict[str, _AccountUsage] = {}
-    for answer in answers:
-        for fields in answer.body.get("limits", {}).get("accounts", ()):
+    for response in responses:
+        for fields in response.body.get("limits", {}).get("accounts", ()):
             usages.setdefault(fields["account"], _AccountUsage()).add(fields)
     yield (
         f"{'account (micros today)':<24}{'limit':>16}{'spent':>16}"
--- a/tests/console/test_console_explain_status.py
+++ b/tests/console/test_console_explain_status.py
@@ -144,5 +144,5 @@
     lines = capsys.readouterr().out.splitlines()
     gone = next(line for line in lines if line.startswith("gone"))
     here = next(line for line in lines if line.startswith("here"))
-    assertions.assert_that(gone, matchers.Contains("no answer"))
+    assertions.assert_that(gone, matchers.Contains("no response"))
     assertions.assert_that(here.split(), matchers.Contains("7"))
