--- a/src/hoistmoor/console/commands/table/log_table.py
+++ b/src/hoistmoor/console/commands/table/log_table.py
@@ -104,9 +104,9 @@
             self._verdicts.extend(
                 self._replay.feed(record.offset, record.payload)
             )
-            self._keep_wanted_table()
+            self._keep_if_wanted()
 
-    def _keep_wanted_table(self) -> None:
+    def _keep_if_wanted(self) -> None:
         table = self._replay.in_force
         if table is not None and table.revision == self.wanted:
             self.wanted_table = table.table
