--- a/src/hoistmoor/console/limits_lines.py
+++ b/src/hoistmoor/console/account_usage.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-    from hoistmoor.console import host_answers
+    from hoistmoor.console import host_queries
 
 
 @attrs.define
@@ -46,7 +46,7 @@
 
 
 def describe_limits(
-    responses: Iterable[host_answers.HostAnswer],
+    responses: Iterable[host_queries.HostResponse],
 ) -> Iterator[str]:
     """Yields a header and one line per client account."""
     usages: dict[str, _AccountUsage] = {}
--- a/src/hoistmoor/console/commands/bill.py
+++ b/src/hoistmoor/console/commands/bill.py
@@ -13,7 +13,7 @@
 from hoistmoor.clients import log
 from hoistmoor.clients import sessions
 from hoistmoor.console import exit_codes
-from hoistmoor.console.commands.table import log_table
+from hoistmoor.console.commands.table import table_reader
 from hoistmoor.core import codec
 from hoistmoor.core import errors
 from hoistmoor.core import streams
@@ -55,7 +55,7 @@
         checkpoint: Whether to append the totals to the log.
     """
 
-    log_url: log_table.LogUrl
+    log_url: table_reader.LogUrl
     account: _Account = None
     json: _Json = False
     checkpoint: _Checkpoint = False
@@ -67,7 +67,7 @@
     async def show(self) -> exit_codes.ExitCode:
         """Reads the stream and prints the statement."""
         async with sessions.make_session() as session:
-            client = log_table.client_of(session, self.log_url)
+            client = table_reader.make_log_client(session, self.log_url)
             statement = await read_statement(client)
             self._print(statement)
             if self.checkpoint:
--- a/src/hoistmoor/console/commands/drain.py
+++ b/src/hoistmoor/console/commands/drain.py
@@ -17,7 +17,7 @@
 from hoistmoor.clients import log
 from hoistmoor.clients import sessions
 from hoistmoor.console import exit_codes
-from hoistmoor.console.commands.table import log_table
+from hoistmoor.console.commands.table import table_reader
 from hoistmoor.core import errors
 from hoistmoor.core.steward import records
 from hoistmoor.core.steward import rollouts
@@ -43,7 +43,7 @@
 
     server: str
     author: _Author
-    log_url: log_table.LogUrl
+    log_url: table_reader.LogUrl
     undo: _Undo = False
 
     def __call__(self) -> exit_codes.ExitCode:
@@ -65,7 +65,7 @@
             )
 
     async def _check_server(self, client: log.LogClient) -> None:
-        current = (await log_table.LogTable(client).read()).fold
+        current = (await table_reader.TableReader(client).read()).fold
         if self.server not in current.active.table.servers and not self.undo:
             raise errors.ConfigurationError(
                 f"backend server {self.server!r} is not in the table",
--- a/src/hoistmoor/console/commands/explain.py
+++ b/src/hoistmoor/console/commands/explain.py
@@ -12,8 +12,8 @@
 
 from hoistmoor.clients import sessions
 from hoistmoor.console import exit_codes
-from hoistmoor.console import host_answers
-from hoistmoor.console.commands.table import log_table
+from hoistmoor.console import host_queries
+from hoistmoor.console.commands.table import table_reader
 from hoistmoor.core import codec
 from hoistmoor.core import errors
 from hoistmoor.core import identity
@@ -51,12 +51,12 @@
     request_id: Annotated[
         str, cappa.Arg(help="Request id as the caller received it.")
     ]
-    log_url: log_table.LogUrl = ""
-    hosts_url: log_table.HostsUrl = ""
+    log_url: table_reader.LogUrl = ""
+    hosts_url: table_reader.HostsUrl = ""
 
     def __call__(self) -> exit_codes.ExitCode:
         """Prints the decision; fails if no host has it."""
-        decision = asyncio.run(self.find())
+        decision = asyncio.run(self.find_decision())
         if decision is None:
             sys.stderr.write(
                 f"hoistmoor: no host has a decision on {self.request_id}. "
@@ -67,7 +67,7 @@
             sys.stdout.write(f"{line}\n")
         return exit_codes.ExitCode.DONE
 
-    async def find(self) -> decisions.Decision | None:
+    async def find_decision(self) -> decisions.Decision | None:
         """Returns the decision from the first host that has it.
 
         Raises:
@@ -77,10 +77,10 @@
         """
         origin = _origin_host(self.request_id)
         async with sessions.make_session() as session:
-            listed = await host_answers.fetch_hosts(
+            listed = await host_queries.fetch_hosts(
                 session, self.hosts_url, self.log_url
             )
-            entries = host_answers.entries(listed)
+            entries = host_queries.entry_hosts(listed)
             entries.sort(key=lambda host: host.name != origin)
             return await _fetch_decision(session, entries, self.request_id)
 
@@ -102,7 +102,7 @@
     request_id: str,
 ) -> decisions.Decision | None:
     for host in entries:
-        response = await host_answers.ask(
+        response = await host_queries.query_host(
             session, host, f"/explain/{request_id}"
         )
         if response.status == _HTTP_OK:
--- a/src/hoistmoor/console/commands/rollout.py
+++ b/src/hoistmoor/console/commands/rollout.py
@@ -12,7 +12,7 @@
 from hoistmoor.clients import log
 from hoistmoor.clients import sessions
 from hoistmoor.console import exit_codes
-from hoistmoor.console.commands.table import log_table
+from hoistmoor.console.commands.table import table_reader
 from hoistmoor.core import errors
 from hoistmoor.core.steward import fold as fold_lib
 from hoistmoor.core.steward import records
@@ -35,7 +35,7 @@
         log_url: Base URL of the platform's log.
     """
 
-    log_url: log_table.LogUrl
+    log_url: table_reader.LogUrl
 
     def __call__(self) -> exit_codes.ExitCode:
         """Prints one line for each of them."""
@@ -61,7 +61,7 @@
 
     version: str
     author: _Author
-    log_url: log_table.LogUrl
+    log_url: table_reader.LogUrl
 
     def set_paused(self, paused: bool) -> exit_codes.ExitCode:
         """Appends the record to the log and confirms that it took effect."""
@@ -125,7 +125,7 @@
     """
 
     author: _Author
-    log_url: log_table.LogUrl
+    log_url: table_reader.LogUrl
 
     def __call__(self) -> exit_codes.ExitCode:
         """Appends the record to the log."""
--- a/src/hoistmoor/console/commands/status.py
+++ b/src/hoistmoor/console/commands/status.py
@@ -11,11 +11,11 @@
 
 from hoistmoor.clients import hosts
 from hoistmoor.clients import sessions
+from hoistmoor.console import account_usage
 from hoistmoor.console import exit_codes
-from hoistmoor.console import host_answers
-from hoistmoor.console import limits_lines
+from hoistmoor.console import host_queries
 from hoistmoor.console.commands import rollout
-from hoistmoor.console.commands.table import log_table
+from hoistmoor.console.commands.table import table_reader
 from hoistmoor.core import errors
 from hoistmoor.steward import operator_records
 
@@ -42,8 +42,8 @@
         hosts_url: Base URL of the host list; empty to use ``log_url``.
     """
 
-    log_url: log_table.LogUrl = ""
-    hosts_url: log_table.HostsUrl = ""
+    log_url: table_reader.LogUrl = ""
+    hosts_url: table_reader.HostsUrl = ""
 
     def __call__(self) -> exit_codes.ExitCode:
         """Prints the overview; fails if a live entry host is unresponsive."""
@@ -52,15 +52,15 @@
     async def show(self) -> exit_codes.ExitCode:
         """Queries the hosts and the log, and prints the overview."""
         async with sessions.make_session() as session:
-            listed = await host_answers.fetch_hosts(
+            listed = await host_queries.fetch_hosts(
                 session, self.hosts_url, self.log_url
             )
-            responses = await host_answers.ask_all(
-                session, host_answers.entries(listed), "/status?part=own"
+            responses = await host_queries.query_hosts(
+                session, host_queries.entry_hosts(listed), "/status?part=own"
             )
             _print(describe_hosts(responses))
             _print(describe_backends(listed))
-            _print(limits_lines.describe_limits(responses))
+            _print(account_usage.describe_limits(responses))
             _print(await self._read_log(session))
         unresponsive = any(
             response.status != _HTTP_OK
@@ -73,8 +73,8 @@
         if not self.log_url:
             return ["versions and rollouts: pass --log-url to see them"]
         try:
-            client = log_table.client_of(session, self.log_url)
-            table_reading = await log_table.LogTable(client).read()
+            client = table_reader.make_log_client(session, self.log_url)
+            table_reading = await table_reader.TableReader(client).read()
             steward_fold = (await operator_records.read_stream(client)).fold
         except errors.PlatformError as error:
             return [f"versions and rollouts: {error}"]
@@ -90,7 +90,7 @@
 
 
 def describe_hosts(
-    responses: Iterable[host_answers.HostAnswer],
+    responses: Iterable[host_queries.HostResponse],
 ) -> Iterator[str]:
     """Yields a header and one line per entry host."""
     yield (
@@ -106,12 +106,12 @@
         )
 
 
-def _format_field(response: host_answers.HostAnswer, field: str) -> str:
+def _format_field(response: host_queries.HostResponse, field: str) -> str:
     value = response.body.get(field)
     return _NO_VALUE if value is None else str(value)
 
 
-def _state_of(response: host_answers.HostAnswer) -> str:
+def _state_of(response: host_queries.HostResponse) -> str:
     if not response.status:
         return "no response"
     if response.status != _HTTP_OK:
--- a/src/hoistmoor/console/commands/story.py
+++ b/src/hoistmoor/console/commands/story.py
@@ -30,18 +30,18 @@
 
 
 @attrs.frozen
-class Line:
+class LogLine:
     """One line of a relay's log.
 
     Attributes:
         host: Host that wrote the line.
-        at: Monotonic time of its process, in seconds.
+        time: Monotonic time of its process, in seconds.
         event: Type of the event.
         fields: All fields of the line, including the above.
     """
 
     host: str
-    at: float
+    time: float
     event: str
     fields: dict[str, object]
 
@@ -50,17 +50,19 @@
         """The attempts of a request as text; empty for other lines."""
         return str(self.fields.get("attempts", ""))
 
-    def text(self) -> str:
+    def render(self) -> str:
         """Returns the line in human-readable form."""
         details = {
             name: value
             for name, value in self.fields.items()
             if name not in ("t", "host", "event")
         }
-        return f"{self.at:12.3f} {self.event} {orjson.dumps(details).decode()}"
+        return (
+            f"{self.time:12.3f} {self.event} {orjson.dumps(details).decode()}"
+        )
 
 
-def parse(text: str) -> Line | None:
+def parse_line(text: str) -> LogLine | None:
     """Parses one line of a log file; returns None if it is not valid.
 
     Args:
@@ -68,12 +70,14 @@
     """
     try:
         fields = orjson.loads(text[text.index("{") :])
-        return Line(fields["host"], float(fields["t"]), fields["event"], fields)
+        return LogLine(
+            fields["host"], float(fields["t"]), fields["event"], fields
+        )
     except (ValueError, KeyError, TypeError):
         return None
 
 
-def tell(lines: Iterable[Line], request_id: str) -> list[str]:
+def describe_request(lines: Iterable[LogLine], request_id: str) -> list[str]:
     """Returns the history of a request, grouped by host.
 
     Args:
@@ -86,7 +90,7 @@
         had logged about the servers that it sent the request to, and its
         lines about the request.
     """
-    by_host: dict[str, list[Line]] = {}
+    by_host: dict[str, list[LogLine]] = {}
     for line in lines:
         by_host.setdefault(line.host, []).append(line)
     output: list[str] = []
@@ -96,7 +100,7 @@
 
 
 def _describe_host(
-    host: str, host_lines: list[Line], request_id: str
+    host: str, host_lines: list[LogLine], request_id: str
 ) -> list[str]:
     request_lines = [
         line for line in host_lines if line.fields.get("id") == request_id
@@ -126,12 +130,12 @@
     ]
     context = sorted(
         [*newest_states.values(), *server_lines.values(), *quarantine_lines],
-        key=lambda line: line.at,
+        key=lambda line: line.time,
     )
     return [
         f"{host}:",
-        *(f"  {line.text()}" for line in context),
-        *(f"> {line.text()}" for line in request_lines),
+        *(f"  {line.render()}" for line in context),
+        *(f"> {line.render()}" for line in request_lines),
     ]
 
 
@@ -155,8 +159,8 @@
         lines = []
         for path in self.files:
             with path.open(errors="replace") as file:
-                lines += [line for text in file if (line := parse(text))]
-        output = tell(lines, self.request_id)
+                lines += [line for text in file if (line := parse_line(text))]
+        output = describe_request(lines, self.request_id)
         if not output:
             sys.stderr.write(
                 f"no line names {self.request_id}. A request that completed "
--- a/src/hoistmoor/console/commands/table/check.py
+++ b/src/hoistmoor/console/commands/table/check.py
@@ -9,7 +9,7 @@
 import cappa
 
 from hoistmoor.console import exit_codes
-from hoistmoor.console.commands.table import directory as directories
+from hoistmoor.console.commands.table import sheet_directory as directories
 from hoistmoor.core.table import sheets
 
 
@@ -31,7 +31,7 @@
         try:
             contents = directories.read(pathlib.Path(self.directory))
         except directories.SheetFaultsError as error:
-            directories.report(error)
+            directories.print_faults(error)
             return exit_codes.ExitCode.FAULTS
         for sheet in sheets.SHEETS:
             count = len(sheets.rows_of(contents.table, sheet))
--- a/src/hoistmoor/console/commands/table/diff.py
+++ b/src/hoistmoor/console/commands/table/diff.py
@@ -12,9 +12,9 @@
 from hoistmoor.clients import sessions
 from hoistmoor.console import exit_codes
 from hoistmoor.console.commands.table import describe
-from hoistmoor.console.commands.table import directory as directories
-from hoistmoor.console.commands.table import log_table
 from hoistmoor.console.commands.table import publisher
+from hoistmoor.console.commands.table import sheet_directory as directories
+from hoistmoor.console.commands.table import table_reader
 from hoistmoor.core.table import fold
 
 
@@ -31,26 +31,30 @@
     """
 
     directory: str
-    log_url: log_table.LogUrl
+    log_url: table_reader.LogUrl
 
     def __call__(self) -> exit_codes.ExitCode:
         """Prints the changes, and why they would be rejected if so."""
         try:
             contents = directories.read(pathlib.Path(self.directory))
         except directories.SheetFaultsError as error:
-            directories.report(error)
+            directories.print_faults(error)
             return exit_codes.ExitCode.FAULTS
         current = asyncio.run(read_fold(self.log_url))
-        plan = publisher.plan(current, contents.table, contents.base, "", 0.0)
+        plan = publisher.plan_edit(
+            current, contents.table, contents.base, "", 0.0
+        )
         if plan is None:
             return exit_codes.ExitCode.DONE
         planned = plan.edit.changes
         for line in describe.changes(current.active.table, planned):
             sys.stdout.write(f"{line}\n")
-        if not isinstance(plan.expected, fold.Rejected):
+        if not isinstance(plan.expected_verdict, fold.Rejected):
             return exit_codes.ExitCode.DONE
-        sys.stderr.write(f"would be rejected ({plan.expected.reason})\n")
-        for line in describe.rejection(plan.expected):
+        sys.stderr.write(
+            f"would be rejected ({plan.expected_verdict.reason})\n"
+        )
+        for line in describe.rejection(plan.expected_verdict):
             sys.stderr.write(f"{line}\n")
         return exit_codes.ExitCode.REJECTED
 
@@ -58,5 +62,7 @@
 async def read_fold(log_url: str) -> fold.TableFold:
     """Returns the fold of all records that are on the log now."""
     async with sessions.make_session() as session:
-        table = log_table.LogTable(log_table.client_of(session, log_url))
+        table = table_reader.TableReader(
+            table_reader.make_log_client(session, log_url)
+        )
         return (await table.read()).fold
--- a/src/hoistmoor/console/commands/table/history.py
+++ b/src/hoistmoor/console/commands/table/history.py
@@ -12,7 +12,7 @@
 from hoistmoor.clients import sessions
 from hoistmoor.console import exit_codes
 from hoistmoor.console.commands.table import describe
-from hoistmoor.console.commands.table import log_table
+from hoistmoor.console.commands.table import table_reader
 
 _Last = Annotated[
     int, cappa.Arg(long="--last", help="Number of records to show.")
@@ -33,7 +33,7 @@
         last: Number of records to show, of which the newest comes last.
     """
 
-    log_url: log_table.LogUrl
+    log_url: table_reader.LogUrl
     last: _Last = 50
 
     def __call__(self) -> exit_codes.ExitCode:
@@ -42,13 +42,13 @@
         for verdict in reading.verdicts[-self.last :]:
             for line in describe.verdict(verdict):
                 sys.stdout.write(f"{line}\n")
-        if reading.unread:
+        if reading.skipped_records:
             sys.stdout.write(
-                f"{reading.unread} records were skipped as invalid\n"
+                f"{reading.skipped_records} records were skipped as invalid\n"
             )
         return exit_codes.ExitCode.DONE
 
-    async def _read(self) -> log_table.Reading:
+    async def _read(self) -> table_reader.TableReading:
         async with sessions.make_session() as session:
-            client = log_table.client_of(session, self.log_url)
-            return await log_table.LogTable(client).read()
+            client = table_reader.make_log_client(session, self.log_url)
+            return await table_reader.TableReader(client).read()
--- a/src/hoistmoor/console/commands/table/in_force.py
+++ b/src/hoistmoor/console/commands/table/propagation.py
@@ -19,7 +19,7 @@
 
 
 @attrs.frozen
-class Laggard:
+class LaggingHost:
     """A host that has not confirmed that the revision is active.
 
     Attributes:
@@ -38,27 +38,27 @@
 
 
 @attrs.frozen
-class Spread:
+class Propagation:
     """Propagation of a revision to the live entry hosts.
 
     Attributes:
-        reached: Names of the hosts on which the revision is active.
-        laggards: The other live hosts.
+        active_hosts: Names of the hosts on which the revision is active.
+        lagging_hosts: The other live hosts.
         list_problem: Why the list of hosts is unavailable; empty if it is
             available.
     """
 
-    reached: tuple[str, ...]
-    laggards: tuple[Laggard, ...]
+    active_hosts: tuple[str, ...]
+    lagging_hosts: tuple[LaggingHost, ...]
     list_problem: str = ""
 
     @property
     def is_complete(self) -> bool:
         """Whether the revision is known to be active on every live host."""
-        return not self.laggards and not self.list_problem
+        return not self.lagging_hosts and not self.list_problem
 
 
-class SpreadWatch:
+class PropagationPoller:
     """Polls the live entry hosts until a revision is active on all of them."""
 
     def __init__(
@@ -78,11 +78,11 @@
         self.host_list = host_list
         self.revision = revision
         self._slots = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
-        self._propagation = Spread(
+        self._propagation = Propagation(
             (), (), "timed out reading the list of hosts"
         )
 
-    async def wait(self, timeout: float) -> Spread:
+    async def wait(self, timeout: float) -> Propagation:
         """Returns once all hosts have the revision, or after ``timeout``.
 
         Args:
@@ -97,11 +97,11 @@
             pass
         return self._propagation
 
-    async def _poll(self) -> Spread:
+    async def _poll(self) -> Propagation:
         try:
             listed = await self.host_list.fetch()
         except errors.PlatformError as error:
-            return Spread((), (), str(error))
+            return Propagation((), (), str(error))
         live = [
             host
             for host in listed
@@ -111,14 +111,14 @@
         problems = await asyncio.gather(
             *(self._query_host(host) for host in live)
         )
-        return Spread(
+        return Propagation(
             tuple(
                 host.name
                 for host, problem in zip(live, problems, strict=True)
                 if not problem
             ),
             tuple(
-                Laggard(host.name, host.address, problem)
+                LaggingHost(host.name, host.address, problem)
                 for host, problem in zip(live, problems, strict=True)
                 if problem
             ),
--- a/src/hoistmoor/console/commands/table/spread_report.py
+++ b/src/hoistmoor/console/commands/table/propagation_report.py
@@ -9,7 +9,7 @@
 
 from hoistmoor.clients import hosts
 from hoistmoor.console import exit_codes
-from hoistmoor.console.commands.table import in_force
+from hoistmoor.console.commands.table import propagation
 
 if TYPE_CHECKING:
     import aiohttp
@@ -28,7 +28,7 @@
 ]
 
 
-async def wait_and_tell(
+async def wait_and_report(
     session: aiohttp.ClientSession,
     hosts_url: str,
     revision: int,
@@ -45,14 +45,16 @@
     if wait <= 0:
         return exit_codes.ExitCode.DONE
     host_list = hosts.HostListClient(session, hosts_url)
-    result = await in_force.SpreadWatch(session, host_list, revision).wait(wait)
-    sys.stdout.write(f"in force at {len(result.reached)} entry hosts\n")
+    result = await propagation.PropagationPoller(
+        session, host_list, revision
+    ).wait(wait)
+    sys.stdout.write(f"in force at {len(result.active_hosts)} entry hosts\n")
     if result.is_complete:
         return exit_codes.ExitCode.DONE
     if result.list_problem:
         sys.stderr.write(
             f"cannot tell which hosts lag: {result.list_problem}\n"
         )
-    for lagging_host in result.laggards:
+    for lagging_host in result.lagging_hosts:
         sys.stderr.write(f"lags: {lagging_host}\n")
     return exit_codes.ExitCode.LAGGING
--- a/src/hoistmoor/console/commands/table/publish.py
+++ b/src/hoistmoor/console/commands/table/publish.py
@@ -15,10 +15,10 @@
 from hoistmoor.clients import sessions
 from hoistmoor.console import exit_codes
 from hoistmoor.console.commands.table import describe
-from hoistmoor.console.commands.table import directory as directories
-from hoistmoor.console.commands.table import log_table
+from hoistmoor.console.commands.table import propagation_report
 from hoistmoor.console.commands.table import publisher
-from hoistmoor.console.commands.table import spread_report
+from hoistmoor.console.commands.table import sheet_directory as directories
+from hoistmoor.console.commands.table import table_reader
 from hoistmoor.core.table import fold
 
 _Overwrite = Annotated[
@@ -45,10 +45,10 @@
     """
 
     directory: str
-    author: spread_report.Author
-    log_url: log_table.LogUrl
-    hosts_url: log_table.HostsUrl = ""
-    wait: spread_report.Wait = spread_report.WAIT_SECONDS
+    author: propagation_report.Author
+    log_url: table_reader.LogUrl
+    hosts_url: table_reader.HostsUrl = ""
+    wait: propagation_report.Wait = propagation_report.WAIT_SECONDS
     overwrite: _Overwrite = False
 
     def __call__(self) -> exit_codes.ExitCode:
@@ -56,26 +56,26 @@
         try:
             contents = directories.read(pathlib.Path(self.directory))
         except directories.SheetFaultsError as error:
-            directories.report(error)
+            directories.print_faults(error)
             return exit_codes.ExitCode.FAULTS
         return asyncio.run(self._run(contents))
 
     async def _run(self, contents: directories.Sheets) -> exit_codes.ExitCode:
         async with sessions.make_session() as session:
-            client = log_table.client_of(session, self.log_url)
-            table = log_table.LogTable(client)
+            client = table_reader.make_log_client(session, self.log_url)
+            table = table_reader.TableReader(client)
             revision = await self._publish(client, table, contents)
             if revision is None:
                 return exit_codes.ExitCode.REJECTED
             self._refresh_sheets(contents, (await table.read()).fold)
-            return await spread_report.wait_and_tell(
+            return await propagation_report.wait_and_report(
                 session, self.hosts_url or self.log_url, revision, self.wait
             )
 
     async def _publish(
         self,
         client: log.LogClient,
-        table: log_table.LogTable,
+        table: table_reader.TableReader,
         contents: directories.Sheets,
     ) -> int | None:
         """Publishes the edit unless the table already matches the sheets.
@@ -85,18 +85,18 @@
             because the edit was rejected or would replace rows of others.
         """
         current = (await table.read()).fold
-        plan = publisher.plan(
+        plan = publisher.plan_edit(
             current, contents.table, contents.base, self.author, time.time()
         )
         if plan is None:
             _print_line("nothing to change")
             return current.active.revision
         if contents.base is None and not self.overwrite:
-            clashes = publisher.foreign_rows(current, plan.edit)
+            clashes = publisher.rows_changed_by_others(current, plan.edit)
             if clashes:
                 _report_foreign_rows(clashes)
                 return None
-        verdict = plan.expected
+        verdict = plan.expected_verdict
         if isinstance(verdict, fold.Accepted):
             verdict = await publisher.Publisher(
                 client, table, publisher.SETTLE_SECONDS
@@ -105,7 +105,7 @@
             _report_rejection(verdict)
             return None
         _print_line(f"accepted as revision {verdict.offset}")
-        _print_line(f"changed {publisher.row_count(plan.edit)}")
+        _print_line(f"changed {publisher.describe_row_counts(plan.edit)}")
         return verdict.offset
 
     def _refresh_sheets(
--- a/src/hoistmoor/console/commands/table/publisher.py
+++ b/src/hoistmoor/console/commands/table/publisher.py
@@ -19,33 +19,33 @@
 
 if TYPE_CHECKING:
     from hoistmoor.clients import log
-    from hoistmoor.console.commands.table import log_table
+    from hoistmoor.console.commands.table import table_reader
 
 SETTLE_SECONDS = 10.0  # How long to look for an edit whose reply was lost.
 POLL_INTERVAL = 0.2  # Seconds.
 
 
 @attrs.frozen
-class Plan:
+class EditPlan:
     """An edit to be published.
 
     Attributes:
         edit: The edit.
-        expected: Verdict on the edit, provided that no other edit is accepted
-            before it.
+        expected_verdict: Verdict on the edit, provided that no other edit is
+            accepted before it.
     """
 
     edit: edits.TableEdit
-    expected: fold.Verdict
+    expected_verdict: fold.Verdict
 
 
-def plan(
+def plan_edit(
     current: fold.TableFold,
     wanted: model.Table,
     base: edits.TableSnapshot | None,
     author: str,
     now: float,
-) -> Plan | None:
+) -> EditPlan | None:
     """Returns the edit that turns the table into ``wanted``, if any is needed.
 
     The operator's changes are the differences between ``base`` and
@@ -74,10 +74,10 @@
         uuid.uuid4().hex, base_revision, author, now, changes
     )
     preview = fold.TableFold.from_snapshot(current.snapshot())
-    return Plan(edit, preview.apply(preview.as_of + 1, edit))
+    return EditPlan(edit, preview.apply(preview.as_of + 1, edit))
 
 
-def foreign_rows(
+def rows_changed_by_others(
     current: fold.TableFold, edit: edits.TableEdit
 ) -> tuple[fold.Conflict, ...]:
     """Returns the rows of ``edit`` that another author has changed last."""
@@ -99,7 +99,7 @@
     def __init__(
         self,
         client: log.LogClient,
-        table: log_table.LogTable,
+        table: table_reader.TableReader,
         settle_seconds: float = SETTLE_SECONDS,
     ) -> None:
         """Creates a publisher.
@@ -158,7 +158,7 @@
     return verdict.edit.edit_id
 
 
-def row_count(edit: edits.TableEdit) -> str:
+def describe_row_counts(edit: edits.TableEdit) -> str:
     """Returns the number of rows that ``edit`` changes, by sheet, as text."""
     counts = {
         sheet: sum(change.sheet == sheet for change in edit.changes)
--- a/src/hoistmoor/console/commands/table/directory.py
+++ b/src/hoistmoor/console/commands/table/sheet_directory.py
@@ -86,7 +86,7 @@
     (directory / BASE_FILE).write_bytes(codec.encode(base))
 
 
-def report(error: SheetFaultsError) -> None:
+def print_faults(error: SheetFaultsError) -> None:
     """Writes each fault to standard error."""
     for fault in error.faults:
         sys.stderr.write(f"{fault}\n")
--- a/src/hoistmoor/console/commands/table/show.py
+++ b/src/hoistmoor/console/commands/table/show.py
@@ -12,8 +12,8 @@
 
 from hoistmoor.clients import sessions
 from hoistmoor.console import exit_codes
-from hoistmoor.console.commands.table import directory as directories
-from hoistmoor.console.commands.table import log_table
+from hoistmoor.console.commands.table import sheet_directory as directories
+from hoistmoor.console.commands.table import table_reader
 from hoistmoor.core import errors
 from hoistmoor.core.table import fold
 from hoistmoor.core.table import model
@@ -61,7 +61,7 @@
         revision: Revision to show; None for the active one.
     """
 
-    log_url: log_table.LogUrl
+    log_url: table_reader.LogUrl
     sheet: _Sheet = None
     out: _Out = None
     revision: _Revision = None
@@ -88,18 +88,18 @@
     async def _select(self) -> Selection:
         wanted = -1 if self.revision is None else self.revision
         async with sessions.make_session() as session:
-            client = log_table.client_of(session, self.log_url)
-            reader = log_table.LogTable(client, wanted)
+            client = table_reader.make_log_client(session, self.log_url)
+            reader = table_reader.TableReader(client, wanted)
             current = (await reader.read()).fold
         if self.revision is None:
             in_force = current.active
             return Selection(current, in_force.revision, in_force.table)
-        if reader.wanted_table is None:
+        if reader.kept_table is None:
             raise errors.ConfigurationError(
                 f"--revision: the log does not hold revision {self.revision}",
                 "Choose an accepted edit from `hoistmoor table history`.",
             )
-        return Selection(current, self.revision, reader.wanted_table)
+        return Selection(current, self.revision, reader.kept_table)
 
     def _print(self, table: model.Table) -> None:
         for name, text in sheets.render_sheets(table).items():
--- a/src/hoistmoor/console/commands/table/log_table.py
+++ b/src/hoistmoor/console/commands/table/table_reader.py
@@ -23,7 +23,9 @@
 ]
 
 
-def client_of(session: aiohttp.ClientSession, log_url: str) -> log.LogClient:
+def make_log_client(
+    session: aiohttp.ClientSession, log_url: str
+) -> log.LogClient:
     """Returns a client of the log at ``log_url``.
 
     Raises:
@@ -38,39 +40,39 @@
 
 
 @attrs.frozen
-class Reading:
+class TableReading:
     """Result of reading the table's stream to its end.
 
     Attributes:
         fold: State of the table after the last record.
         verdicts: Outcomes of the records that the log still holds.
-        unread: Number of records that were skipped as invalid.
+        skipped_records: Number of records that were skipped as invalid.
     """
 
     fold: folds.TableFold
     verdicts: tuple[folds.Verdict, ...]
-    unread: int
+    skipped_records: int
 
 
-class LogTable:
+class TableReader:
     """Reads the table's stream; repeated reads continue where it stopped."""
 
-    def __init__(self, client: log.LogClient, wanted: int = -1) -> None:
+    def __init__(self, client: log.LogClient, kept_revision: int = -1) -> None:
         """Creates a reader of the table's stream.
 
         Args:
             client: Client of the log.
-            wanted: Revision of which to keep the table in ``wanted_table``;
-                -1 for none.
+            kept_revision: Revision of which to keep the table in
+                ``kept_table``; -1 for none.
         """
         self.client = client
-        self.wanted = wanted
-        self.wanted_table: model.Table | None = None
+        self.kept_revision = kept_revision
+        self.kept_table: model.Table | None = None
         self._replay = replay.TableReplay()
         self._verdicts: list[folds.Verdict] = []
         self._started = False
 
-    async def read(self) -> Reading:
+    async def read(self) -> TableReading:
         """Reads up to the current end of the stream.
 
         Raises:
@@ -88,7 +90,7 @@
             raise self._replay.problem
         if self._replay.fold is None:
             raise replay.TableHistoryLostError(bounds.first)
-        return Reading(
+        return TableReading(
             self._replay.fold, tuple(self._verdicts), self._replay.skipped
         )
 
@@ -108,5 +110,5 @@
 
     def _keep_if_wanted(self) -> None:
         table = self._replay.active
-        if table is not None and table.revision == self.wanted:
-            self.wanted_table = table.table
+        if table is not None and table.revision == self.kept_revision:
+            self.kept_table = table.table
--- a/src/hoistmoor/console/commands/withdraw.py
+++ b/src/hoistmoor/console/commands/withdraw.py
@@ -18,9 +18,9 @@
 from hoistmoor.clients import sessions
 from hoistmoor.console import exit_codes
 from hoistmoor.console.commands.table import describe
-from hoistmoor.console.commands.table import log_table
+from hoistmoor.console.commands.table import propagation_report
 from hoistmoor.console.commands.table import publisher
-from hoistmoor.console.commands.table import spread_report
+from hoistmoor.console.commands.table import table_reader
 from hoistmoor.core import errors
 from hoistmoor.core.table import fold
 from hoistmoor.core.table import model
@@ -42,10 +42,10 @@
     """
 
     version: str
-    author: spread_report.Author
-    log_url: log_table.LogUrl
-    hosts_url: log_table.HostsUrl = ""
-    wait: spread_report.Wait = spread_report.WAIT_SECONDS
+    author: propagation_report.Author
+    log_url: table_reader.LogUrl
+    hosts_url: table_reader.HostsUrl = ""
+    wait: propagation_report.Wait = propagation_report.WAIT_SECONDS
 
     def __call__(self) -> exit_codes.ExitCode:
         """Publishes the edit and reports on which hosts it is active."""
@@ -65,7 +65,7 @@
                     sys.stderr.write(f"{line}\n")
                 return exit_codes.ExitCode.REJECTED
             sys.stdout.write(f"{self.version}: {outcome}\n")
-            return await spread_report.wait_and_tell(
+            return await propagation_report.wait_and_report(
                 session, self.hosts_url or self.log_url, revision, self.wait
             )
 
@@ -76,16 +76,16 @@
             The verdict on the edit, or the active revision if no edit is
             needed.
         """
-        table = log_table.LogTable(client)
+        table = table_reader.TableReader(client)
         for attempt in range(1, _MAX_ATTEMPTS + 1):
             current = (await table.read()).fold
             wanted = self._with_withdrawn_version(current.active.table)
-            planned = publisher.plan(
+            planned = publisher.plan_edit(
                 current, wanted, None, self.author, time.time()
             )
             if planned is None:
                 return current.active.revision
-            verdict = planned.expected
+            verdict = planned.expected_verdict
             if isinstance(verdict, fold.Accepted):
                 verdict = await publisher.Publisher(client, table).publish(
                     planned.edit
--- a/src/hoistmoor/console/entry_access.py
+++ b/src/hoistmoor/console/entry_access.py
@@ -19,7 +19,7 @@
     from contextlib import AbstractAsyncContextManager
 
 KEY_VARIABLE = "HOISTMOOR_OPERATOR_KEY"
-AUTHORITY_VARIABLE = "HOISTMOOR_TLS_CA"
+CA_FILE_VARIABLE = "HOISTMOOR_TLS_CA"
 
 
 def get(
@@ -36,7 +36,7 @@
     Raises:
         ConfigurationError: The CA file is missing or invalid.
     """
-    link = _tls_link(os.environ.get(AUTHORITY_VARIABLE, ""))
+    link = _tls_link(os.environ.get(CA_FILE_VARIABLE, ""))
     return session.get(
         link.url(address, path),
         headers=_headers(os.environ.get(KEY_VARIABLE, "")),
--- a/src/hoistmoor/console/host_answers.py
+++ b/src/hoistmoor/console/host_queries.py
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class HostAnswer:
+class HostResponse:
     """Response of one host.
 
     Attributes:
@@ -53,15 +53,15 @@
     return await hosts.HostListClient(session, url).fetch()
 
 
-def entries(listed: Iterable[hosts.ListedHost]) -> list[hosts.ListedHost]:
+def entry_hosts(listed: Iterable[hosts.ListedHost]) -> list[hosts.ListedHost]:
     """Returns the entry hosts, sorted by name."""
     selected = [host for host in listed if host.role is hosts.Role.ENTRY]
     return sorted(selected, key=lambda host: host.name)
 
 
-async def ask(
+async def query_host(
     session: aiohttp.ClientSession, host: hosts.ListedHost, path: str
-) -> HostAnswer:
+) -> HostResponse:
     """Returns the response of ``host`` to a request for ``path``."""
     try:
         async with entry_access.get(
@@ -70,20 +70,20 @@
             body = orjson.loads(await response.read())
             status = response.status
     except (aiohttp.ClientError, TimeoutError, ValueError):
-        return HostAnswer(host, 0, {})
-    return HostAnswer(host, status, body if isinstance(body, dict) else {})
+        return HostResponse(host, 0, {})
+    return HostResponse(host, status, body if isinstance(body, dict) else {})
 
 
-async def ask_all(
+async def query_hosts(
     session: aiohttp.ClientSession,
     listed: Iterable[hosts.ListedHost],
     path: str,
-) -> list[HostAnswer]:
+) -> list[HostResponse]:
     """Returns the response of each host to ``path``, in the given order."""
     slots = asyncio.Semaphore(_MAX_CONCURRENT_REQUESTS)
 
-    async def ask_with_limit(host: hosts.ListedHost) -> HostAnswer:
+    async def ask_with_limit(host: hosts.ListedHost) -> HostResponse:
         async with slots:
-            return await ask(session, host, path)
+            return await query_host(session, host, path)
 
     return await asyncio.gather(*(ask_with_limit(host) for host in listed))
--- a/tests/console/test_console_entry_access.py
+++ b/tests/console/test_console_entry_access.py
@@ -14,8 +14,8 @@
 from hoistmoor.clients import hosts
 from hoistmoor.clients import sessions
 from hoistmoor.console import entry_access
-from hoistmoor.console import host_answers
-from hoistmoor.console.commands.table import in_force
+from hoistmoor.console import host_queries
+from hoistmoor.console.commands.table import propagation
 from hoistmoor.utils import tls
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
     """An entry host that requires the operator key."""
     context = None
     if request.param == "TLS":
-        monkeypatch.setenv(entry_access.AUTHORITY_VARIABLE, _CA_FILE)
+        monkeypatch.setenv(entry_access.CA_FILE_VARIABLE, _CA_FILE)
         context = tls.TlsFiles(
             str(_TLS_DIRECTORY / "host.crt"),
             str(_TLS_DIRECTORY / "host.key"),
@@ -81,10 +81,10 @@
     """
     host_list: Any = _FakeHostList(entry)
     async with sessions.make_session() as session:
-        response = await host_answers.ask(session, entry, "/status")
-        watch = in_force.SpreadWatch(session, host_list, 7)
+        response = await host_queries.query_host(session, entry, "/status")
+        watch = propagation.PropagationPoller(session, host_list, 7)
         result = await watch.wait(2.0)
-    return response.status, "; ".join(map(str, result.laggards))
+    return response.status, "; ".join(map(str, result.lagging_hosts))
 
 
 async def test_hosts_accept_the_operator_key(
--- a/tests/console/test_console_explain_status.py
+++ b/tests/console/test_console_explain_status.py
@@ -109,7 +109,7 @@
     platform: FakePlatform,
 ) -> None:
     command = explain.Explain(request_id=REQUEST_ID, hosts_url=platform.url)
-    decision = await command.find()
+    decision = await command.find_decision()
     assert decision is not None
     text = "\n".join(explain.describe(decision))
     for expected in (
@@ -123,7 +123,7 @@
     platform: FakePlatform,
 ) -> None:
     command = explain.Explain(request_id="here.1.1", hosts_url=platform.url)
-    assertions.assert_that(await command.find(), matchers.Is(None))
+    assertions.assert_that(await command.find_decision(), matchers.Is(None))
     assertions.assert_that(
         platform.requested_paths,
         matchers.Equals(["/hosts", "/explain/here.1.1"]),
@@ -133,7 +133,7 @@
 async def test_explain_rejects_a_malformed_request_id() -> None:
     command = explain.Explain(request_id="nonsense", hosts_url="http://x")
     with pytest.raises(errors.ConfigurationError, match="not a request id"):
-        await command.find()
+        await command.find_decision()
 
 
 async def test_status_fails_and_names_an_unresponsive_host(
--- a/tests/console/test_console_story.py
+++ b/tests/console/test_console_story.py
@@ -55,10 +55,12 @@
 
 def test_story_shows_why_a_request_was_quarantined() -> None:
     lines = [
-        story.Line("h1", 1.0, "request_quarantined", {"fingerprint": "bad"}),
-        story.Line("h1", 1.5, "request_quarantined", {"fingerprint": "other"}),
-        story.Line("h1", 2.0, "request", {"id": "r1", "fingerprint": "bad"}),
+        story.LogLine("h1", 1.0, "request_quarantined", {"fingerprint": "bad"}),
+        story.LogLine(
+            "h1", 1.5, "request_quarantined", {"fingerprint": "other"}
+        ),
+        story.LogLine("h1", 2.0, "request", {"id": "r1", "fingerprint": "bad"}),
     ]
-    output = story.tell(lines, "r1")
+    output = story.describe_request(lines, "r1")
     assertions.assert_that(output, matchers.HasLength(3))
     assertions.assert_that(output[1], matchers.Contains('"bad"'))
--- a/tests/console/test_console_table.py
+++ b/tests/console/test_console_table.py
@@ -16,8 +16,8 @@
 from hoistmoor.clients import hosts as host_client
 from hoistmoor.console import application
 from hoistmoor.console import exit_codes
-from hoistmoor.console.commands.table import directory as directories
 from hoistmoor.console.commands.table import publisher
+from hoistmoor.console.commands.table import sheet_directory as directories
 from hoistmoor.core import streams
 from hoistmoor.standins import fault_book
 from hoistmoor.standins import faults
--- a/tests/entry/limits/test_entry_limits.py
+++ b/tests/entry/limits/test_entry_limits.py
@@ -11,8 +11,8 @@
 from testtools import matchers
 
 from hoistmoor.clients import log as log_client
-from hoistmoor.console import host_answers
-from hoistmoor.console import limits_lines
+from hoistmoor.console import account_usage
+from hoistmoor.console import host_queries
 from hoistmoor.core import codec
 from hoistmoor.core import identity
 from hoistmoor.core import outcomes
@@ -327,10 +327,10 @@
     status = limits_status.status_of(controller, controller.now())
     body = orjson.loads(responses.json_response({"limits": status}).body)
     host_responses = [
-        host_answers.HostAnswer(host=None, status=200, body=body)
+        host_queries.HostResponse(host=None, status=200, body=body)
         for _ in range(2)
     ]
-    _, line = limits_lines.describe_limits(host_responses)
+    _, line = account_usage.describe_limits(host_responses)
     assertions.assert_that(
         line.split()[:4],
         matchers.Equals([limits_rows.ACCOUNT, "1000000", "400", "1000"]),
