--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -72,7 +72,7 @@
 
     @property
     def _node_seconds(self) -> float:
-        return len(self.network.nodes) * (self.network.now - self.since)
+        return len(self.network.hosts) * (self.network.now - self.since)
 
 
 @attrs.frozen
@@ -153,11 +153,11 @@
 
 def spread_leaving(network: membership_network.Network) -> float:
     """Returns the seconds until all know that a backend server leaves."""
-    network.tell("entry-000", messages.ServerLeaving(_SERVER, 1))
+    network.deliver("entry-000", messages.ServerLeaving(_SERVER, 1))
     return network.run_until(
         lambda: all(
             node.machine.servers.is_leaving(_SERVER, 1)
-            for node in network.nodes.values()
+            for node in network.hosts.values()
         ),
         _BOUND,
     )
@@ -167,10 +167,10 @@
     """Returns the seconds until all have a table that one host has."""
     network.log_is_up = lambda _name: False
     network.run(6.0)
-    network.tell("entry-001", messages.TableActivated(7))
+    network.deliver("entry-001", messages.TableActivated(7))
     seconds = network.run_until(
         lambda: all(
-            node.machine.tables.own == 7 for node in network.nodes.values()
+            node.machine.tables.own == 7 for node in network.hosts.values()
         ),
         _BOUND,
     )
@@ -221,15 +221,16 @@
     """Cuts one of four failure domains off for a minute, log down, heals."""
     network = start(count)
     counter = Counter(network)
-    side = [name for i, name in enumerate(network.nodes) if i % 4 == 0]
-    rest = [name for name in network.nodes if name not in side]
+    side = [name for i, name in enumerate(network.hosts) if i % 4 == 0]
+    rest = [name for name in network.hosts if name not in side]
     network.partition(*side)
     network.log_is_up = lambda _name: False
 
     def fresh(names: list[str]) -> str:
         now = network.now
         count = sum(
-            network.nodes[name].machine.judge(now).is_fresh for name in names
+            network.hosts[name].machine.assess_freshness(now).is_fresh
+            for name in names
         )
         return f"{count}/{len(names)}"
 
@@ -266,14 +267,14 @@
     views = [membership_network.make_view(number) for number in range(count)]
     for own in views:
         network.start(own)
-    names = frozenset(network.nodes)
+    names = frozenset(network.hosts)
     for number, own in enumerate(views):
         contacts = tuple(
             messages.Contact(other.name, other.peer_address)
             for other in (views[(number + step) % count] for step in (1, 7, 31))
             if other is not own
         )
-        network.tell(own.name, messages.HostsListed(names, contacts, ()))
+        network.deliver(own.name, messages.HostsListed(names, contacts, ()))
     counter = Counter(network)
     rates = []
     while not network.all_alive():
--- a/src/hoistmoor/console/commands/bill.py
+++ b/src/hoistmoor/console/commands/bill.py
@@ -217,8 +217,8 @@
     if statement.missing_records:
         yield (
             f"hoistmoor: {statement.missing_records} records are past the "
-            "log's retention and not covered by a checkpoint, so the totals are too "
-            "low. Run `hoistmoor bill --checkpoint` more often."
+            "log's retention and not covered by a checkpoint, so the totals "
+            "are too low. Run `hoistmoor bill --checkpoint` more often."
         )
     for record in statement.invalid_records:
         yield (
--- a/tests/core/limits/test_limits_shares.py
+++ b/tests/core/limits/test_limits_shares.py
@@ -210,7 +210,7 @@
     class Ledger(ledger_lib.ShareLedger):
         def __init__(self, incarnation: identity.Incarnation) -> None:
             super().__init__(incarnation)
-            self.gifts = broken(incarnation, self.local_shares)
+            self.handoffs = broken(incarnation, self.local_shares)
 
     return Ledger
 
--- a/tests/core/routing/test_routing_evidence.py
+++ b/tests/core/routing/test_routing_evidence.py
@@ -160,14 +160,14 @@
         good = source.random() < 0.9
         rating = routing_rows.rating(MEDIUM.key, good, f"a{number}~9")
         router.on_rating(rating, float(number))
-    assertions.assert_that(router.take_effects(), matchers.Equals([]))
+    assertions.assert_that(router.drain_effects(), matchers.Equals([]))
     bad = 0
-    while not router.watch.is_withdrawn(MEDIUM.key, "answer") and bad < 100:
+    while not router.monitor.is_withdrawn(MEDIUM.key, "answer") and bad < 100:
         bad += 1
         rating = routing_rows.rating(MEDIUM.key, False, f"b{bad}~9")
         router.on_rating(rating, 400.0 + bad)
     assert bad < 12
-    assertions.assert_that(router.take_effects(), matchers.HasLength(1))
+    assertions.assert_that(router.drain_effects(), matchers.HasLength(1))
 
 
 def test_degraded_version_is_kept_without_the_monitor(
@@ -175,11 +175,11 @@
 ) -> None:
     """Checks that bad ratings withdraw nothing if the monitor is disabled."""
     router = make_router(make_table())
-    router.watch.threshold = float("inf")
+    router.monitor.threshold = float("inf")
     for number in range(100):
         rating = routing_rows.rating(MEDIUM.key, False, f"b{number}~9")
         router.on_rating(rating, float(number))
-    assert not router.watch.is_withdrawn(MEDIUM.key, "answer")
+    assert not router.monitor.is_withdrawn(MEDIUM.key, "answer")
 
 
 def test_margin_covers_calibration_error_and_shrinks_with_ratings() -> None:
--- a/tests/core/routing/test_routing_exposure.py
+++ b/tests/core/routing/test_routing_exposure.py
@@ -159,7 +159,7 @@
         )
         chosen.add(found.version)
     assertions.assert_that(chosen, matchers.Equals({"small@v1"}))
-    claims = router.take_effects()
+    claims = router.drain_effects()
     assertions.assert_that(claims, matchers.HasLength(1))
     router.on_evidence(0, claims[0])
     versions_chosen = [
@@ -196,15 +196,15 @@
                 host.on_evidence(offset, log[offset])
             read[index] = len(log)
             host.on_load(routing_rows.report("llm-0", float(now)), float(now))
-            log += host.take_effects()
+            log += host.drain_effects()
     tallies = [r for r in log if isinstance(r, messages.ExposureTally)]
     assert 1 <= len(tallies) <= 6
     late_router = make_router(table, "late", seed=9)
     late_router.on_evidence_gap(2)
     for offset in range(2, len(log)):
         late_router.on_evidence(offset, log[offset])
-    assert late_router.budget.fold.is_complete
+    assert late_router.budget.ledger.is_complete
     assertions.assert_that(
-        late_router.budget.fold.granted, matchers.Equals({DIGEST: 8})
+        late_router.budget.ledger.granted, matchers.Equals({DIGEST: 8})
     )
-    assert late_router.watch.is_withdrawn("large@v1", "answer")
+    assert late_router.monitor.is_withdrawn("large@v1", "answer")
--- a/tests/core/routing/test_routing_router.py
+++ b/tests/core/routing/test_routing_router.py
@@ -117,7 +117,9 @@
 def test_interleaving_detects_a_missing_check(
     monkeypatch: pytest.MonkeyPatch, step: tuple
 ) -> None:
-    monkeypatch.setattr(options.OptionsCatalog, "verdict", lambda *_: "")
+    monkeypatch.setattr(
+        options.OptionsCatalog, "exclusion_reason", lambda *_: ""
+    )
     router = router_lib.Router("bangna", 7, "bangna-1")
     asks = [("ask", "small@v1", None, n, 0.1) for n in range(3)]
     with pytest.raises(AssertionError):
@@ -254,16 +256,16 @@
     router = make_router(make_table())
     for _ in range(200):
         router.on_rating(routing_rows.rating("medium@v1", good=False), 0.0)
-    records = router.take_effects()
+    records = router.drain_effects()
     assert records
-    assert router.watch.is_withdrawn("medium@v1", "answer")
+    assert router.monitor.is_withdrawn("medium@v1", "answer")
     for name in ("small@v1", "large@v1"):
         for _ in range(300):
             router.on_rating(routing_rows.rating(name, good=False), 0.0)
     left = [
         name
         for name in NAMES
-        if not router.watch.is_withdrawn(name, degradation.ALL_KINDS)
+        if not router.monitor.is_withdrawn(name, degradation.ALL_KINDS)
     ]
     assertions.assert_that(left, matchers.HasLength(1))
 
--- a/tests/core/steward/test_core_steward_planner.py
+++ b/tests/core/steward/test_core_steward_planner.py
@@ -136,7 +136,7 @@
     settle(table, view, conditions)
     failed = min(holders(conditions, OLD))
     conditions[failed] = attrs.evolve(
-        conditions[failed], missed=placement.MAX_FAILED_READS
+        conditions[failed], failed_reads=placement.MAX_FAILED_READS
     )
     settle(table, view, conditions)
     assert len(holders(conditions, OLD) - {failed}) == 2
--- a/tests/relay/front/test_relay_path.py
+++ b/tests/relay/front/test_relay_path.py
@@ -361,7 +361,7 @@
     harness: Harness,
 ) -> None:
     backend = await harness.add_backend("s1", answer_done)
-    harness.platform.operator.is_away = True
+    harness.platform.operator.is_unavailable = True
     lease = harness.state.lease
     assert lease.proved_at is not None
     lease.proved_at = harness.state.clock() - lease.bound
@@ -373,7 +373,7 @@
     async with harness.caller.get(harness.ready) as reply:
         assertions.assert_that(reply.status, matchers.Equals(503))
     assertions.assert_that(backend.requests, matchers.HasLength(0))
-    harness.platform.operator.is_away = False
+    harness.platform.operator.is_unavailable = False
     await harness.until(harness.state.is_ready)
     async with harness.call("/look/") as reply:
         assertions.assert_that(reply.status, matchers.Equals(200))
@@ -392,7 +392,7 @@
     harness: Harness, path: str, key: str, status: int
 ) -> None:
     await harness.add_backend("s1", answer_done)
-    harness.platform.operator.is_away = True
+    harness.platform.operator.is_unavailable = True
     lease = harness.state.lease
     lease.is_strict = False
     lease.bound = 0.0  # Makes the known configuration count as outdated.
--- a/tests/relay/front/test_relay_reports.py
+++ b/tests/relay/front/test_relay_reports.py
@@ -283,16 +283,18 @@
     harness: Harness,
 ) -> None:
     _, before = await add_reporting_server(harness)
-    fleet, beliefs = harness.state.router.fleet, harness.state.server_beliefs
+    fleet, beliefs = harness.state.router.fleet, harness.state.report_tracker
     fleet.put(relay_parts.make_entry("s1", address="127.0.0.1:9"), 0.0)
-    beliefs.take_report(
+    beliefs.apply_report(
         before,
         reports.ServerReport(is_leaving=True, rest=9.0),
         0.0,
         is_success=True,
     )
     now = harness.state.clock()
-    assertions.assert_that(fleet.servers["s1"].leaves(now), matchers.Is(False))
     assertions.assert_that(
-        fleet.servers["s1"].rest.left(now), matchers.Equals(0.0)
+        fleet.servers["s1"].is_leaving(now), matchers.Is(False)
+    )
+    assertions.assert_that(
+        fleet.servers["s1"].rest.remaining(now), matchers.Equals(0.0)
     )
--- a/tests/relay/peers/test_relay_returned_store_swarm.py
+++ b/tests/relay/peers/test_relay_returned_store_swarm.py
@@ -8,7 +8,7 @@
 import pytest
 import relay_parts
 import relay_swarm
-import swarm_troubles
+import swarm_faults
 from testtools import assertions
 from testtools import matchers
 
@@ -241,13 +241,13 @@
         swarm, copy = await swarm_ahead_of_copy(hosts, 3)
         monitor = Monitor(swarm)
         monitoring = asyncio.create_task(monitor.run())
-        swarm_troubles.partition_third(swarm)
+        swarm_faults.partition_third(swarm)
         await restore(swarm, copy, 0.3)
-        swarm_troubles.partition_third(swarm)
+        swarm_faults.partition_third(swarm)
         await asyncio.sleep(0.15)
         await publish(swarm, 4)
         await restore(swarm, copy, 0.3)
-        swarm_troubles.partition_third(swarm)
+        swarm_faults.partition_third(swarm)
         for member in swarm.members[1::5]:
             member.stop()
             member.start()
--- a/tests/relay/store/test_relay_follower.py
+++ b/tests/relay/store/test_relay_follower.py
@@ -436,7 +436,7 @@
 
 async def test_end_of_lease_is_logged_once(rig: Rig) -> None:
     monitor = lease_monitor.LeaseMonitor(rig.state)
-    rig.state.lease.prove(rig.clock.now)
+    rig.state.lease.renew(rig.clock.now)
     monitor.check()
     monitor.check()
     rig.clock.now += 5.0
@@ -458,7 +458,7 @@
     )
     await reader.read_once()
     assertions.assert_that(
-        rig.state.lease.holds(rig.clock.now), matchers.Is(False)
+        rig.state.lease.is_valid(rig.clock.now), matchers.Is(False)
     )
 
 
--- a/tests/relay/store/test_relay_returned_operators.py
+++ b/tests/relay/store/test_relay_returned_operators.py
@@ -20,7 +20,7 @@
 ) -> None:
     operator = rig.follow(
         "operator",
-        relay_platform.HostTopic(platform.operator, rig.state.history),
+        relay_platform.HostTopic(platform.operator, rig.state.store_era),
         operator_listener.OperatorListener(rig.state, platform.codec),
     )
 
@@ -35,7 +35,7 @@
         await evacuated(), matchers.Equals({"north", "south"})
     )
     platform.restore(copy)
-    rig.state.history.learn(platform.operator.era, "h2")
+    rig.state.store_era.record_era(platform.operator.era, "h2")
     assertions.assert_that(
         await evacuated(), matchers.Equals({"north", "south"})
     )
--- a/tests/relay/store/test_relay_returned_servers.py
+++ b/tests/relay/store/test_relay_returned_servers.py
@@ -29,7 +29,7 @@
     """A follower of the entries of backend servers."""
     return rig.follow(
         "servers",
-        relay_platform.HostTopic(platform.servers, rig.state.history),
+        relay_platform.HostTopic(platform.servers, rig.state.store_era),
         server_listener.ServerListener(rig.state, platform.codec),
     )
 
@@ -42,7 +42,7 @@
 
 
 def usable(rig: Rig) -> set[str]:
-    servers = rig.state.router.fleet.usable("desk", rig.clock.now)
+    servers = rig.state.router.fleet.eligible("desk", rig.clock.now)
     return {each.entry.server_id for each in servers}
 
 
@@ -124,7 +124,7 @@
     await servers.read_once()
     await publish_entry(platform, "late")
     late = await platform.servers.changes(relay_parts.make_place(1), 0.0)
-    rig.state.history.learn(1, "h2")
+    rig.state.store_era.record_era(1, "h2")
     assertions.assert_that(servers.is_ahead_of(late), matchers.Is(True))
     proved_at = servers.current_at
     rig.clock.now += 1.0
--- a/tests/relay/test_relay_leaving_server.py
+++ b/tests/relay/test_relay_leaving_server.py
@@ -23,7 +23,7 @@
 import pytest
 import relay_cluster
 import relay_swarm
-import swarm_troubles
+import swarm_faults
 from testtools import assertions
 from testtools import matchers
 
@@ -63,7 +63,7 @@
 ) -> None:
     async def scenario() -> None:
         swarm, traffic = await engine_traffic.begin(hosts)
-        swarm_troubles.make_store_unavailable(swarm)
+        swarm_faults.make_store_unavailable(swarm)
         (engine,) = traffic.busiest_engines(1)
         engine.is_leaving = True
         await asyncio.sleep(OUTAGE)
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize(
     "inject_fault",
-    [swarm_troubles.partition_third, swarm_troubles.give_stale_host_lists],
+    [swarm_faults.partition_third, swarm_faults.give_stale_host_lists],
 )
 @pytest.mark.parametrize("hosts", [7, 84])
 def test_no_host_uses_a_leaving_server_with_incomplete_peer_lists(
@@ -138,7 +138,7 @@
         (engine,) = traffic.busiest_engines(1)
         engine.is_leaving = True
         await asyncio.sleep(4.0)
-        swarm_troubles.restart_all(swarm)
+        swarm_faults.restart_all(swarm)
         engine.departure_forwarded_at.clear()
         await asyncio.sleep(OUTAGE)
         assertions.assert_that(engine.after_leaving, matchers.Equals([]))
--- a/tests/relay/test_relay_resting_server.py
+++ b/tests/relay/test_relay_resting_server.py
@@ -23,7 +23,7 @@
 import pytest
 import relay_cluster
 import relay_swarm
-import swarm_troubles
+import swarm_faults
 from testtools import assertions
 from testtools import matchers
 
@@ -133,7 +133,7 @@
 
 @pytest.mark.parametrize(
     "inject_fault",
-    [swarm_troubles.make_store_unavailable, swarm_troubles.partition_third],
+    [swarm_faults.make_store_unavailable, swarm_faults.partition_third],
 )
 @pytest.mark.parametrize("hosts", [7, 84])
 def test_back_off_is_respected_during_a_partition(
--- a/tests/relay/test_relay_server_limit.py
+++ b/tests/relay/test_relay_server_limit.py
@@ -23,7 +23,7 @@
 import engine_traffic
 import pytest
 import relay_swarm
-import swarm_troubles
+import swarm_faults
 from testtools import assertions
 from testtools import matchers
 
@@ -104,10 +104,10 @@
 
 
 FAULTS = [
-    swarm_troubles.give_stale_host_lists,
-    swarm_troubles.partition_third,
-    swarm_troubles.stop_third,
-    swarm_troubles.restart_all,
+    swarm_faults.give_stale_host_lists,
+    swarm_faults.partition_third,
+    swarm_faults.stop_third,
+    swarm_faults.restart_all,
 ]
 
 
@@ -129,7 +129,7 @@
             engine.begin_limit(limit)
         await asyncio.sleep(4.0)
         inject_fault(swarm)
-        if inject_fault is swarm_troubles.restart_all:
+        if inject_fault is swarm_faults.restart_all:
             for engine in limited:
                 engine.informed_at.clear()
         await asyncio.sleep(10.0)
--- a/tests/relay/test_relay_settings.py
+++ b/tests/relay/test_relay_settings.py
@@ -41,7 +41,7 @@
 
     relay = harness.relay
     return settings_reloader.SettingsReloader(
-        relay.state, relay.settings, read, relay.apply
+        relay.state, relay.settings, read, relay.apply_settings
     )
 
 
--- a/tests/relay/test_relay_suspension.py
+++ b/tests/relay/test_relay_suspension.py
@@ -82,14 +82,14 @@
     await harness.add_backend("s1", answer_done)
     async with harness.call("/look/") as reply:
         assertions.assert_that(reply.status, matchers.Equals(200))
-    harness.platform.operator.is_away = True
+    harness.platform.operator.is_unavailable = True
     machine.suspended = SUSPENDED
     async with harness.call("/look/") as reply:
         assertions.assert_that(reply.status, matchers.Equals(503))
         refusal = await reply.json()
     assertions.assert_that(refusal["reason"], matchers.Equals("table_stale"))
     assertions.assert_that(refusal["outcome"], matchers.Equals("not_run"))
-    harness.platform.operator.is_away = False
+    harness.platform.operator.is_unavailable = False
     await harness.until(harness.state.is_ready)
     async with harness.call("/look/") as reply:
         assertions.assert_that(reply.status, matchers.Equals(200))
