--- a/src/hoistmoor/history/__init__.py
+++ b/src/hoistmoor/history/__init__.py
@@ -1,8 +1,8 @@
-"""History checking: what everybody saw of a run, and what that proves.
+"""Black-box checking of the system's invariants on recorded histories.
 
-Callers, backend servers, the log and operators each record what they saw. The
-checks decide every promise on the whole history, after the run; they know
-nothing of how the system works inside.
+Callers, backend servers, the log and operators each record the events that
+they observe during a run. After the run, the checks evaluate every invariant
+on the complete history, without knowledge of the system's internals.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/history/checker.py
+++ b/src/hoistmoor/history/checker.py
@@ -1,4 +1,4 @@
-"""Decides all promises on one history."""
+"""Runs all checks on a history."""
 
 from __future__ import annotations
 
@@ -35,15 +35,15 @@
     once_items: Collection[str],
     crashed: frozenset[str] = frozenset(),
 ) -> tuple[events.Violation, ...]:
-    """Returns every violation of every promise.
+    """Returns the violations of all invariants.
 
     Args:
-        history: The run.
-        once_items: Calls that must not be repeated: method and path.
-        crashed: Hosts that were killed, which may cut requests.
+        history: Events of the run.
+        once_items: Non-idempotent calls, as method and path.
+        crashed: Hosts that were killed and may therefore cut connections.
     """
-    found = list(at_most_once.check(history, once_items))
-    found += stops.check(history, crashed)
-    for promise in _CHECKS:
-        found += promise(history)
-    return tuple(found)
+    violations = list(at_most_once.check(history, once_items))
+    violations += stops.check(history, crashed)
+    for run_check in _CHECKS:
+        violations += run_check(history)
+    return tuple(violations)
--- a/src/hoistmoor/history/checks/__init__.py
+++ b/src/hoistmoor/history/checks/__init__.py
@@ -1,3 +1,3 @@
-"""One module a promise; each decides it on a whole history."""
+"""Checks of single invariants on a complete history, one per module."""
 
 from __future__ import annotations
--- a/src/hoistmoor/history/checks/at_most_once.py
+++ b/src/hoistmoor/history/checks/at_most_once.py
@@ -1,4 +1,4 @@
-"""A request that must not be repeated runs at most once."""
+"""A non-idempotent request is executed at most once."""
 
 from __future__ import annotations
 
@@ -15,15 +15,17 @@
 def check(
     history: events.History, once_items: Collection[str]
 ) -> Iterator[events.Violation]:
-    """Yields each mark that ran twice.
+    """Yields a violation for each mark that was executed more than once.
 
     Args:
-        history: The run.
-        once_items: Calls that must not be repeated, as backend servers name
-            them: method and path.
+        history: Events of the run.
+        once_items: Non-idempotent calls, as backend servers name them: method
+            and path.
     """
     for mark, runs in history.runs_by_mark.items():
-        counted = [run for run in runs if run.item in once_items]
-        if len(counted) > 1:
-            where = ", ".join(f"{run.server} {run.attempt_id}" for run in runs)
-            yield events.Violation(PROMISE, f"{mark} ran at {where}")
+        once_runs = [run for run in runs if run.item in once_items]
+        if len(once_runs) > 1:
+            locations = ", ".join(
+                f"{run.server} {run.attempt_id}" for run in runs
+            )
+            yield events.Violation(PROMISE, f"{mark} ran at {locations}")
--- a/src/hoistmoor/history/checks/billing.py
+++ b/src/hoistmoor/history/checks/billing.py
@@ -1,4 +1,4 @@
-"""Each request is billed once."""
+"""Each request is billed exactly once."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 
 def check(history: events.History) -> Iterator[events.Violation]:
-    """Yields each whole answer without a bill, and each bill too many.
+    """Yields a violation for each missing or excess bill.
 
-    Readers of the log drop bills that repeat an account and request id, so
-    that two bills harm only where they differ, or where a bill's request did
-    no work.
+    Readers of the log drop bills that repeat an account and request id. A
+    duplicate bill is therefore a violation only if its amount or account
+    differs; a bill for a request that was not executed always is.
     """
     bills: dict[tuple[str, str], set[int]] = {}
     for bill in history.of(events.Billed):
         key = (bill.account, bill.request_id)
         bills.setdefault(key, set()).add(bill.amount)
-    yield from _check_answers(history, bills)
+    yield from _check_responses(history, bills)
     yield from _check_bills(history, bills)
 
 
-def _check_answers(
+def _check_responses(
     history: events.History, bills: dict[tuple[str, str], set[int]]
 ) -> Iterator[events.Violation]:
     for told in history.told:
--- a/src/hoistmoor/history/checks/configuration.py
+++ b/src/hoistmoor/history/checks/configuration.py
@@ -1,4 +1,4 @@
-"""An accepted configuration is in force within its bound, for good."""
+"""An accepted configuration takes effect in time and is never reverted."""
 
 from __future__ import annotations
 
@@ -15,26 +15,30 @@
 
 
 def check(history: events.History) -> Iterator[events.Violation]:
-    """Yields each host that was behind too long, or went back.
+    """Yields a violation for each host that was late or went back.
 
-    A host that starts has no table in force at all, and takes no work.
+    A host that is starting has no active table and accepts no work, so it
+    does not count as late.
     """
     newest: dict[tuple[str, int], int] = {}
     accepted = history.of(events.Accepted)
-    for seen in history.of(events.Revision):
-        process = (seen.host, seen.incarnation)
-        before = newest.get(process, -1)
-        if seen.revision < before:
+    for report in history.of(events.Revision):
+        process = (report.host, report.incarnation)
+        previous = newest.get(process, -1)
+        if report.revision < previous:
             yield events.Violation(
                 NEVER_REVERTS,
-                f"{seen.host} went from {before} to {seen.revision}",
+                f"{report.host} went from {previous} to {report.revision}",
             )
-        newest[process] = max(before, seen.revision)
+        newest[process] = max(previous, report.revision)
         for edit in accepted:
-            due = edit.at + edit.bound
-            if seen.at > due and _NO_TABLE < seen.revision < edit.revision:
+            deadline = edit.at + edit.bound
+            if (
+                report.at > deadline
+                and _NO_TABLE < report.revision < edit.revision
+            ):
                 yield events.Violation(
                     IN_FORCE,
-                    f"{seen.host} had {seen.revision} in force "
-                    f"{seen.at - edit.at:.1f} s after {edit.revision}",
+                    f"{report.host} had {report.revision} in force "
+                    f"{report.at - edit.at:.1f} s after {edit.revision}",
                 )
--- a/src/hoistmoor/history/checks/grants.py
+++ b/src/hoistmoor/history/checks/grants.py
@@ -13,26 +13,27 @@
 
 
 def check(history: events.History) -> Iterator[events.Violation]:
-    """Yields each run on an item that its account might not use then.
+    """Yields a violation for each run on an item that was not granted.
 
-    An account may use an item in the span that its ``Allowed`` events give.
-    A run is judged by its dispatch, whose time is at most the run's.
+    The ``Allowed`` events of an account and item delimit the intervals in
+    which the account may use the item. The time of the run stands in for
+    that of its dispatch, which is at or before it.
     """
-    rights: dict[tuple[str, str], list[events.Allowed]] = {}
+    grants: dict[tuple[str, str], list[events.Allowed]] = {}
     for event in history.of(events.Allowed):
-        rights.setdefault((event.account, event.item), []).append(event)
-    account_of = _accounts(history)
+        grants.setdefault((event.account, event.item), []).append(event)
+    accounts = _accounts_by_request(history)
     for run in history.runs:
-        account = account_of.get(run.request_id)
+        account = accounts.get(run.request_id)
         if account is None:
             continue
-        if not _was_allowed(rights.get((account, run.item), []), run.at):
+        if not _was_allowed(grants.get((account, run.item), []), run.at):
             yield events.Violation(
                 PROMISE, f"{run.attempt_id}: {account} may not use {run.item}"
             )
 
 
-def _accounts(history: events.History) -> dict[str, str]:
+def _accounts_by_request(history: events.History) -> dict[str, str]:
     return {
         told.request_id: history.asked[told.call_id].account
         for told in history.told
@@ -40,9 +41,9 @@
     }
 
 
-def _was_allowed(rights: list[events.Allowed], at: float) -> bool:
-    before = [right for right in rights if right.at <= at]
-    if before:
-        return before[-1].allowed
-    # Ahead of the first event the grant may have been in force already.
-    return any(right.allowed for right in rights)
+def _was_allowed(grants: list[events.Allowed], at: float) -> bool:
+    earlier = [grant for grant in grants if grant.at <= at]
+    if earlier:
+        return earlier[-1].allowed
+    # Before its first event, a grant may already be in force on some hosts.
+    return any(grant.allowed for grant in grants)
--- a/src/hoistmoor/history/checks/not_run.py
+++ b/src/hoistmoor/history/checks/not_run.py
@@ -1,4 +1,4 @@
-"""A refusal that says ``not_run`` is true."""
+"""A request that is reported as ``not_run`` was not executed."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 def check(history: events.History) -> Iterator[events.Violation]:
-    """Yields each refusal that said ``not_run`` though it ran.
+    """Yields a violation for each executed request reported as ``not_run``.
 
-    The outcome speaks for the caller's attempt, the key's outcome for all
+    The outcome applies to the caller's attempt, and the key's outcome to all
     attempts under the same key.
     """
     for told in history.told:
--- a/src/hoistmoor/history/checks/sessions.py
+++ b/src/hoistmoor/history/checks/sessions.py
@@ -1,4 +1,4 @@
-"""A session keeps its version."""
+"""A session stays on its version."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 
 
 def check(history: events.History) -> Iterator[events.Violation]:
-    """Yields each answer on another version of which it said nothing.
+    """Yields a violation for each disallowed or unreported move of a session.
 
-    A session may move only where its version was withdrawn or its account's
-    grant was taken away, and the answer has to say so.
+    A session may move to another version only after its version was withdrawn
+    or the grant of its account was revoked, and the response must report it.
     """
-    gone = {event.version for event in history.of(events.Withdrawn)}
-    for right in history.of(events.Allowed):
-        if not right.allowed:
-            gone.add(right.item)
-    held: dict[str, str] = {}
+    revoked = {event.version for event in history.of(events.Withdrawn)}
+    for grant in history.of(events.Allowed):
+        if not grant.allowed:
+            revoked.add(grant.item)
+    versions: dict[str, str] = {}
     for told in history.told:
         session = history.asked[told.call_id].session
         if not session or told.outcome is not outcomes.Outcome.DONE:
             continue
-        before = held.setdefault(session, told.version)
-        if before == told.version:
+        previous = versions.setdefault(session, told.version)
+        if previous == told.version:
             continue
-        if not told.moved or before not in gone:
+        if not told.moved or previous not in revoked:
             yield events.Violation(
-                PROMISE, f"{session} went from {before} to {told.version}"
+                PROMISE, f"{session} went from {previous} to {told.version}"
             )
-        held[session] = told.version
+        versions[session] = told.version
--- a/src/hoistmoor/history/checks/stops.py
+++ b/src/hoistmoor/history/checks/stops.py
@@ -1,4 +1,4 @@
-"""A planned stop cuts no request."""
+"""A graceful stop interrupts no request."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 def check(
     history: events.History, crashed: frozenset[str] = frozenset()
 ) -> Iterator[events.Violation]:
-    """Yields each request that ended without a final word at a stopped host.
+    """Yields a violation for each request that a stopped host interrupted.
 
     Args:
-        history: The run.
-        crashed: Hosts that were killed as well, which may cut.
+        history: Events of the run.
+        crashed: Hosts that were also killed and may therefore cut connections.
     """
     stopped = {event.host for event in history.of(events.StopAsked)} - crashed
     for cut in history.of(events.Cut):
@@ -29,8 +29,8 @@
             yield events.Violation(PROMISE, f"{host} cut call {cut.call_id}")
     for told in history.told:
         host = history.asked[told.call_id].host
-        internal = told.reason == refusals.Reason.INTERNAL
-        if host in stopped and internal:
+        is_internal = told.reason == refusals.Reason.INTERNAL
+        if host in stopped and is_internal:
             yield events.Violation(
-                PROMISE, f"{host} failed call {told.call_id} inside"
+                PROMISE, f"{host} failed call {told.call_id} internally"
             )
--- a/src/hoistmoor/history/checks/whole_answers.py
+++ b/src/hoistmoor/history/checks/whole_answers.py
@@ -1,4 +1,4 @@
-"""A caller gets the whole answer to its own request."""
+"""A caller gets the complete response to its own request."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def check(history: events.History) -> Iterator[events.Violation]:
-    """Yields each answer that is not whole, or somebody else's."""
-    finals: dict[int, int] = {}
+    """Yields a violation for each incomplete, foreign or second response."""
+    response_counts: dict[int, int] = {}
     for told in history.told:
-        finals[told.call_id] = finals.get(told.call_id, 0) + 1
+        response_counts[told.call_id] = response_counts.get(told.call_id, 0) + 1
         if told.outcome is not outcomes.Outcome.DONE or told.reason:
             continue
         asked = history.asked[told.call_id]
@@ -29,8 +29,8 @@
             yield events.Violation(
                 PROMISE, f"{asked.mark} got {told.mark or 'foreign frames'}"
             )
-    for call_id, count in finals.items():
+    for call_id, count in response_counts.items():
         if count > 1:
             yield events.Violation(
-                PROMISE, f"call {call_id} got {count} final answers"
+                PROMISE, f"call {call_id} got {count} final responses"
             )
--- a/src/hoistmoor/history/checks/withdrawals.py
+++ b/src/hoistmoor/history/checks/withdrawals.py
@@ -1,4 +1,4 @@
-"""A withdrawn version, and a leaving backend server, get no new work."""
+"""Withdrawn versions and leaving backend servers get no new work."""
 
 from __future__ import annotations
 
@@ -14,9 +14,11 @@
 
 
 def check(history: events.History) -> Iterator[events.Violation]:
-    """Yields each run that began too late at a version or backend server."""
-    withdrawn = {e.version: e.at for e in history.of(events.Withdrawn)}
-    left = {e.server: e.at for e in history.of(events.ServerLeft)}
+    """Yields a violation for each run that started after the deadline."""
+    withdrawn = {
+        event.version: event.at for event in history.of(events.Withdrawn)
+    }
+    left = {event.server: event.at for event in history.of(events.ServerLeft)}
     for run in history.runs:
         if run.at > withdrawn.get(run.item, run.at):
             yield events.Violation(
--- a/src/hoistmoor/history/events.py
+++ b/src/hoistmoor/history/events.py
@@ -1,4 +1,4 @@
-"""What callers, backend servers, the log and operators record."""
+"""Events that callers, backend servers, the log and operators record."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
     """A caller sent a request.
 
     Attributes:
-        call_id: Names this attempt of the caller's, unique in the history.
+        call_id: Identifies this attempt of the caller in the history.
         at: Seconds since the epoch.
-        host: Entry host asked.
+        host: Entry host that received the request.
         account: Client account.
-        item: Model asked for, or key of the call.
+        item: Requested model, or key of the call.
         key: Idempotency key or ticket; empty for none.
-        mark: Text that only this request's body holds; attempts of the caller
-            under one key share it.
+        mark: Text that is unique to the body of this request; the caller's
+            attempts under one key share it.
         session: Name of the session; empty for none.
     """
 
@@ -38,21 +38,21 @@
 
 @attrs.frozen
 class Told:
-    """A caller got the final word on its request.
+    """A caller received the final response to its request.
 
     Attributes:
-        call_id: Which request.
+        call_id: Identifies the request.
         at: Seconds since the epoch.
-        outcome: What the answer said of this attempt.
-        key_outcome: What it said of all attempts under the key; empty where
-            it said nothing.
-        reason: Reason of a refusal; empty for an answer.
-        request_id: Id that the system gave.
-        version: Version or call that answered.
-        whole: Whether the answer had its end mark.
-        mark: Mark found in the answer.
-        own: Whether every part of the answer belongs to this request.
-        moved: Whether the answer said that its session moved.
+        outcome: Outcome that the response reported for this attempt.
+        key_outcome: Outcome that it reported for all attempts under the key;
+            empty if it reported none.
+        reason: Reason for a refusal; empty for a successful response.
+        request_id: Id that the system assigned.
+        version: Version or call that produced the response.
+        whole: Whether the response had its end mark.
+        mark: Mark found in the response.
+        own: Whether every part of the response belongs to this request.
+        moved: Whether the response reported that its session moved.
     """
 
     call_id: int
@@ -70,7 +70,7 @@
 
 @attrs.frozen
 class Cut:
-    """A caller's connection ended without a final word."""
+    """A caller's connection closed before a final response."""
 
     call_id: int
     at: float
@@ -78,16 +78,16 @@
 
 @attrs.frozen
 class Ran:
-    """A backend server ran an attempt.
+    """A backend server executed an attempt.
 
     Attributes:
         at: Seconds since the epoch.
         server: Name of the backend server.
         item: Version, or method and path of a plain call.
-        attempt_id: As the system sent it.
-        key: Idempotency key that came with it.
+        attempt_id: Attempt id that the system sent.
+        key: Idempotency key that the system sent.
         mark: Mark in the body; empty for engines.
-        done: Whether it ran to its end.
+        done: Whether the execution completed.
     """
 
     at: float
@@ -100,19 +100,19 @@
 
     @property
     def request_id(self) -> str:
-        """The request that the attempt belongs to."""
+        """Id of the request that the attempt belongs to."""
         return self.attempt_id.rpartition(".")[0]
 
 
 @attrs.frozen
 class Billed:
-    """The log holds a bill; repeats are recorded too.
+    """The log contains a bill; duplicate bills are recorded too.
 
     Attributes:
-        offset: Offset of the record that holds it.
+        offset: Offset of the record that contains the bill.
         account: Client account.
-        request_id: Which request.
-        amount: Micros.
+        request_id: Id of the billed request.
+        amount: Amount in micros.
     """
 
     offset: int
@@ -123,14 +123,15 @@
 
 @attrs.frozen
 class Allowed:
-    """From a revision on, an account may use an item, or no longer.
+    """A revision of the table granted an item to an account, or revoked it.
 
     Attributes:
-        at: When the revision was in force at every host.
-        revision: Which.
+        at: When the revision was in force on every host, in seconds since
+            the epoch.
+        revision: Revision of the table.
         account: Client account.
         item: Version or call.
-        allowed: Whether it may.
+        allowed: Whether the account may use the item.
     """
 
     at: float
@@ -142,7 +143,7 @@
 
 @attrs.frozen
 class Withdrawn:
-    """A version was withdrawn, and every host had been told by ``at``."""
+    """A version was withdrawn; every host had been notified by ``at``."""
 
     at: float
     version: str
@@ -150,7 +151,10 @@
 
 @attrs.frozen
 class ServerLeft:
-    """A backend server said that it leaves; ``at`` adds the time allowed."""
+    """A backend server announced its departure.
+
+    ``at`` includes the time that hosts have to react to the announcement.
+    """
 
     at: float
     server: str
@@ -158,7 +162,7 @@
 
 @attrs.frozen
 class Revision:
-    """A host showed which table it has in force."""
+    """A host reported the revision of its active table."""
 
     at: float
     host: str
@@ -168,12 +172,12 @@
 
 @attrs.frozen
 class Accepted:
-    """An edit was accepted.
+    """An edit of the table was accepted.
 
     Attributes:
-        at: When its operator was told.
-        revision: Which.
-        bound: Seconds within which it must be in force everywhere.
+        at: When the operator was notified, in seconds since the epoch.
+        revision: Revision that contains the edit.
+        bound: Seconds within which the edit must be in force on every host.
     """
 
     at: float
@@ -183,7 +187,7 @@
 
 @attrs.frozen
 class StopAsked:
-    """A host or backend server was asked to stop gracefully."""
+    """A graceful stop of a host or backend server was requested."""
 
     at: float
     host: str
@@ -209,11 +213,11 @@
 
 @attrs.frozen
 class Violation:
-    """A promise that a history breaks.
+    """A violation of an invariant in a history.
 
     Attributes:
-        promise: Name of the check.
-        detail: What broke it, one sentence.
+        promise: Name of the invariant.
+        detail: What violated it, one sentence.
     """
 
     promise: str
@@ -222,7 +226,7 @@
 
 @attrs.frozen(slots=False)
 class History:
-    """All events of a run, in no particular order.
+    """The events of a run, in no particular order.
 
     Attributes:
         events: The events.
@@ -231,9 +235,9 @@
     events: tuple[Event, ...]
 
     def of(self, cls: type) -> list:  # type: ignore[type-arg]
-        """Returns the events of one class, by time where they have one."""
-        found = [event for event in self.events if isinstance(event, cls)]
-        return sorted(found, key=lambda event: getattr(event, "at", 0.0))
+        """Returns the events of a class, sorted by time if they have one."""
+        matching = [event for event in self.events if isinstance(event, cls)]
+        return sorted(matching, key=lambda event: getattr(event, "at", 0.0))
 
     @cached_property
     def asked(self) -> dict[int, Asked]:
@@ -242,17 +246,17 @@
 
     @cached_property
     def told(self) -> list[Told]:
-        """Final words, by time."""
+        """Final responses, by time."""
         return self.of(Told)
 
     @cached_property
     def runs(self) -> list[Ran]:
-        """Runs at backend servers, by time."""
+        """Executions on backend servers, by time."""
         return self.of(Ran)
 
     @cached_property
     def runs_by_request(self) -> dict[str, list[Ran]]:
-        """Runs by request id."""
+        """Executions by request id."""
         grouped: dict[str, list[Ran]] = {}
         for run in self.runs:
             grouped.setdefault(run.request_id, []).append(run)
@@ -260,7 +264,7 @@
 
     @cached_property
     def runs_by_mark(self) -> dict[str, list[Ran]]:
-        """Runs by the mark in their body."""
+        """Executions by the mark in the request body."""
         grouped: dict[str, list[Ran]] = {}
         for run in self.runs:
             if run.mark:
--- a/src/hoistmoor/history/files.py
+++ b/src/hoistmoor/history/files.py
@@ -1,4 +1,7 @@
-"""A history as a file: one JSON object a line, the first with the terms."""
+"""Reads and writes histories as JSON Lines files.
+
+The first line holds the terms of the run, and each further line an event.
+"""
 
 from __future__ import annotations
 
@@ -15,16 +18,16 @@
 
 
 class HistoryFileError(errors.HoistmoorError):
-    """A file holds no history."""
+    """A history file cannot be read or is invalid."""
 
 
 @attrs.frozen
 class Terms:
-    """What the checks must know of a run besides its events.
+    """Facts about a run that the checks need besides its events.
 
     Attributes:
-        once_items: Calls that must not be repeated: method and path.
-        crashed: Hosts that were killed, which may cut requests.
+        once_items: Non-idempotent calls, as method and path.
+        crashed: Hosts that were killed and may therefore cut connections.
     """
 
     once_items: tuple[str, ...]
@@ -36,41 +39,43 @@
 
 @attrs.frozen
 class Recorded:
-    """What a file holds."""
+    """The contents of a history file."""
 
     terms: Terms
     history: events.History
 
 
 def write(path: pathlib.Path, terms: Terms, history: events.History) -> None:
-    """Writes a history; an existing file is replaced."""
+    """Writes a history to a file and replaces an existing one."""
     with path.open("wb") as file:
         for record in (terms, *history.events):
             file.write(codec.encode(record) + b"\n")
 
 
 def read(path: pathlib.Path) -> Recorded:
-    """Returns the history in a file.
+    """Returns the contents of a history file.
 
     Raises:
-        HistoryFileError: The file cannot be read, or a line of it is no
-            event, or is about a request that the file does not have.
+        HistoryFileError: The file cannot be read, a line is not a valid
+            record, or an event refers to a request that is not in the file.
     """
     try:
         lines = path.read_bytes().splitlines()
     except OSError as error:
         raise HistoryFileError(
             f"cannot read {path}: {error.strerror}",
-            "Give a file that a test run wrote.",
+            "Pass a history file that a test run wrote.",
         ) from error
     terms = _decode(1, lines[0] if lines else b"")
     if not isinstance(terms, Terms):
         raise HistoryFileError(
-            f"{path} does not begin with the terms of its run",
-            "Put a line of type history.terms first.",
+            f"{path} does not start with the terms of its run",
+            "Make the first line a record of type history.terms.",
         )
-    found = [_event(number, line) for number, line in enumerate(lines[1:], 2)]
-    history = events.History(tuple(found))
+    decoded = [
+        _decode_event(number, line) for number, line in enumerate(lines[1:], 2)
+    ]
+    history = events.History(tuple(decoded))
     _check_references(history)
     return Recorded(terms, history)
 
@@ -80,17 +85,17 @@
         return codec.decode(line)
     except errors.CodecError as error:
         raise HistoryFileError(
-            f"line {number} is not of a history: {error}",
-            "Correct the line or take it out.",
+            f"line {number} is not a history record: {error}",
+            "Correct or remove the line.",
         ) from error
 
 
-def _event(number: int, line: bytes) -> events.Event:
+def _decode_event(number: int, line: bytes) -> events.Event:
     record = _decode(number, line)
     if not isinstance(record, events.Event):
         raise HistoryFileError(
-            f"line {number} holds no event",
-            "Put the terms first and events after them.",
+            f"line {number} is not an event",
+            "Put the terms on the first line and only events after it.",
         )
     return record
 
@@ -99,6 +104,6 @@
     for event in (*history.told, *history.of(events.Cut)):
         if event.call_id not in history.asked:
             raise HistoryFileError(
-                f"call {event.call_id} ended and was never asked",
-                "Add its line of type history.asked.",
+                f"call {event.call_id} has an end but no request",
+                "Add its record of type history.asked.",
             )
--- a/tests/history/test_history_checks.py
+++ b/tests/history/test_history_checks.py
@@ -1,4 +1,4 @@
-"""Each check finds the history that breaks its promise, and no other."""
+"""Tests that each check reports violations of its own invariant only."""
 
 from __future__ import annotations
 
@@ -32,32 +32,33 @@
 DONE = outcomes.Outcome.DONE
 NOT_RUN = outcomes.Outcome.NOT_RUN
 
-CONFIRM_ASKED = events.Asked(1, 1.0, "a", "agents", CONFIRM, "k", "m1")
-CONFIRM_RAN = events.Ran(1.5, "counter", CONFIRM, "a.1.1", "k", "m1")
-CONFIRM_TOLD = events.Told(
+CONFIRM_REQUEST = events.Asked(1, 1.0, "a", "agents", CONFIRM, "k", "m1")
+CONFIRM_RUN = events.Ran(1.5, "counter", CONFIRM, "a.1.1", "k", "m1")
+CONFIRM_RESPONSE = events.Told(
     1, 2.0, DONE, request_id="a.1", version=CONFIRM, whole=True, mark="m1"
 )
-CHAT_ASKED = events.Asked(2, 3.0, "b", "agents", "khao", "", "m2", "s")
-CHAT_RAN = events.Ran(3.5, "engine", "khao@1", "b.1.1")
-CHAT_TOLD = events.Told(
+CHAT_REQUEST = events.Asked(2, 3.0, "b", "agents", "khao", "", "m2", "s")
+CHAT_RUN = events.Ran(3.5, "engine", "khao@1", "b.1.1")
+CHAT_RESPONSE = events.Told(
     2, 4.0, DONE, request_id="b.1", version="khao@1", whole=True
 )
 CONFIRM_BILL = events.Billed(0, "agents", "a.1", 5)
 CHAT_BILL = events.Billed(1, "agents", "b.1", 7)
 
-CLEAN = (
+CLEAN_EVENTS = (
     events.Allowed(0.0, 0, "agents", CONFIRM, True),
     events.Allowed(0.0, 0, "agents", "khao@1", True),
-    CONFIRM_ASKED,
-    CONFIRM_RAN,
-    CONFIRM_TOLD,
+    CONFIRM_REQUEST,
+    CONFIRM_RUN,
+    CONFIRM_RESPONSE,
     CONFIRM_BILL,
-    CHAT_ASKED,
-    CHAT_RAN,
-    CHAT_TOLD,
+    CHAT_REQUEST,
+    CHAT_RUN,
+    CHAT_RESPONSE,
     CHAT_BILL,
-    # What each promise allows: a repeat of a bill, a session that says that
-    # it moved, a caller cut where nothing was stopped, a host in time.
+    # Events that the invariants permit: a duplicate bill, a reported session
+    # move, a cut connection without a stop, and a host that is up to date in
+    # time.
     attrs.evolve(CHAT_BILL, offset=2),
     events.Withdrawn(4.5, "khao@1"),
     events.Allowed(0.0, 0, "agents", "khao@2", True),
@@ -74,12 +75,12 @@
     events.Revision(8.0, "a", 1, 0),
     events.Revision(9.9, "a", 1, 3),
     events.Revision(10.5, "a", 2, 3),
-    events.Revision(10.6, "d", 1, -1),  # It starts, and has no table.
+    events.Revision(10.6, "d", 1, -1),  # It is starting, without a table.
 )  # fmt: skip
 
-ASKED_AGAIN = events.Asked(9, 20.0, "a", "agents", CONFIRM, "k", "m1")
+REPEATED_REQUEST = events.Asked(9, 20.0, "a", "agents", CONFIRM, "k", "m1")
 
-BROKEN = (
+VIOLATIONS = (
     (
         at_most_once.PROMISE,
         (),
@@ -87,14 +88,14 @@
     ),
     (
         not_run.PROMISE,
-        (CONFIRM_TOLD, CONFIRM_BILL),
-        (attrs.evolve(CONFIRM_TOLD, outcome=NOT_RUN, reason="stopping"),),
+        (CONFIRM_RESPONSE, CONFIRM_BILL),
+        (attrs.evolve(CONFIRM_RESPONSE, outcome=NOT_RUN, reason="stopping"),),
     ),
     (
         not_run.PROMISE,
         (),
         (
-            ASKED_AGAIN,
+            REPEATED_REQUEST,
             events.Told(9, 21.0, NOT_RUN, key_outcome=NOT_RUN, reason="x"),
         ),
     ),
@@ -104,20 +105,20 @@
     (billing.PROMISE, (), (events.Billed(9, "agents", "z.1", 1),)),
     (
         whole_answers.PROMISE,
-        (CHAT_TOLD,),
-        (attrs.evolve(CHAT_TOLD, whole=False),),
+        (CHAT_RESPONSE,),
+        (attrs.evolve(CHAT_RESPONSE, whole=False),),
     ),
     (
         whole_answers.PROMISE,
-        (CONFIRM_TOLD,),
-        (attrs.evolve(CONFIRM_TOLD, mark="m2"),),
+        (CONFIRM_RESPONSE,),
+        (attrs.evolve(CONFIRM_RESPONSE, mark="m2"),),
     ),
     (
         whole_answers.PROMISE,
-        (CHAT_TOLD,),
-        (attrs.evolve(CHAT_TOLD, own=False),),
+        (CHAT_RESPONSE,),
+        (attrs.evolve(CHAT_RESPONSE, own=False),),
     ),
-    (whole_answers.PROMISE, (), (attrs.evolve(CHAT_TOLD, at=4.1),)),
+    (whole_answers.PROMISE, (), (attrs.evolve(CHAT_RESPONSE, at=4.1),)),
     (
         grants.PROMISE,
         (),
@@ -125,8 +126,8 @@
     ),
     (
         grants.PROMISE,
-        (CHAT_RAN,),
-        (attrs.evolve(CHAT_RAN, item="khao@3"),),
+        (CHAT_RUN,),
+        (attrs.evolve(CHAT_RUN, item="khao@3"),),
     ),
     (
         withdrawals.WITHDRAWN,
@@ -158,35 +159,35 @@
 )
 
 
-def _check(history: events.History) -> set[str]:
+def _violated(history: events.History) -> set[str]:
     return {v.promise for v in checker.check(history, TERMS.once_items)}
 
 
-def test_a_clean_history_breaks_nothing() -> None:
-    found = _check(events.History(CLEAN))
-    assertions.assert_that(found, matchers.Equals(set()))
+def test_clean_history_has_no_violations() -> None:
+    violated = _violated(events.History(CLEAN_EVENTS))
+    assertions.assert_that(violated, matchers.Equals(set()))
 
 
-@pytest.mark.parametrize(("promise", "without", "added"), BROKEN)
-def test_a_history_that_breaks_one_promise(
+@pytest.mark.parametrize(("promise", "removed", "added"), VIOLATIONS)
+def test_history_violates_one_invariant(
     promise: str,
-    without: tuple[events.Event, ...],
+    removed: tuple[events.Event, ...],
     added: tuple[events.Event, ...],
 ) -> None:
-    kept = tuple(event for event in CLEAN if event not in without)
-    found = _check(events.History(kept + added))
-    assertions.assert_that(found, matchers.Equals({promise}))
+    kept = tuple(event for event in CLEAN_EVENTS if event not in removed)
+    violated = _violated(events.History(kept + added))
+    assertions.assert_that(violated, matchers.Equals({promise}))
 
 
-def test_killed_hosts_may_cut() -> None:
-    history = events.History((*CLEAN, events.StopAsked(6.2, "c")))
-    found = checker.check(history, TERMS.once_items, frozenset({"c"}))
-    assertions.assert_that(found, matchers.Equals(()))
+def test_killed_hosts_may_cut_connections() -> None:
+    history = events.History((*CLEAN_EVENTS, events.StopAsked(6.2, "c")))
+    violations = checker.check(history, TERMS.once_items, frozenset({"c"}))
+    assertions.assert_that(violations, matchers.Equals(()))
 
 
-def test_a_history_survives_its_file(tmp_path: pathlib.Path) -> None:
+def test_history_file_round_trip(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "run.jsonl"
-    history = events.History(CLEAN)
+    history = events.History(CLEAN_EVENTS)
     files.write(path, TERMS, history)
     read = files.read(path)
     assertions.assert_that(
@@ -195,29 +196,29 @@
 
 
 @pytest.mark.parametrize(
-    ("lines", "code", "said"),
+    ("recorded", "code", "output"),
     [
-        (CLEAN, 0, f"{len(CLEAN)} events, 0 violations\n"),
+        (CLEAN_EVENTS, 0, f"{len(CLEAN_EVENTS)} events, 0 violations\n"),
         (
-            (*CLEAN, events.Billed(9, "agents", "z.1", 1)),
+            (*CLEAN_EVENTS, events.Billed(9, "agents", "z.1", 1)),
             1,
             "billed once: z.1 is billed and ran nowhere\n",
         ),
     ],
 )
-def test_the_command_tells_violations(
+def test_check_command_prints_violations(
     tmp_path: pathlib.Path,
     capsys: pytest.CaptureFixture[str],
-    lines: tuple[events.Event, ...],
+    recorded: tuple[events.Event, ...],
     code: int,
-    said: str,
+    output: str,
 ) -> None:
     path = tmp_path / "run.jsonl"
-    files.write(path, TERMS, events.History(lines))
+    files.write(path, TERMS, events.History(recorded))
     assertions.assert_that(
         main.main(["check", str(path)]), matchers.Equals(code)
     )
-    assertions.assert_that(capsys.readouterr().out, matchers.Contains(said))
+    assertions.assert_that(capsys.readouterr().out, matchers.Contains(output))
 
 
 @pytest.mark.parametrize(
@@ -233,7 +234,7 @@
         '{"type": "history.terms", "once_items": []}\n',
     ],
 )
-def test_a_file_without_a_history_is_refused(
+def test_invalid_history_file_is_rejected(
     tmp_path: pathlib.Path,
     capsys: pytest.CaptureFixture[str],
     text: str | None,
