--- a/src/hoistmoor/standins/__init__.py
+++ b/src/hoistmoor/standins/__init__.py
@@ -1,7 +1,7 @@
-"""Small stand-ins for the platform and for backend servers.
+"""Stand-ins for the services of the platform and for backend servers.
 
-For tests and the demo only. Each speaks the wire interface that
-``docs/platform-interface.md`` states, and fails on demand.
+They are meant for tests and the demo only. Each implements its part of the
+wire interface in ``docs/platform-interface.md`` and injects faults on request.
 """
 
 from __future__ import annotations
--- a/src/hoistmoor/standins/answers.py
+++ b/src/hoistmoor/standins/answers.py
@@ -1,4 +1,4 @@
-"""Answers that all stand-ins give, and the headers in them."""
+"""Responses and response headers that all stand-ins share."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def reply(content: object, status: int = 200) -> web.Response:
-    """Returns a JSON answer."""
+    """Returns a JSON response."""
     return web.Response(
         body=orjson.dumps(content),
         status=status,
@@ -23,26 +23,26 @@
 
 
 def declined(reason: str) -> web.Response:
-    """Returns the answer that says that the request was not run."""
-    answer = reply({"error": {"type": "not_run", "message": reason}}, 503)
-    answer.headers[NOT_RUN_HEADER] = "1"
-    answer.headers[NOT_RUN_REASON_HEADER] = reason
-    answer.headers["Retry-After"] = "1"
-    return answer
+    """Returns a 503 response that reports the request as not executed."""
+    response = reply({"error": {"type": "not_run", "message": reason}}, 503)
+    response.headers[NOT_RUN_HEADER] = "1"
+    response.headers[NOT_RUN_REASON_HEADER] = reason
+    response.headers["Retry-After"] = "1"
+    return response
 
 
 def echo_attempt(request: web.Request, answer: web.StreamResponse) -> None:
-    """Copies the attempt id of ``request`` into the head of its answer."""
-    attempt = request.headers.get(ATTEMPT_HEADER)
-    if attempt and ATTEMPT_HEADER not in answer.headers:
-        answer.headers[ATTEMPT_HEADER] = attempt
+    """Copies the attempt id of a request to the headers of its response."""
+    attempt_id = request.headers.get(ATTEMPT_HEADER)
+    if attempt_id and ATTEMPT_HEADER not in answer.headers:
+        answer.headers[ATTEMPT_HEADER] = attempt_id
 
 
 async def read_json(request: web.Request) -> Any:
     """Returns the JSON body of a request.
 
     Raises:
-        web.HTTPBadRequest: The body is not JSON.
+        web.HTTPBadRequest: The body is not valid JSON.
     """
     try:
         return orjson.loads(await request.read())
--- a/src/hoistmoor/standins/batch.py
+++ b/src/hoistmoor/standins/batch.py
@@ -1,4 +1,4 @@
-"""Continuous batching: each step makes one token for each running sequence."""
+"""Continuous batching: a step generates one token per running sequence."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
     from collections.abc import Callable
 
 PRIORITIES = {"urgent": 0, "normal": 1, "deferrable": 2}
-_LONGEST_CATCH_UP = 0.5  # Seconds that a late step may make up for.
+_MAX_CATCH_UP_SECONDS = 0.5  # How much of a delay later steps may make up.
 
 
 @attrs.define(eq=False)
 class Sequence:
-    """One answer in the making.
+    """A response that is being generated.
 
     Attributes:
         attempt: Attempt id of the request.
-        length: Tokens to make.
+        length: Number of tokens to generate.
         priority: Rank in the queue, lowest first.
         prefill: Seconds before the first token.
-        made: Tokens made.
-        ready_at: When its prefill ends, by the monotonic clock.
-        cancelled: Whether it is to stop.
-        news: Set whenever there is more to send.
+        made: Number of tokens generated so far.
+        ready_at: When prefill ends, in monotonic time.
+        cancelled: Whether generation was cancelled.
+        news: Set when tokens were generated or the sequence was cancelled.
     """
 
     attempt: str
@@ -42,20 +42,22 @@
 
     @property
     def ended(self) -> bool:
-        """Whether no further token will be made."""
+        """Whether no further token will be generated."""
         return self.cancelled or self.made >= self.length
 
 
 class Batch:
-    """The slots of one engine, and the queue before them.
+    """The slots of an engine and the queue of sequences waiting for one.
 
     Attributes:
-        capacity: Sequences in service at once.
-        queue_limit: Sequences that may wait.
-        token_time: Seconds a step takes with one sequence.
-        slowdown: Share by which a full batch makes a step longer.
-        pace: Returns a factor on the time that a step takes now.
-        tokens: Tokens made so far.
+        capacity: Maximum number of running sequences.
+        queue_limit: Maximum number of waiting sequences.
+        token_time: Seconds per step without the slowdown of a loaded batch.
+        slowdown: Fraction by which a full batch lengthens a step.
+        pace: Returns the current factor on the duration of a step.
+        running: Sequences that hold a slot.
+        waiting: Heap of waiting sequences by priority and order of arrival.
+        tokens: Number of tokens generated so far.
     """
 
     def __init__(
@@ -74,37 +76,37 @@
         self.running: list[Sequence] = []
         self.waiting: list[tuple[int, int, Sequence]] = []
         self.tokens = 0
-        self._serial = 0
-        self._work = asyncio.Event()
+        self._last_serial = 0
+        self._has_work = asyncio.Event()
 
     @property
     def is_full(self) -> bool:
-        """Whether no further sequence may even wait."""
+        """Whether both the slots and the queue are full."""
         busy = len(self.running) >= self.capacity
         return busy and len(self.waiting) >= self.queue_limit
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing runs and nothing waits."""
+        """Whether no sequence is running or waiting."""
         return not self.running and not self.waiting
 
     def add(self, sequence: Sequence) -> None:
-        """Takes a sequence in."""
-        self._serial += 1
-        entry = (sequence.priority, self._serial, sequence)
+        """Adds a sequence to the queue and starts it if a slot is free."""
+        self._last_serial += 1
+        entry = (sequence.priority, self._last_serial, sequence)
         heapq.heappush(self.waiting, entry)
         self._fill_slots(time.monotonic())
-        self._work.set()
+        self._has_work.set()
 
     async def run(self) -> None:
-        """Makes tokens for ever."""
+        """Runs steps until the task is cancelled."""
         due = time.monotonic()
         while True:
             if self.is_idle:
-                self._work.clear()
-                await self._work.wait()
+                self._has_work.clear()
+                await self._has_work.wait()
                 due = time.monotonic()
-            due = max(due, time.monotonic() - _LONGEST_CATCH_UP)
+            due = max(due, time.monotonic() - _MAX_CATCH_UP_SECONDS)
             due += self._step_time()
             await asyncio.sleep(max(0.0, due - time.monotonic()))
             self._step(time.monotonic())
@@ -120,7 +122,9 @@
             sequence.made += 1
             self.tokens += 1
             sequence.news.set()
-        self.running = [row for row in self.running if not row.ended]
+        self.running = [
+            sequence for sequence in self.running if not sequence.ended
+        ]
         self._fill_slots(now)
 
     def _fill_slots(self, now: float) -> None:
@@ -132,6 +136,6 @@
             self.running.append(sequence)
 
     def cancel(self, sequence: Sequence) -> None:
-        """Stops a sequence and frees its slot with the next step."""
+        """Cancels a sequence, whose slot is freed at the next step."""
         sequence.cancelled = True
         sequence.news.set()
--- a/src/hoistmoor/standins/completions.py
+++ b/src/hoistmoor/standins/completions.py
@@ -1,4 +1,4 @@
-"""One chat completion of the engine stand-in, on the wire."""
+"""Chat completion responses of the engine stand-in."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from hoistmoor.standins import marks
 from hoistmoor.standins import prompts
 
-_DONE = b"data: [DONE]\n\n"
-_SSE = "text/event-stream"
+_END_MARK = b"data: [DONE]\n\n"
+_EVENT_STREAM = "text/event-stream"
 
 
 def turned_bad(
     book: fault_book.FaultBook, version: str, prompt: prompts.Prompt
 ) -> bool:
-    """Returns whether a fault makes this answer of a version bad."""
+    """Returns whether a fault degrades this response of a version."""
     fault = book.first(faults.BadVersion)
     if fault is None or fault.version != version:
         return False
@@ -36,14 +36,14 @@
 
 @attrs.define
 class Completion:
-    """An answer that is being given.
+    """A chat completion that is being generated and sent.
 
     Attributes:
-        body: The request's body.
-        prompt: Its prompt.
-        script: What will be answered.
-        sequence: Its place in the batch.
-        run: Its record for checkers.
+        body: Body of the request.
+        prompt: Prompt of the request.
+        script: Predetermined text of the response.
+        sequence: Sequence of the response in the batch.
+        run: Execution record for history checks.
     """
 
     body: dict[str, Any]
@@ -53,27 +53,27 @@
     run: executions.Execution
 
     async def answer(self, request: web.Request) -> web.StreamResponse:
-        """Answers as the request asks."""
+        """Sends the completion, streamed if the request asks for it."""
         if self.body.get("stream"):
-            return await self._stream(request)
-        return await self._whole(request)
+            return await self._send_stream(request)
+        return await self._send_whole(request)
 
-    async def _whole(self, request: web.Request) -> web.Response:
+    async def _send_whole(self, request: web.Request) -> web.Response:
         while not self.sequence.ended:
-            await self._wait()
+            await self._wait_for_tokens()
             if request.transport is None:
                 self.run.state = "cut"
                 return web.Response()
         self.run.state = "cancelled" if self.sequence.cancelled else "done"
         if self.sequence.cancelled:
-            answer = answers.reply({"error": {"type": "cancelled"}}, 499)
+            response = answers.reply({"error": {"type": "cancelled"}}, 499)
         else:
-            answer = answers.reply(self._completion())
-        answers.echo_attempt(request, answer)
-        return answer
+            response = answers.reply(self._completion())
+        answers.echo_attempt(request, response)
+        return response
 
-    async def _stream(self, request: web.Request) -> web.StreamResponse:
-        response = web.StreamResponse(headers={"Content-Type": _SSE})
+    async def _send_stream(self, request: web.Request) -> web.StreamResponse:
+        response = web.StreamResponse(headers={"Content-Type": _EVENT_STREAM})
         answers.echo_attempt(request, response)
         writer = fault_points.AnswerWriter(request, response)
         try:
@@ -94,29 +94,31 @@
         sent = 0
         while not self.sequence.ended or sent < self.sequence.made:
             if sent == self.sequence.made:
-                await self._wait()
-            # All tokens made since the last write leave together.
+                await self._wait_for_tokens()
+            # Sends all tokens generated since the last write at once.
             made = self.sequence.made
             frames = [
                 self._frame(word) for word in self.script.words[sent:made]
             ]
             if crossed and sent <= crossed.frame < made:
-                frames.insert(crossed.frame - sent, _other_frame())
+                frames.insert(crossed.frame - sent, _foreign_frame())
             if frames:
                 await writer.write(b"".join(frames))
             sent = made
-        await self._send_end(writer)
+        await self._send_last_frame(writer)
 
-    async def _send_end(self, writer: fault_points.AnswerWriter) -> None:
+    async def _send_last_frame(self, writer: fault_points.AnswerWriter) -> None:
         if self.sequence.cancelled:
             self.run.state = "cancelled"
-            await writer.write(self._sse({"error": {"type": "cancelled"}}))
+            await writer.write(
+                self._encode_frame({"error": {"type": "cancelled"}})
+            )
             return
-        # Marked first: what follows reaches nobody if the caller has gone.
+        # Set before the write, which fails if the caller has disconnected.
         self.run.state = "done"
-        await writer.write(self._last_frame() + _DONE)
+        await writer.write(self._last_frame() + _END_MARK)
 
-    async def _wait(self) -> None:
+    async def _wait_for_tokens(self) -> None:
         await self.sequence.news.wait()
         self.sequence.news.clear()
 
@@ -152,7 +154,7 @@
 
     def _frame(self, word: str) -> bytes:
         content = word if word is self.script.words[0] else f" {word}"
-        return self._sse(
+        return self._encode_frame(
             {
                 "choices": [
                     {
@@ -165,7 +167,7 @@
         )
 
     def _last_frame(self) -> bytes:
-        return self._sse(
+        return self._encode_frame(
             {
                 "choices": [
                     {
@@ -179,7 +181,7 @@
             }
         )
 
-    def _sse(self, fields: dict[str, Any]) -> bytes:
+    def _encode_frame(self, fields: dict[str, Any]) -> bytes:
         frame = {
             "id": f"chatcmpl-{self.run.serial}",
             "object": "chat.completion.chunk",
@@ -191,7 +193,7 @@
         return b"data: %b\n\n" % orjson.dumps(frame)
 
 
-def _other_frame() -> bytes:
+def _foreign_frame() -> bytes:
     frame = {
         "id": "chatcmpl-other",
         "object": "chat.completion.chunk",
--- a/src/hoistmoor/standins/engine.py
+++ b/src/hoistmoor/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine with an OpenAI-style interface."""
+"""Stand-in for a model engine with an OpenAI-compatible interface."""
 
 from __future__ import annotations
 
@@ -21,30 +21,31 @@
 if TYPE_CHECKING:
     from aiohttp import web
 
-_DEFAULT_MOST = 256  # Tokens, where the caller sets no max_tokens.
+_DEFAULT_MAX_TOKENS = 256  # Used if the caller sets no max_tokens.
+_DEFAULT_QUALITY = 0.9
 
 
 @attrs.frozen
 class EngineSettings:
-    """How an engine stand-in behaves.
+    """Settings of an engine stand-in.
 
     Attributes:
         name: Name of the backend server.
-        incarnation: Which run of it this is.
-        quality: Share of good answers by version key.
+        incarnation: Incarnation of the backend server.
+        quality: Fraction of good responses by version key.
         loaded: Version keys loaded at the start.
-        capacity: Requests in service at once.
-        queue_limit: Requests that may wait.
-        token_time: Seconds a token.
-        prefill_time: Seconds for 1,000 prompt tokens not in the cache.
-        slowdown: Share by which a full batch is slower than one request.
-        answer_tokens: Mean length of an answer.
+        capacity: Maximum number of requests in service.
+        queue_limit: Maximum number of waiting requests.
+        token_time: Seconds per token.
+        prefill_time: Seconds per 1,000 prompt tokens not in the cache.
+        slowdown: Fraction by which a full batch lengthens a step.
+        answer_tokens: Mean length of a response in tokens.
         load_time: Seconds to load a version.
-        cache_blocks: Blocks in the prefix cache.
+        cache_blocks: Capacity of the prefix cache in blocks.
         event_lag: Seconds until a cache event is published.
         report_interval: Seconds between load reports.
-        honours_fencing: Whether orders with old fencing numbers are refused.
-        seed: Chooses which prompts are hard.
+        honours_fencing: Whether orders with stale fencing tokens are refused.
+        seed: Seed that determines which prompts are hard.
     """
 
     name: str
@@ -65,11 +66,8 @@
     seed: int = 0
 
 
-_DEFAULT_QUALITY = 0.9
-
-
 class EngineStandin:
-    """The engine: versions, slots, cache, and the answers."""
+    """An engine with loaded versions, a batch and a prefix cache."""
 
     def __init__(
         self, book: fault_book.FaultBook, settings: EngineSettings
@@ -99,7 +97,7 @@
         self.in_flight = 0
 
     def add_routes(self, application: web.Application) -> None:
-        """Serves the engine's wire interface."""
+        """Registers the routes of the engine."""
         router = application.router
         router.add_post("/v1/chat/completions", self.handle_chat)
         router.add_delete("/v1/attempts/{attempt}", self.handle_cancel)
@@ -114,11 +112,11 @@
         return self.stopping or self.book.first(faults.Leaving) is not None
 
     def stop(self) -> None:
-        """Takes no new work from now on."""
+        """Declines new work from now on."""
         self.stopping = True
 
     def load(self) -> dict[str, Any]:
-        """Returns the load of now."""
+        """Returns the current load report."""
         return {
             "server": self.settings.name,
             "incarnation": self.settings.incarnation,
@@ -131,13 +129,13 @@
         }
 
     async def handle_chat(self, request: web.Request) -> web.StreamResponse:
-        """Answers a prompt, at once or as a stream."""
+        """Handles a chat completion, whole or streamed."""
         body = await answers.read_json(request)
         reason = self._reason_to_decline(body["model"])
         if reason:
-            answer = answers.declined(reason)
-            answers.echo_attempt(request, answer)
-            return answer
+            response = answers.declined(reason)
+            answers.echo_attempt(request, response)
+            return response
         completion = self._start(request, body)
         self.in_flight += 1
         try:
@@ -157,7 +155,7 @@
         self, request: web.Request, body: dict[str, Any]
     ) -> completions.Completion:
         prompt = prompts.measure(body["messages"])
-        script = self._write(body, prompt)
+        script = self._make_script(body, prompt)
         sequence = batch.Sequence(
             attempt=request.headers.get(answers.ATTEMPT_HEADER, ""),
             length=len(script.words),
@@ -172,7 +170,7 @@
         self.batch.add(sequence)
         return completions.Completion(body, prompt, script, sequence, run)
 
-    def _write(
+    def _make_script(
         self, body: dict[str, Any], prompt: prompts.Prompt
     ) -> prompts.Script:
         version = body["model"]
@@ -185,14 +183,14 @@
             version,
             good,
             self.settings.answer_tokens,
-            int(body.get("max_tokens") or _DEFAULT_MOST),
+            int(body.get("max_tokens") or _DEFAULT_MAX_TOKENS),
         )
 
     def _prefill_time(self, prompt: prompts.Prompt) -> float:
         hits = self.cache.use(prompt.blocks, time.time())
         cached = hits / len(prompt.blocks) if prompt.blocks else 0.0
-        fresh = prompt.tokens * (1.0 - cached)
-        return fresh / 1000 * self.settings.prefill_time
+        uncached_tokens = prompt.tokens * (1.0 - cached)
+        return uncached_tokens / 1000 * self.settings.prefill_time
 
     def _end(self, completion: completions.Completion) -> None:
         sequence = completion.sequence
@@ -203,7 +201,7 @@
             del self.attempts[sequence.attempt]
 
     async def handle_cancel(self, request: web.Request) -> web.Response:
-        """Cancels an attempt."""
+        """Cancels the generation of an attempt's response."""
         sequence = self.attempts.get(request.match_info["attempt"])
         if sequence is None:
             return answers.reply({"cancelled": False}, 404)
@@ -211,9 +209,9 @@
         return answers.reply({"cancelled": True})
 
     async def handle_cache_events(self, request: web.Request) -> web.Response:
-        """Answers cache events, late and with gaps."""
+        """Returns the cache events that lag and gaps leave visible."""
         lag = self.settings.event_lag + self.book.lag("/cache-events")
-        next_, rows = self.cache.published(
+        next_sequence, rows = self.cache.published(
             int(request.query.get("since", "0")), time.time() - lag
         )
         gap = self.book.first(faults.Gap)
@@ -225,7 +223,7 @@
         return answers.reply(
             {
                 "incarnation": self.settings.incarnation,
-                "next": next_,
+                "next": next_sequence,
                 "events": events,
             }
         )
--- a/src/hoistmoor/standins/executions.py
+++ b/src/hoistmoor/standins/executions.py
@@ -1,4 +1,4 @@
-"""What a stand-in did, kept for the checkers of histories."""
+"""Records of the requests that a stand-in executed, for history checks."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 IDEMPOTENCY_HEADER = "Idempotency-Key"
 _PATH = "/_executions"
-_PAGE = 10_000
+_MAX_PAGE_ROWS = 10_000
 
 
 @attrs.define
 class Execution:
-    """One run of one request.
+    """One execution of a request.
 
     Attributes:
-        serial: Counts the executions of this process from 0.
+        serial: Number of the execution in this process, from 0.
         at: When it started, in seconds since the epoch.
-        method: HTTP method.
+        method: HTTP method of the request.
         path: Path of the request.
-        attempt_id: Attempt id that came with it.
-        idempotency_key: Idempotency key that came with it.
+        attempt_id: Attempt id of the request.
+        idempotency_key: Idempotency key of the request.
         subject: The version for an engine, the body for a service.
         state: ``running``, ``done``, ``cancelled`` or ``cut``.
-        tokens: Tokens made.
-        good: Whether the answer is good; None for a service.
+        tokens: Number of tokens generated.
+        good: Whether the response is good; None for a service.
     """
 
     serial: int
@@ -46,19 +46,19 @@
 
 
 class ExecutionLog:
-    """All executions of one stand-in, in order."""
+    """All executions of a stand-in, in order of their start."""
 
     def __init__(self) -> None:
         self.rows: list[Execution] = []
 
     def add_routes(self, application: web.Application) -> None:
-        """Serves the executions to checkers."""
+        """Registers the route that lists the executions."""
         application.router.add_get(_PATH, self.handle_list)
 
     def start(
         self, request: web.Request, subject: str, now: float
     ) -> Execution:
-        """Records that a request starts to run."""
+        """Records the start of an execution."""
         row = Execution(
             serial=len(self.rows),
             at=now,
@@ -72,9 +72,9 @@
         return row
 
     async def handle_list(self, request: web.Request) -> web.Response:
-        """Answers the executions from a serial on."""
+        """Returns a page of executions from a serial number on."""
         since = int(request.query.get("since", "0"))
-        rows = self.rows[since : since + _PAGE]
+        rows = self.rows[since : since + _MAX_PAGE_ROWS]
         return answers.reply(
             {
                 "next": since + len(rows),
--- a/src/hoistmoor/standins/fault_book.py
+++ b/src/hoistmoor/standins/fault_book.py
@@ -1,4 +1,4 @@
-"""The faults that are on in one stand-in."""
+"""Registry of the active faults of a stand-in."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 
 
 class FaultBook:
-    """The faults that are on, by number."""
+    """The active faults by number."""
 
     def __init__(self) -> None:
         self.faults: dict[int, faults.Fault] = {}
-        self._last = 0
+        self._last_number = 0
 
     def add(self, fault: faults.Fault) -> int:
-        """Turns a fault on and returns its number."""
-        self._last += 1
-        self.faults[self._last] = fault
-        return self._last
+        """Activates a fault and returns its number."""
+        self._last_number += 1
+        self.faults[self._last_number] = fault
+        return self._last_number
 
     def clear(self) -> None:
-        """Turns every fault off."""
+        """Deactivates all faults."""
         self.faults.clear()
 
     def is_on(self, fault: faults.Fault) -> bool:
-        """Returns whether the fault has not been turned off."""
+        """Returns whether the fault is still active."""
         return any(fault is other for other in self.faults.values())
 
     def due(self, method: str, path: str) -> list[faults.Fault]:
-        """Counts a request and returns the faults that act on it."""
+        """Counts a request and returns the faults that apply to it."""
         return [
             fault
             for fault in tuple(self.faults.values())
@@ -41,24 +41,28 @@
         ]
 
     def first(self, cls: type[_T]) -> _T | None:
-        """Returns the oldest fault of a kind that is on, uncounted."""
+        """Returns the oldest active fault of a kind; counts no event."""
         for fault in self.faults.values():
             if isinstance(fault, cls):
                 return fault
         return None
 
     def take(self, cls: type[_T]) -> _T | None:
-        """Counts one event for the oldest fault of a kind, if it acts."""
+        """Counts an event for the oldest active fault of a kind.
+
+        Returns:
+            The fault, or None if there is none or it does not apply.
+        """
         fault = self.first(cls)
         return fault if fault is not None and fault.take() else None
 
     def slowness(self) -> float:
-        """Returns the factor by which work takes longer."""
+        """Returns the factor on the duration of work."""
         fault = self.first(faults.Slow)
         return fault.factor if fault else 1.0
 
     def lag(self, path: str) -> float:
-        """Returns by how many seconds reports of ``path`` lag more."""
+        """Returns the additional lag of reports at ``path`` in seconds."""
         return sum(
             fault.seconds
             for fault in self.faults.values()
--- a/src/hoistmoor/standins/fault_points.py
+++ b/src/hoistmoor/standins/fault_points.py
@@ -1,4 +1,4 @@
-"""Shows the faults that are on, at the point of a request where each acts."""
+"""Injects the active faults into the handling of requests."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 FAULTS = web.AppKey("faults", fault_book.FaultBook)
-OTHER_ATTEMPT = "someone.else.1"  # Attempt id in crossed and late answers.
+OTHER_ATTEMPT = "someone.else.1"  # Attempt id in crossed and late responses.
 
-_CHECKERS = "/_"  # Paths that no fault touches.
-_DUE = web.RequestKey("due", list)
-_POLL = 0.02  # Seconds between looks at whether a fault is still on.
-_UNASKED = (
+_EXEMPT_PREFIX = "/_"  # Paths for tests and checkers, without faults.
+_REQUEST_FAULTS = web.RequestKey("due", list)
+_POLL_INTERVAL = 0.02  # Seconds between checks of whether a fault is active.
+_UNSOLICITED_RESPONSE = (
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
     b"X-Attempt-Id: %b\r\nContent-Length: 2\r\n\r\n{}" % OTHER_ATTEMPT.encode()
 )
@@ -30,34 +30,34 @@
 async def show_faults(
     request: web.Request, handler: Handler
 ) -> web.StreamResponse:
-    """Handles a request with the faults that act on it round its handler."""
-    if request.path.startswith(_CHECKERS):
+    """Handles a request with the handler wrapped in the faults that apply."""
+    if request.path.startswith(_EXEMPT_PREFIX):
         return await handler(request)
-    acting = request.app[FAULTS].due(request.method, request.path)
-    if not acting:
+    active = request.app[FAULTS].due(request.method, request.path)
+    if not active:
         return await handler(request)
-    request[_DUE] = acting
-    for fault in acting:
+    request[_REQUEST_FAULTS] = active
+    for fault in active:
         handler = _wrap(fault, handler)
     return await handler(request)
 
 
 def due(request: web.Request, cls: type[fault_book._T]) -> fault_book._T | None:
-    """Returns the fault of a kind that acts on this request, if any."""
-    for fault in request.get(_DUE, ()):
+    """Returns the fault of a kind that applies to this request, if any."""
+    for fault in request.get(_REQUEST_FAULTS, ()):
         if isinstance(fault, cls):
             return fault
     return None
 
 
 def cut(request: web.Request) -> None:
-    """Closes the connection of ``request`` once what was sent is flushed."""
+    """Closes the connection of a request after flushing its output."""
     if request.transport is not None:
         request.transport.close()
 
 
 class AnswerWriter:
-    """Writes a streamed answer, and ends it where a fault says so."""
+    """Writes a streamed response and ends it early if a fault applies."""
 
     def __init__(
         self, request: web.Request, response: web.StreamResponse
@@ -68,7 +68,7 @@
         self.budget = self.fault.bytes if self.fault else 0
 
     async def prepare(self) -> None:
-        """Sends the head of the answer.
+        """Sends the head of the response.
 
         Raises:
             ConnectionError: The connection is cut, by either side.
@@ -91,27 +91,29 @@
         if part:
             await self.response.write(part)
         if not self.budget:
-            await self._end(self.fault)
+            await self._end_early(self.fault)
 
-    async def _end(self, fault: faults.CutAfterBytes) -> None:
+    async def _end_early(self, fault: faults.CutAfterBytes) -> None:
         if fault.hang:
             await stall(self.request, fault)
         cut(self.request)
-        raise ConnectionResetError("cut by a fault")
+        raise ConnectionResetError("connection closed by an injected fault")
 
 
 async def stall(request: web.Request, fault: faults.Fault) -> None:
-    """Waits until the fault is cleared or the caller has gone."""
+    """Waits until the fault is cleared or the caller disconnects."""
     book = request.app[FAULTS]
     while book.is_on(fault) and request.transport is not None:
-        await asyncio.sleep(_POLL)
+        await asyncio.sleep(_POLL_INTERVAL)
 
 
-async def _send_part(
-    request: web.Request, answer: web.Response
+async def _send_truncated(
+    request: web.Request, response: web.Response
 ) -> web.StreamResponse:
-    body = answer.body if isinstance(answer.body, bytes) else b""
-    stream = web.StreamResponse(status=answer.status, headers=answer.headers)
+    body = response.body if isinstance(response.body, bytes) else b""
+    stream = web.StreamResponse(
+        status=response.status, headers=response.headers
+    )
     stream.content_length = len(body)
     writer = AnswerWriter(request, stream)
     try:
@@ -124,7 +126,7 @@
 
 @singledispatch
 def _wrap(fault: faults.Fault, handler: Handler) -> Handler:
-    """Returns a handler that shows ``fault`` round ``handler``."""
+    """Returns a handler that injects ``fault`` into ``handler``."""
     return handler
 
 
@@ -139,11 +141,11 @@
 
 @_wrap.register
 def _(fault: faults.Outage, handler: Handler) -> Handler:
-    async def out(request: web.Request) -> web.StreamResponse:
+    async def unavailable(request: web.Request) -> web.StreamResponse:
         await request.read()
         return answers.reply({"error": "outage"}, 503)
 
-    return out
+    return unavailable
 
 
 @_wrap.register
@@ -157,66 +159,66 @@
 
 @_wrap.register
 def _(fault: faults.ApplyButLoseReply, handler: Handler) -> Handler:
-    async def lost(request: web.Request) -> web.StreamResponse:
-        answer = await handler(request)
+    async def without_response(request: web.Request) -> web.StreamResponse:
+        response = await handler(request)
         if fault.hang:
             await stall(request, fault)
         cut(request)
-        return answer
+        return response
 
-    return lost
+    return without_response
 
 
 @_wrap.register
 def _(fault: faults.CutBeforeAnswer, handler: Handler) -> Handler:
-    async def dropped(request: web.Request) -> web.StreamResponse:
+    async def cut_early(request: web.Request) -> web.StreamResponse:
         await request.read()
         cut(request)
         return web.Response()
 
-    return dropped
+    return cut_early
 
 
 @_wrap.register
 def _(fault: faults.CutAfterBytes, handler: Handler) -> Handler:
-    async def shortened(request: web.Request) -> web.StreamResponse:
-        answer = await handler(request)
-        if not isinstance(answer, web.Response) or answer.prepared:
-            return answer
-        return await _send_part(request, answer)
+    async def truncated(request: web.Request) -> web.StreamResponse:
+        response = await handler(request)
+        if not isinstance(response, web.Response) or response.prepared:
+            return response
+        return await _send_truncated(request, response)
 
-    return shortened
+    return truncated
 
 
 @_wrap.register
 def _(fault: faults.CrossedHead, handler: Handler) -> Handler:
     async def crossed(request: web.Request) -> web.StreamResponse:
-        answer = await handler(request)
-        answer.headers[answers.ATTEMPT_HEADER] = OTHER_ATTEMPT
-        return answer
+        response = await handler(request)
+        response.headers[answers.ATTEMPT_HEADER] = OTHER_ATTEMPT
+        return response
 
     return crossed
 
 
 @_wrap.register
 def _(fault: faults.LateAnswer, handler: Handler) -> Handler:
-    async def late(request: web.Request) -> web.StreamResponse:
-        answer = await handler(request)
-        await answer.prepare(request)
-        await answer.write_eof()
+    async def followed_by_response(request: web.Request) -> web.StreamResponse:
+        response = await handler(request)
+        await response.prepare(request)
+        await response.write_eof()
         if request.transport is not None:
-            request.transport.write(_UNASKED)
-        return answer
+            request.transport.write(_UNSOLICITED_RESPONSE)
+        return response
 
-    return late
+    return followed_by_response
 
 
 @_wrap.register
 def _(fault: faults.Decline, handler: Handler) -> Handler:
-    async def refused(request: web.Request) -> web.StreamResponse:
+    async def declined(request: web.Request) -> web.StreamResponse:
         await request.read()
-        answer = answers.declined("declined")
-        answers.echo_attempt(request, answer)
-        return answer
+        response = answers.declined("declined")
+        answers.echo_attempt(request, response)
+        return response
 
-    return refused
+    return declined
--- a/src/hoistmoor/standins/faults.py
+++ b/src/hoistmoor/standins/faults.py
@@ -1,8 +1,8 @@
-"""Faults that a stand-in shows on demand, placed by sequence.
+"""Faults that a stand-in injects on request.
 
-A fault applies to the requests whose path starts with ``match`` (and whose
-method is ``method``, if given). It lets the first ``after`` of them pass, then
-acts on the next ``count``, or on all further ones if ``count`` is None.
+A fault matches requests whose path starts with ``match`` and whose method is
+``method``, if given. It lets the first ``after`` of them pass and applies to
+the next ``count``, or to all later ones if ``count`` is None.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 
 @attrs.define(kw_only=True)
 class Fault:
-    """What all faults share.
+    """Base class of all faults.
 
     Attributes:
-        match: Start of the paths that it applies to.
-        method: HTTP method that it applies to; empty for all.
-        after: Matching requests that pass before it acts.
-        count: Requests that it acts on; None for all further ones.
-        seen: Matching requests so far.
-        applied: Requests that it acted on so far.
+        match: Prefix of the paths that the fault matches.
+        method: HTTP method that the fault matches; empty for all.
+        after: Number of matching requests to let pass first.
+        count: Number of requests to apply the fault to; None for no limit.
+        seen: Number of matching requests so far.
+        applied: Number of requests that the fault was applied to so far.
     """
 
     match: str = ""
@@ -36,13 +36,13 @@
     applied: int = 0
 
     def matches(self, method: str, path: str) -> bool:
-        """Returns whether a request is one that this fault counts."""
+        """Returns whether a request matches this fault."""
         if self.method and self.method != method:
             return False
         return path.startswith(self.match)
 
     def take(self) -> bool:
-        """Counts one matching request; returns whether to act on it."""
+        """Counts a matching request and returns whether the fault applies."""
         self.seen += 1
         if self.seen <= self.after:
             return False
@@ -54,27 +54,28 @@
 
 @attrs.define(kw_only=True)
 class Delay(Fault):
-    """Handles a request ``seconds`` late."""
+    """Delays the handling of a request by ``seconds``."""
 
     seconds: float = 1.0
 
 
 @attrs.define(kw_only=True)
 class Outage(Fault):
-    """Answers 503 and does nothing."""
+    """Responds with status 503 without handling the request."""
 
 
 @attrs.define(kw_only=True)
 class Freeze(Fault):
-    """Neither handles nor answers until the fault is cleared."""
+    """Holds the request back until the fault is cleared."""
 
 
 @attrs.define(kw_only=True)
 class ApplyButLoseReply(Fault):
-    """Handles the request, then cuts the connection instead of answering.
+    """Handles the request, then closes the connection without a response.
 
     Attributes:
-        hang: Keep the connection open instead, and never answer.
+        hang: Whether to keep the connection open until the fault is cleared
+            instead of closing it at once.
     """
 
     hang: bool = False
@@ -82,16 +83,17 @@
 
 @attrs.define(kw_only=True)
 class CutBeforeAnswer(Fault):
-    """Reads the request, then cuts the connection without handling it."""
+    """Reads the request, then closes the connection without handling it."""
 
 
 @attrs.define(kw_only=True)
 class CutAfterBytes(Fault):
-    """Handles the request, and ends its answer after ``bytes`` of its body.
+    """Handles the request, but truncates the body of its response.
 
     Attributes:
-        bytes: Bytes of the body that are sent; 0 for the head alone.
-        hang: Stay silent on the open connection instead of cutting it.
+        bytes: Number of bytes of the body to send; 0 for the head alone.
+        hang: Whether to keep the connection open until the fault is cleared
+            instead of closing it at once.
     """
 
     bytes: int = 0
@@ -100,20 +102,20 @@
 
 @attrs.define(kw_only=True)
 class LateAnswer(Fault):
-    """Sends a second, unasked answer on the connection after the first."""
+    """Sends a second, unsolicited response on the same connection."""
 
 
 @attrs.define(kw_only=True)
 class CrossedHead(Fault):
-    """Answers with the attempt id of some other request."""
+    """Responds with the attempt id of another request."""
 
 
 @attrs.define(kw_only=True)
 class CrossedFrames(Fault):
-    """Mixes a frame of some other attempt into a stream.
+    """Inserts a frame of another attempt into a stream.
 
     Attributes:
-        frame: How many frames of the stream go before it.
+        frame: Number of frames of the stream that precede it.
     """
 
     frame: int = 1
@@ -121,22 +123,22 @@
 
 @attrs.define(kw_only=True)
 class Decline(Fault):
-    """Says that it did not run the request."""
+    """Declines the request and reports that it was not executed."""
 
 
 @attrs.define(kw_only=True)
 class Leaving(Fault):
-    """Takes no new work and says that it is leaving."""
+    """Declines new work and announces a departure."""
 
 
 @attrs.define(kw_only=True)
 class BadVersion(Fault):
-    """Makes the answers of one version bad.
+    """Degrades the responses of a version.
 
     Attributes:
-        version: Key of the version; ``after`` counts its answers.
-        share: Share of its answers that turn bad, 0 to 1.
-        contains: Only requests whose prompt holds this text.
+        version: Key of the version, whose responses ``after`` counts.
+        share: Fraction of its responses to degrade, 0 to 1.
+        contains: Text that the prompts of affected requests contain.
     """
 
     version: str = ""
@@ -146,18 +148,18 @@
 
 @attrs.define(kw_only=True)
 class Slow(Fault):
-    """Takes ``factor`` times as long for each token or call."""
+    """Multiplies the duration of each token or call by ``factor``."""
 
     factor: float = 10.0
 
 
 @attrs.define(kw_only=True)
 class Gap(Fault):
-    """Leaves items out of what is reported, for good.
+    """Permanently omits items from what is reported.
 
     Attributes:
-        every: Leave out each n-th item; 1 for all.
-        names: Leave out the items of these names instead.
+        every: Omits every n-th item; 1 for all items.
+        names: Names of the items to omit instead.
     """
 
     every: int = 2
@@ -166,14 +168,14 @@
 
 @attrs.define(kw_only=True)
 class Lag(Fault):
-    """Reports things ``seconds`` later than otherwise."""
+    """Delays what is reported by a further ``seconds``."""
 
     seconds: float = 1.0
 
 
 @attrs.define(kw_only=True)
 class Fencing(Fault):
-    """Sets whether orders with an old fencing number are refused."""
+    """Overrides whether orders with a stale fencing token are refused."""
 
     honoured: bool = True
 
@@ -197,7 +199,7 @@
     "slow": Slow,
 }
 
-# Each request counts once for each of these.
+# Faults that apply to single requests; each matching request counts once.
 PER_REQUEST = (
     Delay,
     Outage,
@@ -215,14 +217,14 @@
 
 
 class BadFaultError(errors.HoistmoorError):
-    """A test asked for a fault that there is not."""
+    """A requested fault has an unknown kind or an invalid field."""
 
 
 def parse(fields: dict[str, Any]) -> Fault:
-    """Returns the fault that a test asks for.
+    """Returns the fault that the fields of a request describe.
 
     Raises:
-        BadFaultError: The kind or one of its fields is not known.
+        BadFaultError: The kind or a field is unknown, or a value is invalid.
     """
     kind = fields.pop("kind", None)
     if kind not in KINDS:
--- a/src/hoistmoor/standins/flags.py
+++ b/src/hoistmoor/standins/flags.py
@@ -1,7 +1,7 @@
-"""Flags of the stand-ins.
+"""Command line flags of the stand-ins.
 
 Each flag has an environment variable: ``--append-rate`` is also
-``HOISTMOOR_STANDIN_APPEND_RATE``. A flag goes before its variable.
+``HOISTMOOR_STANDIN_APPEND_RATE``. A flag takes precedence over its variable.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 @attrs.frozen(kw_only=True, slots=False)
 class Listener:
-    """Flags that every stand-in has."""
+    """Flags of all stand-ins."""
 
     listen: Annotated[
         str,
         options.flag(
-            "listen", "ip:port to listen on; port 0: any.", "127.0.0.1:0"
+            "listen", "ip:port to listen on; port 0 for any.", "127.0.0.1:0"
         ),
     ] = "127.0.0.1:0"
 
@@ -33,15 +33,16 @@
     """Flags of the log service."""
 
     max_age: Annotated[
-        float, options.flag("max-age", "Seconds that a record is kept.", 3600.0)
+        float,
+        options.flag("max-age", "Seconds that a record is retained.", 3600.0),
     ] = 3600.0
     max_records: Annotated[
         int,
-        options.flag("max-records", "Records that a stream keeps.", 100_000),
+        options.flag("max-records", "Records that a stream retains.", 100_000),
     ] = 100_000
     append_rate: Annotated[
         float,
-        options.flag("append-rate", "Appends a second; 0: no bound.", 0.0),
+        options.flag("append-rate", "Appends per second; 0 for no limit.", 0.0),
     ] = 0.0
 
 
@@ -54,9 +55,7 @@
     ] = 0.0
     host: Annotated[
         tuple[str, ...],
-        options.repeated(
-            "host", "name,ip:port,domain,role; may be repeated.", ()
-        ),
+        options.repeated("host", "name,ip:port,domain,role; repeatable.", ()),
     ] = ()
 
 
@@ -65,7 +64,7 @@
     """Flags of the rating service."""
 
     rating_share: Annotated[
-        float, options.flag("rating-share", "Share of answers rated.", 1.0)
+        float, options.flag("rating-share", "Fraction of responses rated.", 1.0)
     ] = 1.0
     rating_delay: Annotated[
         float, options.flag("rating-delay", "Seconds until a rating.", 0.0)
@@ -77,13 +76,13 @@
     """Flags of the weight store."""
 
     weights_rate: Annotated[
-        float, options.flag("weights-rate", "Calls a second.", 5.0)
+        float, options.flag("weights-rate", "Calls per second.", 5.0)
     ] = 5.0
 
 
 @attrs.frozen(kw_only=True, slots=False)
 class PlatformFlags(LogFlags, HostsFlags, RatingsFlags, WeightsFlags):
-    """Flags of the whole platform on one port."""
+    """Flags of all platform services on one port."""
 
 
 @attrs.frozen(kw_only=True, slots=False)
@@ -94,13 +93,16 @@
         str, options.flag("name", "Name of the backend server.", "backend-1")
     ] = "backend-1"
     incarnation: Annotated[
-        int, options.flag("incarnation", "0: the time of the start.", 0)
+        int,
+        options.flag("incarnation", "Incarnation; 0 for the start time.", 0),
     ] = 0
     capacity: Annotated[
-        int, options.flag("capacity", "Requests in service at once.", 8)
+        int,
+        options.flag("capacity", "Maximum number of requests in service.", 8),
     ] = 8
     queue_limit: Annotated[
-        int, options.flag("queue-limit", "Requests that may wait.", 64)
+        int,
+        options.flag("queue-limit", "Maximum number of waiting requests.", 64),
     ] = 64
     report_interval: Annotated[
         float, options.flag("report-interval", "Seconds between reports.", 0.25)
@@ -108,7 +110,7 @@
 
     @property
     def run_number(self) -> int:
-        """Returns the incarnation to report."""
+        """The incarnation to report."""
         return self.incarnation or int(time.time() * 1000)
 
 
@@ -125,21 +127,24 @@
     quality: Annotated[
         tuple[str, ...],
         options.repeated(
-            "quality", "model@version=quality of one not loaded.", ()
+            "quality", "model@version=quality of a version not loaded.", ()
         ),
     ] = ()
     token_time: Annotated[
-        float, options.flag("token-time", "Seconds a token.", 0.005)
+        float, options.flag("token-time", "Seconds per token.", 0.005)
     ] = 0.005
     prefill_time: Annotated[
         float,
         options.flag("prefill-time", "Seconds per 1000 prompt tokens.", 0.1),
     ] = 0.1
     slowdown: Annotated[
-        float, options.flag("slowdown", "How much slower a full batch is.", 0.0)
+        float,
+        options.flag(
+            "slowdown", "Fraction by which a full batch is slower.", 0.0
+        ),
     ] = 0.0
     answer_tokens: Annotated[
-        int, options.flag("answer-tokens", "Mean length of an answer.", 32)
+        int, options.flag("answer-tokens", "Mean tokens of a response.", 32)
     ] = 32
     load_time: Annotated[
         float, options.flag("load-time", "Seconds to load a version.", 1.0)
@@ -152,17 +157,20 @@
     ] = 0.5
     ignore_fencing: Annotated[
         bool,
-        options.flag("ignore-fencing", "Take orders with any number.", False),
+        options.flag(
+            "ignore-fencing", "Accept orders with any fencing token.", False
+        ),
     ] = False
     seed: Annotated[
-        int, options.flag("seed", "Chooses which prompts are hard.", 0)
+        int,
+        options.flag("seed", "Seed that determines which prompts are hard.", 0),
     ] = 0
 
     def settings(self) -> engine.EngineSettings:
-        """Returns the checked settings.
+        """Returns the validated settings.
 
         Raises:
-            ConfigurationError: A version or a quality is misspelt.
+            ConfigurationError: A version or a quality is invalid.
         """
         served = options.parse_qualities("--serve", self.serve)
         known = options.parse_qualities("--quality", self.quality)
@@ -191,7 +199,8 @@
     """Flags of a plain service."""
 
     service_time: Annotated[
-        float, options.flag("service-time", "Seconds a call takes.", 0.003)
+        float,
+        options.flag("service-time", "Duration of a call in seconds.", 0.003),
     ] = 0.003
 
     def settings(self) -> service.ServiceSettings:
--- a/src/hoistmoor/standins/load_reports.py
+++ b/src/hoistmoor/standins/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports that lag, as every backend server stand-in gives them."""
+"""Lagging load reports, which all backend server stand-ins provide."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     from aiohttp import web
 
 _PATH = "/load"
-_KEPT = 2000
+_MAX_SAMPLES = 2000
 
 
 class LoadReporter:
-    """Samples the load every so often and answers with an old sample."""
+    """Samples the load periodically and reports a sample as old as the lag."""
 
     def __init__(
         self,
@@ -28,39 +28,42 @@
         sample: Callable[[], dict[str, Any]],
         interval: float,
     ) -> None:
-        """Makes a reporter.
+        """Creates a reporter.
 
         Args:
-            book: The faults that are on.
-            sample: Returns the load of now.
-            interval: Seconds between samples; 0 to sample at each call.
+            book: Registry of the active faults.
+            sample: Returns the current load.
+            interval: Seconds between samples; 0 to sample on every request.
         """
         self.book = book
         self.sample = sample
         self.interval = interval
-        self.samples: deque[dict[str, Any]] = deque(maxlen=_KEPT)
+        self.samples: deque[dict[str, Any]] = deque(maxlen=_MAX_SAMPLES)
 
     def add_routes(self, application: web.Application) -> None:
-        """Serves ``GET /load``."""
+        """Registers the route of the load report."""
         application.router.add_get(_PATH, self.handle_load)
 
     def take(self) -> None:
-        """Takes a sample."""
+        """Stores a sample of the current load."""
         self.samples.append({**self.sample(), "at": time.time()})
 
     async def run(self) -> None:
-        """Takes samples for ever."""
+        """Takes samples until the task is cancelled; none if interval is 0."""
         while self.interval:
             self.take()
             await asyncio.sleep(self.interval)
 
     async def handle_load(self, request: web.Request) -> web.Response:
-        """Answers the newest sample that is old enough to be known."""
+        """Returns the newest sample that is at least as old as the lag.
+
+        If no sample is that old, returns the oldest one.
+        """
         if not self.interval or not self.samples:
             self.take()
-        known = time.time() - self.book.lag(_PATH)
+        as_of = time.time() - self.book.lag(_PATH)
         report = next(
-            (row for row in reversed(self.samples) if row["at"] <= known),
+            (row for row in reversed(self.samples) if row["at"] <= as_of),
             self.samples[0],
         )
         return answers.reply(report)
--- a/src/hoistmoor/standins/log.py
+++ b/src/hoistmoor/standins/log.py
@@ -14,19 +14,19 @@
 from hoistmoor.standins import rates
 
 MAX_RECORD_BYTES = 1024 * 1024
-MAX_PAGE = 1000  # Records a page.
+MAX_PAGE_RECORDS = 1000
 MAX_WAIT = 30.0  # Seconds of a long poll.
-_LAG_POLL = 0.02  # Seconds between looks at records held back by a lag.
-_TRIM = 1024  # Dead records kept in memory before they are dropped.
+_LAG_POLL_INTERVAL = 0.02  # Seconds between checks for lagging records.
+_MAX_EXPIRED_RECORDS = 1024  # Expired records in memory before a trim.
 
 
 @attrs.frozen
 class StoredRecord:
-    """One record, with its wire form.
+    """A stored record and its encoding.
 
     Attributes:
-        at: When it was stored, in seconds since the epoch.
-        wire: Its JSON form.
+        at: When the record was stored, in seconds since the epoch.
+        wire: JSON encoding of the record.
     """
 
     at: float
@@ -34,23 +34,32 @@
 
 
 class Stream:
-    """The records of one stream, oldest first."""
+    """The records of a stream, oldest first.
+
+    Attributes:
+        max_age: Seconds that a record is retained.
+        max_records: Number of records that are retained.
+        first: Offset of the oldest retained record.
+        records: Records in memory, which may include expired ones.
+        base: Offset of ``records[0]``, at most ``first``.
+        appended: Set at the next append, which replaces the event.
+    """
 
     def __init__(self, max_age: float, max_records: int) -> None:
         self.max_age = max_age
         self.max_records = max_records
         self.first = 0
         self.records: list[StoredRecord] = []
-        self.base = 0  # Offset of records[0]; at most ``first``.
+        self.base = 0
         self.appended = asyncio.Event()
 
     @property
     def next(self) -> int:
-        """The offset of the next append."""
+        """Offset of the next record to be appended."""
         return self.base + len(self.records)
 
     def append(self, payload: bytes, now: float) -> int:
-        """Stores a record and wakes the readers that wait."""
+        """Stores a record, wakes waiting readers and returns its offset."""
         offset = self.next
         text = base64.b64encode(payload)
         wire = b'{"offset":%d,"at":%.6f,"payload":"%b"}' % (offset, now, text)
@@ -61,19 +70,19 @@
         return offset
 
     def expire(self, now: float) -> None:
-        """Gives up the records past their retention."""
+        """Expires records past their retention and trims the memory."""
         self.first = max(self.first, self.next - self.max_records)
         while self.first < self.next:
             if self.records[self.first - self.base].at >= now - self.max_age:
                 break
             self.first += 1
-        dead = self.first - self.base
-        if dead > _TRIM:
-            del self.records[:dead]
+        expired = self.first - self.base
+        if expired > _MAX_EXPIRED_RECORDS:
+            del self.records[:expired]
             self.base = self.first
 
     def visible(self, now: float, lag: float) -> int:
-        """Returns where reading ends if records show ``lag`` seconds late."""
+        """Returns the end offset for readers that lag by ``lag`` seconds."""
         end = self.next
         while lag and end > self.first:
             if self.records[end - self.base - 1].at <= now - lag:
@@ -82,7 +91,7 @@
         return end
 
     def page(self, start: int, end: int) -> bytes:
-        """Returns the JSON form of the records from ``start`` to ``end``."""
+        """Returns the JSON page of the records from ``start`` to ``end``."""
         rows = self.records[start - self.base : end - self.base]
         body = b",".join(row.wire for row in rows)
         return b'{"first":%d,"next":%d,"records":[%b]}' % (
@@ -97,11 +106,12 @@
     """The log service.
 
     Attributes:
-        book: The faults that are on.
-        max_age: Seconds that a record is kept.
-        max_records: Records that a stream keeps.
-        appends_per_second: Appends taken a second in all; 0 for no bound.
-        streams: By name; a stream starts with its first use.
+        book: Registry of the active faults.
+        max_age: Seconds that a record is retained.
+        max_records: Number of records that a stream retains.
+        appends_per_second: Limit on the appends to all streams; 0 for none.
+        streams: Streams by name, each created on first use.
+        bound: Rate limiter of appends.
     """
 
     book: fault_book.FaultBook
@@ -112,18 +122,18 @@
     bound: rates.RateBound = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Starts the bound on appends."""
+        """Creates the rate limiter of appends."""
         self.bound = rates.RateBound(self.appends_per_second)
 
     def add_routes(self, application: web.Application) -> None:
-        """Serves the log's part of the wire interface."""
+        """Registers the routes of the log service."""
         path = "/streams/{stream}"
         application.router.add_post(path + "/records", self.handle_append)
         application.router.add_get(path + "/records", self.handle_read)
         application.router.add_get(path, self.handle_bounds)
 
     def stream(self, request: web.Request) -> Stream:
-        """Returns the stream that a request names."""
+        """Returns the stream that a request names, without expired records."""
         name = request.match_info["stream"]
         if name not in self.streams:
             self.streams[name] = Stream(self.max_age, self.max_records)
@@ -132,7 +142,7 @@
         return stream
 
     async def handle_append(self, request: web.Request) -> web.Response:
-        """Appends the body as one record."""
+        """Appends the body of a request as one record."""
         payload = await request.read()
         if len(payload) > MAX_RECORD_BYTES:
             return answers.reply({"error": "record too large"}, 413)
@@ -144,12 +154,12 @@
         )
 
     async def handle_bounds(self, request: web.Request) -> web.Response:
-        """Answers which offsets can be read."""
+        """Returns the first and the next offset of a stream."""
         stream = self.stream(request)
         return answers.reply({"first": stream.first, "next": stream.next})
 
     async def handle_read(self, request: web.Request) -> web.Response:
-        """Answers a page of records, after a wait if there is none."""
+        """Returns a page of records; waits if there is none to read."""
         query = _read_query(request)
         stream = self.stream(request)
         if query.start < stream.first:
@@ -170,21 +180,21 @@
             now = time.time()
             lag = self.book.lag(path)
             end = stream.visible(now, lag)
-            left = deadline - now
-            if end > query.start or left <= 0:
+            remaining = deadline - now
+            if end > query.start or remaining <= 0:
                 return end
-            pause = min(left, _LAG_POLL) if lag else left
-            await _wait_for(stream.appended, pause)
+            timeout = min(remaining, _LAG_POLL_INTERVAL) if lag else remaining
+            await _wait_for(stream.appended, timeout)
 
 
 @attrs.frozen
 class ReadQuery:
-    """What a reader asks for.
+    """Parameters of a read request.
 
     Attributes:
-        start: First offset wanted.
-        limit: Records at most.
-        wait: Seconds to wait for a first record.
+        start: First offset to read.
+        limit: Maximum number of records.
+        wait: Seconds to wait for a record.
     """
 
     start: int
@@ -197,7 +207,7 @@
     try:
         return ReadQuery(
             start=int(query.get("from", "0")),
-            limit=min(MAX_PAGE, int(query.get("limit", "500"))),
+            limit=min(MAX_PAGE_RECORDS, int(query.get("limit", "500"))),
             wait=min(MAX_WAIT, int(query.get("wait_ms", "0")) / 1000),
         )
     except ValueError as error:
@@ -206,8 +216,8 @@
         )
 
 
-async def _wait_for(event: asyncio.Event, seconds: float) -> None:
+async def _wait_for(event: asyncio.Event, timeout: float) -> None:
     try:
-        await asyncio.wait_for(event.wait(), seconds)
+        await asyncio.wait_for(event.wait(), timeout)
     except TimeoutError:
         return
--- a/src/hoistmoor/standins/main.py
+++ b/src/hoistmoor/standins/main.py
@@ -1,4 +1,4 @@
-"""The program ``hoistmoor-standin``: one subcommand a stand-in."""
+"""Command ``hoistmoor-standin``, with a subcommand for each stand-in."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from hoistmoor.standins import programs
 from hoistmoor.standins import runner
 
-_BAD_SETTINGS = 2  # Exit code.
+_EXIT_BAD_SETTINGS = 2
 
 
 @attrs.frozen(kw_only=True)
@@ -28,7 +28,7 @@
 
 @attrs.frozen(kw_only=True)
 class Hosts(flags.HostsFlags):
-    """The platform's list of hosts."""
+    """The platform's host list."""
 
     def __call__(self) -> None:
         """Runs until told to stop."""
@@ -55,7 +55,7 @@
 
 @attrs.frozen(kw_only=True)
 class Platform(flags.PlatformFlags):
-    """Log, host list, ratings and weights on one port."""
+    """Log service, host list, ratings and weight store on one port."""
 
     def __call__(self) -> None:
         """Runs until told to stop."""
@@ -64,7 +64,7 @@
 
 @attrs.frozen(kw_only=True)
 class Engine(flags.EngineFlags):
-    """A model engine with an OpenAI-style interface."""
+    """A model engine with an OpenAI-compatible interface."""
 
     def __call__(self) -> None:
         """Runs until told to stop."""
@@ -93,10 +93,10 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Runs one stand-in.
+    """Runs a stand-in until it is stopped.
 
     Args:
-        arguments: Words after the program's name; None for this process's.
+        arguments: Command line arguments; None for those of this process.
 
     Returns:
         The exit code.
@@ -110,13 +110,13 @@
         )
     except errors.HoistmoorError as error:
         sys.stderr.write(f"hoistmoor-standin: {error}\n")
-        return _BAD_SETTINGS
+        return _EXIT_BAD_SETTINGS
     except OSError as error:
         sys.stderr.write(
             f"hoistmoor-standin: cannot listen: {error}. "
             "Choose another --listen.\n"
         )
-        return _BAD_SETTINGS
+        return _EXIT_BAD_SETTINGS
     return 0
 
 
--- a/src/hoistmoor/standins/marks.py
+++ b/src/hoistmoor/standins/marks.py
@@ -1,7 +1,7 @@
-"""The hidden mark by which an answer carries its own quality.
+"""Quality marks hidden in the text of responses.
 
-The engine puts a word into each answer; the rating service reads from the
-word's hash whether the answer is good. The router has no use for it.
+The engine stand-in adds a mark to each response. The rating service derives
+from the mark's hash whether the response is good. The router ignores marks.
 """
 
 from __future__ import annotations
@@ -14,27 +14,27 @@
 
 
 def make(good: bool, seed: str) -> str:
-    """Returns a mark of that quality; equal arguments give equal marks."""
+    """Returns a mark of the given quality, determined by the arguments."""
     serial = 0
     while True:
         digest = xxhash.xxh3_64_hexdigest(f"{seed}/{serial}".encode())
         mark = f"ref-{digest[:12]}"
-        if _bit(mark) == good:
+        if _is_good(mark) == good:
             return mark
         serial += 1
 
 
 def read(text: str) -> bool | None:
-    """Returns whether a text is good, or None if it carries no mark."""
-    found = _MARK.search(text)
-    return _bit(found.group()) if found else None
+    """Returns whether a text is good, or None if it contains no mark."""
+    match = _MARK.search(text)
+    return _is_good(match.group()) if match else None
 
 
 def uniform(*parts: object) -> float:
-    """Returns a number in [0, 1) that depends on ``parts`` alone."""
+    """Returns a number in [0, 1) that is determined by ``parts``."""
     text = "/".join(map(str, parts))
     return xxhash.xxh3_64_intdigest(text.encode()) / 2**64
 
 
-def _bit(mark: str) -> bool:
+def _is_good(mark: str) -> bool:
     return bool(xxhash.xxh3_64_intdigest(mark.encode()) & 1)
--- a/src/hoistmoor/standins/orders.py
+++ b/src/hoistmoor/standins/orders.py
@@ -1,7 +1,8 @@
-"""The versions that an engine stand-in has loaded, and orders to change them.
+"""Loaded versions of an engine stand-in and orders that change them.
 
-An order states the condition wanted. One engine refuses an order whose
-fencing number is lower than the highest it has seen; another takes any.
+An order states the desired state. Depending on its settings, an engine
+refuses orders whose fencing token is lower than the highest one received, or
+accepts all orders.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 @attrs.frozen
 class OrderRecord:
-    """An order that came, for checkers."""
+    """An order that was received, for checkers."""
 
     at: float
     fencing: int
@@ -34,13 +35,18 @@
 
 @attrs.define
 class Loader:
-    """Follows orders.
+    """Loads and unloads versions as ordered.
 
     Attributes:
-        book: The faults that are on.
+        book: Registry of the active faults.
         loaded: Keys of the versions that serve requests.
-        load_time: Seconds to load one version.
-        honours_fencing: Whether old fencing numbers are refused.
+        load_time: Seconds to load a version.
+        honours_fencing: Whether orders with stale fencing tokens are refused.
+        wanted: Keys of the versions in the desired state.
+        role: Role in the desired state.
+        highest: Highest fencing token accepted; -1 for none.
+        history: All orders received.
+        changed: Set when the desired state changes.
     """
 
     book: fault_book.FaultBook
@@ -54,27 +60,27 @@
     changed: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def __attrs_post_init__(self) -> None:
-        """Wants what is loaded at the start."""
+        """Initializes the desired state from the loaded versions."""
         self.wanted = tuple(sorted(self.loaded))
 
     def add_routes(self, application: web.Application) -> None:
-        """Serves orders and their read-back."""
+        """Registers the routes of orders and of the loader's state."""
         application.router.add_post(_PATH, self.handle_order)
         application.router.add_get(_PATH, self.handle_state)
         application.router.add_get("/_orders", self.handle_history)
 
     @property
     def loading(self) -> tuple[str, ...]:
-        """Versions wanted that do not serve yet."""
+        """Wanted versions that are not loaded yet."""
         return tuple(key for key in self.wanted if key not in self.loaded)
 
     def checks(self) -> bool:
-        """Returns whether old fencing numbers are refused now."""
+        """Returns whether orders with stale fencing tokens are refused now."""
         fault = self.book.first(faults.Fencing)
         return fault.honoured if fault else self.honours_fencing
 
     def state(self) -> dict[str, Any]:
-        """Returns the read-back."""
+        """Returns the desired state and the progress towards it."""
         return {
             "fencing": self.highest,
             "wanted": self.wanted,
@@ -84,7 +90,7 @@
         }
 
     async def run(self) -> None:
-        """Loads what is wanted, one version after the other, for ever."""
+        """Loads wanted versions one at a time until the task is cancelled."""
         while True:
             if not self.loading:
                 self.changed.clear()
@@ -96,7 +102,7 @@
                 self.loaded.add(key)
 
     async def handle_order(self, request: web.Request) -> web.Response:
-        """Takes or refuses an order."""
+        """Accepts or refuses an order."""
         fields = await answers.read_json(request)
         fencing = int(fields["fencing"])
         versions = tuple(fields["wanted"]["versions"])
@@ -112,10 +118,10 @@
         return answers.reply(self.state())
 
     async def handle_state(self, request: web.Request) -> web.Response:
-        """Answers which order is followed."""
+        """Returns the state of the loader."""
         return answers.reply(self.state())
 
     async def handle_history(self, request: web.Request) -> web.Response:
-        """Answers every order that came, for checkers."""
+        """Returns all orders received, for checkers."""
         rows = [attrs.asdict(row) for row in self.history]
         return answers.reply({"orders": rows})
--- a/src/hoistmoor/standins/prefix_cache.py
+++ b/src/hoistmoor/standins/prefix_cache.py
@@ -1,4 +1,4 @@
-"""A prefix cache of limited memory, and the late news of it."""
+"""A bounded prefix cache that publishes its changes as events."""
 
 from __future__ import annotations
 
@@ -7,12 +7,19 @@
 
 import attrs
 
-_EVENTS_KEPT = 10_000
+_MAX_EVENTS = 10_000
 
 
 @attrs.frozen
 class TimedEvent:
-    """One published change of the cache, and when it happened."""
+    """A change of the cache.
+
+    Attributes:
+        at: When it happened, in seconds since the epoch.
+        sequence: Sequence number of the change.
+        stored: Hashes of the blocks that were added.
+        evicted: Hashes of the blocks that were evicted.
+    """
 
     at: float
     sequence: int
@@ -21,30 +28,30 @@
 
 
 class PrefixCache:
-    """Blocks by hash, the least recently used evicted first.
+    """A cache of block hashes with LRU eviction.
 
     Attributes:
-        capacity: Blocks held at most.
-        events: The newest changes, oldest first.
+        capacity: Maximum number of blocks.
+        events: The most recent changes, oldest first.
         next: Sequence number of the next change.
     """
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
-        self.events: deque[TimedEvent] = deque(maxlen=_EVENTS_KEPT)
+        self.events: deque[TimedEvent] = deque(maxlen=_MAX_EVENTS)
         self.next = 0
         self._blocks: OrderedDict[int, None] = OrderedDict()
 
     @property
     def used(self) -> float:
-        """Share of the memory in use, 0 to 1."""
+        """Fraction of the capacity in use, 0 to 1."""
         return len(self._blocks) / max(1, self.capacity)
 
     def use(self, blocks: tuple[int, ...], now: float) -> int:
-        """Makes a prompt's blocks resident.
+        """Adds the blocks of a prompt and marks them as recently used.
 
         Returns:
-            How many leading blocks were resident already.
+            Number of leading blocks that were in the cache already.
         """
         hits = self._leading_hits(blocks)
         stored = tuple(block for block in blocks if block not in self._blocks)
@@ -61,7 +68,12 @@
     def published(
         self, since: int, until: float
     ) -> tuple[int, list[TimedEvent]]:
-        """Returns where to read on, and the events known by ``until``."""
+        """Returns the next sequence number to read and the visible events.
+
+        Args:
+            since: First sequence number to return.
+            until: Time of the newest event to return.
+        """
         rows = [
             event
             for event in self.events
--- a/src/hoistmoor/standins/programs.py
+++ b/src/hoistmoor/standins/programs.py
@@ -1,4 +1,4 @@
-"""Puts each stand-in together from its parts and its flags."""
+"""Factories that build each stand-in's program from its flags."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
     from hoistmoor.standins import flags as flags_module
 
-_F = TypeVar("_F")
+_Flags = TypeVar("_Flags")
 
-_LINGER = 0.5  # Seconds; see ``runner.Program``.
+_LINGER_SECONDS = 0.5  # See ``runner.Program.linger``.
 
 
-def _log(
+def _make_log(
     flags: flags_module.LogFlags, book: fault_book.FaultBook
 ) -> log_module.LogStandin:
     return log_module.LogStandin(
@@ -35,14 +35,14 @@
     )
 
 
-def _hosts(
+def _make_hosts(
     flags: flags_module.HostsFlags, book: fault_book.FaultBook
 ) -> hosts_module.HostListStandin:
     rows = options.parse_hosts(flags.host)
     return hosts_module.HostListStandin(book, flags.hosts_lag, rows)
 
 
-def _ratings(
+def _make_ratings(
     flags: flags_module.RatingsFlags, book: fault_book.FaultBook
 ) -> ratings_module.RatingsStandin:
     return ratings_module.RatingsStandin(
@@ -50,22 +50,25 @@
     )
 
 
-def _weights(
+def _make_weights(
     flags: flags_module.WeightsFlags, book: fault_book.FaultBook
 ) -> weights_module.WeightStoreStandin:
-    del book  # Its faults stand before the handlers, as for the others.
+    del book  # The middleware injects all faults of the weight store.
     return weights_module.WeightStoreStandin(flags.weights_rate)
 
 
-class _Part(Protocol):
+class _Service(Protocol):
     def add_routes(self, application: aiohttp_web.Application) -> None:
-        """Serves a part's wire interface."""
+        """Registers the routes of a service."""
 
 
-def _serve(
-    flags: _F, *makers: Callable[[_F, fault_book.FaultBook], _Part]
+def _make_program(
+    flags: _Flags, *makers: Callable[[_Flags, fault_book.FaultBook], _Service]
 ) -> runner.Program:
-    """Returns parts of the platform on one port, with one book of faults."""
+    """Returns a program that serves platform services on one port.
+
+    The services share a registry of faults.
+    """
     book = fault_book.FaultBook()
     application = web.make_application(book)
     for make in makers:
@@ -74,32 +77,34 @@
 
 
 def log(flags: flags_module.LogFlags) -> runner.Program:
-    """Returns the log service alone."""
-    return _serve(flags, _log)
+    """Returns a program with the log service only."""
+    return _make_program(flags, _make_log)
 
 
 def hosts(flags: flags_module.HostsFlags) -> runner.Program:
-    """Returns the host list alone."""
-    return _serve(flags, _hosts)
+    """Returns a program with the host list only."""
+    return _make_program(flags, _make_hosts)
 
 
 def ratings(flags: flags_module.RatingsFlags) -> runner.Program:
-    """Returns the rating service alone."""
-    return _serve(flags, _ratings)
+    """Returns a program with the rating service only."""
+    return _make_program(flags, _make_ratings)
 
 
 def weights(flags: flags_module.WeightsFlags) -> runner.Program:
-    """Returns the weight store alone."""
-    return _serve(flags, _weights)
+    """Returns a program with the weight store only."""
+    return _make_program(flags, _make_weights)
 
 
 def platform(flags: flags_module.PlatformFlags) -> runner.Program:
-    """Returns the whole platform on one port."""
-    return _serve(flags, _log, _hosts, _ratings, _weights)
+    """Returns a program with all platform services on one port."""
+    return _make_program(
+        flags, _make_log, _make_hosts, _make_ratings, _make_weights
+    )
 
 
 def engine(settings: engine_module.EngineSettings) -> runner.Program:
-    """Returns a model engine."""
+    """Returns a program with a model engine."""
     book = fault_book.FaultBook()
     application = web.make_application(book)
     standin = engine_module.EngineStandin(book, settings)
@@ -109,12 +114,12 @@
         tasks=(standin.batch.run, standin.loader.run, standin.reports.run),
         stop=standin.stop,
         is_idle=lambda: not standin.in_flight,
-        linger=_LINGER,
+        linger=_LINGER_SECONDS,
     )
 
 
 def service(settings: service_module.ServiceSettings) -> runner.Program:
-    """Returns a plain service."""
+    """Returns a program with a plain service."""
     book = fault_book.FaultBook()
     application = web.make_application(book)
     standin = service_module.ServiceStandin(book, settings)
@@ -124,5 +129,5 @@
         tasks=(standin.reports.run,),
         stop=standin.stop,
         is_idle=lambda: standin.is_idle,
-        linger=_LINGER,
+        linger=_LINGER_SECONDS,
     )
--- a/src/hoistmoor/standins/prompts.py
+++ b/src/hoistmoor/standins/prompts.py
@@ -1,4 +1,4 @@
-"""What the engine stand-in makes of a prompt, and the answers it gives."""
+"""Analysis of prompts and generation of responses in the engine stand-in."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 from hoistmoor.standins import marks
 
-BLOCK_BYTES = 512  # Bytes of the prompt's JSON form in a cache block.
-MOST_BLOCKS = 16
+BLOCK_BYTES = 512  # Bytes of the JSON-encoded prompt per cache block.
+MAX_BLOCKS = 16
 _BYTES_PER_TOKEN = 4
 
 _TEXT = (
@@ -23,12 +23,12 @@
 
 @attrs.frozen
 class Prompt:
-    """A prompt, measured.
+    """A measured prompt.
 
     Attributes:
-        text: Its JSON form.
-        tokens: Its length.
-        blocks: Hash of the prefix up to the end of each whole block.
+        text: The messages in JSON.
+        tokens: Length in tokens.
+        blocks: Hashes of the prefixes that end with each complete block.
     """
 
     text: bytes
@@ -38,13 +38,13 @@
 
 @attrs.frozen
 class Script:
-    """The answer that a version will give to a prompt.
+    """The predetermined response of a version to a prompt.
 
     Attributes:
-        words: One a token; the first is the hidden quality mark.
+        words: One word per token; the first is the hidden quality mark.
         finish_reason: ``stop`` or ``length``.
         confidence: Mean token probability, 0 to 1.
-        good: Whether the answer is good.
+        good: Whether the response is good.
     """
 
     words: tuple[str, ...]
@@ -54,35 +54,35 @@
 
 
 def measure(messages: Any) -> Prompt:
-    """Returns the prompt that a body's ``messages`` spell."""
+    """Returns the prompt in the ``messages`` of a request's body."""
     text = orjson.dumps(messages)
     return Prompt(text, max(1, len(text) // _BYTES_PER_TOKEN), _blocks(text))
 
 
 def is_good(prompt: Prompt, quality: float, seed: int) -> bool:
-    """Returns whether a version of that quality answers a prompt well.
+    """Returns whether a version of the given quality responds well.
 
-    Each prompt has a difficulty, the same for all versions: what a version
-    answers well, a better one answers well too.
+    The difficulty of a prompt is the same for all versions, so a version of
+    higher quality responds well to every prompt that a lower one does.
     """
     return marks.uniform(seed, "difficulty", prompt.text) < quality
 
 
 def write(
-    prompt: Prompt, version: str, good: bool, length: int, most: int
+    prompt: Prompt, version: str, good: bool, length: int, max_tokens: int
 ) -> Script:
-    """Writes the answer of a version.
+    """Returns the response of a version to a prompt.
 
     Args:
-        prompt: What to answer.
+        prompt: Prompt to respond to.
         version: Key of the version.
-        good: Whether the answer is to be good.
-        length: Tokens that answers have on average.
-        most: Tokens that the caller allows.
+        good: Whether the response is good.
+        length: Mean length of responses in tokens.
+        max_tokens: Maximum number of tokens that the caller allows.
     """
     chance = marks.uniform("length", version, prompt.text)
     wanted = max(1, round(length * (0.5 + chance)))
-    count = min(wanted, most)
+    count = min(wanted, max_tokens)
     start = int(chance * len(_WORDS))
     words = [_WORDS[(start + i) % len(_WORDS)] for i in range(count)]
     words[0] = marks.make(
@@ -103,7 +103,7 @@
 
 
 def _blocks(text: bytes) -> tuple[int, ...]:
-    count = min(len(text) // BLOCK_BYTES, MOST_BLOCKS)
+    count = min(len(text) // BLOCK_BYTES, MAX_BLOCKS)
     digest = xxhash.xxh3_64()
     hashes = []
     for block in range(count):
--- a/src/hoistmoor/standins/rates.py
+++ b/src/hoistmoor/standins/rates.py
@@ -1,10 +1,16 @@
-"""A bound on calls a second."""
+"""Rate limiting by a token bucket."""
 
 from __future__ import annotations
 
 
 class RateBound:
-    """Lets a number of calls a second through; bursts last one second."""
+    """A token bucket that admits bursts of up to one second's calls.
+
+    Attributes:
+        per_second: Calls admitted per second; 0 for no limit.
+        tokens: Calls that may be admitted at once.
+        filled_at: When tokens were last added, in seconds.
+    """
 
     def __init__(self, per_second: float) -> None:
         self.per_second = per_second
@@ -12,7 +18,7 @@
         self.filled_at = 0.0
 
     def take(self, now: float) -> bool:
-        """Returns whether a call may go on; 0 a second means no bound."""
+        """Takes a token and returns whether the call is admitted."""
         if not self.per_second:
             return True
         gained = (now - self.filled_at) * self.per_second
--- a/src/hoistmoor/standins/ratings.py
+++ b/src/hoistmoor/standins/ratings.py
@@ -1,4 +1,7 @@
-"""Stand-in for the platform's service that rates answers, late and sparse."""
+"""Stand-in for the platform's rating service.
+
+It rates a fraction of the submitted responses, after a delay.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 from hoistmoor.standins import marks
 
 _PATH = "/ratings"
-_KEPT = 100_000  # Ratings kept for readers.
+_MAX_RATINGS = 100_000  # Number kept for readers.
 
 
 @attrs.define
@@ -26,10 +29,14 @@
     """The rating service.
 
     Attributes:
-        book: The faults that are on.
-        share: Share of the answers that get a rating, 0 to 1.
-        delay: Seconds from an answer's submission to its rating.
-        seed: Chooses which answers get one.
+        book: Registry of the active faults.
+        share: Fraction of the responses that are rated, 0 to 1.
+        delay: Seconds from the submission of a response to its rating.
+        seed: Seed that determines which responses are rated.
+        first: Offset of the oldest rating kept.
+        made: Ratings kept for readers, oldest first.
+        pending: Heap of responses to rate, by time of submission.
+        submitted: Ids of all responses submitted.
     """
 
     book: fault_book.FaultBook
@@ -42,12 +49,12 @@
     submitted: set[str] = attrs.field(factory=set)
 
     def add_routes(self, application: web.Application) -> None:
-        """Serves the rating service's part of the wire interface."""
+        """Registers the routes of the rating service."""
         application.router.add_post(_PATH + "/answers", self.handle_submit)
         application.router.add_get(_PATH, self.handle_poll)
 
     def submit(self, answer: ratings.Answer, now: float) -> None:
-        """Takes an answer; one that was taken before is ignored."""
+        """Accepts a response for rating and ignores a duplicate."""
         if answer.answer_id in self.submitted:
             return
         self.submitted.add(answer.answer_id)
@@ -58,20 +65,20 @@
         heapq.heappush(self.pending, (now, serial, answer))
 
     def rate(self, now: float) -> None:
-        """Makes the ratings that are due by ``now``."""
-        ready = now - self.delay - self.book.lag(_PATH)
-        while self.pending and self.pending[0][0] <= ready:
+        """Rates the responses whose rating is due at ``now``."""
+        submitted_by = now - self.delay - self.book.lag(_PATH)
+        while self.pending and self.pending[0][0] <= submitted_by:
             answer = heapq.heappop(self.pending)[2]
             gap = self.book.take(faults.Gap)
             if gap is None or gap.applied % gap.every:
-                self.made.append(_rating(answer, now))
-        excess = len(self.made) - _KEPT
+                self.made.append(_make_rating(answer, now))
+        excess = len(self.made) - _MAX_RATINGS
         if excess > 0:
             del self.made[:excess]
             self.first += excess
 
     async def handle_submit(self, request: web.Request) -> web.Response:
-        """Takes a list of answers."""
+        """Accepts a list of responses."""
         fields = await answers.read_json(request)
         try:
             submitted = codec.structure(fields, list[ratings.Answer])
@@ -83,7 +90,7 @@
         return answers.reply({"taken": len(submitted)}, 202)
 
     async def handle_poll(self, request: web.Request) -> web.Response:
-        """Answers the ratings made since an offset."""
+        """Returns the ratings from an offset on."""
         self.rate(time.time())
         start = max(self.first, int(request.query.get("from", "0")))
         limit = int(request.query.get("limit", "1000"))
@@ -96,7 +103,7 @@
         )
 
 
-def _rating(answer: ratings.Answer, now: float) -> messages.Rating:
+def _make_rating(answer: ratings.Answer, now: float) -> messages.Rating:
     return messages.Rating(
         answer_id=answer.answer_id,
         model=answer.model,
--- a/src/hoistmoor/standins/runner.py
+++ b/src/hoistmoor/standins/runner.py
@@ -1,4 +1,4 @@
-"""Runs a stand-in until it is told to stop, then stops it gracefully."""
+"""Runs a stand-in until a signal arrives, then stops it gracefully."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 from hoistmoor.standins import options
 from hoistmoor.standins import web as standin_web
 
-_IDLE_POLL = 0.02  # Seconds between looks at whether work is left.
-_LONGEST_STOP = 60.0  # Seconds that work in flight gets at a stop.
-_CLOSE_TIMEOUT = 0.5  # Seconds for handlers that a fault holds up.
-_BACKLOG = 4096  # Connections that may wait to be accepted.
+_IDLE_POLL_INTERVAL = 0.02  # Seconds between checks for work in flight.
+_MAX_STOP_SECONDS = 60.0  # Time that work in flight gets to complete.
+_CLOSE_TIMEOUT = 0.5  # Seconds for handlers that a fault blocks.
+_BACKLOG = 4096  # Maximum number of connections waiting to be accepted.
 
 
 @attrs.frozen
 class Program:
-    """What to run.
+    """A stand-in to run.
 
     Attributes:
-        application: The stand-in's routes.
-        tasks: Loops that run beside it.
-        stop: Called at a stop, before the work in flight is waited for.
-        is_idle: Whether no work is in flight.
-        linger: Seconds that a stop goes on to decline new work, so that no
-            request that is on its way is cut.
+        application: Application with the routes of the stand-in.
+        tasks: Background tasks of the stand-in.
+        stop: Called when a stop begins, before waiting for work in flight.
+        is_idle: Returns whether no work is in flight.
+        linger: Seconds for which a stopping stand-in continues to decline new
+            work, so that requests already on their way are not cut off.
     """
 
     application: web.Application
@@ -54,29 +54,29 @@
     port: int = 0,
     linger: float = 0.0,
 ) -> AsyncIterator[str]:
-    """Serves a program for the length of the block.
+    """Serves a program within the context.
 
     Args:
-        program: What to serve.
-        host: IP number to listen on.
-        port: Port to listen on; 0 for any free one.
-        linger: Seconds that open connections get to end in order.
+        program: Program to serve.
+        host: IP address to listen on.
+        port: Port to listen on; 0 for any free port.
+        linger: Seconds that open connections get to close gracefully.
 
     Yields:
-        The ``ip:port`` that it listens on.
+        The ``ip:port`` that the program listens on.
     """
     runner = web.AppRunner(
         program.application, access_log=None, shutdown_timeout=_CLOSE_TIMEOUT
     )
     await runner.setup()
-    tasks = [asyncio.create_task(make()) for make in program.tasks]
+    tasks = [asyncio.create_task(run_task()) for run_task in program.tasks]
     try:
         site = web.TCPSite(runner, host, port, backlog=_BACKLOG)
         await site.start()
         bound_host, bound_port = runner.addresses[0][:2]
         yield f"{bound_host}:{bound_port}"
-        # No new connections; the open ones end with their next answer, since
-        # a close at any other time could cut a request that is on its way.
+        # Accepts no new connections. Open ones close after their next response,
+        # since closing at any other time could cut off a request on its way.
         await site.stop()
         program.application[standin_web.CLOSING].set()
         await asyncio.sleep(linger)
@@ -91,15 +91,15 @@
     make_program: Callable[[], Program], host: str, port: int
 ) -> None:
     program = make_program()
-    stopped = _catch_signals()
+    stopped = _handle_signals()
     async with running(program, host, port, program.linger) as address:
         sys.stdout.write(f"LISTENING {address}\n")
         sys.stdout.flush()
         await stopped.wait()
-        await _finish_work(program)
+        await _drain(program)
 
 
-def _catch_signals() -> asyncio.Event:
+def _handle_signals() -> asyncio.Event:
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -107,11 +107,11 @@
     return stopped
 
 
-async def _finish_work(program: Program) -> None:
+async def _drain(program: Program) -> None:
     program.stop()
     await asyncio.sleep(program.linger)
-    deadline = asyncio.get_running_loop().time() + _LONGEST_STOP
+    deadline = asyncio.get_running_loop().time() + _MAX_STOP_SECONDS
     while not program.is_idle():
         if asyncio.get_running_loop().time() > deadline:
             return
-        await asyncio.sleep(_IDLE_POLL)
+        await asyncio.sleep(_IDLE_POLL_INTERVAL)
--- a/src/hoistmoor/standins/service.py
+++ b/src/hoistmoor/standins/service.py
@@ -1,7 +1,7 @@
 """Stand-in for a plain service, such as a top-up counter or a booking desk.
 
-A POST or PUT has an effect each time that it runs, as a real one would: only
-the router keeps it from running twice.
+As with a real service, a POST or PUT takes effect each time it is executed:
+only the router prevents duplicate executions.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 if TYPE_CHECKING:
     from aiohttp import web
 
-_READS = frozenset({"GET", "HEAD"})
+_READ_METHODS = frozenset({"GET", "HEAD"})
 
 
 @attrs.frozen
 class ServiceSettings:
-    """How a service stand-in behaves.
+    """Settings of a service stand-in.
 
     Attributes:
         name: Name of the backend server.
-        incarnation: Which run of it this is.
-        capacity: Calls in service at once.
-        queue_limit: Calls that may wait.
-        service_time: Seconds a call takes.
+        incarnation: Incarnation of the backend server.
+        capacity: Maximum number of calls in service.
+        queue_limit: Maximum number of waiting calls.
+        service_time: Duration of a call in seconds.
         report_interval: Seconds between load reports.
     """
 
@@ -47,7 +47,7 @@
 
 
 class ServiceStandin:
-    """The service: what was done to each subject, by its id."""
+    """A service that stores the effects of calls by the id of their subject."""
 
     def __init__(
         self, book: fault_book.FaultBook, settings: ServiceSettings
@@ -65,7 +65,7 @@
         )
 
     def add_routes(self, application: web.Application) -> None:
-        """Serves the service's wire interface."""
+        """Registers the routes of the service."""
         self.executions.add_routes(application)
         self.reports.add_routes(application)
         application.router.add_route("*", "/{path:.*}", self.handle_call)
@@ -77,15 +77,15 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no call is in service or waits."""
+        """Whether no call is in service or waiting."""
         return not self.running and not self.queued
 
     def stop(self) -> None:
-        """Takes no new work from now on."""
+        """Declines new work from now on."""
         self.stopping = True
 
     def load(self) -> dict[str, Any]:
-        """Returns the load of now."""
+        """Returns the current load report."""
         return {
             "server": self.settings.name,
             "incarnation": self.settings.incarnation,
@@ -98,25 +98,27 @@
         }
 
     async def handle_call(self, request: web.Request) -> web.Response:
-        """Runs a call, unless the service says that it does not."""
+        """Executes or declines a call."""
         body = await request.read()
         reason = self._reason_to_decline()
         if reason:
-            answer = answers.declined(reason)
+            response = answers.declined(reason)
         else:
-            answer = await self._run(request, body)
-        answers.echo_attempt(request, answer)
-        return answer
+            response = await self._execute_in_slot(request, body)
+        answers.echo_attempt(request, response)
+        return response
 
     def _reason_to_decline(self) -> str:
         if self.is_leaving:
             return answers.LEAVING
-        full = self.running >= self.settings.capacity
-        if full and self.queued >= self.settings.queue_limit:
+        is_busy = self.running >= self.settings.capacity
+        if is_busy and self.queued >= self.settings.queue_limit:
             return "full"
         return ""
 
-    async def _run(self, request: web.Request, body: bytes) -> web.Response:
+    async def _execute_in_slot(
+        self, request: web.Request, body: bytes
+    ) -> web.Response:
         self.queued += 1
         try:
             await self.slots.acquire()
@@ -124,17 +126,17 @@
             self.queued -= 1
         self.running += 1
         try:
-            return await self._serve(request, body)
+            return await self._execute(request, body)
         finally:
             self.running -= 1
             self.slots.release()
 
-    async def _serve(self, request: web.Request, body: bytes) -> web.Response:
+    async def _execute(self, request: web.Request, body: bytes) -> web.Response:
         text = body.decode(errors="replace")
         run = self.executions.start(request, text, time.time())
         await asyncio.sleep(self.settings.service_time * self.book.slowness())
         run.state = "done"
-        if request.method in _READS:
+        if request.method in _READ_METHODS:
             return self._read(request)
         return self._apply(request, body, run)
 
--- a/src/hoistmoor/standins/web.py
+++ b/src/hoistmoor/standins/web.py
@@ -1,4 +1,4 @@
-"""The HTTP application that all stand-ins start from."""
+"""Base HTTP application of all stand-ins."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 def make_application(book: fault_book.FaultBook) -> web.Application:
-    """Returns an application that shows the faults of ``book``."""
+    """Returns an application that injects the faults of ``book``."""
     application = web.Application(
         middlewares=[fault_points.show_faults], client_max_size=MAX_BODY_BYTES
     )
     application[fault_points.FAULTS] = book
     application[CLOSING] = asyncio.Event()
-    application.on_response_prepare.append(_close_in_order)
+    application.on_response_prepare.append(_close_gracefully)
     application.router.add_post(_FAULTS_PATH, _add_fault)
     application.router.add_get(_FAULTS_PATH, _list_faults)
     application.router.add_delete(_FAULTS_PATH, _clear_faults)
@@ -34,10 +34,10 @@
     return application
 
 
-async def _close_in_order(
+async def _close_gracefully(
     request: web.Request, response: web.StreamResponse
 ) -> None:
-    """Ends each connection with its answer, once the stand-in stops."""
+    """Closes a connection after its response if the stand-in is stopping."""
     if request.app[CLOSING].is_set():
         response.headers["Connection"] = "close"
         response.force_close()
@@ -70,5 +70,5 @@
 
 async def _clear_fault(request: web.Request) -> web.Response:
     number = int(request.match_info["number"])
-    known = request.app[fault_points.FAULTS].faults.pop(number, None)
-    return answers.reply({}, 200 if known else 404)
+    removed = request.app[fault_points.FAULTS].faults.pop(number, None)
+    return answers.reply({}, 200 if removed else 404)
--- a/src/hoistmoor/standins/weights.py
+++ b/src/hoistmoor/standins/weights.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's weight store, which is rate-limited."""
+"""Stand-in for the platform's rate-limited weight store."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 
 
 class WeightStoreStandin:
-    """The weight store; it knows every version."""
+    """A weight store that contains every version."""
 
     def __init__(self, calls_per_second: float = 5.0) -> None:
         self.bound = rates.RateBound(calls_per_second)
 
     def add_routes(self, application: web.Application) -> None:
-        """Serves the weight store's part of the wire interface."""
+        """Registers the routes of the weight store."""
         application.router.add_get(
             "/weights/{model}/{version}", self.handle_info
         )
 
     async def handle_info(self, request: web.Request) -> web.Response:
-        """Answers what the store holds of one version."""
+        """Returns the size and the digest of a version's weights."""
         if not self.bound.take(time.time()):
-            answer = answers.reply({"error": "rate-limited"}, 429)
-            answer.headers["Retry-After"] = "1"
-            return answer
+            response = answers.reply({"error": "rate-limited"}, 429)
+            response.headers["Retry-After"] = "1"
+            return response
         model = request.match_info["model"]
         version = request.match_info["version"]
         digest = xxhash.xxh3_128_hexdigest(f"{model}@{version}".encode())
