--- a/src/hoistmoor/standins/batch.py
+++ b/src/hoistmoor/standins/batch.py
@@ -122,9 +122,7 @@
             sequence.made += 1
             self.tokens += 1
             sequence.news.set()
-        self.running = [
-            sequence for sequence in self.running if not sequence.ended
-        ]
+        self.running = [other for other in self.running if not other.ended]
         self._fill_slots(now)
 
     def _fill_slots(self, now: float) -> None:
--- a/tests/standins/conftest.py
+++ b/tests/standins/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the stand-ins' tests."""
+"""Fixtures that run stand-ins in the process of the tests."""
 
 from __future__ import annotations
 
@@ -22,35 +22,38 @@
 from hoistmoor.standins import runner
 from hoistmoor.standins import service
 
-_BOUND = 60.0  # Seconds; only ends a test that hangs.
-_CHAT = "/v1/chat/completions"
+_TIMEOUT = 60.0  # Seconds after which a test that hangs fails.
+_CHAT_PATH = "/v1/chat/completions"
 
 
 @attrs.frozen
-class Rig:
-    """A running stand-in, a session to talk to it, and its faults."""
+class RunningStandin:
+    """A running stand-in, with an HTTP session and its registry of faults."""
 
     url: str
     session: aiohttp.ClientSession
     book: fault_book.FaultBook
 
-    async def ask(
+    async def request(
         self, method: str, path: str, body: Any = None, **headers: str
     ) -> tuple[int, Any]:
-        """Returns the status and the JSON body of an answer."""
-        named = {key.replace("_", "-"): headers[key] for key in headers}
+        """Sends a request; returns the response's status and JSON body."""
+        header_fields = {key.replace("_", "-"): headers[key] for key in headers}
         async with self.session.request(
-            method, self.url + path, json=body, headers=named
-        ) as reply:
-            return reply.status, orjson.loads(await reply.read() or b"null")
+            method, self.url + path, json=body, headers=header_fields
+        ) as response:
+            return (
+                response.status,
+                orjson.loads(await response.read() or b"null"),
+            )
 
     async def chat(
         self, text: str = "hello", attempt: str = "h.1.1.1", **fields: Any
     ) -> tuple[int, Any]:
-        """Returns the status and the JSON body of a completion."""
-        return await self.ask(
+        """Requests a completion; returns its status and its JSON body."""
+        return await self.request(
             "POST",
-            _CHAT,
+            _CHAT_PATH,
             self.chat_body(text, **fields),
             X_Attempt_Id=attempt,
         )
@@ -58,10 +61,10 @@
     async def stream(
         self, attempt: str = "h.1.1.1"
     ) -> tuple[exchange.Exchange, list[bytes]]:
-        """Returns the exchange of a streamed completion, and its frames."""
+        """Streams a completion; returns its exchange and its frames."""
         body = orjson.dumps(self.chat_body(stream=True))
         request = exchange.BackendRequest(
-            "POST", self.url + _CHAT, attempt, body=body
+            "POST", self.url + _CHAT_PATH, attempt, body=body
         )
         opened = exchange.Exchange(self.session, request)
         ended = await ended_exchange.run(opened)
@@ -77,37 +80,39 @@
         }
 
     async def executions(self) -> list[dict[str, Any]]:
-        """Returns what the stand-in ran."""
-        _, listing = await self.ask("GET", "/_executions")
+        """Returns the executions that the stand-in recorded."""
+        _, listing = await self.request("GET", "/_executions")
         rows: list[dict[str, Any]] = listing["executions"]
         return rows
 
-    async def has_run(self, count: int) -> None:
-        """Returns once the stand-in has begun so many requests."""
-        async with asyncio.timeout(_BOUND):
+    async def wait_for_executions(self, count: int) -> None:
+        """Waits until the stand-in has started ``count`` executions."""
+        async with asyncio.timeout(_TIMEOUT):
             while len(await self.executions()) < count:
                 await asyncio.sleep(0)
 
 
-Start = Callable[[runner.Program], Coroutine[Any, Any, Rig]]
+StartProgram = Callable[[runner.Program], Coroutine[Any, Any, RunningStandin]]
 
 
 @pytest.fixture
-async def start() -> AsyncIterator[Start]:
+async def start_program() -> AsyncIterator[StartProgram]:
     async with contextlib.AsyncExitStack() as stack:
         session = await stack.enter_async_context(sessions.make_session())
 
-        async def run(program: runner.Program) -> Rig:
+        async def run(program: runner.Program) -> RunningStandin:
             address = await stack.enter_async_context(runner.running(program))
             book = program.application[fault_points.FAULTS]
-            return Rig(f"http://{address}", session, book)
+            return RunningStandin(f"http://{address}", session, book)
 
         yield run
 
 
 @pytest.fixture
-def start_engine(start: Start) -> Callable[..., Coroutine[Any, Any, Rig]]:
-    async def run(**changes: Any) -> Rig:
+def start_engine(
+    start_program: StartProgram,
+) -> Callable[..., Coroutine[Any, Any, RunningStandin]]:
+    async def run(**changes: Any) -> RunningStandin:
         settings = engine.EngineSettings(
             name="engine-1",
             incarnation=7,
@@ -117,17 +122,23 @@
             prefill_time=0.0,
             report_interval=0.0,
         )
-        return await start(programs.engine(attrs.evolve(settings, **changes)))
+        return await start_program(
+            programs.engine(attrs.evolve(settings, **changes))
+        )
 
     return run
 
 
 @pytest.fixture
-def start_service(start: Start) -> Callable[..., Coroutine[Any, Any, Rig]]:
-    async def run(**changes: Any) -> Rig:
+def start_service(
+    start_program: StartProgram,
+) -> Callable[..., Coroutine[Any, Any, RunningStandin]]:
+    async def run(**changes: Any) -> RunningStandin:
         settings = service.ServiceSettings(
             name="counter-1", incarnation=7, report_interval=0.0
         )
-        return await start(programs.service(attrs.evolve(settings, **changes)))
+        return await start_program(
+            programs.service(attrs.evolve(settings, **changes))
+        )
 
     return run
--- a/tests/standins/test_standins_engine.py
+++ b/tests/standins/test_standins_engine.py
@@ -1,4 +1,4 @@
-"""The engine stand-in: answers, slots, quality, orders and faults."""
+"""Responses, slots, quality, cancellation and faults of the engine."""
 
 from __future__ import annotations
 
@@ -19,27 +19,29 @@
 from hoistmoor.standins import marks
 from hoistmoor.standins import prompts
 
-START = Callable[..., Any]
+StartStandin = Callable[..., Any]
 
 
-def text_of(answer: Any) -> str:
-    return str(answer["choices"][0]["message"]["content"])
+def text_of(completion: Any) -> str:
+    return str(completion["choices"][0]["message"]["content"])
 
 
-async def test_stream_and_whole_answer_agree(start_engine: START) -> None:
-    rig = await start_engine()
-    _, whole = await rig.chat()
-    opened, frames = await rig.stream()
-    parts = [orjson.loads(frame[6:]) for frame in frames[:-1]]
+async def test_streamed_and_whole_responses_agree(
+    start_engine: StartStandin,
+) -> None:
+    standin = await start_engine()
+    _, whole = await standin.chat()
+    opened, frames = await standin.stream()
+    chunks = [orjson.loads(frame[6:]) for frame in frames[:-1]]
     streamed = "".join(
-        part["choices"][0]["delta"].get("content", "") for part in parts
+        chunk["choices"][0]["delta"].get("content", "") for chunk in chunks
     )
     assertions.assert_that(streamed, matchers.Equals(text_of(whole)))
     assertions.assert_that(
-        {part["attempt_id"] for part in parts}, matchers.Equals({"h.1.1.1"})
+        {chunk["attempt_id"] for chunk in chunks}, matchers.Equals({"h.1.1.1"})
     )
     assertions.assert_that(
-        (parts[-1]["usage"], parts[-1]["confidence"]),
+        (chunks[-1]["usage"], chunks[-1]["confidence"]),
         matchers.Equals((whole["usage"], whole["confidence"])),
     )
     assertions.assert_that(
@@ -47,18 +49,22 @@
     )
 
 
-async def test_answers_carry_their_quality(start_engine: START) -> None:
-    rig = await start_engine(
+async def test_responses_have_the_quality_of_their_version(
+    start_engine: StartStandin,
+) -> None:
+    standin = await start_engine(
         quality={"fast@1": 0.6, "dear@1": 0.9},
         loaded=frozenset({"fast@1", "dear@1"}),
     )
     good: dict[str, set[int]] = {"fast@1": set(), "dear@1": set()}
     for number in range(100):
-        for version, prompts_ in good.items():
-            _, answer = await rig.chat(f"question {number}", model=version)
-            if marks.read(text_of(answer)):
-                prompts_.add(number)
-    # What a version answers well, a better one answers well too.
+        for version, good_prompts in good.items():
+            _, response = await standin.chat(
+                f"question {number}", model=version
+            )
+            if marks.read(text_of(response)):
+                good_prompts.add(number)
+    # A better version responds well to every prompt that a worse one does.
     assertions.assert_that(good["fast@1"] < good["dear@1"], matchers.Is(True))
     assertions.assert_that(
         50 < len(good["fast@1"]) < 70 < len(good["dear@1"]) < 100,
@@ -66,11 +72,11 @@
     )
 
 
-async def test_version_turns_bad_from_its_nth_answer(
-    start_engine: START,
+async def test_version_degrades_from_its_nth_response(
+    start_engine: StartStandin,
 ) -> None:
-    rig = await start_engine()
-    status, _ = await rig.ask(
+    standin = await start_engine()
+    status, _ = await standin.request(
         "POST",
         "/_faults",
         {
@@ -81,12 +87,12 @@
         },
     )
     assertions.assert_that(status, matchers.Equals(200))
-    seen = []
+    qualities = []
     for text in ("skip", "skip", "other", "skip", "other", "skip"):
-        _, answer = await rig.chat(text)
-        seen.append(marks.read(text_of(answer)))
+        _, response = await standin.chat(text)
+        qualities.append(marks.read(text_of(response)))
     assertions.assert_that(
-        seen, matchers.Equals([True, True, True, False, True, False])
+        qualities, matchers.Equals([True, True, True, False, True, False])
     )
 
 
@@ -102,107 +108,121 @@
         (faults.Leaving(), outcomes.ExchangeState.DECLINED),
     ],
 )
-async def test_faults_of_a_stream(
-    start_engine: START, fault: faults.Fault, state: outcomes.ExchangeState
+async def test_stream_faults(
+    start_engine: StartStandin,
+    fault: faults.Fault,
+    state: outcomes.ExchangeState,
 ) -> None:
-    rig = await start_engine(token_time=0.002)
-    rig.book.add(fault)
-    opened, frames = await rig.stream()
+    standin = await start_engine(token_time=0.002)
+    standin.book.add(fault)
+    opened, frames = await standin.stream()
     assertions.assert_that(opened.state, matchers.Is(state))
     assertions.assert_that(
         b"".join(frames), matchers.Not(matchers.Contains(b"CROSSED"))
     )
-    ran = await rig.executions()
+    executions = await standin.executions()
     expected = 0 if state is outcomes.ExchangeState.DECLINED else 1
     if isinstance(fault, faults.CutBeforeAnswer):
         expected = 0
-    assertions.assert_that(ran, matchers.HasLength(expected))
+    assertions.assert_that(executions, matchers.HasLength(expected))
 
 
-async def test_late_answer_reaches_nobody(start_engine: START) -> None:
-    rig = await start_engine()
-    rig.book.add(faults.LateAnswer())
+async def test_unsolicited_response_is_discarded(
+    start_engine: StartStandin,
+) -> None:
+    standin = await start_engine()
+    standin.book.add(faults.LateAnswer())
     for number in range(5):
-        opened, _ = await rig.stream(f"h.1.1.{number}")
+        opened, _ = await standin.stream(f"h.1.1.{number}")
         assertions.assert_that(
             opened.state, matchers.Is(outcomes.ExchangeState.ANSWERED)
         )
 
 
-async def test_full_and_unknown_are_declined(start_engine: START) -> None:
-    rig = await start_engine(capacity=1, queue_limit=1, token_time=30.0)
-    first = [
-        asyncio.create_task(rig.chat(attempt=f"h.1.1.{number}"))
+async def test_full_engine_and_unknown_version_decline(
+    start_engine: StartStandin,
+) -> None:
+    standin = await start_engine(capacity=1, queue_limit=1, token_time=30.0)
+    tasks = [
+        asyncio.create_task(standin.chat(attempt=f"h.1.1.{number}"))
         for number in (1, 2)
     ]
-    await rig.has_run(2)
-    status, answer = await rig.chat(attempt="h.1.1.3")
+    await standin.wait_for_executions(2)
+    status, response = await standin.chat(attempt="h.1.1.3")
     assertions.assert_that(status, matchers.Equals(503))
-    assertions.assert_that(answer["error"]["message"], matchers.Equals("full"))
-    _, answer = await rig.chat(model="none@1")
     assertions.assert_that(
-        answer["error"]["message"], matchers.Equals("not_loaded")
+        response["error"]["message"], matchers.Equals("full")
     )
-    for task in first:
+    _, response = await standin.chat(model="none@1")
+    assertions.assert_that(
+        response["error"]["message"], matchers.Equals("not_loaded")
+    )
+    for task in tasks:
         task.cancel()
 
 
-async def test_cancelled_stream_has_no_end_mark(start_engine: START) -> None:
-    rig = await start_engine(token_time=30.0)
-    running = asyncio.create_task(rig.stream())
-    await rig.has_run(1)
-    status, _ = await rig.ask("DELETE", "/v1/attempts/h.1.1.1")
+async def test_cancelled_stream_has_no_end_mark(
+    start_engine: StartStandin,
+) -> None:
+    standin = await start_engine(token_time=30.0)
+    running = asyncio.create_task(standin.stream())
+    await standin.wait_for_executions(1)
+    status, _ = await standin.request("DELETE", "/v1/attempts/h.1.1.1")
     opened, _ = await asyncio.wait_for(running, 10)
     assertions.assert_that(status, matchers.Equals(200))
     assertions.assert_that(
         opened.state, matchers.Is(outcomes.ExchangeState.ANSWERING)
     )
-    status, _ = await rig.ask("DELETE", "/v1/attempts/h.1.1.1")
+    status, _ = await standin.request("DELETE", "/v1/attempts/h.1.1.1")
     assertions.assert_that(status, matchers.Equals(404))
 
 
-async def test_gone_caller_frees_the_slot(start_engine: START) -> None:
-    rig = await start_engine(capacity=1, token_time=0.001, answer_tokens=100)
+async def test_disconnected_caller_frees_the_slot(
+    start_engine: StartStandin,
+) -> None:
+    standin = await start_engine(
+        capacity=1, token_time=0.001, answer_tokens=100
+    )
     with pytest.raises(aiohttp.ClientError):
-        async with rig.session.post(
-            f"{rig.url}/v1/chat/completions",
-            json=rig.chat_body(stream=True, max_tokens=10_000_000),
-        ) as reply:
-            await reply.content.readany()
-            reply.close()
+        async with standin.session.post(
+            f"{standin.url}/v1/chat/completions",
+            json=standin.chat_body(stream=True, max_tokens=10_000_000),
+        ) as response:
+            await response.content.readany()
+            response.close()
             raise aiohttp.ClientError
     async with asyncio.timeout(10):
-        status, _ = await rig.chat()
+        status, _ = await standin.chat()
     assertions.assert_that(status, matchers.Equals(200))
 
 
-def test_urgent_sequences_pass_the_queue() -> None:
-    slots = batch.Batch(1, 10, 0.0)
-    rows = [
+def test_queue_is_ordered_by_priority() -> None:
+    engine_batch = batch.Batch(1, 10, 0.0)
+    sequences = [
         batch.Sequence(name, 1, batch.PRIORITIES[name], 0.0)
         for name in ("normal", "deferrable", "normal", "urgent")
     ]
-    for row in rows:
-        slots.add(row)
+    for sequence in sequences:
+        engine_batch.add(sequence)
     order = []
-    while slots.running:
-        order.append(slots.running[0].attempt)
-        slots._step(float("inf"))
+    while engine_batch.running:
+        order.append(engine_batch.running[0].attempt)
+        engine_batch._step(float("inf"))
     assertions.assert_that(
         order, matchers.Equals(["normal", "urgent", "normal", "deferrable"])
     )
 
 
-async def test_lagging_load_report(start_engine: START) -> None:
-    rig = await start_engine()
-    await rig.ask("GET", "/load")
-    rig.book.add(faults.Leaving())
-    rig.book.add(faults.Lag(match="/load", seconds=60.0))
-    _, report = await rig.ask("GET", "/load")
+async def test_lagging_load_report(start_engine: StartStandin) -> None:
+    standin = await start_engine()
+    await standin.request("GET", "/load")
+    standin.book.add(faults.Leaving())
+    standin.book.add(faults.Lag(match="/load", seconds=60.0))
+    _, report = await standin.request("GET", "/load")
     assertions.assert_that(report["state"], matchers.Equals("live"))
 
 
-def test_blocks_are_those_that_the_router_computes() -> None:
+def test_block_hashes_match_those_of_the_router() -> None:
     messages = [{"role": "user", "content": "สวัสดี" * 200}]
     prompt = prompts.measure(messages)
     assertions.assert_that(len(prompt.blocks), matchers.GreaterThan(1))
--- a/tests/standins/test_standins_log.py
+++ b/tests/standins/test_standins_log.py
@@ -24,16 +24,18 @@
     strategies.integers(1, 8),
 )
 def test_retention_keeps_the_newest_in_order(
-    pauses: list[int], most: int
+    delays: list[int], max_records: int
 ) -> None:
-    stream = log.Stream(max_age=10.0, max_records=most)
-    stored = []
+    stream = log.Stream(max_age=10.0, max_records=max_records)
+    append_times = []
     now = 0.0
-    for pause in pauses:
-        now += pause
-        stored.append(now)
+    for delay in delays:
+        now += delay
+        append_times.append(now)
         stream.append(b"x", now)
-    kept = [n for n, at in enumerate(stored) if at >= now - 10.0][-most:]
+    kept = [n for n, at in enumerate(append_times) if at >= now - 10.0][
+        -max_records:
+    ]
     first = kept[0] if kept else 0
     assertions.assert_that(stream.first, matchers.Equals(first))
     assertions.assert_that(
@@ -41,7 +43,7 @@
     )
 
 
-def test_memory_of_dead_records_is_given_back() -> None:
+def test_expired_records_are_trimmed_from_memory() -> None:
     stream = log.Stream(max_age=10.0, max_records=10)
     for number in range(5000):
         stream.append(b"x", float(number))
@@ -51,7 +53,7 @@
     )
 
 
-def test_lag_hides_the_newest() -> None:
+def test_lag_hides_the_newest_records() -> None:
     stream = log.Stream(max_age=100.0, max_records=100)
     for number in range(5):
         stream.append(b"x", float(number))
@@ -60,10 +62,10 @@
     assertions.assert_that(stream.visible(4.0, 60.0), matchers.Equals(0))
 
 
-def test_rate_bound() -> None:
-    bound = rates.RateBound(2.0)
-    taken = [bound.take(100.0) for _ in range(3)]
-    assertions.assert_that(taken, matchers.Equals([True, True, False]))
-    assertions.assert_that(bound.take(100.5), matchers.Is(True))
-    assertions.assert_that(bound.take(100.5), matchers.Is(False))
+def test_rate_limit() -> None:
+    limiter = rates.RateBound(2.0)
+    admitted = [limiter.take(100.0) for _ in range(3)]
+    assertions.assert_that(admitted, matchers.Equals([True, True, False]))
+    assertions.assert_that(limiter.take(100.5), matchers.Is(True))
+    assertions.assert_that(limiter.take(100.5), matchers.Is(False))
     assertions.assert_that(rates.RateBound(0.0).take(0.0), matchers.Is(True))
--- a/tests/standins/test_standins_main.py
+++ b/tests/standins/test_standins_main.py
@@ -1,4 +1,4 @@
-"""The program: settings, the LISTENING line, and the graceful stop."""
+"""Settings, startup and graceful stop of the command."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
 
 
 @contextlib.asynccontextmanager
-async def started(
-    *words: str,
+async def run_command(
+    *arguments: str,
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, str]]:
-    """Runs the program; yields the process and its address."""
+    """Runs the command; yields its process and the address it listens on."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "hoistmoor.standins.main",
-        *words,
+        *arguments,
         stdout=asyncio.subprocess.PIPE,
     )
     assert process.stdout is not None
@@ -53,9 +53,9 @@
         await process.wait()
 
 
-async def test_sigterm_lets_streams_finish() -> None:
+async def test_sigterm_lets_streams_complete() -> None:
     async with (
-        started("engine", "--token-time", "0.05") as (process, address),
+        run_command("engine", "--token-time", "0.05") as (process, address),
         sessions.make_session() as session,
     ):
         url = f"http://{address}/v1/chat/completions"
@@ -74,38 +74,42 @@
 
 
 async def test_stop_under_load_cuts_no_call() -> None:
-    """Callers that go on until nobody listens never lose an outcome."""
-    seen: collections.Counter[outcomes.ExchangeState] = collections.Counter()
+    """Guards against requests that a stopping stand-in cuts off.
+
+    Concurrent callers send calls until the connection is refused; each must
+    be either executed or reported as not executed.
+    """
+    states: collections.Counter[outcomes.ExchangeState] = collections.Counter()
     async with (
-        started("service", "--capacity", "32") as (process, address),
+        run_command("service", "--capacity", "32") as (process, address),
         sessions.make_session() as session,
     ):
 
         async def call(caller: int) -> None:
             url = f"http://{address}/confirm"
             while True:
-                attempt = f"h.{caller}.{sum(seen.values())}"
+                attempt = f"h.{caller}.{sum(states.values())}"
                 request = exchange.BackendRequest("POST", url, attempt)
                 opened = exchange.Exchange(session, request)
                 await ended_exchange.run(opened)
-                seen[opened.state] += 1
-                if sum(seen.values()) == CALLERS * 10:
+                states[opened.state] += 1
+                if sum(states.values()) == CALLERS * 10:
                     process.terminate()
                 if opened.state is outcomes.ExchangeState.UNSENT:
                     return
 
         async with asyncio.timeout(60):
-            await asyncio.gather(*(call(n) for n in range(CALLERS)))
+            await asyncio.gather(*(call(number) for number in range(CALLERS)))
             code = await process.wait()
     assertions.assert_that(code, matchers.Equals(0))
     assertions.assert_that(
-        {outcomes.OUTCOME_BY_STATE[state] for state in seen},
+        {outcomes.OUTCOME_BY_STATE[state] for state in states},
         matchers.Equals({outcomes.Outcome.DONE, outcomes.Outcome.NOT_RUN}),
     )
 
 
 @pytest.mark.parametrize(
-    ("words", "named"),
+    ("arguments", "flag"),
     [
         (["log", "--listen", "here"], "--listen"),
         (["engine", "--serve", "fast"], "--serve"),
@@ -114,14 +118,16 @@
     ],
 )
 def test_bad_settings_name_the_flag(
-    capsys: pytest.CaptureFixture[str], words: list[str], named: str
+    capsys: pytest.CaptureFixture[str], arguments: list[str], flag: str
 ) -> None:
-    code = main.main(words)
+    code = main.main(arguments)
     assertions.assert_that(code, matchers.Equals(2))
-    assertions.assert_that(capsys.readouterr().err, matchers.Contains(named))
+    assertions.assert_that(capsys.readouterr().err, matchers.Contains(flag))
 
 
-def test_variables_stand_for_flags(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_variables_set_flags_that_are_not_given(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setenv("HOISTMOOR_STANDIN_SERVE", "a@1=0.5 b@2")
     monkeypatch.setenv("HOISTMOOR_STANDIN_TOKEN_TIME", "0.5")
     flags = main.cappa.parse(
--- a/tests/standins/test_standins_service.py
+++ b/tests/standins/test_standins_service.py
@@ -1,4 +1,4 @@
-"""The service stand-in: each run has its effect and leaves its record."""
+"""Executions, effects and faults of the service stand-in."""
 
 from __future__ import annotations
 
@@ -15,18 +15,20 @@
 
 from hoistmoor.standins import faults
 
-_PAGE = pathlib.Path(__file__).parents[2] / "docs/platform-interface.md"
+_DOCUMENTATION = (
+    pathlib.Path(__file__).parents[2] / "docs/platform-interface.md"
+)
 
-START = Callable[..., Any]
+StartStandin = Callable[..., Any]
 TOP_UP = {"id": "agent-1", "amount": 5}
 
 
-async def test_each_run_is_recorded_and_has_an_effect(
-    start_service: START,
+async def test_each_execution_is_recorded_and_takes_effect(
+    start_service: StartStandin,
 ) -> None:
-    rig = await start_service()
+    standin = await start_service()
     for attempt in ("a.1.1.1", "a.1.1.2"):
-        status, _ = await rig.ask(
+        status, _ = await standin.request(
             "POST",
             "/confirm",
             TOP_UP,
@@ -34,9 +36,9 @@
             Idempotency_Key="key-1",
         )
         assertions.assert_that(status, matchers.Equals(200))
-    _, balance = await rig.ask("GET", "/balance/agent-1")
+    _, balance = await standin.request("GET", "/balance/agent-1")
     assertions.assert_that(balance["balance"], matchers.Equals(10))
-    rows = await rig.executions()
+    rows = await standin.executions()
     assertions.assert_that(
         [(row["attempt_id"], row["idempotency_key"]) for row in rows],
         matchers.Equals([("a.1.1.1", "key-1"), ("a.1.1.2", "key-1"), ("", "")]),
@@ -44,77 +46,81 @@
 
 
 @pytest.mark.parametrize(
-    ("fault", "runs"),
+    ("fault", "execution_count"),
     [
         (faults.ApplyButLoseReply(), 1),
         (faults.CutAfterBytes(bytes=4), 1),
         (faults.CutBeforeAnswer(), 0),
     ],
 )
-async def test_cut_answers(
-    start_service: START, fault: faults.Fault, runs: int
+async def test_cut_responses(
+    start_service: StartStandin, fault: faults.Fault, execution_count: int
 ) -> None:
-    rig = await start_service()
-    rig.book.add(fault)
+    standin = await start_service()
+    standin.book.add(fault)
     with pytest.raises(aiohttp.ClientError):
-        await rig.ask("POST", "/confirm", TOP_UP)
-    rig.book.clear()
-    assertions.assert_that(await rig.executions(), matchers.HasLength(runs))
+        await standin.request("POST", "/confirm", TOP_UP)
+    standin.book.clear()
+    assertions.assert_that(
+        await standin.executions(), matchers.HasLength(execution_count)
+    )
 
 
 @pytest.mark.parametrize(
     ("fault", "reason"),
     [(faults.Decline(), "declined"), (faults.Leaving(), "leaving")],
 )
-async def test_declined_calls_did_not_run(
-    start_service: START, fault: faults.Fault, reason: str
+async def test_declined_calls_are_not_executed(
+    start_service: StartStandin, fault: faults.Fault, reason: str
 ) -> None:
-    rig = await start_service()
-    rig.book.add(fault)
-    async with rig.session.post(
-        f"{rig.url}/confirm", json=TOP_UP, headers={"X-Attempt-Id": "a"}
-    ) as reply:
-        found = (
-            reply.headers["X-Not-Run"],
-            reply.headers["X-Not-Run-Reason"],
-            reply.headers["X-Attempt-Id"],
+    standin = await start_service()
+    standin.book.add(fault)
+    async with standin.session.post(
+        f"{standin.url}/confirm", json=TOP_UP, headers={"X-Attempt-Id": "a"}
+    ) as response:
+        headers = (
+            response.headers["X-Not-Run"],
+            response.headers["X-Not-Run-Reason"],
+            response.headers["X-Attempt-Id"],
         )
-    assertions.assert_that(found, matchers.Equals(("1", reason, "a")))
-    assertions.assert_that(await rig.executions(), matchers.HasLength(0))
+    assertions.assert_that(headers, matchers.Equals(("1", reason, "a")))
+    assertions.assert_that(await standin.executions(), matchers.HasLength(0))
 
 
-async def test_full_service_declines(start_service: START) -> None:
-    rig = await start_service(capacity=1, queue_limit=0, service_time=30.0)
-    first = asyncio.create_task(rig.ask("POST", "/confirm", TOP_UP))
-    await rig.has_run(1)
-    status, answer = await rig.ask("POST", "/confirm", TOP_UP)
+async def test_full_service_declines(start_service: StartStandin) -> None:
+    standin = await start_service(capacity=1, queue_limit=0, service_time=30.0)
+    running = asyncio.create_task(standin.request("POST", "/confirm", TOP_UP))
+    await standin.wait_for_executions(1)
+    status, response = await standin.request("POST", "/confirm", TOP_UP)
     assertions.assert_that(
-        (status, answer["error"]["message"]), matchers.Equals((503, "full"))
+        (status, response["error"]["message"]), matchers.Equals((503, "full"))
     )
-    first.cancel()
+    running.cancel()
 
 
-async def test_faults_are_placed_by_sequence(start_service: START) -> None:
-    rig = await start_service()
-    _, placed = await rig.ask(
+async def test_faults_apply_after_a_number_of_requests(
+    start_service: StartStandin,
+) -> None:
+    standin = await start_service()
+    _, added = await standin.request(
         "POST",
         "/_faults",
         {"kind": "outage", "match": "/confirm", "after": 1, "count": 2},
     )
-    seen = []
+    statuses = []
     for _ in range(5):
-        status, _ = await rig.ask("POST", "/confirm", TOP_UP)
-        seen.append(status)
-        await rig.ask("GET", "/balance/agent-1")
-    assertions.assert_that(seen, matchers.Equals([200, 503, 503, 200, 200]))
-    _, listing = await rig.ask("GET", "/_faults")
+        status, _ = await standin.request("POST", "/confirm", TOP_UP)
+        statuses.append(status)
+        await standin.request("GET", "/balance/agent-1")
+    assertions.assert_that(statuses, matchers.Equals([200, 503, 503, 200, 200]))
+    _, listing = await standin.request("GET", "/_faults")
     (row,) = listing["faults"]
     assertions.assert_that(
         (row["id"], row["seen"], row["applied"]),
-        matchers.Equals((placed["id"], 5, 2)),
+        matchers.Equals((added["id"], 5, 2)),
     )
-    await rig.ask("DELETE", f"/_faults/{placed['id']}")
-    _, listing = await rig.ask("GET", "/_faults")
+    await standin.request("DELETE", f"/_faults/{added['id']}")
+    _, listing = await standin.request("GET", "/_faults")
     assertions.assert_that(listing["faults"], matchers.HasLength(0))
 
 
@@ -127,33 +133,37 @@
         {"kind": "delay", "seconds": "soon"},
     ],
 )
-async def test_misspelt_faults_are_refused(
-    start_service: START, fields: dict[str, Any]
+async def test_invalid_faults_are_rejected(
+    start_service: StartStandin, fields: dict[str, Any]
 ) -> None:
-    rig = await start_service()
-    status, answer = await rig.ask("POST", "/_faults", fields)
+    standin = await start_service()
+    status, response = await standin.request("POST", "/_faults", fields)
     assertions.assert_that(status, matchers.Equals(400))
-    assertions.assert_that(answer["error"], matchers.Contains(". "))
+    assertions.assert_that(response["error"], matchers.Contains(". "))
 
 
-def test_the_page_lists_each_kind_of_fault_and_its_fields() -> None:
-    page = _PAGE.read_text()
+def test_documentation_lists_all_faults_and_their_fields() -> None:
+    page = _DOCUMENTATION.read_text()
     rows = [line.split("|") for line in page.splitlines()]
-    listed = {row[1].strip(" `"): row[2] for row in rows if len(row) == 5}
+    documented = {row[1].strip(" `"): row[2] for row in rows if len(row) == 5}
     common = {field.name for field in attrs.fields(faults.Fault)}
     for kind, cls in faults.KINDS.items():
-        own = {field.name for field in attrs.fields(cls)} - common
-        named = {name.strip(" `") for name in listed[kind].split(",")} - {""}
-        assertions.assert_that(named, matchers.Equals(own))
+        fields = {field.name for field in attrs.fields(cls)} - common
+        documented_fields = {
+            name.strip(" `") for name in documented[kind].split(",")
+        } - {""}
+        assertions.assert_that(documented_fields, matchers.Equals(fields))
 
 
-async def test_freeze_holds_calls_until_cleared(start_service: START) -> None:
-    rig = await start_service()
-    rig.book.add(faults.Freeze(match="/confirm"))
-    frozen = asyncio.create_task(rig.ask("POST", "/confirm", TOP_UP))
-    while not rig.book.faults[1].applied:
+async def test_freeze_holds_calls_until_cleared(
+    start_service: StartStandin,
+) -> None:
+    standin = await start_service()
+    standin.book.add(faults.Freeze(match="/confirm"))
+    frozen = asyncio.create_task(standin.request("POST", "/confirm", TOP_UP))
+    while not standin.book.faults[1].applied:
         await asyncio.sleep(0)
-    assertions.assert_that(await rig.executions(), matchers.HasLength(0))
-    rig.book.clear()
+    assertions.assert_that(await standin.executions(), matchers.HasLength(0))
+    standin.book.clear()
     status, _ = await asyncio.wait_for(frozen, 10)
     assertions.assert_that(status, matchers.Equals(200))
