--- a/src/hoistmoor/standins/main.py
+++ b/src/hoistmoor/standins/main.py
@@ -22,7 +22,7 @@
     """The platform's append-only log service."""
 
     def __call__(self) -> None:
-        """Runs until told to stop."""
+        """Runs the stand-in until a signal stops it."""
         runner.run(functools.partial(programs.log, self), self.listen)
 
 
@@ -31,7 +31,7 @@
     """The platform's host list."""
 
     def __call__(self) -> None:
-        """Runs until told to stop."""
+        """Runs the stand-in until a signal stops it."""
         runner.run(functools.partial(programs.hosts, self), self.listen)
 
 
@@ -40,7 +40,7 @@
     """The platform's rating service."""
 
     def __call__(self) -> None:
-        """Runs until told to stop."""
+        """Runs the stand-in until a signal stops it."""
         runner.run(functools.partial(programs.ratings, self), self.listen)
 
 
@@ -49,7 +49,7 @@
     """The platform's weight store."""
 
     def __call__(self) -> None:
-        """Runs until told to stop."""
+        """Runs the stand-in until a signal stops it."""
         runner.run(functools.partial(programs.weights, self), self.listen)
 
 
@@ -58,7 +58,7 @@
     """Log service, host list, ratings and weight store on one port."""
 
     def __call__(self) -> None:
-        """Runs until told to stop."""
+        """Runs the stand-in until a signal stops it."""
         runner.run(functools.partial(programs.platform, self), self.listen)
 
 
@@ -67,7 +67,7 @@
     """A model engine with an OpenAI-compatible interface."""
 
     def __call__(self) -> None:
-        """Runs until told to stop."""
+        """Runs the stand-in until a signal stops it."""
         settings = self.settings()
         runner.run(functools.partial(programs.engine, settings), self.listen)
 
@@ -77,7 +77,7 @@
     """A plain service."""
 
     def __call__(self) -> None:
-        """Runs until told to stop."""
+        """Runs the stand-in until a signal stops it."""
         settings = self.settings()
         runner.run(functools.partial(programs.service, settings), self.listen)
 
--- a/tests/standins/conftest.py
+++ b/tests/standins/conftest.py
@@ -32,7 +32,7 @@
 
     url: str
     session: aiohttp.ClientSession
-    book: fault_book.FaultBook
+    fault_registry: fault_book.FaultBook
 
     async def request(
         self, method: str, path: str, body: Any = None, **headers: str
@@ -102,8 +102,8 @@
 
         async def run(program: runner.Program) -> RunningStandin:
             address = await stack.enter_async_context(runner.running(program))
-            book = program.application[fault_points.FAULTS]
-            return RunningStandin(f"http://{address}", session, book)
+            registry = program.application[fault_points.FAULTS]
+            return RunningStandin(f"http://{address}", session, registry)
 
         yield run
 
--- a/tests/standins/test_standins_engine.py
+++ b/tests/standins/test_standins_engine.py
@@ -114,7 +114,7 @@
     state: outcomes.ExchangeState,
 ) -> None:
     standin = await start_engine(token_time=0.002)
-    standin.book.add(fault)
+    standin.fault_registry.add(fault)
     opened, frames = await standin.stream()
     assertions.assert_that(opened.state, matchers.Is(state))
     assertions.assert_that(
@@ -131,7 +131,7 @@
     start_engine: StartStandin,
 ) -> None:
     standin = await start_engine()
-    standin.book.add(faults.LateAnswer())
+    standin.fault_registry.add(faults.LateAnswer())
     for number in range(5):
         opened, _ = await standin.stream(f"h.1.1.{number}")
         assertions.assert_that(
@@ -216,8 +216,8 @@
 async def test_lagging_load_report(start_engine: StartStandin) -> None:
     standin = await start_engine()
     await standin.request("GET", "/load")
-    standin.book.add(faults.Leaving())
-    standin.book.add(faults.Lag(match="/load", seconds=60.0))
+    standin.fault_registry.add(faults.Leaving())
+    standin.fault_registry.add(faults.Lag(match="/load", seconds=60.0))
     _, report = await standin.request("GET", "/load")
     assertions.assert_that(report["state"], matchers.Equals("live"))
 
--- a/tests/standins/test_standins_service.py
+++ b/tests/standins/test_standins_service.py
@@ -57,10 +57,10 @@
     start_service: StartStandin, fault: faults.Fault, execution_count: int
 ) -> None:
     standin = await start_service()
-    standin.book.add(fault)
+    standin.fault_registry.add(fault)
     with pytest.raises(aiohttp.ClientError):
         await standin.request("POST", "/confirm", TOP_UP)
-    standin.book.clear()
+    standin.fault_registry.clear()
     assertions.assert_that(
         await standin.executions(), matchers.HasLength(execution_count)
     )
@@ -74,7 +74,7 @@
     start_service: StartStandin, fault: faults.Fault, reason: str
 ) -> None:
     standin = await start_service()
-    standin.book.add(fault)
+    standin.fault_registry.add(fault)
     async with standin.session.post(
         f"{standin.url}/confirm", json=TOP_UP, headers={"X-Attempt-Id": "a"}
     ) as response:
@@ -159,11 +159,11 @@
     start_service: StartStandin,
 ) -> None:
     standin = await start_service()
-    standin.book.add(faults.Freeze(match="/confirm"))
+    standin.fault_registry.add(faults.Freeze(match="/confirm"))
     frozen = asyncio.create_task(standin.request("POST", "/confirm", TOP_UP))
-    while not standin.book.faults[1].applied:
+    while not standin.fault_registry.faults[1].applied:
         await asyncio.sleep(0)
     assertions.assert_that(await standin.executions(), matchers.HasLength(0))
-    standin.book.clear()
+    standin.fault_registry.clear()
     status, _ = await asyncio.wait_for(frozen, 10)
     assertions.assert_that(status, matchers.Equals(200))
