--- a/src/hoistmoor/load/commands/__init__.py
+++ b/src/hoistmoor/load/commands/__init__.py
@@ -1,3 +1,3 @@
-"""Commands of ``hoistmoor-load``, one a module."""
+"""Commands of ``hoistmoor-load``, one per module."""
 
 from __future__ import annotations
--- a/src/hoistmoor/load/commands/check.py
+++ b/src/hoistmoor/load/commands/check.py
@@ -1,4 +1,4 @@
-"""``hoistmoor-load check``: decides every promise on a recorded run."""
+"""``hoistmoor-load check``: verifies all promises on a recorded history."""
 
 from __future__ import annotations
 
@@ -14,29 +14,32 @@
 
 
 @cappa.command(
-    name="check", help="Checks the history of a run.", description=" "
+    name="check", help="Checks the recorded history of a run.", description=" "
 )
 @attrs.frozen(kw_only=True)
 class Check:
-    """Prints each violation of a promise in a history.
+    """Checks a history and prints each violation of a promise.
 
     Attributes:
         file: The history, as JSON lines.
     """
 
-    file: Annotated[pathlib.Path, cappa.Arg(help="JSON lines of a run.")]
+    file: Annotated[
+        pathlib.Path, cappa.Arg(help="History of a run, as JSON lines.")
+    ]
 
     def __call__(self) -> int:
-        """Returns 0 for a run that kept every promise, else 1."""
+        """Returns 0 if the run kept all promises, else 1."""
         recorded = files.read(self.file)
-        found = checker.check(
+        violations = checker.check(
             recorded.history,
             recorded.terms.once_items,
             frozenset(recorded.terms.crashed),
         )
-        for violation in found:
+        for violation in violations:
             sys.stdout.write(f"{violation.promise}: {violation.detail}\n")
         sys.stdout.write(
-            f"{len(recorded.history.events)} events, {len(found)} violations\n"
+            f"{len(recorded.history.events)} events, "
+            f"{len(violations)} violations\n"
         )
-        return 1 if found else 0
+        return 1 if violations else 0
--- a/src/hoistmoor/load/commands/compare.py
+++ b/src/hoistmoor/load/commands/compare.py
@@ -1,4 +1,4 @@
-"""``hoistmoor-load compare``: what an entry adds to a direct call."""
+"""``hoistmoor-load compare``: latency that an entry adds to direct calls."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 from hoistmoor.load import mix
 from hoistmoor.load.commands import flags
 
-_SERVICES_SEGMENTS = 4  # "", "v1", "services" and the service's name.
+# Leading segments: "", "v1", "services" and the name of the service.
+_SERVICE_SEGMENTS = 4
 
 
 @cappa.command(
@@ -24,14 +25,15 @@
 )
 @attrs.frozen(kw_only=True)
 class Compare:
-    """Alternates direct calls and calls through an entry, and compares.
+    """Compares the latency of direct calls and calls through an entry.
 
     Attributes:
         entry: Base URL of the entry.
         direct: Base URL of the backend server.
-        kind: Names of calls, one after the other.
-        model: Version that chat calls name, both ways; empty leaves theirs.
-        count: Pairs of calls that count.
+        kind: Names of calls, compared in sequence.
+        model: Version for chat calls on both paths; empty for the default of
+            the call.
+        count: Number of measured pairs.
         key: Bearer key of a client account.
     """
 
@@ -40,19 +42,21 @@
     kind: flags.Kinds
     model: Annotated[
         str,
-        cappa.Arg(long=True, default="", help="model@version; empty: none."),
+        cappa.Arg(
+            long=True, default="", help="model@version; empty for the default."
+        ),
     ] = ""
     count: Annotated[int, cappa.Arg(long=True, help="Pairs.")] = 500
     key: flags.Key = attrs.field(default="", repr=False)
 
     def __call__(self) -> int:
-        """Runs the comparison; 1 if some call failed."""
+        """Runs the comparison; returns 1 if a call failed, else 0."""
         flags.check_loopback("--entry", self.entry)
         flags.check_loopback("--direct", self.direct)
         return uvloop.run(self.run_pairs())
 
     async def run_pairs(self) -> int:
-        """Compares kind after kind and prints each."""
+        """Compares the kinds in sequence and prints the results."""
         failed = 0
         async with sessions.make_session() as session:
             caller = caller_lib.Caller(session)
@@ -79,7 +83,7 @@
 
 
 def _direct_path(path: str) -> str:
-    """Returns the path at the backend server for a path at an entry."""
+    """Returns the backend server's path for a path at an entry."""
     if not path.startswith("/v1/services/"):
         return path
-    return "/" + "/".join(path.split("/")[_SERVICES_SEGMENTS:])
+    return "/" + "/".join(path.split("/")[_SERVICE_SEGMENTS:])
--- a/src/hoistmoor/load/commands/demo.py
+++ b/src/hoistmoor/load/commands/demo.py
@@ -1,4 +1,4 @@
-"""``hoistmoor-load demo``: the last process of ``make demo``."""
+"""``hoistmoor-load demo``: the process that drives ``make demo``."""
 
 from __future__ import annotations
 
@@ -23,30 +23,34 @@
 
     from hoistmoor.load import report as report_lib
 
-_MARKS = {True: "ok  ", False: "FAIL"}
+_STATUS_LABELS = {True: "ok  ", False: "FAIL"}
 _EXIT_FAILED = 1
 
 
 @cappa.command(
-    name="demo", help="Publishes, asks and reports.", description=" "
+    name="demo",
+    help="Publishes the example tables and runs the demo.",
+    description=" ",
 )
 @attrs.frozen
 class Demo:
-    """Publishes both example tables, sends requests, and reports."""
+    """Publishes both example tables, sends requests and reports results."""
 
     def __call__(self) -> int:
-        """Runs the demo; 0 if everything came out as expected."""
+        """Runs the demo; returns 0 if all results were as expected."""
         started = time.monotonic()
         uvloop.run(_wait_for_all())
-        _say(f"Everything is up after {time.monotonic() - started:.1f} s.")
+        _print_line(
+            f"Everything is up after {time.monotonic() - started:.1f} s."
+        )
         for deployment in deployments.ALL:
             if _publish(deployment):
                 return _EXIT_FAILED
-        failed = uvloop.run(_walk_all())
+        failed = uvloop.run(_run_scenarios())
         for deployment in deployments.ALL:
-            failed += _run_console(deployment, "status")
-            failed += _run_console(deployment, "bill")
-        _say(f"Done after {time.monotonic() - started:.1f} s.")
+            failed += _run_hoistmoor(deployment, "status")
+            failed += _run_hoistmoor(deployment, "bill")
+        _print_line(f"Done after {time.monotonic() - started:.1f} s.")
         return _EXIT_FAILED if failed else 0
 
 
@@ -61,22 +65,22 @@
 
 
 def _publish(deployment: deployments.Deployment) -> int:
-    return _run_console(
+    return _run_hoistmoor(
         deployment,
         *("table", "publish", str(deployment.sheets)),
         *("--author", "demo", "--overwrite"),
     )
 
 
-def _run_console(deployment: deployments.Deployment, *words: str) -> int:
-    """Runs a command of ``hoistmoor``; returns its exit code."""
-    words = (*words, "--log-url", deployment.platform)
-    _say(f"\n$ hoistmoor {' '.join(words)}")
-    return application.main(list(words))
+def _run_hoistmoor(deployment: deployments.Deployment, *arguments: str) -> int:
+    """Runs a ``hoistmoor`` command and returns its exit code."""
+    arguments = (*arguments, "--log-url", deployment.platform)
+    _print_line(f"\n$ hoistmoor {' '.join(arguments)}")
+    return application.main(list(arguments))
 
 
-async def _walk_all() -> int:
-    """Returns how many checks failed."""
+async def _run_scenarios() -> int:
+    """Runs all scenarios and returns the number of failed checks."""
     async with sessions.make_session() as session:
         caller = caller_lib.Caller(session)
         failed = 0
@@ -85,7 +89,7 @@
             urls = [f"{entry}/readyz" for entry in deployment.entries]
             await demo.wait_until_up(session, urls)
             results = await demo.walk(deployment, caller)
-            failed += _print_walk(deployment, results)
+            failed += _print_steps(deployment, results)
             failed += await _check_effects(deployment, session)
             served[deployment.name] = demo.served_ids(results)
         reports = await asyncio.gather(
@@ -98,11 +102,11 @@
     return failed
 
 
-def _print_walk(
+def _print_steps(
     deployment: deployments.Deployment, results: list[demo.StepResult]
 ) -> int:
-    """Returns how many steps did not come out as expected."""
-    _say(f"\n{deployment.name}")
+    """Prints the steps and returns the number with unexpected results."""
+    _print_line(f"\n{deployment.name}")
     for result in results:
         _print_step(result)
     return sum(not result.as_expected for result in results)
@@ -111,11 +115,11 @@
 def _print_load(
     deployment: deployments.Deployment, report: report_lib.Report
 ) -> int:
-    """Returns how many requests of the mixed load were not served."""
-    _say(f"\n{deployment.name}: all kinds at once")
-    _say("\n".join(report.lines()))
-    _say("\nwhere they went")
-    _say("\n".join(report.choice_lines()))
+    """Prints the report and returns the number of unserved requests."""
+    _print_line(f"\n{deployment.name}: all kinds at once")
+    _print_line("\n".join(report.lines()))
+    _print_line("\nwhere they went")
+    _print_line("\n".join(report.choice_lines()))
     return sum(kind.sent - kind.served for kind in report.kinds.values())
 
 
@@ -137,29 +141,31 @@
 
 
 def _check(what: str, found: int, expected: int) -> int:
-    """Returns 1 if a count is not as expected, else 0."""
-    _say(f"{_MARKS[found == expected]} {what}: {found} of {expected}")
+    """Prints a check; returns 1 if the count differs, else 0."""
+    _print_line(
+        f"{_STATUS_LABELS[found == expected]} {what}: {found} of {expected}"
+    )
     return int(found != expected)
 
 
 def _print_step(result: demo.StepResult) -> None:
-    _say(f"{_MARKS[result.as_expected]} {result.step.title}")
-    for seen in result.seen:
-        _say(f"       {_describe(seen)}")
+    _print_line(f"{_STATUS_LABELS[result.as_expected]} {result.step.title}")
+    for request in result.seen:
+        _print_line(f"       {_describe(request)}")
     if result.explained:
-        _say(f"       another entry explains: {result.explained}")
+        _print_line(f"       another entry explains: {result.explained}")
 
 
-def _describe(seen: calls.Seen) -> str:
-    if seen.served:
-        what = f"-> {seen.version or 'served'} in {seen.latency_ms:.1f} ms"
-        why = seen.why
+def _describe(result: calls.Seen) -> str:
+    if result.served:
+        what = f"-> {result.version or 'served'} in {result.latency_ms:.1f} ms"
+        why = result.why
     else:
-        what = f"-> {seen.status} {seen.reason}, {seen.outcome}"
-        why = f"{seen.answer} (retry after {seen.retry_after} s)"
-    return f"{seen.request_id or '-'} {what}: {why}"
+        what = f"-> {result.status} {result.reason}, {result.outcome}"
+        why = f"{result.answer} (retry after {result.retry_after} s)"
+    return f"{result.request_id or '-'} {what}: {why}"
 
 
-def _say(line: str) -> None:
+def _print_line(line: str) -> None:
     sys.stdout.write(line + "\n")
     sys.stdout.flush()
--- a/src/hoistmoor/load/commands/flags.py
+++ b/src/hoistmoor/load/commands/flags.py
@@ -1,4 +1,4 @@
-"""Flags that several commands of ``hoistmoor-load`` have."""
+"""Flags shared by several commands of ``hoistmoor-load``."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
         long=True,
         default=cappa.Env("HOISTMOOR_KEY", default=""),
         show_default=False,
-        help="Bearer key; better given as HOISTMOOR_KEY.",
+        help="Bearer key; prefer setting HOISTMOOR_KEY.",
     ),
 ]
 Kinds = Annotated[
-    list[str], cappa.Arg(long=True, required=True, help="A call's name.")
+    list[str], cappa.Arg(long=True, required=True, help="Name of a call.")
 ]
 
 
 def check_loopback(flag: str, url: str) -> None:
-    """Raises ``ConfigurationError`` unless ``url`` is on this machine.
+    """Raises ``ConfigurationError`` unless ``url`` is a loopback address.
 
-    The tool is for tests; it cannot be turned on somebody's service.
+    The load generator is for tests and must not be able to load other
+    services.
     """
     try:
         ip = ipaddress.ip_address(url_parse.urlsplit(url).hostname or "")
--- a/src/hoistmoor/load/commands/run.py
+++ b/src/hoistmoor/load/commands/run.py
@@ -1,4 +1,4 @@
-"""``hoistmoor-load run``: open-loop load and a report."""
+"""``hoistmoor-load run``: sends open-loop load and prints a report."""
 
 from __future__ import annotations
 
@@ -22,12 +22,14 @@
 from hoistmoor.load import report as report_lib
 from hoistmoor.load.commands import flags
 
-_MS = 1000.0
+_MS_PER_SECOND = 1000.0
 _MIB = 1 << 20
 
 
 @cappa.command(
-    name="run", help="Sends open-loop load on loopback.", description=" "
+    name="run",
+    help="Sends open-loop load to entries on loopback.",
+    description=" ",
 )
 @attrs.frozen(kw_only=True)
 class Run:
@@ -35,14 +37,15 @@
 
     Attributes:
         entry: Base URLs of entries.
-        kind: Names of calls, drawn with equal chance.
+        kind: Names of calls, drawn with equal probability.
         rate: Mean requests per second.
-        count: Requests in all.
-        seed: Of the arrival times and of the draws.
-        model: Model that chat calls name; empty leaves theirs.
-        max_tokens: Length of chat answers at most; 0 leaves the call's own.
-        pid: Processes whose processor time is reported.
-        history_file: Where to write the history; None for nowhere.
+        count: Total number of requests.
+        seed: Seed of the arrival times and of the choice of calls.
+        model: Model for chat calls; empty for the default of the call.
+        max_tokens: Maximum length of chat responses; 0 for the default of the
+            call.
+        pid: Processes whose CPU time and memory are reported.
+        history_file: File to write the history to; None for none.
         key: Bearer key of a client account.
     """
 
@@ -53,28 +56,31 @@
     key: flags.Key = attrs.field(default="", repr=False)
     rate: Annotated[float, cappa.Arg(long=True, help="Per second.")] = 20.0
     count: Annotated[int, cappa.Arg(long=True, help="Requests.")] = 200
-    seed: Annotated[int, cappa.Arg(long=True, help="Of all draws.")] = 1
+    seed: Annotated[int, cappa.Arg(long=True, help="Random seed.")] = 1
     model: Annotated[
-        str, cappa.Arg(long=True, default="", help="Of chat calls.")
+        str, cappa.Arg(long=True, default="", help="Model for chat calls.")
     ] = ""
     max_tokens: Annotated[
         int,
         cappa.Arg(
-            long=True, default=0, help="Of chat answers; 0: the call's own."
+            long=True, default=0, help="Of chat responses; 0 for the default."
         ),
     ] = 0
     pid: Annotated[
         tuple[int, ...],
         cappa.Arg(
-            long=True, default=(), help="Report this process's use; repeatable."
+            long=True,
+            default=(),
+            help="Report the usage of a process; repeatable.",
         ),
     ] = ()
     history_file: Annotated[
-        pathlib.Path | None, cappa.Arg(long="--history", help="JSON lines.")
+        pathlib.Path | None,
+        cappa.Arg(long="--history", help="File for JSON lines."),
     ] = None
 
     def __call__(self) -> int:
-        """Runs the load."""
+        """Sends the load and prints the report."""
         self.check()
         plan = arrivals.Plan(
             self.entry,
@@ -87,7 +93,7 @@
         return 0
 
     def fitted(self, call: calls.Call) -> calls.Call:
-        """Returns ``call`` with the model and length that were asked for."""
+        """Returns ``call`` with the model and length of the flags applied."""
         if not call.body or "model" not in call.body:
             return call
         body = dict(call.body)
@@ -98,16 +104,16 @@
         return attrs.evolve(call, body=body)
 
     def check(self) -> None:
-        """Raises ``ConfigurationError`` on a plan out of bounds."""
+        """Raises ``ConfigurationError`` if a flag is out of bounds."""
         if not 0 < self.rate <= arrivals.MAX_RATE:
             raise errors.ConfigurationError(
                 f"--rate {self.rate} is out of bounds",
-                f"Choose above 0, up to {arrivals.MAX_RATE:g}.",
+                f"Choose a rate above 0, up to {arrivals.MAX_RATE:g}.",
             )
         if not 0 < self.count <= arrivals.MAX_COUNT:
             raise errors.ConfigurationError(
                 f"--count {self.count} is out of bounds",
-                f"Choose 1 to {arrivals.MAX_COUNT}.",
+                f"Choose a count from 1 to {arrivals.MAX_COUNT}.",
             )
         for url in self.entry:
             flags.check_loopback("--entry", url)
@@ -117,43 +123,43 @@
     plan: arrivals.Plan, path: pathlib.Path | None, pids: tuple[int, ...]
 ) -> None:
     report = report_lib.Report()
-    written = history.HistoryFile(path) if path else None
+    writer = history.HistoryFile(path) if path else None
 
-    def on_seen(seen: calls.Seen) -> None:
-        report.add(seen)
-        if written:
-            written.add(seen)
+    def on_result(result: calls.Seen) -> None:
+        report.add(result)
+        if writer:
+            writer.add(result)
 
     before = [processor.read(pid) for pid in pids]
     started = time.monotonic()
     try:
         async with sessions.make_session() as session:
-            await arrivals.run(plan, caller_lib.Caller(session), on_seen)
+            await arrivals.run(plan, caller_lib.Caller(session), on_result)
     finally:
-        if written:
-            written.close()
-    took = time.monotonic() - started
+        if writer:
+            writer.close()
+    duration = time.monotonic() - started
     lines = report.lines()
     lines.append(
-        f"{plan.count / took:.1f} requests/s, "
-        f"{report.frames / took:.0f} frames/s, {took:.1f} s"
+        f"{plan.count / duration:.1f} requests/s, "
+        f"{report.frames / duration:.0f} frames/s, {duration:.1f} s"
     )
     lines += [
-        _describe_use(pid, use, plan.count, report.frames)
-        for pid, use in zip(pids, before, strict=True)
+        _describe_usage(pid, usage, plan.count, report.frames)
+        for pid, usage in zip(pids, before, strict=True)
     ]
     sys.stdout.write("\n".join(lines) + "\n")
 
 
-def _describe_use(
+def _describe_usage(
     pid: int, before: processor.Usage, requests: int, frames: int
 ) -> str:
     after = processor.read(pid)
-    ms = (after.seconds - before.seconds) * _MS
-    each = f"{ms / requests:.2f} ms a request"
+    ms = (after.seconds - before.seconds) * _MS_PER_SECOND
+    per_unit = f"{ms / requests:.2f} ms a request"
     if frames:
-        each += f", {ms / frames:.4f} ms a frame"
+        per_unit += f", {ms / frames:.4f} ms a frame"
     return (
-        f"process {pid}: {ms:.0f} ms processor time, {each}, "
+        f"process {pid}: {ms:.0f} ms processor time, {per_unit}, "
         f"{after.resident / _MIB:.1f} MiB resident"
     )
--- a/src/hoistmoor/load/commands/wait.py
+++ b/src/hoistmoor/load/commands/wait.py
@@ -1,4 +1,4 @@
-"""``hoistmoor-load wait``: until each URL answers 200."""
+"""``hoistmoor-load wait``: waits until each URL returns 200."""
 
 from __future__ import annotations
 
@@ -14,20 +14,24 @@
 
 
 @cappa.command(
-    name="wait", help="Waits until URLs answer 200.", description=" "
+    name="wait",
+    help="Waits until each URL returns status 200.",
+    description=" ",
 )
 @attrs.frozen(kw_only=True)
 class Wait:
-    """Waits until programs are up, for Procfiles.
+    """Waits until programs are up; used in Procfiles.
 
     Attributes:
-        urls: What must answer 200, one after the other.
+        urls: URLs that must return 200, checked in sequence.
     """
 
-    urls: Annotated[list[str], cappa.Arg(required=True, help="On loopback.")]
+    urls: Annotated[
+        list[str], cappa.Arg(required=True, help="URLs on loopback.")
+    ]
 
     def __call__(self) -> int:
-        """Returns once each has answered."""
+        """Waits, and returns 0 once each URL has returned 200."""
         for url in self.urls:
             flags.check_loopback("URL", url)
         uvloop.run(_wait(self.urls))
