--- a/src/hoistmoor/load/__init__.py
+++ b/src/hoistmoor/load/__init__.py
@@ -1,3 +1,3 @@
-"""Load generator, demo and comparisons against direct calls."""
+"""Load generator, demo, latency comparison and routing experiments."""
 
 from __future__ import annotations
--- a/src/hoistmoor/load/arrivals.py
+++ b/src/hoistmoor/load/arrivals.py
@@ -1,4 +1,4 @@
-"""Open-loop arrivals: the next request does not wait for the last answer."""
+"""Open-loop load: arrival times do not depend on earlier responses."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
     from hoistmoor.load import caller as caller_lib
 
-MAX_RATE = 1000.0  # Requests per second that the tool agrees to send.
+MAX_RATE = 1000.0  # Requests per second.
 MAX_COUNT = 200_000  # Requests in one run.
 
 
 @attrs.frozen
 class Plan:
-    """One run.
+    """The parameters of one load run.
 
     Attributes:
-        entries: Base URLs, asked in turn.
-        mix: Calls, drawn with equal chance.
+        entries: Base URLs, used round-robin.
+        mix: Calls, drawn with equal probability.
         rate: Mean requests per second.
-        count: Requests in all.
-        seed: Of the arrival times and of the draws.
-        max_in_flight: Requests open at once; further ones wait, and their
-            wait counts as latency.
+        count: Total number of requests.
+        seed: Seed of the arrival times and of the choice of calls.
+        max_in_flight: Maximum number of concurrent requests; the time that
+            further ones wait for a slot counts towards their latency.
     """
 
     entries: Sequence[str]
@@ -44,31 +44,37 @@
 
 
 def offsets(plan: Plan) -> Iterator[float]:
-    """Yields seconds from the run's start at which requests are due."""
-    source = random.Random(plan.seed)
-    at = 0.0
+    """Yields when requests are due, in seconds from the start of the run."""
+    rng = random.Random(plan.seed)
+    offset = 0.0
     for _ in range(plan.count):
-        at += source.expovariate(plan.rate)
-        yield at
+        offset += rng.expovariate(plan.rate)
+        yield offset
 
 
 async def run(
     plan: Plan,
     caller: caller_lib.Caller,
-    on_seen: Callable[[calls.Seen], None],
+    on_result: Callable[[calls.Seen], None],
 ) -> None:
-    """Sends a plan's requests and reports each as it ends."""
-    draws = random.Random(plan.seed + 1)
+    """Sends the requests of a plan.
+
+    Args:
+        plan: What to send, and when.
+        caller: Sends the requests.
+        on_result: Called with the result of each request as it ends.
+    """
+    mix_rng = random.Random(plan.seed + 1)
     slots = asyncio.Semaphore(plan.max_in_flight)
     start = time.time()
 
     async def send(serial: int, call: calls.Call, due: float) -> None:
         async with slots:
             entry = plan.entries[serial % len(plan.entries)]
-            on_seen(await caller.send(serial, entry, call, due))
+            on_result(await caller.send(serial, entry, call, due))
 
     async with asyncio.TaskGroup() as group:
         for serial, offset in enumerate(offsets(plan)):
             await asyncio.sleep(max(0.0, start + offset - time.time()))
-            call = draws.choice(plan.mix)
+            call = mix_rng.choice(plan.mix)
             group.create_task(send(serial, call, start + offset))
--- a/src/hoistmoor/load/caller.py
+++ b/src/hoistmoor/load/caller.py
@@ -1,4 +1,4 @@
-"""Sends one call and notes what came back, as an ordinary client would."""
+"""Sends one call as an ordinary caller would, and records the result."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-_FRAME = b"data: "
-_END_MARK = b"data: [DONE]"
-_MAX_ANSWER_CHARACTERS = 160
-_ERROR_STATUS = 400
-_MS = 1000.0
+_EVENT_PREFIX = b"data: "
+_END_MARKER = b"data: [DONE]"
+_MAX_EXCERPT_CHARACTERS = 160
+_MIN_ERROR_STATUS = 400
+_MS_PER_SECOND = 1000.0
 _TICKETS_PATH = "/v1/tickets"
 
 
 @attrs.define
 class _Exchange:
-    """The moving parts of one exchange.
+    """The state of one HTTP exchange.
 
     Attributes:
-        status: HTTP status; 0 until the head came.
-        headers: Headers of the answer.
-        body: Bytes of the answer so far.
-        first_byte: When the body's first byte came; 0 until then.
-        ended: Whether the body came to its end.
-        refused: Whether no connection could be opened.
+        status: HTTP status; 0 until the response headers arrive.
+        headers: Response headers.
+        body: Bytes of the response body received so far.
+        first_byte: Time of the body's first byte; 0 until then.
+        ended: Whether the body was read to its end.
+        refused: Whether the connection could not be opened.
     """
 
     status: int = 0
@@ -46,20 +46,20 @@
 
     @property
     def complete(self) -> bool:
-        """Whether the whole answer came."""
-        return self.ended and (not self.streamed or _END_MARK in self.body)
+        """Whether the complete response was received."""
+        return self.ended and (not self.streamed or _END_MARKER in self.body)
 
     @property
     def streamed(self) -> bool:
-        """Whether the answer is a stream of events."""
+        """Whether the response is a stream of server-sent events."""
         return "event-stream" in self.headers.get("Content-Type", "")
 
 
 class Caller:
-    """A client of one or more entries.
+    """An HTTP caller of one or more entries.
 
     Args:
-        session: Where requests go out.
+        session: HTTP session that sends the requests.
     """
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
@@ -68,17 +68,18 @@
     async def send(
         self, serial: int, entry: str, call: calls.Call, due: float
     ) -> calls.Seen:
-        """Sends ``call`` to ``entry`` and waits for the end of the answer.
+        """Sends ``call`` to ``entry`` and waits for the end of the response.
 
         Args:
-            serial: Number of the request in its run.
+            serial: Number of the request within its run.
             entry: Base URL.
             call: What to send.
-            due: When it was due; latencies count from then, so that a late
-                start of the tool itself is not hidden.
+            due: When the request was due. Latencies are measured from this
+                time, so that delays of the load generator itself are not
+                hidden (coordinated omission).
 
         Returns:
-            What was seen; failures of the connection are seen as well.
+            The result; connection failures are results too.
         """
         key = await self.key_for(serial, entry, call)
         return await self.send_with_key(serial, entry, call, key, due)
@@ -91,28 +92,28 @@
         key: str,
         due: float | None = None,
     ) -> calls.Seen:
-        """Sends ``call`` under a key that may have been used before."""
+        """Sends ``call`` with an idempotency key, which may be a used one."""
         sent = time.time()
         exchange = _Exchange()
-        with _connection_errors(exchange):
+        with _record_connection_errors(exchange):
             await self._exchange(exchange, entry, call.numbered(serial), key)
-        return _describe(
+        return _make_result(
             calls.Seen(serial, call.kind, entry, key, due or sent, sent),
             exchange,
         )
 
     async def key_for(self, serial: int, entry: str, call: calls.Call) -> str:
-        """Returns a new key or ticket for ``call``; empty for none."""
+        """Returns a new key or ticket for ``call``, or an empty string."""
         if call.key_use is calls.KeyUse.NONE:
             return ""
         if call.key_use is calls.KeyUse.OWN:
             return f"load-{time.time_ns():x}-{serial}"
-        return await self._take_ticket(entry, call)
+        return await self._request_ticket(entry, call)
 
-    async def _take_ticket(self, entry: str, call: calls.Call) -> str:
+    async def _request_ticket(self, entry: str, call: calls.Call) -> str:
         exchange = _Exchange()
         ticket = calls.Call("ticket", "POST", _TICKETS_PATH, None, call.bearer)
-        with _connection_errors(exchange):
+        with _record_connection_errors(exchange):
             await self._exchange(exchange, entry, ticket, "")
         with contextlib.suppress(orjson.JSONDecodeError, KeyError):
             return str(orjson.loads(bytes(exchange.body))["ticket"])
@@ -137,8 +138,8 @@
 
 
 @contextlib.contextmanager
-def _connection_errors(exchange: _Exchange) -> Iterator[None]:
-    """Notes a failed connection in place of raising."""
+def _record_connection_errors(exchange: _Exchange) -> Iterator[None]:
+    """Records a connection failure in ``exchange`` instead of raising."""
     try:
         yield
     except aiohttp.ClientConnectorError:
@@ -160,11 +161,11 @@
     return headers
 
 
-def _describe(seen: calls.Seen, exchange: _Exchange) -> calls.Seen:
+def _make_result(result: calls.Seen, exchange: _Exchange) -> calls.Seen:
     error = _read_error(exchange)
     ended = time.time()
     return attrs.evolve(
-        seen,
+        result,
         status=exchange.status,
         outcome=_outcome(exchange, error),
         reason=_reason(exchange, error),
@@ -172,19 +173,21 @@
         version=exchange.headers.get("X-Hoistmoor-Version", ""),
         why=exchange.headers.get("X-Hoistmoor-Why", ""),
         session=exchange.headers.get("X-Hoistmoor-Session", ""),
-        retry_after=_seconds(exchange.headers.get("Retry-After", "")),
-        latency_ms=(ended - seen.due) * _MS,
-        first_byte_ms=((exchange.first_byte or ended) - seen.due) * _MS,
+        retry_after=_parse_seconds(exchange.headers.get("Retry-After", "")),
+        latency_ms=(ended - result.due) * _MS_PER_SECOND,
+        first_byte_ms=((exchange.first_byte or ended) - result.due)
+        * _MS_PER_SECOND,
         complete=exchange.complete,
-        frames=exchange.body.count(_FRAME) if exchange.streamed else 0,
+        frames=exchange.body.count(_EVENT_PREFIX) if exchange.streamed else 0,
         answer=_excerpt(exchange, error),
     )
 
 
 def _read_error(exchange: _Exchange) -> dict[str, Any]:
-    """Returns the refusal that an answer holds, or an empty object.
+    """Returns the error object of a response, or an empty dictionary.
 
-    A stream that was already under way carries it in its last event.
+    A stream that fails after it has started carries the error in its last
+    event.
     """
     text = bytes(exchange.body).strip()
     last = text.rsplit(b"data: ", 1)[-1]
@@ -200,7 +203,7 @@
         return outcomes.Outcome(error["outcome"])
     if exchange.refused:
         return outcomes.Outcome.NOT_RUN
-    done = exchange.complete and exchange.status < _ERROR_STATUS
+    done = exchange.complete and exchange.status < _MIN_ERROR_STATUS
     return outcomes.Outcome.DONE if done else outcomes.Outcome.UNKNOWN
 
 
@@ -211,15 +214,19 @@
         return "entry_unreachable"
     if not exchange.complete:
         return "entry_cut"
-    return f"http_{exchange.status}" if exchange.status >= _ERROR_STATUS else ""
+    return (
+        f"http_{exchange.status}"
+        if exchange.status >= _MIN_ERROR_STATUS
+        else ""
+    )
 
 
-def _seconds(text: str) -> int:
+def _parse_seconds(text: str) -> int:
     return int(text) if text.isdigit() else 0
 
 
 def _excerpt(exchange: _Exchange, error: dict[str, Any]) -> str:
     if error:
-        return str(error.get("message", ""))[:_MAX_ANSWER_CHARACTERS]
+        return str(error.get("message", ""))[:_MAX_EXCERPT_CHARACTERS]
     text = bytes(exchange.body).decode(errors="replace")
-    return text[:_MAX_ANSWER_CHARACTERS]
+    return text[:_MAX_EXCERPT_CHARACTERS]
--- a/src/hoistmoor/load/calls.py
+++ b/src/hoistmoor/load/calls.py
@@ -1,4 +1,4 @@
-"""What the load tool sends, and what a caller saw of it."""
+"""Requests that the load generator sends, and their results."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 
 from hoistmoor.core import outcomes
 
-SERIAL = "{serial}"  # Stands in a prompt for the number of the request.
+SERIAL = "{serial}"  # Placeholder in a prompt for the number of the request.
 
 
 class KeyUse(enum.StrEnum):
-    """How a call is kept from running twice."""
+    """How a call is protected against running twice."""
 
-    NONE = "none"  # No key: the receiving entry alone may run it.
-    OWN = "own"  # A key of the caller's own, claimed on the log.
-    TICKET = "ticket"  # A ticket taken from the entry first.
+    NONE = "none"  # No key: only the receiving entry may run it.
+    OWN = "own"  # A key chosen by the caller and claimed on the log.
+    TICKET = "ticket"  # A ticket issued by the entry beforehand.
 
 
 @attrs.frozen
 class Call:
-    """One request as a caller would send it.
+    """A request as a caller would send it.
 
     Attributes:
         kind: Short name for reports.
         method: HTTP method.
         path: Path at an entry.
         body: JSON body; None for none.
-        bearer: The client account's key; it reaches no log and no history.
-        key_use: How the call is kept from running twice.
-        deadline: Seconds from now until which an answer is of use; 0 for the
-            entry's own.
+        bearer: The client account's key; never written to a log or history.
+        key_use: How the call is protected against running twice.
+        deadline: Seconds after which the response is of no use; 0 for the
+            default of the entry.
         session: Session token or id; empty for none.
     """
 
@@ -46,10 +46,10 @@
     session: str = ""
 
     def numbered(self, serial: int) -> Call:
-        """Returns the call with its number in place of ``{serial}``.
+        """Returns the call with ``{serial}`` replaced by its number.
 
-        Callers differ: answers to one prompt sent over and over would be all
-        good or all bad, and a version would be withdrawn on it.
+        Numbering makes the prompts differ. Responses to one repeated prompt
+        would be all good or all bad, which could get a version withdrawn.
         """
         if not self.body or "messages" not in self.body:
             return self
@@ -62,28 +62,30 @@
 
 @attrs.frozen
 class Seen:
-    """What the caller saw of one request; one line of the history.
+    """The result of one request as the caller saw it; a line of the history.
 
     Attributes:
-        serial: Counts the run's requests from 0.
+        serial: Number of the request within its run, from 0.
         kind: Short name of the call.
-        entry: Base URL of the entry asked.
-        key: Idempotency key or ticket sent; empty for none.
+        entry: Base URL of the entry.
+        key: Idempotency key or ticket; empty for none.
         due: When the request was due, seconds since the epoch.
         sent: When it was sent.
-        status: HTTP status; 0 where none came.
-        outcome: What the caller was told of the run.
-        reason: Reason of a refusal; empty where it was served.
-        request_id: Id that the entry gave.
-        version: Version that answered.
-        why: The entry's word on its choice.
-        session: Session token that came back.
-        retry_after: Seconds of the Retry-After header; 0 for none.
-        latency_ms: From due to the last byte.
-        first_byte_ms: From due to the first byte of the body.
-        complete: Whether the answer came whole, end mark included.
-        frames: Events of a streamed answer.
-        answer: First part of the body, for people.
+        status: HTTP status; 0 if there was no response.
+        outcome: Whether the call ran, as reported to the caller.
+        reason: Reason of a refusal or failure; empty for none.
+        request_id: Request id assigned by the entry.
+        version: Version that served the request.
+        why: The entry's explanation of its choice.
+        session: Session token in the response.
+        retry_after: Seconds in the Retry-After header; 0 for none.
+        latency_ms: Milliseconds from the due time to the last byte.
+        first_byte_ms: Milliseconds from the due time to the first byte of the
+            body.
+        complete: Whether the response was complete, including the end marker
+            of a stream.
+        frames: Number of events in a streamed response.
+        answer: Start of the body, or the error message, for display.
     """
 
     serial: int
@@ -108,5 +110,5 @@
 
     @property
     def served(self) -> bool:
-        """Whether the request was run and its answer came whole."""
+        """Whether the request ran and its response was complete."""
         return self.complete and not self.reason
--- a/src/hoistmoor/load/compare.py
+++ b/src/hoistmoor/load/compare.py
@@ -1,7 +1,7 @@
-"""What an entry adds to a direct call of the same backend server.
+"""Measures the latency that an entry adds to direct calls.
 
-Direct calls and calls through the entry alternate in one run, one at a time,
-so that both meet the machine in the same state.
+Direct calls and calls through the entry alternate sequentially in one run, so
+that both are measured under the same machine conditions.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 if TYPE_CHECKING:
     from hoistmoor.load import caller as caller_lib
 
-_POINTS = (50.0, 99.0)
+_PERCENTILES = (50.0, 99.0)
 
 
 @attrs.frozen
 class Pair:
-    """The same work, asked for directly and through an entry.
+    """A call to a backend server and its counterpart through an entry.
 
     Attributes:
         direct_url: Base URL of the backend server.
-        direct: The call there.
+        direct: The direct call.
         entry_url: Base URL of the entry.
-        through: The call there.
+        through: The call through the entry.
     """
 
     direct_url: str
@@ -38,13 +38,13 @@
 
 @attrs.define
 class Comparison:
-    """Latencies of both ways.
+    """Latencies of both paths.
 
     Attributes:
         kind: Kind of the calls.
         direct: Latencies of direct calls.
         through: Latencies through the entry.
-        failed: Calls of either way that were not served; they do not count.
+        failed: Pairs in which either call was not served; they are excluded.
     """
 
     kind: str
@@ -55,12 +55,16 @@
     def lines(self) -> list[str]:
         """Returns the comparison as text."""
         head = f"{self.kind}: {self.through.count} pairs, {self.failed} failed"
-        return [head, *map(self._line, _POINTS)]
+        return [head, *map(self._line, _PERCENTILES)]
 
-    def _line(self, point: float) -> str:
-        direct, through = self.direct.at(point), self.through.at(point)
+    def _line(self, percentile: float) -> str:
+        direct, through = (
+            self.direct.at(percentile),
+            self.through.at(percentile),
+        )
         return (
-            f"  p{point:<4g} direct {direct:8.3f} ms  through {through:8.3f} ms"
+            f"  p{percentile:<4g} direct {direct:8.3f} ms"
+            f"  through {through:8.3f} ms"
             f"  adds {through - direct:7.3f} ms"
             f"  ratio {through / max(direct, 1e-3):5.2f}"
         )
@@ -69,30 +73,31 @@
 async def compare(
     pair: Pair, caller: caller_lib.Caller, count: int, warm_up: int = 20
 ) -> Comparison:
-    """Returns latencies of ``count`` alternating pairs of calls.
+    """Sends alternating pairs of calls and returns their latencies.
 
     Args:
-        pair: What to call.
+        pair: The calls.
         caller: Sends the calls.
-        count: Pairs that count.
-        warm_up: Pairs sent before, which open connections.
+        count: Number of measured pairs.
+        warm_up: Unmeasured pairs sent first, which open the connections.
     """
     comparison = Comparison(pair.through.kind)
     for serial in range(-warm_up, count):
         direct = await caller.send_with_key(
             serial, pair.direct_url, pair.direct, ""
         )
-        # A ticket is taken ahead of the sale, so its time does not count.
+        # Callers request a ticket ahead of the call, so the time for it is
+        # not measured.
         key = await caller.key_for(serial, pair.entry_url, pair.through)
         through = await caller.send_with_key(
             serial, pair.entry_url, pair.through, key
         )
         if serial >= 0:
-            _add(comparison, direct, through)
+            _record_pair(comparison, direct, through)
     return comparison
 
 
-def _add(
+def _record_pair(
     comparison: Comparison, direct: calls.Seen, through: calls.Seen
 ) -> None:
     if not (direct.served and through.served):
--- a/src/hoistmoor/load/demo.py
+++ b/src/hoistmoor/load/demo.py
@@ -1,4 +1,4 @@
-"""Walks through the scenario of each deployment and judges what came back."""
+"""Runs the demo scenario of each deployment and checks the results."""
 
 from __future__ import annotations
 
@@ -21,28 +21,28 @@
     from hoistmoor.load import caller as caller_lib
     from hoistmoor.load import deployments
 
-_START_SECONDS = 40.0
-_BILL_SECONDS = 10.0
+_START_TIMEOUT = 40.0
+_BILL_TIMEOUT = 10.0
 _LOAD_RATE = 24.0  # Requests per second to each deployment.
 _LOAD_COUNT = 144
-_POLL_SECONDS = 0.1
-_OK = 200
-_READS = ("GET", "HEAD")
+_POLL_INTERVAL = 0.1
+_STATUS_OK = 200
+_READ_METHODS = ("GET", "HEAD")
 
 
 class DemoError(errors.HoistmoorError):
-    """The demo cannot go on."""
+    """The demo cannot continue."""
 
 
 @attrs.frozen
 class StepResult:
-    """What became of a step.
+    """The result of a scenario step.
 
     Attributes:
         step: The step.
-        seen: What the caller saw, one for each time it was sent.
-        explained: What the other entry says on the first request; empty
-            where it could not explain it.
+        seen: Results of the requests, one for each time it was sent.
+        explained: Explanation of the first request by another entry; empty
+            if that entry has none.
     """
 
     step: scenario.Step
@@ -51,35 +51,35 @@
 
     @property
     def as_expected(self) -> bool:
-        """Whether every answer was the expected one."""
+        """Whether all results were the expected ones."""
         if self.step.reason:
-            return all(seen.reason == self.step.reason for seen in self.seen)
-        return all(seen.served for seen in self.seen)
+            return all(row.reason == self.step.reason for row in self.seen)
+        return all(row.served for row in self.seen)
 
 
 async def wait_until_up(
     session: aiohttp.ClientSession, urls: list[str]
 ) -> None:
-    """Returns once each URL answers 200.
+    """Waits until each URL returns status 200.
 
     Raises:
-        DemoError: One did not within the time allowed.
+        DemoError: A URL did not do so before the timeout.
     """
-    give_up = time.monotonic() + _START_SECONDS
+    deadline = time.monotonic() + _START_TIMEOUT
     for url in urls:
-        while not await _answers(session, url):
-            if time.monotonic() > give_up:
+        while not await _is_up(session, url):
+            if time.monotonic() > deadline:
                 raise DemoError(
-                    f"{url} did not come up in {_START_SECONDS:g} s",
-                    "Read its lines above.",
+                    f"{url} did not return 200 within {_START_TIMEOUT:g} s",
+                    "Check the output of its process above.",
                 )
-            await asyncio.sleep(_POLL_SECONDS)
+            await asyncio.sleep(_POLL_INTERVAL)
 
 
-async def _answers(session: aiohttp.ClientSession, url: str) -> bool:
+async def _is_up(session: aiohttp.ClientSession, url: str) -> bool:
     try:
         async with session.get(url) as response:
-            return response.status == _OK
+            return response.status == _STATUS_OK
     except (aiohttp.ClientError, TimeoutError, OSError):
         return False
 
@@ -88,14 +88,14 @@
     deployment: deployments.Deployment,
     caller: caller_lib.Caller,
 ) -> list[StepResult]:
-    """Sends each step of a deployment's scenario, one after the other."""
+    """Runs the steps of a deployment's scenario in sequence."""
     results = []
     for step in scenario.STEPS[deployment.name]:
-        results.append(await _take(deployment, caller, step))
+        results.append(await _run_step(deployment, caller, step))
     return results
 
 
-async def _take(
+async def _run_step(
     deployment: deployments.Deployment,
     caller: caller_lib.Caller,
     step: scenario.Step,
@@ -103,23 +103,25 @@
     entries = deployment.entries
     first = entries[step.entry % len(entries)]
     key = await caller.key_for(0, first, step.call)
-    seen = []
+    results = []
     for repeat in range(step.repeats):
         entry = entries[(step.entry + repeat) % len(entries)]
-        seen.append(await caller.send_with_key(repeat, entry, step.call, key))
+        results.append(
+            await caller.send_with_key(repeat, entry, step.call, key)
+        )
     other = entries[(step.entry + 1) % len(entries)]
-    why = await _explain(caller.session, other, seen[0].request_id)
-    return StepResult(step, tuple(seen), why)
+    explanation = await _explain(caller.session, other, results[0].request_id)
+    return StepResult(step, tuple(results), explanation)
 
 
 async def _explain(
     session: aiohttp.ClientSession, entry: str, request_id: str
 ) -> str:
-    """Returns another entry's word on a request."""
+    """Returns the explanation of a request by ``entry``, or an empty string."""
     if not request_id:
         return ""
     async with session.get(f"{entry}/explain/{request_id}") as response:
-        if response.status != _OK:
+        if response.status != _STATUS_OK:
             return ""
         body: dict[str, Any] = await response.json()
     if body.get("reason"):
@@ -130,19 +132,22 @@
 
 
 def served_ids(results: list[StepResult]) -> set[str]:
-    """Returns the ids of served requests; a stored answer has its first's."""
+    """Returns the ids of served requests.
+
+    A replayed response has the id of the request that it was stored for.
+    """
     return {
-        seen.request_id
+        request.request_id
         for result in results
-        for seen in result.seen
-        if seen.served
+        for request in result.seen
+        if request.served
     }
 
 
 async def load(
     deployment: deployments.Deployment, caller: caller_lib.Caller
 ) -> report_lib.Report:
-    """Sends the scenario's calls at random for a few seconds."""
+    """Sends a random mix of the scenario's calls for a few seconds."""
     report = report_lib.Report()
     mix = [
         step.call for step in scenario.STEPS[deployment.name] if not step.reason
@@ -157,17 +162,17 @@
     deployment: deployments.Deployment,
     expected: int,
 ) -> int:
-    """Returns how many requests are billed on the log.
+    """Waits for the expected bills and returns the number found on the log.
 
-    Bills that a peer holds come to the log a little later, so the first look
-    may be too early; more bills than expected end the wait as well.
+    Bills that a peer holds reach the log with a delay, so the first read may
+    miss some. The wait also ends when there are more bills than expected.
     """
-    give_up = time.monotonic() + _BILL_SECONDS
+    deadline = time.monotonic() + _BILL_TIMEOUT
     while True:
         billed = await _count_billed(session, deployment)
-        if billed >= expected or time.monotonic() > give_up:
+        if billed >= expected or time.monotonic() > deadline:
             return billed
-        await asyncio.sleep(_POLL_SECONDS)
+        await asyncio.sleep(_POLL_INTERVAL)
 
 
 async def _count_billed(
@@ -185,19 +190,21 @@
 async def count_effects(
     session: aiohttp.ClientSession, deployment: deployments.Deployment
 ) -> int:
-    """Returns how many calls with an effect the plain services ran."""
+    """Returns the number of calls with side effects that plain services ran."""
     count = 0
     for server in deployment.once_servers:
         async with session.get(f"{server}/_executions") as response:
             body = await response.json()
-        count += sum(row["method"] not in _READS for row in body["executions"])
+        count += sum(
+            row["method"] not in _READ_METHODS for row in body["executions"]
+        )
     return count
 
 
 def expected_effects(deployment: deployments.Deployment) -> int:
-    """Returns how many of the scenario's calls have an effect."""
+    """Returns the number of the scenario's calls that have side effects."""
     return sum(
         step.call.path.startswith("/v1/services/")
-        and step.call.method not in _READS
+        and step.call.method not in _READ_METHODS
         for step in scenario.STEPS[deployment.name]
     )
--- a/src/hoistmoor/load/deployments.py
+++ b/src/hoistmoor/load/deployments.py
@@ -1,6 +1,6 @@
 """The two deployments that the demo and the benchmark run on loopback.
 
-Addresses match ``Procfile`` and the sheets below ``examples/``.
+The addresses match ``Procfile`` and the sheets in ``examples/``.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 @attrs.frozen
 class Deployment:
-    """One deployment.
+    """A deployment on loopback.
 
     Attributes:
-        name: For reports.
-        sheets: Directory of its table.
+        name: Name in reports.
+        sheets: Directory of its table sheets.
         platform: Base URL of its platform.
         entries: Base URLs of its entries.
-        once_servers: Base URLs of the backend servers whose calls must not
-            run twice.
+        once_servers: Base URLs of the backend servers whose calls must run
+            at most once.
     """
 
     name: str
--- a/src/hoistmoor/load/histogram.py
+++ b/src/hoistmoor/load/histogram.py
@@ -1,29 +1,29 @@
-"""Latency histograms in microseconds, read in milliseconds."""
+"""Latency histograms with microsecond resolution."""
 
 from __future__ import annotations
 
 from hdrh import histogram as hdrh
 
-_LOWEST_US = 1
-_HIGHEST_US = 600_000_000  # Ten minutes.
-_DIGITS = 3
+_MIN_US = 1
+_MAX_US = 600_000_000  # 10 minutes.
+_SIGNIFICANT_DIGITS = 3
 _US_PER_MS = 1000.0
 
 
 class Histogram:
-    """Latencies of one kind of request."""
+    """Latencies in milliseconds, stored in microseconds."""
 
     def __init__(self) -> None:
-        self.counts = hdrh.HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
+        self.counts = hdrh.HdrHistogram(_MIN_US, _MAX_US, _SIGNIFICANT_DIGITS)
 
     def add(self, ms: float) -> None:
-        """Adds one latency in milliseconds."""
-        us = max(_LOWEST_US, min(_HIGHEST_US, int(ms * _US_PER_MS)))
+        """Records a latency in milliseconds."""
+        us = max(_MIN_US, min(_MAX_US, int(ms * _US_PER_MS)))
         self.counts.record_value(us)
 
     @property
     def count(self) -> int:
-        """Latencies added."""
+        """Number of recorded latencies."""
         return int(self.counts.get_total_count())
 
     def at(self, percentile: float) -> float:
--- a/src/hoistmoor/load/history.py
+++ b/src/hoistmoor/load/history.py
@@ -1,7 +1,7 @@
-"""The history of a run: one JSON line for each request that callers saw.
+"""The history of a load run, as JSON lines with the result of each request.
 
-A checker reads it beside what backend servers and the log recorded. It holds
-idempotency keys, which say what belongs together, and no bearer keys.
+A checker compares it with the records of backend servers and of the log. It
+contains idempotency keys, which correlate the records, but no bearer keys.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 
 
 class HistoryFile:
-    """Appends to a file; keeps nothing in memory.
+    """Writes results to a file as they arrive.
 
     Args:
-        path: Where to write; an existing file is replaced.
+        path: File to write; an existing one is replaced.
     """
 
     def __init__(self, path: pathlib.Path) -> None:
         self.file = path.open("wb")
 
-    def add(self, seen: calls.Seen) -> None:
-        """Writes one line."""
-        self.file.write(orjson.dumps(codec.converter.unstructure(seen)))
+    def add(self, result: calls.Seen) -> None:
+        """Writes a result as one line."""
+        self.file.write(orjson.dumps(codec.converter.unstructure(result)))
         self.file.write(b"\n")
 
     def close(self) -> None:
-        """Writes out what is buffered and closes the file."""
+        """Flushes buffered lines and closes the file."""
         self.file.close()
 
 
 def read(path: pathlib.Path) -> Iterator[calls.Seen]:
-    """Yields the requests of a history in the order in which they ended."""
-    with path.open("rb") as lines:
-        for line in lines:
+    """Yields the results in a history, in the order in which requests ended."""
+    with path.open("rb") as file:
+        for line in file:
             yield codec.structure(orjson.loads(line), calls.Seen)
--- a/src/hoistmoor/load/main.py
+++ b/src/hoistmoor/load/main.py
@@ -1,7 +1,7 @@
 """Entry point of ``hoistmoor-load``.
 
 A command is an attrs class with its flags as attributes and a ``__call__``
-that returns an exit code: 0 done, 1 failed, 2 wrong flags.
+that returns an exit code: 0 for success, 1 for failure, 2 for a usage error.
 """
 
 from __future__ import annotations
@@ -23,10 +23,12 @@
 _EXIT_USAGE = 2
 
 
-@cappa.command(name="hoistmoor-load", help="Load, comparisons, experiments.")
+@cappa.command(
+    name="hoistmoor-load", help="Load generation, comparisons and experiments."
+)
 @attrs.frozen
 class Load:
-    """Sends bounded load, compares, runs the demo and experiments."""
+    """Generates load, compares latencies, runs the demo and experiments."""
 
     command: cappa.Subcommands[
         run.Run
@@ -39,7 +41,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Runs one command and returns its exit code."""
+    """Runs a command and returns its exit code."""
     try:
         code = cappa.invoke(
             Load,
--- a/src/hoistmoor/load/mix.py
+++ b/src/hoistmoor/load/mix.py
@@ -1,4 +1,4 @@
-"""Calls that the commands send, by name."""
+"""Named calls that the load commands send."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     max_tokens: int = 32,
     session: str = "",
 ) -> calls.Call:
-    """Returns a chat completion."""
+    """Returns a chat completion call."""
     body = {
         "model": model,
         "messages": [{"role": "user", "content": text}],
@@ -41,14 +41,15 @@
     body: dict[str, object] | None = None,
     key_use: calls.KeyUse = calls.KeyUse.NONE,
 ) -> calls.Call:
-    """Returns a call of a plain service.
+    """Returns a call to a plain service.
 
     Args:
         kind: Short name for reports.
-        call: As in the table: ``counter-api POST /confirm``.
+        call: Service, method and path as in the table, such as
+            ``counter-api POST /confirm``.
         bearer: The client account's key.
         body: JSON body; None for none.
-        key_use: How the call is kept from running twice.
+        key_use: How the call is protected against running twice.
     """
     name, method, path = call.split(" ")
     return calls.Call(
@@ -90,12 +91,12 @@
     """Returns the calls with these names.
 
     Raises:
-        ConfigurationError: There is no call of such a name.
+        ConfigurationError: A name is unknown.
     """
     unknown = sorted(set(names) - set(_BY_NAME))
     if unknown:
         raise errors.ConfigurationError(
-            f"--kind: no call is named {', '.join(unknown)}",
+            f"--kind: unknown calls: {', '.join(unknown)}",
             f"Choose from {', '.join(sorted(_BY_NAME))}.",
         )
     return [_BY_NAME[name](bearer) for name in names]
--- a/src/hoistmoor/load/processor.py
+++ b/src/hoistmoor/load/processor.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of processes, read from the system."""
+"""CPU time and memory of processes, read from ``/proc``."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 from hoistmoor.core import errors
 
-_TICKS = os.sysconf("SC_CLK_TCK")
-_PAGE = os.sysconf("SC_PAGE_SIZE")
-_AFTER_NAME = 2  # Fields of the file before and with the process's name.
-_USER_TIME = 13 - _AFTER_NAME
-_SYSTEM_TIME = 14 - _AFTER_NAME
-_RESIDENT = 23 - _AFTER_NAME
+_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+_PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+_NAME_FIELDS = 2  # Leading fields of /proc/PID/stat: pid and process name.
+_USER_TICKS_INDEX = 13 - _NAME_FIELDS
+_SYSTEM_TICKS_INDEX = 14 - _NAME_FIELDS
+_RESIDENT_PAGES_INDEX = 23 - _NAME_FIELDS
 
 
 @attrs.frozen
 class Usage:
-    """What a process has used so far.
+    """The resource usage of a process.
 
     Attributes:
-        seconds: Processor time, in user and system mode.
-        resident: Bytes of memory now.
+        seconds: Total CPU time, in user and system mode.
+        resident: Resident memory in bytes.
     """
 
     seconds: float
@@ -34,15 +34,19 @@
     """Returns the usage of a process.
 
     Raises:
-        ConfigurationError: There is no such process.
+        ConfigurationError: The process does not exist.
     """
     try:
         text = pathlib.Path(f"/proc/{pid}/stat").read_text()
     except OSError as error:
         raise errors.ConfigurationError(
-            f"--pid {pid} is no process", "Give the id of a running entry."
+            f"--pid {pid} is not a process", "Give the id of a running entry."
         ) from error
-    # The name may hold spaces; what follows its bracket does not.
+    # The name may contain spaces and parentheses, so split after the last
+    # parenthesis.
     fields = text.rpartition(")")[2].split()
-    ticks = int(fields[_USER_TIME]) + int(fields[_SYSTEM_TIME])
-    return Usage(ticks / _TICKS, int(fields[_RESIDENT]) * _PAGE)
+    ticks = int(fields[_USER_TICKS_INDEX]) + int(fields[_SYSTEM_TICKS_INDEX])
+    return Usage(
+        ticks / _TICKS_PER_SECOND,
+        int(fields[_RESIDENT_PAGES_INDEX]) * _PAGE_BYTES,
+    )
--- a/src/hoistmoor/load/report.py
+++ b/src/hoistmoor/load/report.py
@@ -1,4 +1,4 @@
-"""Sums up what callers saw, kind by kind."""
+"""Summarizes the results of a load run by kind of request."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 @attrs.define
 class KindSummary:
-    """Requests of one kind.
+    """The summary of one kind of request.
 
     Attributes:
-        sent: Requests that ended, one way or another.
-        served: Those with a whole answer.
-        latency: Latencies of the served ones.
-        refusals: Others, by ``reason/outcome``.
-        choices: Served ones by version or call, and why.
+        sent: Requests that ended, with any result.
+        served: Requests with a complete response.
+        latency: Latencies of served requests.
+        refusals: Counts of unserved requests by ``reason/outcome``.
+        choices: Counts of served requests by version and reason of the choice.
     """
 
     sent: int = 0
@@ -35,38 +35,38 @@
     )
     choices: collections.Counter[str] = attrs.field(factory=collections.Counter)
 
-    def add(self, seen: calls.Seen) -> None:
-        """Takes one request in."""
+    def add(self, result: calls.Seen) -> None:
+        """Adds the result of a request."""
         self.sent += 1
-        if not seen.served:
-            self.refusals[f"{seen.reason}/{seen.outcome}"] += 1
+        if not result.served:
+            self.refusals[f"{result.reason}/{result.outcome}"] += 1
             return
         self.served += 1
-        self.choices[f"{seen.version}: {seen.why}"] += 1
-        self.latency.add(seen.latency_ms)
+        self.choices[f"{result.version}: {result.why}"] += 1
+        self.latency.add(result.latency_ms)
 
 
 class Report:
-    """Summaries of a whole run."""
+    """The summaries of a whole run."""
 
     def __init__(self) -> None:
         self.kinds: dict[str, KindSummary] = {}
         self.served_ids: set[str] = set()
         self.frames = 0
 
-    def add(self, seen: calls.Seen) -> None:
-        """Takes one request in."""
-        self.kinds.setdefault(seen.kind, KindSummary()).add(seen)
-        self.frames += seen.frames
-        if seen.served:
-            self.served_ids.add(seen.request_id)
+    def add(self, result: calls.Seen) -> None:
+        """Adds the result of a request."""
+        self.kinds.setdefault(result.kind, KindSummary()).add(result)
+        self.frames += result.frames
+        if result.served:
+            self.served_ids.add(result.request_id)
 
     def lines(self) -> list[str]:
-        """Returns the report as text."""
+        """Returns the report as lines of text."""
         return [_HEADER, *map(_line, sorted(self.kinds.items()))]
 
     def choice_lines(self) -> list[str]:
-        """Returns where the served requests of each kind went, and why."""
+        """Returns the versions that served each kind, with the reasons."""
         return [
             f"{kind:<16}{count:>7}  {choice}"
             for kind, summary in sorted(self.kinds.items())
@@ -76,7 +76,9 @@
 
 def _line(item: tuple[str, KindSummary]) -> str:
     kind, summary = item
-    p50, p95, p99 = (summary.latency.at(point) for point in (50, 95, 99))
+    p50, p95, p99 = (
+        summary.latency.at(percentile) for percentile in (50, 95, 99)
+    )
     refused = ", ".join(
         f"{reason} {count}" for reason, count in summary.refusals.most_common()
     )
--- a/src/hoistmoor/load/scenario.py
+++ b/src/hoistmoor/load/scenario.py
@@ -1,4 +1,4 @@
-"""What the demo asks of each deployment, and what it expects."""
+"""The requests that the demo sends to each deployment, and expectations."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 @attrs.frozen
 class Step:
-    """One request of the demo.
+    """One step of the demo scenario.
 
     Attributes:
-        title: What it shows.
-        call: What is sent.
-        entry: Which entry is asked, counted from 0.
-        reason: Reason of the refusal that is expected; empty for an answer.
-        repeats: Times that the same call is sent, each to the next entry;
-            with the same key where it has one.
+        title: What it demonstrates.
+        call: The call to send.
+        entry: Index of the entry, from 0.
+        reason: Expected reason of refusal; empty if the call is to be served.
+        repeats: Number of times that the call is sent, each time to the next
+            entry, with the same key if it has one.
     """
 
     title: str
@@ -38,29 +38,29 @@
 
 _TOP_UP: dict[str, object] = {"id": "0812345678", "amount": 50}
 _BOOKING: dict[str, object] = {"id": "strandgata-6", "skip": "8 m3"}
-_THAI = "ยอดเงินคงเหลือของหมายเลข {serial} เท่าไร"
-_ISAN = "เงินเบอร์ {serial} เหลือท่อใด๋ ซ่อยเบิ่งให้แหน่"
-_RECONCILE = "กระทบยอดบัญชีตัวแทน {serial} เดือนพฤศจิกายน"
-_PERMIT = "Þarf ég leyfi fyrir gám á gangstétt við Strandgötu {serial}?"
-_SCHEDULE = "Gerðu drög að akstursáætlun {serial} fyrir Vellir á morgun."
+_THAI_PROMPT = "ยอดเงินคงเหลือของหมายเลข {serial} เท่าไร"
+_ISAN_PROMPT = "เงินเบอร์ {serial} เหลือท่อใด๋ ซ่อยเบิ่งให้แหน่"
+_LEDGER_PROMPT = "กระทบยอดบัญชีตัวแทน {serial} เดือนพฤศจิกายน"
+_PERMIT_PROMPT = "Þarf ég leyfi fyrir gám á gangstétt við Strandgötu {serial}?"
+_SCHEDULE_PROMPT = "Gerðu drög að akstursáætlun {serial} fyrir Vellir á morgun."
 
 _TAEMSUK = (
     Step(
         "question in Thai, model auto",
-        mix.chat("chat", "auto", _THAI, _AGENTS),
+        mix.chat("chat", "auto", _THAI_PROMPT, _AGENTS),
     ),
     Step(
         "question in Isan, streamed, other entry",
-        mix.chat("stream", "auto", _ISAN, _AGENTS, stream=True),
+        mix.chat("stream", "auto", _ISAN_PROMPT, _AGENTS, stream=True),
         entry=1,
     ),
     Step(
         "ledger under a high quality target, model auto",
-        mix.chat("chat", "auto", _RECONCILE, _LEDGER),
+        mix.chat("chat", "auto", _LEDGER_PROMPT, _LEDGER),
     ),
     Step(
         "pinned version",
-        mix.chat("chat", "khao-medium@2025-06", _THAI, _AGENTS),
+        mix.chat("chat", "khao-medium@2025-06", _THAI_PROMPT, _AGENTS),
         entry=1,
     ),
     Step(
@@ -96,12 +96,12 @@
     ),
     Step(
         "refused: a model that the client account may not use",
-        mix.chat("chat", "khao-large", _THAI, _RIDERS),
+        mix.chat("chat", "khao-large", _THAI_PROMPT, _RIDERS),
         reason="not_granted",
     ),
     Step(
         "refused: a wrong key",
-        mix.chat("chat", "auto", _THAI, "demo-nobody"),
+        mix.chat("chat", "auto", _THAI_PROMPT, "demo-nobody"),
         reason="wrong_key",
     ),
 )
@@ -109,11 +109,11 @@
 _HAFNARFJORDUR = (
     Step(
         "question on a permit in Icelandic, model auto",
-        mix.chat("chat", "auto", _PERMIT, _RESIDENTS),
+        mix.chat("chat", "auto", _PERMIT_PROMPT, _RESIDENTS),
     ),
     Step(
         "haulage schedule under a high quality target, streamed",
-        mix.chat("stream", "auto", _SCHEDULE, _HAULAGE, stream=True),
+        mix.chat("stream", "auto", _SCHEDULE_PROMPT, _HAULAGE, stream=True),
         entry=1,
     ),
     Step(
@@ -146,7 +146,7 @@
     ),
     Step(
         "refused: a withdrawn version",
-        mix.chat("chat", "gamur-core@2.8", _PERMIT, _DESK),
+        mix.chat("chat", "gamur-core@2.8", _PERMIT_PROMPT, _DESK),
         reason="version_withdrawn",
     ),
 )
