--- a/src/hoistmoor/load/commands/demo.py
+++ b/src/hoistmoor/load/commands/demo.py
@@ -116,9 +116,9 @@
     deployment: deployments.Deployment, report: report_lib.Report
 ) -> int:
     """Prints the report and returns the number of unserved requests."""
-    _print_line(f"\n{deployment.name}: all kinds at once")
+    _print_line(f"\n{deployment.name}: mixed load")
     _print_line("\n".join(report.lines()))
-    _print_line("\nwhere they went")
+    _print_line("\nversions chosen, and why")
     _print_line("\n".join(report.choice_lines()))
     return sum(kind.sent - kind.served for kind in report.kinds.values())
 
--- a/src/hoistmoor/load/experiment/__init__.py
+++ b/src/hoistmoor/load/experiment/__init__.py
@@ -1,3 +1,3 @@
-"""Experiments: the real router against baselines on a virtual clock."""
+"""Experiments that compare the router with baselines on a virtual clock."""
 
 from __future__ import annotations
--- a/src/hoistmoor/load/experiment/clock.py
+++ b/src/hoistmoor/load/experiment/clock.py
@@ -1,4 +1,4 @@
-"""A virtual clock: a queue of things to do, each at its time."""
+"""A virtual clock for discrete-event simulation."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 
 @attrs.define(eq=False)
 class Clock:
-    """Runs what was planned, in the order of time.
+    """Runs scheduled callbacks in the order of their times.
 
     Attributes:
-        now: The virtual time, in seconds.
-        queue: What is planned, as a heap.
-        serial: Breaks ties, so that runs repeat exactly.
+        now: Virtual time in seconds.
+        queue: Scheduled callbacks, as a heap.
+        serial: Breaks ties between equal times, so that runs are
+            deterministic.
     """
 
     now: float = 0.0
@@ -26,18 +27,22 @@
     )
     serial: itertools.count[int] = attrs.field(factory=itertools.count)
 
-    def at(self, when: float, act: Callable[..., None], *args: Any) -> None:
-        """Plans ``act(*args)`` for ``when``, or for now if that is past."""
-        entry = (max(when, self.now), next(self.serial), act, args)
+    def at(
+        self, when: float, callback: Callable[..., None], *args: Any
+    ) -> None:
+        """Schedules ``callback(*args)`` at ``when``, or now if that is past."""
+        entry = (max(when, self.now), next(self.serial), callback, args)
         heapq.heappush(self.queue, entry)
 
-    def after(self, wait: float, act: Callable[..., None], *args: Any) -> None:
-        """Plans ``act(*args)`` for ``wait`` seconds from now."""
-        self.at(self.now + wait, act, *args)
+    def after(
+        self, delay: float, callback: Callable[..., None], *args: Any
+    ) -> None:
+        """Schedules ``callback(*args)`` in ``delay`` seconds."""
+        self.at(self.now + delay, callback, *args)
 
     def run(self, until: float) -> None:
-        """Runs everything planned up to ``until``."""
+        """Runs all callbacks scheduled up to ``until``."""
         while self.queue and self.queue[0][0] <= until:
-            self.now, _, act, args = heapq.heappop(self.queue)
-            act(*args)
+            self.now, _, callback, args = heapq.heappop(self.queue)
+            callback(*args)
         self.now = until
--- a/src/hoistmoor/load/experiment/deployment.py
+++ b/src/hoistmoor/load/experiment/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment to experiment on: its table, its engines and its traffic."""
+"""The simulated deployment: its table, its engines and its traffic."""
 
 from __future__ import annotations
 
@@ -18,26 +18,28 @@
 if TYPE_CHECKING:
     import pathlib
 
-PLAIN_CAPACITY = 16  # Calls at once of a plain server; small, to overload it.
+# Concurrent calls of a plain server; small, so that it can be overloaded.
+PLAIN_CAPACITY = 16
 PLAIN_WORK_S = 0.16  # Median duration of a plain call.
-_PACE_AT_MEDIUM = 0.018  # Seconds per token alone, at 3,600 micros per 1,000.
-_PACE_POWER = 0.45  # Dearer versions are larger, and slower.
-_SESSION_SHARE = 0.25
+_SECONDS_PER_TOKEN = 0.018  # Unbatched, at 3,600 micros per 1,000 tokens.
+_PRICE_EXPONENT = 0.45  # More expensive versions are larger and slower.
+_SESSION_FRACTION = 0.25
 _SESSION_TURNS = 4
-_MODEL_DEADLINE_S = 30.0
-_PLAIN_DEADLINE_S = 5.0
+_MODEL_DEADLINE_SECONDS = 30.0
+_PLAIN_DEADLINE_SECONDS = 5.0
 
 
 @attrs.frozen
 class KindOfRequest:
-    """What requests of one kind look like.
+    """The distribution of requests of one kind.
 
     Attributes:
-        share: Share of the model requests.
-        shift: Log odds by which they are easier than the usual.
-        prompt: Median prompt tokens.
-        output: Median generated tokens.
-        urgent: Whether somebody waits.
+        share: Fraction of the model requests.
+        shift: Shift of the log odds of a good response; positive for
+            easier requests.
+        prompt: Median number of prompt tokens.
+        output: Median number of generated tokens.
+        urgent: Whether a person waits for the response.
     """
 
     share: float
@@ -49,15 +51,15 @@
 
 @attrs.frozen
 class Deployment:
-    """A table and the traffic that it meets.
+    """A table and the traffic on it.
 
     Attributes:
-        name: Its name in reports.
+        name: Name in reports.
         table: The operators' table.
-        kinds: Kinds of request.
-        hosts: Entry hosts.
-        model_rate: Model requests per second on an ordinary day.
-        plain_rate: Calls per second to the plain service.
+        kinds: Kinds of request by name.
+        hosts: Number of entry hosts.
+        model_rate: Mean model requests per second.
+        plain_rate: Mean calls per second to the plain service.
     """
 
     name: str
@@ -70,14 +72,14 @@
     @property
     def engine_service(self) -> str:
         """Name of the service of model engines."""
-        return self._service(model.ServiceKind.ENGINE)
+        return self._service_of_kind(model.ServiceKind.ENGINE)
 
     @property
     def plain_service(self) -> str:
         """Name of the plain service."""
-        return self._service(model.ServiceKind.PLAIN)
+        return self._service_of_kind(model.ServiceKind.PLAIN)
 
-    def _service(self, kind: model.ServiceKind) -> str:
+    def _service_of_kind(self, kind: model.ServiceKind) -> str:
         rows = self.table.services.values()
         return next(row.service for row in rows if row.kind is kind)
 
@@ -94,6 +96,7 @@
         "summary": KindOfRequest(0.2, 0.3, 800, 120, urgent=False),
     },
 }
+# Model rate, plain rate and number of entry hosts.
 RATES = {"taemsuk": (2.4, 3.0, 8), "hafnarfjordur": (1.2, 2.0, 8)}
 
 
@@ -101,14 +104,14 @@
     """Returns the deployment whose sheets are in ``directory``.
 
     Raises:
-        ConfigurationError: The sheets have faults, or are of a deployment
-            whose traffic is not known.
+        ConfigurationError: The sheets have faults, or there is no traffic
+            model for the deployment.
     """
     name = directory.name
     if name not in KINDS:
         raise errors.ConfigurationError(
-            f"no traffic is known for {name}",
-            f"Name a directory called one of: {', '.join(sorted(KINDS))}.",
+            f"no traffic model for {name}",
+            f"Choose a directory named one of: {', '.join(sorted(KINDS))}.",
         )
     files = {
         path.name: path.read_text(encoding="utf-8")
@@ -124,7 +127,7 @@
 
 
 def of_table(name: str, table: model.Table) -> Deployment:
-    """Returns the deployment ``name`` with small plain servers."""
+    """Returns the deployment ``name`` with its plain capacity reduced."""
     model_rate, plain_rate, hosts = RATES[name]
     plain = {
         row.service
@@ -150,9 +153,9 @@
 def make_engines(
     deployment: Deployment, clock: clock_lib.Clock
 ) -> dict[str, engine_lib.Engine]:
-    """Returns a model of each backend server, with its versions loaded."""
+    """Returns a simulated engine for each backend server, versions loaded."""
     table = deployment.table
-    loaded = _spread_replicas(deployment)
+    loaded = _place_replicas(deployment)
     return {
         name: engine_lib.Engine(
             name,
@@ -165,7 +168,7 @@
     }
 
 
-def _spread_replicas(deployment: Deployment) -> dict[str, tuple[str, ...]]:
+def _place_replicas(deployment: Deployment) -> dict[str, tuple[str, ...]]:
     names = [
         row.server
         for row in deployment.table.servers_by_service[
@@ -173,37 +176,39 @@
         ]
     ]
     loaded: dict[str, tuple[str, ...]] = dict.fromkeys(names, ())
-    places = itertools.cycle(names)
+    servers = itertools.cycle(names)
     for key, row in sorted(deployment.table.versions.items()):
         for _ in range(row.replicas):
-            name = next(places)
+            name = next(servers)
             loaded[name] = (*loaded[name], key)
     return loaded
 
 
 def work(row: model.Version, tokens: int) -> float:
-    """Returns the seconds that ``tokens`` take alone in the batch."""
-    price = max(1, row.output_price) / 3600.0
-    return tokens * _PACE_AT_MEDIUM * math.pow(price, _PACE_POWER)
+    """Returns the seconds to generate ``tokens`` without batching."""
+    relative_price = max(1, row.output_price) / 3600.0
+    return (
+        tokens * _SECONDS_PER_TOKEN * math.pow(relative_price, _PRICE_EXPONENT)
+    )
 
 
 @attrs.frozen
 class Arrival:
-    """One request of a caller, the same for every policy.
+    """One request of a caller; identical for all policies.
 
     Attributes:
-        number: Counts the requests from 0.
-        at: When it comes.
-        host: Index of the entry host that takes it in.
+        number: Number of the request, from 0.
+        at: Time of arrival.
+        host: Index of the entry host that receives it.
         account: Name of the client account.
         kind: Kind of request; empty for a plain call.
-        difficulty: How hard it is.
-        prompt: Prompt tokens.
-        output: Tokens that an answer has.
-        session: Its session; empty for none.
-        prefix: Hashes of the prompt's blocks.
-        deadline: When its caller gives up.
-        work: Seconds of a plain call.
+        difficulty: Difficulty, on the scale of the skills of versions.
+        prompt: Number of prompt tokens.
+        output: Number of tokens in a response.
+        session: Session id; empty for none.
+        prefix: Hashes of the prompt's blocks of tokens.
+        deadline: Time at which the caller gives up.
+        work: Service time of a plain call, in seconds.
     """
 
     number: int
@@ -227,41 +232,49 @@
     seed: int,
     diurnal: bool,
 ) -> list[Arrival]:
-    """Returns the requests of one run, in the order of time.
+    """Returns the requests of one run, in the order of arrival.
 
     Args:
-        deployment: Whose traffic.
-        length: Seconds.
-        load: Factor on the ordinary rates.
-        seed: Source of randomness.
-        diurnal: Whether the rate swings by half over the run.
+        deployment: The deployment that receives them.
+        length: Duration in seconds.
+        load: Factor on the mean rates.
+        seed: Random seed.
+        diurnal: Whether the rate varies by half, as a sine over the run.
     """
-    source = random.Random(f"arrivals {deployment.name} {seed}")
-    found: list[Arrival] = []
+    rng = random.Random(f"arrivals {deployment.name} {seed}")
+    requests: list[Arrival] = []
     now = 0.0
     rate = (deployment.model_rate + deployment.plain_rate) * load
-    plain_share = deployment.plain_rate / (
+    plain_fraction = deployment.plain_rate / (
         deployment.model_rate + deployment.plain_rate
     )
     for number in itertools.count():
-        now += source.expovariate(rate * 1.5)
+        # Thinning: samples at the peak rate, 1.5 times the mean, and drops
+        # arrivals in excess of the current rate.
+        now += rng.expovariate(rate * 1.5)
         if now > length:
-            return found
-        swing = 0.5 * math.sin(2 * math.pi * now / length) if diurnal else 0.0
-        if source.random() * 1.5 > 1.0 + swing:
+            return requests
+        variation = (
+            0.5 * math.sin(2 * math.pi * now / length) if diurnal else 0.0
+        )
+        if rng.random() * 1.5 > 1.0 + variation:
             continue
-        make = _plain if source.random() < plain_share else _model
-        found.append(make(deployment, number, now, source))
-    return found
+        make = (
+            _make_plain_arrival
+            if rng.random() < plain_fraction
+            else _make_model_arrival
+        )
+        requests.append(make(deployment, number, now, rng))
+    return requests
 
 
-def _plain(
-    deployment: Deployment, number: int, now: float, source: random.Random
+def _make_plain_arrival(
+    deployment: Deployment, number: int, now: float, rng: random.Random
 ) -> Arrival:
     return Arrival(
         number,
         now,
-        source.randrange(deployment.hosts),
+        rng.randrange(deployment.hosts),
         "",
         "",
         0.0,
@@ -269,52 +282,58 @@
         0,
         "",
         (),
-        now + _PLAIN_DEADLINE_S,
-        work=PLAIN_WORK_S * math.exp(source.gauss(0.0, 0.3)),
+        now + _PLAIN_DEADLINE_SECONDS,
+        work=PLAIN_WORK_S * math.exp(rng.gauss(0.0, 0.3)),
     )
 
 
-def _model(
-    deployment: Deployment, number: int, now: float, source: random.Random
+def _make_model_arrival(
+    deployment: Deployment, number: int, now: float, rng: random.Random
 ) -> Arrival:
     accounts = list(deployment.table.accounts.values())
-    account = source.choices(accounts, [a.rate_limit for a in accounts])[0]
+    account = rng.choices(accounts, [a.rate_limit for a in accounts])[0]
     kinds = list(deployment.kinds)
-    shares = [deployment.kinds[kind].share for kind in kinds]
-    kind = source.choices(kinds, shares)[0]
+    fractions = [deployment.kinds[kind].share for kind in kinds]
+    kind = rng.choices(kinds, fractions)[0]
     shape = deployment.kinds[kind]
-    session = _session(account.account, kind, now, source)
-    prompt = int(shape.prompt * math.exp(source.gauss(0.0, 0.4))) + 16
+    session = _draw_session(account.account, kind, now, rng)
+    prompt = int(shape.prompt * math.exp(rng.gauss(0.0, 0.4))) + 16
     return Arrival(
         number,
         now,
-        source.randrange(deployment.hosts),
+        rng.randrange(deployment.hosts),
         account.account,
         kind,
-        source.gauss(0.0, 1.0),
+        rng.gauss(0.0, 1.0),
         prompt,
-        max(5, int(shape.output * math.exp(source.gauss(0.0, 0.5)))),
+        max(5, int(shape.output * math.exp(rng.gauss(0.0, 0.5)))),
         session,
-        _prefix(account.account, kind, session, prompt),
-        now + _MODEL_DEADLINE_S,
+        _block_hashes(account.account, kind, session, prompt),
+        now + _MODEL_DEADLINE_SECONDS,
     )
 
 
-def _session(account: str, kind: str, now: float, source: random.Random) -> str:
-    if source.random() >= _SESSION_SHARE:
+def _draw_session(
+    account: str, kind: str, now: float, rng: random.Random
+) -> str:
+    if rng.random() >= _SESSION_FRACTION:
         return ""
-    # A session's turns fall into the same few minutes.
-    lasts = 60.0 * _SESSION_TURNS
-    return f"{account}/{kind}/{int(now // lasts)}/{source.randrange(8)}"
+    # The turns of a session fall into one time window.
+    window = 60.0 * _SESSION_TURNS
+    return f"{account}/{kind}/{int(now // window)}/{rng.randrange(8)}"
 
 
-def _prefix(
+def _block_hashes(
     account: str, kind: str, session: str, prompt: int
 ) -> tuple[int, ...]:
-    """The first half is the account's instructions, the rest a session's."""
+    """Returns the hashes of the prompt's blocks.
+
+    The first half stands for the account's instructions, the rest for the
+    history of the session.
+    """
     blocks = prompt // engine_lib.BLOCK_TOKENS
-    own = blocks - blocks // 2
-    shared = [hash_of(f"{account}/{kind}/{i}") for i in range(own)]
+    shared_blocks = blocks - blocks // 2
+    shared = [hash_of(f"{account}/{kind}/{i}") for i in range(shared_blocks)]
     if not session:
         return tuple(shared)
     rest = [hash_of(f"{session}/{i}") for i in range(blocks // 2)]
@@ -322,5 +341,5 @@
 
 
 def hash_of(text: str) -> int:
-    """Returns a hash that is the same in each run."""
+    """Returns a hash that is the same in all runs and processes."""
     return random.Random(text).getrandbits(62)
--- a/src/hoistmoor/load/experiment/engine.py
+++ b/src/hoistmoor/load/experiment/engine.py
@@ -1,7 +1,7 @@
-"""A small model of one backend server, a model engine or a plain service.
+"""A simulated backend server: a batching model engine or a plain server.
 
-Calls in the batch share its pace: each more slows every other. A prompt's
-blocks that are cached need no prefill. Load reports show a past state.
+The calls in a batch slow one another down. Cached blocks of a prompt need no
+prefill. Load reports are out of date when they are read.
 """
 
 from __future__ import annotations
@@ -16,25 +16,29 @@
 from hoistmoor.core.routing import messages
 from hoistmoor.load.experiment import clock
 
-BATCH_HALF = 16.0  # Calls in the batch that halve the pace of each.
+BATCH_HALF = 16.0  # Batch size that doubles the duration of a call.
 PREFILL_S = 0.0004  # Seconds per prompt token that is not cached.
 BLOCK_TOKENS = 64
 CACHE_BLOCKS = 400
-QUEUE_SHARE = 1.0  # Calls that wait at most, in shares of capacity.
+QUEUE_SHARE = 1.0  # Maximum queue length, as a multiple of the capacity.
 
 
 @attrs.define(eq=False)
 class Job:
-    """One attempt on one server.
+    """An attempt on a server.
 
     Attributes:
         version: Key of the version; empty for a plain service.
         prompt_tokens: Length of the prompt.
-        work: Seconds of generation alone in the batch.
-        tokens: Tokens to generate.
-        prefix: Hashes of the prompt's blocks.
-        urgent: Whether it goes ahead of others in the queue.
+        work: Seconds of generation without batching.
+        tokens: Number of tokens to generate.
+        prefix: Hashes of the prompt's blocks of tokens.
+        urgent: Whether it is queued ahead of other jobs.
         done: Called with (job, ok) at the end.
+        first_token_at: Time of the first token.
+        finished_at: Time of the end.
+        state: Phase that it is in.
+        start_mark: Progress of the batch when the job joined it.
     """
 
     version: str
@@ -52,17 +56,28 @@
 
 @attrs.define(eq=False)
 class Engine:
-    """One backend server.
+    """A simulated backend server.
 
     Attributes:
-        name: Its name.
+        name: Name of the server.
         clock: The virtual clock.
-        capacity: Calls served at once.
-        versions: Keys of the versions loaded.
-        slowness: Factor on every duration; 1 is healthy.
-        failing: Share of calls that break.
-        is_up: Whether it takes calls.
-        progress: Seconds of work done so far by each call in the batch.
+        capacity: Maximum number of concurrent calls.
+        versions: Keys of the loaded versions.
+        slowness: Factor on all durations; 1 is healthy.
+        failing: Returns whether the call that ends now fails.
+        is_up: Whether it accepts calls.
+        is_batching: Whether the calls in the batch slow one another down.
+        incarnation: Number of the current incarnation.
+        progress: Cumulative seconds of work, per call in the batch.
+        progress_at: Time at which ``progress`` was updated.
+        batch: Number of calls in the batch.
+        prefilling: Number of calls in prefill.
+        ends: Heap of the progress at which each job in the batch ends.
+        queue: Jobs that wait for capacity.
+        cache: Hashes of the cached blocks, least recently used first.
+        timer: Generation of the timer; earlier timers are ignored.
+        serial: Breaks ties between ends.
+        cache_log: Changes of the prefix cache so far.
     """
 
     name: str
@@ -87,11 +102,11 @@
 
     @property
     def running(self) -> int:
-        """Calls in service."""
+        """Number of calls in service."""
         return self.batch + self.prefilling
 
     def submit(self, job: Job) -> bool:
-        """Takes a call, or declines it by returning False."""
+        """Accepts a call, or returns False to decline it."""
         if not self.is_up:
             return False
         if job.version and job.version not in self.versions:
@@ -108,30 +123,30 @@
         return True
 
     def cancel(self, job: Job) -> int:
-        """Gives up a call; returns the tokens already generated for it."""
+        """Cancels a call and returns the number of tokens already generated."""
         if job.state == "queued" and job in self.queue:
             self.queue.remove(job)
         if job.state != "decoding":
             job.state = "cancelled"
             return 0
-        self._advance()
+        self._update_progress()
         done = (self.progress - job.start_mark) / max(1e-9, job.work)
-        self._leave(job, "cancelled")
+        self._remove_from_batch(job, "cancelled")
         return int(min(1.0, done) * job.tokens)
 
     def _start(self, job: Job) -> None:
         job.state = "prefilling"
         self.prefilling += 1
-        new = job.prompt_tokens - self._cached_tokens(job)
-        wait = PREFILL_S * max(0, new) * self.slowness
-        self.clock.after(wait, self._decode, job)
+        uncached = job.prompt_tokens - self._cached_tokens(job)
+        wait = PREFILL_S * max(0, uncached) * self.slowness
+        self.clock.after(wait, self._start_decoding, job)
 
     def _cached_tokens(self, job: Job) -> int:
-        hits = 0
+        cached_blocks = 0
         for block in job.prefix:
             if block not in self.cache:
                 break
-            hits += 1
+            cached_blocks += 1
         for block in job.prefix:
             self.cache.pop(block, None)
             self.cache[block] = None
@@ -139,21 +154,21 @@
         while len(self.cache) > CACHE_BLOCKS:
             evicted.append(next(iter(self.cache)))
             del self.cache[evicted[-1]]
-        stored = job.prefix[hits:]
+        stored = job.prefix[cached_blocks:]
         if stored or evicted:
             self.cache_log.append(
                 messages.CacheEvent(
                     self.name, len(self.cache_log), stored, tuple(evicted)
                 )
             )
-        return hits * BLOCK_TOKENS
+        return cached_blocks * BLOCK_TOKENS
 
-    def _decode(self, job: Job) -> None:
+    def _start_decoding(self, job: Job) -> None:
         self.prefilling -= 1
         if job.state == "cancelled":
-            self._fill()
+            self._start_queued()
             return
-        self._advance()
+        self._update_progress()
         self.batch += 1
         job.state = "decoding"
         job.first_token_at = self.clock.now
@@ -163,65 +178,67 @@
         )
         self._set_timer()
 
-    def _pace(self) -> float:
-        """Seconds that one second of work takes in the batch as it is."""
-        crowd = self.batch / BATCH_HALF if self.is_batching else 0.0
-        return self.slowness * (1.0 + crowd)
+    def _seconds_per_work(self) -> float:
+        """Returns the seconds per second of work at the current batch size."""
+        slowdown = self.batch / BATCH_HALF if self.is_batching else 0.0
+        return self.slowness * (1.0 + slowdown)
 
-    def _advance(self) -> None:
-        passed = self.clock.now - self.progress_at
-        self.progress += passed / self._pace()
+    def _update_progress(self) -> None:
+        elapsed = self.clock.now - self.progress_at
+        self.progress += elapsed / self._seconds_per_work()
         self.progress_at = self.clock.now
 
     def _set_timer(self) -> None:
         self.timer += 1
         if self.ends:
             left = max(0.0, self.ends[0][0] - self.progress)
-            self.clock.after(left * self._pace(), self._on_timer, self.timer)
+            self.clock.after(
+                left * self._seconds_per_work(), self._on_timer, self.timer
+            )
 
     def _on_timer(self, timer: int) -> None:
         if timer != self.timer:
             return
-        self._advance()
+        self._update_progress()
         while self.ends and self.ends[0][0] <= self.progress + 1e-9:
             job = self.ends[0][2]
-            self._leave(job, "ended")
+            self._remove_from_batch(job, "ended")
             job.done(job, not self.failing())
         self._set_timer()
 
-    def _leave(self, job: Job, state: str) -> None:
+    def _remove_from_batch(self, job: Job, state: str) -> None:
         self.ends = [entry for entry in self.ends if entry[2] is not job]
         heapq.heapify(self.ends)
         job.state = state
         job.finished_at = self.clock.now
         self.batch -= 1
         self._set_timer()
-        self._fill()
+        self._start_queued()
 
-    def _fill(self) -> None:
+    def _start_queued(self) -> None:
         while self.queue and self.running < self.capacity:
             self._start(self.queue.popleft())
 
     def break_down(self) -> None:
-        """Drops all calls and takes no more until it is put up again."""
-        self._advance()
+        """Fails decoding and queued calls, and declines further ones."""
+        self._update_progress()
         self.is_up = False
-        broken = [entry[2] for entry in self.ends] + list(self.queue)
+        failed_jobs = [entry[2] for entry in self.ends] + list(self.queue)
         self.queue.clear()
-        for job in broken:
+        for job in failed_jobs:
             if job.state == "decoding":
-                self._leave(job, "ended")
+                self._remove_from_batch(job, "ended")
             job.state = "ended"
             job.done(job, False)
 
     def set_slowness(self, factor: float) -> None:
-        """Makes it slower or faster from now on."""
-        self._advance()
+        """Sets the factor on all durations from now on."""
+        self._update_progress()
         self.slowness = factor
         self._set_timer()
 
     def report(self) -> messages.LoadReport:
-        """Returns its load now; who reads it reads it later."""
+        """Returns the current load; readers receive it with a delay."""
         return messages.LoadReport(
             server=self.name,
             incarnation=self.incarnation,
--- a/src/hoistmoor/load/experiment/hoistmoor_policy.py
+++ b/src/hoistmoor/load/experiment/hoistmoor_policy.py
@@ -1,4 +1,4 @@
-"""The real core router, one a host, behind the simulation's interface."""
+"""Adapts the core router, one per host, to the policy interface."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 class RouterPolicy(policies.Policy):
-    """Asks the router of the host that took the request in.
+    """Routes each request with the router of the host that received it.
 
     Attributes:
-        name: Its name in reports.
+        name: Name in reports.
         deployment: The deployment.
-        routers: One router a host.
+        routers: The router of each host.
     """
 
     def __init__(
         self, deployment: deployment_lib.Deployment, seed: int
     ) -> None:
-        """Makes the hosts' routers, spread over the failure domains."""
+        """Creates the routers, with hosts spread over the failure domains."""
         self.name = "hoistmoor"
         self.deployment = deployment
         domains = sorted(
@@ -42,39 +42,41 @@
             router.on_hosts(deployment.hosts)
 
     def on_table(self, table: model.Table, revision: int) -> None:
-        """Takes a newer table at each host."""
+        """Applies a new table on each host."""
         for router in self.routers:
             router.on_table(model.TableInForce(revision, table))
 
     def on_load(self, report: messages.LoadReport, now: float) -> None:
-        """Takes a load report at each host."""
+        """Applies a load report on each host."""
         for router in self.routers:
             router.on_load(report, now)
 
     def on_cache_event(self, event: messages.CacheEvent, now: float) -> None:
-        """Takes a change of a prefix cache at each host."""
+        """Applies a change of a prefix cache on each host."""
         for router in self.routers:
             router.on_cache_event(event, now)
 
     def on_rating(self, rating: messages.Rating, now: float) -> None:
-        """Takes a rating at each host."""
+        """Applies a rating on each host."""
         for router in self.routers:
             router.on_rating(rating, now)
 
     def choose(
         self, ask: policies.Ask, now: float
     ) -> policies.Pick | policies.Refused:
-        """Asks the router of the request's host."""
+        """Returns the choice of the router on the request's host."""
         router = self.routers[ask.arrival.host]
-        return _pick(router.choose(_query(ask), ask.excluded, now))
+        return _convert_choice(
+            router.choose(_make_query(ask), ask.excluded, now)
+        )
 
     def choose_server(
         self, ask: policies.Ask, now: float
     ) -> policies.Pick | policies.Refused:
-        """Asks the router of the call's host."""
+        """Returns the choice of the router on the call's host."""
         router = self.routers[ask.arrival.host]
         service = self.deployment.plain_service
-        return _pick(router.choose_server(service, ask.excluded, now))
+        return _convert_choice(router.choose_server(service, ask.excluded, now))
 
     def judge(
         self,
@@ -83,17 +85,17 @@
         confidence: float,
         now: float,
     ) -> policies.Pick | None:
-        """Asks the router whether the answer may go out."""
+        """Returns where to escalate, or None if the router accepts."""
         router = self.routers[ask.arrival.host]
         facts = messages.AnswerFacts(confidence)
-        verdict = router.judge(_query(ask), pick.detail, facts, now)
+        verdict = router.judge(_make_query(ask), pick.detail, facts, now)
         if isinstance(verdict, messages.Accept):
             return None
-        found = _pick(verdict.choice)
-        return found if isinstance(found, policies.Pick) else None
+        escalation = _convert_choice(verdict.choice)
+        return escalation if isinstance(escalation, policies.Pick) else None
 
     def on_started(self, host: int, pick: policies.Pick, now: float) -> None:
-        """Counts an attempt at its host."""
+        """Records the start of an attempt on its host."""
         self.routers[host].on_started(pick.server, pick.version, now)
 
     def on_finished(
@@ -103,36 +105,36 @@
         result: messages.AttemptResult,
         now: float,
     ) -> None:
-        """Counts the end of an attempt at its host."""
+        """Records the end of an attempt on its host."""
         router = self.routers[host]
         router.on_finished(pick.server, pick.version, result, now)
 
     def to_probe(
         self, ask: policies.Ask, pick: policies.Pick, now: float
     ) -> tuple[str, ...]:
-        """Returns whom to ask for its load before ``pick`` is sent."""
+        """Returns the servers to probe for their load before a send."""
         router = self.routers[ask.arrival.host]
         return router.to_probe(pick.detail, ask.excluded, now)
 
     def best_probed(
         self, ask: policies.Ask, pick: policies.Pick, names: tuple[str, ...]
     ) -> policies.Pick:
-        """Returns ``pick`` at the least loaded server asked."""
+        """Returns ``pick`` moved to the least loaded of the probed servers."""
         router = self.routers[ask.arrival.host]
-        found = _pick(router.best_probed(pick.detail, names))
-        return found if isinstance(found, policies.Pick) else pick
+        best = _convert_choice(router.best_probed(pick.detail, names))
+        return best if isinstance(best, policies.Pick) else pick
 
     def take_effects(self) -> list[messages.Effect]:
-        """Returns the records of all hosts."""
+        """Returns the pending log records of all hosts."""
         return [e for router in self.routers for e in router.take_effects()]
 
     def on_evidence(self, offset: int, record: messages.Effect) -> None:
-        """Takes a record of the log at each host."""
+        """Applies a record of the log on each host."""
         for router in self.routers:
             router.on_evidence(offset, record)
 
 
-def _query(ask: policies.Ask) -> messages.RouteQuery:
+def _make_query(ask: policies.Ask) -> messages.RouteQuery:
     arrival = ask.arrival
     return messages.RouteQuery(
         request_id=f"h{arrival.host}.1.{arrival.number:x}",
@@ -147,11 +149,11 @@
     )
 
 
-def _pick(
-    found: messages.Choice | refusals.Refusal,
+def _convert_choice(
+    choice: messages.Choice | refusals.Refusal,
 ) -> policies.Pick | policies.Refused:
-    if isinstance(found, messages.Choice):
+    if isinstance(choice, messages.Choice):
         return policies.Pick(
-            found.version, found.server, found.hold_answer, found
+            choice.version, choice.server, choice.hold_answer, choice
         )
-    return policies.Refused(float(found.wait))
+    return policies.Refused(float(choice.wait))
--- a/src/hoistmoor/load/experiment/measures.py
+++ b/src/hoistmoor/load/experiment/measures.py
@@ -1,4 +1,4 @@
-"""What a run is measured by."""
+"""Metrics of a simulation run."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 
 @attrs.define
 class Measures:
-    """Counts and samples of one run of one policy.
+    """Counters and samples of one run of one policy.
 
     Attributes:
-        answers: Good and all answers delivered, by account.
-        targets: Quality target by account.
-        spent: Micros spent on model requests.
-        first_token_s: Seconds until the first token.
-        gap_s: Mean seconds between tokens of one answer.
-        plain_s: Seconds of plain calls done, from their last try on.
-        refusals: Refusals, each try counted.
-        given_up: Model requests that got no answer.
-        plain_given_up: Plain calls that got no answer.
-        wasted_tokens: Tokens generated for answers nobody got.
+        answers: Numbers of good and of all responses delivered, by account.
+        targets: Quality targets by account.
+        spent: Cost of model requests, in micros.
+        first_token_s: Seconds from arrival to the first token.
+        gap_s: Mean seconds between the tokens of each response.
+        plain_s: Seconds of completed plain calls, from their last try.
+        refusals: Refusals, counted per try.
+        given_up: Model requests without a response.
+        plain_given_up: Plain calls without a response.
+        wasted_tokens: Tokens generated but not delivered.
         useful_tokens: Tokens delivered.
-        bad_by_version: Bad answers delivered by a turned or bad version.
-        by_version: Answers delivered by version.
-        turned_flow: Answers of a version in the last minutes before it
-            turned, per second.
-        bad_limit: Bad answers that any test delivers before the rating rate
-            shows the turn.
-        withdrawn_at: When the policy withdrew a version by itself.
+        bad_by_version: Bad responses delivered from regressed or bad versions.
+        by_version: Responses delivered, by version.
+        turned_flow: Responses per second of a version in the last minutes
+            before it regressed.
+        bad_limit: Lower bound on the bad responses that any test delivers
+            before the ratings reveal the regression.
+        withdrawn_at: Times at which the policy withdrew versions automatically.
     """
 
     answers: dict[str, list[int]] = attrs.field(
@@ -54,22 +54,22 @@
 
     @property
     def good(self) -> int:
-        """Good answers delivered."""
+        """Number of good responses delivered."""
         return sum(good for good, _ in self.answers.values())
 
     @property
     def delivered(self) -> int:
-        """Answers delivered."""
+        """Number of responses delivered."""
         return sum(count for _, count in self.answers.values())
 
     def summary(self) -> dict[str, float]:
-        """Returns the figures of the report by their names."""
+        """Returns the metrics of the report by name."""
         return {
             "cost_per_answer": self.spent / max(1, self.delivered),
             "cost_per_good": self.spent / max(1, self.good),
             "good_share": self.good / max(1, self.delivered),
             "target": self._mean_target(),
-            "at_target": self._share_at_target(),
+            "at_target": self._fraction_at_target(),
             "confirm_p50_ms": 1000 * _percentile(self.plain_s, 50),
             "confirm_p99_ms": 1000 * _percentile(self.plain_s, 99),
             "ttft_p95_s": _percentile(self.first_token_s, 95),
@@ -89,10 +89,11 @@
         )
         return total / max(1, self.delivered)
 
-    def _share_at_target(self) -> float:
-        """Share of answers of accounts that got their target.
+    def _fraction_at_target(self) -> float:
+        """Returns the fraction of responses to accounts that met their target.
 
-        An account counts as short of it only beyond two standard errors.
+        An account misses its target only if its quality is more than two
+        standard errors below it.
         """
         met = 0
         for account, (good, count) in self.answers.items():
--- a/src/hoistmoor/load/experiment/oracle.py
+++ b/src/hoistmoor/load/experiment/oracle.py
@@ -1,10 +1,11 @@
-"""The oracle: knows true quality and load, and so gives the limit.
-
-It knows each version's true quality and how confidence foretells it, that a
-version has turned bad at the moment it does, and each server's load now. It
-does not know how hard a request is, nor how an answer will turn out. It plans
-with the same kinds of policy as the router, per kind of request, with no
-caution and no exploration.
+"""The oracle: a reference policy that knows true quality and current load.
+
+Its results bound what a policy can reach. It knows the true quality of each
+version and how confidence predicts it, learns of a regression as soon as it
+happens, and sees the current load of each server. It does not know the
+difficulty of a request, nor whether a response will be good. It plans with the
+same cascades as the router, per kind of request, without safety margins or
+exploration.
 """
 
 from __future__ import annotations
@@ -33,13 +34,16 @@
 
 
 class Oracle(policies.Policy):
-    """Plans on the truth; places on the load as it is.
+    """Plans on the true quality and places on the current load.
 
     Attributes:
-        name: Its name in reports.
+        name: Name in reports.
         deployment: The deployment.
-        world: The truth.
-        engines: The backend servers themselves; set before the run.
+        world: The ground truth.
+        engines: The simulated backend servers; set before the run.
+        table: The table in force.
+        plans: Plans by kind, target, use of a session and true quality.
+        tokens: Mean prompt and output tokens by kind.
     """
 
     def __init__(
@@ -47,7 +51,7 @@
         deployment: deployment_lib.Deployment,
         world: world_lib.World,
     ) -> None:
-        """Makes an oracle that still has to be shown the engines."""
+        """Creates an oracle; ``engines`` must be set before it is used."""
         self.name = "oracle"
         self.deployment = deployment
         self.world = world
@@ -60,7 +64,7 @@
         }
 
     def on_table(self, table: model.Table, revision: int) -> None:
-        """Takes a newer table."""
+        """Applies a new table."""
         del revision
         self.table = table
         self.plans.clear()
@@ -69,53 +73,57 @@
         self, ask: policies.Ask, now: float
     ) -> policies.Pick | policies.Refused:
         """Returns where to send a model request."""
-        usable = self._usable(ask, now)
-        if not usable:
+        eligible = self._eligible_versions(ask, now)
+        if not eligible:
             return policies.Refused()
-        if ask.pin in {row.key for row in usable}:
-            return self._pick(str(ask.pin), ask, None) or policies.Refused()
-        plan = self._plan(ask, usable, now)
+        if ask.pin in {row.key for row in eligible}:
+            return self._place(str(ask.pin), ask, None) or policies.Refused()
+        plan = self._plan(ask, eligible, now)
         key = ask.arrival.session or f"{ask.arrival.number:x}"
         policy = plan.policy(hashing.unit(key, 3))
-        others = sorted(usable, key=lambda row: -row.prior_quality)
+        others = sorted(eligible, key=lambda row: -row.prior_quality)
         return (
-            self._pick(policy.start, ask, policy)
+            self._place(policy.start, ask, policy)
             or next(
-                filter(None, (self._pick(r.key, ask, None) for r in others)),
+                filter(None, (self._place(r.key, ask, None) for r in others)),
                 None,
             )
             or policies.Refused()
         )
 
-    def _usable(self, ask: policies.Ask, now: float) -> list[model.Version]:
+    def _eligible_versions(
+        self, ask: policies.Ask, now: float
+    ) -> list[model.Version]:
         return [
             row
             for row in self.table.versions.values()
             if row.stage in (model.Stage.ACTIVE, model.Stage.CANDIDATE)
             and self.table.grant_for(ask.arrival.account, row)
-            and self._quality_left(row, ask.arrival.kind, now) > 0.8
+            and self._remaining_quality(row, ask.arrival.kind, now) > 0.8
         ]
 
-    def _quality_left(self, row: model.Version, kind: str, now: float) -> float:
+    def _remaining_quality(
+        self, row: model.Version, kind: str, now: float
+    ) -> float:
         left = self.world.left(row.key, kind, now)
         quality = self.world.qualities[row.key, kind]
         return left * min(1.0, quality / max(0.01, row.prior_quality - 0.2))
 
-    def _pick(
+    def _place(
         self, version: str, ask: policies.Ask, policy: cascade.Policy | None
     ) -> policies.Pick | None:
-        able = [
+        candidates = [
             engine
             for engine in self.engines.values()
-            if version in engine.versions and self._takes(engine, ask)
+            if version in engine.versions and self._accepts(engine, ask)
         ]
-        if not able:
+        if not candidates:
             return None
-        best = min(able, key=_true_load)
+        best = min(candidates, key=_current_load)
         hold = policy is not None and bool(policy.then)
         return policies.Pick(version, best.name, hold, policy)
 
-    def _takes(self, engine: engine_lib.Engine, ask: policies.Ask) -> bool:
+    def _accepts(self, engine: engine_lib.Engine, ask: policies.Ask) -> bool:
         return (
             engine.is_up
             and engine.running < engine.capacity
@@ -129,33 +137,33 @@
         confidence: float,
         now: float,
     ) -> policies.Pick | None:
-        """Escalates as planned."""
+        """Returns where to escalate by the plan, or None to accept."""
         del now
         policy: cascade.Policy = pick.detail
         if evidence.bucket_of(confidence) >= policy.threshold:
             return None
-        fresh = attrs.evolve(ask, excluded=frozenset())
-        return self._pick(policy.then, fresh, None)
+        escalation = attrs.evolve(ask, excluded=frozenset())
+        return self._place(policy.then, escalation, None)
 
     def choose_server(
         self, ask: policies.Ask, now: float
     ) -> policies.Pick | policies.Refused:
-        """Returns the plain server with the lowest load as it is."""
+        """Returns the plain server with the lowest current load."""
         del now
         service = self.deployment.plain_service
-        able = [
+        candidates = [
             self.engines[row.server]
             for row in self.table.servers_by_service[service]
-            if self._takes(self.engines[row.server], ask)
+            if self._accepts(self.engines[row.server], ask)
         ]
-        if not able:
+        if not candidates:
             return policies.Refused()
-        return policies.Pick("", min(able, key=_true_load).name)
+        return policies.Pick("", min(candidates, key=_current_load).name)
 
-    # Planning on the truth.
+    # Planning on the true quality.
 
     def _plan(
-        self, ask: policies.Ask, usable: list[model.Version], now: float
+        self, ask: policies.Ask, eligible: list[model.Version], now: float
     ) -> cascade.Plan:
         kind = ask.arrival.kind
         target = max(
@@ -169,37 +177,43 @@
             bool(ask.arrival.session),
             tuple(
                 (row.key, round(self.world.left(row.key, kind, now), 2))
-                for row in usable
+                for row in eligible
             ),
         )
         if key not in self.plans:
-            found = self._true_policies(
-                usable, kind, now, bool(ask.arrival.session)
+            cascades = self._true_policies(
+                eligible, kind, now, bool(ask.arrival.session)
             )
-            self.plans[key] = cascade.plan(found, target)
+            self.plans[key] = cascade.plan(cascades, target)
         return self.plans[key]
 
     def _true_policies(
-        self, usable: list[model.Version], kind: str, now: float, alone: bool
+        self,
+        eligible: list[model.Version],
+        kind: str,
+        now: float,
+        single_step: bool,
     ) -> list[cascade.Policy]:
         grid = _normal_grid(_GRID)
         chances = {
             row.key: np.array(
                 [self.world.chance(row.key, kind, d, now) for d in grid]
             )
-            for row in usable
+            for row in eligible
         }
-        price = {r.key: cascade.cost(r, self.tokens[kind]) for r in usable}
-        found = [
+        price = {r.key: cascade.cost(r, self.tokens[kind]) for r in eligible}
+        cascades = [
             cascade.Policy(key, 0, "", price[key], float(chance.mean()))
             for key, chance in chances.items()
         ]
-        for first in () if alone else chances:
+        for first in () if single_step else chances:
             buckets = self._buckets(first, kind, grid)
             for second in chances:
                 if price[first] < price[second]:
-                    found += _true_steps(first, second, chances, price, buckets)
-        return found
+                    cascades += _true_cascades(
+                        first, second, chances, price, buckets
+                    )
+        return cascades
 
     def _buckets(self, version: str, kind: str, grid: np.ndarray) -> np.ndarray:
         healthy = np.array(
@@ -212,27 +226,27 @@
         )
 
 
-def _true_steps(
+def _true_cascades(
     first: str,
     second: str,
     chances: dict[str, np.ndarray],
     price: dict[str, float],
     buckets: np.ndarray,
 ) -> list[cascade.Policy]:
-    found = []
+    cascades = []
     for threshold in range(1, evidence.BUCKETS):
         escalated = (buckets < threshold).mean(axis=1)
         quality = chances[first] * (1 - escalated)
         quality = quality + chances[second] * escalated
         cost = price[first] + float(escalated.mean()) * price[second]
-        found.append(
+        cascades.append(
             cascade.Policy(
                 first, threshold, second, cost, float(quality.mean())
             )
         )
-    return found
+    return cascades
 
 
-def _true_load(engine: engine_lib.Engine) -> float:
+def _current_load(engine: engine_lib.Engine) -> float:
     busy = engine.running + len(engine.queue)
     return engine.slowness * (busy + 1) / engine.capacity
--- a/src/hoistmoor/load/experiment/policies.py
+++ b/src/hoistmoor/load/experiment/policies.py
@@ -1,7 +1,7 @@
-"""Policies under experiment: how they look to the simulation, and baselines.
+"""The policy interface of the simulation, and the baseline policies.
 
-Each baseline joins a way to choose the version with a way to choose the
-backend server, as load balancers and price lists do.
+Each baseline combines a rule that chooses the version, such as by price, with
+a rule that chooses the backend server, as load balancers have.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from hoistmoor.core.table import model
 from hoistmoor.load.experiment import deployment as deployment_lib
 
-RETRY_AFTER_S = 1.0  # What a baseline tells each refused caller.
-FIXED_CONFIDENCE = 0.8  # Below it the fixed cascade escalates.
+RETRY_AFTER_S = 1.0  # Retry-After of all refusals by a baseline.
+FIXED_CONFIDENCE = 0.8  # The fixed cascade escalates below this.
 
 
 @attrs.frozen
@@ -27,8 +27,8 @@
     Attributes:
         version: Key of the version; empty for a plain service.
         server: Name of the backend server.
-        hold: Whether the answer is judged before it goes out.
-        detail: The policy's own.
+        hold: Whether the response is held back until it is judged.
+        detail: Private data of the policy.
     """
 
     version: str
@@ -42,7 +42,7 @@
     """A policy's refusal.
 
     Attributes:
-        wait: Seconds until the caller should try again.
+        wait: Seconds after which the caller should retry.
     """
 
     wait: float = RETRY_AFTER_S
@@ -50,13 +50,13 @@
 
 @attrs.frozen
 class Ask:
-    """A request as a policy sees it.
+    """A routing query, as a policy sees it.
 
     Attributes:
-        arrival: The request; a policy must not look at its difficulty.
-        pin: Version that the request's session is held to, if any.
-        excluded: Servers that declined or failed it.
-        attempt: Counts the attempts from 1.
+        arrival: The request; a policy must not use its difficulty.
+        pin: Version that the request's session is pinned to, if any.
+        excluded: Servers that declined or failed the request.
+        attempt: Number of the attempt, from 1.
     """
 
     arrival: deployment_lib.Arrival
@@ -66,7 +66,7 @@
 
 
 class Policy:
-    """What the simulation asks of a policy; news is ignored by default."""
+    """The interface of a policy; updates are ignored by default."""
 
     name: str
 
@@ -81,36 +81,36 @@
     def judge(
         self, ask: Ask, pick: Pick, confidence: float, now: float
     ) -> Pick | None:
-        """Returns where to ask again, or None to accept the answer."""
+        """Returns where to escalate, or None to accept the response."""
         del ask, pick, confidence, now
         return None
 
     def on_table(self, table: model.Table, revision: int) -> None:
-        """Takes a newer table."""
+        """Applies a new table."""
 
     def on_load(self, report: messages.LoadReport, now: float) -> None:
-        """Takes a load report."""
+        """Applies a load report."""
 
     def on_cache_event(self, event: messages.CacheEvent, now: float) -> None:
-        """Takes a change of a prefix cache."""
+        """Applies a change of a prefix cache."""
 
     def on_rating(self, rating: messages.Rating, now: float) -> None:
-        """Takes a rating."""
+        """Applies a rating."""
 
     def on_started(self, host: int, pick: Pick, now: float) -> None:
-        """Counts an attempt."""
+        """Records the start of an attempt."""
 
     def on_finished(
         self, host: int, pick: Pick, result: messages.AttemptResult, now: float
     ) -> None:
-        """Counts the end of an attempt."""
+        """Records the end of an attempt."""
 
     def take_effects(self) -> list[messages.Effect]:
-        """Returns the records for the log."""
+        """Returns and clears the records to append to the log."""
         return []
 
     def on_evidence(self, offset: int, record: messages.Effect) -> None:
-        """Takes a record read from the log."""
+        """Applies a record read from the log."""
 
 
 ChooseVersion = Callable[["Baseline", Ask, Sequence[model.Version]], str]
@@ -119,18 +119,18 @@
 
 @attrs.define(eq=False)
 class Baseline(Policy):
-    """A fixed rule for versions and one for servers.
+    """A policy with fixed rules for the version and the server.
 
     Attributes:
-        name: Its name in reports.
+        name: Name in reports.
         deployment: The deployment.
-        version_rule: Chooses among the versions granted.
-        server_rule: Chooses among the servers that have the version.
+        version_rule: Chooses among the granted versions.
+        server_rule: Chooses among the servers with the version loaded.
         escalates: Whether it is a fixed cascade.
-        source: Its randomness.
+        source: Random number generator of the rules.
         table: The table in force.
-        reports: Newest load report of each server.
-        turn: Counts the requests, for round-robin.
+        reports: Latest load report of each server.
+        turn: Number of choices so far, for round-robin.
     """
 
     name: str
@@ -144,12 +144,12 @@
     turn: int = 0
 
     def on_table(self, table: model.Table, revision: int) -> None:
-        """Takes a newer table."""
+        """Applies a new table."""
         del revision
         self.table = table
 
     def on_load(self, report: messages.LoadReport, now: float) -> None:
-        """Takes a load report."""
+        """Applies a load report."""
         del now
         self.reports[report.server] = report
 
@@ -188,18 +188,20 @@
     def judge(
         self, ask: Ask, pick: Pick, confidence: float, now: float
     ) -> Pick | None:
-        """Escalates to the dearest version below a fixed confidence."""
+        """Escalates to the most expensive version below a fixed confidence."""
         del now
         granted = self._granted(ask)
         if confidence >= FIXED_CONFIDENCE or not granted:
             return None
-        dearest = max(granted, key=lambda row: row.output_price)
-        if dearest.key == pick.version:
+        most_expensive = max(granted, key=lambda row: row.output_price)
+        if most_expensive.key == pick.version:
             return None
-        found = self._pick(
-            attrs.evolve(ask, excluded=frozenset()), dearest.key, hold=False
+        escalation = self._pick(
+            attrs.evolve(ask, excluded=frozenset()),
+            most_expensive.key,
+            hold=False,
         )
-        return found if isinstance(found, Pick) else None
+        return escalation if isinstance(escalation, Pick) else None
 
     def choose_server(self, ask: Ask, now: float) -> Pick | Refused:
         """Returns where to send a call to the plain service."""
@@ -217,7 +219,7 @@
         return Pick("", self.server_rule(self, names))
 
     def load(self, name: str) -> int:
-        """Returns the load that a server last reported."""
+        """Returns the last reported load of a server."""
         report = self.reports[name]
         return report.running + report.queued
 
@@ -225,7 +227,7 @@
 def dearest(
     policy: Baseline, ask: Ask, granted: Sequence[model.Version]
 ) -> str:
-    """Chooses the dearest version granted."""
+    """Chooses the most expensive granted version."""
     del policy, ask
     return max(granted, key=lambda row: row.output_price).key
 
@@ -233,7 +235,7 @@
 def cheapest(
     policy: Baseline, ask: Ask, granted: Sequence[model.Version]
 ) -> str:
-    """Chooses the cheapest version granted, the settled one of its price."""
+    """Chooses the cheapest granted version, an active one if prices tie."""
     del policy, ask
     return min(
         granted,
@@ -244,30 +246,30 @@
 def by_weight(
     policy: Baseline, ask: Ask, granted: Sequence[model.Version]
 ) -> str:
-    """Chooses by the weights of the table: a fixed share for each version."""
+    """Chooses at random by the weights of the versions in the table."""
     del ask
     weights = [row.weight for row in granted]
     return policy.source.choices(granted, weights)[0].key
 
 
 def at_random(policy: Baseline, names: Sequence[str]) -> str:
-    """Chooses any server."""
+    """Chooses a server at random."""
     return policy.source.choice(names)
 
 
 def in_turn(policy: Baseline, names: Sequence[str]) -> str:
-    """Chooses the servers in turn."""
+    """Chooses the servers round-robin."""
     policy.turn += 1
     return sorted(names)[policy.turn % len(names)]
 
 
 def least_reported(policy: Baseline, names: Sequence[str]) -> str:
-    """Chooses the server with the lowest load reported."""
+    """Chooses the server with the lowest reported load."""
     return min(names, key=lambda name: (policy.load(name), name))
 
 
 def two_reported(policy: Baseline, names: Sequence[str]) -> str:
-    """Draws two servers and chooses the one with the lower load reported."""
+    """Chooses the less loaded, as reported, of two random servers."""
     if len(names) == 1:
         return names[0]
     return min(policy.source.sample(list(names), 2), key=policy.load)
--- a/src/hoistmoor/load/experiment/polling.py
+++ b/src/hoistmoor/load/experiment/polling.py
@@ -1,8 +1,8 @@
-"""Load reports as entry hosts poll them: each host asks on its own, rarely.
+"""Simulates load reports that each entry host polls by itself.
 
-Each dispatch asks for two polls of its service, at most six a second; an idle
-host polls one a second. So a report's age grows with the number of backend
-servers.
+Each dispatch requests two polls of servers of its service. A busy host makes at
+most six polls per second, an idle host one. The age of reports therefore grows
+with the number of backend servers.
 """
 
 from __future__ import annotations
@@ -24,24 +24,25 @@
     from hoistmoor.load.experiment import scenarios
     from hoistmoor.load.experiment import world as world_lib
 
-# As in the entry host's poller of load reports.
+# Same values as in the load report poller of the entry host; polls per second.
 IDLE_RATE = 1.0
 BUSY_RATE = 6.0
 POLLS_PER_DISPATCH = 2
 MOST_OWED = 12
-SEEN_EVERY_S = 1.0  # A server's own word on its load is up to this old.
+SEEN_EVERY_S = 1.0  # Maximum age of the load that a probed server reports.
 
 
 @attrs.define(eq=False)
 class HostPoller:
-    """What one host polls next.
+    """Selects the servers that one host polls.
 
     Attributes:
         servers: Names of all backend servers.
-        by_service: Names of each service's backend servers.
-        owed: Services that a dispatch asked to poll.
-        turns: Polls made in turn, by service; the empty name is for all.
-        idle_ticks: Ticks since the last poll, or since one was owed.
+        by_service: Names of the backend servers of each service.
+        owed: Services of the polls requested by dispatches.
+        turns: Number of polls so far, by service, for round-robin; the empty
+            name stands for all servers.
+        idle_ticks: Ticks since the last poll.
     """
 
     servers: list[str]
@@ -53,40 +54,40 @@
     idle_ticks: int = 0
 
     def tick(self) -> str | None:
-        """Returns whom to poll in this sixth of a second, if anyone."""
+        """Returns the server to poll in this sixth of a second, if any."""
         if self.owed:
             self.idle_ticks = 0
             service = self.owed.popleft()
-            return self._next(service, self.by_service[service])
+            return self._select(service, self.by_service[service])
         self.idle_ticks += 1
         if self.idle_ticks < BUSY_RATE / IDLE_RATE:
             return None
         self.idle_ticks = 0
-        return self._next("", self.servers)
+        return self._select("", self.servers)
 
-    def _next(self, service: str, names: list[str]) -> str:
+    def _select(self, service: str, names: list[str]) -> str:
         turn = self.turns.get(service, 0)
         self.turns[service] = turn + 1
         return names[turn % len(names)]
 
 
 class PolledSimulation(simulation.Simulation):
-    """A run in which each host hears of servers only what it polls.
+    """A run in which each host knows only the load reports that it polls.
 
-    Cache events and ratings are left out: they are the same for every way to
-    place, and 360 routers would take them in one by one.
+    Cache events and ratings are left out: they do not depend on the placement,
+    and would have to be applied to each of 360 routers.
 
     Attributes:
-        routers: The router's policy, one router a host.
-        pollers: One a host.
-        ages: Ages of the reports of the servers chosen, in seconds.
-        declines: Attempts that a server declined.
-        is_probing: Whether a host asks some servers for their load before it
-            sends a model request.
-        probes: Reports asked for so.
-        seen: What each server says of its load when asked.
-        waits: Seconds from each model attempt to its first token, held or
-            not.
+        policy: The policy under test, with one router per host.
+        pollers: The poller of each host.
+        ages: Ages of the reports of the chosen servers, in seconds.
+        declines: Number of attempts that a server declined.
+        is_probing: Whether a host probes some servers for their load before
+            it sends a model request.
+        probes: Number of probes.
+        seen: Load report that each server returns to a probe.
+        waits: Seconds from the start of each model attempt to its first
+            token, whether the response is held or not.
     """
 
     policy: hoistmoor_policy.RouterPolicy
@@ -113,28 +114,28 @@
             service: [row.server for row in rows]
             for service, rows in self.table.servers_by_service.items()
         }
-        source = random.Random(f"pollers {seed}")
+        rng = random.Random(f"pollers {seed}")
         self.pollers = []
         for _ in range(deployment.hosts):
-            # Hosts started at different times and have polled since.
-            turns = {s: source.randrange(10**6) for s in ("", *by_service)}
+            # Random positions, as hosts have been up for different times.
+            turns = {s: rng.randrange(10**6) for s in ("", *by_service)}
             self.pollers.append(HostPoller(names, by_service, turns=turns))
 
     def _tick_reports(self) -> None:
-        self._see()
+        self._update_probe_reports()
         for host in range(len(self.pollers)):
             phase = host / len(self.pollers) / BUSY_RATE
-            self.clock.after(phase, self._tick_host, host)
+            self.clock.after(phase, self._tick_poller, host)
 
-    def _see(self) -> None:
-        self.clock.after(SEEN_EVERY_S, self._see)
+    def _update_probe_reports(self) -> None:
+        self.clock.after(SEEN_EVERY_S, self._update_probe_reports)
         for engine in self.engines.values():
             self.seen[engine.name] = engine.report()
 
     def _probe(
         self, request: simulation.Request, pick: policies.Pick
     ) -> policies.Pick:
-        """Asks some servers for their load; the answer takes no time here."""
+        """Probes some servers for their load; a probe takes no time here."""
         ask = self._ask(request)
         names = self.policy.to_probe(ask, pick, self.clock.now)
         if not names:
@@ -144,8 +145,8 @@
             self._deliver_to(request.arrival.host, self.seen[name])
         return self.policy.best_probed(ask, pick, names)
 
-    def _tick_host(self, host: int) -> None:
-        self.clock.after(1.0 / BUSY_RATE, self._tick_host, host)
+    def _tick_poller(self, host: int) -> None:
+        self.clock.after(1.0 / BUSY_RATE, self._tick_poller, host)
         name = self.pollers[host].tick()
         if name is not None:
             self._poll(host, name)
@@ -165,9 +166,9 @@
         host = request.arrival.host
         service = self.table.servers[pick.server].service
         self.pollers[host].owed.extend([service] * POLLS_PER_DISPATCH)
-        known = self.policy.routers[host].fleet.by_name[pick.server]
-        if known.report is not None:
-            self.ages.append(self.clock.now - known.report.at)
+        server = self.policy.routers[host].fleet.by_name[pick.server]
+        if server.report is not None:
+            self.ages.append(self.clock.now - server.report.at)
         super()._send(request, pick)
 
     def _on_done(
@@ -200,4 +201,4 @@
         confidence: float,
         good: bool,
     ) -> None:
-        """Rates nothing."""
+        """Ignores the response, as ratings are left out."""
--- a/src/hoistmoor/load/experiment/report.py
+++ b/src/hoistmoor/load/experiment/report.py
@@ -1,4 +1,4 @@
-"""Tables and plots of an experiment."""
+"""Tables and plots of experiment results."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 @attrs.frozen
 class Column:
-    """One figure of the report.
+    """A column of the report.
 
     Attributes:
-        name: Key in the summary of the measures.
+        name: Name of the metric in the summary.
         title: Heading.
-        digits: Digits after the point.
+        digits: Number of decimal places.
     """
 
     name: str
@@ -54,12 +54,12 @@
 
 @attrs.frozen
 class Cell:
-    """A figure over the seeds.
+    """A metric aggregated over the seeds.
 
     Attributes:
-        mean: Mean.
-        low: Smallest.
-        high: Largest.
+        mean: Mean value.
+        low: Minimum.
+        high: Maximum.
     """
 
     mean: float
@@ -67,7 +67,7 @@
     high: float
 
     def text(self, digits: int) -> str:
-        """Returns the mean with the spread, if there is any."""
+        """Returns the mean, followed by the range if values differ."""
         if np.isnan(self.mean):
             return "-"
         mean = f"{self.mean:.{digits}f}"
@@ -75,16 +75,16 @@
         return mean if low == high else f"{mean} ({low}..{high})"
 
 
-_NO_CELL = Cell(float("nan"), float("nan"), float("nan"))
+_EMPTY_CELL = Cell(float("nan"), float("nan"), float("nan"))
 
 
 @attrs.frozen
 class Report:
-    """All runs of one deployment.
+    """The report on all runs of a deployment.
 
     Attributes:
-        name: The deployment's name.
-        runs: The runs.
+        name: Name of the deployment.
+        runs: Results of the runs.
     """
 
     name: str
@@ -92,57 +92,57 @@
 
     @property
     def scenarios(self) -> list[str]:
-        """Names of the scenarios, in the order run."""
+        """Names of the scenarios, in run order."""
         return list(dict.fromkeys(run.scenario for run in self.runs))
 
     @property
     def policies(self) -> list[str]:
-        """Names of the policies, in the order run."""
+        """Names of the policies, in run order."""
         return list(dict.fromkeys(run.policy for run in self.runs))
 
     def cell(self, scenario: str, policy: str, figure: str) -> Cell:
-        """Returns one figure over the seeds."""
+        """Returns a metric aggregated over the seeds."""
         values = [
             run.measures.summary()[figure]
             for run in self.runs
             if (run.scenario, run.policy) == (scenario, policy)
         ]
         if not values:
-            return _NO_CELL
+            return _EMPTY_CELL
         return Cell(float(np.mean(values)), min(values), max(values))
 
     def markdown(self) -> str:
-        """Returns one table a scenario."""
+        """Returns one table per scenario."""
         return "\n".join(self._table(name) for name in self.scenarios)
 
     def _table(self, scenario: str) -> str:
         titles = " | ".join(column.title for column in COLUMNS)
-        rule = "|".join(["---"] + ["---:"] * len(COLUMNS))
+        separator = "|".join(["---"] + ["---:"] * len(COLUMNS))
         lines = [f"### {self.name}: {scenario}", ""]
-        lines += [f"| policy | {titles} |", f"|{rule}|"]
+        lines += [f"| policy | {titles} |", f"|{separator}|"]
         for policy in self.policies:
             cells = " | ".join(
                 self.cell(scenario, policy, column.name).text(column.digits)
                 for column in COLUMNS
             )
             lines.append(f"| {policy} | {cells} |")
-        lines += self._findings(scenario)
+        lines += self._detection_lines(scenario)
         return "\n".join([*lines, ""])
 
-    def _findings(self, scenario: str) -> list[str]:
-        """Says what the router withdrew by itself, and the limit."""
+    def _detection_lines(self, scenario: str) -> list[str]:
+        """Returns the detection limit and what the router withdrew."""
         lines = []
         limit = self.cell(scenario, "hoistmoor", "bad_limit")
         if not np.isnan(limit.mean):
-            lines += ["", f"Detection limit: {limit.text(0)} bad answers."]
+            lines += ["", f"Detection limit: {limit.text(0)} bad responses."]
         for run in self.runs:
             if (run.scenario, run.policy) == (scenario, "hoistmoor"):
-                found = ", ".join(
+                withdrawn = ", ".join(
                     f"{key} at {at:.0f} s"
                     for key, at in run.measures.withdrawn_at.items()
                 )
-                if found:
-                    lines += ["", f"Seed {run.seed} withdrew {found}."]
+                if withdrawn:
+                    lines += ["", f"Seed {run.seed} withdrew {withdrawn}."]
         return lines
 
 
@@ -152,13 +152,13 @@
     drawn = []
     if "day" in report.scenarios:
         drawn.append(_draw_cost(report, directory))
-    turned = [
+    regressed = [
         name
         for name in report.scenarios
         if report.cell(name, report.policies[-1], "bad_after_turn").high > 0
     ]
-    if turned:
-        drawn.append(_draw_bad(report, turned, directory))
+    if regressed:
+        drawn.append(_draw_exposure(report, regressed, directory))
     if {"half-load", "overload"} <= set(report.scenarios):
         drawn.append(_draw_confirms(report, directory))
     return drawn
@@ -179,24 +179,24 @@
         )
     target = report.cell("day", report.policies[0], "target").mean
     axes.axvline(target, color="grey", linestyle="--", label="mean target")
-    axes.set_xlabel("share of good answers")
-    axes.set_ylabel("cost per answer, micros")
+    axes.set_xlabel("fraction of good responses")
+    axes.set_ylabel("cost per response, micros")
     axes.set_title(f"{report.name}: ordinary day")
     axes.legend(fontsize=8)
     return _save(figure, directory / f"{report.name}-cost.png")
 
 
-def _draw_bad(
+def _draw_exposure(
     report: Report, scenarios: Sequence[str], directory: pathlib.Path
 ) -> pathlib.Path:
     figure, axes = pyplot.subplots(figsize=(8, 4.5))
     width = 0.8 / len(report.policies)
-    for place, policy in enumerate(report.policies):
+    for position, policy in enumerate(report.policies):
         cells = [
             report.cell(name, policy, "bad_after_turn") for name in scenarios
         ]
         axes.bar(
-            [i + place * width for i in range(len(scenarios))],
+            [i + position * width for i in range(len(scenarios))],
             [cell.mean for cell in cells],
             width,
             yerr=[
@@ -206,7 +206,7 @@
             label=policy,
         )
     axes.set_xticks([i + 0.4 for i in range(len(scenarios))], scenarios)
-    axes.set_ylabel("bad answers delivered after the turn")
+    axes.set_ylabel("bad responses delivered after the regression")
     axes.set_title(f"{report.name}: exposure")
     axes.legend(fontsize=7)
     return _save(figure, directory / f"{report.name}-exposure.png")
@@ -214,14 +214,14 @@
 
 def _draw_confirms(report: Report, directory: pathlib.Path) -> pathlib.Path:
     figure, axes = pyplot.subplots(figsize=(8, 4))
-    places = range(len(report.policies))
-    for shift, scenario in ((-0.2, "half-load"), (0.2, "overload")):
+    positions = range(len(report.policies))
+    for offset, scenario in ((-0.2, "half-load"), (0.2, "overload")):
         heights = [
             report.cell(scenario, policy, "confirm_p99_ms").mean
             for policy in report.policies
         ]
-        axes.bar([p + shift for p in places], heights, 0.4, label=scenario)
-    axes.set_xticks(list(places), report.policies, rotation=20, fontsize=8)
+        axes.bar([x + offset for x in positions], heights, 0.4, label=scenario)
+    axes.set_xticks(list(positions), report.policies, rotation=20, fontsize=8)
     axes.set_ylabel("confirm p99, ms")
     axes.set_title(f"{report.name}: confirms at half and twice capacity")
     axes.legend()
--- a/src/hoistmoor/load/experiment/runs.py
+++ b/src/hoistmoor/load/experiment/runs.py
@@ -1,4 +1,4 @@
-"""Runs policies through scenarios, and gathers their measures."""
+"""Runs policies in scenarios and collects their metrics."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 @attrs.frozen
 class Run:
-    """One policy, one scenario, one seed.
+    """The result of one policy in one scenario with one seed.
 
     Attributes:
         policy: Name of the policy.
         scenario: Name of the scenario.
-        seed: Source of all randomness.
-        measures: What came of it.
+        seed: Random seed.
+        measures: Metrics of the run.
     """
 
     policy: str
@@ -40,19 +40,19 @@
     policy_name: str,
     seed: int,
 ) -> Run:
-    """Runs one policy through one scenario."""
+    """Runs a policy in a scenario."""
     world = make_world(deployment, scenario, seed)
     policy = _make_policy(policy_name, deployment, world, seed)
-    made = simulation.Simulation(deployment, scenario, policy, world, seed)
+    simulated = simulation.Simulation(deployment, scenario, policy, world, seed)
     if isinstance(policy, oracle_lib.Oracle):
-        policy.engines = made.engines
-    shaped = attrs.evolve(
+        policy.engines = simulated.engines
+    scaled = attrs.evolve(
         deployment, plain_rate=deployment.plain_rate * scenario.plain_load
     )
     arrivals = deployment_lib.arrivals(
-        shaped, scenario.length, scenario.load, seed, scenario.diurnal
+        scaled, scenario.length, scenario.load, seed, scenario.diurnal
     )
-    return Run(policy_name, scenario.name, seed, made.run(arrivals))
+    return Run(policy_name, scenario.name, seed, simulated.run(arrivals))
 
 
 def make_world(
@@ -60,18 +60,20 @@
     scenario: scenarios.Scenario,
     seed: int,
 ) -> world_lib.World:
-    """Returns the truth of one scenario and seed."""
+    """Returns the ground truth of a scenario and seed."""
     shifts = {kind: s.shift for kind, s in deployment.kinds.items()}
     world = world_lib.make_world(deployment.table, shifts, scenario.turns, seed)
     if not scenario.candidate_quality:
         return world
-    bad = {
+    candidates = {
         row.key
         for row in deployment.table.versions.values()
         if row.stage is model.Stage.CANDIDATE
     }
     qualities = {
-        (key, kind): scenario.candidate_quality if key in bad else quality
+        (key, kind): scenario.candidate_quality
+        if key in candidates
+        else quality
         for (key, kind), quality in world.qualities.items()
     }
     return world_lib.World(qualities, scenario.turns)
--- a/src/hoistmoor/load/experiment/scenarios.py
+++ b/src/hoistmoor/load/experiment/scenarios.py
@@ -1,4 +1,4 @@
-"""An ordinary day, and each failure that the users name."""
+"""Scenarios: an ordinary day, and each failure that users named."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 @attrs.frozen
 class Outage:
-    """Backend servers that are down for a while.
+    """A temporary outage of backend servers.
 
     Attributes:
-        at: When it begins.
-        until: When it ends.
-        share: Share of the service's servers that are down.
+        at: Time of the start.
+        until: Time of the end.
+        share: Fraction of the service's servers that are down.
     """
 
     at: float
@@ -26,22 +26,24 @@
 
 @attrs.frozen
 class Scenario:
-    """What happens during one run.
+    """The events of one run.
 
     Attributes:
-        name: Its name in reports.
-        length: Seconds.
-        load: Factor on the ordinary rates.
-        plain_load: Factor on the rate of plain calls, on top.
-        diurnal: Whether the rate swings over the run.
-        turns: Versions that turn bad.
-        withdrawn_at: When the operators withdraw those by hand; 0 for never.
-        rolls_out: Whether candidates of the table take part.
-        candidate_quality: True quality of the candidates; 0 for the prior.
-        outage: Backend servers that are down for a while.
-        slow_servers: Servers that are slow and break calls.
-        slow_at: When they begin to.
-        log_down: When the log is down, from and until.
+        name: Name in reports.
+        length: Duration in seconds.
+        load: Factor on the mean rates.
+        plain_load: Additional factor on the rate of plain calls.
+        diurnal: Whether the rate varies over the run.
+        turns: Quality regressions of versions.
+        withdrawn_at: When the operators withdraw the bad versions manually; 0
+            for never.
+        rolls_out: Whether candidates in the table are rolled out.
+        candidate_quality: True quality of the candidates; 0 for one near the
+            prior.
+        outage: Outage of backend servers, if any.
+        slow_servers: Number of servers that become slow and fail calls.
+        slow_at: When they become slow.
+        log_down: Start and end of an outage of the log.
     """
 
     name: str
@@ -60,8 +62,8 @@
 
 
 _HOUR = 3600.0
-_TURN_AT = 1800.0
-_BY_HAND_S = 1800.0  # Operators notice and act this long after a turn.
+_REGRESSION_START_SECONDS = 1800.0
+_MANUAL_DELAY = 1800.0  # Delay until operators notice and react.
 NAMES = (
     "day",
     "turns-bad",
@@ -84,40 +86,40 @@
 
     Args:
         name: One of ``NAMES``.
-        deployment: Whose versions turn bad.
-        scale: Factor on the length, for short trials.
+        deployment: Deployment whose versions regress.
+        scale: Factor on the duration, for short trials.
     """
     hour = _HOUR * scale
-    turn_at = _TURN_AT * scale
-    by_hand = turn_at + _BY_HAND_S * scale
-    victim = _middle_version(deployment)
+    regression_at = _REGRESSION_START_SECONDS * scale
+    manual_at = regression_at + _MANUAL_DELAY * scale
+    version = _median_version(deployment)
     kind = next(iter(deployment.kinds))
-    bad = world.Turn(victim, turn_at)
-    slowly = attrs.evolve(bad, ramp=1200.0 * scale)
-    one_kind = attrs.evolve(bad, kind=kind)
-    found = {
+    sudden = world.Turn(version, regression_at)
+    gradual = attrs.evolve(sudden, ramp=1200.0 * scale)
+    one_kind = attrs.evolve(sudden, kind=kind)
+    scenarios = {
         "day": Scenario("day", 4 * hour, diurnal=True),
         "turns-bad": Scenario(
-            "turns-bad", 2 * hour, turns=(bad,), withdrawn_at=by_hand
+            "turns-bad", 2 * hour, turns=(sudden,), withdrawn_at=manual_at
         ),
         "turns-bad-slowly": Scenario(
             "turns-bad-slowly",
             2 * hour,
-            turns=(slowly,),
-            withdrawn_at=by_hand + 1200.0 * scale,
+            turns=(gradual,),
+            withdrawn_at=manual_at + 1200.0 * scale,
         ),
         "turns-bad-one-kind": Scenario(
             "turns-bad-one-kind",
             2 * hour,
             turns=(one_kind,),
-            withdrawn_at=by_hand,
+            withdrawn_at=manual_at,
         ),
         "bad-candidate": Scenario(
             "bad-candidate",
             2 * hour,
             rolls_out=True,
             candidate_quality=0.4,
-            withdrawn_at=_BY_HAND_S * scale,
+            withdrawn_at=_MANUAL_DELAY * scale,
         ),
         "good-candidate": Scenario("good-candidate", 2 * hour, rolls_out=True),
         "roll-out-log-down": Scenario(
@@ -125,7 +127,7 @@
             2 * hour,
             rolls_out=True,
             candidate_quality=0.4,
-            withdrawn_at=_BY_HAND_S * scale,
+            withdrawn_at=_MANUAL_DELAY * scale,
             log_down=(60.0, 3000.0 * scale),
         ),
         "pool-outage": Scenario(
@@ -144,23 +146,26 @@
             "overload", 60.0, load=4.0, plain_load=half_load(deployment) / 2
         ),
     }
-    return found[name]
+    return scenarios[name]
 
 
 def half_load(deployment: deployment_lib.Deployment) -> float:
-    """Returns the factor that, with load 0.5, half fills the plain pool.
+    """Returns the plain load factor for half of the plain capacity at load 0.5.
 
-    With load 4 and half this factor the pool is offered twice what it
-    carries.
+    Half of this factor at load 4 gives twice the capacity.
     """
     servers = deployment.table.servers_by_service[deployment.plain_service]
-    mean = deployment_lib.PLAIN_WORK_S * 1.046  # Of the lognormal's median.
-    carried = sum(row.concurrency for row in servers) / mean
-    return carried / deployment.plain_rate
+    # 1.046 is the ratio of mean to median of the lognormal durations.
+    mean = deployment_lib.PLAIN_WORK_S * 1.046
+    capacity = sum(row.concurrency for row in servers) / mean
+    return capacity / deployment.plain_rate
 
 
-def _middle_version(deployment: deployment_lib.Deployment) -> str:
-    """Returns the active version that carries most of the traffic."""
+def _median_version(deployment: deployment_lib.Deployment) -> str:
+    """Returns the active version with the median price.
+
+    It carries most of the traffic.
+    """
     rows = sorted(
         (
             row
@@ -190,7 +195,7 @@
 
 
 def withdraw(table: model.Table, keys: set[str]) -> model.Table:
-    """Returns ``table`` with some versions withdrawn."""
+    """Returns ``table`` with the given versions withdrawn."""
     versions = {
         key: attrs.evolve(row, stage=model.Stage.WITHDRAWN)
         if key in keys
--- a/src/hoistmoor/load/experiment/simulation.py
+++ b/src/hoistmoor/load/experiment/simulation.py
@@ -1,4 +1,4 @@
-"""One run: a policy serves a scenario's requests on the virtual clock."""
+"""Simulates a policy in a scenario on the virtual clock."""
 
 from __future__ import annotations
 
@@ -22,31 +22,32 @@
 REPORT_EVERY_S = 1.0
 REPORT_LAG_S = 1.0
 CACHE_LAG_S = 2.0
-CACHE_LOSS = 0.05  # Cache events that never arrive.
+CACHE_LOSS = 0.05  # Fraction of cache events that are lost.
 LOG_DELAY_S = 0.3
 EFFECTS_EVERY_S = 0.5
 MAX_ATTEMPTS = 3
-MAX_TRIES = 4  # Times that a caller comes in all, after refusals.
+MAX_TRIES = 4  # Tries of a caller, retries after refusals included.
 HALF_DEAD_FAILS = 0.6
-_FLOW_S = 600.0  # Before a turn, over which the version's flow is taken.
+# Window before a regression over which the rate of the version is measured.
+_RATE_WINDOW_SECONDS = 600.0
 HALF_DEAD_SLOWNESS = 6.0
 
 
 @attrs.define(eq=False)
 class Request:
-    """One request under way.
+    """The state of a request in flight.
 
     Attributes:
         arrival: The request.
-        attempt: Counts the attempts of this try.
-        tries: Times that its caller has come.
-        excluded: Servers that declined or failed it.
-        job: The attempt on a server, if any.
-        pick: Where that attempt went.
+        attempt: Number of the attempt within this try, from 1.
+        tries: Number of tries by the caller.
+        excluded: Servers that declined or failed the request.
+        job: The current attempt on a server, if any.
+        pick: Destination of that attempt.
         sent_at: When that attempt was sent.
-        escalated: Whether an answer was judged too weak.
-        entered_at: When its caller last came.
-        is_over: Whether it has ended.
+        escalated: Whether a response was rejected for its low confidence.
+        entered_at: When the current try arrived.
+        is_over: Whether the request has ended.
     """
 
     arrival: deployment_lib.Arrival
@@ -62,17 +63,17 @@
 
 
 class Simulation:
-    """Runs one policy through one scenario.
+    """Runs one policy in one scenario.
 
     Attributes:
         deployment: Table and traffic.
-        scenario: What happens.
-        policy: Who decides.
-        world: Who answers what well.
+        scenario: The events of the run.
+        policy: The policy under test.
+        world: The ground truth on quality.
         clock: The virtual clock.
-        engines: The backend servers.
-        measures: What came of it.
-        pins: Version of each session, as its callers' tokens say.
+        engines: The simulated backend servers by name.
+        measures: Metrics of the run.
+        pins: Pinned version of each session, as in the callers' tokens.
     """
 
     def __init__(
@@ -99,21 +100,21 @@
         self.revision = 0
         self.log_offset = 0
         self.cache_read: dict[str, int] = {}
-        self.watched = self._watched_versions()
+        self.watched = self._counted_regressions()
 
-    def _watched_versions(self) -> dict[str, world_lib.Turn]:
-        """Versions whose bad answers count against the policy."""
-        found = {turn.version: turn for turn in self.scenario.turns}
+    def _counted_regressions(self) -> dict[str, world_lib.Turn]:
+        """Returns the regressions whose bad responses are counted."""
+        regressions = {turn.version: turn for turn in self.scenario.turns}
         if self.scenario.candidate_quality:
             for row in self.table.versions.values():
                 if row.stage is model.Stage.CANDIDATE:
-                    found[row.key] = world_lib.Turn(row.key, 0.0)
-        return found
+                    regressions[row.key] = world_lib.Turn(row.key, 0.0)
+        return regressions
 
     def run(
         self, arrivals: list[deployment_lib.Arrival]
     ) -> measures_lib.Measures:
-        """Serves ``arrivals`` and returns what came of it."""
+        """Serves ``arrivals`` and returns the metrics."""
         for account in self.table.accounts:
             self.measures.targets[account] = max(
                 (
@@ -124,27 +125,30 @@
                 default=0.0,
             )
         self.policy.on_table(self.table, self.revision)
-        self._report_all()
-        self._plan_events()
+        self._deliver_initial_reports()
+        self._schedule_events()
         self.clock.at(0.0, self._arrive, arrivals, 0)
         self.clock.run(self.scenario.length + 60.0)
-        self.measures.bad_limit = self._bad_limit()
+        self.measures.bad_limit = self._compute_bad_limit()
         return self.measures
 
-    def _bad_limit(self) -> float:
-        """Bad answers until the ratings can show a turn, at the least."""
+    def _compute_bad_limit(self) -> float:
+        """Returns the minimum of bad responses until ratings can reveal it.
+
+        The limit is for the first sudden regression, NaN if there is none.
+        """
         turns = [turn for turn in self.watched.values() if not turn.ramp]
         if not turns:
             return float("nan")
         turn = turns[0]
-        before = self._quality_before(turn)
+        before = self._mean_quality(turn)
         confidence = limits.value(self.table, "withdraw_confidence")
         ratings = sequential.detection_limit(before, turn.quality, confidence)
         waiting = self.measures.turned_flow * world_lib.RATING_DELAY_S
         answers = ratings / world_lib.RATED_SHARE + waiting
         return (1.0 - turn.quality) * answers
 
-    def _quality_before(self, turn: world_lib.Turn) -> float:
+    def _mean_quality(self, turn: world_lib.Turn) -> float:
         if turn.version not in {t.version for t in self.scenario.turns}:
             return self.table.versions[turn.version].prior_quality
         shapes = self.deployment.kinds
@@ -159,28 +163,28 @@
         )
 
     def _arrive(
-        self, arrivals: list[deployment_lib.Arrival], place: int
+        self, arrivals: list[deployment_lib.Arrival], index: int
     ) -> None:
-        if place > 0:
-            self._enter(Request(arrivals[place - 1]))
-        if place < len(arrivals):
-            self.clock.at(arrivals[place].at, self._arrive, arrivals, place + 1)
+        if index > 0:
+            self._enter(Request(arrivals[index - 1]))
+        if index < len(arrivals):
+            self.clock.at(arrivals[index].at, self._arrive, arrivals, index + 1)
 
-    # What the scenario does.
+    # Events of the scenario.
 
-    def _plan_events(self) -> None:
+    def _schedule_events(self) -> None:
         scenario = self.scenario
         self.clock.at(0.0, self._tick_reports)
         self.clock.at(0.0, self._tick_effects)
         if scenario.withdrawn_at:
-            self.clock.at(scenario.withdrawn_at, self._withdraw_by_hand)
+            self.clock.at(scenario.withdrawn_at, self._withdraw_manually)
         if scenario.outage:
-            self.clock.at(scenario.outage.at, self._set_outage, False)
-            self.clock.at(scenario.outage.until, self._set_outage, True)
+            self.clock.at(scenario.outage.at, self._set_servers_up, False)
+            self.clock.at(scenario.outage.until, self._set_servers_up, True)
         if scenario.slow_servers:
             self.clock.at(scenario.slow_at, self._slow_down)
 
-    def _withdraw_by_hand(self) -> None:
+    def _withdraw_manually(self) -> None:
         self.table = scenarios.withdraw(self.table, set(self.watched))
         self.revision += 1
         self.policy.on_table(self.table, self.revision)
@@ -189,7 +193,7 @@
         service = self.deployment.engine_service
         return [r.server for r in self.table.servers_by_service[service]]
 
-    def _set_outage(self, is_up: bool) -> None:
+    def _set_servers_up(self, is_up: bool) -> None:
         assert self.scenario.outage is not None
         names = self._engine_names()
         for name in names[: round(len(names) * self.scenario.outage.share)]:
@@ -206,23 +210,25 @@
             engine.set_slowness(HALF_DEAD_SLOWNESS)
             engine.failing = lambda: self.source.random() < HALF_DEAD_FAILS
 
-    # News.
+    # Reports, ratings and log records.
 
     def _tick_reports(self) -> None:
         self.clock.after(REPORT_EVERY_S, self._tick_reports)
         for engine in self.engines.values():
-            self.clock.after(REPORT_LAG_S, self._deliver, engine.report())
+            self.clock.after(
+                REPORT_LAG_S, self._deliver_report, engine.report()
+            )
             start = self.cache_read.get(engine.name, 0)
             self.cache_read[engine.name] = len(engine.cache_log)
             for event in engine.cache_log[start:]:
                 if self.losses.random() >= CACHE_LOSS:
                     self.clock.after(CACHE_LAG_S, self._deliver_cache, event)
 
-    def _report_all(self) -> None:
+    def _deliver_initial_reports(self) -> None:
         for engine in self.engines.values():
             self.policy.on_load(engine.report(), 0.0)
 
-    def _deliver(self, report: messages.LoadReport) -> None:
+    def _deliver_report(self, report: messages.LoadReport) -> None:
         self.policy.on_load(report, self.clock.now)
 
     def _deliver_cache(self, event: messages.CacheEvent) -> None:
@@ -237,9 +243,9 @@
             down, up = self.scenario.log_down
             is_down = down <= self.clock.now < up
             when = up if is_down else self.clock.now + LOG_DELAY_S
-            self.clock.at(when, self._read_log, effect)
+            self.clock.at(when, self._deliver_log_record, effect)
 
-    def _read_log(self, effect: messages.Effect) -> None:
+    def _deliver_log_record(self, effect: messages.Effect) -> None:
         self.log_offset += 1
         self.policy.on_evidence(self.log_offset, effect)
 
@@ -281,11 +287,11 @@
 
     def _attempt(self, request: Request) -> None:
         request.attempt += 1
-        found = self._choose(request)
-        if isinstance(found, policies.Refused):
-            self._refuse(request, found.wait)
+        decision = self._choose(request)
+        if isinstance(decision, policies.Refused):
+            self._refuse(request, decision.wait)
         else:
-            self._send(request, found)
+            self._send(request, decision)
 
     def _choose(self, request: Request) -> policies.Pick | policies.Refused:
         arrival = request.arrival
@@ -302,14 +308,14 @@
 
     def _refuse(self, request: Request, wait: float) -> None:
         self.measures.refusals += 1
-        back_at = self.clock.now + wait
+        retry_at = self.clock.now + wait
         is_last = request.tries >= MAX_TRIES
-        if is_last or back_at >= request.arrival.deadline:
+        if is_last or retry_at >= request.arrival.deadline:
             self._give_up(request)
         else:
-            self.clock.at(back_at, self._come_back, request)
+            self.clock.at(retry_at, self._reenter, request)
 
-    def _come_back(self, request: Request) -> None:
+    def _reenter(self, request: Request) -> None:
         if not request.is_over:
             self._enter(request)
 
@@ -421,21 +427,23 @@
         self.measures.spent += (
             arrival.prompt * row.input_price + arrival.output * row.output_price
         ) / 1000.0
-        draw = random.Random(f"{self.seed}/{arrival.number}/{pick.version}")
+        rng = random.Random(f"{self.seed}/{arrival.number}/{pick.version}")
         confidence = self.world.confidence(
-            pick.version, arrival.kind, arrival.difficulty, draw
+            pick.version, arrival.kind, arrival.difficulty, rng
         )
         self._finish_attempt(request, ok=True, confidence=confidence)
         if pick.hold:
             ask = self._ask(request)
-            then = self.policy.judge(ask, pick, confidence, self.clock.now)
-            if then is not None:
+            escalation = self.policy.judge(
+                ask, pick, confidence, self.clock.now
+            )
+            if escalation is not None:
                 self.measures.wasted_tokens += arrival.output
                 request.escalated = True
                 request.attempt += 1
-                self._send(request, then)
+                self._send(request, escalation)
                 return
-        good = draw.random() < self.world.chance(
+        good = rng.random() < self.world.chance(
             pick.version, arrival.kind, arrival.difficulty, self.clock.now
         )
         self._deliver_answer(request, pick, job, good)
@@ -450,23 +458,23 @@
     ) -> None:
         arrival = request.arrival
         request.is_over = True
-        found = self.measures
-        found.answers[arrival.account][0] += good
-        found.answers[arrival.account][1] += 1
-        found.by_version[pick.version] += 1
-        found.useful_tokens += arrival.output
-        first = job.finished_at if pick.hold else job.first_token_at
-        found.first_token_s.append(first - arrival.at)
+        measures = self.measures
+        measures.answers[arrival.account][0] += good
+        measures.answers[arrival.account][1] += 1
+        measures.by_version[pick.version] += 1
+        measures.useful_tokens += arrival.output
+        first_token_at = job.finished_at if pick.hold else job.first_token_at
+        measures.first_token_s.append(first_token_at - arrival.at)
         if not pick.hold:
-            spread = job.finished_at - job.first_token_at
-            found.gap_s.append(spread / arrival.output)
+            decode_seconds = job.finished_at - job.first_token_at
+            measures.gap_s.append(decode_seconds / arrival.output)
         if arrival.session:
             self.pins[arrival.session] = pick.version
         turn = self.watched.get(pick.version)
-        if turn and turn.at - _FLOW_S <= self.clock.now < turn.at:
-            found.turned_flow += 1.0 / _FLOW_S
-        if turn and not good and self._is_turned(turn, arrival.kind):
-            found.bad_by_version[pick.version] += 1
+        if turn and turn.at - _RATE_WINDOW_SECONDS <= self.clock.now < turn.at:
+            measures.turned_flow += 1.0 / _RATE_WINDOW_SECONDS
+        if turn and not good and self._has_regressed(turn, arrival.kind):
+            measures.bad_by_version[pick.version] += 1
 
-    def _is_turned(self, turn: world_lib.Turn, kind: str) -> bool:
+    def _has_regressed(self, turn: world_lib.Turn, kind: str) -> bool:
         return self.clock.now >= turn.at and turn.kind in ("", kind)
--- a/src/hoistmoor/load/experiment/wide.py
+++ b/src/hoistmoor/load/experiment/wide.py
@@ -1,4 +1,4 @@
-"""A deployment of the size designed for: 1,000 servers, 360 entry hosts."""
+"""A deployment at design scale: 1,000 servers and 360 entry hosts."""
 
 from __future__ import annotations
 
@@ -15,29 +15,30 @@
 RUNNERS = 964
 PLAIN_SERVERS = 36
 DOMAINS = 7
-# Calls at once. Small, so that the pools are half to two thirds full at the
-# rates below and it matters which server is chosen.
+# Concurrent calls; small, so that the pools are one half to two thirds full at
+# the rates below and the choice of the server matters.
 RUNNER_CAPACITY = 2
 PLAIN_CAPACITY = 4
 MODEL_RATE = 320.0
 PLAIN_RATE = 530.0
-# Shares of the runners by rank of price: the pools are then about as full.
+# Fractions of the engines by rank of price, chosen for about equal utilization
+# of the pools.
 RUNNER_SHARES = (0.16, 0.5, 0.34)
-_DOMAIN = "domain-{}"
+_DOMAIN_FORMAT = "domain-{}"
 
 
 def of(small: deployment_lib.Deployment) -> deployment_lib.Deployment:
-    """Returns ``small`` with the servers, hosts and rates designed for."""
+    """Returns ``small`` with servers, hosts and rates at design scale."""
     table = small.table
     runners = [
-        _server(i, small.engine_service, RUNNER_CAPACITY)
+        _make_server(i, small.engine_service, RUNNER_CAPACITY)
         for i in range(RUNNERS)
     ]
     plain = [
-        _server(RUNNERS + i, small.plain_service, PLAIN_CAPACITY)
+        _make_server(RUNNERS + i, small.plain_service, PLAIN_CAPACITY)
         for i in range(PLAIN_SERVERS)
     ]
-    versions = _active_only(table)
+    versions = _spread_active_versions(table)
     return attrs.evolve(
         small,
         name=f"{small.name}, {RUNNERS + PLAIN_SERVERS} servers",
@@ -52,28 +53,28 @@
     )
 
 
-def _active_only(table: model.Table) -> dict[str, model.Version]:
+def _spread_active_versions(table: model.Table) -> dict[str, model.Version]:
     active = [
         row
         for row in table.versions.values()
         if row.stage is model.Stage.ACTIVE
     ]
     active.sort(key=lambda row: row.output_price)
-    left = RUNNERS
+    remaining = RUNNERS
     versions = {}
     for row, share in zip(active, RUNNER_SHARES, strict=True):
-        replicas = left if row is active[-1] else round(share * RUNNERS)
-        left -= replicas
+        replicas = remaining if row is active[-1] else round(share * RUNNERS)
+        remaining -= replicas
         versions[row.key] = attrs.evolve(row, replicas=replicas)
     return versions
 
 
-def _server(number: int, service: str, capacity: int) -> model.Server:
+def _make_server(number: int, service: str, capacity: int) -> model.Server:
     return model.Server(
         f"server-{number}",
         service,
         f"10.0.{number // 250}.{number % 250}:80",
-        _DOMAIN.format(number % DOMAINS),
+        _DOMAIN_FORMAT.format(number % DOMAINS),
         capacity,
         checks_fencing=True,
     )
--- a/src/hoistmoor/load/experiment/world.py
+++ b/src/hoistmoor/load/experiment/world.py
@@ -1,4 +1,4 @@
-"""The truth that no policy but the oracle knows: who answers what well."""
+"""The ground truth on response quality, known only to the oracle."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 if TYPE_CHECKING:
     from hoistmoor.core.table import model
 
-STEEPNESS = 2.5  # How sharply a version fails beyond its skill.
-CONFIDENCE_NOISE = 0.07  # Standard deviation of confidence round the truth.
-RATED_SHARE = 0.1  # Answers that are rated.
+STEEPNESS = 2.5  # Slope of the chance of a good response over difficulty.
+CONFIDENCE_NOISE = 0.07  # Standard deviation of confidence around the chance.
+RATED_SHARE = 0.1  # Fraction of responses that are rated.
 RATING_DELAY_S = 60.0  # Mean delay of a rating.
 _GRID = tuple(
     statistics.NormalDist().inv_cdf((i + 0.5) / 200) for i in range(200)
@@ -23,14 +23,14 @@
 
 @attrs.frozen
 class Turn:
-    """A version that turns bad.
+    """A quality regression of a version.
 
     Attributes:
         version: Key of the version.
-        at: When it begins.
-        ramp: Seconds until it is as bad as it gets; 0 for at once.
-        quality: Share of good answers that it falls to.
-        kind: Kind of request that is hit; empty for all.
+        at: Time of the start.
+        ramp: Seconds until the full effect; 0 for a sudden regression.
+        quality: Fraction of good responses after it.
+        kind: Affected kind of request; empty for all.
     """
 
     version: str
@@ -40,19 +40,19 @@
     kind: str = ""
 
     def depth(self, now: float) -> float:
-        """Returns how far the turn has gone, 0 to 1."""
+        """Returns the progress of the regression, from 0 to 1."""
         if now < self.at:
             return 0.0
         return 1.0 if self.ramp <= 0 else min(1.0, (now - self.at) / self.ramp)
 
 
 def chance(skill: float, difficulty: float) -> float:
-    """Returns the chance of a good answer."""
+    """Returns the chance of a good response."""
     return 1.0 / (1.0 + math.exp(-STEEPNESS * (skill - difficulty)))
 
 
 def skill_for(quality: float) -> float:
-    """Returns the skill that gives ``quality`` over all difficulties."""
+    """Returns the skill with a mean of ``quality`` over all difficulties."""
     low, high = -6.0, 6.0
     for _ in range(40):
         middle = (low + high) / 2
@@ -66,9 +66,9 @@
     """True quality of each version for each kind of request.
 
     Attributes:
-        qualities: Mean share of good answers by version and kind.
-        turns: Versions that turn bad.
-        skills: Skills that give the qualities.
+        qualities: Mean fraction of good responses by version and kind.
+        turns: Quality regressions of versions.
+        skills: Skills that give these qualities, by version and kind.
     """
 
     qualities: dict[tuple[str, str], float]
@@ -76,24 +76,24 @@
     skills: dict[tuple[str, str], float] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        """Works out the skills."""
+        """Computes the skills."""
         self.skills = {k: skill_for(q) for k, q in self.qualities.items()}
 
     def healthy_chance(
         self, version: str, kind: str, difficulty: float
     ) -> float:
-        """Returns the chance of a good answer but for any turn."""
+        """Returns the chance of a good response without regressions."""
         return chance(self.skills[version, kind], difficulty)
 
     def chance(
         self, version: str, kind: str, difficulty: float, now: float
     ) -> float:
-        """Returns the chance of a good answer now."""
+        """Returns the current chance of a good response."""
         healthy = self.healthy_chance(version, kind, difficulty)
         return healthy * self.left(version, kind, now)
 
     def left(self, version: str, kind: str, now: float) -> float:
-        """Returns what a turn has left of the version's quality."""
+        """Returns the fraction of the quality that remains in a regression."""
         for turn in self.turns:
             if turn.version == version and turn.kind in ("", kind):
                 loss = 1.0 - turn.quality / self.qualities[version, kind]
@@ -105,11 +105,11 @@
         version: str,
         kind: str,
         difficulty: float,
-        source: random.Random,
+        rng: random.Random,
     ) -> float:
-        """Draws the engine's confidence; a turn does not lower it."""
+        """Draws the confidence of a response; regressions do not lower it."""
         healthy = self.healthy_chance(version, kind, difficulty)
-        noisy = source.gauss(healthy, CONFIDENCE_NOISE)
+        noisy = rng.gauss(healthy, CONFIDENCE_NOISE)
         return min(1.0, max(0.0, noisy))
 
 
@@ -119,19 +119,19 @@
     turns: tuple[Turn, ...],
     seed: int,
 ) -> World:
-    """Returns a world whose truth lies near the table's priors.
+    """Returns a world with qualities near the priors in the table.
 
     Args:
         table: The operators' table.
-        kinds: Shift of the quality's log odds for each kind of request.
-        turns: Versions that turn bad.
-        seed: Shifts each version's quality for each kind a little more.
+        kinds: Shift of the log odds of quality for each kind of request.
+        turns: Quality regressions of versions.
+        seed: Seed of an additional small shift per version and kind.
     """
-    source = random.Random(f"world {seed}")
+    rng = random.Random(f"world {seed}")
     qualities = {}
     for key, row in table.versions.items():
         for kind, shift in kinds.items():
             odds = math.log(row.prior_quality / (1.0 - row.prior_quality))
-            odds += shift + source.gauss(0.0, 0.2)
+            odds += shift + rng.gauss(0.0, 0.2)
             qualities[key, kind] = 1.0 / (1.0 + math.exp(-odds))
     return World(qualities, turns)
