--- a/src/hoistmoor/load/experiment/simulation.py
+++ b/src/hoistmoor/load/experiment/simulation.py
@@ -104,7 +104,9 @@
 
     def _counted_regressions(self) -> dict[str, world_lib.Turn]:
         """Returns the regressions whose bad responses are counted."""
-        regressions = {turn.version: turn for turn in self.scenario.turns}
+        regressions = {
+            regression.version: regression for regression in self.scenario.turns
+        }
         if self.scenario.candidate_quality:
             for row in self.table.versions.values():
                 if row.stage is model.Stage.CANDIDATE:
@@ -137,26 +139,33 @@
 
         The limit is for the first sudden regression, NaN if there is none.
         """
-        turns = [turn for turn in self.watched.values() if not turn.ramp]
-        if not turns:
+        sudden = [
+            regression
+            for regression in self.watched.values()
+            if not regression.ramp
+        ]
+        if not sudden:
             return float("nan")
-        turn = turns[0]
-        before = self._mean_quality(turn)
+        regression = sudden[0]
+        before = self._mean_quality(regression)
         confidence = limits.value(self.table, "withdraw_confidence")
-        ratings = sequential.detection_limit(before, turn.quality, confidence)
+        ratings = sequential.detection_limit(
+            before, regression.quality, confidence
+        )
         waiting = self.measures.turned_flow * world_lib.RATING_DELAY_S
-        answers = ratings / world_lib.RATED_SHARE + waiting
-        return (1.0 - turn.quality) * answers
+        responses = ratings / world_lib.RATED_SHARE + waiting
+        return (1.0 - regression.quality) * responses
 
-    def _mean_quality(self, turn: world_lib.Turn) -> float:
-        if turn.version not in {t.version for t in self.scenario.turns}:
-            return self.table.versions[turn.version].prior_quality
+    def _mean_quality(self, regression: world_lib.Turn) -> float:
+        if regression.version not in {t.version for t in self.scenario.turns}:
+            return self.table.versions[regression.version].prior_quality
         shapes = self.deployment.kinds
-        kinds = [turn.kind] if turn.kind else list(shapes)
+        kinds = [regression.kind] if regression.kind else list(shapes)
         total = sum(shapes[kind].share for kind in kinds)
         return (
             sum(
-                shapes[kind].share * self.world.qualities[turn.version, kind]
+                shapes[kind].share
+                * self.world.qualities[regression.version, kind]
                 for kind in kinds
             )
             / total
@@ -417,9 +426,9 @@
             request.is_over = True
             self.measures.plain_s.append(self.clock.now - request.entered_at)
         else:
-            self._on_answer(request, pick, job)
+            self._on_response(request, pick, job)
 
-    def _on_answer(
+    def _on_response(
         self, request: Request, pick: policies.Pick, job: engine_lib.Job
     ) -> None:
         arrival = request.arrival
@@ -446,10 +455,10 @@
         good = rng.random() < self.world.chance(
             pick.version, arrival.kind, arrival.difficulty, self.clock.now
         )
-        self._deliver_answer(request, pick, job, good)
+        self._deliver_response(request, pick, job, good)
         self._rate(request, pick, confidence, good)
 
-    def _deliver_answer(
+    def _deliver_response(
         self,
         request: Request,
         pick: policies.Pick,
@@ -470,11 +479,20 @@
             measures.gap_s.append(decode_seconds / arrival.output)
         if arrival.session:
             self.pins[arrival.session] = pick.version
-        turn = self.watched.get(pick.version)
-        if turn and turn.at - _RATE_WINDOW_SECONDS <= self.clock.now < turn.at:
+        regression = self.watched.get(pick.version)
+        if (
+            regression
+            and regression.at - _RATE_WINDOW_SECONDS
+            <= self.clock.now
+            < regression.at
+        ):
             measures.turned_flow += 1.0 / _RATE_WINDOW_SECONDS
-        if turn and not good and self._has_regressed(turn, arrival.kind):
+        if (
+            regression
+            and not good
+            and self._has_regressed(regression, arrival.kind)
+        ):
             measures.bad_by_version[pick.version] += 1
 
-    def _has_regressed(self, turn: world_lib.Turn, kind: str) -> bool:
-        return self.clock.now >= turn.at and turn.kind in ("", kind)
+    def _has_regressed(self, regression: world_lib.Turn, kind: str) -> bool:
+        return self.clock.now >= regression.at and regression.kind in ("", kind)
--- a/src/hoistmoor/load/experiment/world.py
+++ b/src/hoistmoor/load/experiment/world.py
@@ -94,10 +94,10 @@
 
     def left(self, version: str, kind: str, now: float) -> float:
         """Returns the fraction of the quality that remains in a regression."""
-        for turn in self.turns:
-            if turn.version == version and turn.kind in ("", kind):
-                loss = 1.0 - turn.quality / self.qualities[version, kind]
-                return 1.0 - max(0.0, loss) * turn.depth(now)
+        for regression in self.turns:
+            if regression.version == version and regression.kind in ("", kind):
+                loss = 1.0 - regression.quality / self.qualities[version, kind]
+                return 1.0 - max(0.0, loss) * regression.depth(now)
         return 1.0
 
     def confidence(
--- a/tests/load/experiment/test_experiment_polling.py
+++ b/tests/load/experiment/test_experiment_polling.py
@@ -1,4 +1,4 @@
-"""Placement on reports that each host polls, and how often it does."""
+"""Polling of load reports by each host, and placement on these reports."""
 
 from __future__ import annotations
 
@@ -25,22 +25,22 @@
     return deployment_lib.load(EXAMPLES / "taemsuk")
 
 
-def count_polls(poller: polling.HostPoller, seconds: float) -> list[str]:
+def poll_for_seconds(poller: polling.HostPoller, seconds: float) -> list[str]:
     ticks = round(seconds * polling.BUSY_RATE)
     return [name for _ in range(ticks) if (name := poller.tick())]
 
 
-def test_a_host_polls_as_often_as_its_dispatches_ask_for() -> None:
+def test_dispatches_set_the_poll_rate_of_a_host() -> None:
     poller = polling.HostPoller(["a", "b", "p"], {"llm": ["a", "b"]})
-    idle = count_polls(poller, 12.0)
+    idle = poll_for_seconds(poller, 12.0)
     assertions.assert_that(idle, matchers.Equals(["a", "b", "p"] * 4))
     poller.owed.extend(["llm"] * 40)
-    busy = count_polls(poller, 2.0)
+    busy = poll_for_seconds(poller, 2.0)
     assertions.assert_that(busy, matchers.Equals(["a", "b"] * 6))
     assert not poller.owed
 
 
-def test_hardly_a_call_is_lost_at_four_fifths_of_capacity(
+def test_few_calls_are_lost_at_80_percent_of_capacity(
     deployment: deployment_lib.Deployment,
 ) -> None:
     scenario = scenarios.Scenario(
@@ -59,23 +59,23 @@
         runs.make_world(deployment, scenario, SEED),
         SEED,
     )
-    found = simulation.run(arrivals)
-    lost = found.plain_given_up / max(1, len(found.plain_s))
+    result = simulation.run(arrivals)
+    lost = result.plain_given_up / max(1, len(result.plain_s))
     assertions.assert_that(lost, matchers.LessThan(0.01))
     assertions.assert_that(
-        found.summary()["confirm_p99_ms"], matchers.LessThan(400.0)
+        result.summary()["confirm_p99_ms"], matchers.LessThan(400.0)
     )
     assertions.assert_that(max(simulation.ages), matchers.LessThan(60.0))
 
 
-def test_the_wide_deployment_has_the_size_designed_for(
+def test_large_deployment_has_the_design_scale(
     deployment: deployment_lib.Deployment,
 ) -> None:
-    found = wide.of(deployment)
-    assertions.assert_that(found.table.servers, matchers.HasLength(1000))
-    assertions.assert_that(found.hosts, matchers.Equals(360))
-    replicas = sum(row.replicas for row in found.table.versions.values())
+    result = wide.of(deployment)
+    assertions.assert_that(result.table.servers, matchers.HasLength(1000))
+    assertions.assert_that(result.hosts, matchers.Equals(360))
+    replicas = sum(row.replicas for row in result.table.versions.values())
     assertions.assert_that(replicas, matchers.Equals(wide.RUNNERS))
     assertions.assert_that(
-        found.model_rate + found.plain_rate, matchers.Equals(850.0)
+        result.model_rate + result.plain_rate, matchers.Equals(850.0)
     )
--- a/tests/load/experiment/test_experiment_runs.py
+++ b/tests/load/experiment/test_experiment_runs.py
@@ -1,4 +1,4 @@
-"""The experiment repeats exactly, and its model keeps its own books."""
+"""Determinism and accounting of experiment runs."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 @pytest.fixture
 def deployment() -> deployment_lib.Deployment:
     versions = [
-        _version("small@1", 600, 0.75, model.Stage.ACTIVE),
-        _version("small@2", 600, 0.78, model.Stage.CANDIDATE),
-        _version("large@1", 9000, 0.95, model.Stage.ACTIVE),
+        _make_version("small@1", 600, 0.75, model.Stage.ACTIVE),
+        _make_version("small@2", 600, 0.78, model.Stage.CANDIDATE),
+        _make_version("large@1", 9000, 0.95, model.Stage.ACTIVE),
     ]
     servers = [
         model.Server(f"llm-{i}", "llm", f"10.0.0.{i}:1", f"d{i % 2}", 8, True)
@@ -51,7 +51,7 @@
     return deployment_lib.of_table("taemsuk", table)
 
 
-def _version(
+def _make_version(
     key: str, price: int, quality: float, stage: model.Stage
 ) -> model.Version:
     name, _, version = key.partition("@")
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("policy", runs.POLICIES)
-def test_a_run_repeats_exactly_and_accounts_for_each_request(
+def test_run_is_deterministic_and_accounts_for_each_request(
     deployment: deployment_lib.Deployment, policy: str
 ) -> None:
     scenario = scenarios.make("pool-outage", deployment, 0.05)
@@ -87,17 +87,17 @@
     assertions.assert_that(ended, matchers.Equals(len(arrivals)))
 
 
-def test_a_bad_candidate_is_held_to_its_cap(
+def test_bad_candidate_stays_within_its_exposure_cap(
     deployment: deployment_lib.Deployment,
 ) -> None:
     scenario = scenarios.make("bad-candidate", deployment, 0.1)
-    found = runs.run(deployment, scenario, "hoistmoor", 1).measures
-    assert 0 < found.by_version["small@2"] <= 20
-    fixed = runs.run(deployment, scenario, "two-reported", 1).measures
-    assert fixed.by_version["small@2"] > 20
+    routed = runs.run(deployment, scenario, "hoistmoor", 1).measures
+    assert 0 < routed.by_version["small@2"] <= 20
+    baseline = runs.run(deployment, scenario, "two-reported", 1).measures
+    assert baseline.by_version["small@2"] > 20
 
 
-def test_a_batch_shares_its_pace_and_a_cached_prefix_needs_no_prefill() -> None:
+def test_cached_prefix_needs_no_prefill_and_batch_drains() -> None:
     clock = clock_lib.Clock()
     engine = engine_lib.Engine("e", clock, 8, ("v",))
     ended: list[float] = []
@@ -122,19 +122,21 @@
     assertions.assert_that(engine.running, matchers.Equals(0))
 
 
-def test_report_shows_the_spread_and_wrong_names_are_refused(
+def test_report_shows_the_range_and_unknown_deployment_is_rejected(
     deployment: deployment_lib.Deployment,
 ) -> None:
     scenario = scenarios.make("half-dead-server", deployment, 0.02)
-    found = [runs.run(deployment, scenario, "random", seed) for seed in (1, 2)]
-    shown = report.Report("small", tuple(found)).markdown()
-    assertions.assert_that(shown, matchers.Contains("| random |"))
-    assertions.assert_that(shown, matchers.Contains(".."))
+    results = [
+        runs.run(deployment, scenario, "random", seed) for seed in (1, 2)
+    ]
+    markdown = report.Report("small", tuple(results)).markdown()
+    assertions.assert_that(markdown, matchers.Contains("| random |"))
+    assertions.assert_that(markdown, matchers.Contains(".."))
     with pytest.raises(errors.ConfigurationError):
         command.Experiment(table=pathlib.Path("nowhere"))()
 
 
-def test_a_baseline_accepts_when_all_it_may_use_is_withdrawn(
+def test_baseline_accepts_response_if_all_granted_versions_are_withdrawn(
     deployment: deployment_lib.Deployment,
 ) -> None:
     policy = policies.make_baseline("fixed-cascade", deployment, 1)
--- a/tests/load/test_load_caller.py
+++ b/tests/load/test_load_caller.py
@@ -1,4 +1,4 @@
-"""What the load tool notes of whole, cut, refused and unreachable answers."""
+"""Results of complete, truncated, refused and unreachable responses."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     from collections.abc import AsyncIterator
     import pathlib
 
-NOBODY = "http://127.0.0.1:1"  # A port that no program listens on.
+UNREACHABLE_URL = "http://127.0.0.1:1"  # No program listens on this port.
 BEARER = "demo-secret-key"
 REFUSAL = {"type": "not_granted", "message": "No.", "outcome": "not_run"}
 
@@ -38,11 +38,11 @@
     return response
 
 
-async def _whole(request: web.Request) -> web.StreamResponse:
+async def _complete(request: web.Request) -> web.StreamResponse:
     return await _stream(request, b'data: {"a": 1}\n\n', b"data: [DONE]\n\n")
 
 
-async def _no_end_mark(request: web.Request) -> web.StreamResponse:
+async def _no_end_marker(request: web.Request) -> web.StreamResponse:
     return await _stream(request, b'data: {"a": 1}\n\n')
 
 
@@ -68,9 +68,9 @@
 
 @pytest.fixture
 async def entry() -> AsyncIterator[str]:
-    """Base URL of a server with one path for each way to answer."""
+    """Returns the base URL of a server with a path for each response."""
     application = web.Application()
-    handlers = (_whole, _no_end_mark, _late_error, _cut, _refuse)
+    handlers = (_complete, _no_end_marker, _late_error, _cut, _refuse)
     for handler in handlers:
         application.router.add_get("/" + handler.__name__, handler)
     async with test_utils.TestServer(application) as server:
@@ -79,7 +79,7 @@
 
 @pytest.fixture
 async def caller() -> AsyncIterator[caller_lib.Caller]:
-    """A caller with a session of its own."""
+    """Returns a caller with its own HTTP session."""
     async with aiohttp.ClientSession() as session:
         yield caller_lib.Caller(session)
 
@@ -87,14 +87,14 @@
 @pytest.mark.parametrize(
     ("path", "served", "reason", "outcome"),
     [
-        ("_whole", True, "", outcomes.Outcome.DONE),
-        ("_no_end_mark", False, "entry_cut", outcomes.Outcome.UNKNOWN),
+        ("_complete", True, "", outcomes.Outcome.DONE),
+        ("_no_end_marker", False, "entry_cut", outcomes.Outcome.UNKNOWN),
         ("_late_error", False, "backend_cut", outcomes.Outcome.UNKNOWN),
         ("_cut", False, "entry_cut", outcomes.Outcome.UNKNOWN),
         ("_refuse", False, "not_granted", outcomes.Outcome.NOT_RUN),
     ],
 )
-async def test_an_answer_is_served_only_with_its_end(
+async def test_response_is_served_only_if_complete(
     entry: str,
     caller: caller_lib.Caller,
     path: str,
@@ -103,42 +103,43 @@
     outcome: outcomes.Outcome,
 ) -> None:
     call = calls.Call("test", "GET", f"/{path}", None, BEARER)
-    seen = await caller.send(0, entry, call, due=0.0)
+    result = await caller.send(0, entry, call, due=0.0)
     assertions.assert_that(
-        (seen.served, seen.reason, seen.outcome),
+        (result.served, result.reason, result.outcome),
         matchers.Equals((served, reason, outcome)),
     )
 
 
-async def test_an_entry_that_is_gone_ran_nothing(
+async def test_unreachable_entry_is_reported_as_not_run(
     caller: caller_lib.Caller,
 ) -> None:
     call = calls.Call("test", "GET", "/", None, BEARER)
-    seen = await caller.send(0, NOBODY, call, due=0.0)
+    result = await caller.send(0, UNREACHABLE_URL, call, due=0.0)
     assertions.assert_that(
-        (seen.reason, seen.outcome),
+        (result.reason, result.outcome),
         matchers.Equals(("entry_unreachable", outcomes.Outcome.NOT_RUN)),
     )
 
 
-async def test_a_run_leaves_a_history_without_keys(
+async def test_history_of_a_run_contains_no_bearer_key(
     entry: str, caller: caller_lib.Caller, tmp_path: pathlib.Path
 ) -> None:
     path = tmp_path / "history.jsonl"
-    written = history.HistoryFile(path)
+    writer = history.HistoryFile(path)
     report = report_lib.Report()
     call = calls.Call("test", "GET", "/_refuse", None, BEARER)
     plan = arrivals.Plan([entry], [call], rate=500.0, count=20)
 
-    def on_seen(seen: calls.Seen) -> None:
-        written.add(seen)
-        report.add(seen)
+    def on_result(result: calls.Seen) -> None:
+        writer.add(result)
+        report.add(result)
 
-    await arrivals.run(plan, caller, on_seen)
-    written.close()
+    await arrivals.run(plan, caller, on_result)
+    writer.close()
     read = list(history.read(path))
     assertions.assert_that(
-        sorted(seen.serial for seen in read), matchers.Equals(list(range(20)))
+        sorted(result.serial for result in read),
+        matchers.Equals(list(range(20))),
     )
     assertions.assert_that(
         path.read_text(), matchers.Not(matchers.Contains(BEARER))
@@ -148,7 +149,7 @@
     )
 
 
-def test_arrivals_of_a_seed_are_always_the_same() -> None:
+def test_arrivals_are_deterministic_for_a_seed() -> None:
     call = calls.Call("test", "GET", "/", None, BEARER)
     plan = arrivals.Plan(["http://127.0.0.1:1"], [call], rate=50.0, count=2000)
     first = list(arrivals.offsets(plan))
@@ -161,6 +162,6 @@
     )
 
 
-def test_an_unknown_kind_is_refused_with_the_known_ones() -> None:
+def test_unknown_kind_error_lists_the_known_kinds() -> None:
     with pytest.raises(errors.ConfigurationError, match="balance"):
         mix.named(["nonsense"], BEARER)
--- a/tests/load/test_load_demo_files.py
+++ b/tests/load/test_load_demo_files.py
@@ -1,4 +1,4 @@
-"""The demo's Procfile, its scenario and the example sheets agree."""
+"""Consistency of the Procfile, the demo scenario and the example sheets."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 @pytest.fixture
-def lines() -> dict[str, str]:
-    """Commands of the Procfile by name."""
+def commands() -> dict[str, str]:
+    """Returns the commands of the Procfile by process name."""
     text = (ROOT / "Procfile").read_text()
     rows = [row for row in text.splitlines() if not row.startswith("#")]
     return dict(row.split(": ", 1) for row in rows)
 
 
-def _table(deployment: deployments.Deployment) -> model.Table:
+def _read_table(deployment: deployments.Deployment) -> model.Table:
     files = (ROOT / deployment.sheets).glob("*.csv")
     result = sheets.parse_sheets(
         {path.name: path.read_text() for path in files}
@@ -38,22 +38,22 @@
 
 
 @DEPLOYMENTS
-def test_each_backend_server_runs_where_the_table_says(
-    deployment: deployments.Deployment, lines: dict[str, str]
+def test_each_backend_server_listens_on_its_table_address(
+    deployment: deployments.Deployment, commands: dict[str, str]
 ) -> None:
-    for server in _table(deployment).servers.values():
+    for server in _read_table(deployment).servers.values():
         assertions.assert_that(
-            lines[server.server],
+            commands[server.server],
             matchers.Contains(f"--listen {server.address} "),
         )
 
 
 @DEPLOYMENTS
-def test_each_version_in_use_is_loaded_somewhere(
-    deployment: deployments.Deployment, lines: dict[str, str]
+def test_each_version_in_use_is_loaded_by_an_engine(
+    deployment: deployments.Deployment, commands: dict[str, str]
 ) -> None:
-    table = _table(deployment)
-    engines = " ".join(lines[name] for name in table.servers)
+    table = _read_table(deployment)
+    engines = " ".join(commands[name] for name in table.servers)
     for version in table.versions.values():
         if version.stage is model.Stage.WITHDRAWN:
             continue
@@ -63,10 +63,10 @@
 
 
 @DEPLOYMENTS
-def test_each_caller_of_the_scenario_has_a_key_in_the_table(
+def test_scenario_keys_are_in_the_table(
     deployment: deployments.Deployment,
 ) -> None:
-    known = _table(deployment).account_by_key_hash
+    known = _read_table(deployment).account_by_key_hash
     for step in scenario.STEPS[deployment.name]:
         key_hash = hashlib.sha256(step.call.bearer.encode()).hexdigest()
         assertions.assert_that(
--- a/tests/load/test_load_flags.py
+++ b/tests/load/test_load_flags.py
@@ -1,4 +1,4 @@
-"""Load goes to loopback only, whichever command sends it."""
+"""All load commands reject addresses off loopback."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 from hoistmoor.load import main
 
-HERE, ELSEWHERE = "http://127.0.0.1:1", "http://10.0.0.1:1"
+LOCAL, REMOTE = "http://127.0.0.1:1", "http://10.0.0.1:1"
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
-        ("run", "--kind", "chat", "--entry", HERE, "--entry", ELSEWHERE),
-        ("compare", "--kind", "chat", "--entry", HERE, "--direct", ELSEWHERE),
-        ("compare", "--kind", "chat", "--entry", ELSEWHERE, "--direct", HERE),
-        ("wait", ELSEWHERE),
+        ("run", "--kind", "chat", "--entry", LOCAL, "--entry", REMOTE),
+        ("compare", "--kind", "chat", "--entry", LOCAL, "--direct", REMOTE),
+        ("compare", "--kind", "chat", "--entry", REMOTE, "--direct", LOCAL),
+        ("wait", REMOTE),
     ],
 )
-def test_another_machine_is_refused(
-    capsys: pytest.CaptureFixture[str], words: tuple[str, ...]
+def test_address_off_loopback_is_rejected(
+    capsys: pytest.CaptureFixture[str], arguments: tuple[str, ...]
 ) -> None:
-    code = main.main(list(words))
+    code = main.main(list(arguments))
     assertions.assert_that(code, matchers.Equals(2))
     assertions.assert_that(
         capsys.readouterr().err,
-        matchers.Contains(f"'{ELSEWHERE}' is not on loopback"),
+        matchers.Contains(f"'{REMOTE}' is not on loopback"),
     )
