--- a/src/hoistmoor/load/experiment/hoistmoor_policy.py
+++ b/src/hoistmoor/load/experiment/hoistmoor_policy.py
@@ -62,67 +62,74 @@
             router.on_rating(rating, now)
 
     def choose(
-        self, ask: policies.Ask, now: float
+        self, query: policies.Ask, now: float
     ) -> policies.Pick | policies.Refused:
         """Returns the choice of the router on the request's host."""
-        router = self.routers[ask.arrival.host]
+        router = self.routers[query.arrival.host]
         return _convert_choice(
-            router.choose(_make_query(ask), ask.excluded, now)
+            router.choose(_make_query(query), query.excluded, now)
         )
 
     def choose_server(
-        self, ask: policies.Ask, now: float
+        self, query: policies.Ask, now: float
     ) -> policies.Pick | policies.Refused:
         """Returns the choice of the router on the call's host."""
-        router = self.routers[ask.arrival.host]
+        router = self.routers[query.arrival.host]
         service = self.deployment.plain_service
-        return _convert_choice(router.choose_server(service, ask.excluded, now))
+        return _convert_choice(
+            router.choose_server(service, query.excluded, now)
+        )
 
     def judge(
         self,
-        ask: policies.Ask,
-        pick: policies.Pick,
+        query: policies.Ask,
+        decision: policies.Pick,
         confidence: float,
         now: float,
     ) -> policies.Pick | None:
         """Returns where to escalate, or None if the router accepts."""
-        router = self.routers[ask.arrival.host]
+        router = self.routers[query.arrival.host]
         facts = messages.AnswerFacts(confidence)
-        verdict = router.judge(_make_query(ask), pick.detail, facts, now)
+        verdict = router.judge(_make_query(query), decision.detail, facts, now)
         if isinstance(verdict, messages.Accept):
             return None
         escalation = _convert_choice(verdict.choice)
         return escalation if isinstance(escalation, policies.Pick) else None
 
-    def on_started(self, host: int, pick: policies.Pick, now: float) -> None:
+    def on_started(
+        self, host: int, decision: policies.Pick, now: float
+    ) -> None:
         """Records the start of an attempt on its host."""
-        self.routers[host].on_started(pick.server, pick.version, now)
+        self.routers[host].on_started(decision.server, decision.version, now)
 
     def on_finished(
         self,
         host: int,
-        pick: policies.Pick,
+        decision: policies.Pick,
         result: messages.AttemptResult,
         now: float,
     ) -> None:
         """Records the end of an attempt on its host."""
         router = self.routers[host]
-        router.on_finished(pick.server, pick.version, result, now)
+        router.on_finished(decision.server, decision.version, result, now)
 
     def to_probe(
-        self, ask: policies.Ask, pick: policies.Pick, now: float
+        self, query: policies.Ask, decision: policies.Pick, now: float
     ) -> tuple[str, ...]:
         """Returns the servers to probe for their load before a send."""
-        router = self.routers[ask.arrival.host]
-        return router.to_probe(pick.detail, ask.excluded, now)
+        router = self.routers[query.arrival.host]
+        return router.to_probe(decision.detail, query.excluded, now)
 
     def best_probed(
-        self, ask: policies.Ask, pick: policies.Pick, names: tuple[str, ...]
+        self,
+        query: policies.Ask,
+        decision: policies.Pick,
+        names: tuple[str, ...],
     ) -> policies.Pick:
-        """Returns ``pick`` moved to the least loaded of the probed servers."""
-        router = self.routers[ask.arrival.host]
-        best = _convert_choice(router.best_probed(pick.detail, names))
-        return best if isinstance(best, policies.Pick) else pick
+        """Returns the decision, moved to the least loaded probed server."""
+        router = self.routers[query.arrival.host]
+        best = _convert_choice(router.best_probed(decision.detail, names))
+        return best if isinstance(best, policies.Pick) else decision
 
     def take_effects(self) -> list[messages.Effect]:
         """Returns the pending log records of all hosts."""
@@ -134,14 +141,14 @@
             router.on_evidence(offset, record)
 
 
-def _make_query(ask: policies.Ask) -> messages.RouteQuery:
-    arrival = ask.arrival
+def _make_query(query: policies.Ask) -> messages.RouteQuery:
+    arrival = query.arrival
     return messages.RouteQuery(
         request_id=f"h{arrival.host}.1.{arrival.number:x}",
         account=arrival.account,
         model=model.AUTO_MODEL,
         kind=arrival.kind,
-        pin=ask.pin,
+        pin=query.pin,
         prompt_tokens=arrival.prompt,
         max_tokens=1024,
         prefix=arrival.prefix,
--- a/src/hoistmoor/load/experiment/oracle.py
+++ b/src/hoistmoor/load/experiment/oracle.py
@@ -70,36 +70,38 @@
         self.plans.clear()
 
     def choose(
-        self, ask: policies.Ask, now: float
+        self, query: policies.Ask, now: float
     ) -> policies.Pick | policies.Refused:
         """Returns where to send a model request."""
-        eligible = self._eligible_versions(ask, now)
+        eligible = self._eligible_versions(query, now)
         if not eligible:
             return policies.Refused()
-        if ask.pin in {row.key for row in eligible}:
-            return self._place(str(ask.pin), ask, None) or policies.Refused()
-        plan = self._plan(ask, eligible, now)
-        key = ask.arrival.session or f"{ask.arrival.number:x}"
+        if query.pin in {row.key for row in eligible}:
+            return (
+                self._place(str(query.pin), query, None) or policies.Refused()
+            )
+        plan = self._plan(query, eligible, now)
+        key = query.arrival.session or f"{query.arrival.number:x}"
         policy = plan.policy(hashing.unit(key, 3))
         others = sorted(eligible, key=lambda row: -row.prior_quality)
         return (
-            self._place(policy.start, ask, policy)
+            self._place(policy.start, query, policy)
             or next(
-                filter(None, (self._place(r.key, ask, None) for r in others)),
+                filter(None, (self._place(r.key, query, None) for r in others)),
                 None,
             )
             or policies.Refused()
         )
 
     def _eligible_versions(
-        self, ask: policies.Ask, now: float
+        self, query: policies.Ask, now: float
     ) -> list[model.Version]:
         return [
             row
             for row in self.table.versions.values()
             if row.stage in (model.Stage.ACTIVE, model.Stage.CANDIDATE)
-            and self.table.grant_for(ask.arrival.account, row)
-            and self._remaining_quality(row, ask.arrival.kind, now) > 0.8
+            and self.table.grant_for(query.arrival.account, row)
+            and self._remaining_quality(row, query.arrival.kind, now) > 0.8
         ]
 
     def _remaining_quality(
@@ -110,12 +112,12 @@
         return left * min(1.0, quality / max(0.01, row.prior_quality - 0.2))
 
     def _place(
-        self, version: str, ask: policies.Ask, policy: cascade.Policy | None
+        self, version: str, query: policies.Ask, policy: cascade.Policy | None
     ) -> policies.Pick | None:
         candidates = [
             engine
             for engine in self.engines.values()
-            if version in engine.versions and self._accepts(engine, ask)
+            if version in engine.versions and self._accepts(engine, query)
         ]
         if not candidates:
             return None
@@ -123,30 +125,30 @@
         hold = policy is not None and bool(policy.then)
         return policies.Pick(version, best.name, hold, policy)
 
-    def _accepts(self, engine: engine_lib.Engine, ask: policies.Ask) -> bool:
+    def _accepts(self, engine: engine_lib.Engine, query: policies.Ask) -> bool:
         return (
             engine.is_up
             and engine.running < engine.capacity
-            and engine.name not in ask.excluded
+            and engine.name not in query.excluded
         )
 
     def judge(
         self,
-        ask: policies.Ask,
-        pick: policies.Pick,
+        query: policies.Ask,
+        decision: policies.Pick,
         confidence: float,
         now: float,
     ) -> policies.Pick | None:
         """Returns where to escalate by the plan, or None to accept."""
         del now
-        policy: cascade.Policy = pick.detail
+        policy: cascade.Policy = decision.detail
         if evidence.bucket_of(confidence) >= policy.threshold:
             return None
-        escalation = attrs.evolve(ask, excluded=frozenset())
+        escalation = attrs.evolve(query, excluded=frozenset())
         return self._place(policy.then, escalation, None)
 
     def choose_server(
-        self, ask: policies.Ask, now: float
+        self, query: policies.Ask, now: float
     ) -> policies.Pick | policies.Refused:
         """Returns the plain server with the lowest current load."""
         del now
@@ -154,7 +156,7 @@
         candidates = [
             self.engines[row.server]
             for row in self.table.servers_by_service[service]
-            if self._accepts(self.engines[row.server], ask)
+            if self._accepts(self.engines[row.server], query)
         ]
         if not candidates:
             return policies.Refused()
@@ -163,18 +165,18 @@
     # Planning on the true quality.
 
     def _plan(
-        self, ask: policies.Ask, eligible: list[model.Version], now: float
+        self, query: policies.Ask, eligible: list[model.Version], now: float
     ) -> cascade.Plan:
-        kind = ask.arrival.kind
+        kind = query.arrival.kind
         target = max(
             g.quality_target
             for g in self.table.grants.values()
-            if g.account == ask.arrival.account
+            if g.account == query.arrival.account
         )
         key = (
             kind,
             target,
-            bool(ask.arrival.session),
+            bool(query.arrival.session),
             tuple(
                 (row.key, round(self.world.left(row.key, kind, now), 2))
                 for row in eligible
@@ -182,7 +184,7 @@
         )
         if key not in self.plans:
             cascades = self._true_policies(
-                eligible, kind, now, bool(ask.arrival.session)
+                eligible, kind, now, bool(query.arrival.session)
             )
             self.plans[key] = cascade.plan(cascades, target)
         return self.plans[key]
--- a/src/hoistmoor/load/experiment/policies.py
+++ b/src/hoistmoor/load/experiment/policies.py
@@ -70,19 +70,19 @@
 
     name: str
 
-    def choose(self, ask: Ask, now: float) -> Pick | Refused:
+    def choose(self, query: Ask, now: float) -> Pick | Refused:
         """Returns where to send a model request."""
         raise NotImplementedError
 
-    def choose_server(self, ask: Ask, now: float) -> Pick | Refused:
+    def choose_server(self, query: Ask, now: float) -> Pick | Refused:
         """Returns where to send a call to the plain service."""
         raise NotImplementedError
 
     def judge(
-        self, ask: Ask, pick: Pick, confidence: float, now: float
+        self, query: Ask, decision: Pick, confidence: float, now: float
     ) -> Pick | None:
         """Returns where to escalate, or None to accept the response."""
-        del ask, pick, confidence, now
+        del query, decision, confidence, now
         return None
 
     def on_table(self, table: model.Table, revision: int) -> None:
@@ -97,11 +97,15 @@
     def on_rating(self, rating: messages.Rating, now: float) -> None:
         """Applies a rating."""
 
-    def on_started(self, host: int, pick: Pick, now: float) -> None:
+    def on_started(self, host: int, decision: Pick, now: float) -> None:
         """Records the start of an attempt."""
 
     def on_finished(
-        self, host: int, pick: Pick, result: messages.AttemptResult, now: float
+        self,
+        host: int,
+        decision: Pick,
+        result: messages.AttemptResult,
+        now: float,
     ) -> None:
         """Records the end of an attempt."""
 
@@ -153,64 +157,64 @@
         del now
         self.reports[report.server] = report
 
-    def choose(self, ask: Ask, now: float) -> Pick | Refused:
+    def choose(self, query: Ask, now: float) -> Pick | Refused:
         """Returns where to send a model request."""
         del now
-        granted = self._granted(ask)
+        granted = self._granted(query)
         if not granted:
             return Refused()
-        version = ask.pin or ""
+        version = query.pin or ""
         if version not in {row.key for row in granted}:
-            version = self.version_rule(self, ask, granted)
-        return self._pick(ask, version, self.escalates and not ask.pin)
+            version = self.version_rule(self, query, granted)
+        return self._pick(query, version, self.escalates and not query.pin)
 
-    def _granted(self, ask: Ask) -> list[model.Version]:
+    def _granted(self, query: Ask) -> list[model.Version]:
         stages = {model.Stage.ACTIVE, model.Stage.CANDIDATE}
         return [
             row
             for row in self.table.versions.values()
             if row.stage in stages
-            and self.table.grant_for(ask.arrival.account, row)
+            and self.table.grant_for(query.arrival.account, row)
         ]
 
-    def _pick(self, ask: Ask, version: str, hold: bool) -> Pick | Refused:
+    def _pick(self, query: Ask, version: str, hold: bool) -> Pick | Refused:
         names = [
             name
             for name, report in self.reports.items()
             if version in report.versions
             and report.state == "live"
-            and name not in ask.excluded
+            and name not in query.excluded
         ]
         if not names:
             return Refused()
         return Pick(version, self.server_rule(self, names), hold)
 
     def judge(
-        self, ask: Ask, pick: Pick, confidence: float, now: float
+        self, query: Ask, decision: Pick, confidence: float, now: float
     ) -> Pick | None:
         """Escalates to the most expensive version below a fixed confidence."""
         del now
-        granted = self._granted(ask)
+        granted = self._granted(query)
         if confidence >= FIXED_CONFIDENCE or not granted:
             return None
         most_expensive = max(granted, key=lambda row: row.output_price)
-        if most_expensive.key == pick.version:
+        if most_expensive.key == decision.version:
             return None
         escalation = self._pick(
-            attrs.evolve(ask, excluded=frozenset()),
+            attrs.evolve(query, excluded=frozenset()),
             most_expensive.key,
             hold=False,
         )
         return escalation if isinstance(escalation, Pick) else None
 
-    def choose_server(self, ask: Ask, now: float) -> Pick | Refused:
+    def choose_server(self, query: Ask, now: float) -> Pick | Refused:
         """Returns where to send a call to the plain service."""
         del now
         rows = self.table.servers_by_service[self.deployment.plain_service]
         names = [
             row.server
             for row in rows
-            if row.server not in ask.excluded
+            if row.server not in query.excluded
             and row.server in self.reports
             and self.reports[row.server].state == "live"
         ]
@@ -225,18 +229,18 @@
 
 
 def dearest(
-    policy: Baseline, ask: Ask, granted: Sequence[model.Version]
+    policy: Baseline, query: Ask, granted: Sequence[model.Version]
 ) -> str:
     """Chooses the most expensive granted version."""
-    del policy, ask
+    del policy, query
     return max(granted, key=lambda row: row.output_price).key
 
 
 def cheapest(
-    policy: Baseline, ask: Ask, granted: Sequence[model.Version]
+    policy: Baseline, query: Ask, granted: Sequence[model.Version]
 ) -> str:
     """Chooses the cheapest granted version, an active one if prices tie."""
-    del policy, ask
+    del policy, query
     return min(
         granted,
         key=lambda row: (row.output_price, row.stage is not _ACTIVE, row.key),
@@ -244,10 +248,10 @@
 
 
 def by_weight(
-    policy: Baseline, ask: Ask, granted: Sequence[model.Version]
+    policy: Baseline, query: Ask, granted: Sequence[model.Version]
 ) -> str:
     """Chooses at random by the weights of the versions in the table."""
-    del ask
+    del query
     weights = [row.weight for row in granted]
     return policy.source.choices(granted, weights)[0].key
 
--- a/src/hoistmoor/load/experiment/polling.py
+++ b/src/hoistmoor/load/experiment/polling.py
@@ -133,17 +133,17 @@
             self.seen[engine.name] = engine.report()
 
     def _probe(
-        self, request: simulation.Request, pick: policies.Pick
+        self, request: simulation.Request, decision: policies.Pick
     ) -> policies.Pick:
         """Probes some servers for their load; a probe takes no time here."""
-        ask = self._ask(request)
-        names = self.policy.to_probe(ask, pick, self.clock.now)
+        query = self._ask(request)
+        names = self.policy.to_probe(query, decision, self.clock.now)
         if not names:
-            return pick
+            return decision
         self.probes += len(names)
         for name in names:
             self._deliver_to(request.arrival.host, self.seen[name])
-        return self.policy.best_probed(ask, pick, names)
+        return self.policy.best_probed(query, decision, names)
 
     def _tick_poller(self, host: int) -> None:
         self.clock.after(1.0 / BUSY_RATE, self._tick_poller, host)
@@ -160,27 +160,29 @@
     def _deliver_to(self, host: int, report: messages.LoadReport) -> None:
         self.policy.routers[host].on_load(report, self.clock.now)
 
-    def _send(self, request: simulation.Request, pick: policies.Pick) -> None:
-        if self.is_probing and pick.version:
-            pick = self._probe(request, pick)
+    def _send(
+        self, request: simulation.Request, decision: policies.Pick
+    ) -> None:
+        if self.is_probing and decision.version:
+            decision = self._probe(request, decision)
         host = request.arrival.host
-        service = self.table.servers[pick.server].service
+        service = self.table.servers[decision.server].service
         self.pollers[host].owed.extend([service] * POLLS_PER_DISPATCH)
-        server = self.policy.routers[host].fleet.by_name[pick.server]
+        server = self.policy.routers[host].fleet.by_name[decision.server]
         if server.report is not None:
             self.ages.append(self.clock.now - server.report.at)
-        super()._send(request, pick)
+        super()._send(request, decision)
 
     def _on_done(
         self,
         request: simulation.Request,
-        pick: policies.Pick,
+        decision: policies.Pick,
         job: engine_lib.Job,
         ok: bool,
     ) -> None:
-        if ok and pick.version and request.job is job:
+        if ok and decision.version and request.job is job:
             self.waits.append(job.first_token_at - request.sent_at)
-        super()._on_done(request, pick, job, ok)
+        super()._on_done(request, decision, job, ok)
 
     def _finish_attempt(
         self,
@@ -197,7 +199,7 @@
     def _rate(
         self,
         request: simulation.Request,
-        pick: policies.Pick,
+        decision: policies.Pick,
         confidence: float,
         good: bool,
     ) -> None:
--- a/src/hoistmoor/load/experiment/simulation.py
+++ b/src/hoistmoor/load/experiment/simulation.py
@@ -261,14 +261,14 @@
     def _rate(
         self,
         request: Request,
-        pick: policies.Pick,
+        decision: policies.Pick,
         confidence: float,
         good: bool,
     ) -> None:
         if self.source.random() >= world_lib.RATED_SHARE:
             return
         name = f"{request.arrival.number:x}.{request.attempt:x}"
-        model_name, _, version = pick.version.partition("@")
+        model_name, _, version = decision.version.partition("@")
         delay = self.source.expovariate(1.0 / world_lib.RATING_DELAY_S)
         rating = messages.Rating(
             evidence.tag_answer(name, confidence, request.escalated),
@@ -304,10 +304,10 @@
 
     def _choose(self, request: Request) -> policies.Pick | policies.Refused:
         arrival = request.arrival
-        ask = self._ask(request)
+        query = self._ask(request)
         if arrival.kind:
-            return self.policy.choose(ask, self.clock.now)
-        return self.policy.choose_server(ask, self.clock.now)
+            return self.policy.choose(query, self.clock.now)
+        return self.policy.choose_server(query, self.clock.now)
 
     def _ask(self, request: Request) -> policies.Ask:
         pin = self.pins.get(request.arrival.session)
@@ -344,31 +344,31 @@
             self._finish_attempt(request, ok=False)
         self._give_up(request)
 
-    def _send(self, request: Request, pick: policies.Pick) -> None:
+    def _send(self, request: Request, decision: policies.Pick) -> None:
         arrival = request.arrival
-        request.pick = pick
+        request.pick = decision
         request.sent_at = self.clock.now
-        self.policy.on_started(arrival.host, pick, self.clock.now)
-        request.job = self._make_job(request, pick)
-        if not self.engines[pick.server].submit(request.job):
+        self.policy.on_started(arrival.host, decision, self.clock.now)
+        request.job = self._make_job(request, decision)
+        if not self.engines[decision.server].submit(request.job):
             self._finish_attempt(request, ok=False, declined=True)
-            self._retry(request, pick)
+            self._retry(request, decision)
 
     def _make_job(
-        self, request: Request, pick: policies.Pick
+        self, request: Request, decision: policies.Pick
     ) -> engine_lib.Job:
         arrival = request.arrival
         work = arrival.work
-        if pick.version:
-            row = self.table.versions[pick.version]
+        if decision.version:
+            row = self.table.versions[decision.version]
             work = deployment_lib.work(row, arrival.output)
 
         def done(job: engine_lib.Job, ok: bool) -> None:
-            self._on_done(request, pick, job, ok)
+            self._on_done(request, decision, job, ok)
 
         urgent = not arrival.kind or self.deployment.kinds[arrival.kind].urgent
         return engine_lib.Job(
-            pick.version,
+            decision.version,
             arrival.prompt,
             work,
             arrival.output,
@@ -377,8 +377,8 @@
             done,
         )
 
-    def _retry(self, request: Request, pick: policies.Pick) -> None:
-        request.excluded = request.excluded | {pick.server}
+    def _retry(self, request: Request, decision: policies.Pick) -> None:
+        request.excluded = request.excluded | {decision.server}
         if request.attempt >= MAX_ATTEMPTS:
             self._refuse(request, policies.RETRY_AFTER_S)
         else:
@@ -410,7 +410,7 @@
     def _on_done(
         self,
         request: Request,
-        pick: policies.Pick,
+        decision: policies.Pick,
         job: engine_lib.Job,
         ok: bool,
     ) -> None:
@@ -420,31 +420,31 @@
         if not ok:
             self.measures.wasted_tokens += arrival.output
             self._finish_attempt(request, ok=False)
-            self._retry(request, pick)
+            self._retry(request, decision)
         elif not arrival.kind:
             self._finish_attempt(request, ok=True)
             request.is_over = True
             self.measures.plain_s.append(self.clock.now - request.entered_at)
         else:
-            self._on_response(request, pick, job)
+            self._on_response(request, decision, job)
 
     def _on_response(
-        self, request: Request, pick: policies.Pick, job: engine_lib.Job
+        self, request: Request, decision: policies.Pick, job: engine_lib.Job
     ) -> None:
         arrival = request.arrival
-        row = self.table.versions[pick.version]
+        row = self.table.versions[decision.version]
         self.measures.spent += (
             arrival.prompt * row.input_price + arrival.output * row.output_price
         ) / 1000.0
-        rng = random.Random(f"{self.seed}/{arrival.number}/{pick.version}")
+        rng = random.Random(f"{self.seed}/{arrival.number}/{decision.version}")
         confidence = self.world.confidence(
-            pick.version, arrival.kind, arrival.difficulty, rng
+            decision.version, arrival.kind, arrival.difficulty, rng
         )
         self._finish_attempt(request, ok=True, confidence=confidence)
-        if pick.hold:
-            ask = self._ask(request)
+        if decision.hold:
+            query = self._ask(request)
             escalation = self.policy.judge(
-                ask, pick, confidence, self.clock.now
+                query, decision, confidence, self.clock.now
             )
             if escalation is not None:
                 self.measures.wasted_tokens += arrival.output
@@ -453,46 +453,48 @@
                 self._send(request, escalation)
                 return
         good = rng.random() < self.world.chance(
-            pick.version, arrival.kind, arrival.difficulty, self.clock.now
+            decision.version, arrival.kind, arrival.difficulty, self.clock.now
         )
-        self._deliver_response(request, pick, job, good)
-        self._rate(request, pick, confidence, good)
+        self._deliver_response(request, decision, job, good)
+        self._rate(request, decision, confidence, good)
 
     def _deliver_response(
         self,
         request: Request,
-        pick: policies.Pick,
+        decision: policies.Pick,
         job: engine_lib.Job,
         good: bool,
     ) -> None:
         arrival = request.arrival
         request.is_over = True
-        measures = self.measures
-        measures.answers[arrival.account][0] += good
-        measures.answers[arrival.account][1] += 1
-        measures.by_version[pick.version] += 1
-        measures.useful_tokens += arrival.output
-        first_token_at = job.finished_at if pick.hold else job.first_token_at
-        measures.first_token_s.append(first_token_at - arrival.at)
-        if not pick.hold:
+        metrics = self.measures
+        metrics.answers[arrival.account][0] += good
+        metrics.answers[arrival.account][1] += 1
+        metrics.by_version[decision.version] += 1
+        metrics.useful_tokens += arrival.output
+        first_token_at = (
+            job.finished_at if decision.hold else job.first_token_at
+        )
+        metrics.first_token_s.append(first_token_at - arrival.at)
+        if not decision.hold:
             decode_seconds = job.finished_at - job.first_token_at
-            measures.gap_s.append(decode_seconds / arrival.output)
+            metrics.gap_s.append(decode_seconds / arrival.output)
         if arrival.session:
-            self.pins[arrival.session] = pick.version
-        regression = self.watched.get(pick.version)
+            self.pins[arrival.session] = decision.version
+        regression = self.watched.get(decision.version)
         if (
             regression
             and regression.at - _RATE_WINDOW_SECONDS
             <= self.clock.now
             < regression.at
         ):
-            measures.turned_flow += 1.0 / _RATE_WINDOW_SECONDS
+            metrics.turned_flow += 1.0 / _RATE_WINDOW_SECONDS
         if (
             regression
             and not good
             and self._has_regressed(regression, arrival.kind)
         ):
-            measures.bad_by_version[pick.version] += 1
+            metrics.bad_by_version[decision.version] += 1
 
     def _has_regressed(self, regression: world_lib.Turn, kind: str) -> bool:
         return self.clock.now >= regression.at and regression.kind in ("", kind)
--- a/tests/load/experiment/test_experiment_runs.py
+++ b/tests/load/experiment/test_experiment_runs.py
@@ -144,6 +144,6 @@
     arrival = next(a for a in arrivals if a.kind)
     table = scenarios.withdraw(deployment.table, set(deployment.table.versions))
     policy.on_table(table, 1)
-    ask = policies.Ask(arrival, None, frozenset(), 1)
-    pick = policies.Pick("small@1", "llm-0", hold=True)
-    assert policy.judge(ask, pick, 0.1, 0.0) is None
+    query = policies.Ask(arrival, None, frozenset(), 1)
+    decision = policies.Pick("small@1", "llm-0", hold=True)
+    assert policy.judge(query, decision, 0.1, 0.0) is None
