--- a/src/hoistmoor/load/arrivals.py
+++ b/src/hoistmoor/load/arrivals.py
@@ -17,8 +17,8 @@
 
     from hoistmoor.load import caller as caller_lib
 
-MAX_RATE = 1000.0  # Requests per second.
-MAX_COUNT = 200_000  # Requests in one run.
+MAX_RATE = 1000.0  # Highest accepted rate, in requests per second.
+MAX_COUNT = 200_000  # Highest accepted number of requests in one run.
 
 
 @attrs.frozen
--- a/src/hoistmoor/load/commands/demo.py
+++ b/src/hoistmoor/load/commands/demo.py
@@ -1,4 +1,4 @@
-"""``hoistmoor-load demo``: the process that drives ``make demo``."""
+"""``hoistmoor-load demo``: the last process of ``make demo``."""
 
 from __future__ import annotations
 
--- a/src/hoistmoor/load/experiment/engine.py
+++ b/src/hoistmoor/load/experiment/engine.py
@@ -220,7 +220,10 @@
             self._start(self.queue.popleft())
 
     def break_down(self) -> None:
-        """Fails decoding and queued calls, and declines further ones."""
+        """Fails decoding and queued calls, and declines new ones.
+
+        The server accepts calls again once ``is_up`` is set.
+        """
         self._update_progress()
         self.is_up = False
         failed_jobs = [entry[2] for entry in self.ends] + list(self.queue)
