--- a/benchmarks/capacity/console.py
+++ b/benchmarks/capacity/console.py
@@ -33,7 +33,7 @@
 from hoistmoor.core.table import sheets
 from hoistmoor.entry import limits_status
 from hoistmoor.entry import responses
-from hoistmoor.standins import fault_book
+from hoistmoor.standins import fault_registry
 from hoistmoor.standins import hosts as hosts_standin
 from hoistmoor.standins import log as log_standin
 
@@ -105,7 +105,7 @@
     async def start(self) -> None:
         """Listens."""
         application = web.Application(client_max_size=1 << 24)
-        book = fault_book.FaultBook()
+        book = fault_registry.FaultRegistry()
         log_standin.LogStandin(book).add_routes(application)
         listed = hosts_standin.HostListStandin(book)
         listed.add_routes(application)
@@ -115,7 +115,7 @@
         await web.TCPSite(self._runner, "127.0.0.1", 0).start()
         ip, port = self._runner.addresses[0]
         self.address = f"{ip}:{port}"
-        listed.change(
+        listed.replace_rows(
             {
                 host.name: hosts_client.ListedHost(
                     host.name,
--- a/benchmarks/capacity/followers.py
+++ b/benchmarks/capacity/followers.py
@@ -30,7 +30,7 @@
 from hoistmoor.core.once import permits
 from hoistmoor.core.once import records as claim_records
 from hoistmoor.core.routing import messages as routing
-from hoistmoor.standins import marks
+from hoistmoor.standins import quality_marks
 
 RATES = (0, 5, 20, 80, 160)  # Records a second.
 ROUNDS = 3
@@ -105,7 +105,7 @@
         "bench-model",
         "1",
         "answer",
-        marks.make(True, str(number)),
+        quality_marks.make_mark(True, str(number)),
     )
     await client.submit(answer)
 
--- a/benchmarks/once.py
+++ b/benchmarks/once.py
@@ -36,7 +36,7 @@
 from hoistmoor.entry import bill_holders
 from hoistmoor.entry import biller as biller_lib
 from hoistmoor.entry import once as once_lib
-from hoistmoor.standins import fault_book
+from hoistmoor.standins import fault_registry
 from hoistmoor.standins import log as log_standin
 
 if TYPE_CHECKING:
@@ -292,7 +292,9 @@
 
 async def _latency() -> None:
     application = web.Application()
-    log_standin.LogStandin(fault_book.FaultBook()).add_routes(application)
+    log_standin.LogStandin(fault_registry.FaultRegistry()).add_routes(
+        application
+    )
     runner = web.AppRunner(application)
     await runner.setup()
     site = web.TCPSite(runner, "127.0.0.1", 0)
--- a/benchmarks/promises.py
+++ b/benchmarks/promises.py
@@ -137,19 +137,19 @@
 
 
 def _print_bills(history: events.History, deployment: Deployment) -> None:
-    told = history.told
+    told = history.responses
     refused = collections.Counter(word.reason for word in told if word.reason)
-    written = history.of(events.Billed)
+    written = history.events_of(events.Billed)
     billed = {(bill.account, bill.request_id) for bill in written}
     whole = {
-        (history.asked[word.call_id].account, word.request_id)
+        (history.requests_by_call[word.call_id].account, word.request_id)
         for word in told
         if word.whole
     }
     ran = {run.request_id for run in history.runs}
     _print(
         f"{len(whole)} answered, {sum(refused.values())} refused "
-        f"{dict(refused)}, {len(history.of(events.Cut))} cut"
+        f"{dict(refused)}, {len(history.events_of(events.Cut))} cut"
     )
     _print(f"{len(written)} bills on the log, {len(billed)} apart from repeats")
     _print(f"answers without a bill: {len(whole - billed)}")
--- a/src/hoistmoor/history/checker.py
+++ b/src/hoistmoor/history/checker.py
@@ -6,12 +6,12 @@
 
 from hoistmoor.history.checks import at_most_once
 from hoistmoor.history.checks import billing
+from hoistmoor.history.checks import complete_responses
 from hoistmoor.history.checks import configuration
 from hoistmoor.history.checks import grants
 from hoistmoor.history.checks import not_run
 from hoistmoor.history.checks import sessions
 from hoistmoor.history.checks import stops
-from hoistmoor.history.checks import whole_answers
 from hoistmoor.history.checks import withdrawals
 
 if TYPE_CHECKING:
@@ -22,7 +22,7 @@
 _CHECKS = (
     not_run.check,
     billing.check,
-    whole_answers.check,
+    complete_responses.check,
     grants.check,
     withdrawals.check,
     sessions.check,
--- a/src/hoistmoor/history/checks/at_most_once.py
+++ b/src/hoistmoor/history/checks/at_most_once.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterator
 
-PROMISE = "at most once"
+INVARIANT = "at most once"
 
 
 def check(
@@ -28,4 +28,4 @@
             locations = ", ".join(
                 f"{run.server} {run.attempt_id}" for run in runs
             )
-            yield events.Violation(PROMISE, f"{mark} ran at {locations}")
+            yield events.Violation(INVARIANT, f"{mark} ran at {locations}")
--- a/src/hoistmoor/history/checks/billing.py
+++ b/src/hoistmoor/history/checks/billing.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-PROMISE = "billed once"
+INVARIANT = "billed once"
 
 
 def check(history: events.History) -> Iterator[events.Violation]:
@@ -22,7 +22,7 @@
     differs; a bill for a request that was not executed always is.
     """
     bills: dict[tuple[str, str], set[int]] = {}
-    for bill in history.of(events.Billed):
+    for bill in history.events_of(events.Billed):
         key = (bill.account, bill.request_id)
         bills.setdefault(key, set()).add(bill.amount)
     yield from _check_responses(history, bills)
@@ -32,13 +32,13 @@
 def _check_responses(
     history: events.History, bills: dict[tuple[str, str], set[int]]
 ) -> Iterator[events.Violation]:
-    for told in history.told:
+    for told in history.responses:
         if told.outcome is not outcomes.Outcome.DONE or not told.whole:
             continue
-        account = history.asked[told.call_id].account
+        account = history.requests_by_call[told.call_id].account
         if (account, told.request_id) not in bills:
             yield events.Violation(
-                PROMISE, f"{told.request_id} was answered and not billed"
+                INVARIANT, f"{told.request_id} was answered and not billed"
             )
 
 
@@ -49,13 +49,13 @@
     for (account, request_id), amounts in bills.items():
         if len(amounts) > 1:
             yield events.Violation(
-                PROMISE, f"{request_id} has bills of {sorted(amounts)}"
+                INVARIANT, f"{request_id} has bills of {sorted(amounts)}"
             )
         if requests[request_id] > 1:
             yield events.Violation(
-                PROMISE, f"{request_id} is billed to others than {account}"
+                INVARIANT, f"{request_id} is billed to others than {account}"
             )
         if request_id not in history.runs_by_request:
             yield events.Violation(
-                PROMISE, f"{request_id} is billed and ran nowhere"
+                INVARIANT, f"{request_id} is billed and ran nowhere"
             )
--- a/src/hoistmoor/history/checks/configuration.py
+++ b/src/hoistmoor/history/checks/configuration.py
@@ -21,8 +21,8 @@
     does not count as late.
     """
     newest: dict[tuple[str, int], int] = {}
-    accepted = history.of(events.Accepted)
-    for report in history.of(events.Revision):
+    accepted = history.events_of(events.Accepted)
+    for report in history.events_of(events.Revision):
         process = (report.host, report.incarnation)
         previous = newest.get(process, -1)
         if report.revision < previous:
--- a/src/hoistmoor/history/checks/grants.py
+++ b/src/hoistmoor/history/checks/grants.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-PROMISE = "allowed versions only"
+INVARIANT = "allowed versions only"
 
 
 def check(history: events.History) -> Iterator[events.Violation]:
@@ -20,7 +20,7 @@
     that of its dispatch, which is at or before it.
     """
     grants: dict[tuple[str, str], list[events.Allowed]] = {}
-    for event in history.of(events.Allowed):
+    for event in history.events_of(events.Allowed):
         grants.setdefault((event.account, event.item), []).append(event)
     accounts = _accounts_by_request(history)
     for run in history.runs:
@@ -29,14 +29,14 @@
             continue
         if not _was_allowed(grants.get((account, run.item), []), run.at):
             yield events.Violation(
-                PROMISE, f"{run.attempt_id}: {account} may not use {run.item}"
+                INVARIANT, f"{run.attempt_id}: {account} may not use {run.item}"
             )
 
 
 def _accounts_by_request(history: events.History) -> dict[str, str]:
     return {
-        told.request_id: history.asked[told.call_id].account
-        for told in history.told
+        told.request_id: history.requests_by_call[told.call_id].account
+        for told in history.responses
         if told.request_id
     }
 
--- a/src/hoistmoor/history/checks/not_run.py
+++ b/src/hoistmoor/history/checks/not_run.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-PROMISE = "not run is true"
+INVARIANT = "not run is true"
 
 
 def check(history: events.History) -> Iterator[events.Violation]:
@@ -19,11 +19,11 @@
     The outcome applies to the caller's attempt, and the key's outcome to all
     attempts under the same key.
     """
-    for told in history.told:
+    for told in history.responses:
         if told.outcome is outcomes.Outcome.NOT_RUN:
             for run in history.runs_by_request.get(told.request_id, ()):
                 yield events.Violation(
-                    PROMISE,
+                    INVARIANT,
                     f"{told.request_id} was told not_run ({told.reason}) "
                     f"and ran at {run.server}",
                 )
@@ -34,9 +34,9 @@
 def _check_key(
     history: events.History, told: events.Told
 ) -> Iterator[events.Violation]:
-    mark = history.asked[told.call_id].mark
+    mark = history.requests_by_call[told.call_id].mark
     for run in history.runs_by_mark.get(mark, ()):
         if run.at <= told.at:
             yield events.Violation(
-                PROMISE, f"{mark}: its key was told not_run after it ran"
+                INVARIANT, f"{mark}: its key was told not_run after it ran"
             )
--- a/src/hoistmoor/history/checks/sessions.py
+++ b/src/hoistmoor/history/checks/sessions.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-PROMISE = "a session keeps its version"
+INVARIANT = "a session keeps its version"
 
 
 def check(history: events.History) -> Iterator[events.Violation]:
@@ -19,13 +19,13 @@
     A session may move to another version only after its version was withdrawn
     or the grant of its account was revoked, and the response must report it.
     """
-    revoked = {event.version for event in history.of(events.Withdrawn)}
-    for grant in history.of(events.Allowed):
+    revoked = {event.version for event in history.events_of(events.Withdrawn)}
+    for grant in history.events_of(events.Allowed):
         if not grant.allowed:
             revoked.add(grant.item)
     versions: dict[str, str] = {}
-    for told in history.told:
-        session = history.asked[told.call_id].session
+    for told in history.responses:
+        session = history.requests_by_call[told.call_id].session
         if not session or told.outcome is not outcomes.Outcome.DONE:
             continue
         previous = versions.setdefault(session, told.version)
@@ -33,6 +33,6 @@
             continue
         if not told.moved or previous not in revoked:
             yield events.Violation(
-                PROMISE, f"{session} went from {previous} to {told.version}"
+                INVARIANT, f"{session} went from {previous} to {told.version}"
             )
         versions[session] = told.version
--- a/src/hoistmoor/history/checks/stops.py
+++ b/src/hoistmoor/history/checks/stops.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-PROMISE = "a planned stop cuts no request"
+INVARIANT = "a planned stop cuts no request"
 
 
 def check(
@@ -22,15 +22,17 @@
         history: Events of the run.
         crashed: Hosts that were also killed and may therefore cut connections.
     """
-    stopped = {event.host for event in history.of(events.StopAsked)} - crashed
-    for cut in history.of(events.Cut):
-        host = history.asked[cut.call_id].host
+    stopped = {
+        event.host for event in history.events_of(events.StopAsked)
+    } - crashed
+    for cut in history.events_of(events.Cut):
+        host = history.requests_by_call[cut.call_id].host
         if host in stopped:
-            yield events.Violation(PROMISE, f"{host} cut call {cut.call_id}")
-    for told in history.told:
-        host = history.asked[told.call_id].host
+            yield events.Violation(INVARIANT, f"{host} cut call {cut.call_id}")
+    for told in history.responses:
+        host = history.requests_by_call[told.call_id].host
         is_internal = told.reason == refusals.Reason.INTERNAL
         if host in stopped and is_internal:
             yield events.Violation(
-                PROMISE, f"{host} failed call {told.call_id} internally"
+                INVARIANT, f"{host} failed call {told.call_id} internally"
             )
--- a/src/hoistmoor/history/checks/withdrawals.py
+++ b/src/hoistmoor/history/checks/withdrawals.py
@@ -16,9 +16,11 @@
 def check(history: events.History) -> Iterator[events.Violation]:
     """Yields a violation for each run that started after the deadline."""
     withdrawn = {
-        event.version: event.at for event in history.of(events.Withdrawn)
+        event.version: event.at for event in history.events_of(events.Withdrawn)
+    }
+    left = {
+        event.server: event.at for event in history.events_of(events.ServerLeft)
     }
-    left = {event.server: event.at for event in history.of(events.ServerLeft)}
     for run in history.runs:
         if run.at > withdrawn.get(run.item, run.at):
             yield events.Violation(
--- a/src/hoistmoor/history/events.py
+++ b/src/hoistmoor/history/events.py
@@ -234,25 +234,25 @@
 
     events: tuple[Event, ...]
 
-    def of(self, cls: type) -> list:  # type: ignore[type-arg]
+    def events_of(self, cls: type) -> list:  # type: ignore[type-arg]
         """Returns the events of a class, sorted by time if they have one."""
         matching = [event for event in self.events if isinstance(event, cls)]
         return sorted(matching, key=lambda event: getattr(event, "at", 0.0))
 
     @cached_property
-    def asked(self) -> dict[int, Asked]:
+    def requests_by_call(self) -> dict[int, Asked]:
         """Requests by call id."""
-        return {event.call_id: event for event in self.of(Asked)}
+        return {event.call_id: event for event in self.events_of(Asked)}
 
     @cached_property
-    def told(self) -> list[Told]:
+    def responses(self) -> list[Told]:
         """Final responses, by time."""
-        return self.of(Told)
+        return self.events_of(Told)
 
     @cached_property
     def runs(self) -> list[Ran]:
         """Executions on backend servers, by time."""
-        return self.of(Ran)
+        return self.events_of(Ran)
 
     @cached_property
     def runs_by_request(self) -> dict[str, list[Ran]]:
--- a/src/hoistmoor/history/files.py
+++ b/src/hoistmoor/history/files.py
@@ -38,21 +38,23 @@
 
 
 @attrs.frozen
-class Recorded:
+class RecordedHistory:
     """The contents of a history file."""
 
     terms: Terms
     history: events.History
 
 
-def write(path: pathlib.Path, terms: Terms, history: events.History) -> None:
+def write_history(
+    path: pathlib.Path, terms: Terms, history: events.History
+) -> None:
     """Writes a history to a file and replaces an existing one."""
     with path.open("wb") as file:
         for record in (terms, *history.events):
             file.write(codec.encode(record) + b"\n")
 
 
-def read(path: pathlib.Path) -> Recorded:
+def read_history(path: pathlib.Path) -> RecordedHistory:
     """Returns the contents of a history file.
 
     Raises:
@@ -77,7 +79,7 @@
     ]
     history = events.History(tuple(decoded))
     _check_references(history)
-    return Recorded(terms, history)
+    return RecordedHistory(terms, history)
 
 
 def _decode(number: int, line: bytes) -> object:
@@ -101,8 +103,8 @@
 
 
 def _check_references(history: events.History) -> None:
-    for event in (*history.told, *history.of(events.Cut)):
-        if event.call_id not in history.asked:
+    for event in (*history.responses, *history.events_of(events.Cut)):
+        if event.call_id not in history.requests_by_call:
             raise HistoryFileError(
                 f"call {event.call_id} has an end but no request",
                 "Add its record of type history.asked.",
--- a/src/hoistmoor/load/commands/check.py
+++ b/src/hoistmoor/load/commands/check.py
@@ -30,7 +30,7 @@
 
     def __call__(self) -> int:
         """Returns 0 if the run kept all promises, else 1."""
-        recorded = files.read(self.file)
+        recorded = files.read_history(self.file)
         violations = checker.check(
             recorded.history,
             recorded.terms.once_items,
--- a/src/hoistmoor/standins/batch.py
+++ b/src/hoistmoor/standins/batch.py
@@ -31,19 +31,19 @@
         news: Set when tokens were generated or the sequence was cancelled.
     """
 
-    attempt: str
+    attempt_id: str
     length: int
     priority: int
-    prefill: float
-    made: int = 0
+    prefill_seconds: float
+    generated: int = 0
     ready_at: float = 0.0
     cancelled: bool = False
-    news: asyncio.Event = attrs.field(factory=asyncio.Event)
+    progress: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     @property
-    def ended(self) -> bool:
+    def is_ended(self) -> bool:
         """Whether no further token will be generated."""
-        return self.cancelled or self.made >= self.length
+        return self.cancelled or self.generated >= self.length
 
 
 class Batch:
@@ -75,7 +75,7 @@
         self.pace = pace
         self.running: list[Sequence] = []
         self.waiting: list[tuple[int, int, Sequence]] = []
-        self.tokens = 0
+        self.generated_tokens = 0
         self._last_serial = 0
         self._has_work = asyncio.Event()
 
@@ -119,10 +119,10 @@
         for sequence in self.running:
             if sequence.cancelled or now < sequence.ready_at:
                 continue
-            sequence.made += 1
-            self.tokens += 1
-            sequence.news.set()
-        self.running = [other for other in self.running if not other.ended]
+            sequence.generated += 1
+            self.generated_tokens += 1
+            sequence.progress.set()
+        self.running = [other for other in self.running if not other.is_ended]
         self._fill_slots(now)
 
     def _fill_slots(self, now: float) -> None:
@@ -130,10 +130,10 @@
             sequence = heapq.heappop(self.waiting)[2]
             if sequence.cancelled:
                 continue
-            sequence.ready_at = now + sequence.prefill
+            sequence.ready_at = now + sequence.prefill_seconds
             self.running.append(sequence)
 
     def cancel(self, sequence: Sequence) -> None:
         """Cancels a sequence, whose slot is freed at the next step."""
         sequence.cancelled = True
-        sequence.news.set()
+        sequence.progress.set()
--- a/src/hoistmoor/standins/completions.py
+++ b/src/hoistmoor/standins/completions.py
@@ -9,29 +9,29 @@
 import attrs
 import orjson
 
-from hoistmoor.standins import answers
 from hoistmoor.standins import batch
 from hoistmoor.standins import executions
-from hoistmoor.standins import fault_book
-from hoistmoor.standins import fault_points
+from hoistmoor.standins import fault_injection
+from hoistmoor.standins import fault_registry
 from hoistmoor.standins import faults
-from hoistmoor.standins import marks
 from hoistmoor.standins import prompts
+from hoistmoor.standins import quality_marks
+from hoistmoor.standins import responses
 
 _END_MARK = b"data: [DONE]\n\n"
 _EVENT_STREAM = "text/event-stream"
 
 
-def turned_bad(
-    book: fault_book.FaultBook, version: str, prompt: prompts.Prompt
+def should_degrade(
+    book: fault_registry.FaultRegistry, version: str, prompt: prompts.Prompt
 ) -> bool:
     """Returns whether a fault degrades this response of a version."""
-    fault = book.first(faults.BadVersion)
+    fault = book.find(faults.BadVersion)
     if fault is None or fault.version != version:
         return False
-    if fault.contains.encode() not in prompt.text or not fault.take():
+    if fault.contains.encode() not in prompt.text or not fault.count_request():
         return False
-    return marks.uniform("bad", version, fault.seen) < fault.share
+    return quality_marks.uniform_hash("bad", version, fault.seen) < fault.share
 
 
 @attrs.define
@@ -48,55 +48,59 @@
 
     body: dict[str, Any]
     prompt: prompts.Prompt
-    script: prompts.Script
+    script: prompts.ScriptedResponse
     sequence: batch.Sequence
-    run: executions.Execution
+    execution: executions.Execution
 
-    async def answer(self, request: web.Request) -> web.StreamResponse:
+    async def send(self, request: web.Request) -> web.StreamResponse:
         """Sends the completion, streamed if the request asks for it."""
         if self.body.get("stream"):
             return await self._send_stream(request)
         return await self._send_whole(request)
 
     async def _send_whole(self, request: web.Request) -> web.Response:
-        while not self.sequence.ended:
+        while not self.sequence.is_ended:
             await self._wait_for_tokens()
             if request.transport is None:
-                self.run.state = "cut"
+                self.execution.state = "cut"
                 return web.Response()
-        self.run.state = "cancelled" if self.sequence.cancelled else "done"
+        self.execution.state = (
+            "cancelled" if self.sequence.cancelled else "done"
+        )
         if self.sequence.cancelled:
-            response = answers.reply({"error": {"type": "cancelled"}}, 499)
+            response = responses.json_response(
+                {"error": {"type": "cancelled"}}, 499
+            )
         else:
-            response = answers.reply(self._completion())
-        answers.echo_attempt(request, response)
+            response = responses.json_response(self._completion())
+        responses.echo_attempt_id(request, response)
         return response
 
     async def _send_stream(self, request: web.Request) -> web.StreamResponse:
         response = web.StreamResponse(headers={"Content-Type": _EVENT_STREAM})
-        answers.echo_attempt(request, response)
-        writer = fault_points.AnswerWriter(request, response)
+        responses.echo_attempt_id(request, response)
+        writer = fault_injection.ResponseWriter(request, response)
         try:
-            if fault_points.due(request, faults.CrossedHead):
-                response.headers[answers.ATTEMPT_HEADER] = (
-                    fault_points.OTHER_ATTEMPT
+            if fault_injection.find_fault(request, faults.CrossedHead):
+                response.headers[responses.ATTEMPT_HEADER] = (
+                    fault_injection.OTHER_ATTEMPT_ID
                 )
             await writer.prepare()
             await self._send_frames(request, writer)
         except ConnectionError:
-            self.run.state = "cut"
+            self.execution.state = "cut"
         return response
 
     async def _send_frames(
-        self, request: web.Request, writer: fault_points.AnswerWriter
+        self, request: web.Request, writer: fault_injection.ResponseWriter
     ) -> None:
-        crossed = fault_points.due(request, faults.CrossedFrames)
+        crossed = fault_injection.find_fault(request, faults.CrossedFrames)
         sent = 0
-        while not self.sequence.ended or sent < self.sequence.made:
-            if sent == self.sequence.made:
+        while not self.sequence.is_ended or sent < self.sequence.generated:
+            if sent == self.sequence.generated:
                 await self._wait_for_tokens()
             # Sends all tokens generated since the last write at once.
-            made = self.sequence.made
+            made = self.sequence.generated
             frames = [
                 self._frame(word) for word in self.script.words[sent:made]
             ]
@@ -107,20 +111,22 @@
             sent = made
         await self._send_last_frame(writer)
 
-    async def _send_last_frame(self, writer: fault_points.AnswerWriter) -> None:
+    async def _send_last_frame(
+        self, writer: fault_injection.ResponseWriter
+    ) -> None:
         if self.sequence.cancelled:
-            self.run.state = "cancelled"
+            self.execution.state = "cancelled"
             await writer.write(
                 self._encode_frame({"error": {"type": "cancelled"}})
             )
             return
         # Set before the write, which fails if the caller has disconnected.
-        self.run.state = "done"
+        self.execution.state = "done"
         await writer.write(self._last_frame() + _END_MARK)
 
     async def _wait_for_tokens(self) -> None:
-        await self.sequence.news.wait()
-        self.sequence.news.clear()
+        await self.sequence.progress.wait()
+        self.sequence.progress.clear()
 
     def _usage(self) -> dict[str, int]:
         count = len(self.script.words)
@@ -133,11 +139,11 @@
     def _completion(self) -> dict[str, Any]:
         message = {"role": "assistant", "content": self._text()}
         return {
-            "id": f"chatcmpl-{self.run.serial}",
+            "id": f"chatcmpl-{self.execution.serial}",
             "object": "chat.completion",
-            "created": int(self.run.at),
+            "created": int(self.execution.at),
             "model": self.body["model"],
-            "attempt_id": self.sequence.attempt,
+            "attempt_id": self.sequence.attempt_id,
             "choices": [
                 {
                     "index": 0,
@@ -183,11 +189,11 @@
 
     def _encode_frame(self, fields: dict[str, Any]) -> bytes:
         frame = {
-            "id": f"chatcmpl-{self.run.serial}",
+            "id": f"chatcmpl-{self.execution.serial}",
             "object": "chat.completion.chunk",
-            "created": int(self.run.at),
+            "created": int(self.execution.at),
             "model": self.body["model"],
-            "attempt_id": self.sequence.attempt,
+            "attempt_id": self.sequence.attempt_id,
             **fields,
         }
         return b"data: %b\n\n" % orjson.dumps(frame)
@@ -198,7 +204,7 @@
         "id": "chatcmpl-other",
         "object": "chat.completion.chunk",
         "created": int(time.time()),
-        "attempt_id": fault_points.OTHER_ATTEMPT,
+        "attempt_id": fault_injection.OTHER_ATTEMPT_ID,
         "choices": [
             {
                 "index": 0,
--- a/src/hoistmoor/standins/engine.py
+++ b/src/hoistmoor/standins/engine.py
@@ -7,16 +7,16 @@
 
 import attrs
 
-from hoistmoor.standins import answers
 from hoistmoor.standins import batch
 from hoistmoor.standins import completions
 from hoistmoor.standins import executions
-from hoistmoor.standins import fault_book
+from hoistmoor.standins import fault_registry
 from hoistmoor.standins import faults
 from hoistmoor.standins import load_reports
 from hoistmoor.standins import orders
 from hoistmoor.standins import prefix_cache
 from hoistmoor.standins import prompts
+from hoistmoor.standins import responses
 
 if TYPE_CHECKING:
     from aiohttp import web
@@ -70,9 +70,9 @@
     """An engine with loaded versions, a batch and a prefix cache."""
 
     def __init__(
-        self, book: fault_book.FaultBook, settings: EngineSettings
+        self, book: fault_registry.FaultRegistry, settings: EngineSettings
     ) -> None:
-        self.book = book
+        self.fault_registry = book
         self.settings = settings
         self.stopping = False
         self.batch = batch.Batch(
@@ -80,7 +80,7 @@
             settings.queue_limit,
             settings.token_time,
             settings.slowdown,
-            book.slowness,
+            book.slow_factor,
         )
         self.loader = orders.Loader(
             book,
@@ -91,7 +91,7 @@
         self.cache = prefix_cache.PrefixCache(settings.cache_blocks)
         self.executions = executions.ExecutionLog()
         self.reports = load_reports.LoadReporter(
-            book, self.load, settings.report_interval
+            book, self.load_report, settings.report_interval
         )
         self.attempts: dict[str, batch.Sequence] = {}
         self.in_flight = 0
@@ -109,13 +109,16 @@
     @property
     def is_leaving(self) -> bool:
         """Whether new work is declined."""
-        return self.stopping or self.book.first(faults.Leaving) is not None
+        return (
+            self.stopping
+            or self.fault_registry.find(faults.Leaving) is not None
+        )
 
     def stop(self) -> None:
         """Declines new work from now on."""
         self.stopping = True
 
-    def load(self) -> dict[str, Any]:
+    def load_report(self) -> dict[str, Any]:
         """Returns the current load report."""
         return {
             "server": self.settings.name,
@@ -124,29 +127,29 @@
             "running": len(self.batch.running),
             "queued": len(self.batch.waiting),
             "capacity": self.settings.capacity,
-            "kv_used": round(self.cache.used, 4),
+            "kv_used": round(self.cache.used_fraction, 4),
             "versions": sorted(self.loader.loaded),
         }
 
     async def handle_chat(self, request: web.Request) -> web.StreamResponse:
         """Handles a chat completion, whole or streamed."""
-        body = await answers.read_json(request)
+        body = await responses.read_json(request)
         reason = self._reason_to_decline(body["model"])
         if reason:
-            response = answers.declined(reason)
-            answers.echo_attempt(request, response)
+            response = responses.not_run_response(reason)
+            responses.echo_attempt_id(request, response)
             return response
         completion = self._start(request, body)
         self.in_flight += 1
         try:
-            return await completion.answer(request)
+            return await completion.send(request)
         finally:
             self.in_flight -= 1
             self._end(completion)
 
     def _reason_to_decline(self, version: str) -> str:
         if self.is_leaving:
-            return answers.LEAVING
+            return responses.LEAVING
         if version not in self.loader.loaded:
             return "not_loaded"
         return "full" if self.batch.is_full else ""
@@ -154,31 +157,31 @@
     def _start(
         self, request: web.Request, body: dict[str, Any]
     ) -> completions.Completion:
-        prompt = prompts.measure(body["messages"])
+        prompt = prompts.parse_prompt(body["messages"])
         script = self._make_script(body, prompt)
         sequence = batch.Sequence(
-            attempt=request.headers.get(answers.ATTEMPT_HEADER, ""),
+            attempt_id=request.headers.get(responses.ATTEMPT_HEADER, ""),
             length=len(script.words),
             priority=batch.PRIORITIES.get(
                 request.headers.get("X-Priority", "normal"), 1
             ),
-            prefill=self._prefill_time(prompt),
+            prefill_seconds=self._prefill_time(prompt),
         )
         run = self.executions.start(request, body["model"], time.time())
         run.good = script.good
-        self.attempts[sequence.attempt] = sequence
+        self.attempts[sequence.attempt_id] = sequence
         self.batch.add(sequence)
         return completions.Completion(body, prompt, script, sequence, run)
 
     def _make_script(
         self, body: dict[str, Any], prompt: prompts.Prompt
-    ) -> prompts.Script:
+    ) -> prompts.ScriptedResponse:
         version = body["model"]
         quality = self.settings.quality.get(version, _DEFAULT_QUALITY)
-        good = prompts.is_good(prompt, quality, self.settings.seed)
-        if completions.turned_bad(self.book, version, prompt):
+        good = prompts.is_good_response(prompt, quality, self.settings.seed)
+        if completions.should_degrade(self.fault_registry, version, prompt):
             good = False
-        return prompts.write(
+        return prompts.script_response(
             prompt,
             version,
             good,
@@ -187,40 +190,42 @@
         )
 
     def _prefill_time(self, prompt: prompts.Prompt) -> float:
-        hits = self.cache.use(prompt.blocks, time.time())
+        hits = self.cache.touch(prompt.blocks, time.time())
         cached = hits / len(prompt.blocks) if prompt.blocks else 0.0
         uncached_tokens = prompt.tokens * (1.0 - cached)
         return uncached_tokens / 1000 * self.settings.prefill_time
 
     def _end(self, completion: completions.Completion) -> None:
         sequence = completion.sequence
-        if not sequence.ended:
+        if not sequence.is_ended:
             self.batch.cancel(sequence)
-        completion.run.tokens = sequence.made
-        if self.attempts.get(sequence.attempt) is sequence:
-            del self.attempts[sequence.attempt]
+        completion.execution.tokens = sequence.generated
+        if self.attempts.get(sequence.attempt_id) is sequence:
+            del self.attempts[sequence.attempt_id]
 
     async def handle_cancel(self, request: web.Request) -> web.Response:
         """Cancels the generation of an attempt's response."""
         sequence = self.attempts.get(request.match_info["attempt"])
         if sequence is None:
-            return answers.reply({"cancelled": False}, 404)
+            return responses.json_response({"cancelled": False}, 404)
         self.batch.cancel(sequence)
-        return answers.reply({"cancelled": True})
+        return responses.json_response({"cancelled": True})
 
     async def handle_cache_events(self, request: web.Request) -> web.Response:
         """Returns the cache events that lag and gaps leave visible."""
-        lag = self.settings.event_lag + self.book.lag("/cache-events")
-        next_sequence, rows = self.cache.published(
+        lag = self.settings.event_lag + self.fault_registry.extra_lag(
+            "/cache-events"
+        )
+        next_sequence, rows = self.cache.visible_events(
             int(request.query.get("since", "0")), time.time() - lag
         )
-        gap = self.book.first(faults.Gap)
+        gap = self.fault_registry.find(faults.Gap)
         if gap:
             rows = [row for row in rows if (row.sequence + 1) % gap.every]
         events = [
             {**attrs.asdict(row), "server": self.settings.name} for row in rows
         ]
-        return answers.reply(
+        return responses.json_response(
             {
                 "incarnation": self.settings.incarnation,
                 "next": next_sequence,
--- a/src/hoistmoor/standins/executions.py
+++ b/src/hoistmoor/standins/executions.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from hoistmoor.standins import answers
+from hoistmoor.standins import responses
 
 if TYPE_CHECKING:
     from aiohttp import web
@@ -49,7 +49,7 @@
     """All executions of a stand-in, in order of their start."""
 
     def __init__(self) -> None:
-        self.rows: list[Execution] = []
+        self.executions: list[Execution] = []
 
     def add_routes(self, application: web.Application) -> None:
         """Registers the route that lists the executions."""
@@ -60,22 +60,22 @@
     ) -> Execution:
         """Records the start of an execution."""
         row = Execution(
-            serial=len(self.rows),
+            serial=len(self.executions),
             at=now,
             method=request.method,
             path=request.path,
-            attempt_id=request.headers.get(answers.ATTEMPT_HEADER, ""),
+            attempt_id=request.headers.get(responses.ATTEMPT_HEADER, ""),
             idempotency_key=request.headers.get(IDEMPOTENCY_HEADER, ""),
             subject=subject,
         )
-        self.rows.append(row)
+        self.executions.append(row)
         return row
 
     async def handle_list(self, request: web.Request) -> web.Response:
         """Returns a page of executions from a serial number on."""
         since = int(request.query.get("since", "0"))
-        rows = self.rows[since : since + _MAX_PAGE_ROWS]
-        return answers.reply(
+        rows = self.executions[since : since + _MAX_PAGE_ROWS]
+        return responses.json_response(
             {
                 "next": since + len(rows),
                 "executions": [attrs.asdict(row) for row in rows],
--- a/src/hoistmoor/standins/fault_points.py
+++ b/src/hoistmoor/standins/fault_injection.py
@@ -8,32 +8,33 @@
 
 from aiohttp import web
 
-from hoistmoor.standins import answers
-from hoistmoor.standins import fault_book
+from hoistmoor.standins import fault_registry
 from hoistmoor.standins import faults
+from hoistmoor.standins import responses
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
-FAULTS = web.AppKey("faults", fault_book.FaultBook)
-OTHER_ATTEMPT = "someone.else.1"  # Attempt id in crossed and late responses.
+FAULTS = web.AppKey("faults", fault_registry.FaultRegistry)
+OTHER_ATTEMPT_ID = "someone.else.1"  # Attempt id in crossed and late responses.
 
 _EXEMPT_PREFIX = "/_"  # Paths for tests and checkers, without faults.
 _REQUEST_FAULTS = web.RequestKey("due", list)
 _POLL_INTERVAL = 0.02  # Seconds between checks of whether a fault is active.
 _UNSOLICITED_RESPONSE = (
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
-    b"X-Attempt-Id: %b\r\nContent-Length: 2\r\n\r\n{}" % OTHER_ATTEMPT.encode()
+    b"X-Attempt-Id: %b\r\nContent-Length: 2\r\n\r\n{}"
+    % OTHER_ATTEMPT_ID.encode()
 )
 
 
 @web.middleware
-async def show_faults(
+async def inject_faults(
     request: web.Request, handler: Handler
 ) -> web.StreamResponse:
     """Handles a request with the handler wrapped in the faults that apply."""
     if request.path.startswith(_EXEMPT_PREFIX):
         return await handler(request)
-    active = request.app[FAULTS].due(request.method, request.path)
+    active = request.app[FAULTS].count_request(request.method, request.path)
     if not active:
         return await handler(request)
     request[_REQUEST_FAULTS] = active
@@ -42,7 +43,9 @@
     return await handler(request)
 
 
-def due(request: web.Request, cls: type[fault_book._T]) -> fault_book._T | None:
+def find_fault(
+    request: web.Request, cls: type[fault_registry._T]
+) -> fault_registry._T | None:
     """Returns the fault of a kind that applies to this request, if any."""
     for fault in request.get(_REQUEST_FAULTS, ()):
         if isinstance(fault, cls):
@@ -50,13 +53,13 @@
     return None
 
 
-def cut(request: web.Request) -> None:
+def close_connection(request: web.Request) -> None:
     """Closes the connection of a request after flushing its output."""
     if request.transport is not None:
         request.transport.close()
 
 
-class AnswerWriter:
+class ResponseWriter:
     """Writes a streamed response and ends it early if a fault applies."""
 
     def __init__(
@@ -64,8 +67,8 @@
     ) -> None:
         self.request = request
         self.response = response
-        self.fault = due(request, faults.CutAfterBytes)
-        self.budget = self.fault.bytes if self.fault else 0
+        self.fault = find_fault(request, faults.CutAfterBytes)
+        self.remaining_bytes = self.fault.bytes if self.fault else 0
 
     async def prepare(self) -> None:
         """Sends the head of the response.
@@ -86,24 +89,24 @@
             if data:
                 await self.response.write(data)
             return
-        part = data[: self.budget]
-        self.budget -= len(part)
+        part = data[: self.remaining_bytes]
+        self.remaining_bytes -= len(part)
         if part:
             await self.response.write(part)
-        if not self.budget:
+        if not self.remaining_bytes:
             await self._end_early(self.fault)
 
     async def _end_early(self, fault: faults.CutAfterBytes) -> None:
         if fault.hang:
-            await stall(self.request, fault)
-        cut(self.request)
+            await wait_until_cleared(self.request, fault)
+        close_connection(self.request)
         raise ConnectionResetError("connection closed by an injected fault")
 
 
-async def stall(request: web.Request, fault: faults.Fault) -> None:
+async def wait_until_cleared(request: web.Request, fault: faults.Fault) -> None:
     """Waits until the fault is cleared or the caller disconnects."""
     book = request.app[FAULTS]
-    while book.is_on(fault) and request.transport is not None:
+    while book.is_active(fault) and request.transport is not None:
         await asyncio.sleep(_POLL_INTERVAL)
 
 
@@ -115,7 +118,7 @@
         status=response.status, headers=response.headers
     )
     stream.content_length = len(body)
-    writer = AnswerWriter(request, stream)
+    writer = ResponseWriter(request, stream)
     try:
         await writer.prepare()
         await writer.write(body)
@@ -143,7 +146,7 @@
 def _(fault: faults.Outage, handler: Handler) -> Handler:
     async def unavailable(request: web.Request) -> web.StreamResponse:
         await request.read()
-        return answers.reply({"error": "outage"}, 503)
+        return responses.json_response({"error": "outage"}, 503)
 
     return unavailable
 
@@ -151,7 +154,7 @@
 @_wrap.register
 def _(fault: faults.Freeze, handler: Handler) -> Handler:
     async def frozen(request: web.Request) -> web.StreamResponse:
-        await stall(request, fault)
+        await wait_until_cleared(request, fault)
         return await handler(request)
 
     return frozen
@@ -162,8 +165,8 @@
     async def without_response(request: web.Request) -> web.StreamResponse:
         response = await handler(request)
         if fault.hang:
-            await stall(request, fault)
-        cut(request)
+            await wait_until_cleared(request, fault)
+        close_connection(request)
         return response
 
     return without_response
@@ -173,7 +176,7 @@
 def _(fault: faults.CutBeforeAnswer, handler: Handler) -> Handler:
     async def cut_early(request: web.Request) -> web.StreamResponse:
         await request.read()
-        cut(request)
+        close_connection(request)
         return web.Response()
 
     return cut_early
@@ -194,7 +197,7 @@
 def _(fault: faults.CrossedHead, handler: Handler) -> Handler:
     async def crossed(request: web.Request) -> web.StreamResponse:
         response = await handler(request)
-        response.headers[answers.ATTEMPT_HEADER] = OTHER_ATTEMPT
+        response.headers[responses.ATTEMPT_HEADER] = OTHER_ATTEMPT_ID
         return response
 
     return crossed
@@ -217,8 +220,8 @@
 def _(fault: faults.Decline, handler: Handler) -> Handler:
     async def declined(request: web.Request) -> web.StreamResponse:
         await request.read()
-        response = answers.declined("declined")
-        answers.echo_attempt(request, response)
+        response = responses.not_run_response("declined")
+        responses.echo_attempt_id(request, response)
         return response
 
     return declined
--- a/src/hoistmoor/standins/fault_book.py
+++ b/src/hoistmoor/standins/fault_registry.py
@@ -9,7 +9,7 @@
 _T = TypeVar("_T", bound=faults.Fault)
 
 
-class FaultBook:
+class FaultRegistry:
     """The active faults by number."""
 
     def __init__(self) -> None:
@@ -26,42 +26,42 @@
         """Deactivates all faults."""
         self.faults.clear()
 
-    def is_on(self, fault: faults.Fault) -> bool:
+    def is_active(self, fault: faults.Fault) -> bool:
         """Returns whether the fault is still active."""
         return any(fault is other for other in self.faults.values())
 
-    def due(self, method: str, path: str) -> list[faults.Fault]:
+    def count_request(self, method: str, path: str) -> list[faults.Fault]:
         """Counts a request and returns the faults that apply to it."""
         return [
             fault
             for fault in tuple(self.faults.values())
-            if isinstance(fault, faults.PER_REQUEST)
+            if isinstance(fault, faults.REQUEST_FAULTS)
             and fault.matches(method, path)
-            and fault.take()
+            and fault.count_request()
         ]
 
-    def first(self, cls: type[_T]) -> _T | None:
+    def find(self, cls: type[_T]) -> _T | None:
         """Returns the oldest active fault of a kind; counts no event."""
         for fault in self.faults.values():
             if isinstance(fault, cls):
                 return fault
         return None
 
-    def take(self, cls: type[_T]) -> _T | None:
+    def count_event(self, cls: type[_T]) -> _T | None:
         """Counts an event for the oldest active fault of a kind.
 
         Returns:
             The fault, or None if there is none or it does not apply.
         """
-        fault = self.first(cls)
-        return fault if fault is not None and fault.take() else None
+        fault = self.find(cls)
+        return fault if fault is not None and fault.count_request() else None
 
-    def slowness(self) -> float:
+    def slow_factor(self) -> float:
         """Returns the factor on the duration of work."""
-        fault = self.first(faults.Slow)
+        fault = self.find(faults.Slow)
         return fault.factor if fault else 1.0
 
-    def lag(self, path: str) -> float:
+    def extra_lag(self, path: str) -> float:
         """Returns the additional lag of reports at ``path`` in seconds."""
         return sum(
             fault.seconds
--- a/src/hoistmoor/standins/faults.py
+++ b/src/hoistmoor/standins/faults.py
@@ -41,7 +41,7 @@
             return False
         return path.startswith(self.match)
 
-    def take(self) -> bool:
+    def count_request(self) -> bool:
         """Counts a matching request and returns whether the fault applies."""
         self.seen += 1
         if self.seen <= self.after:
@@ -200,7 +200,7 @@
 }
 
 # Faults that apply to single requests; each matching request counts once.
-PER_REQUEST = (
+REQUEST_FAULTS = (
     Delay,
     Outage,
     Freeze,
@@ -220,7 +220,7 @@
     """A requested fault has an unknown kind or an invalid field."""
 
 
-def parse(fields: dict[str, Any]) -> Fault:
+def parse_fault(fields: dict[str, Any]) -> Fault:
     """Returns the fault that the fields of a request describe.
 
     Raises:
--- a/src/hoistmoor/standins/flags.py
+++ b/src/hoistmoor/standins/flags.py
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen(kw_only=True, slots=False)
-class Listener:
+class ListenFlags:
     """Flags of all stand-ins."""
 
     listen: Annotated[
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen(kw_only=True, slots=False)
-class LogFlags(Listener):
+class LogFlags(ListenFlags):
     """Flags of the log service."""
 
     max_age: Annotated[
@@ -47,7 +47,7 @@
 
 
 @attrs.frozen(kw_only=True, slots=False)
-class HostsFlags(Listener):
+class HostsFlags(ListenFlags):
     """Flags of the host list."""
 
     hosts_lag: Annotated[
@@ -55,12 +55,14 @@
     ] = 0.0
     host: Annotated[
         tuple[str, ...],
-        options.repeated("host", "name,ip:port,domain,role; repeatable.", ()),
+        options.repeatable_flag(
+            "host", "name,ip:port,domain,role; repeatable.", ()
+        ),
     ] = ()
 
 
 @attrs.frozen(kw_only=True, slots=False)
-class RatingsFlags(Listener):
+class RatingsFlags(ListenFlags):
     """Flags of the rating service."""
 
     rating_share: Annotated[
@@ -72,7 +74,7 @@
 
 
 @attrs.frozen(kw_only=True, slots=False)
-class WeightsFlags(Listener):
+class WeightsFlags(ListenFlags):
     """Flags of the weight store."""
 
     weights_rate: Annotated[
@@ -86,7 +88,7 @@
 
 
 @attrs.frozen(kw_only=True, slots=False)
-class BackendFlags(Listener):
+class BackendFlags(ListenFlags):
     """Flags of both kinds of backend server."""
 
     name: Annotated[
@@ -109,7 +111,7 @@
     ] = 0.25
 
     @property
-    def run_number(self) -> int:
+    def reported_incarnation(self) -> int:
         """The incarnation to report."""
         return self.incarnation or int(time.time() * 1000)
 
@@ -120,13 +122,13 @@
 
     serve: Annotated[
         tuple[str, ...],
-        options.repeated(
+        options.repeatable_flag(
             "serve", "model@version[=quality] loaded at the start.", ("demo@1",)
         ),
     ] = ("demo@1",)
     quality: Annotated[
         tuple[str, ...],
-        options.repeated(
+        options.repeatable_flag(
             "quality", "model@version=quality of a version not loaded.", ()
         ),
     ] = ()
@@ -176,7 +178,7 @@
         known = options.parse_qualities("--quality", self.quality)
         return engine.EngineSettings(
             name=self.name,
-            incarnation=self.run_number,
+            incarnation=self.reported_incarnation,
             quality={**known, **served},
             loaded=frozenset(served),
             capacity=self.capacity,
@@ -207,7 +209,7 @@
         """Returns the settings."""
         return service.ServiceSettings(
             name=self.name,
-            incarnation=self.run_number,
+            incarnation=self.reported_incarnation,
             capacity=self.capacity,
             queue_limit=self.queue_limit,
             service_time=self.service_time,
--- a/src/hoistmoor/standins/load_reports.py
+++ b/src/hoistmoor/standins/load_reports.py
@@ -7,8 +7,8 @@
 import time
 from typing import Any, TYPE_CHECKING
 
-from hoistmoor.standins import answers
-from hoistmoor.standins import fault_book
+from hoistmoor.standins import fault_registry
+from hoistmoor.standins import responses
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        book: fault_book.FaultBook,
+        book: fault_registry.FaultRegistry,
         sample: Callable[[], dict[str, Any]],
         interval: float,
     ) -> None:
@@ -35,7 +35,7 @@
             sample: Returns the current load.
             interval: Seconds between samples; 0 to sample on every request.
         """
-        self.book = book
+        self.fault_registry = book
         self.sample = sample
         self.interval = interval
         self.samples: deque[dict[str, Any]] = deque(maxlen=_MAX_SAMPLES)
@@ -44,14 +44,14 @@
         """Registers the route of the load report."""
         application.router.add_get(_PATH, self.handle_load)
 
-    def take(self) -> None:
+    def take_sample(self) -> None:
         """Stores a sample of the current load."""
         self.samples.append({**self.sample(), "at": time.time()})
 
     async def run(self) -> None:
         """Takes samples until the task is cancelled; none if interval is 0."""
         while self.interval:
-            self.take()
+            self.take_sample()
             await asyncio.sleep(self.interval)
 
     async def handle_load(self, request: web.Request) -> web.Response:
@@ -60,10 +60,10 @@
         If no sample is that old, returns the oldest one.
         """
         if not self.interval or not self.samples:
-            self.take()
-        as_of = time.time() - self.book.lag(_PATH)
+            self.take_sample()
+        as_of = time.time() - self.fault_registry.extra_lag(_PATH)
         report = next(
             (row for row in reversed(self.samples) if row["at"] <= as_of),
             self.samples[0],
         )
-        return answers.reply(report)
+        return responses.json_response(report)
--- a/src/hoistmoor/standins/log.py
+++ b/src/hoistmoor/standins/log.py
@@ -9,9 +9,9 @@
 from aiohttp import web
 import attrs
 
-from hoistmoor.standins import answers
-from hoistmoor.standins import fault_book
-from hoistmoor.standins import rates
+from hoistmoor.standins import fault_registry
+from hoistmoor.standins import responses
+from hoistmoor.standins import token_bucket
 
 MAX_RECORD_BYTES = 1024 * 1024
 MAX_PAGE_RECORDS = 1000
@@ -30,7 +30,7 @@
     """
 
     at: float
-    wire: bytes
+    encoded: bytes
 
 
 class Stream:
@@ -48,19 +48,19 @@
     def __init__(self, max_age: float, max_records: int) -> None:
         self.max_age = max_age
         self.max_records = max_records
-        self.first = 0
+        self.first_offset = 0
         self.records: list[StoredRecord] = []
-        self.base = 0
+        self.memory_offset = 0
         self.appended = asyncio.Event()
 
     @property
-    def next(self) -> int:
+    def next_offset(self) -> int:
         """Offset of the next record to be appended."""
-        return self.base + len(self.records)
+        return self.memory_offset + len(self.records)
 
     def append(self, payload: bytes, now: float) -> int:
         """Stores a record, wakes waiting readers and returns its offset."""
-        offset = self.next
+        offset = self.next_offset
         text = base64.b64encode(payload)
         wire = b'{"offset":%d,"at":%.6f,"payload":"%b"}' % (offset, now, text)
         self.records.append(StoredRecord(now, wire))
@@ -71,31 +71,38 @@
 
     def expire(self, now: float) -> None:
         """Expires records past their retention and trims the memory."""
-        self.first = max(self.first, self.next - self.max_records)
-        while self.first < self.next:
-            if self.records[self.first - self.base].at >= now - self.max_age:
+        self.first_offset = max(
+            self.first_offset, self.next_offset - self.max_records
+        )
+        while self.first_offset < self.next_offset:
+            if (
+                self.records[self.first_offset - self.memory_offset].at
+                >= now - self.max_age
+            ):
                 break
-            self.first += 1
-        expired = self.first - self.base
+            self.first_offset += 1
+        expired = self.first_offset - self.memory_offset
         if expired > _MAX_EXPIRED_RECORDS:
             del self.records[:expired]
-            self.base = self.first
+            self.memory_offset = self.first_offset
 
-    def visible(self, now: float, lag: float) -> int:
+    def visible_end(self, now: float, lag: float) -> int:
         """Returns the end offset for readers that lag by ``lag`` seconds."""
-        end = self.next
-        while lag and end > self.first:
-            if self.records[end - self.base - 1].at <= now - lag:
+        end = self.next_offset
+        while lag and end > self.first_offset:
+            if self.records[end - self.memory_offset - 1].at <= now - lag:
                 break
             end -= 1
         return end
 
-    def page(self, start: int, end: int) -> bytes:
+    def encode_page(self, start: int, end: int) -> bytes:
         """Returns the JSON page of the records from ``start`` to ``end``."""
-        rows = self.records[start - self.base : end - self.base]
-        body = b",".join(row.wire for row in rows)
+        rows = self.records[
+            start - self.memory_offset : end - self.memory_offset
+        ]
+        body = b",".join(row.encoded for row in rows)
         return b'{"first":%d,"next":%d,"records":[%b]}' % (
-            self.first,
+            self.first_offset,
             max(start, end),
             body,
         )
@@ -114,16 +121,16 @@
         bound: Rate limiter of appends.
     """
 
-    book: fault_book.FaultBook
+    fault_registry: fault_registry.FaultRegistry
     max_age: float = 3600.0
     max_records: int = 100_000
     appends_per_second: float = 0.0
     streams: dict[str, Stream] = attrs.field(factory=dict)
-    bound: rates.RateBound = attrs.field(init=False)
+    append_limiter: token_bucket.TokenBucket = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Creates the rate limiter of appends."""
-        self.bound = rates.RateBound(self.appends_per_second)
+        self.append_limiter = token_bucket.TokenBucket(self.appends_per_second)
 
     def add_routes(self, application: web.Application) -> None:
         """Registers the routes of the log service."""
@@ -145,31 +152,34 @@
         """Appends the body of a request as one record."""
         payload = await request.read()
         if len(payload) > MAX_RECORD_BYTES:
-            return answers.reply({"error": "record too large"}, 413)
+            return responses.json_response({"error": "record too large"}, 413)
         now = time.time()
-        if not self.bound.take(now):
-            return answers.reply({"error": "too many appends"}, 429)
-        return answers.reply(
+        if not self.append_limiter.try_take(now):
+            return responses.json_response({"error": "too many appends"}, 429)
+        return responses.json_response(
             {"offset": self.stream(request).append(payload, now)}
         )
 
     async def handle_bounds(self, request: web.Request) -> web.Response:
         """Returns the first and the next offset of a stream."""
         stream = self.stream(request)
-        return answers.reply({"first": stream.first, "next": stream.next})
+        return responses.json_response(
+            {"first": stream.first_offset, "next": stream.next_offset}
+        )
 
     async def handle_read(self, request: web.Request) -> web.Response:
         """Returns a page of records; waits if there is none to read."""
         query = _read_query(request)
         stream = self.stream(request)
-        if query.start < stream.first:
-            return answers.reply({"first": stream.first}, 410)
+        if query.start < stream.first_offset:
+            return responses.json_response({"first": stream.first_offset}, 410)
         end = await self._wait_for_end(request.path, stream, query)
-        if query.start < stream.first:
-            return answers.reply({"first": stream.first}, 410)
+        if query.start < stream.first_offset:
+            return responses.json_response({"first": stream.first_offset}, 410)
         end = min(end, query.start + query.limit)
         return web.Response(
-            body=stream.page(query.start, end), content_type="application/json"
+            body=stream.encode_page(query.start, end),
+            content_type="application/json",
         )
 
     async def _wait_for_end(
@@ -178,8 +188,8 @@
         deadline = time.time() + query.wait
         while True:
             now = time.time()
-            lag = self.book.lag(path)
-            end = stream.visible(now, lag)
+            lag = self.fault_registry.extra_lag(path)
+            end = stream.visible_end(now, lag)
             remaining = deadline - now
             if end > query.start or remaining <= 0:
                 return end
--- a/src/hoistmoor/standins/options.py
+++ b/src/hoistmoor/standins/options.py
@@ -21,7 +21,9 @@
     return cappa.Arg(long=f"--{name}", default=source, help=text)
 
 
-def repeated(name: str, text: str, default: tuple[str, ...]) -> cappa.Arg[Any]:
+def repeatable_flag(
+    name: str, text: str, default: tuple[str, ...]
+) -> cappa.Arg[Any]:
     """Returns a repeatable flag, whose variable is split at whitespace."""
     return dataclasses.replace(
         flag(name, text, default), parse=_split, action=cappa.ArgAction.append
--- a/src/hoistmoor/standins/orders.py
+++ b/src/hoistmoor/standins/orders.py
@@ -13,9 +13,9 @@
 
 import attrs
 
-from hoistmoor.standins import answers
-from hoistmoor.standins import fault_book
+from hoistmoor.standins import fault_registry
 from hoistmoor.standins import faults
+from hoistmoor.standins import responses
 
 if TYPE_CHECKING:
     from aiohttp import web
@@ -49,13 +49,13 @@
         changed: Set when the desired state changes.
     """
 
-    book: fault_book.FaultBook
+    fault_registry: fault_registry.FaultRegistry
     loaded: set[str]
     load_time: float
     honours_fencing: bool
     wanted: tuple[str, ...] = ()
     role: str = "mixed"
-    highest: int = -1
+    highest_fencing_token: int = -1
     history: list[OrderRecord] = attrs.field(factory=list)
     changed: asyncio.Event = attrs.field(factory=asyncio.Event)
 
@@ -74,15 +74,15 @@
         """Wanted versions that are not loaded yet."""
         return tuple(key for key in self.wanted if key not in self.loaded)
 
-    def checks(self) -> bool:
+    def refuses_stale_orders(self) -> bool:
         """Returns whether orders with stale fencing tokens are refused now."""
-        fault = self.book.first(faults.Fencing)
+        fault = self.fault_registry.find(faults.Fencing)
         return fault.honoured if fault else self.honours_fencing
 
     def state(self) -> dict[str, Any]:
         """Returns the desired state and the progress towards it."""
         return {
-            "fencing": self.highest,
+            "fencing": self.highest_fencing_token,
             "wanted": self.wanted,
             "role": self.role,
             "loaded": sorted(self.loaded),
@@ -103,25 +103,30 @@
 
     async def handle_order(self, request: web.Request) -> web.Response:
         """Accepts or refuses an order."""
-        fields = await answers.read_json(request)
+        fields = await responses.read_json(request)
         fencing = int(fields["fencing"])
         versions = tuple(fields["wanted"]["versions"])
-        taken = fencing >= self.highest or not self.checks()
+        taken = (
+            fencing >= self.highest_fencing_token
+            or not self.refuses_stale_orders()
+        )
         self.history.append(OrderRecord(time.time(), fencing, versions, taken))
         if not taken:
-            return answers.reply({"fencing": self.highest}, 409)
-        self.highest = max(self.highest, fencing)
+            return responses.json_response(
+                {"fencing": self.highest_fencing_token}, 409
+            )
+        self.highest_fencing_token = max(self.highest_fencing_token, fencing)
         self.wanted = versions
         self.role = fields["wanted"].get("role", self.role)
         self.loaded.intersection_update(versions)
         self.changed.set()
-        return answers.reply(self.state())
+        return responses.json_response(self.state())
 
     async def handle_state(self, request: web.Request) -> web.Response:
         """Returns the state of the loader."""
-        return answers.reply(self.state())
+        return responses.json_response(self.state())
 
     async def handle_history(self, request: web.Request) -> web.Response:
         """Returns all orders received, for checkers."""
         rows = [attrs.asdict(row) for row in self.history]
-        return answers.reply({"orders": rows})
+        return responses.json_response({"orders": rows})
--- a/src/hoistmoor/standins/prefix_cache.py
+++ b/src/hoistmoor/standins/prefix_cache.py
@@ -11,7 +11,7 @@
 
 
 @attrs.frozen
-class TimedEvent:
+class CacheEvent:
     """A change of the cache.
 
     Attributes:
@@ -38,16 +38,16 @@
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
-        self.events: deque[TimedEvent] = deque(maxlen=_MAX_EVENTS)
-        self.next = 0
+        self.events: deque[CacheEvent] = deque(maxlen=_MAX_EVENTS)
+        self.next_sequence = 0
         self._blocks: OrderedDict[int, None] = OrderedDict()
 
     @property
-    def used(self) -> float:
+    def used_fraction(self) -> float:
         """Fraction of the capacity in use, 0 to 1."""
         return len(self._blocks) / max(1, self.capacity)
 
-    def use(self, blocks: tuple[int, ...], now: float) -> int:
+    def touch(self, blocks: tuple[int, ...], now: float) -> int:
         """Adds the blocks of a prompt and marks them as recently used.
 
         Returns:
@@ -65,9 +65,9 @@
             self._publish(now, stored, tuple(evicted))
         return hits
 
-    def published(
+    def visible_events(
         self, since: int, until: float
-    ) -> tuple[int, list[TimedEvent]]:
+    ) -> tuple[int, list[CacheEvent]]:
         """Returns the next sequence number to read and the visible events.
 
         Args:
@@ -90,5 +90,5 @@
     def _publish(
         self, now: float, stored: tuple[int, ...], evicted: tuple[int, ...]
     ) -> None:
-        self.events.append(TimedEvent(now, self.next, stored, evicted))
-        self.next += 1
+        self.events.append(CacheEvent(now, self.next_sequence, stored, evicted))
+        self.next_sequence += 1
--- a/src/hoistmoor/standins/programs.py
+++ b/src/hoistmoor/standins/programs.py
@@ -5,14 +5,14 @@
 from typing import Protocol, TYPE_CHECKING, TypeVar
 
 from hoistmoor.standins import engine as engine_module
-from hoistmoor.standins import fault_book
+from hoistmoor.standins import fault_registry
 from hoistmoor.standins import hosts as hosts_module
 from hoistmoor.standins import log as log_module
 from hoistmoor.standins import options
 from hoistmoor.standins import ratings as ratings_module
 from hoistmoor.standins import runner
 from hoistmoor.standins import service as service_module
-from hoistmoor.standins import web
+from hoistmoor.standins import web_application
 from hoistmoor.standins import weights as weights_module
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
 
 
 def _make_log(
-    flags: flags_module.LogFlags, book: fault_book.FaultBook
+    flags: flags_module.LogFlags, book: fault_registry.FaultRegistry
 ) -> log_module.LogStandin:
     return log_module.LogStandin(
         book, flags.max_age, flags.max_records, flags.append_rate
@@ -36,14 +36,14 @@
 
 
 def _make_hosts(
-    flags: flags_module.HostsFlags, book: fault_book.FaultBook
+    flags: flags_module.HostsFlags, book: fault_registry.FaultRegistry
 ) -> hosts_module.HostListStandin:
     rows = options.parse_hosts(flags.host)
     return hosts_module.HostListStandin(book, flags.hosts_lag, rows)
 
 
 def _make_ratings(
-    flags: flags_module.RatingsFlags, book: fault_book.FaultBook
+    flags: flags_module.RatingsFlags, book: fault_registry.FaultRegistry
 ) -> ratings_module.RatingsStandin:
     return ratings_module.RatingsStandin(
         book, flags.rating_share, flags.rating_delay
@@ -51,7 +51,7 @@
 
 
 def _make_weights(
-    flags: flags_module.WeightsFlags, book: fault_book.FaultBook
+    flags: flags_module.WeightsFlags, book: fault_registry.FaultRegistry
 ) -> weights_module.WeightStoreStandin:
     del book  # The middleware injects all faults of the weight store.
     return weights_module.WeightStoreStandin(flags.weights_rate)
@@ -63,14 +63,15 @@
 
 
 def _make_program(
-    flags: _Flags, *makers: Callable[[_Flags, fault_book.FaultBook], _Service]
+    flags: _Flags,
+    *makers: Callable[[_Flags, fault_registry.FaultRegistry], _Service],
 ) -> runner.Program:
     """Returns a program that serves platform services on one port.
 
     The services share a registry of faults.
     """
-    book = fault_book.FaultBook()
-    application = web.make_application(book)
+    book = fault_registry.FaultRegistry()
+    application = web_application.make_application(book)
     for make in makers:
         make(flags, book).add_routes(application)
     return runner.Program(application)
@@ -105,8 +106,8 @@
 
 def engine(settings: engine_module.EngineSettings) -> runner.Program:
     """Returns a program with a model engine."""
-    book = fault_book.FaultBook()
-    application = web.make_application(book)
+    book = fault_registry.FaultRegistry()
+    application = web_application.make_application(book)
     standin = engine_module.EngineStandin(book, settings)
     standin.add_routes(application)
     return runner.Program(
@@ -114,14 +115,14 @@
         tasks=(standin.batch.run, standin.loader.run, standin.reports.run),
         stop=standin.stop,
         is_idle=lambda: not standin.in_flight,
-        linger=_LINGER_SECONDS,
+        linger_seconds=_LINGER_SECONDS,
     )
 
 
 def service(settings: service_module.ServiceSettings) -> runner.Program:
     """Returns a program with a plain service."""
-    book = fault_book.FaultBook()
-    application = web.make_application(book)
+    book = fault_registry.FaultRegistry()
+    application = web_application.make_application(book)
     standin = service_module.ServiceStandin(book, settings)
     standin.add_routes(application)
     return runner.Program(
@@ -129,5 +130,5 @@
         tasks=(standin.reports.run,),
         stop=standin.stop,
         is_idle=lambda: standin.is_idle,
-        linger=_LINGER_SECONDS,
+        linger_seconds=_LINGER_SECONDS,
     )
--- a/src/hoistmoor/standins/prompts.py
+++ b/src/hoistmoor/standins/prompts.py
@@ -8,7 +8,7 @@
 import orjson
 import xxhash
 
-from hoistmoor.standins import marks
+from hoistmoor.standins import quality_marks
 
 BLOCK_BYTES = 512  # Bytes of the JSON-encoded prompt per cache block.
 MAX_BLOCKS = 16
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class Script:
+class ScriptedResponse:
     """The predetermined response of a version to a prompt.
 
     Attributes:
@@ -53,24 +53,24 @@
     good: bool
 
 
-def measure(messages: Any) -> Prompt:
+def parse_prompt(messages: Any) -> Prompt:
     """Returns the prompt in the ``messages`` of a request's body."""
     text = orjson.dumps(messages)
     return Prompt(text, max(1, len(text) // _BYTES_PER_TOKEN), _blocks(text))
 
 
-def is_good(prompt: Prompt, quality: float, seed: int) -> bool:
+def is_good_response(prompt: Prompt, quality: float, seed: int) -> bool:
     """Returns whether a version of the given quality responds well.
 
     The difficulty of a prompt is the same for all versions, so a version of
     higher quality responds well to every prompt that a lower one does.
     """
-    return marks.uniform(seed, "difficulty", prompt.text) < quality
+    return quality_marks.uniform_hash(seed, "difficulty", prompt.text) < quality
 
 
-def write(
+def script_response(
     prompt: Prompt, version: str, good: bool, length: int, max_tokens: int
-) -> Script:
+) -> ScriptedResponse:
     """Returns the response of a version to a prompt.
 
     Args:
@@ -80,15 +80,15 @@
         length: Mean length of responses in tokens.
         max_tokens: Maximum number of tokens that the caller allows.
     """
-    chance = marks.uniform("length", version, prompt.text)
+    chance = quality_marks.uniform_hash("length", version, prompt.text)
     wanted = max(1, round(length * (0.5 + chance)))
     count = min(wanted, max_tokens)
     start = int(chance * len(_WORDS))
     words = [_WORDS[(start + i) % len(_WORDS)] for i in range(count)]
-    words[0] = marks.make(
+    words[0] = quality_marks.make_mark(
         good, f"{version}/{xxhash.xxh3_64_hexdigest(prompt.text)}"
     )
-    return Script(
+    return ScriptedResponse(
         words=tuple(words),
         finish_reason="stop" if count == wanted else "length",
         confidence=_confidence(prompt, version, good),
@@ -98,7 +98,7 @@
 
 def _confidence(prompt: Prompt, version: str, good: bool) -> float:
     centre = 0.85 if good else 0.6
-    noise = marks.uniform("confidence", version, prompt.text) - 0.5
+    noise = quality_marks.uniform_hash("confidence", version, prompt.text) - 0.5
     return round(min(0.99, centre + 0.3 * noise), 4)
 
 
--- a/src/hoistmoor/standins/marks.py
+++ b/src/hoistmoor/standins/quality_marks.py
@@ -13,7 +13,7 @@
 _MARK = re.compile(r"ref-[0-9a-f]{12}")
 
 
-def make(good: bool, seed: str) -> str:
+def make_mark(good: bool, seed: str) -> str:
     """Returns a mark of the given quality, determined by the arguments."""
     serial = 0
     while True:
@@ -24,13 +24,13 @@
         serial += 1
 
 
-def read(text: str) -> bool | None:
+def read_quality(text: str) -> bool | None:
     """Returns whether a text is good, or None if it contains no mark."""
     match = _MARK.search(text)
     return _is_good(match.group()) if match else None
 
 
-def uniform(*parts: object) -> float:
+def uniform_hash(*parts: object) -> float:
     """Returns a number in [0, 1) that is determined by ``parts``."""
     text = "/".join(map(str, parts))
     return xxhash.xxh3_64_intdigest(text.encode()) / 2**64
--- a/src/hoistmoor/standins/ratings.py
+++ b/src/hoistmoor/standins/ratings.py
@@ -15,10 +15,10 @@
 from hoistmoor.clients import ratings
 from hoistmoor.core import codec
 from hoistmoor.core.routing import messages
-from hoistmoor.standins import answers
-from hoistmoor.standins import fault_book
+from hoistmoor.standins import fault_registry
 from hoistmoor.standins import faults
-from hoistmoor.standins import marks
+from hoistmoor.standins import quality_marks
+from hoistmoor.standins import responses
 
 _PATH = "/ratings"
 _MAX_RATINGS = 100_000  # Number kept for readers.
@@ -39,12 +39,12 @@
         submitted: Ids of all responses submitted.
     """
 
-    book: fault_book.FaultBook
+    fault_registry: fault_registry.FaultRegistry
     share: float = 1.0
     delay: float = 0.0
     seed: int = 0
-    first: int = 0
-    made: list[messages.Rating] = attrs.field(factory=list)
+    first_offset: int = 0
+    finished_ratings: list[messages.Rating] = attrs.field(factory=list)
     pending: list[tuple[float, int, ratings.ModelResponse]] = attrs.field(
         factory=list
     )
@@ -60,28 +60,33 @@
         if answer.answer_id in self.submitted:
             return
         self.submitted.add(answer.answer_id)
-        chance = marks.uniform(self.seed, "share", answer.answer_id)
-        if chance >= self.share or marks.read(answer.text) is None:
+        chance = quality_marks.uniform_hash(
+            self.seed, "share", answer.answer_id
+        )
+        if (
+            chance >= self.share
+            or quality_marks.read_quality(answer.text) is None
+        ):
             return
         serial = len(self.submitted)
         heapq.heappush(self.pending, (now, serial, answer))
 
-    def rate(self, now: float) -> None:
+    def rate_due(self, now: float) -> None:
         """Rates the responses whose rating is due at ``now``."""
-        submitted_by = now - self.delay - self.book.lag(_PATH)
+        submitted_by = now - self.delay - self.fault_registry.extra_lag(_PATH)
         while self.pending and self.pending[0][0] <= submitted_by:
             answer = heapq.heappop(self.pending)[2]
-            gap = self.book.take(faults.Gap)
+            gap = self.fault_registry.count_event(faults.Gap)
             if gap is None or gap.applied % gap.every:
-                self.made.append(_make_rating(answer, now))
-        excess = len(self.made) - _MAX_RATINGS
+                self.finished_ratings.append(_make_rating(answer, now))
+        excess = len(self.finished_ratings) - _MAX_RATINGS
         if excess > 0:
-            del self.made[:excess]
-            self.first += excess
+            del self.finished_ratings[:excess]
+            self.first_offset += excess
 
     async def handle_submit(self, request: web.Request) -> web.Response:
         """Accepts a list of responses."""
-        fields = await answers.read_json(request)
+        fields = await responses.read_json(request)
         try:
             submitted = codec.structure(fields, list[ratings.ModelResponse])
         except cattrs.BaseValidationError as error:
@@ -89,15 +94,15 @@
         now = time.time()
         for answer in submitted:
             self.submit(answer, now)
-        return answers.reply({"taken": len(submitted)}, 202)
+        return responses.json_response({"taken": len(submitted)}, 202)
 
     async def handle_poll(self, request: web.Request) -> web.Response:
         """Returns the ratings from an offset on."""
-        self.rate(time.time())
-        start = max(self.first, int(request.query.get("from", "0")))
+        self.rate_due(time.time())
+        start = max(self.first_offset, int(request.query.get("from", "0")))
         limit = int(request.query.get("limit", "1000"))
-        rows = self.made[start - self.first :][:limit]
-        return answers.reply(
+        rows = self.finished_ratings[start - self.first_offset :][:limit]
+        return responses.json_response(
             {
                 "next": start + len(rows),
                 "ratings": [attrs.asdict(row) for row in rows],
@@ -111,6 +116,6 @@
         model=answer.model,
         version=answer.version,
         kind=answer.kind,
-        good=marks.read(answer.text) is True,
+        good=quality_marks.read_quality(answer.text) is True,
         at=now,
     )
--- a/src/hoistmoor/standins/answers.py
+++ b/src/hoistmoor/standins/responses.py
@@ -13,7 +13,7 @@
 LEAVING = "leaving"
 
 
-def reply(content: object, status: int = 200) -> web.Response:
+def json_response(content: object, status: int = 200) -> web.Response:
     """Returns a JSON response."""
     return web.Response(
         body=orjson.dumps(content),
@@ -22,20 +22,22 @@
     )
 
 
-def declined(reason: str) -> web.Response:
+def not_run_response(reason: str) -> web.Response:
     """Returns a 503 response that reports the request as not executed."""
-    response = reply({"error": {"type": "not_run", "message": reason}}, 503)
+    response = json_response(
+        {"error": {"type": "not_run", "message": reason}}, 503
+    )
     response.headers[NOT_RUN_HEADER] = "1"
     response.headers[NOT_RUN_REASON_HEADER] = reason
     response.headers["Retry-After"] = "1"
     return response
 
 
-def echo_attempt(request: web.Request, answer: web.StreamResponse) -> None:
+def echo_attempt_id(request: web.Request, response: web.StreamResponse) -> None:
     """Copies the attempt id of a request to the headers of its response."""
     attempt_id = request.headers.get(ATTEMPT_HEADER)
-    if attempt_id and ATTEMPT_HEADER not in answer.headers:
-        answer.headers[ATTEMPT_HEADER] = attempt_id
+    if attempt_id and ATTEMPT_HEADER not in response.headers:
+        response.headers[ATTEMPT_HEADER] = attempt_id
 
 
 async def read_json(request: web.Request) -> Any:
--- a/src/hoistmoor/standins/runner.py
+++ b/src/hoistmoor/standins/runner.py
@@ -14,7 +14,7 @@
 import uvloop
 
 from hoistmoor.standins import options
-from hoistmoor.standins import web as standin_web
+from hoistmoor.standins import web_application as standin_web
 
 _IDLE_POLL_INTERVAL = 0.02  # Seconds between checks for work in flight.
 _MAX_STOP_SECONDS = 60.0  # Time that work in flight gets to complete.
@@ -39,7 +39,7 @@
     tasks: tuple[Callable[[], Coroutine[Any, Any, None]], ...] = ()
     stop: Callable[[], None] = lambda: None
     is_idle: Callable[[], bool] = lambda: True
-    linger: float = 0.0
+    linger_seconds: float = 0.0
 
 
 def run(make_program: Callable[[], Program], listen: str) -> None:
@@ -48,7 +48,7 @@
 
 
 @contextlib.asynccontextmanager
-async def running(
+async def serve_program(
     program: Program,
     host: str = "127.0.0.1",
     port: int = 0,
@@ -92,7 +92,9 @@
 ) -> None:
     program = make_program()
     stopped = _handle_signals()
-    async with running(program, host, port, program.linger) as address:
+    async with serve_program(
+        program, host, port, program.linger_seconds
+    ) as address:
         sys.stdout.write(f"LISTENING {address}\n")
         sys.stdout.flush()
         await stopped.wait()
@@ -109,7 +111,7 @@
 
 async def _drain(program: Program) -> None:
     program.stop()
-    await asyncio.sleep(program.linger)
+    await asyncio.sleep(program.linger_seconds)
     deadline = asyncio.get_running_loop().time() + _MAX_STOP_SECONDS
     while not program.is_idle():
         if asyncio.get_running_loop().time() > deadline:
--- a/src/hoistmoor/standins/service.py
+++ b/src/hoistmoor/standins/service.py
@@ -13,11 +13,11 @@
 import attrs
 import orjson
 
-from hoistmoor.standins import answers
 from hoistmoor.standins import executions
-from hoistmoor.standins import fault_book
+from hoistmoor.standins import fault_registry
 from hoistmoor.standins import faults
 from hoistmoor.standins import load_reports
+from hoistmoor.standins import responses
 
 if TYPE_CHECKING:
     from aiohttp import web
@@ -50,9 +50,9 @@
     """A service that stores the effects of calls by the id of their subject."""
 
     def __init__(
-        self, book: fault_book.FaultBook, settings: ServiceSettings
+        self, book: fault_registry.FaultRegistry, settings: ServiceSettings
     ) -> None:
-        self.book = book
+        self.fault_registry = book
         self.settings = settings
         self.stopping = False
         self.slots = asyncio.Semaphore(settings.capacity)
@@ -61,7 +61,7 @@
         self.executions = executions.ExecutionLog()
         self.effects: dict[str, list[dict[str, Any]]] = {}
         self.reports = load_reports.LoadReporter(
-            book, self.load, settings.report_interval
+            book, self.load_report, settings.report_interval
         )
 
     def add_routes(self, application: web.Application) -> None:
@@ -73,7 +73,10 @@
     @property
     def is_leaving(self) -> bool:
         """Whether new work is declined."""
-        return self.stopping or self.book.first(faults.Leaving) is not None
+        return (
+            self.stopping
+            or self.fault_registry.find(faults.Leaving) is not None
+        )
 
     @property
     def is_idle(self) -> bool:
@@ -84,7 +87,7 @@
         """Declines new work from now on."""
         self.stopping = True
 
-    def load(self) -> dict[str, Any]:
+    def load_report(self) -> dict[str, Any]:
         """Returns the current load report."""
         return {
             "server": self.settings.name,
@@ -102,15 +105,15 @@
         body = await request.read()
         reason = self._reason_to_decline()
         if reason:
-            response = answers.declined(reason)
+            response = responses.not_run_response(reason)
         else:
             response = await self._execute_in_slot(request, body)
-        answers.echo_attempt(request, response)
+        responses.echo_attempt_id(request, response)
         return response
 
     def _reason_to_decline(self) -> str:
         if self.is_leaving:
-            return answers.LEAVING
+            return responses.LEAVING
         is_busy = self.running >= self.settings.capacity
         if is_busy and self.queued >= self.settings.queue_limit:
             return "full"
@@ -134,7 +137,9 @@
     async def _execute(self, request: web.Request, body: bytes) -> web.Response:
         text = body.decode(errors="replace")
         run = self.executions.start(request, text, time.time())
-        await asyncio.sleep(self.settings.service_time * self.book.slowness())
+        await asyncio.sleep(
+            self.settings.service_time * self.fault_registry.slow_factor()
+        )
         run.state = "done"
         if request.method in _READ_METHODS:
             return self._read(request)
@@ -144,7 +149,7 @@
         subject = request.path.rsplit("/", 1)[-1]
         effects = self.effects.get(subject, [])
         balance = sum(int(effect.get("amount") or 0) for effect in effects)
-        return answers.reply(
+        return responses.json_response(
             {"id": subject, "balance": balance, "effects": effects}
         )
 
@@ -154,10 +159,10 @@
         try:
             fields = orjson.loads(body or b"{}")
         except orjson.JSONDecodeError:
-            return answers.reply({"error": "not JSON"}, 400)
+            return responses.json_response({"error": "not JSON"}, 400)
         subject = str(fields.get("id", run.serial))
         effect = {**fields, "call": request.path, "execution": run.serial}
         self.effects.setdefault(subject, []).append(effect)
-        return answers.reply(
+        return responses.json_response(
             {"id": subject, "execution": run.serial, "done": True}
         )
--- a/src/hoistmoor/standins/rates.py
+++ b/src/hoistmoor/standins/token_bucket.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class RateBound:
+class TokenBucket:
     """A token bucket that admits bursts of up to one second's calls.
 
     Attributes:
@@ -15,15 +15,15 @@
     def __init__(self, per_second: float) -> None:
         self.per_second = per_second
         self.tokens = per_second
-        self.filled_at = 0.0
+        self.refilled_at = 0.0
 
-    def take(self, now: float) -> bool:
+    def try_take(self, now: float) -> bool:
         """Takes a token and returns whether the call is admitted."""
         if not self.per_second:
             return True
-        gained = (now - self.filled_at) * self.per_second
+        gained = (now - self.refilled_at) * self.per_second
         self.tokens = min(max(1.0, self.per_second), self.tokens + gained)
-        self.filled_at = now
+        self.refilled_at = now
         if self.tokens < 1:
             return False
         self.tokens -= 1
--- a/src/hoistmoor/standins/web.py
+++ b/src/hoistmoor/standins/web_application.py
@@ -8,10 +8,10 @@
 import attrs
 import orjson
 
-from hoistmoor.standins import answers
-from hoistmoor.standins import fault_book
-from hoistmoor.standins import fault_points
+from hoistmoor.standins import fault_injection
+from hoistmoor.standins import fault_registry
 from hoistmoor.standins import faults
+from hoistmoor.standins import responses
 
 CLOSING = web.AppKey("closing", asyncio.Event)
 MAX_BODY_BYTES = 16 * 1024 * 1024
@@ -19,12 +19,13 @@
 _FAULTS_PATH = "/_faults"
 
 
-def make_application(book: fault_book.FaultBook) -> web.Application:
+def make_application(book: fault_registry.FaultRegistry) -> web.Application:
     """Returns an application that injects the faults of ``book``."""
     application = web.Application(
-        middlewares=[fault_points.show_faults], client_max_size=MAX_BODY_BYTES
+        middlewares=[fault_injection.inject_faults],
+        client_max_size=MAX_BODY_BYTES,
     )
-    application[fault_points.FAULTS] = book
+    application[fault_injection.FAULTS] = book
     application[CLOSING] = asyncio.Event()
     application.on_response_prepare.append(_close_gracefully)
     application.router.add_post(_FAULTS_PATH, _add_fault)
@@ -45,10 +46,12 @@
 
 async def _add_fault(request: web.Request) -> web.Response:
     try:
-        fault = faults.parse(orjson.loads(await request.read()))
+        fault = faults.parse_fault(orjson.loads(await request.read()))
     except (faults.BadFaultError, orjson.JSONDecodeError) as error:
-        return answers.reply({"error": str(error)}, 400)
-    return answers.reply({"id": request.app[fault_points.FAULTS].add(fault)})
+        return responses.json_response({"error": str(error)}, 400)
+    return responses.json_response(
+        {"id": request.app[fault_injection.FAULTS].add(fault)}
+    )
 
 
 async def _list_faults(request: web.Request) -> web.Response:
@@ -58,17 +61,17 @@
             "kind": faults.KIND_BY_CLASS[type(fault)],
             **attrs.asdict(fault),
         }
-        for number, fault in request.app[fault_points.FAULTS].faults.items()
+        for number, fault in request.app[fault_injection.FAULTS].faults.items()
     ]
-    return answers.reply({"faults": rows})
+    return responses.json_response({"faults": rows})
 
 
 async def _clear_faults(request: web.Request) -> web.Response:
-    request.app[fault_points.FAULTS].clear()
-    return answers.reply({})
+    request.app[fault_injection.FAULTS].clear()
+    return responses.json_response({})
 
 
 async def _clear_fault(request: web.Request) -> web.Response:
     number = int(request.match_info["number"])
-    removed = request.app[fault_points.FAULTS].faults.pop(number, None)
-    return answers.reply({}, 200 if removed else 404)
+    removed = request.app[fault_injection.FAULTS].faults.pop(number, None)
+    return responses.json_response({}, 200 if removed else 404)
--- a/src/hoistmoor/standins/weights.py
+++ b/src/hoistmoor/standins/weights.py
@@ -9,8 +9,8 @@
 import xxhash
 
 from hoistmoor.clients import weights
-from hoistmoor.standins import answers
-from hoistmoor.standins import rates
+from hoistmoor.standins import responses
+from hoistmoor.standins import token_bucket
 
 if TYPE_CHECKING:
     from aiohttp import web
@@ -22,7 +22,7 @@
     """A weight store that contains every version."""
 
     def __init__(self, calls_per_second: float = 5.0) -> None:
-        self.bound = rates.RateBound(calls_per_second)
+        self.call_limiter = token_bucket.TokenBucket(calls_per_second)
 
     def add_routes(self, application: web.Application) -> None:
         """Registers the routes of the weight store."""
@@ -32,8 +32,8 @@
 
     async def handle_info(self, request: web.Request) -> web.Response:
         """Returns the size and the digest of a version's weights."""
-        if not self.bound.take(time.time()):
-            response = answers.reply({"error": "rate-limited"}, 429)
+        if not self.call_limiter.try_take(time.time()):
+            response = responses.json_response({"error": "rate-limited"}, 429)
             response.headers["Retry-After"] = "1"
             return response
         model = request.match_info["model"]
@@ -41,4 +41,4 @@
         digest = xxhash.xxh3_128_hexdigest(f"{model}@{version}".encode())
         size = (1 + int(digest[:2], 16)) * _MEBIBYTE
         info = weights.WeightInfo(model, version, size, digest)
-        return answers.reply(attrs.asdict(info))
+        return responses.json_response(attrs.asdict(info))
--- a/tests/clients/test_clients_log.py
+++ b/tests/clients/test_clients_log.py
@@ -12,11 +12,11 @@
 
 from hoistmoor.clients import log
 from hoistmoor.core import errors
-from hoistmoor.standins import fault_book
+from hoistmoor.standins import fault_registry
 from hoistmoor.standins import faults
 from hoistmoor.standins import log as log_standin
 from hoistmoor.standins import runner
-from hoistmoor.standins import web
+from hoistmoor.standins import web_application
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -40,23 +40,23 @@
 
     client: log.LogClient
     standin: log_standin.LogStandin
-    book: fault_book.FaultBook
+    book: fault_registry.FaultRegistry
 
     def stored(self) -> int:
         """Returns the number of records stored in stream ``s``."""
         stream = self.standin.streams.get("s")
-        return stream.next if stream else 0
+        return stream.next_offset if stream else 0
 
 
 @pytest.fixture
 async def log_fixture(
     session: aiohttp.ClientSession,
 ) -> AsyncIterator[LogFixture]:
-    book = fault_book.FaultBook()
+    book = fault_registry.FaultRegistry()
     standin = log_standin.LogStandin(book)
-    application = web.make_application(book)
+    application = web_application.make_application(book)
     standin.add_routes(application)
-    async with runner.running(runner.Program(application)) as address:
+    async with runner.serve_program(runner.Program(application)) as address:
         yield LogFixture(
             log.LogClient(session, f"http://{address}", LONG_TIMEOUT),
             standin,
@@ -170,8 +170,8 @@
 async def test_rate_limited_appends_are_not_stored(
     log_fixture: LogFixture,
 ) -> None:
-    log_fixture.standin.bound.per_second = 3.0
-    log_fixture.standin.bound.tokens = 3.0
+    log_fixture.standin.append_limiter.per_second = 3.0
+    log_fixture.standin.append_limiter.tokens = 3.0
     results = await asyncio.gather(
         *(log_fixture.client.append("s", b"a") for _ in range(20)),
         return_exceptions=True,
--- a/tests/clients/test_clients_platform.py
+++ b/tests/clients/test_clients_platform.py
@@ -15,12 +15,12 @@
 from hoistmoor.clients import service_client
 from hoistmoor.clients import weights
 from hoistmoor.standins import engine as engine_standin
-from hoistmoor.standins import fault_book
-from hoistmoor.standins import fault_points
+from hoistmoor.standins import fault_injection
+from hoistmoor.standins import fault_registry
 from hoistmoor.standins import faults
 from hoistmoor.standins import flags as flags_module
-from hoistmoor.standins import marks
 from hoistmoor.standins import programs
+from hoistmoor.standins import quality_marks
 from hoistmoor.standins import runner
 
 if TYPE_CHECKING:
@@ -37,12 +37,12 @@
 
     url: str
     address: str
-    book: fault_book.FaultBook
+    book: fault_registry.FaultRegistry
 
 
 async def _serve(program: runner.Program) -> AsyncIterator[StandIn]:
-    async with runner.running(program) as address:
-        book = program.application[fault_points.FAULTS]
+    async with runner.serve_program(program) as address:
+        book = program.application[fault_injection.FAULTS]
         yield StandIn(f"http://{address}", address, book)
 
 
@@ -98,10 +98,10 @@
 ) -> None:
     client = ratings.RatingsClient(session, platform.url)
     good = ratings.ModelResponse(
-        "1", "fast", "1", "chat", marks.make(True, "a")
+        "1", "fast", "1", "chat", quality_marks.make_mark(True, "a")
     )
     bad = ratings.ModelResponse(
-        "2", "fast", "1", "chat", marks.make(False, "b")
+        "2", "fast", "1", "chat", quality_marks.make_mark(False, "b")
     )
     unmarked = ratings.ModelResponse("3", "fast", "1", "chat", "no mark")
     await client.submit(good, bad, unmarked)
--- a/tests/console/test_console_bill.py
+++ b/tests/console/test_console_bill.py
@@ -21,7 +21,7 @@
 from hoistmoor.core import codec
 from hoistmoor.core import streams
 from hoistmoor.core.billing import bills
-from hoistmoor.standins import fault_book
+from hoistmoor.standins import fault_registry
 from hoistmoor.standins import log as log_standin
 
 if TYPE_CHECKING:
@@ -64,7 +64,9 @@
     capsys: pytest.CaptureFixture[str],
 ) -> AsyncIterator[BillLog]:
     server_app = web.Application()
-    standin = log_standin.LogStandin(fault_book.FaultBook(), max_records=3)
+    standin = log_standin.LogStandin(
+        fault_registry.FaultRegistry(), max_records=3
+    )
     standin.add_routes(server_app)
     async with test_utils.TestServer(server_app) as server:
         url = str(server.make_url("/"))
--- a/tests/console/test_console_table.py
+++ b/tests/console/test_console_table.py
@@ -19,11 +19,11 @@
 from hoistmoor.console.commands.table import publisher
 from hoistmoor.console.commands.table import sheet_directory as directories
 from hoistmoor.core import streams
-from hoistmoor.standins import fault_book
+from hoistmoor.standins import fault_registry
 from hoistmoor.standins import faults
 from hoistmoor.standins import hosts as hosts_standin
 from hoistmoor.standins import log as log_standin
-from hoistmoor.standins import web as standin_web
+from hoistmoor.standins import web_application as standin_web
 
 if TYPE_CHECKING:
     from collections.abc import Coroutine, Iterator
@@ -39,7 +39,9 @@
 class Platform:
     """Server with a log, a host list and the status page of an entry host."""
 
-    book: fault_book.FaultBook = attrs.field(factory=fault_book.FaultBook)
+    book: fault_registry.FaultRegistry = attrs.field(
+        factory=fault_registry.FaultRegistry
+    )
     log: log_standin.LogStandin = attrs.field(init=False)
     hosts: hosts_standin.HostListStandin = attrs.field(init=False)
     url: str = ""
@@ -63,7 +65,9 @@
             host_client.ListedState.LIVE,
             1,
         )
-        self.hosts.change({**self.hosts.newest, name: listed_host}, 0.0)
+        self.hosts.replace_rows(
+            {**self.hosts.current_rows, name: listed_host}, 0.0
+        )
 
     async def _handle_status(self, _: web.Request) -> web.Response:
         return web.json_response({"table_revision": self.entry_revision})
@@ -72,7 +76,7 @@
     def records(self) -> int:
         """Number of records on the table's stream."""
         stream = self.log.streams.get(streams.TABLE)
-        return stream.next if stream else 0
+        return stream.next_offset if stream else 0
 
 
 @pytest.fixture
--- a/tests/entry/test_table_follower.py
+++ b/tests/entry/test_table_follower.py
@@ -19,10 +19,10 @@
 from hoistmoor.core.table import edits
 from hoistmoor.core.table import model
 from hoistmoor.entry import table_follower
-from hoistmoor.standins import fault_book
+from hoistmoor.standins import fault_registry
 from hoistmoor.standins import faults
 from hoistmoor.standins import log as log_standin
-from hoistmoor.standins import web as standin_web
+from hoistmoor.standins import web_application as standin_web
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -64,7 +64,7 @@
 
 @pytest_asyncio.fixture
 async def bench() -> AsyncIterator[Bench]:
-    book = fault_book.FaultBook()
+    book = fault_registry.FaultRegistry()
     application = standin_web.make_application(book)
     standin = log_standin.LogStandin(book, max_records=6)
     standin.add_routes(application)
@@ -113,13 +113,13 @@
 ) -> None:
     await bench.edit("a")
     await bench.in_force(0)
-    bench.standin.book.add(faults.Outage(method="GET"))
+    bench.standin.fault_registry.add(faults.Outage(method="GET"))
     async with asyncio.timeout(_TIMEOUT_SECONDS):
         while bench.follower.outages == 0:
             await asyncio.sleep(_POLL_SECONDS)
     contact_before = bench.follower.last_contact
     await bench.edit("b")
-    bench.standin.book.clear()
+    bench.standin.fault_registry.clear()
 
     await bench.in_force(1)
 
--- a/tests/history/test_history_checks.py
+++ b/tests/history/test_history_checks.py
@@ -15,12 +15,12 @@
 from hoistmoor.history import files
 from hoistmoor.history.checks import at_most_once
 from hoistmoor.history.checks import billing
+from hoistmoor.history.checks import complete_responses
 from hoistmoor.history.checks import configuration
 from hoistmoor.history.checks import grants
 from hoistmoor.history.checks import not_run
 from hoistmoor.history.checks import sessions
 from hoistmoor.history.checks import stops
-from hoistmoor.history.checks import whole_answers
 from hoistmoor.history.checks import withdrawals
 from hoistmoor.load import main
 
@@ -82,50 +82,50 @@
 
 VIOLATIONS = (
     (
-        at_most_once.PROMISE,
+        at_most_once.INVARIANT,
         (),
         (events.Ran(1.7, "other", CONFIRM, "c.1.1", "k", "m1"),),
     ),
     (
-        not_run.PROMISE,
+        not_run.INVARIANT,
         (CONFIRM_RESPONSE, CONFIRM_BILL),
         (attrs.evolve(CONFIRM_RESPONSE, outcome=NOT_RUN, reason="stopping"),),
     ),
     (
-        not_run.PROMISE,
+        not_run.INVARIANT,
         (),
         (
             REPEATED_REQUEST,
             events.Told(9, 21.0, NOT_RUN, key_outcome=NOT_RUN, reason="x"),
         ),
     ),
-    (billing.PROMISE, (CHAT_BILL, attrs.evolve(CHAT_BILL, offset=2)), ()),
-    (billing.PROMISE, (), (attrs.evolve(CHAT_BILL, offset=9, amount=8),)),
-    (billing.PROMISE, (), (attrs.evolve(CHAT_BILL, account="others"),)),
-    (billing.PROMISE, (), (events.Billed(9, "agents", "z.1", 1),)),
+    (billing.INVARIANT, (CHAT_BILL, attrs.evolve(CHAT_BILL, offset=2)), ()),
+    (billing.INVARIANT, (), (attrs.evolve(CHAT_BILL, offset=9, amount=8),)),
+    (billing.INVARIANT, (), (attrs.evolve(CHAT_BILL, account="others"),)),
+    (billing.INVARIANT, (), (events.Billed(9, "agents", "z.1", 1),)),
     (
-        whole_answers.PROMISE,
+        complete_responses.INVARIANT,
         (CHAT_RESPONSE,),
         (attrs.evolve(CHAT_RESPONSE, whole=False),),
     ),
     (
-        whole_answers.PROMISE,
+        complete_responses.INVARIANT,
         (CONFIRM_RESPONSE,),
         (attrs.evolve(CONFIRM_RESPONSE, mark="m2"),),
     ),
     (
-        whole_answers.PROMISE,
+        complete_responses.INVARIANT,
         (CHAT_RESPONSE,),
         (attrs.evolve(CHAT_RESPONSE, own=False),),
     ),
-    (whole_answers.PROMISE, (), (attrs.evolve(CHAT_RESPONSE, at=4.1),)),
+    (complete_responses.INVARIANT, (), (attrs.evolve(CHAT_RESPONSE, at=4.1),)),
     (
-        grants.PROMISE,
+        grants.INVARIANT,
         (),
         (events.Allowed(3.2, 2, "agents", "khao@1", False),),
     ),
     (
-        grants.PROMISE,
+        grants.INVARIANT,
         (CHAT_RUN,),
         (attrs.evolve(CHAT_RUN, item="khao@3"),),
     ),
@@ -136,11 +136,11 @@
     ),
     (withdrawals.LEAVING, (), (events.ServerLeft(3.0, "engine"),)),
     (
-        sessions.PROMISE,
+        sessions.INVARIANT,
         (events.Withdrawn(4.5, "khao@1"),),
         (),
     ),
-    (stops.PROMISE, (), (events.StopAsked(6.2, "c"),)),
+    (stops.INVARIANT, (), (events.StopAsked(6.2, "c"),)),
     (
         configuration.IN_FORCE,
         (),
@@ -188,10 +188,10 @@
 def test_history_file_round_trip(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "run.jsonl"
     history = events.History(CLEAN_EVENTS)
-    files.write(path, TERMS, history)
-    read = files.read(path)
+    files.write_history(path, TERMS, history)
+    read = files.read_history(path)
     assertions.assert_that(
-        read, matchers.Equals(files.Recorded(TERMS, history))
+        read, matchers.Equals(files.RecordedHistory(TERMS, history))
     )
 
 
@@ -214,7 +214,7 @@
     output: str,
 ) -> None:
     path = tmp_path / "run.jsonl"
-    files.write(path, TERMS, events.History(recorded))
+    files.write_history(path, TERMS, events.History(recorded))
     assertions.assert_that(
         main.main(["check", str(path)]), matchers.Equals(code)
     )
--- a/tests/standins/conftest.py
+++ b/tests/standins/conftest.py
@@ -16,8 +16,8 @@
 from hoistmoor.clients import exchange
 from hoistmoor.clients import sessions
 from hoistmoor.standins import engine
-from hoistmoor.standins import fault_book
-from hoistmoor.standins import fault_points
+from hoistmoor.standins import fault_injection
+from hoistmoor.standins import fault_registry
 from hoistmoor.standins import programs
 from hoistmoor.standins import runner
 from hoistmoor.standins import service
@@ -32,7 +32,7 @@
 
     url: str
     session: aiohttp.ClientSession
-    fault_registry: fault_book.FaultBook
+    fault_registry: fault_registry.FaultRegistry
 
     async def request(
         self, method: str, path: str, body: Any = None, **headers: str
@@ -101,8 +101,10 @@
         session = await stack.enter_async_context(sessions.make_session())
 
         async def run(program: runner.Program) -> RunningStandin:
-            address = await stack.enter_async_context(runner.running(program))
-            registry = program.application[fault_points.FAULTS]
+            address = await stack.enter_async_context(
+                runner.serve_program(program)
+            )
+            registry = program.application[fault_injection.FAULTS]
             return RunningStandin(f"http://{address}", session, registry)
 
         yield run
--- a/tests/standins/test_standins_engine.py
+++ b/tests/standins/test_standins_engine.py
@@ -16,8 +16,8 @@
 from hoistmoor.core.requests import parsing
 from hoistmoor.standins import batch
 from hoistmoor.standins import faults
-from hoistmoor.standins import marks
 from hoistmoor.standins import prompts
+from hoistmoor.standins import quality_marks
 
 StartStandin = Callable[..., Any]
 
@@ -62,7 +62,7 @@
             _, response = await standin.chat(
                 f"question {number}", model=version
             )
-            if marks.read(text_of(response)):
+            if quality_marks.read_quality(text_of(response)):
                 good_prompts.add(number)
     # A better version responds well to every prompt that a worse one does.
     assertions.assert_that(good["fast@1"] < good["dear@1"], matchers.Is(True))
@@ -90,7 +90,7 @@
     qualities = []
     for text in ("skip", "skip", "other", "skip", "other", "skip"):
         _, response = await standin.chat(text)
-        qualities.append(marks.read(text_of(response)))
+        qualities.append(quality_marks.read_quality(text_of(response)))
     assertions.assert_that(
         qualities, matchers.Equals([True, True, True, False, True, False])
     )
@@ -206,7 +206,7 @@
         engine_batch.add(sequence)
     order = []
     while engine_batch.running:
-        order.append(engine_batch.running[0].attempt)
+        order.append(engine_batch.running[0].attempt_id)
         engine_batch._step(float("inf"))
     assertions.assert_that(
         order, matchers.Equals(["normal", "urgent", "normal", "deferrable"])
@@ -224,7 +224,7 @@
 
 def test_block_hashes_match_those_of_the_router() -> None:
     messages = [{"role": "user", "content": "สวัสดี" * 200}]
-    prompt = prompts.measure(messages)
+    prompt = prompts.parse_prompt(messages)
     assertions.assert_that(len(prompt.blocks), matchers.GreaterThan(1))
     assertions.assert_that(
         parsing._prefix_hashes(orjson.dumps(messages)),
--- a/tests/standins/test_standins_log.py
+++ b/tests/standins/test_standins_log.py
@@ -10,11 +10,11 @@
 from testtools import matchers
 
 from hoistmoor.standins import log
-from hoistmoor.standins import rates
+from hoistmoor.standins import token_bucket
 
 
 def offsets(stream: log.Stream, start: int, end: int) -> list[int]:
-    page = orjson.loads(stream.page(start, end))
+    page = orjson.loads(stream.encode_page(start, end))
     return [row["offset"] for row in page["records"]]
 
 
@@ -37,9 +37,9 @@
         -max_records:
     ]
     first = kept[0] if kept else 0
-    assertions.assert_that(stream.first, matchers.Equals(first))
+    assertions.assert_that(stream.first_offset, matchers.Equals(first))
     assertions.assert_that(
-        offsets(stream, first, stream.next), matchers.Equals(kept)
+        offsets(stream, first, stream.next_offset), matchers.Equals(kept)
     )
 
 
@@ -57,15 +57,17 @@
     stream = log.Stream(max_age=100.0, max_records=100)
     for number in range(5):
         stream.append(b"x", float(number))
-    assertions.assert_that(stream.visible(4.0, 0.0), matchers.Equals(5))
-    assertions.assert_that(stream.visible(4.0, 2.0), matchers.Equals(3))
-    assertions.assert_that(stream.visible(4.0, 60.0), matchers.Equals(0))
+    assertions.assert_that(stream.visible_end(4.0, 0.0), matchers.Equals(5))
+    assertions.assert_that(stream.visible_end(4.0, 2.0), matchers.Equals(3))
+    assertions.assert_that(stream.visible_end(4.0, 60.0), matchers.Equals(0))
 
 
 def test_rate_limit() -> None:
-    limiter = rates.RateBound(2.0)
-    admitted = [limiter.take(100.0) for _ in range(3)]
+    limiter = token_bucket.TokenBucket(2.0)
+    admitted = [limiter.try_take(100.0) for _ in range(3)]
     assertions.assert_that(admitted, matchers.Equals([True, True, False]))
-    assertions.assert_that(limiter.take(100.5), matchers.Is(True))
-    assertions.assert_that(limiter.take(100.5), matchers.Is(False))
-    assertions.assert_that(rates.RateBound(0.0).take(0.0), matchers.Is(True))
+    assertions.assert_that(limiter.try_take(100.5), matchers.Is(True))
+    assertions.assert_that(limiter.try_take(100.5), matchers.Is(False))
+    assertions.assert_that(
+        token_bucket.TokenBucket(0.0).try_take(0.0), matchers.Is(True)
+    )
--- a/tests/steward/test_steward_processes.py
+++ b/tests/steward/test_steward_processes.py
@@ -18,7 +18,7 @@
 from hoistmoor.core import streams
 from hoistmoor.core.steward import lease as lease_lib
 from hoistmoor.core.steward import records
-from hoistmoor.standins import marks
+from hoistmoor.standins import quality_marks
 
 NEW = steward_rig.NEW
 OLD = steward_rig.OLD
@@ -139,7 +139,9 @@
     first = await rig.start_steward("a")
     client = ratings.RatingsClient(rig.session, rig.url)
     good = [
-        ratings.ModelResponse(f"r{n}", "m", "2", "k", marks.make(True, f"{n}"))
+        ratings.ModelResponse(
+            f"r{n}", "m", "2", "k", quality_marks.make_mark(True, f"{n}")
+        )
         for n in range(40)
     ]
 
--- a/tests/system/system_deployment.py
+++ b/tests/system/system_deployment.py
@@ -342,7 +342,7 @@
         )
         if found:
             terms = files.Terms(system_table.ONCE_ITEMS, tuple(self.crashed))
-            files.write(self._logs / "history.jsonl", terms, history)
+            files.write_history(self._logs / "history.jsonl", terms, history)
         return found
 
     async def await_bills(self) -> None:
--- a/tests/system/system_transcript.py
+++ b/tests/system/system_transcript.py
@@ -104,8 +104,10 @@
             only: Ids of the requests to add; none for all.
         """
         history = await self.deployment.history()
-        told = set(only) or {word.request_id for word in history.told}
-        billed = {bill.request_id: bill for bill in history.of(events.Billed)}
+        told = set(only) or {word.request_id for word in history.responses}
+        billed = {
+            bill.request_id: bill for bill in history.events_of(events.Billed)
+        }
         runs = [
             run
             for run in sorted(history.runs, key=_place)
--- a/tests/system/test_system_mutations.py
+++ b/tests/system/test_system_mutations.py
@@ -17,11 +17,11 @@
 from hoistmoor.core.table import model
 from hoistmoor.history.checks import at_most_once
 from hoistmoor.history.checks import billing
+from hoistmoor.history.checks import complete_responses
 from hoistmoor.history.checks import grants
 from hoistmoor.history.checks import not_run
 from hoistmoor.history.checks import sessions
 from hoistmoor.history.checks import stops
-from hoistmoor.history.checks import whole_answers
 from hoistmoor.history.checks import withdrawals
 
 if TYPE_CHECKING:
@@ -145,15 +145,15 @@
 @pytest.mark.parametrize(
     ("mutation", "scenario", "promise"),
     [
-        ("claims", _one_key_at_all_hosts, at_most_once.PROMISE),
-        ("resend", _confirm_with_lost_answer, at_most_once.PROMISE),
-        ("not_run", _confirm_with_lost_answer, not_run.PROMISE),
-        ("bills", _chats, billing.PROMISE),
-        ("frames", _crossed, whole_answers.PROMISE),
-        ("grants", _chat_without_grant, grants.PROMISE),
+        ("claims", _one_key_at_all_hosts, at_most_once.INVARIANT),
+        ("resend", _confirm_with_lost_answer, at_most_once.INVARIANT),
+        ("not_run", _confirm_with_lost_answer, not_run.INVARIANT),
+        ("bills", _chats, billing.INVARIANT),
+        ("frames", _crossed, complete_responses.INVARIANT),
+        ("grants", _chat_without_grant, grants.INVARIANT),
         ("withdrawals", _chat_after_withdrawal, withdrawals.WITHDRAWN),
-        ("sessions", _sessions_across_an_edit, sessions.PROMISE),
-        ("drain", _stop_with_request_in_flight, stops.PROMISE),
+        ("sessions", _sessions_across_an_edit, sessions.INVARIANT),
+        ("drain", _stop_with_request_in_flight, stops.INVARIANT),
     ],
 )
 async def test_the_check_finds_what_is_broken(
