--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -16,11 +16,11 @@
 
 from hoistmoor.load.experiment import deployment as deployment_lib
 from hoistmoor.load.experiment import hoistmoor_policy
-from hoistmoor.load.experiment import measures as measures_lib
+from hoistmoor.load.experiment import large_deployment
+from hoistmoor.load.experiment import metrics as measures_lib
 from hoistmoor.load.experiment import polling
 from hoistmoor.load.experiment import runs
 from hoistmoor.load.experiment import scenarios
-from hoistmoor.load.experiment import wide
 
 _TABLES = pathlib.Path(__file__).parents[1] / "examples"
 SIZES = ("wide", "wide-probed", "today", "today-busy", "today-probed")
@@ -64,10 +64,10 @@
     deployment = deployment_lib.load(_TABLES / "taemsuk")
     scenario = scenarios.Scenario(size, TODAY_S)
     if size.startswith("wide"):
-        deployment = wide.of(deployment)
+        deployment = large_deployment.at_design_scale(deployment)
         scenario = scenarios.Scenario(size, WIDE_S)
     elif size == "today-busy":
-        plain = BUSY_SHARE * scenarios.half_load(deployment) / BUSY_LOAD
+        plain = BUSY_SHARE * scenarios.half_load_factor(deployment) / BUSY_LOAD
         scenario = attrs.evolve(
             scenario, load=BUSY_LOAD, plain_load=plain, length=TODAY_S / 2
         )
@@ -84,29 +84,29 @@
     shaped = attrs.evolve(
         deployment, plain_rate=deployment.plain_rate * scenario.plain_load
     )
-    arrivals = deployment_lib.arrivals(
-        shaped, scenario.length, scenario.load, seed, diurnal=False
+    arrivals = deployment_lib.generate_arrivals(
+        shaped, scenario.duration, scenario.load, seed, diurnal=False
     )
     measures = simulation.run(arrivals)
     return _row(measures, simulation, len(arrivals))
 
 
 def _row(
-    measures: measures_lib.Measures,
+    measures: measures_lib.Metrics,
     simulation: polling.PolledSimulation,
     requests: int,
 ) -> Row:
-    unserved = measures.given_up + measures.plain_given_up
+    unserved = measures.unserved_requests + measures.unserved_plain_calls
     return Row(
-        1000 * float(np.percentile(measures.plain_s, 50)),
-        1000 * float(np.percentile(measures.plain_s, 99)),
-        float(np.percentile(measures.first_token_s, 50)),
-        float(np.percentile(measures.first_token_s, 95)),
-        float(np.percentile(simulation.waits, 95)),
+        1000 * float(np.percentile(measures.plain_seconds, 50)),
+        1000 * float(np.percentile(measures.plain_seconds, 99)),
+        float(np.percentile(measures.first_token_seconds, 50)),
+        float(np.percentile(measures.first_token_seconds, 95)),
+        float(np.percentile(simulation.first_token_waits, 95)),
         simulation.declines / requests,
         measures.refusals / requests,
         unserved / requests,
-        statistics.median(simulation.ages),
+        statistics.median(simulation.report_ages),
     )
 
 
--- a/src/hoistmoor/load/arrivals.py
+++ b/src/hoistmoor/load/arrivals.py
@@ -22,7 +22,7 @@
 
 
 @attrs.frozen
-class Plan:
+class LoadPlan:
     """The parameters of one load run.
 
     Attributes:
@@ -43,7 +43,7 @@
     max_in_flight: int = 256
 
 
-def offsets(plan: Plan) -> Iterator[float]:
+def arrival_offsets(plan: LoadPlan) -> Iterator[float]:
     """Yields when requests are due, in seconds from the start of the run."""
     rng = random.Random(plan.seed)
     offset = 0.0
@@ -53,9 +53,9 @@
 
 
 async def run(
-    plan: Plan,
-    caller: caller_lib.Caller,
-    on_result: Callable[[calls.Seen], None],
+    plan: LoadPlan,
+    caller: caller_lib.HttpCaller,
+    on_result: Callable[[calls.RequestResult], None],
 ) -> None:
     """Sends the requests of a plan.
 
@@ -74,7 +74,7 @@
             on_result(await caller.send(serial, entry, call, due))
 
     async with asyncio.TaskGroup() as group:
-        for serial, offset in enumerate(offsets(plan)):
+        for serial, offset in enumerate(arrival_offsets(plan)):
             await asyncio.sleep(max(0.0, start + offset - time.time()))
             call = mix_rng.choice(plan.mix)
             group.create_task(send(serial, call, start + offset))
--- a/src/hoistmoor/load/mix.py
+++ b/src/hoistmoor/load/call_catalog.py
@@ -14,7 +14,7 @@
 _SERVICES_PATH = "/v1/services"
 
 
-def chat(
+def chat_call(
     kind: str,
     model: str,
     text: str,
@@ -34,7 +34,7 @@
     return calls.Call(kind, "POST", _CHAT_PATH, body, bearer, session=session)
 
 
-def service(
+def service_call(
     kind: str,
     call: str,
     bearer: str,
@@ -59,25 +59,25 @@
 
 def _confirm(kind: str, key_use: calls.KeyUse) -> Callable[[str], calls.Call]:
     body: dict[str, object] = {"id": "0812345678", "amount": 50}
-    return lambda bearer: service(
+    return lambda bearer: service_call(
         kind, "counter-api POST /confirm", bearer, body, key_use
     )
 
 
 _BY_NAME: dict[str, Callable[[str], calls.Call]] = {
-    "chat": lambda bearer: chat(
+    "chat": lambda bearer: chat_call(
         "chat", "auto", "How much is left of bundle {serial}?", bearer
     ),
-    "stream": lambda bearer: chat(
+    "stream": lambda bearer: chat_call(
         "stream", "auto", "Tag receipt {serial}.", bearer, stream=True
     ),
     "confirm": _confirm("confirm", calls.KeyUse.NONE),
     "confirm-key": _confirm("confirm-key", calls.KeyUse.OWN),
     "confirm-ticket": _confirm("confirm-ticket", calls.KeyUse.TICKET),
-    "balance": lambda bearer: service(
+    "balance": lambda bearer: service_call(
         "balance", "counter-api GET /balance/0812345678", bearer
     ),
-    "booking": lambda bearer: service(
+    "booking": lambda bearer: service_call(
         "booking",
         "dispatch-desk POST /bookings",
         bearer,
@@ -87,7 +87,7 @@
 }
 
 
-def named(names: list[str], bearer: str) -> list[calls.Call]:
+def calls_by_name(names: list[str], bearer: str) -> list[calls.Call]:
     """Returns the calls with these names.
 
     Raises:
--- a/src/hoistmoor/load/caller.py
+++ b/src/hoistmoor/load/caller.py
@@ -55,7 +55,7 @@
         return "event-stream" in self.headers.get("Content-Type", "")
 
 
-class Caller:
+class HttpCaller:
     """An HTTP caller of one or more entries.
 
     Args:
@@ -67,7 +67,7 @@
 
     async def send(
         self, serial: int, entry: str, call: calls.Call, due: float
-    ) -> calls.Seen:
+    ) -> calls.RequestResult:
         """Sends ``call`` to ``entry`` and waits for the end of the response.
 
         Args:
@@ -81,7 +81,7 @@
         Returns:
             The result; connection failures are results too.
         """
-        key = await self.key_for(serial, entry, call)
+        key = await self.make_key(serial, entry, call)
         return await self.send_with_key(serial, entry, call, key, due)
 
     async def send_with_key(
@@ -91,18 +91,20 @@
         call: calls.Call,
         key: str,
         due: float | None = None,
-    ) -> calls.Seen:
+    ) -> calls.RequestResult:
         """Sends ``call`` with an idempotency key, which may be a used one."""
         sent = time.time()
         exchange = _Exchange()
         with _record_connection_errors(exchange):
-            await self._exchange(exchange, entry, call.numbered(serial), key)
+            await self._exchange(exchange, entry, call.with_serial(serial), key)
         return _make_result(
-            calls.Seen(serial, call.kind, entry, key, due or sent, sent),
+            calls.RequestResult(
+                serial, call.kind, entry, key, due or sent, sent
+            ),
             exchange,
         )
 
-    async def key_for(self, serial: int, entry: str, call: calls.Call) -> str:
+    async def make_key(self, serial: int, entry: str, call: calls.Call) -> str:
         """Returns a new key or ticket for ``call``, or an empty string."""
         if call.key_use is calls.KeyUse.NONE:
             return ""
@@ -161,7 +163,9 @@
     return headers
 
 
-def _make_result(result: calls.Seen, exchange: _Exchange) -> calls.Seen:
+def _make_result(
+    result: calls.RequestResult, exchange: _Exchange
+) -> calls.RequestResult:
     error = _read_error(exchange)
     ended = time.time()
     return attrs.evolve(
--- a/src/hoistmoor/load/calls.py
+++ b/src/hoistmoor/load/calls.py
@@ -9,7 +9,9 @@
 
 from hoistmoor.core import outcomes
 
-SERIAL = "{serial}"  # Placeholder in a prompt for the number of the request.
+SERIAL_PLACEHOLDER = (
+    "{serial}"  # Placeholder in a prompt for the number of the request.
+)
 
 
 class KeyUse(enum.StrEnum):
@@ -45,7 +47,7 @@
     deadline: float = 0.0
     session: str = ""
 
-    def numbered(self, serial: int) -> Call:
+    def with_serial(self, serial: int) -> Call:
         """Returns the call with ``{serial}`` replaced by its number.
 
         Numbering makes the prompts differ. Responses to one repeated prompt
@@ -54,14 +56,19 @@
         if not self.body or "messages" not in self.body:
             return self
         messages = [
-            {**row, "content": row["content"].replace(SERIAL, str(serial))}
+            {
+                **row,
+                "content": row["content"].replace(
+                    SERIAL_PLACEHOLDER, str(serial)
+                ),
+            }
             for row in self.body["messages"]
         ]
         return attrs.evolve(self, body={**self.body, "messages": messages})
 
 
 @attrs.frozen
-class Seen:
+class RequestResult:
     """The result of one request as the caller saw it; a line of the history.
 
     Attributes:
--- a/src/hoistmoor/load/commands/compare.py
+++ b/src/hoistmoor/load/commands/compare.py
@@ -10,10 +10,10 @@
 import uvloop
 
 from hoistmoor.clients import sessions
+from hoistmoor.load import call_catalog
 from hoistmoor.load import caller as caller_lib
 from hoistmoor.load import calls
 from hoistmoor.load import compare
-from hoistmoor.load import mix
 from hoistmoor.load.commands import flags
 
 # Leading segments: "", "v1", "services" and the name of the service.
@@ -53,21 +53,21 @@
         """Runs the comparison; returns 1 if a call failed, else 0."""
         flags.check_loopback("--entry", self.entry)
         flags.check_loopback("--direct", self.direct)
-        return uvloop.run(self.run_pairs())
+        return uvloop.run(self.compare_kinds())
 
-    async def run_pairs(self) -> int:
+    async def compare_kinds(self) -> int:
         """Compares the kinds in sequence and prints the results."""
         failed = 0
         async with sessions.make_session() as session:
-            caller = caller_lib.Caller(session)
-            for call in mix.named(self.kind, self.key):
-                pair = self.pair(call)
+            caller = caller_lib.HttpCaller(session)
+            for call in call_catalog.calls_by_name(self.kind, self.key):
+                pair = self.make_pair(call)
                 result = await compare.compare(pair, caller, self.count)
                 sys.stdout.write("\n".join(result.lines()) + "\n")
-                failed += result.failed
+                failed += result.failed_pairs
         return 1 if failed else 0
 
-    def pair(self, call: calls.Call) -> compare.Pair:
+    def make_pair(self, call: calls.Call) -> compare.CallPair:
         """Returns ``call`` and its direct counterpart."""
         through = call
         if self.model and call.body and "model" in call.body:
@@ -79,7 +79,7 @@
             bearer="",
             key_use=calls.KeyUse.NONE,
         )
-        return compare.Pair(self.direct, direct, self.entry, through)
+        return compare.CallPair(self.direct, direct, self.entry, through)
 
 
 def _direct_path(path: str) -> str:
--- a/src/hoistmoor/load/commands/demo.py
+++ b/src/hoistmoor/load/commands/demo.py
@@ -57,9 +57,9 @@
 async def _wait_for_all() -> None:
     urls = []
     for deployment in deployments.ALL:
-        urls += [f"{deployment.platform}/hosts"]
-        urls += [f"{server}/load" for server in deployment.once_servers]
-        urls += [f"{entry}/healthz" for entry in deployment.entries]
+        urls += [f"{deployment.platform_url}/hosts"]
+        urls += [f"{server}/load" for server in deployment.at_most_once_servers]
+        urls += [f"{entry}/healthz" for entry in deployment.entry_urls]
     async with sessions.make_session() as session:
         await demo.wait_until_up(session, urls)
 
@@ -67,14 +67,14 @@
 def _publish(deployment: deployments.Deployment) -> int:
     return _run_hoistmoor(
         deployment,
-        *("table", "publish", str(deployment.sheets)),
+        *("table", "publish", str(deployment.sheet_directory)),
         *("--author", "demo", "--overwrite"),
     )
 
 
 def _run_hoistmoor(deployment: deployments.Deployment, *arguments: str) -> int:
     """Runs a ``hoistmoor`` command and returns its exit code."""
-    arguments = (*arguments, "--log-url", deployment.platform)
+    arguments = (*arguments, "--log-url", deployment.platform_url)
     _print_line(f"\n$ hoistmoor {' '.join(arguments)}")
     return application.main(list(arguments))
 
@@ -82,18 +82,21 @@
 async def _run_scenarios() -> int:
     """Runs all scenarios and returns the number of failed checks."""
     async with sessions.make_session() as session:
-        caller = caller_lib.Caller(session)
+        caller = caller_lib.HttpCaller(session)
         failed = 0
         served: dict[str, set[str]] = {}
         for deployment in deployments.ALL:
-            urls = [f"{entry}/readyz" for entry in deployment.entries]
+            urls = [f"{entry}/readyz" for entry in deployment.entry_urls]
             await demo.wait_until_up(session, urls)
-            results = await demo.walk(deployment, caller)
+            results = await demo.run_steps(deployment, caller)
             failed += _print_steps(deployment, results)
             failed += await _check_effects(deployment, session)
-            served[deployment.name] = demo.served_ids(results)
+            served[deployment.name] = demo.served_request_ids(results)
         reports = await asyncio.gather(
-            *(demo.load(deployment, caller) for deployment in deployments.ALL)
+            *(
+                demo.send_mixed_load(deployment, caller)
+                for deployment in deployments.ALL
+            )
         )
         for deployment, report in zip(deployments.ALL, reports, strict=True):
             failed += _print_load(deployment, report)
@@ -126,8 +129,8 @@
 async def _check_effects(
     deployment: deployments.Deployment, session: aiohttp.ClientSession
 ) -> int:
-    ran = await demo.count_effects(session, deployment)
-    expected = demo.expected_effects(deployment)
+    ran = await demo.count_side_effects(session, deployment)
+    expected = demo.expected_side_effects(deployment)
     return _check("calls with an effect that ran", ran, expected)
 
 
@@ -150,13 +153,13 @@
 
 def _print_step(result: demo.StepResult) -> None:
     _print_line(f"{_STATUS_LABELS[result.as_expected]} {result.step.title}")
-    for request in result.seen:
+    for request in result.results:
         _print_line(f"       {_describe(request)}")
-    if result.explained:
-        _print_line(f"       another entry explains: {result.explained}")
+    if result.explanation:
+        _print_line(f"       another entry explains: {result.explanation}")
 
 
-def _describe(result: calls.Seen) -> str:
+def _describe(result: calls.RequestResult) -> str:
     if result.served:
         what = f"-> {result.version or 'served'} in {result.latency_ms:.1f} ms"
         why = result.why
--- a/src/hoistmoor/load/commands/run.py
+++ b/src/hoistmoor/load/commands/run.py
@@ -14,11 +14,11 @@
 from hoistmoor.clients import sessions
 from hoistmoor.core import errors
 from hoistmoor.load import arrivals
+from hoistmoor.load import call_catalog
 from hoistmoor.load import caller as caller_lib
 from hoistmoor.load import calls
 from hoistmoor.load import history
-from hoistmoor.load import mix
-from hoistmoor.load import processor
+from hoistmoor.load import process_usage
 from hoistmoor.load import report as report_lib
 from hoistmoor.load.commands import flags
 
@@ -81,10 +81,13 @@
 
     def __call__(self) -> int:
         """Sends the load and prints the report."""
-        self.check()
-        plan = arrivals.Plan(
+        self.check_bounds()
+        plan = arrivals.LoadPlan(
             self.entry,
-            [self.fitted(call) for call in mix.named(self.kind, self.key)],
+            [
+                self.with_overrides(call)
+                for call in call_catalog.calls_by_name(self.kind, self.key)
+            ],
             self.rate,
             self.count,
             self.seed,
@@ -92,7 +95,7 @@
         uvloop.run(_run(plan, self.history_file, self.pid))
         return 0
 
-    def fitted(self, call: calls.Call) -> calls.Call:
+    def with_overrides(self, call: calls.Call) -> calls.Call:
         """Returns ``call`` with the model and length of the flags applied."""
         if not call.body or "model" not in call.body:
             return call
@@ -103,7 +106,7 @@
             body["max_tokens"] = self.max_tokens
         return attrs.evolve(call, body=body)
 
-    def check(self) -> None:
+    def check_bounds(self) -> None:
         """Raises ``ConfigurationError`` if a flag is out of bounds."""
         if not 0 < self.rate <= arrivals.MAX_RATE:
             raise errors.ConfigurationError(
@@ -120,21 +123,21 @@
 
 
 async def _run(
-    plan: arrivals.Plan, path: pathlib.Path | None, pids: tuple[int, ...]
+    plan: arrivals.LoadPlan, path: pathlib.Path | None, pids: tuple[int, ...]
 ) -> None:
     report = report_lib.Report()
     writer = history.HistoryFile(path) if path else None
 
-    def on_result(result: calls.Seen) -> None:
+    def on_result(result: calls.RequestResult) -> None:
         report.add(result)
         if writer:
             writer.add(result)
 
-    before = [processor.read(pid) for pid in pids]
+    before = [process_usage.read_usage(pid) for pid in pids]
     started = time.monotonic()
     try:
         async with sessions.make_session() as session:
-            await arrivals.run(plan, caller_lib.Caller(session), on_result)
+            await arrivals.run(plan, caller_lib.HttpCaller(session), on_result)
     finally:
         if writer:
             writer.close()
@@ -152,14 +155,14 @@
 
 
 def _describe_usage(
-    pid: int, before: processor.Usage, requests: int, frames: int
+    pid: int, before: process_usage.Usage, requests: int, frames: int
 ) -> str:
-    after = processor.read(pid)
-    ms = (after.seconds - before.seconds) * _MS_PER_SECOND
+    after = process_usage.read_usage(pid)
+    ms = (after.cpu_seconds - before.cpu_seconds) * _MS_PER_SECOND
     per_unit = f"{ms / requests:.2f} ms a request"
     if frames:
         per_unit += f", {ms / frames:.4f} ms a frame"
     return (
         f"process {pid}: {ms:.0f} ms processor time, {per_unit}, "
-        f"{after.resident / _MIB:.1f} MiB resident"
+        f"{after.resident_bytes / _MIB:.1f} MiB resident"
     )
--- a/src/hoistmoor/load/compare.py
+++ b/src/hoistmoor/load/compare.py
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen
-class Pair:
+class CallPair:
     """A call to a backend server and its counterpart through an entry.
 
     Attributes:
@@ -50,17 +50,17 @@
     kind: str
     direct: histogram.Histogram = attrs.field(factory=histogram.Histogram)
     through: histogram.Histogram = attrs.field(factory=histogram.Histogram)
-    failed: int = 0
+    failed_pairs: int = 0
 
     def lines(self) -> list[str]:
         """Returns the comparison as text."""
-        head = f"{self.kind}: {self.through.count} pairs, {self.failed} failed"
+        head = f"{self.kind}: {self.through.count} pairs, {self.failed_pairs} failed"
         return [head, *map(self._line, _PERCENTILES)]
 
     def _line(self, percentile: float) -> str:
         direct, through = (
-            self.direct.at(percentile),
-            self.through.at(percentile),
+            self.direct.value_at(percentile),
+            self.through.value_at(percentile),
         )
         return (
             f"  p{percentile:<4g} direct {direct:8.3f} ms"
@@ -71,7 +71,7 @@
 
 
 async def compare(
-    pair: Pair, caller: caller_lib.Caller, count: int, warm_up: int = 20
+    pair: CallPair, caller: caller_lib.HttpCaller, count: int, warm_up: int = 20
 ) -> Comparison:
     """Sends alternating pairs of calls and returns their latencies.
 
@@ -88,7 +88,7 @@
         )
         # Callers request a ticket ahead of the call, so the time for it is
         # not measured.
-        key = await caller.key_for(serial, pair.entry_url, pair.through)
+        key = await caller.make_key(serial, pair.entry_url, pair.through)
         through = await caller.send_with_key(
             serial, pair.entry_url, pair.through, key
         )
@@ -98,10 +98,12 @@
 
 
 def _record_pair(
-    comparison: Comparison, direct: calls.Seen, through: calls.Seen
+    comparison: Comparison,
+    direct: calls.RequestResult,
+    through: calls.RequestResult,
 ) -> None:
     if not (direct.served and through.served):
-        comparison.failed += 1
+        comparison.failed_pairs += 1
         return
     comparison.direct.add(direct.latency_ms)
     comparison.through.add(through.latency_ms)
--- a/src/hoistmoor/load/demo.py
+++ b/src/hoistmoor/load/demo.py
@@ -46,15 +46,15 @@
     """
 
     step: scenario.Step
-    seen: tuple[calls.Seen, ...]
-    explained: str = ""
+    results: tuple[calls.RequestResult, ...]
+    explanation: str = ""
 
     @property
     def as_expected(self) -> bool:
         """Whether all results were the expected ones."""
         if self.step.reason:
-            return all(row.reason == self.step.reason for row in self.seen)
-        return all(row.served for row in self.seen)
+            return all(row.reason == self.step.reason for row in self.results)
+        return all(row.served for row in self.results)
 
 
 async def wait_until_up(
@@ -84,9 +84,9 @@
         return False
 
 
-async def walk(
+async def run_steps(
     deployment: deployments.Deployment,
-    caller: caller_lib.Caller,
+    caller: caller_lib.HttpCaller,
 ) -> list[StepResult]:
     """Runs the steps of a deployment's scenario in sequence."""
     results = []
@@ -97,12 +97,12 @@
 
 async def _run_step(
     deployment: deployments.Deployment,
-    caller: caller_lib.Caller,
+    caller: caller_lib.HttpCaller,
     step: scenario.Step,
 ) -> StepResult:
-    entries = deployment.entries
+    entries = deployment.entry_urls
     first = entries[step.entry % len(entries)]
-    key = await caller.key_for(0, first, step.call)
+    key = await caller.make_key(0, first, step.call)
     results = []
     for repeat in range(step.repeats):
         entry = entries[(step.entry + repeat) % len(entries)]
@@ -131,7 +131,7 @@
     return f"{where}: {choice.get('reason', '')}"
 
 
-def served_ids(results: list[StepResult]) -> set[str]:
+def served_request_ids(results: list[StepResult]) -> set[str]:
     """Returns the ids of served requests.
 
     A replayed response has the id of the request that it was stored for.
@@ -139,20 +139,22 @@
     return {
         request.request_id
         for result in results
-        for request in result.seen
+        for request in result.results
         if request.served
     }
 
 
-async def load(
-    deployment: deployments.Deployment, caller: caller_lib.Caller
+async def send_mixed_load(
+    deployment: deployments.Deployment, caller: caller_lib.HttpCaller
 ) -> report_lib.Report:
     """Sends a random mix of the scenario's calls for a few seconds."""
     report = report_lib.Report()
     mix = [
         step.call for step in scenario.STEPS[deployment.name] if not step.reason
     ]
-    plan = arrivals.Plan(deployment.entries, mix, _LOAD_RATE, _LOAD_COUNT)
+    plan = arrivals.LoadPlan(
+        deployment.entry_urls, mix, _LOAD_RATE, _LOAD_COUNT
+    )
     await arrivals.run(plan, caller, report.add)
     return report
 
@@ -178,7 +180,7 @@
 async def _count_billed(
     session: aiohttp.ClientSession, deployment: deployments.Deployment
 ) -> int:
-    client = log.LogClient(session, deployment.platform)
+    client = log.LogClient(session, deployment.platform_url)
     statement = await bill.read_statement(client)
     return sum(
         line.count
@@ -187,12 +189,12 @@
     )
 
 
-async def count_effects(
+async def count_side_effects(
     session: aiohttp.ClientSession, deployment: deployments.Deployment
 ) -> int:
     """Returns the number of calls with side effects that plain services ran."""
     count = 0
-    for server in deployment.once_servers:
+    for server in deployment.at_most_once_servers:
         async with session.get(f"{server}/_executions") as response:
             body = await response.json()
         count += sum(
@@ -201,7 +203,7 @@
     return count
 
 
-def expected_effects(deployment: deployments.Deployment) -> int:
+def expected_side_effects(deployment: deployments.Deployment) -> int:
     """Returns the number of the scenario's calls that have side effects."""
     return sum(
         step.call.path.startswith("/v1/services/")
--- a/src/hoistmoor/load/deployments.py
+++ b/src/hoistmoor/load/deployments.py
@@ -24,10 +24,10 @@
     """
 
     name: str
-    sheets: pathlib.Path
-    platform: str
-    entries: tuple[str, ...]
-    once_servers: tuple[str, ...]
+    sheet_directory: pathlib.Path
+    platform_url: str
+    entry_urls: tuple[str, ...]
+    at_most_once_servers: tuple[str, ...]
 
 
 def _urls(first: int, count: int) -> tuple[str, ...]:
@@ -38,16 +38,16 @@
 
 TAEMSUK = Deployment(
     name="Taemsuk",
-    sheets=pathlib.Path("examples/taemsuk"),
-    platform="http://127.0.0.1:21000",
-    entries=_urls(21101, 2),
-    once_servers=_urls(21010, 4),
+    sheet_directory=pathlib.Path("examples/taemsuk"),
+    platform_url="http://127.0.0.1:21000",
+    entry_urls=_urls(21101, 2),
+    at_most_once_servers=_urls(21010, 4),
 )
 HAFNARFJORDUR = Deployment(
     name="Hafnarfjörður",
-    sheets=pathlib.Path("examples/hafnarfjordur"),
-    platform="http://127.0.0.1:22000",
-    entries=_urls(22101, 2),
-    once_servers=_urls(22007, 4),
+    sheet_directory=pathlib.Path("examples/hafnarfjordur"),
+    platform_url="http://127.0.0.1:22000",
+    entry_urls=_urls(22101, 2),
+    at_most_once_servers=_urls(22007, 4),
 )
 ALL = (TAEMSUK, HAFNARFJORDUR)
--- a/src/hoistmoor/load/experiment/clock.py
+++ b/src/hoistmoor/load/experiment/clock.py
@@ -11,7 +11,7 @@
 
 
 @attrs.define(eq=False)
-class Clock:
+class VirtualClock:
     """Runs scheduled callbacks in the order of their times.
 
     Attributes:
@@ -27,20 +27,20 @@
     )
     serial: itertools.count[int] = attrs.field(factory=itertools.count)
 
-    def at(
+    def schedule_at(
         self, when: float, callback: Callable[..., None], *args: Any
     ) -> None:
         """Schedules ``callback(*args)`` at ``when``, or now if that is past."""
         entry = (max(when, self.now), next(self.serial), callback, args)
         heapq.heappush(self.queue, entry)
 
-    def after(
+    def schedule_after(
         self, delay: float, callback: Callable[..., None], *args: Any
     ) -> None:
         """Schedules ``callback(*args)`` in ``delay`` seconds."""
-        self.at(self.now + delay, callback, *args)
+        self.schedule_at(self.now + delay, callback, *args)
 
-    def run(self, until: float) -> None:
+    def run_until(self, until: float) -> None:
         """Runs all callbacks scheduled up to ``until``."""
         while self.queue and self.queue[0][0] <= until:
             self.now, _, callback, args = heapq.heappop(self.queue)
--- a/src/hoistmoor/load/experiment/command.py
+++ b/src/hoistmoor/load/experiment/command.py
@@ -67,7 +67,7 @@
         policies = _select("--policy", self.policy, runs.POLICIES)
         results = []
         for name in names:
-            scenario = scenarios.make(name, deployment, self.scale)
+            scenario = scenarios.make_scenario(name, deployment, self.scale)
             for seed in range(1, self.seeds + 1):
                 for policy in policies:
                     results.append(runs.run(deployment, scenario, policy, seed))
--- a/src/hoistmoor/load/experiment/deployment.py
+++ b/src/hoistmoor/load/experiment/deployment.py
@@ -20,7 +20,7 @@
 
 # Concurrent calls of a plain server; small, so that it can be overloaded.
 PLAIN_CAPACITY = 16
-PLAIN_WORK_S = 0.16  # Median duration of a plain call.
+PLAIN_WORK_SECONDS = 0.16  # Median duration of a plain call.
 _SECONDS_PER_TOKEN = 0.018  # Unbatched, at 3,600 micros per 1,000 tokens.
 _PRICE_EXPONENT = 0.45  # More expensive versions are larger and slower.
 _SESSION_FRACTION = 0.25
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen
-class KindOfRequest:
+class RequestKind:
     """The distribution of requests of one kind.
 
     Attributes:
@@ -42,11 +42,11 @@
         urgent: Whether a person waits for the response.
     """
 
-    share: float
-    shift: float
-    prompt: int
-    output: int
-    urgent: bool
+    fraction: float
+    log_odds_shift: float
+    median_prompt: int
+    median_output: int
+    is_urgent: bool
 
 
 @attrs.frozen
@@ -64,7 +64,7 @@
 
     name: str
     table: model.Table
-    kinds: dict[str, KindOfRequest]
+    kinds: dict[str, RequestKind]
     hosts: int
     model_rate: float
     plain_rate: float
@@ -84,20 +84,20 @@
         return next(row.service for row in rows if row.kind is kind)
 
 
-KINDS = {
+REQUEST_KINDS = {
     "taemsuk": {
-        "ledger": KindOfRequest(0.3, -0.4, 900, 220, urgent=False),
-        "question": KindOfRequest(0.5, 0.1, 250, 140, urgent=True),
-        "receipt": KindOfRequest(0.2, 0.4, 400, 40, urgent=False),
+        "ledger": RequestKind(0.3, -0.4, 900, 220, is_urgent=False),
+        "question": RequestKind(0.5, 0.1, 250, 140, is_urgent=True),
+        "receipt": RequestKind(0.2, 0.4, 400, 40, is_urgent=False),
     },
     "hafnarfjordur": {
-        "schedule": KindOfRequest(0.25, -0.4, 1100, 260, urgent=False),
-        "enquiry": KindOfRequest(0.55, 0.1, 250, 140, urgent=True),
-        "summary": KindOfRequest(0.2, 0.3, 800, 120, urgent=False),
+        "schedule": RequestKind(0.25, -0.4, 1100, 260, is_urgent=False),
+        "enquiry": RequestKind(0.55, 0.1, 250, 140, is_urgent=True),
+        "summary": RequestKind(0.2, 0.3, 800, 120, is_urgent=False),
     },
 }
 # Model rate, plain rate and number of entry hosts.
-RATES = {"taemsuk": (2.4, 3.0, 8), "hafnarfjordur": (1.2, 2.0, 8)}
+TRAFFIC_RATES = {"taemsuk": (2.4, 3.0, 8), "hafnarfjordur": (1.2, 2.0, 8)}
 
 
 def load(directory: pathlib.Path) -> Deployment:
@@ -108,10 +108,10 @@
             model for the deployment.
     """
     name = directory.name
-    if name not in KINDS:
+    if name not in REQUEST_KINDS:
         raise errors.ConfigurationError(
             f"no traffic model for {name}",
-            f"Choose a directory named one of: {', '.join(sorted(KINDS))}.",
+            f"Choose a directory named one of: {', '.join(sorted(REQUEST_KINDS))}.",
         )
     files = {
         path.name: path.read_text(encoding="utf-8")
@@ -123,12 +123,12 @@
             f"{directory} has {len(result.faults)} faults",
             "Run hoistmoor table check on it.",
         )
-    return of_table(name, result.table)
+    return from_table(name, result.table)
 
 
-def of_table(name: str, table: model.Table) -> Deployment:
+def from_table(name: str, table: model.Table) -> Deployment:
     """Returns the deployment ``name`` with its plain capacity reduced."""
-    model_rate, plain_rate, hosts = RATES[name]
+    model_rate, plain_rate, hosts = TRAFFIC_RATES[name]
     plain = {
         row.service
         for row in table.services.values()
@@ -143,7 +143,7 @@
     return Deployment(
         name,
         attrs.evolve(table, servers=servers),
-        KINDS[name],
+        REQUEST_KINDS[name],
         hosts,
         model_rate,
         plain_rate,
@@ -151,13 +151,13 @@
 
 
 def make_engines(
-    deployment: Deployment, clock: clock_lib.Clock
-) -> dict[str, engine_lib.Engine]:
+    deployment: Deployment, clock: clock_lib.VirtualClock
+) -> dict[str, engine_lib.SimulatedEngine]:
     """Returns a simulated engine for each backend server, versions loaded."""
     table = deployment.table
     loaded = _place_replicas(deployment)
     return {
-        name: engine_lib.Engine(
+        name: engine_lib.SimulatedEngine(
             name,
             clock,
             row.concurrency,
@@ -184,7 +184,7 @@
     return loaded
 
 
-def work(row: model.Version, tokens: int) -> float:
+def generation_seconds(row: model.Version, tokens: int) -> float:
     """Returns the seconds to generate ``tokens`` without batching."""
     relative_price = max(1, row.output_price) / 3600.0
     return (
@@ -217,15 +217,15 @@
     account: str
     kind: str
     difficulty: float
-    prompt: int
-    output: int
+    prompt_tokens: int
+    output_tokens: int
     session: str
     prefix: tuple[int, ...]
     deadline: float
-    work: float = 0.0
+    work_seconds: float = 0.0
 
 
-def arrivals(
+def generate_arrivals(
     deployment: Deployment,
     length: float,
     load: float,
@@ -283,7 +283,7 @@
         "",
         (),
         now + _PLAIN_DEADLINE_SECONDS,
-        work=PLAIN_WORK_S * math.exp(rng.gauss(0.0, 0.3)),
+        work_seconds=PLAIN_WORK_SECONDS * math.exp(rng.gauss(0.0, 0.3)),
     )
 
 
@@ -293,11 +293,11 @@
     accounts = list(deployment.table.accounts.values())
     account = rng.choices(accounts, [a.rate_limit for a in accounts])[0]
     kinds = list(deployment.kinds)
-    fractions = [deployment.kinds[kind].share for kind in kinds]
+    fractions = [deployment.kinds[kind].fraction for kind in kinds]
     kind = rng.choices(kinds, fractions)[0]
     shape = deployment.kinds[kind]
     session = _draw_session(account.account, kind, now, rng)
-    prompt = int(shape.prompt * math.exp(rng.gauss(0.0, 0.4))) + 16
+    prompt = int(shape.median_prompt * math.exp(rng.gauss(0.0, 0.4))) + 16
     return Arrival(
         number,
         now,
@@ -306,7 +306,7 @@
         kind,
         rng.gauss(0.0, 1.0),
         prompt,
-        max(5, int(shape.output * math.exp(rng.gauss(0.0, 0.5)))),
+        max(5, int(shape.median_output * math.exp(rng.gauss(0.0, 0.5)))),
         session,
         _block_hashes(account.account, kind, session, prompt),
         now + _MODEL_DEADLINE_SECONDS,
@@ -333,13 +333,15 @@
     """
     blocks = prompt // engine_lib.BLOCK_TOKENS
     shared_blocks = blocks - blocks // 2
-    shared = [hash_of(f"{account}/{kind}/{i}") for i in range(shared_blocks)]
+    shared = [
+        stable_hash(f"{account}/{kind}/{i}") for i in range(shared_blocks)
+    ]
     if not session:
         return tuple(shared)
-    rest = [hash_of(f"{session}/{i}") for i in range(blocks // 2)]
+    rest = [stable_hash(f"{session}/{i}") for i in range(blocks // 2)]
     return (*shared, *rest)
 
 
-def hash_of(text: str) -> int:
+def stable_hash(text: str) -> int:
     """Returns a hash that is the same in all runs and processes."""
     return random.Random(text).getrandbits(62)
--- a/src/hoistmoor/load/experiment/engine.py
+++ b/src/hoistmoor/load/experiment/engine.py
@@ -16,11 +16,13 @@
 from hoistmoor.core.routing import messages
 from hoistmoor.load.experiment import clock
 
-BATCH_HALF = 16.0  # Batch size that doubles the duration of a call.
-PREFILL_S = 0.0004  # Seconds per prompt token that is not cached.
+DOUBLING_BATCH_SIZE = 16.0  # Batch size that doubles the duration of a call.
+PREFILL_SECONDS_PER_TOKEN = (
+    0.0004  # Seconds per prompt token that is not cached.
+)
 BLOCK_TOKENS = 64
-CACHE_BLOCKS = 400
-QUEUE_SHARE = 1.0  # Maximum queue length, as a multiple of the capacity.
+MAX_CACHE_BLOCKS = 400
+MAX_QUEUE_FRACTION = 1.0  # Maximum queue length, as a multiple of the capacity.
 
 
 @attrs.define(eq=False)
@@ -43,19 +45,19 @@
 
     version: str
     prompt_tokens: int
-    work: float
+    work_seconds: float
     tokens: int
     prefix: tuple[int, ...]
     urgent: bool
-    done: Callable[[Job, bool], None]
+    on_done: Callable[[Job, bool], None]
     first_token_at: float = 0.0
     finished_at: float = 0.0
     state: str = "queued"
-    start_mark: float = 0.0
+    start_progress: float = 0.0
 
 
 @attrs.define(eq=False)
-class Engine:
+class SimulatedEngine:
     """A simulated backend server.
 
     Attributes:
@@ -81,29 +83,29 @@
     """
 
     name: str
-    clock: clock.Clock
+    clock: clock.VirtualClock
     capacity: int
     versions: tuple[str, ...]
     slowness: float = 1.0
-    failing: Callable[[], bool] = lambda: False
+    is_call_failing: Callable[[], bool] = lambda: False
     is_up: bool = True
     is_batching: bool = True
     incarnation: int = 1
     progress: float = 0.0
     progress_at: float = 0.0
-    batch: int = 0
+    batch_size: int = 0
     prefilling: int = 0
-    ends: list[tuple[float, int, Job]] = attrs.field(factory=list)
+    batch_ends: list[tuple[float, int, Job]] = attrs.field(factory=list)
     queue: collections.deque[Job] = attrs.field(factory=collections.deque)
     cache: dict[int, None] = attrs.field(factory=dict)
-    timer: int = 0
+    timer_generation: int = 0
     serial: itertools.count[int] = attrs.field(factory=itertools.count)
-    cache_log: list[messages.CacheEvent] = attrs.field(factory=list)
+    cache_events: list[messages.CacheEvent] = attrs.field(factory=list)
 
     @property
     def running(self) -> int:
         """Number of calls in service."""
-        return self.batch + self.prefilling
+        return self.batch_size + self.prefilling
 
     def submit(self, job: Job) -> bool:
         """Accepts a call, or returns False to decline it."""
@@ -114,7 +116,7 @@
         if self.running < self.capacity:
             self._start(job)
             return True
-        if len(self.queue) >= QUEUE_SHARE * self.capacity:
+        if len(self.queue) >= MAX_QUEUE_FRACTION * self.capacity:
             return False
         if job.urgent:
             self.queue.appendleft(job)
@@ -130,7 +132,9 @@
             job.state = "cancelled"
             return 0
         self._update_progress()
-        done = (self.progress - job.start_mark) / max(1e-9, job.work)
+        done = (self.progress - job.start_progress) / max(
+            1e-9, job.work_seconds
+        )
         self._remove_from_batch(job, "cancelled")
         return int(min(1.0, done) * job.tokens)
 
@@ -138,8 +142,8 @@
         job.state = "prefilling"
         self.prefilling += 1
         uncached = job.prompt_tokens - self._cached_tokens(job)
-        wait = PREFILL_S * max(0, uncached) * self.slowness
-        self.clock.after(wait, self._start_decoding, job)
+        wait = PREFILL_SECONDS_PER_TOKEN * max(0, uncached) * self.slowness
+        self.clock.schedule_after(wait, self._start_decoding, job)
 
     def _cached_tokens(self, job: Job) -> int:
         cached_blocks = 0
@@ -151,14 +155,14 @@
             self.cache.pop(block, None)
             self.cache[block] = None
         evicted = []
-        while len(self.cache) > CACHE_BLOCKS:
+        while len(self.cache) > MAX_CACHE_BLOCKS:
             evicted.append(next(iter(self.cache)))
             del self.cache[evicted[-1]]
         stored = job.prefix[cached_blocks:]
         if stored or evicted:
-            self.cache_log.append(
+            self.cache_events.append(
                 messages.CacheEvent(
-                    self.name, len(self.cache_log), stored, tuple(evicted)
+                    self.name, len(self.cache_events), stored, tuple(evicted)
                 )
             )
         return cached_blocks * BLOCK_TOKENS
@@ -169,18 +173,21 @@
             self._start_queued()
             return
         self._update_progress()
-        self.batch += 1
+        self.batch_size += 1
         job.state = "decoding"
         job.first_token_at = self.clock.now
-        job.start_mark = self.progress
+        job.start_progress = self.progress
         heapq.heappush(
-            self.ends, (self.progress + job.work, next(self.serial), job)
+            self.batch_ends,
+            (self.progress + job.work_seconds, next(self.serial), job),
         )
         self._set_timer()
 
     def _seconds_per_work(self) -> float:
         """Returns the seconds per second of work at the current batch size."""
-        slowdown = self.batch / BATCH_HALF if self.is_batching else 0.0
+        slowdown = (
+            self.batch_size / DOUBLING_BATCH_SIZE if self.is_batching else 0.0
+        )
         return self.slowness * (1.0 + slowdown)
 
     def _update_progress(self) -> None:
@@ -189,29 +196,33 @@
         self.progress_at = self.clock.now
 
     def _set_timer(self) -> None:
-        self.timer += 1
-        if self.ends:
-            left = max(0.0, self.ends[0][0] - self.progress)
-            self.clock.after(
-                left * self._seconds_per_work(), self._on_timer, self.timer
+        self.timer_generation += 1
+        if self.batch_ends:
+            left = max(0.0, self.batch_ends[0][0] - self.progress)
+            self.clock.schedule_after(
+                left * self._seconds_per_work(),
+                self._on_timer,
+                self.timer_generation,
             )
 
     def _on_timer(self, timer: int) -> None:
-        if timer != self.timer:
+        if timer != self.timer_generation:
             return
         self._update_progress()
-        while self.ends and self.ends[0][0] <= self.progress + 1e-9:
-            job = self.ends[0][2]
+        while self.batch_ends and self.batch_ends[0][0] <= self.progress + 1e-9:
+            job = self.batch_ends[0][2]
             self._remove_from_batch(job, "ended")
-            job.done(job, not self.failing())
+            job.on_done(job, not self.is_call_failing())
         self._set_timer()
 
     def _remove_from_batch(self, job: Job, state: str) -> None:
-        self.ends = [entry for entry in self.ends if entry[2] is not job]
-        heapq.heapify(self.ends)
+        self.batch_ends = [
+            entry for entry in self.batch_ends if entry[2] is not job
+        ]
+        heapq.heapify(self.batch_ends)
         job.state = state
         job.finished_at = self.clock.now
-        self.batch -= 1
+        self.batch_size -= 1
         self._set_timer()
         self._start_queued()
 
@@ -219,20 +230,20 @@
         while self.queue and self.running < self.capacity:
             self._start(self.queue.popleft())
 
-    def break_down(self) -> None:
+    def take_down(self) -> None:
         """Fails decoding and queued calls, and declines new ones.
 
         The server accepts calls again once ``is_up`` is set.
         """
         self._update_progress()
         self.is_up = False
-        failed_jobs = [entry[2] for entry in self.ends] + list(self.queue)
+        failed_jobs = [entry[2] for entry in self.batch_ends] + list(self.queue)
         self.queue.clear()
         for job in failed_jobs:
             if job.state == "decoding":
                 self._remove_from_batch(job, "ended")
             job.state = "ended"
-            job.done(job, False)
+            job.on_done(job, False)
 
     def set_slowness(self, factor: float) -> None:
         """Sets the factor on all durations from now on."""
--- a/src/hoistmoor/load/experiment/hoistmoor_policy.py
+++ b/src/hoistmoor/load/experiment/hoistmoor_policy.py
@@ -62,8 +62,8 @@
             router.on_rating(rating, now)
 
     def choose(
-        self, query: policies.Ask, now: float
-    ) -> policies.Pick | policies.Refused:
+        self, query: policies.Query, now: float
+    ) -> policies.Decision | policies.Refusal:
         """Returns the choice of the router on the request's host."""
         router = self.routers[query.arrival.host]
         return _convert_choice(
@@ -71,8 +71,8 @@
         )
 
     def choose_server(
-        self, query: policies.Ask, now: float
-    ) -> policies.Pick | policies.Refused:
+        self, query: policies.Query, now: float
+    ) -> policies.Decision | policies.Refusal:
         """Returns the choice of the router on the call's host."""
         router = self.routers[query.arrival.host]
         service = self.deployment.plain_service
@@ -82,11 +82,11 @@
 
     def judge(
         self,
-        query: policies.Ask,
-        decision: policies.Pick,
+        query: policies.Query,
+        decision: policies.Decision,
         confidence: float,
         now: float,
-    ) -> policies.Pick | None:
+    ) -> policies.Decision | None:
         """Returns where to escalate, or None if the router accepts."""
         router = self.routers[query.arrival.host]
         facts = messages.AnswerFacts(confidence)
@@ -94,10 +94,10 @@
         if isinstance(verdict, messages.Accept):
             return None
         escalation = _convert_choice(verdict.choice)
-        return escalation if isinstance(escalation, policies.Pick) else None
+        return escalation if isinstance(escalation, policies.Decision) else None
 
     def on_started(
-        self, host: int, decision: policies.Pick, now: float
+        self, host: int, decision: policies.Decision, now: float
     ) -> None:
         """Records the start of an attempt on its host."""
         self.routers[host].on_started(decision.server, decision.version, now)
@@ -105,7 +105,7 @@
     def on_finished(
         self,
         host: int,
-        decision: policies.Pick,
+        decision: policies.Decision,
         result: messages.AttemptResult,
         now: float,
     ) -> None:
@@ -114,7 +114,7 @@
         router.on_finished(decision.server, decision.version, result, now)
 
     def to_probe(
-        self, query: policies.Ask, decision: policies.Pick, now: float
+        self, query: policies.Query, decision: policies.Decision, now: float
     ) -> tuple[str, ...]:
         """Returns the servers to probe for their load before a send."""
         router = self.routers[query.arrival.host]
@@ -122,14 +122,14 @@
 
     def best_probed(
         self,
-        query: policies.Ask,
-        decision: policies.Pick,
+        query: policies.Query,
+        decision: policies.Decision,
         names: tuple[str, ...],
-    ) -> policies.Pick:
+    ) -> policies.Decision:
         """Returns the decision, moved to the least loaded probed server."""
         router = self.routers[query.arrival.host]
         best = _convert_choice(router.choose_probed(decision.detail, names))
-        return best if isinstance(best, policies.Pick) else decision
+        return best if isinstance(best, policies.Decision) else decision
 
     def take_effects(self) -> list[messages.Effect]:
         """Returns the pending log records of all hosts."""
@@ -141,7 +141,7 @@
             router.on_evidence(offset, record)
 
 
-def _make_query(query: policies.Ask) -> messages.RouteQuery:
+def _make_query(query: policies.Query) -> messages.RouteQuery:
     arrival = query.arrival
     return messages.RouteQuery(
         request_id=f"h{arrival.host}.1.{arrival.number:x}",
@@ -149,7 +149,7 @@
         model=model.AUTO_MODEL,
         kind=arrival.kind,
         pin=query.pin,
-        prompt_tokens=arrival.prompt,
+        prompt_tokens=arrival.prompt_tokens,
         max_tokens=1024,
         prefix=arrival.prefix,
         session=arrival.session,
@@ -158,9 +158,9 @@
 
 def _convert_choice(
     choice: messages.Choice | refusals.Refusal,
-) -> policies.Pick | policies.Refused:
+) -> policies.Decision | policies.Refusal:
     if isinstance(choice, messages.Choice):
-        return policies.Pick(
+        return policies.Decision(
             choice.version, choice.server, choice.hold_answer, choice
         )
-    return policies.Refused(float(choice.wait))
+    return policies.Refusal(float(choice.wait))
--- a/src/hoistmoor/load/experiment/measures.py
+++ b/src/hoistmoor/load/experiment/metrics.py
@@ -9,7 +9,7 @@
 
 
 @attrs.define
-class Measures:
+class Metrics:
     """Counters and samples of one run of one policy.
 
     Attributes:
@@ -33,59 +33,67 @@
         withdrawn_at: Times at which the policy withdrew versions automatically.
     """
 
-    answers: dict[str, list[int]] = attrs.field(
+    responses_by_account: dict[str, list[int]] = attrs.field(
         factory=lambda: collections.defaultdict(lambda: [0, 0])
     )
-    targets: dict[str, float] = attrs.field(factory=dict)
-    spent: float = 0.0
-    first_token_s: list[float] = attrs.field(factory=list)
-    gap_s: list[float] = attrs.field(factory=list)
-    plain_s: list[float] = attrs.field(factory=list)
+    targets_by_account: dict[str, float] = attrs.field(factory=dict)
+    cost: float = 0.0
+    first_token_seconds: list[float] = attrs.field(factory=list)
+    token_gap_seconds: list[float] = attrs.field(factory=list)
+    plain_seconds: list[float] = attrs.field(factory=list)
     refusals: int = 0
-    given_up: int = 0
-    plain_given_up: int = 0
+    unserved_requests: int = 0
+    unserved_plain_calls: int = 0
     wasted_tokens: int = 0
     useful_tokens: int = 0
-    bad_by_version: dict[str, int] = attrs.field(factory=collections.Counter)
-    by_version: dict[str, int] = attrs.field(factory=collections.Counter)
-    turned_flow: float = 0.0
+    bad_responses_by_version: dict[str, int] = attrs.field(
+        factory=collections.Counter
+    )
+    responses_by_version: dict[str, int] = attrs.field(
+        factory=collections.Counter
+    )
+    regressed_rate: float = 0.0
     bad_limit: float = float("nan")
     withdrawn_at: dict[str, float] = attrs.field(factory=dict)
 
     @property
     def good(self) -> int:
         """Number of good responses delivered."""
-        return sum(good for good, _ in self.answers.values())
+        return sum(good for good, _ in self.responses_by_account.values())
 
     @property
     def delivered(self) -> int:
         """Number of responses delivered."""
-        return sum(count for _, count in self.answers.values())
+        return sum(count for _, count in self.responses_by_account.values())
 
     def summary(self) -> dict[str, float]:
         """Returns the metrics of the report by name."""
         return {
-            "cost_per_answer": self.spent / max(1, self.delivered),
-            "cost_per_good": self.spent / max(1, self.good),
+            "cost_per_answer": self.cost / max(1, self.delivered),
+            "cost_per_good": self.cost / max(1, self.good),
             "good_share": self.good / max(1, self.delivered),
             "target": self._mean_target(),
             "at_target": self._fraction_at_target(),
-            "confirm_p50_ms": 1000 * _percentile(self.plain_s, 50),
-            "confirm_p99_ms": 1000 * _percentile(self.plain_s, 99),
-            "ttft_p95_s": _percentile(self.first_token_s, 95),
-            "gap_p95_ms": 1000 * _percentile(self.gap_s, 95),
-            "bad_after_turn": float(sum(self.bad_by_version.values())),
+            "confirm_p50_ms": 1000 * _percentile(self.plain_seconds, 50),
+            "confirm_p99_ms": 1000 * _percentile(self.plain_seconds, 99),
+            "ttft_p95_s": _percentile(self.first_token_seconds, 95),
+            "gap_p95_ms": 1000 * _percentile(self.token_gap_seconds, 95),
+            "bad_after_turn": float(
+                sum(self.bad_responses_by_version.values())
+            ),
             "bad_limit": self.bad_limit,
             "refusals": float(self.refusals),
-            "unserved": float(self.given_up + self.plain_given_up),
+            "unserved": float(
+                self.unserved_requests + self.unserved_plain_calls
+            ),
             "wasted_share": self.wasted_tokens
             / max(1, self.wasted_tokens + self.useful_tokens),
         }
 
     def _mean_target(self) -> float:
         total = sum(
-            self.targets.get(account, 0.0) * count
-            for account, (_, count) in self.answers.items()
+            self.targets_by_account.get(account, 0.0) * count
+            for account, (_, count) in self.responses_by_account.items()
         )
         return total / max(1, self.delivered)
 
@@ -96,8 +104,8 @@
         standard errors below it.
         """
         met = 0
-        for account, (good, count) in self.answers.items():
-            target = self.targets.get(account, 0.0)
+        for account, (good, count) in self.responses_by_account.items():
+            target = self.targets_by_account.get(account, 0.0)
             error = (target * (1.0 - target) / max(1, count)) ** 0.5
             met += count if good / count >= target - 2.0 * error else 0
         return met / max(1, self.delivered)
--- a/src/hoistmoor/load/experiment/oracle.py
+++ b/src/hoistmoor/load/experiment/oracle.py
@@ -22,7 +22,7 @@
 from hoistmoor.load.experiment import deployment as deployment_lib
 from hoistmoor.load.experiment import engine as engine_lib
 from hoistmoor.load.experiment import policies
-from hoistmoor.load.experiment import world as world_lib
+from hoistmoor.load.experiment import quality_model as world_lib
 
 _GRID = 240
 _NOISE_GRID = 15
@@ -49,17 +49,17 @@
     def __init__(
         self,
         deployment: deployment_lib.Deployment,
-        world: world_lib.World,
+        world: world_lib.QualityModel,
     ) -> None:
         """Creates an oracle; ``engines`` must be set before it is used."""
         self.name = "oracle"
         self.deployment = deployment
         self.world = world
-        self.engines: dict[str, engine_lib.Engine] = {}
+        self.engines: dict[str, engine_lib.SimulatedEngine] = {}
         self.table = model.Table()
         self.plans: dict[tuple[object, ...], cascade.Plan] = {}
         self.tokens = {
-            kind: (shape.prompt * 1.08, shape.output * 1.13)
+            kind: (shape.median_prompt * 1.08, shape.median_output * 1.13)
             for kind, shape in deployment.kinds.items()
         }
 
@@ -70,15 +70,15 @@
         self.plans.clear()
 
     def choose(
-        self, query: policies.Ask, now: float
-    ) -> policies.Pick | policies.Refused:
+        self, query: policies.Query, now: float
+    ) -> policies.Decision | policies.Refusal:
         """Returns where to send a model request."""
         eligible = self._eligible_versions(query, now)
         if not eligible:
-            return policies.Refused()
+            return policies.Refusal()
         if query.pin in {row.key for row in eligible}:
             return (
-                self._place(str(query.pin), query, None) or policies.Refused()
+                self._place(str(query.pin), query, None) or policies.Refusal()
             )
         plan = self._plan(query, eligible, now)
         key = query.arrival.session or f"{query.arrival.number:x}"
@@ -90,11 +90,11 @@
                 filter(None, (self._place(r.key, query, None) for r in others)),
                 None,
             )
-            or policies.Refused()
+            or policies.Refusal()
         )
 
     def _eligible_versions(
-        self, query: policies.Ask, now: float
+        self, query: policies.Query, now: float
     ) -> list[model.Version]:
         return [
             row
@@ -107,13 +107,13 @@
     def _remaining_quality(
         self, row: model.Version, kind: str, now: float
     ) -> float:
-        left = self.world.left(row.key, kind, now)
+        left = self.world.remaining_fraction(row.key, kind, now)
         quality = self.world.qualities[row.key, kind]
         return left * min(1.0, quality / max(0.01, row.prior_quality - 0.2))
 
     def _place(
-        self, version: str, query: policies.Ask, policy: cascade.Policy | None
-    ) -> policies.Pick | None:
+        self, version: str, query: policies.Query, policy: cascade.Policy | None
+    ) -> policies.Decision | None:
         candidates = [
             engine
             for engine in self.engines.values()
@@ -123,9 +123,11 @@
             return None
         best = min(candidates, key=_current_load)
         hold = policy is not None and bool(policy.then)
-        return policies.Pick(version, best.name, hold, policy)
+        return policies.Decision(version, best.name, hold, policy)
 
-    def _accepts(self, engine: engine_lib.Engine, query: policies.Ask) -> bool:
+    def _accepts(
+        self, engine: engine_lib.SimulatedEngine, query: policies.Query
+    ) -> bool:
         return (
             engine.is_up
             and engine.running < engine.capacity
@@ -134,11 +136,11 @@
 
     def judge(
         self,
-        query: policies.Ask,
-        decision: policies.Pick,
+        query: policies.Query,
+        decision: policies.Decision,
         confidence: float,
         now: float,
-    ) -> policies.Pick | None:
+    ) -> policies.Decision | None:
         """Returns where to escalate by the plan, or None to accept."""
         del now
         policy: cascade.Policy = decision.detail
@@ -148,8 +150,8 @@
         return self._place(policy.then, escalation, None)
 
     def choose_server(
-        self, query: policies.Ask, now: float
-    ) -> policies.Pick | policies.Refused:
+        self, query: policies.Query, now: float
+    ) -> policies.Decision | policies.Refusal:
         """Returns the plain server with the lowest current load."""
         del now
         service = self.deployment.plain_service
@@ -159,13 +161,13 @@
             if self._accepts(self.engines[row.server], query)
         ]
         if not candidates:
-            return policies.Refused()
-        return policies.Pick("", min(candidates, key=_current_load).name)
+            return policies.Refusal()
+        return policies.Decision("", min(candidates, key=_current_load).name)
 
     # Planning on the true quality.
 
     def _plan(
-        self, query: policies.Ask, eligible: list[model.Version], now: float
+        self, query: policies.Query, eligible: list[model.Version], now: float
     ) -> cascade.Plan:
         kind = query.arrival.kind
         target = max(
@@ -178,7 +180,10 @@
             target,
             bool(query.arrival.session),
             tuple(
-                (row.key, round(self.world.left(row.key, kind, now), 2))
+                (
+                    row.key,
+                    round(self.world.remaining_fraction(row.key, kind, now), 2),
+                )
                 for row in eligible
             ),
         )
@@ -251,6 +256,6 @@
     return cascades
 
 
-def _current_load(engine: engine_lib.Engine) -> float:
+def _current_load(engine: engine_lib.SimulatedEngine) -> float:
     busy = engine.running + len(engine.queue)
     return engine.slowness * (busy + 1) / engine.capacity
--- a/src/hoistmoor/load/experiment/policies.py
+++ b/src/hoistmoor/load/experiment/policies.py
@@ -16,12 +16,12 @@
 from hoistmoor.core.table import model
 from hoistmoor.load.experiment import deployment as deployment_lib
 
-RETRY_AFTER_S = 1.0  # Retry-After of all refusals by a baseline.
+RETRY_AFTER_SECONDS = 1.0  # Retry-After of all refusals by a baseline.
 FIXED_CONFIDENCE = 0.8  # The fixed cascade escalates below this.
 
 
 @attrs.frozen
-class Pick:
+class Decision:
     """Where a policy sends an attempt.
 
     Attributes:
@@ -38,18 +38,18 @@
 
 
 @attrs.frozen
-class Refused:
+class Refusal:
     """A policy's refusal.
 
     Attributes:
         wait: Seconds after which the caller should retry.
     """
 
-    wait: float = RETRY_AFTER_S
+    wait: float = RETRY_AFTER_SECONDS
 
 
 @attrs.frozen
-class Ask:
+class Query:
     """A routing query, as a policy sees it.
 
     Attributes:
@@ -70,17 +70,17 @@
 
     name: str
 
-    def choose(self, query: Ask, now: float) -> Pick | Refused:
+    def choose(self, query: Query, now: float) -> Decision | Refusal:
         """Returns where to send a model request."""
         raise NotImplementedError
 
-    def choose_server(self, query: Ask, now: float) -> Pick | Refused:
+    def choose_server(self, query: Query, now: float) -> Decision | Refusal:
         """Returns where to send a call to the plain service."""
         raise NotImplementedError
 
     def judge(
-        self, query: Ask, decision: Pick, confidence: float, now: float
-    ) -> Pick | None:
+        self, query: Query, decision: Decision, confidence: float, now: float
+    ) -> Decision | None:
         """Returns where to escalate, or None to accept the response."""
         del query, decision, confidence, now
         return None
@@ -97,13 +97,13 @@
     def on_rating(self, rating: messages.Rating, now: float) -> None:
         """Applies a rating."""
 
-    def on_started(self, host: int, decision: Pick, now: float) -> None:
+    def on_started(self, host: int, decision: Decision, now: float) -> None:
         """Records the start of an attempt."""
 
     def on_finished(
         self,
         host: int,
-        decision: Pick,
+        decision: Decision,
         result: messages.AttemptResult,
         now: float,
     ) -> None:
@@ -117,7 +117,7 @@
         """Applies a record read from the log."""
 
 
-ChooseVersion = Callable[["Baseline", Ask, Sequence[model.Version]], str]
+ChooseVersion = Callable[["Baseline", Query, Sequence[model.Version]], str]
 ChooseServer = Callable[["Baseline", Sequence[str]], str]
 
 
@@ -142,10 +142,10 @@
     version_rule: ChooseVersion
     server_rule: ChooseServer
     escalates: bool = False
-    source: random.Random = attrs.field(factory=lambda: random.Random(5))
+    rng: random.Random = attrs.field(factory=lambda: random.Random(5))
     table: model.Table = attrs.field(factory=model.Table)
     reports: dict[str, messages.LoadReport] = attrs.field(factory=dict)
-    turn: int = 0
+    choice_count: int = 0
 
     def on_table(self, table: model.Table, revision: int) -> None:
         """Applies a new table."""
@@ -157,18 +157,18 @@
         del now
         self.reports[report.server] = report
 
-    def choose(self, query: Ask, now: float) -> Pick | Refused:
+    def choose(self, query: Query, now: float) -> Decision | Refusal:
         """Returns where to send a model request."""
         del now
         granted = self._granted(query)
         if not granted:
-            return Refused()
+            return Refusal()
         version = query.pin or ""
         if version not in {row.key for row in granted}:
             version = self.version_rule(self, query, granted)
         return self._pick(query, version, self.escalates and not query.pin)
 
-    def _granted(self, query: Ask) -> list[model.Version]:
+    def _granted(self, query: Query) -> list[model.Version]:
         stages = {model.Stage.ACTIVE, model.Stage.CANDIDATE}
         return [
             row
@@ -177,7 +177,9 @@
             and self.table.grant_for(query.arrival.account, row)
         ]
 
-    def _pick(self, query: Ask, version: str, hold: bool) -> Pick | Refused:
+    def _pick(
+        self, query: Query, version: str, hold: bool
+    ) -> Decision | Refusal:
         names = [
             name
             for name, report in self.reports.items()
@@ -186,12 +188,12 @@
             and name not in query.excluded
         ]
         if not names:
-            return Refused()
-        return Pick(version, self.server_rule(self, names), hold)
+            return Refusal()
+        return Decision(version, self.server_rule(self, names), hold)
 
     def judge(
-        self, query: Ask, decision: Pick, confidence: float, now: float
-    ) -> Pick | None:
+        self, query: Query, decision: Decision, confidence: float, now: float
+    ) -> Decision | None:
         """Escalates to the most expensive version below a fixed confidence."""
         del now
         granted = self._granted(query)
@@ -205,9 +207,9 @@
             most_expensive.key,
             hold=False,
         )
-        return escalation if isinstance(escalation, Pick) else None
+        return escalation if isinstance(escalation, Decision) else None
 
-    def choose_server(self, query: Ask, now: float) -> Pick | Refused:
+    def choose_server(self, query: Query, now: float) -> Decision | Refusal:
         """Returns where to send a call to the plain service."""
         del now
         rows = self.table.servers_by_service[self.deployment.plain_service]
@@ -219,17 +221,17 @@
             and self.reports[row.server].state == "live"
         ]
         if not names:
-            return Refused()
-        return Pick("", self.server_rule(self, names))
+            return Refusal()
+        return Decision("", self.server_rule(self, names))
 
-    def load(self, name: str) -> int:
+    def reported_load(self, name: str) -> int:
         """Returns the last reported load of a server."""
         report = self.reports[name]
         return report.running + report.queued
 
 
-def dearest(
-    policy: Baseline, query: Ask, granted: Sequence[model.Version]
+def most_expensive(
+    policy: Baseline, query: Query, granted: Sequence[model.Version]
 ) -> str:
     """Chooses the most expensive granted version."""
     del policy, query
@@ -237,7 +239,7 @@
 
 
 def cheapest(
-    policy: Baseline, query: Ask, granted: Sequence[model.Version]
+    policy: Baseline, query: Query, granted: Sequence[model.Version]
 ) -> str:
     """Chooses the cheapest granted version, an active one if prices tie."""
     del policy, query
@@ -248,46 +250,46 @@
 
 
 def by_weight(
-    policy: Baseline, query: Ask, granted: Sequence[model.Version]
+    policy: Baseline, query: Query, granted: Sequence[model.Version]
 ) -> str:
     """Chooses at random by the weights of the versions in the table."""
     del query
     weights = [row.weight for row in granted]
-    return policy.source.choices(granted, weights)[0].key
+    return policy.rng.choices(granted, weights)[0].key
 
 
-def at_random(policy: Baseline, names: Sequence[str]) -> str:
+def random_server(policy: Baseline, names: Sequence[str]) -> str:
     """Chooses a server at random."""
-    return policy.source.choice(names)
+    return policy.rng.choice(names)
 
 
-def in_turn(policy: Baseline, names: Sequence[str]) -> str:
+def round_robin(policy: Baseline, names: Sequence[str]) -> str:
     """Chooses the servers round-robin."""
-    policy.turn += 1
-    return sorted(names)[policy.turn % len(names)]
+    policy.choice_count += 1
+    return sorted(names)[policy.choice_count % len(names)]
 
 
-def least_reported(policy: Baseline, names: Sequence[str]) -> str:
+def least_loaded(policy: Baseline, names: Sequence[str]) -> str:
     """Chooses the server with the lowest reported load."""
-    return min(names, key=lambda name: (policy.load(name), name))
+    return min(names, key=lambda name: (policy.reported_load(name), name))
 
 
-def two_reported(policy: Baseline, names: Sequence[str]) -> str:
+def less_loaded_of_two(policy: Baseline, names: Sequence[str]) -> str:
     """Chooses the less loaded, as reported, of two random servers."""
     if len(names) == 1:
         return names[0]
-    return min(policy.source.sample(list(names), 2), key=policy.load)
+    return min(policy.rng.sample(list(names), 2), key=policy.reported_load)
 
 
 _ACTIVE = model.Stage.ACTIVE
 BASELINES: dict[str, tuple[ChooseVersion, ChooseServer, bool]] = {
-    "always-dearest": (dearest, two_reported, False),
-    "always-cheapest": (cheapest, two_reported, False),
-    "fixed-cascade": (cheapest, two_reported, True),
-    "random": (by_weight, at_random, False),
-    "round-robin": (by_weight, in_turn, False),
-    "least-reported": (by_weight, least_reported, False),
-    "two-reported": (by_weight, two_reported, False),
+    "always-dearest": (most_expensive, less_loaded_of_two, False),
+    "always-cheapest": (cheapest, less_loaded_of_two, False),
+    "fixed-cascade": (cheapest, less_loaded_of_two, True),
+    "random": (by_weight, random_server, False),
+    "round-robin": (by_weight, round_robin, False),
+    "least-reported": (by_weight, least_loaded, False),
+    "two-reported": (by_weight, less_loaded_of_two, False),
 }
 
 
--- a/src/hoistmoor/load/experiment/polling.py
+++ b/src/hoistmoor/load/experiment/polling.py
@@ -21,15 +21,17 @@
     from hoistmoor.load.experiment import engine as engine_lib
     from hoistmoor.load.experiment import hoistmoor_policy
     from hoistmoor.load.experiment import policies
+    from hoistmoor.load.experiment import quality_model as world_lib
     from hoistmoor.load.experiment import scenarios
-    from hoistmoor.load.experiment import world as world_lib
 
 # Same values as in the load report poller of the entry host; polls per second.
-IDLE_RATE = 1.0
-BUSY_RATE = 6.0
+IDLE_POLLS_PER_SECOND = 1.0
+MAX_POLLS_PER_SECOND = 6.0
 POLLS_PER_DISPATCH = 2
-MOST_OWED = 12
-SEEN_EVERY_S = 1.0  # Maximum age of the load that a probed server reports.
+MAX_REQUESTED_POLLS = 12
+PROBE_REPORT_INTERVAL = (
+    1.0  # Maximum age of the load that a probed server reports.
+)
 
 
 @attrs.define(eq=False)
@@ -47,27 +49,27 @@
 
     servers: list[str]
     by_service: dict[str, list[str]]
-    owed: collections.deque[str] = attrs.field(
-        factory=lambda: collections.deque(maxlen=MOST_OWED)
+    requested_polls: collections.deque[str] = attrs.field(
+        factory=lambda: collections.deque(maxlen=MAX_REQUESTED_POLLS)
     )
-    turns: dict[str, int] = attrs.field(factory=dict)
+    polls_by_service: dict[str, int] = attrs.field(factory=dict)
     idle_ticks: int = 0
 
     def tick(self) -> str | None:
         """Returns the server to poll in this sixth of a second, if any."""
-        if self.owed:
+        if self.requested_polls:
             self.idle_ticks = 0
-            service = self.owed.popleft()
+            service = self.requested_polls.popleft()
             return self._select(service, self.by_service[service])
         self.idle_ticks += 1
-        if self.idle_ticks < BUSY_RATE / IDLE_RATE:
+        if self.idle_ticks < MAX_POLLS_PER_SECOND / IDLE_POLLS_PER_SECOND:
             return None
         self.idle_ticks = 0
         return self._select("", self.servers)
 
     def _select(self, service: str, names: list[str]) -> str:
-        turn = self.turns.get(service, 0)
-        self.turns[service] = turn + 1
+        turn = self.polls_by_service.get(service, 0)
+        self.polls_by_service[service] = turn + 1
         return names[turn % len(names)]
 
 
@@ -97,18 +99,18 @@
         deployment: deployment_lib.Deployment,
         scenario: scenarios.Scenario,
         policy: hoistmoor_policy.RouterPolicy,
-        world: world_lib.World,
+        world: world_lib.QualityModel,
         seed: int,
         is_probing: bool = False,
     ) -> None:
         """Prepares a run; all randomness comes from ``seed``."""
         super().__init__(deployment, scenario, policy, world, seed)
-        self.ages: list[float] = []
+        self.report_ages: list[float] = []
         self.declines = 0
         self.is_probing = is_probing
         self.probes = 0
-        self.seen: dict[str, messages.LoadReport] = {}
-        self.waits: list[float] = []
+        self.probe_reports: dict[str, messages.LoadReport] = {}
+        self.first_token_waits: list[float] = []
         names = list(self.table.servers)
         by_service = {
             service: [row.server for row in rows]
@@ -119,49 +121,55 @@
         for _ in range(deployment.hosts):
             # Random positions, as hosts have been up for different times.
             turns = {s: rng.randrange(10**6) for s in ("", *by_service)}
-            self.pollers.append(HostPoller(names, by_service, turns=turns))
+            self.pollers.append(
+                HostPoller(names, by_service, polls_by_service=turns)
+            )
 
     def _tick_reports(self) -> None:
         self._update_probe_reports()
         for host in range(len(self.pollers)):
-            phase = host / len(self.pollers) / BUSY_RATE
-            self.clock.after(phase, self._tick_poller, host)
+            phase = host / len(self.pollers) / MAX_POLLS_PER_SECOND
+            self.clock.schedule_after(phase, self._tick_poller, host)
 
     def _update_probe_reports(self) -> None:
-        self.clock.after(SEEN_EVERY_S, self._update_probe_reports)
+        self.clock.schedule_after(
+            PROBE_REPORT_INTERVAL, self._update_probe_reports
+        )
         for engine in self.engines.values():
-            self.seen[engine.name] = engine.report()
+            self.probe_reports[engine.name] = engine.report()
 
     def _probe(
-        self, request: simulation.Request, decision: policies.Pick
-    ) -> policies.Pick:
+        self, request: simulation.Request, decision: policies.Decision
+    ) -> policies.Decision:
         """Probes some servers for their load; a probe takes no time here."""
-        query = self._ask(request)
+        query = self._make_query(request)
         names = self.policy.to_probe(query, decision, self.clock.now)
         if not names:
             return decision
         self.probes += len(names)
         for name in names:
-            self._deliver_to(request.arrival.host, self.seen[name])
+            self._deliver_to(request.arrival.host, self.probe_reports[name])
         return self.policy.best_probed(query, decision, names)
 
     def _tick_poller(self, host: int) -> None:
-        self.clock.after(1.0 / BUSY_RATE, self._tick_poller, host)
+        self.clock.schedule_after(
+            1.0 / MAX_POLLS_PER_SECOND, self._tick_poller, host
+        )
         name = self.pollers[host].tick()
         if name is not None:
             self._poll(host, name)
 
     def _poll(self, host: int, name: str) -> None:
         report = self.engines[name].report()
-        self.clock.after(
-            simulation.REPORT_LAG_S, self._deliver_to, host, report
+        self.clock.schedule_after(
+            simulation.REPORT_DELAY, self._deliver_to, host, report
         )
 
     def _deliver_to(self, host: int, report: messages.LoadReport) -> None:
         self.policy.routers[host].on_load(report, self.clock.now)
 
     def _send(
-        self, request: simulation.Request, decision: policies.Pick
+        self, request: simulation.Request, decision: policies.Decision
     ) -> None:
         if self.is_probing and decision.version:
             decision = self._probe(request, decision)
@@ -170,18 +178,18 @@
         self.pollers[host].owed.extend([service] * POLLS_PER_DISPATCH)
         server = self.policy.routers[host].fleet.by_name[decision.server]
         if server.report is not None:
-            self.ages.append(self.clock.now - server.report.at)
+            self.report_ages.append(self.clock.now - server.report.at)
         super()._send(request, decision)
 
     def _on_done(
         self,
         request: simulation.Request,
-        decision: policies.Pick,
+        decision: policies.Decision,
         job: engine_lib.Job,
         ok: bool,
     ) -> None:
         if ok and decision.version and request.job is job:
-            self.waits.append(job.first_token_at - request.sent_at)
+            self.first_token_waits.append(job.first_token_at - request.sent_at)
         super()._on_done(request, decision, job, ok)
 
     def _finish_attempt(
@@ -191,15 +199,15 @@
         declined: bool = False,
         confidence: float | None = None,
     ) -> None:
-        if declined and request.pick is not None:
+        if declined and request.decision is not None:
             self.declines += 1
-            self._poll(request.arrival.host, request.pick.server)
+            self._poll(request.arrival.host, request.decision.server)
         super()._finish_attempt(request, ok, declined, confidence)
 
     def _rate(
         self,
         request: simulation.Request,
-        decision: policies.Pick,
+        decision: policies.Decision,
         confidence: float,
         good: bool,
     ) -> None:
--- a/src/hoistmoor/load/experiment/world.py
+++ b/src/hoistmoor/load/experiment/quality_model.py
@@ -14,15 +14,15 @@
 
 STEEPNESS = 2.5  # Slope of the chance of a good response over difficulty.
 CONFIDENCE_NOISE = 0.07  # Standard deviation of confidence around the chance.
-RATED_SHARE = 0.1  # Fraction of responses that are rated.
-RATING_DELAY_S = 60.0  # Mean delay of a rating.
+RATED_FRACTION = 0.1  # Fraction of responses that are rated.
+MEAN_RATING_DELAY = 60.0  # Mean delay of a rating.
 _GRID = tuple(
     statistics.NormalDist().inv_cdf((i + 0.5) / 200) for i in range(200)
 )
 
 
 @attrs.frozen
-class Turn:
+class QualityRegression:
     """A quality regression of a version.
 
     Attributes:
@@ -34,16 +34,20 @@
     """
 
     version: str
-    at: float
-    ramp: float = 0.0
+    starts_at: float
+    ramp_seconds: float = 0.0
     quality: float = 0.4
     kind: str = ""
 
-    def depth(self, now: float) -> float:
+    def progress(self, now: float) -> float:
         """Returns the progress of the regression, from 0 to 1."""
-        if now < self.at:
+        if now < self.starts_at:
             return 0.0
-        return 1.0 if self.ramp <= 0 else min(1.0, (now - self.at) / self.ramp)
+        return (
+            1.0
+            if self.ramp_seconds <= 0
+            else min(1.0, (now - self.starts_at) / self.ramp_seconds)
+        )
 
 
 def chance(skill: float, difficulty: float) -> float:
@@ -62,7 +66,7 @@
 
 
 @attrs.define
-class World:
+class QualityModel:
     """True quality of each version for each kind of request.
 
     Attributes:
@@ -72,7 +76,7 @@
     """
 
     qualities: dict[tuple[str, str], float]
-    turns: tuple[Turn, ...] = ()
+    regressions: tuple[QualityRegression, ...] = ()
     skills: dict[tuple[str, str], float] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
@@ -90,14 +94,14 @@
     ) -> float:
         """Returns the current chance of a good response."""
         healthy = self.healthy_chance(version, kind, difficulty)
-        return healthy * self.left(version, kind, now)
+        return healthy * self.remaining_fraction(version, kind, now)
 
-    def left(self, version: str, kind: str, now: float) -> float:
+    def remaining_fraction(self, version: str, kind: str, now: float) -> float:
         """Returns the fraction of the quality that remains in a regression."""
-        for regression in self.turns:
+        for regression in self.regressions:
             if regression.version == version and regression.kind in ("", kind):
                 loss = 1.0 - regression.quality / self.qualities[version, kind]
-                return 1.0 - max(0.0, loss) * regression.depth(now)
+                return 1.0 - max(0.0, loss) * regression.progress(now)
         return 1.0
 
     def confidence(
@@ -113,12 +117,12 @@
         return min(1.0, max(0.0, noisy))
 
 
-def make_world(
+def make_quality_model(
     table: model.Table,
     kinds: dict[str, float],
-    turns: tuple[Turn, ...],
+    turns: tuple[QualityRegression, ...],
     seed: int,
-) -> World:
+) -> QualityModel:
     """Returns a world with qualities near the priors in the table.
 
     Args:
@@ -134,4 +138,4 @@
             odds = math.log(row.prior_quality / (1.0 - row.prior_quality))
             odds += shift + rng.gauss(0.0, 0.2)
             qualities[key, kind] = 1.0 / (1.0 + math.exp(-odds))
-    return World(qualities, turns)
+    return QualityModel(qualities, turns)
--- a/src/hoistmoor/load/experiment/report.py
+++ b/src/hoistmoor/load/experiment/report.py
@@ -103,7 +103,7 @@
     def cell(self, scenario: str, policy: str, figure: str) -> Cell:
         """Returns a metric aggregated over the seeds."""
         values = [
-            run.measures.summary()[figure]
+            run.metrics.summary()[figure]
             for run in self.runs
             if (run.scenario, run.policy) == (scenario, policy)
         ]
@@ -139,7 +139,7 @@
             if (run.scenario, run.policy) == (scenario, "hoistmoor"):
                 withdrawn = ", ".join(
                     f"{key} at {at:.0f} s"
-                    for key, at in run.measures.withdrawn_at.items()
+                    for key, at in run.metrics.withdrawn_at.items()
                 )
                 if withdrawn:
                     lines += ["", f"Seed {run.seed} withdrew {withdrawn}."]
--- a/src/hoistmoor/load/experiment/runs.py
+++ b/src/hoistmoor/load/experiment/runs.py
@@ -7,12 +7,12 @@
 from hoistmoor.core.table import model
 from hoistmoor.load.experiment import deployment as deployment_lib
 from hoistmoor.load.experiment import hoistmoor_policy
-from hoistmoor.load.experiment import measures as measures_lib
+from hoistmoor.load.experiment import metrics as measures_lib
 from hoistmoor.load.experiment import oracle as oracle_lib
 from hoistmoor.load.experiment import policies
+from hoistmoor.load.experiment import quality_model as world_lib
 from hoistmoor.load.experiment import scenarios
 from hoistmoor.load.experiment import simulation
-from hoistmoor.load.experiment import world as world_lib
 
 POLICIES = ("oracle", "hoistmoor", *policies.BASELINES)
 
@@ -31,7 +31,7 @@
     policy: str
     scenario: str
     seed: int
-    measures: measures_lib.Measures
+    metrics: measures_lib.Metrics
 
 
 def run(
@@ -49,8 +49,8 @@
     scaled = attrs.evolve(
         deployment, plain_rate=deployment.plain_rate * scenario.plain_load
     )
-    arrivals = deployment_lib.arrivals(
-        scaled, scenario.length, scenario.load, seed, scenario.diurnal
+    arrivals = deployment_lib.generate_arrivals(
+        scaled, scenario.duration, scenario.load, seed, scenario.diurnal
     )
     return Run(policy_name, scenario.name, seed, simulated.run(arrivals))
 
@@ -59,10 +59,12 @@
     deployment: deployment_lib.Deployment,
     scenario: scenarios.Scenario,
     seed: int,
-) -> world_lib.World:
+) -> world_lib.QualityModel:
     """Returns the ground truth of a scenario and seed."""
-    shifts = {kind: s.shift for kind, s in deployment.kinds.items()}
-    world = world_lib.make_world(deployment.table, shifts, scenario.turns, seed)
+    shifts = {kind: s.log_odds_shift for kind, s in deployment.kinds.items()}
+    world = world_lib.make_quality_model(
+        deployment.table, shifts, scenario.regressions, seed
+    )
     if not scenario.candidate_quality:
         return world
     candidates = {
@@ -76,13 +78,13 @@
         else quality
         for (key, kind), quality in world.qualities.items()
     }
-    return world_lib.World(qualities, scenario.turns)
+    return world_lib.QualityModel(qualities, scenario.regressions)
 
 
 def _make_policy(
     name: str,
     deployment: deployment_lib.Deployment,
-    world: world_lib.World,
+    world: world_lib.QualityModel,
     seed: int,
 ) -> policies.Policy:
     if name == "oracle":
--- a/src/hoistmoor/load/experiment/scenarios.py
+++ b/src/hoistmoor/load/experiment/scenarios.py
@@ -6,7 +6,7 @@
 
 from hoistmoor.core.table import model
 from hoistmoor.load.experiment import deployment as deployment_lib
-from hoistmoor.load.experiment import world
+from hoistmoor.load.experiment import quality_model
 
 
 @attrs.frozen
@@ -19,9 +19,9 @@
         share: Fraction of the service's servers that are down.
     """
 
-    at: float
-    until: float
-    share: float
+    starts_at: float
+    ends_at: float
+    fraction: float
 
 
 @attrs.frozen
@@ -47,18 +47,18 @@
     """
 
     name: str
-    length: float
+    duration: float
     load: float = 1.0
     plain_load: float = 1.0
     diurnal: bool = False
-    turns: tuple[world.Turn, ...] = ()
+    regressions: tuple[quality_model.QualityRegression, ...] = ()
     withdrawn_at: float = 0.0
-    rolls_out: bool = False
+    has_rollout: bool = False
     candidate_quality: float = 0.0
     outage: Outage | None = None
     slow_servers: int = 0
     slow_at: float = 0.0
-    log_down: tuple[float, float] = (0.0, 0.0)
+    log_outage: tuple[float, float] = (0.0, 0.0)
 
 
 _HOUR = 3600.0
@@ -79,7 +79,7 @@
 )
 
 
-def make(
+def make_scenario(
     name: str, deployment: deployment_lib.Deployment, scale: float = 1.0
 ) -> Scenario:
     """Returns the scenario ``name``.
@@ -94,41 +94,43 @@
     manual_at = regression_at + _MANUAL_DELAY * scale
     version = _median_version(deployment)
     kind = next(iter(deployment.kinds))
-    sudden = world.Turn(version, regression_at)
+    sudden = quality_model.QualityRegression(version, regression_at)
     gradual = attrs.evolve(sudden, ramp=1200.0 * scale)
     one_kind = attrs.evolve(sudden, kind=kind)
     scenarios = {
         "day": Scenario("day", 4 * hour, diurnal=True),
         "turns-bad": Scenario(
-            "turns-bad", 2 * hour, turns=(sudden,), withdrawn_at=manual_at
+            "turns-bad", 2 * hour, regressions=(sudden,), withdrawn_at=manual_at
         ),
         "turns-bad-slowly": Scenario(
             "turns-bad-slowly",
             2 * hour,
-            turns=(gradual,),
+            regressions=(gradual,),
             withdrawn_at=manual_at + 1200.0 * scale,
         ),
         "turns-bad-one-kind": Scenario(
             "turns-bad-one-kind",
             2 * hour,
-            turns=(one_kind,),
+            regressions=(one_kind,),
             withdrawn_at=manual_at,
         ),
         "bad-candidate": Scenario(
             "bad-candidate",
             2 * hour,
-            rolls_out=True,
+            has_rollout=True,
             candidate_quality=0.4,
             withdrawn_at=_MANUAL_DELAY * scale,
         ),
-        "good-candidate": Scenario("good-candidate", 2 * hour, rolls_out=True),
+        "good-candidate": Scenario(
+            "good-candidate", 2 * hour, has_rollout=True
+        ),
         "roll-out-log-down": Scenario(
             "roll-out-log-down",
             2 * hour,
-            rolls_out=True,
+            has_rollout=True,
             candidate_quality=0.4,
             withdrawn_at=_MANUAL_DELAY * scale,
-            log_down=(60.0, 3000.0 * scale),
+            log_outage=(60.0, 3000.0 * scale),
         ),
         "pool-outage": Scenario(
             "pool-outage",
@@ -140,23 +142,26 @@
             "half-dead-server", hour / 2, slow_servers=2, slow_at=hour / 8
         ),
         "half-load": Scenario(
-            "half-load", 60.0, load=0.5, plain_load=half_load(deployment)
+            "half-load", 60.0, load=0.5, plain_load=half_load_factor(deployment)
         ),
         "overload": Scenario(
-            "overload", 60.0, load=4.0, plain_load=half_load(deployment) / 2
+            "overload",
+            60.0,
+            load=4.0,
+            plain_load=half_load_factor(deployment) / 2,
         ),
     }
     return scenarios[name]
 
 
-def half_load(deployment: deployment_lib.Deployment) -> float:
+def half_load_factor(deployment: deployment_lib.Deployment) -> float:
     """Returns the plain load factor for half of the plain capacity at load 0.5.
 
     Half of this factor at load 4 gives twice the capacity.
     """
     servers = deployment.table.servers_by_service[deployment.plain_service]
     # 1.046 is the ratio of mean to median of the lognormal durations.
-    mean = deployment_lib.PLAIN_WORK_S * 1.046
+    mean = deployment_lib.PLAIN_WORK_SECONDS * 1.046
     capacity = sum(row.concurrency for row in servers) / mean
     return capacity / deployment.plain_rate
 
@@ -177,14 +182,14 @@
     return rows[len(rows) // 2].key
 
 
-def prepare(table: model.Table, scenario: Scenario) -> model.Table:
+def initial_table(table: model.Table, scenario: Scenario) -> model.Table:
     """Returns the table at the start of a scenario.
 
     Candidates are withdrawn unless the scenario rolls them out.
     """
-    if scenario.rolls_out:
+    if scenario.has_rollout:
         return table
-    return withdraw(
+    return withdraw_versions(
         table,
         {
             row.key
@@ -194,7 +199,7 @@
     )
 
 
-def withdraw(table: model.Table, keys: set[str]) -> model.Table:
+def withdraw_versions(table: model.Table, keys: set[str]) -> model.Table:
     """Returns ``table`` with the given versions withdrawn."""
     versions = {
         key: attrs.evolve(row, stage=model.Stage.WITHDRAWN)
--- a/src/hoistmoor/load/histogram.py
+++ b/src/hoistmoor/load/histogram.py
@@ -26,7 +26,7 @@
         """Number of recorded latencies."""
         return int(self.counts.get_total_count())
 
-    def at(self, percentile: float) -> float:
+    def value_at(self, percentile: float) -> float:
         """Returns the latency in milliseconds at a percentile."""
         return float(
             self.counts.get_value_at_percentile(percentile) / _US_PER_MS
--- a/src/hoistmoor/load/history.py
+++ b/src/hoistmoor/load/history.py
@@ -28,7 +28,7 @@
     def __init__(self, path: pathlib.Path) -> None:
         self.file = path.open("wb")
 
-    def add(self, result: calls.Seen) -> None:
+    def add(self, result: calls.RequestResult) -> None:
         """Writes a result as one line."""
         self.file.write(orjson.dumps(codec.converter.unstructure(result)))
         self.file.write(b"\n")
@@ -38,8 +38,8 @@
         self.file.close()
 
 
-def read(path: pathlib.Path) -> Iterator[calls.Seen]:
+def read(path: pathlib.Path) -> Iterator[calls.RequestResult]:
     """Yields the results in a history, in the order in which requests ended."""
     with path.open("rb") as file:
         for line in file:
-            yield codec.structure(orjson.loads(line), calls.Seen)
+            yield codec.structure(orjson.loads(line), calls.RequestResult)
--- a/src/hoistmoor/load/processor.py
+++ b/src/hoistmoor/load/process_usage.py
@@ -26,11 +26,11 @@
         resident: Resident memory in bytes.
     """
 
-    seconds: float
-    resident: int
+    cpu_seconds: float
+    resident_bytes: int
 
 
-def read(pid: int) -> Usage:
+def read_usage(pid: int) -> Usage:
     """Returns the usage of a process.
 
     Raises:
--- a/src/hoistmoor/load/report.py
+++ b/src/hoistmoor/load/report.py
@@ -35,7 +35,7 @@
     )
     choices: collections.Counter[str] = attrs.field(factory=collections.Counter)
 
-    def add(self, result: calls.Seen) -> None:
+    def add(self, result: calls.RequestResult) -> None:
         """Adds the result of a request."""
         self.sent += 1
         if not result.served:
@@ -54,7 +54,7 @@
         self.served_ids: set[str] = set()
         self.frames = 0
 
-    def add(self, result: calls.Seen) -> None:
+    def add(self, result: calls.RequestResult) -> None:
         """Adds the result of a request."""
         self.kinds.setdefault(result.kind, KindSummary()).add(result)
         self.frames += result.frames
@@ -77,7 +77,7 @@
 def _line(item: tuple[str, KindSummary]) -> str:
     kind, summary = item
     p50, p95, p99 = (
-        summary.latency.at(percentile) for percentile in (50, 95, 99)
+        summary.latency.value_at(percentile) for percentile in (50, 95, 99)
     )
     refused = ", ".join(
         f"{reason} {count}" for reason, count in summary.refusals.most_common()
--- a/src/hoistmoor/load/scenario.py
+++ b/src/hoistmoor/load/scenario.py
@@ -4,9 +4,9 @@
 
 import attrs
 
+from hoistmoor.load import call_catalog
 from hoistmoor.load import calls
 from hoistmoor.load import deployments
-from hoistmoor.load import mix
 
 
 @attrs.frozen
@@ -47,25 +47,29 @@
 _TAEMSUK = (
     Step(
         "question in Thai, model auto",
-        mix.chat("chat", "auto", _THAI_PROMPT, _AGENTS),
+        call_catalog.chat_call("chat", "auto", _THAI_PROMPT, _AGENTS),
     ),
     Step(
         "question in Isan, streamed, other entry",
-        mix.chat("stream", "auto", _ISAN_PROMPT, _AGENTS, stream=True),
+        call_catalog.chat_call(
+            "stream", "auto", _ISAN_PROMPT, _AGENTS, stream=True
+        ),
         entry=1,
     ),
     Step(
         "ledger under a high quality target, model auto",
-        mix.chat("chat", "auto", _LEDGER_PROMPT, _LEDGER),
+        call_catalog.chat_call("chat", "auto", _LEDGER_PROMPT, _LEDGER),
     ),
     Step(
         "pinned version",
-        mix.chat("chat", "khao-medium@2025-06", _THAI_PROMPT, _AGENTS),
+        call_catalog.chat_call(
+            "chat", "khao-medium@2025-06", _THAI_PROMPT, _AGENTS
+        ),
         entry=1,
     ),
     Step(
         "confirm with its own key, sent twice, two entries: runs once",
-        mix.service(
+        call_catalog.service_call(
             "confirm",
             "counter-api POST /confirm",
             _AGENTS,
@@ -76,7 +80,7 @@
     ),
     Step(
         "confirm with a ticket, sent twice, two entries: runs once",
-        mix.service(
+        call_catalog.service_call(
             "confirm",
             "counter-api POST /confirm",
             _AGENTS,
@@ -87,21 +91,25 @@
     ),
     Step(
         "confirm without a key",
-        mix.service("confirm", "counter-api POST /confirm", _AGENTS, _TOP_UP),
+        call_catalog.service_call(
+            "confirm", "counter-api POST /confirm", _AGENTS, _TOP_UP
+        ),
     ),
     Step(
         "balance",
-        mix.service("balance", "counter-api GET /balance/0812345678", _AGENTS),
+        call_catalog.service_call(
+            "balance", "counter-api GET /balance/0812345678", _AGENTS
+        ),
         entry=1,
     ),
     Step(
         "refused: a model that the client account may not use",
-        mix.chat("chat", "khao-large", _THAI_PROMPT, _RIDERS),
+        call_catalog.chat_call("chat", "khao-large", _THAI_PROMPT, _RIDERS),
         reason="not_granted",
     ),
     Step(
         "refused: a wrong key",
-        mix.chat("chat", "auto", _THAI_PROMPT, "demo-nobody"),
+        call_catalog.chat_call("chat", "auto", _THAI_PROMPT, "demo-nobody"),
         reason="wrong_key",
     ),
 )
@@ -109,16 +117,18 @@
 _HAFNARFJORDUR = (
     Step(
         "question on a permit in Icelandic, model auto",
-        mix.chat("chat", "auto", _PERMIT_PROMPT, _RESIDENTS),
+        call_catalog.chat_call("chat", "auto", _PERMIT_PROMPT, _RESIDENTS),
     ),
     Step(
         "haulage schedule under a high quality target, streamed",
-        mix.chat("stream", "auto", _SCHEDULE_PROMPT, _HAULAGE, stream=True),
+        call_catalog.chat_call(
+            "stream", "auto", _SCHEDULE_PROMPT, _HAULAGE, stream=True
+        ),
         entry=1,
     ),
     Step(
         "booking with its own key, sent twice, two entries: runs once",
-        mix.service(
+        call_catalog.service_call(
             "booking",
             "dispatch-desk POST /bookings",
             _RESIDENTS,
@@ -129,7 +139,7 @@
     ),
     Step(
         "booking with a ticket",
-        mix.service(
+        call_catalog.service_call(
             "booking",
             "dispatch-desk POST /bookings",
             _RESIDENTS,
@@ -140,13 +150,13 @@
     ),
     Step(
         "look at the booking",
-        mix.service(
+        call_catalog.service_call(
             "look", "dispatch-desk GET /bookings/strandgata-6", _RESIDENTS
         ),
     ),
     Step(
         "refused: a withdrawn version",
-        mix.chat("chat", "gamur-core@2.8", _PERMIT_PROMPT, _DESK),
+        call_catalog.chat_call("chat", "gamur-core@2.8", _PERMIT_PROMPT, _DESK),
         reason="version_withdrawn",
     ),
 )
--- a/tests/load/experiment/test_experiment_runs.py
+++ b/tests/load/experiment/test_experiment_runs.py
@@ -48,7 +48,7 @@
         services={row.service: row for row in services},
         servers={row.server: row for row in servers},
     )
-    return deployment_lib.of_table("taemsuk", table)
+    return deployment_lib.from_table("taemsuk", table)
 
 
 def _make_version(
@@ -73,33 +73,33 @@
 def test_run_is_deterministic_and_accounts_for_each_request(
     deployment: deployment_lib.Deployment, policy: str
 ) -> None:
-    scenario = scenarios.make("pool-outage", deployment, 0.05)
-    first = runs.run(deployment, scenario, policy, 1).measures
-    second = runs.run(deployment, scenario, policy, 1).measures
+    scenario = scenarios.make_scenario("pool-outage", deployment, 0.05)
+    first = runs.run(deployment, scenario, policy, 1).metrics
+    second = runs.run(deployment, scenario, policy, 1).metrics
     assertions.assert_that(
         repr(first.summary()), matchers.Equals(repr(second.summary()))
     )
-    arrivals = deployment_lib.arrivals(
-        deployment, scenario.length, scenario.load, 1, scenario.diurnal
+    arrivals = deployment_lib.generate_arrivals(
+        deployment, scenario.duration, scenario.load, 1, scenario.diurnal
     )
-    ended = first.delivered + first.given_up
-    ended += len(first.plain_s) + first.plain_given_up
+    ended = first.delivered + first.unserved_requests
+    ended += len(first.plain_seconds) + first.unserved_plain_calls
     assertions.assert_that(ended, matchers.Equals(len(arrivals)))
 
 
 def test_bad_candidate_stays_within_its_exposure_cap(
     deployment: deployment_lib.Deployment,
 ) -> None:
-    scenario = scenarios.make("bad-candidate", deployment, 0.1)
-    routed = runs.run(deployment, scenario, "hoistmoor", 1).measures
-    assert 0 < routed.by_version["small@2"] <= 20
-    baseline = runs.run(deployment, scenario, "two-reported", 1).measures
-    assert baseline.by_version["small@2"] > 20
+    scenario = scenarios.make_scenario("bad-candidate", deployment, 0.1)
+    routed = runs.run(deployment, scenario, "hoistmoor", 1).metrics
+    assert 0 < routed.responses_by_version["small@2"] <= 20
+    baseline = runs.run(deployment, scenario, "two-reported", 1).metrics
+    assert baseline.responses_by_version["small@2"] > 20
 
 
 def test_cached_prefix_needs_no_prefill_and_batch_drains() -> None:
-    clock = clock_lib.Clock()
-    engine = engine_lib.Engine("e", clock, 8, ("v",))
+    clock = clock_lib.VirtualClock()
+    engine = engine_lib.SimulatedEngine("e", clock, 8, ("v",))
     ended: list[float] = []
 
     def submit() -> None:
@@ -111,13 +111,13 @@
         )  # fmt: skip
 
     submit()
-    clock.run(10.0)
+    clock.run_until(10.0)
     alone = clock.now
     assertions.assert_that(ended, matchers.HasLength(1))
     assert ended[0] > 0.0
     submit()
     submit()
-    clock.run(20.0)
+    clock.run_until(20.0)
     assertions.assert_that(ended[1:], matchers.Equals([alone, alone]))
     assertions.assert_that(engine.running, matchers.Equals(0))
 
@@ -125,7 +125,7 @@
 def test_report_shows_the_range_and_unknown_deployment_is_rejected(
     deployment: deployment_lib.Deployment,
 ) -> None:
-    scenario = scenarios.make("half-dead-server", deployment, 0.02)
+    scenario = scenarios.make_scenario("half-dead-server", deployment, 0.02)
     results = [
         runs.run(deployment, scenario, "random", seed) for seed in (1, 2)
     ]
@@ -140,10 +140,12 @@
     deployment: deployment_lib.Deployment,
 ) -> None:
     policy = policies.make_baseline("fixed-cascade", deployment, 1)
-    arrivals = deployment_lib.arrivals(deployment, 30.0, 1.0, 1, False)
+    arrivals = deployment_lib.generate_arrivals(deployment, 30.0, 1.0, 1, False)
     arrival = next(a for a in arrivals if a.kind)
-    table = scenarios.withdraw(deployment.table, set(deployment.table.versions))
+    table = scenarios.withdraw_versions(
+        deployment.table, set(deployment.table.versions)
+    )
     policy.on_table(table, 1)
-    query = policies.Ask(arrival, None, frozenset(), 1)
-    decision = policies.Pick("small@1", "llm-0", hold=True)
+    query = policies.Query(arrival, None, frozenset(), 1)
+    decision = policies.Decision("small@1", "llm-0", hold=True)
     assert policy.judge(query, decision, 0.1, 0.0) is None
--- a/tests/load/test_load_caller.py
+++ b/tests/load/test_load_caller.py
@@ -14,10 +14,10 @@
 from hoistmoor.core import errors
 from hoistmoor.core import outcomes
 from hoistmoor.load import arrivals
+from hoistmoor.load import call_catalog
 from hoistmoor.load import caller as caller_lib
 from hoistmoor.load import calls
 from hoistmoor.load import history
-from hoistmoor.load import mix
 from hoistmoor.load import report as report_lib
 
 if TYPE_CHECKING:
@@ -78,10 +78,10 @@
 
 
 @pytest.fixture
-async def caller() -> AsyncIterator[caller_lib.Caller]:
+async def caller() -> AsyncIterator[caller_lib.HttpCaller]:
     """Returns a caller with its own HTTP session."""
     async with aiohttp.ClientSession() as session:
-        yield caller_lib.Caller(session)
+        yield caller_lib.HttpCaller(session)
 
 
 @pytest.mark.parametrize(
@@ -96,7 +96,7 @@
 )
 async def test_response_is_served_only_if_complete(
     entry: str,
-    caller: caller_lib.Caller,
+    caller: caller_lib.HttpCaller,
     path: str,
     served: bool,
     reason: str,
@@ -111,7 +111,7 @@
 
 
 async def test_unreachable_entry_is_reported_as_not_run(
-    caller: caller_lib.Caller,
+    caller: caller_lib.HttpCaller,
 ) -> None:
     call = calls.Call("test", "GET", "/", None, BEARER)
     result = await caller.send(0, UNREACHABLE_URL, call, due=0.0)
@@ -122,15 +122,15 @@
 
 
 async def test_history_of_a_run_contains_no_bearer_key(
-    entry: str, caller: caller_lib.Caller, tmp_path: pathlib.Path
+    entry: str, caller: caller_lib.HttpCaller, tmp_path: pathlib.Path
 ) -> None:
     path = tmp_path / "history.jsonl"
     writer = history.HistoryFile(path)
     report = report_lib.Report()
     call = calls.Call("test", "GET", "/_refuse", None, BEARER)
-    plan = arrivals.Plan([entry], [call], rate=500.0, count=20)
+    plan = arrivals.LoadPlan([entry], [call], rate=500.0, count=20)
 
-    def on_result(result: calls.Seen) -> None:
+    def on_result(result: calls.RequestResult) -> None:
         writer.add(result)
         report.add(result)
 
@@ -151,9 +151,13 @@
 
 def test_arrivals_are_deterministic_for_a_seed() -> None:
     call = calls.Call("test", "GET", "/", None, BEARER)
-    plan = arrivals.Plan(["http://127.0.0.1:1"], [call], rate=50.0, count=2000)
-    first = list(arrivals.offsets(plan))
-    assertions.assert_that(first, matchers.Equals(list(arrivals.offsets(plan))))
+    plan = arrivals.LoadPlan(
+        ["http://127.0.0.1:1"], [call], rate=50.0, count=2000
+    )
+    first = list(arrivals.arrival_offsets(plan))
+    assertions.assert_that(
+        first, matchers.Equals(list(arrivals.arrival_offsets(plan)))
+    )
     assertions.assert_that(
         first[-1],
         matchers.MatchesAll(
@@ -164,4 +168,4 @@
 
 def test_unknown_kind_error_lists_the_known_kinds() -> None:
     with pytest.raises(errors.ConfigurationError, match="balance"):
-        mix.named(["nonsense"], BEARER)
+        call_catalog.calls_by_name(["nonsense"], BEARER)
--- a/tests/load/test_load_demo_files.py
+++ b/tests/load/test_load_demo_files.py
@@ -29,7 +29,7 @@
 
 
 def _read_table(deployment: deployments.Deployment) -> model.Table:
-    files = (ROOT / deployment.sheets).glob("*.csv")
+    files = (ROOT / deployment.sheet_directory).glob("*.csv")
     result = sheets.parse_sheets(
         {path.name: path.read_text() for path in files}
     )
