--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -17,7 +17,7 @@
 from hoistmoor.load.experiment import deployment as deployment_lib
 from hoistmoor.load.experiment import hoistmoor_policy
 from hoistmoor.load.experiment import large_deployment
-from hoistmoor.load.experiment import metrics as measures_lib
+from hoistmoor.load.experiment import metrics as metrics_lib
 from hoistmoor.load.experiment import polling
 from hoistmoor.load.experiment import runs
 from hoistmoor.load.experiment import scenarios
@@ -92,7 +92,7 @@
 
 
 def _row(
-    measures: measures_lib.Metrics,
+    measures: metrics_lib.Metrics,
     simulation: polling.PolledSimulation,
     requests: int,
 ) -> Row:
--- a/src/hoistmoor/load/compare.py
+++ b/src/hoistmoor/load/compare.py
@@ -44,7 +44,8 @@
         kind: Kind of the calls.
         direct: Latencies of direct calls.
         through: Latencies through the entry.
-        failed: Pairs in which either call was not served; they are excluded.
+        failed_pairs: Pairs in which either call was not served; they are
+            excluded.
     """
 
     kind: str
@@ -54,7 +55,10 @@
 
     def lines(self) -> list[str]:
         """Returns the comparison as text."""
-        head = f"{self.kind}: {self.through.count} pairs, {self.failed_pairs} failed"
+        head = (
+            f"{self.kind}: {self.through.count} pairs, "
+            f"{self.failed_pairs} failed"
+        )
         return [head, *map(self._line, _PERCENTILES)]
 
     def _line(self, percentile: float) -> str:
--- a/src/hoistmoor/load/demo.py
+++ b/src/hoistmoor/load/demo.py
@@ -40,8 +40,8 @@
 
     Attributes:
         step: The step.
-        seen: Results of the requests, one for each time it was sent.
-        explained: Explanation of the first request by another entry; empty
+        results: Results of the requests, one for each time it was sent.
+        explanation: Explanation of the first request by another entry; empty
             if that entry has none.
     """
 
--- a/src/hoistmoor/load/deployments.py
+++ b/src/hoistmoor/load/deployments.py
@@ -16,11 +16,11 @@
 
     Attributes:
         name: Name in reports.
-        sheets: Directory of its table sheets.
-        platform: Base URL of its platform.
-        entries: Base URLs of its entries.
-        once_servers: Base URLs of the backend servers whose calls must run
-            at most once.
+        sheet_directory: Directory of its table sheets.
+        platform_url: Base URL of its platform.
+        entry_urls: Base URLs of its entries.
+        at_most_once_servers: Base URLs of the backend servers whose calls must
+            run at most once.
     """
 
     name: str
--- a/src/hoistmoor/load/experiment/deployment.py
+++ b/src/hoistmoor/load/experiment/deployment.py
@@ -34,12 +34,12 @@
     """The distribution of requests of one kind.
 
     Attributes:
-        share: Fraction of the model requests.
-        shift: Shift of the log odds of a good response; positive for
+        fraction: Fraction of the model requests.
+        log_odds_shift: Shift of the log odds of a good response; positive for
             easier requests.
-        prompt: Median number of prompt tokens.
-        output: Median number of generated tokens.
-        urgent: Whether a person waits for the response.
+        median_prompt: Median number of prompt tokens.
+        median_output: Median number of generated tokens.
+        is_urgent: Whether a person waits for the response.
     """
 
     fraction: float
@@ -111,7 +111,8 @@
     if name not in REQUEST_KINDS:
         raise errors.ConfigurationError(
             f"no traffic model for {name}",
-            f"Choose a directory named one of: {', '.join(sorted(REQUEST_KINDS))}.",
+            "Choose a directory named one of: "
+            f"{', '.join(sorted(REQUEST_KINDS))}.",
         )
     files = {
         path.name: path.read_text(encoding="utf-8")
@@ -203,12 +204,12 @@
         account: Name of the client account.
         kind: Kind of request; empty for a plain call.
         difficulty: Difficulty, on the scale of the skills of versions.
-        prompt: Number of prompt tokens.
-        output: Number of tokens in a response.
+        prompt_tokens: Number of prompt tokens.
+        output_tokens: Number of tokens in a response.
         session: Session id; empty for none.
         prefix: Hashes of the prompt's blocks of tokens.
         deadline: Time at which the caller gives up.
-        work: Service time of a plain call, in seconds.
+        work_seconds: Service time of a plain call, in seconds.
     """
 
     number: int
--- a/src/hoistmoor/load/experiment/engine.py
+++ b/src/hoistmoor/load/experiment/engine.py
@@ -32,15 +32,15 @@
     Attributes:
         version: Key of the version; empty for a plain service.
         prompt_tokens: Length of the prompt.
-        work: Seconds of generation without batching.
+        work_seconds: Seconds of generation without batching.
         tokens: Number of tokens to generate.
         prefix: Hashes of the prompt's blocks of tokens.
         urgent: Whether it is queued ahead of other jobs.
-        done: Called with (job, ok) at the end.
+        on_done: Called with (job, ok) at the end.
         first_token_at: Time of the first token.
         finished_at: Time of the end.
         state: Phase that it is in.
-        start_mark: Progress of the batch when the job joined it.
+        start_progress: Progress of the batch when the job joined it.
     """
 
     version: str
@@ -66,20 +66,20 @@
         capacity: Maximum number of concurrent calls.
         versions: Keys of the loaded versions.
         slowness: Factor on all durations; 1 is healthy.
-        failing: Returns whether the call that ends now fails.
+        is_call_failing: Returns whether the call that ends now fails.
         is_up: Whether it accepts calls.
         is_batching: Whether the calls in the batch slow one another down.
         incarnation: Number of the current incarnation.
         progress: Cumulative seconds of work, per call in the batch.
         progress_at: Time at which ``progress`` was updated.
-        batch: Number of calls in the batch.
+        batch_size: Number of calls in the batch.
         prefilling: Number of calls in prefill.
-        ends: Heap of the progress at which each job in the batch ends.
+        batch_ends: Heap of the progress at which each job in the batch ends.
         queue: Jobs that wait for capacity.
         cache: Hashes of the cached blocks, least recently used first.
-        timer: Generation of the timer; earlier timers are ignored.
+        timer_generation: Generation of the timer; earlier timers are ignored.
         serial: Breaks ties between ends.
-        cache_log: Changes of the prefix cache so far.
+        cache_events: Changes of the prefix cache so far.
     """
 
     name: str
--- a/src/hoistmoor/load/experiment/metrics.py
+++ b/src/hoistmoor/load/experiment/metrics.py
@@ -13,20 +13,22 @@
     """Counters and samples of one run of one policy.
 
     Attributes:
-        answers: Numbers of good and of all responses delivered, by account.
-        targets: Quality targets by account.
-        spent: Cost of model requests, in micros.
-        first_token_s: Seconds from arrival to the first token.
-        gap_s: Mean seconds between the tokens of each response.
-        plain_s: Seconds of completed plain calls, from their last try.
+        responses_by_account: Numbers of good and of all responses delivered, by
+            account.
+        targets_by_account: Quality targets by account.
+        cost: Cost of model requests, in micros.
+        first_token_seconds: Seconds from arrival to the first token.
+        token_gap_seconds: Mean seconds between the tokens of each response.
+        plain_seconds: Seconds of completed plain calls, from their last try.
         refusals: Refusals, counted per try.
-        given_up: Model requests without a response.
-        plain_given_up: Plain calls without a response.
+        unserved_requests: Model requests without a response.
+        unserved_plain_calls: Plain calls without a response.
         wasted_tokens: Tokens generated but not delivered.
         useful_tokens: Tokens delivered.
-        bad_by_version: Bad responses delivered from regressed or bad versions.
-        by_version: Responses delivered, by version.
-        turned_flow: Responses per second of a version in the last minutes
+        bad_responses_by_version: Bad responses delivered from regressed or bad
+            versions.
+        responses_by_version: Responses delivered, by version.
+        regressed_rate: Responses per second of a version in the last minutes
             before it regressed.
         bad_limit: Lower bound on the bad responses that any test delivers
             before the ratings reveal the regression.
--- a/src/hoistmoor/load/experiment/oracle.py
+++ b/src/hoistmoor/load/experiment/oracle.py
@@ -22,7 +22,7 @@
 from hoistmoor.load.experiment import deployment as deployment_lib
 from hoistmoor.load.experiment import engine as engine_lib
 from hoistmoor.load.experiment import policies
-from hoistmoor.load.experiment import quality_model as world_lib
+from hoistmoor.load.experiment import quality_model as quality_model_lib
 
 _GRID = 240
 _NOISE_GRID = 15
@@ -49,7 +49,7 @@
     def __init__(
         self,
         deployment: deployment_lib.Deployment,
-        world: world_lib.QualityModel,
+        world: quality_model_lib.QualityModel,
     ) -> None:
         """Creates an oracle; ``engines`` must be set before it is used."""
         self.name = "oracle"
@@ -228,7 +228,7 @@
         healthy = np.array(
             [self.world.healthy_chance(version, kind, d) for d in grid]
         )
-        noise = _normal_grid(_NOISE_GRID) * world_lib.CONFIDENCE_NOISE
+        noise = _normal_grid(_NOISE_GRID) * quality_model_lib.CONFIDENCE_NOISE
         confidence = np.clip(healthy[:, None] + noise[None, :], 0.0, 1.0)
         return np.searchsorted(
             np.array(quality_estimates.BUCKET_EDGES), confidence, side="right"
--- a/src/hoistmoor/load/experiment/policies.py
+++ b/src/hoistmoor/load/experiment/policies.py
@@ -131,10 +131,10 @@
         version_rule: Chooses among the granted versions.
         server_rule: Chooses among the servers with the version loaded.
         escalates: Whether it is a fixed cascade.
-        source: Random number generator of the rules.
+        rng: Random number generator of the rules.
         table: The table in force.
         reports: Latest load report of each server.
-        turn: Number of choices so far, for round-robin.
+        choice_count: Number of choices so far, for round-robin.
     """
 
     name: str
--- a/src/hoistmoor/load/experiment/polling.py
+++ b/src/hoistmoor/load/experiment/polling.py
@@ -21,7 +21,7 @@
     from hoistmoor.load.experiment import engine as engine_lib
     from hoistmoor.load.experiment import hoistmoor_policy
     from hoistmoor.load.experiment import policies
-    from hoistmoor.load.experiment import quality_model as world_lib
+    from hoistmoor.load.experiment import quality_model as quality_model_lib
     from hoistmoor.load.experiment import scenarios
 
 # Same values as in the load report poller of the entry host; polls per second.
@@ -41,9 +41,9 @@
     Attributes:
         servers: Names of all backend servers.
         by_service: Names of the backend servers of each service.
-        owed: Services of the polls requested by dispatches.
-        turns: Number of polls so far, by service, for round-robin; the empty
-            name stands for all servers.
+        requested_polls: Services of the polls requested by dispatches.
+        polls_by_service: Number of polls so far, by service, for round-robin;
+            the empty name stands for all servers.
         idle_ticks: Ticks since the last poll.
     """
 
@@ -82,14 +82,14 @@
     Attributes:
         policy: The policy under test, with one router per host.
         pollers: The poller of each host.
-        ages: Ages of the reports of the chosen servers, in seconds.
+        report_ages: Ages of the reports of the chosen servers, in seconds.
         declines: Number of attempts that a server declined.
         is_probing: Whether a host probes some servers for their load before
             it sends a model request.
         probes: Number of probes.
-        seen: Load report that each server returns to a probe.
-        waits: Seconds from the start of each model attempt to its first
-            token, whether the response is held or not.
+        probe_reports: Load report that each server returns to a probe.
+        first_token_waits: Seconds from the start of each model attempt to its
+            first token, whether the response is held or not.
     """
 
     policy: hoistmoor_policy.RouterPolicy
@@ -99,7 +99,7 @@
         deployment: deployment_lib.Deployment,
         scenario: scenarios.Scenario,
         policy: hoistmoor_policy.RouterPolicy,
-        world: world_lib.QualityModel,
+        world: quality_model_lib.QualityModel,
         seed: int,
         is_probing: bool = False,
     ) -> None:
@@ -175,7 +175,9 @@
             decision = self._probe(request, decision)
         host = request.arrival.host
         service = self.table.servers[decision.server].service
-        self.pollers[host].owed.extend([service] * POLLS_PER_DISPATCH)
+        self.pollers[host].requested_polls.extend(
+            [service] * POLLS_PER_DISPATCH
+        )
         server = self.policy.routers[host].fleet.by_name[decision.server]
         if server.report is not None:
             self.report_ages.append(self.clock.now - server.report.at)
--- a/src/hoistmoor/load/experiment/quality_model.py
+++ b/src/hoistmoor/load/experiment/quality_model.py
@@ -27,8 +27,8 @@
 
     Attributes:
         version: Key of the version.
-        at: Time of the start.
-        ramp: Seconds until the full effect; 0 for a sudden regression.
+        starts_at: Time of the start.
+        ramp_seconds: Seconds until the full effect; 0 for a sudden regression.
         quality: Fraction of good responses after it.
         kind: Affected kind of request; empty for all.
     """
@@ -71,7 +71,7 @@
 
     Attributes:
         qualities: Mean fraction of good responses by version and kind.
-        turns: Quality regressions of versions.
+        regressions: Quality regressions of versions.
         skills: Skills that give these qualities, by version and kind.
     """
 
--- a/src/hoistmoor/load/experiment/runs.py
+++ b/src/hoistmoor/load/experiment/runs.py
@@ -7,10 +7,10 @@
 from hoistmoor.core.table import model
 from hoistmoor.load.experiment import deployment as deployment_lib
 from hoistmoor.load.experiment import hoistmoor_policy
-from hoistmoor.load.experiment import metrics as measures_lib
+from hoistmoor.load.experiment import metrics as metrics_lib
 from hoistmoor.load.experiment import oracle as oracle_lib
 from hoistmoor.load.experiment import policies
-from hoistmoor.load.experiment import quality_model as world_lib
+from hoistmoor.load.experiment import quality_model as quality_model_lib
 from hoistmoor.load.experiment import scenarios
 from hoistmoor.load.experiment import simulation
 
@@ -25,13 +25,13 @@
         policy: Name of the policy.
         scenario: Name of the scenario.
         seed: Random seed.
-        measures: Metrics of the run.
+        metrics: Metrics of the run.
     """
 
     policy: str
     scenario: str
     seed: int
-    metrics: measures_lib.Metrics
+    metrics: metrics_lib.Metrics
 
 
 def run(
@@ -59,10 +59,10 @@
     deployment: deployment_lib.Deployment,
     scenario: scenarios.Scenario,
     seed: int,
-) -> world_lib.QualityModel:
+) -> quality_model_lib.QualityModel:
     """Returns the ground truth of a scenario and seed."""
     shifts = {kind: s.log_odds_shift for kind, s in deployment.kinds.items()}
-    world = world_lib.make_quality_model(
+    world = quality_model_lib.make_quality_model(
         deployment.table, shifts, scenario.regressions, seed
     )
     if not scenario.candidate_quality:
@@ -78,13 +78,13 @@
         else quality
         for (key, kind), quality in world.qualities.items()
     }
-    return world_lib.QualityModel(qualities, scenario.regressions)
+    return quality_model_lib.QualityModel(qualities, scenario.regressions)
 
 
 def _make_policy(
     name: str,
     deployment: deployment_lib.Deployment,
-    world: world_lib.QualityModel,
+    world: quality_model_lib.QualityModel,
     seed: int,
 ) -> policies.Policy:
     if name == "oracle":
--- a/src/hoistmoor/load/experiment/scenarios.py
+++ b/src/hoistmoor/load/experiment/scenarios.py
@@ -14,9 +14,9 @@
     """A temporary outage of backend servers.
 
     Attributes:
-        at: Time of the start.
-        until: Time of the end.
-        share: Fraction of the service's servers that are down.
+        starts_at: Time of the start.
+        ends_at: Time of the end.
+        fraction: Fraction of the service's servers that are down.
     """
 
     starts_at: float
@@ -30,20 +30,20 @@
 
     Attributes:
         name: Name in reports.
-        length: Duration in seconds.
+        duration: Duration in seconds.
         load: Factor on the mean rates.
         plain_load: Additional factor on the rate of plain calls.
         diurnal: Whether the rate varies over the run.
-        turns: Quality regressions of versions.
+        regressions: Quality regressions of versions.
         withdrawn_at: When the operators withdraw the bad versions manually; 0
             for never.
-        rolls_out: Whether candidates in the table are rolled out.
+        has_rollout: Whether candidates in the table are rolled out.
         candidate_quality: True quality of the candidates; 0 for one near the
             prior.
         outage: Outage of backend servers, if any.
         slow_servers: Number of servers that become slow and fail calls.
         slow_at: When they become slow.
-        log_down: Start and end of an outage of the log.
+        log_outage: Start and end of an outage of the log.
     """
 
     name: str
@@ -95,7 +95,7 @@
     version = _median_version(deployment)
     kind = next(iter(deployment.kinds))
     sudden = quality_model.QualityRegression(version, regression_at)
-    gradual = attrs.evolve(sudden, ramp=1200.0 * scale)
+    gradual = attrs.evolve(sudden, ramp_seconds=1200.0 * scale)
     one_kind = attrs.evolve(sudden, kind=kind)
     scenarios = {
         "day": Scenario("day", 4 * hour, diurnal=True),
--- a/src/hoistmoor/load/experiment/simulation.py
+++ b/src/hoistmoor/load/experiment/simulation.py
@@ -14,9 +14,9 @@
 from hoistmoor.load.experiment import clock as clock_lib
 from hoistmoor.load.experiment import deployment as deployment_lib
 from hoistmoor.load.experiment import engine as engine_lib
-from hoistmoor.load.experiment import metrics as measures_lib
+from hoistmoor.load.experiment import metrics as metrics_lib
 from hoistmoor.load.experiment import policies
-from hoistmoor.load.experiment import quality_model as world_lib
+from hoistmoor.load.experiment import quality_model as quality_model_lib
 from hoistmoor.load.experiment import scenarios
 
 REPORT_INTERVAL = 1.0
@@ -43,11 +43,11 @@
         tries: Number of tries by the caller.
         excluded: Servers that declined or failed the request.
         job: The current attempt on a server, if any.
-        pick: Destination of that attempt.
+        decision: Destination of that attempt.
         sent_at: When that attempt was sent.
-        escalated: Whether a response was rejected for its low confidence.
+        is_escalated: Whether a response was rejected for its low confidence.
         entered_at: When the current try arrived.
-        is_over: Whether the request has ended.
+        has_ended: Whether the request has ended.
     """
 
     arrival: deployment_lib.Arrival
@@ -72,7 +72,7 @@
         world: The ground truth on quality.
         clock: The virtual clock.
         engines: The simulated backend servers by name.
-        measures: Metrics of the run.
+        metrics: Metrics of the run.
         pins: Pinned version of each session, as in the callers' tokens.
     """
 
@@ -81,7 +81,7 @@
         deployment: deployment_lib.Deployment,
         scenario: scenarios.Scenario,
         policy: policies.Policy,
-        world: world_lib.QualityModel,
+        world: quality_model_lib.QualityModel,
         seed: int,
     ) -> None:
         """Prepares a run; all randomness comes from ``seed``."""
@@ -92,7 +92,7 @@
         self.seed = seed
         self.clock = clock_lib.VirtualClock()
         self.engines = deployment_lib.make_engines(deployment, self.clock)
-        self.metrics = measures_lib.Metrics()
+        self.metrics = metrics_lib.Metrics()
         self.pins: dict[str, str] = {}
         self.rng = random.Random(f"simulation {seed}")
         self.loss_rng = random.Random(f"losses {seed}")
@@ -102,7 +102,9 @@
         self.cache_read: dict[str, int] = {}
         self.counted_regressions = self._counted_regressions()
 
-    def _counted_regressions(self) -> dict[str, world_lib.QualityRegression]:
+    def _counted_regressions(
+        self,
+    ) -> dict[str, quality_model_lib.QualityRegression]:
         """Returns the regressions whose bad responses are counted."""
         regressions = {
             regression.version: regression
@@ -111,14 +113,14 @@
         if self.scenario.candidate_quality:
             for row in self.table.versions.values():
                 if row.stage is model.Stage.CANDIDATE:
-                    regressions[row.key] = world_lib.QualityRegression(
+                    regressions[row.key] = quality_model_lib.QualityRegression(
                         row.key, 0.0
                     )
         return regressions
 
     def run(
         self, arrivals: list[deployment_lib.Arrival]
-    ) -> measures_lib.Metrics:
+    ) -> metrics_lib.Metrics:
         """Serves ``arrivals`` and returns the metrics."""
         for account in self.table.accounts:
             self.metrics.targets_by_account[account] = max(
@@ -155,11 +157,15 @@
         ratings = sequential.min_detection_delay(
             before, regression.quality, confidence
         )
-        waiting = self.metrics.regressed_rate * world_lib.MEAN_RATING_DELAY
-        responses = ratings / world_lib.RATED_FRACTION + waiting
+        waiting = (
+            self.metrics.regressed_rate * quality_model_lib.MEAN_RATING_DELAY
+        )
+        responses = ratings / quality_model_lib.RATED_FRACTION + waiting
         return (1.0 - regression.quality) * responses
 
-    def _mean_quality(self, regression: world_lib.QualityRegression) -> float:
+    def _mean_quality(
+        self, regression: quality_model_lib.QualityRegression
+    ) -> float:
         if regression.version not in {
             t.version for t in self.scenario.regressions
         }:
@@ -284,11 +290,11 @@
         confidence: float,
         good: bool,
     ) -> None:
-        if self.rng.random() >= world_lib.RATED_FRACTION:
+        if self.rng.random() >= quality_model_lib.RATED_FRACTION:
             return
         name = f"{request.arrival.number:x}.{request.attempt:x}"
         model_name, _, version = decision.version.partition("@")
-        delay = self.rng.expovariate(1.0 / world_lib.MEAN_RATING_DELAY)
+        delay = self.rng.expovariate(1.0 / quality_model_lib.MEAN_RATING_DELAY)
         rating = messages.Rating(
             quality_estimates.make_answer_id(
                 name, confidence, request.is_escalated
@@ -527,7 +533,7 @@
             metrics.bad_responses_by_version[decision.version] += 1
 
     def _has_regressed(
-        self, regression: world_lib.QualityRegression, kind: str
+        self, regression: quality_model_lib.QualityRegression, kind: str
     ) -> bool:
         return self.clock.now >= regression.starts_at and regression.kind in (
             "",
--- a/src/hoistmoor/load/process_usage.py
+++ b/src/hoistmoor/load/process_usage.py
@@ -22,8 +22,8 @@
     """The resource usage of a process.
 
     Attributes:
-        seconds: Total CPU time, in user and system mode.
-        resident: Resident memory in bytes.
+        cpu_seconds: Total CPU time, in user and system mode.
+        resident_bytes: Resident memory in bytes.
     """
 
     cpu_seconds: float
--- a/src/hoistmoor/standins/batch.py
+++ b/src/hoistmoor/standins/batch.py
@@ -21,14 +21,14 @@
     """A response that is being generated.
 
     Attributes:
-        attempt: Attempt id of the request.
+        attempt_id: Attempt id of the request.
         length: Number of tokens to generate.
         priority: Rank in the queue, lowest first.
-        prefill: Seconds before the first token.
-        made: Number of tokens generated so far.
+        prefill_seconds: Seconds before the first token.
+        generated: Number of tokens generated so far.
         ready_at: When prefill ends, in monotonic time.
         cancelled: Whether generation was cancelled.
-        news: Set when tokens were generated or the sequence was cancelled.
+        progress: Set when tokens were generated or the sequence was cancelled.
     """
 
     attempt_id: str
@@ -57,7 +57,7 @@
         pace: Returns the current factor on the duration of a step.
         running: Sequences that hold a slot.
         waiting: Heap of waiting sequences by priority and order of arrival.
-        tokens: Number of tokens generated so far.
+        generated_tokens: Number of tokens generated so far.
     """
 
     def __init__(
--- a/src/hoistmoor/standins/completions.py
+++ b/src/hoistmoor/standins/completions.py
@@ -43,7 +43,7 @@
         prompt: Prompt of the request.
         script: Predetermined text of the response.
         sequence: Sequence of the response in the batch.
-        run: Execution record for history checks.
+        execution: Execution record for history checks.
     """
 
     body: dict[str, Any]
--- a/src/hoistmoor/standins/log.py
+++ b/src/hoistmoor/standins/log.py
@@ -26,7 +26,7 @@
 
     Attributes:
         at: When the record was stored, in seconds since the epoch.
-        wire: JSON encoding of the record.
+        encoded: JSON encoding of the record.
     """
 
     at: float
@@ -39,9 +39,9 @@
     Attributes:
         max_age: Seconds that a record is retained.
         max_records: Number of records that are retained.
-        first: Offset of the oldest retained record.
+        first_offset: Offset of the oldest retained record.
         records: Records in memory, which may include expired ones.
-        base: Offset of ``records[0]``, at most ``first``.
+        memory_offset: Offset of ``records[0]``, at most ``first``.
         appended: Set at the next append, which replaces the event.
     """
 
@@ -113,12 +113,12 @@
     """The log service.
 
     Attributes:
-        book: Registry of the active faults.
+        fault_registry: Registry of the active faults.
         max_age: Seconds that a record is retained.
         max_records: Number of records that a stream retains.
         appends_per_second: Limit on the appends to all streams; 0 for none.
         streams: Streams by name, each created on first use.
-        bound: Rate limiter of appends.
+        append_limiter: Rate limiter of appends.
     """
 
     fault_registry: fault_registry.FaultRegistry
--- a/src/hoistmoor/standins/orders.py
+++ b/src/hoistmoor/standins/orders.py
@@ -38,13 +38,13 @@
     """Loads and unloads versions as ordered.
 
     Attributes:
-        book: Registry of the active faults.
+        fault_registry: Registry of the active faults.
         loaded: Keys of the versions that serve requests.
         load_time: Seconds to load a version.
         honours_fencing: Whether orders with stale fencing tokens are refused.
         wanted: Keys of the versions in the desired state.
         role: Role in the desired state.
-        highest: Highest fencing token accepted; -1 for none.
+        highest_fencing_token: Highest fencing token accepted; -1 for none.
         history: All orders received.
         changed: Set when the desired state changes.
     """
--- a/src/hoistmoor/standins/prefix_cache.py
+++ b/src/hoistmoor/standins/prefix_cache.py
@@ -33,7 +33,7 @@
     Attributes:
         capacity: Maximum number of blocks.
         events: The most recent changes, oldest first.
-        next: Sequence number of the next change.
+        next_sequence: Sequence number of the next change.
     """
 
     def __init__(self, capacity: int) -> None:
--- a/src/hoistmoor/standins/ratings.py
+++ b/src/hoistmoor/standins/ratings.py
@@ -29,12 +29,12 @@
     """The rating service.
 
     Attributes:
-        book: Registry of the active faults.
+        fault_registry: Registry of the active faults.
         share: Fraction of the responses that are rated, 0 to 1.
         delay: Seconds from the submission of a response to its rating.
         seed: Seed that determines which responses are rated.
-        first: Offset of the oldest rating kept.
-        made: Ratings kept for readers, oldest first.
+        first_offset: Offset of the oldest rating kept.
+        finished_ratings: Ratings kept for readers, oldest first.
         pending: Heap of responses to rate, by time of submission.
         submitted: Ids of all responses submitted.
     """
--- a/src/hoistmoor/standins/runner.py
+++ b/src/hoistmoor/standins/runner.py
@@ -31,8 +31,9 @@
         tasks: Background tasks of the stand-in.
         stop: Called when a stop begins, before waiting for work in flight.
         is_idle: Returns whether no work is in flight.
-        linger: Seconds for which a stopping stand-in continues to decline new
-            work, so that requests already on their way are not cut off.
+        linger_seconds: Seconds for which a stopping stand-in continues to
+            decline new work, so that requests already on their way are not cut
+            off.
     """
 
     application: web.Application
--- a/src/hoistmoor/standins/token_bucket.py
+++ b/src/hoistmoor/standins/token_bucket.py
@@ -9,7 +9,7 @@
     Attributes:
         per_second: Calls admitted per second; 0 for no limit.
         tokens: Calls that may be admitted at once.
-        filled_at: When tokens were last added, in seconds.
+        refilled_at: When tokens were last added, in seconds.
     """
 
     def __init__(self, per_second: float) -> None:
