--- a/tests/core/membership/test_membership_histories.py
+++ b/tests/core/membership/test_membership_histories.py
@@ -157,3 +157,14 @@
     network.heal()
     seconds = network.run_until(network.all_alive, _BOUND)
     assertions.assert_that(seconds, matchers.LessThan(_BOUND))
+
+
+def test_a_server_leaving_in_a_partition_is_known_to_both_sides() -> None:
+    # Hosts on one side of a partition learn that a server leaves. They use up
+    # their transmissions before it heals, so that only a sync can inform the
+    # other side; a view that stays different must lead to one.
+    state = Histories()
+    state.disconnect(side={"entry-000", "entry-001"}, seconds=0.3)
+    state.server_leaves(name="entry-000", server="a")
+    state.run(seconds=40.0)
+    state.teardown()
