--- a/src/hoistmoor/clients/exchange_errors.py
+++ b/src/hoistmoor/clients/exchange_errors.py
@@ -50,17 +50,17 @@
     if state is outcomes.ExchangeState.UNSENT:
         return BackendUnreachableError(
             state,
-            f"cannot connect to {url}: {error!r}",
+            f"no connection to {url}: {error!r}",
             "Try another backend server.",
         )
     if isinstance(error, TimeoutError):
         return BackendTimeoutError(
             state,
-            f"{url} did not complete its response in time: {error!r}",
+            f"no whole answer in time from {url}: {error!r}",
             _CHECK_OUTCOME,
         )
     return BackendDisconnectedError(
-        state, f"connection to {url} was lost: {error!r}", _CHECK_OUTCOME
+        state, f"connection cut by {url}: {error!r}", _CHECK_OUTCOME
     )
 
 
@@ -69,7 +69,7 @@
 ) -> BackendDisconnectedError:
     """Returns the error for a response that ended without its end marker."""
     return BackendDisconnectedError(
-        state, f"{url} ended its response without an end marker", _CHECK_OUTCOME
+        state, f"{url} ended its answer without an end mark", _CHECK_OUTCOME
     )
 
 
@@ -79,7 +79,7 @@
     """Returns the error for a response that is not for this attempt."""
     return BackendProtocolError(
         state,
-        f"{url} sent a response that belongs to another attempt",
+        f"{url} answered another attempt than asked",
         "Check that the backend server echoes X-Attempt-Id.",
     )
 
