--- a/benchmarks/capacity/console.py
+++ b/benchmarks/capacity/console.py
@@ -3,11 +3,11 @@
     python -m benchmarks.capacity.console            all parts
     python -m benchmarks.capacity.console bill       one part
 
-Parts: ``status`` and ``publish`` by the number of entry hosts, which this
-process plays, each with a ``/status`` that lists all others unless it is asked
-for its own part, which has a row of limits for each of ``ACCOUNTS``; ``bill``
-by the number of bills on the log. Each figure is of a whole process, start
-included.
+Parts: ``status`` and ``publish`` by the number of entry hosts, ``bill`` by the
+number of bills on the log. This process simulates the hosts: ``/status`` of
+each lists all others, except for ``part=own``, and has a row of limits for each
+of ``ACCOUNT_COUNT`` accounts. Figures are for a whole process, including its
+start.
 """
 
 from __future__ import annotations
@@ -37,19 +37,19 @@
 from hoistmoor.standins import hosts as hosts_standin
 from hoistmoor.standins import log as log_standin
 
-HOSTS = (9, 36, 90, 360)
-SERVERS = 100
-ACCOUNTS = 100  # Client accounts whose limits a host shows.
-BILLS = (2_500, 10_000, 20_000, 40_000)
-BATCH = 100
+HOST_COUNTS = (9, 36, 90, 360)
+SERVER_COUNT = 100
+ACCOUNT_COUNT = 100  # Client accounts in the status of a host.
+BILL_COUNTS = (2_500, 10_000, 20_000, 40_000)
+BILLS_PER_BATCH = 100
 ROUNDS = 3
 _MIB = 1 << 20
-_HUGE = 10**9  # A revision that no publisher waits for.
-say = processes.say
+_NEWEST_REVISION = 10**9  # Newer than any revision that a publisher waits for.
+print_line = processes.say
 
 
-def status_body(count: int) -> dict[str, Any]:
-    """Returns what an entry says that knows ``count`` hosts."""
+def make_status_body(count: int) -> dict[str, Any]:
+    """Returns the status of an entry host that knows ``count`` hosts."""
     listed = [
         {
             "host": host.name,
@@ -57,7 +57,7 @@
             "state": "alive",
             "address": host.http_address,
             "failure_domain": host.failure_domain,
-            "table_revision": _HUGE,
+            "table_revision": _NEWEST_REVISION,
         }
         for host in parts.make_views(count)
     ]
@@ -65,7 +65,7 @@
         "host": "entry-000",
         "incarnation": 1,
         "state": "ready",
-        "table_revision": _HUGE,
+        "table_revision": _NEWEST_REVISION,
         "in_flight": 1,
         "hosts": listed,
         "leaving_servers": [],
@@ -78,44 +78,44 @@
                     *(f"account-{number}", 1, 1 / count, 10**9),
                     *(10**9 // 8, 10**6, 4521, 10**5, 0, 0, 0),
                 )
-                for number in range(ACCOUNTS)
+                for number in range(ACCOUNT_COUNT)
             ),
             (),
         ),
     }
 
 
-class Platform:
-    """The platform and all entry hosts, in this process.
+class PlatformServer:
+    """Serves the platform and all entry hosts in this process.
 
     Attributes:
-        address: Where it listens.
-        status_bytes: Bytes of all ``/status`` answers given.
-        answers: How many.
+        address: ``ip:port`` of the HTTP interface.
+        status_bytes: Bytes of all ``/status`` responses.
+        response_count: Number of ``/status`` responses.
     """
 
     def __init__(self, hosts: int) -> None:
         self.address = ""
         self.status_bytes = 0
-        self.answers = 0
+        self.response_count = 0
         self._hosts = hosts
-        self._body = status_body(hosts)
+        self._body = make_status_body(hosts)
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Listens."""
+        """Starts to listen and lists the hosts."""
         application = web.Application(client_max_size=1 << 24)
-        book = fault_book.FaultBook()
-        log_standin.LogStandin(book).add_routes(application)
-        listed = hosts_standin.HostListStandin(book)
-        listed.add_routes(application)
+        fault_registry = fault_book.FaultBook()
+        log_standin.LogStandin(fault_registry).add_routes(application)
+        host_list = hosts_standin.HostListStandin(fault_registry)
+        host_list.add_routes(application)
         application.router.add_get("/status", self._status)
         self._runner = web.AppRunner(application)
         await self._runner.setup()
         await web.TCPSite(self._runner, "127.0.0.1", 0).start()
         ip, port = self._runner.addresses[0]
         self.address = f"{ip}:{port}"
-        listed.change(
+        host_list.change(
             {
                 host.name: hosts_client.ListedHost(
                     host.name,
@@ -131,7 +131,7 @@
         )
 
     async def stop(self) -> None:
-        """Ends."""
+        """Stops listening."""
         assert self._runner is not None
         await self._runner.cleanup()
 
@@ -139,83 +139,86 @@
         body = self._body
         if request.query.get("part") == "own":
             body = {name: body[name] for name in body if name != "hosts"}
-        reply = responses.json_response(body)
-        assert isinstance(reply.body, bytes)
-        self.status_bytes += len(reply.body)
-        self.answers += 1
-        return reply
+        response = responses.json_response(body)
+        assert isinstance(response.body, bytes)
+        self.status_bytes += len(response.body)
+        self.response_count += 1
+        return response
 
 
-async def time_command(name: str, *words: str) -> None:
-    """Prints what ``ROUNDS`` runs of a command use."""
-    seconds, wall, peak = [], [], 0
+async def measure_command(name: str, *arguments: str) -> None:
+    """Prints the resources that ``ROUNDS`` runs of a command use."""
+    cpu_seconds, wall_seconds, peak_bytes = [], [], 0
     for _ in range(ROUNDS):
-        used, took, most = await processes.run_command(*words)
-        seconds.append(used)
-        wall.append(took)
-        peak = max(peak, most)
-    say(
-        f"{name}: {deployment_lib.spread(seconds)} s of processor time, "
-        f"{deployment_lib.spread(wall)} s in all, peak {peak / _MIB:.0f} MiB"
+        cpu, elapsed, memory = await processes.run_command(*arguments)
+        cpu_seconds.append(cpu)
+        wall_seconds.append(elapsed)
+        peak_bytes = max(peak_bytes, memory)
+    print_line(
+        f"{name}: {deployment_lib.spread(cpu_seconds)} s of processor time, "
+        f"{deployment_lib.spread(wall_seconds)} s in all, "
+        f"peak {peak_bytes / _MIB:.0f} MiB"
     )
 
 
-async def by_hosts(name: str, *words: str) -> None:
-    """Runs a command before more and more hosts."""
-    for count in HOSTS:
-        platform = Platform(count)
+async def measure_by_hosts(name: str, *arguments: str) -> None:
+    """Measures a command by the number of hosts."""
+    for count in HOST_COUNTS:
+        platform = PlatformServer(count)
         await platform.start()
         url = ("--log-url", f"http://{platform.address}")
-        await time_command(f"{name}: {count} hosts", *words, *url)
-        each = platform.status_bytes / max(1, platform.answers)
-        say(
-            f"    {platform.answers / ROUNDS:.0f} answers a run, "
-            f"{each / 1000:.1f} KB each, "
+        await measure_command(f"{name}: {count} hosts", *arguments, *url)
+        mean_bytes = platform.status_bytes / max(1, platform.response_count)
+        print_line(
+            f"    {platform.response_count / ROUNDS:.0f} answers a run, "
+            f"{mean_bytes / 1000:.1f} KB each, "
             f"{platform.status_bytes / ROUNDS / 1e6:.2f} MB a run"
         )
         await platform.stop()
 
 
-async def status() -> None:
-    """``hoistmoor status`` by hosts."""
-    await by_hosts("status", "hoistmoor", "status")
+async def measure_status() -> None:
+    """Measures ``hoistmoor status`` by hosts."""
+    await measure_by_hosts("status", "hoistmoor", "status")
 
 
-async def publish() -> None:
-    """``hoistmoor table publish`` of a new table, by hosts."""
-    table = parts.big_table(SERVERS)
+async def measure_publish() -> None:
+    """Measures ``hoistmoor table publish`` of a new table, by hosts."""
+    table = parts.big_table(SERVER_COUNT)
     with tempfile.TemporaryDirectory() as directory:
         for name, text in sheets.render_sheets(table).items():
             (pathlib.Path(directory) / name).write_text(text)
-        await by_hosts(
+        await measure_by_hosts(
             "publish",
             *("hoistmoor", "table", "publish", directory, "--author", "bench"),
             "--overwrite",
         )
 
 
-async def bill() -> None:
-    """``hoistmoor bill`` by bills on the log."""
-    for count in BILLS:
-        platform = Platform(1)
+async def measure_bill() -> None:
+    """Measures ``hoistmoor bill`` by bills on the log."""
+    for count in BILL_COUNTS:
+        platform = PlatformServer(1)
         await platform.start()
         async with sessions.make_session() as session:
             client = log.LogClient(session, f"http://{platform.address}")
-            for first in range(0, count, BATCH):
+            for first in range(0, count, BILLS_PER_BATCH):
                 batch = bills.BillBatch(
-                    f"entry-{first // BATCH % 360}",
+                    f"entry-{first // BILLS_PER_BATCH % 360}",
                     7,
                     f"b{first}",
-                    tuple(_bill(first + n) for n in range(BATCH)),
+                    tuple(
+                        _make_bill(first + n) for n in range(BILLS_PER_BATCH)
+                    ),
                 )
                 await client.append(streams.BILLS, codec.encode(batch))
         url = ("--log-url", f"http://{platform.address}")
-        await time_command(f"bill: {count} bills", "hoistmoor", "bill", *url)
+        await measure_command(f"bill: {count} bills", "hoistmoor", "bill", *url)
         await platform.stop()
 
 
-def _bill(serial: int) -> bills.Bill:
-    host = f"entry-{serial // BATCH % 360}"
+def _make_bill(serial: int) -> bills.Bill:
+    host = f"entry-{serial // BILLS_PER_BATCH % 360}"
     return bills.Bill(
         f"account-{serial % 100}",
         f"{host}.18c1f2a3b4c.{serial:x}",
@@ -229,11 +232,15 @@
     )
 
 
-_PARTS = {"status": status, "publish": publish, "bill": bill}
+_PARTS = {
+    "status": measure_status,
+    "publish": measure_publish,
+    "bill": measure_bill,
+}
 
 
 def main() -> None:
-    """Runs the named parts, or all."""
+    """Runs the parts named on the command line, or all."""
     for name in sys.argv[1:] or _PARTS:
         uvloop.run(_PARTS[name]())
 
--- a/benchmarks/capacity/deployment.py
+++ b/benchmarks/capacity/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment of real processes whose traffic is counted by class."""
+"""Deployment of real processes whose traffic is counted by class."""
 
 from __future__ import annotations
 
@@ -25,23 +25,23 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-READY_SECONDS = 60.0
+READY_TIMEOUT = 60.0
 
 
 @attrs.define
 class Deployment:
-    """What one run uses.
+    """A running deployment.
 
     Attributes:
-        fleet: The programs.
-        session: Talks to them.
-        client: The log, past the meters.
+        fleet: All processes.
+        session: HTTP session for requests to them.
+        client: Client of the log that bypasses the meters.
         platform: The platform stand-in.
-        table: The table published last.
-        entries: Entry hosts.
-        log_meter: In front of the platform.
-        peer_meters: One in front of each entry's peer port.
-        load_meters: In front of the backend servers.
+        table: The table that was last published.
+        entries: The entry hosts.
+        log_meter: Meter in front of the platform.
+        peer_meters: Meters in front of the peer port of each entry host.
+        load_meters: Meters in front of the backend servers.
         revision: Offset of the last edit.
     """
 
@@ -57,7 +57,7 @@
     revision: int = -1
 
     async def publish(self, table: model.Table) -> None:
-        """Appends the edit that makes ``table``."""
+        """Appends the edit that changes the current table to ``table``."""
         old = self.table if self.revision >= 0 else model.Table()
         await self.edit(edits.diff(old, table))
         self.table = table
@@ -75,8 +75,8 @@
         """Starts an entry host and lists it.
 
         Args:
-            number: Its number.
-            direct: Whether its traffic goes past the meters.
+            number: Number of the host.
+            direct: Whether its traffic bypasses the meters.
         """
         port = _free_port()
         meter = meter_lib.Meter(f"127.0.0.1:{port}", "gossip")
@@ -104,12 +104,12 @@
             "role": "entry",
         }
         url = f"http://{self.platform.address}/hosts/entry-{number}"
-        async with self.session.put(url, json=row) as reply:
-            reply.raise_for_status()
+        async with self.session.put(url, json=row) as response:
+            response.raise_for_status()
 
     async def wait_until_ready(self) -> None:
-        """Returns once all entries know the table and each other."""
-        async with asyncio.timeout(READY_SECONDS):
+        """Waits until all entry hosts know the table and each other."""
+        async with asyncio.timeout(READY_TIMEOUT):
             while not all(
                 await asyncio.gather(*map(self._is_ready, self.entries))
             ):
@@ -117,26 +117,26 @@
 
     async def _is_ready(self, entry: processes.Program) -> bool:
         url = f"http://{entry.address}/status"
-        async with self.session.get(url) as reply:
-            status = await reply.json()
+        async with self.session.get(url) as response:
+            status = await response.json()
         alive: int = sum(host["state"] == "alive" for host in status["hosts"])
-        known = alive >= len(self.entries) and status["state"] == "ready"
-        return known and int(status["table_revision"]) >= self.revision
+        is_known = alive >= len(self.entries) and status["state"] == "ready"
+        return is_known and int(status["table_revision"]) >= self.revision
 
     def reset_meters(self) -> None:
-        """Counts from nothing again."""
+        """Resets the counts of all meters."""
         for meter in (self.log_meter, *self.peer_meters, *self.load_meters):
             meter.reset()
 
     def traffic(self) -> dict[str, meter_lib.Count]:
-        """Returns the traffic of all entries by class."""
+        """Returns the traffic of all entry hosts by class."""
         total: dict[str, meter_lib.Count] = {}
         for meter in (self.log_meter, *self.peer_meters, *self.load_meters):
             for name, count in meter.counts.items():
-                found = total.setdefault(name, meter_lib.Count())
-                found.requests += count.requests
-                found.sent += count.sent
-                found.received += count.received
+                class_total = total.setdefault(name, meter_lib.Count())
+                class_total.requests += count.requests
+                class_total.sent += count.sent
+                class_total.received += count.received
         return total
 
 
@@ -155,17 +155,18 @@
     direct: bool = False,
     platform_words: tuple[str, ...] = (),
 ) -> AsyncIterator[Deployment]:
-    """Runs entries before one engine and one plain backend server.
+    """Runs entry hosts with one engine and one plain backend server.
 
     Args:
         hosts: Entry hosts.
-        servers: Backend servers in the table; all but one name the same
-            engine through addresses of their own.
+        servers: Backend servers in the table; all but one are the same engine
+            under different addresses.
         accounts: Client accounts in the table.
         versions: Versions in the table.
-        engine_words: More flags of the engine stand-in.
-        direct: Whether traffic goes past the meters, for processor time.
-        platform_words: More flags of the platform stand-in.
+        engine_words: Additional flags of the engine stand-in.
+        direct: Whether traffic bypasses the meters, to measure processor time
+            only.
+        platform_words: Additional flags of the platform stand-in.
     """
     async with (
         sessions.make_session(total_timeout=None) as session,
@@ -194,7 +195,7 @@
         log_meter = meter_lib.Meter(platform.address)
         await log_meter.start()
         client = log.LogClient(session, f"http://{platform.address}")
-        made = Deployment(
+        deployment = Deployment(
             fleet, session, client, platform, model.Table(), log_meter
         )
         engines = {"engine-0": engine.address}
@@ -202,28 +203,35 @@
         for number in range(1 if direct else 0, servers - 1):
             meter = meter_lib.Meter(engine.address, "load")
             engines[f"engine-{number}"] = await meter.start()
-            made.load_meters.append(meter)
+            deployment.load_meters.append(meter)
         if not direct:
             meter = meter_lib.Meter(plain.address, "load")
             plains["plain-0"] = await meter.start()
-            made.load_meters.append(meter)
+            deployment.load_meters.append(meter)
         table = rows.make_table(engines, plains, accounts, versions)
-        await made.publish(table)
+        await deployment.publish(table)
         try:
             for first in range(0, hosts, 4):
                 numbers = range(first, min(first + 4, hosts))
                 await asyncio.gather(
-                    *(made.start_entry(number, direct) for number in numbers)
+                    *(
+                        deployment.start_entry(number, direct)
+                        for number in numbers
+                    )
                 )
-            await made.wait_until_ready()
-            yield made
+            await deployment.wait_until_ready()
+            yield deployment
         finally:
-            for meter in (log_meter, *made.peer_meters, *made.load_meters):
+            for meter in (
+                log_meter,
+                *deployment.peer_meters,
+                *deployment.load_meters,
+            ):
                 meter.stop()
 
 
 def spread(values: list[float]) -> str:
-    """Returns the lowest and the highest of some figures."""
+    """Formats the minimum and maximum of ``values``."""
     digits = 3 - math.ceil(math.log10(max(*values, 1e-6)))
     digits = max(0, digits)
     return f"{min(values):.{digits}f}..{max(values):.{digits}f}"
--- a/benchmarks/capacity/followers.py
+++ b/benchmarks/capacity/followers.py
@@ -3,10 +3,10 @@
     python -m benchmarks.capacity.followers          all streams
     python -m benchmarks.capacity.followers claims   one stream
 
-Streams: ``claims``, ``evidence``, ``limits``, ``ratings``. Records come from
-this process at several rates, as many other hosts would append them, and two
-real entries read them behind a forwarder that counts bytes. Figures are for
-one host; ``together`` is the difference to no records, per record.
+Streams: ``claims``, ``evidence``, ``limits``, ``ratings``. This process appends
+records at several rates, as many other hosts would, and two real entry hosts
+read them through a forwarder that counts bytes. Figures are for one host;
+``together`` is the cost per record above that of an idle stream.
 """
 
 from __future__ import annotations
@@ -34,47 +34,49 @@
 
 RATES = (0, 5, 20, 80, 160)  # Records a second.
 ROUNDS = 3
-SPELL = 6.0  # Seconds.
-_SETTLE = 5.0  # Seconds.
+ROUND_SECONDS = 6.0
+_SETTLE_SECONDS = 5.0
 _BODY = b'{"confirmed": true, "receipt": "TX-0123456789"}'
-say = processes.say
+print_line = processes.say
 
 
 @attrs.frozen
-class Source:
-    """Where records come from.
+class RecordSource:
+    """Appends records to one stream.
 
     Attributes:
-        kind: Class of the traffic at the meter.
-        make: Makes the record of a number and puts it there.
+        traffic_class: Class of the traffic at the meter.
+        append: Appends the record with the given number.
     """
 
-    kind: str
-    make: Callable[[deployment_lib.Deployment, int], Awaitable[None]]
+    traffic_class: str
+    append: Callable[[deployment_lib.Deployment, int], Awaitable[None]]
 
 
-async def add_claim(made: deployment_lib.Deployment, number: int) -> None:
-    """Appends a claim, then its end, as a host with few requests does."""
+async def add_claim(deployment: deployment_lib.Deployment, number: int) -> None:
+    """Appends a claim or its end, as a host with few requests does."""
     serial = number // 2 + 1
     host = f"far-{serial % 360}"
     key = claim_records.key_digest("account-0", f"{time.time()}-{serial}")
     claims: tuple[claim_records.Claim, ...] = ()
     ends: tuple[claim_records.Ended, ...] = ()
     if number % 2:
-        answer = permits.StoredAnswer(
+        response = permits.StoredAnswer(
             200, "application/json", _BODY, f"{host}.1.{serial:x}"
         )
         ends = (
-            claim_records.Ended(key, serial, outcomes.Outcome.DONE, answer),
+            claim_records.Ended(key, serial, outcomes.Outcome.DONE, response),
         )
     else:
         claims = (claim_records.Claim(key, serial, "f" * 32),)
     batch = claim_records.ClaimBatch(host, 7, "10.0.0.1:8080", ends, claims)
-    await made.client.append(streams.CLAIMS, codec.encode(batch))
+    await deployment.client.append(streams.CLAIMS, codec.encode(batch))
 
 
-async def add_exposure(made: deployment_lib.Deployment, number: int) -> None:
-    """Appends a claim on a candidate's cap."""
+async def add_exposure(
+    deployment: deployment_lib.Deployment, number: int
+) -> None:
+    """Appends an exposure claim on a candidate version."""
     claim = routing.ExposureClaim(
         f"far-{number % 360}.18f/{time.time()}",
         "bench-model@1",
@@ -83,99 +85,128 @@
         3,
         10**9,
     )
-    await made.client.append(streams.EVIDENCE, codec.encode(claim))
+    await deployment.client.append(streams.EVIDENCE, codec.encode(claim))
 
 
-async def add_demand(made: deployment_lib.Deployment, number: int) -> None:
+async def add_demand(
+    deployment: deployment_lib.Deployment, number: int
+) -> None:
     """Appends a host's report of its demand for five accounts."""
     weights = tuple(
         limit_records.DemandWeight(f"account-{n}", 2.0) for n in range(5)
     )
     report = limit_records.DemandReport(f"far-{number % 360}", 7, weights)
-    await made.client.append(limit_records.STREAM, codec.encode(report))
+    await deployment.client.append(limit_records.STREAM, codec.encode(report))
 
 
-async def add_rating(made: deployment_lib.Deployment, number: int) -> None:
-    """Hands in an answer that is rated at once."""
+async def add_rating(
+    deployment: deployment_lib.Deployment, number: int
+) -> None:
+    """Submits a response that the rating service rates at once."""
     client = ratings_client.RatingsClient(
-        made.session, f"http://{made.platform.address}"
+        deployment.session, f"http://{deployment.platform.address}"
     )
-    answer = ratings_client.ModelResponse(
+    response = ratings_client.ModelResponse(
         f"far-{number % 360}.18c1f2a3b4c.{number:x}-{time.time()}",
         "bench-model",
         "1",
         "answer",
         marks.make(True, str(number)),
     )
-    await client.submit(answer)
+    await client.submit(response)
 
 
 SOURCES = {
-    "claims": Source(f"log {streams.CLAIMS}", add_claim),
-    "evidence": Source(f"log {streams.EVIDENCE}", add_exposure),
-    "limits": Source(f"log {limit_records.STREAM}", add_demand),
-    "ratings": Source("/ratings", add_rating),
+    "claims": RecordSource(f"log {streams.CLAIMS}", add_claim),
+    "evidence": RecordSource(f"log {streams.EVIDENCE}", add_exposure),
+    "limits": RecordSource(f"log {limit_records.STREAM}", add_demand),
+    "ratings": RecordSource("/ratings", add_rating),
 }
 
 
-async def feed(
-    made: deployment_lib.Deployment, source: Source, rate: int, first: int
+async def append_records(
+    deployment: deployment_lib.Deployment,
+    source: RecordSource,
+    rate: int,
+    first_number: int,
 ) -> int:
-    """Makes records for a spell, evenly; returns how many."""
-    count = round(rate * SPELL)
+    """Appends records at a constant rate for a round; returns how many."""
+    count = round(rate * ROUND_SECONDS)
     began = time.perf_counter()
     tasks = []
     for number in range(count):
-        due = began + number / rate - time.perf_counter()
-        await asyncio.sleep(max(due, 0))
-        tasks.append(asyncio.ensure_future(source.make(made, first + number)))
+        delay = began + number / rate - time.perf_counter()
+        await asyncio.sleep(max(delay, 0))
+        tasks.append(
+            asyncio.ensure_future(
+                source.append(deployment, first_number + number)
+            )
+        )
     await asyncio.gather(*tasks)
-    await asyncio.sleep(max(began + SPELL - time.perf_counter(), 0))
+    await asyncio.sleep(max(began + ROUND_SECONDS - time.perf_counter(), 0))
     return count
 
 
 async def follow(name: str) -> None:
-    """Prints what one stream costs, by its rate."""
+    """Prints the costs of following one stream, by its rate."""
     source = SOURCES[name]
-    words = ("--rating-share", "1", "--rating-delay", "0.1")
-    async with deployment_lib.deployed(2, platform_words=words) as made:
-        await asyncio.sleep(_SETTLE)
-        base = 0.0
-        first = 0
+    platform_words = ("--rating-share", "1", "--rating-delay", "0.1")
+    async with deployment_lib.deployed(
+        2, platform_words=platform_words
+    ) as deployment:
+        await asyncio.sleep(_SETTLE_SECONDS)
+        idle_bytes = 0.0
+        first_number = 0
         for rate in RATES:
-            made.reset_meters()
-            cores, count = [], 0
+            deployment.reset_meters()
+            core_fractions, count = [], 0
             for _ in range(ROUNDS):
-                before = [entry.use().seconds for entry in made.entries]
-                count += await feed(made, source, rate, first + count)
-                used = [
+                cpu_before = [
+                    entry.use().seconds for entry in deployment.entries
+                ]
+                count += await append_records(
+                    deployment, source, rate, first_number + count
+                )
+                cpu_seconds = [
                     entry.use().seconds - start
-                    for entry, start in zip(made.entries, before, strict=True)
+                    for entry, start in zip(
+                        deployment.entries, cpu_before, strict=True
+                    )
                 ]
-                cores.append(statistics.mean(used) / SPELL)
-            first += count
-            seconds = ROUNDS * SPELL * len(made.entries)
-            traffic = made.traffic()[source.kind]
-            total = (traffic.sent + traffic.received) / seconds
+                core_fractions.append(
+                    statistics.mean(cpu_seconds) / ROUND_SECONDS
+                )
+            first_number += count
+            seconds = ROUNDS * ROUND_SECONDS * len(deployment.entries)
+            traffic = deployment.traffic()[source.traffic_class]
+            bytes_per_second = (traffic.sent + traffic.received) / seconds
             if not rate:
-                base, idle = total, statistics.mean(cores)
+                idle_bytes, idle_core_fraction = (
+                    bytes_per_second,
+                    statistics.mean(core_fractions),
+                )
             line = (
                 f"{name}: {rate}/s: "
-                f"{deployment_lib.spread([c * 100 for c in cores])}% of a core,"
+                f"{deployment_lib.spread([c * 100 for c in core_fractions])}%"
+                " of a core,"
                 f" {traffic.requests / seconds:.1f} reads/s,"
-                f" {total / 1000:.2f} KB/s"
+                f" {bytes_per_second / 1000:.2f} KB/s"
             )
             if rate:
-                each = [(c - idle) / rate * 1e6 for c in cores]
+                micros_per_record = [
+                    (c - idle_core_fraction) / rate * 1e6
+                    for c in core_fractions
+                ]
                 line += (
-                    f"; together {deployment_lib.spread(each)} us and "
-                    f"{(total - base) / rate:.0f} bytes a record"
+                    f"; together {deployment_lib.spread(micros_per_record)} us"
+                    f" and {(bytes_per_second - idle_bytes) / rate:.0f}"
+                    " bytes a record"
                 )
-            say(line)
+            print_line(line)
 
 
 def main() -> None:
-    """Follows the named streams, or all."""
+    """Measures the streams named on the command line, or all."""
     for name in sys.argv[1:] or SOURCES:
         uvloop.run(follow(name))
 
--- a/benchmarks/capacity/memory.py
+++ b/benchmarks/capacity/memory.py
@@ -1,10 +1,10 @@
-"""Measures memory: bytes per thing kept, and of a real entry as it serves.
+"""Measures memory per stored object, and of a real entry host under load.
 
     python -m benchmarks.capacity.memory            all parts
     python -m benchmarks.capacity.memory things     one part
 
-Parts: ``things`` (allocations of this process, traced), ``growth`` (resident
-memory of a real entry by requests served).
+Parts: ``things`` (traced allocations of this process), ``growth`` (resident
+memory of a real entry host by requests served).
 """
 
 from __future__ import annotations
@@ -34,32 +34,32 @@
     from collections.abc import Callable
 
 SIZES = (1000, 2000, 4000, 8000)
-FEW = (100, 300, 600, 1000)
-REQUESTS = 6000  # A round of ``growth``.
+SMALL_SIZES = (100, 300, 600, 1000)
+REQUESTS_PER_ROUND = 6000  # Of ``measure_growth``.
 GROWTH_ROUNDS = 5
-_AT_ONCE = 16
+_CONCURRENCY = 16
 _NOW = 1_700_000_000.0
 _MIB = 1 << 20
-say = processes.say
+print_line = processes.say
 
 
 def make_pins(count: int) -> object:
-    """Keeps session pins."""
-    kept = pins.PinMap()
+    """Returns a map of session pins."""
+    pin_map = pins.PinMap()
     for n in range(count):
-        kept.put(
+        pin_map.put(
             pins.Pin(f"a{n}", f"session-{n:016x}", "auto", f"m@{n}", n, 0, True)
         )
-    return kept
+    return pin_map
 
 
 def make_members(count: int) -> object:
-    """Keeps views of entry hosts."""
+    """Returns a membership task that knows ``count`` hosts."""
     return parts.make_members(parts.make_views(count))
 
 
 def make_router(count: int) -> object:
-    """Keeps backend servers with a load report each."""
+    """Returns a router with a load report of each backend server."""
     table = parts.big_table(count)
     router = router_lib.Router("d0", 1, "entry-0")
     router.on_table(model.ActiveTable(1, table))
@@ -71,8 +71,8 @@
     return router
 
 
-def make_blocks(count: int) -> object:
-    """Keeps blocks of prompts, each at one server."""
+def make_prefix_blocks(count: int) -> object:
+    """Returns an index of prompt blocks, each at one server."""
     index = affinity.PrefixIndex()
     for n in range(count):
         index.store("engine-1", (n * 2**40,), _NOW)
@@ -80,20 +80,20 @@
 
 
 def make_claims(count: int) -> object:
-    """Keeps exposure claims that were settled."""
-    fold = exposure.ExposureLedger()
+    """Returns a ledger of settled exposure claims."""
+    exposure_ledger = exposure.ExposureLedger()
     for n in range(count):
-        fold.on_claim(
+        exposure_ledger.on_claim(
             n,
             routing.ExposureClaim(
                 f"entry-{n}.18f0/{n}", "m@1", "0" * 16, f"entry-{n}.18f0", 1, 9
             ),
         )
-    return fold
+    return exposure_ledger
 
 
 def make_kinds(count: int) -> object:
-    """Serves and rates one request of each kind that callers name."""
+    """Returns a router with a rated request of each of ``count`` kinds."""
     router = router_lib.Router("d0", 1, "entry-0")
     table = parts.big_table(10)
     router.on_table(model.ActiveTable(1, table))
@@ -110,74 +110,79 @@
     return router
 
 
-THINGS: dict[str, tuple[Callable[[int], object], tuple[int, ...]]] = {
+OBJECT_FACTORIES: dict[str, tuple[Callable[[int], object], tuple[int, ...]]] = {
     "session pin": (make_pins, SIZES),
-    "entry host known": (make_members, FEW),
-    "backend server, its row and report": (make_router, FEW),
-    "block of a prompt": (make_blocks, SIZES),
+    "entry host known": (make_members, SMALL_SIZES),
+    "backend server, its row and report": (make_router, SMALL_SIZES),
+    "block of a prompt": (make_prefix_blocks, SIZES),
     "exposure claim": (make_claims, SIZES),
-    "kind of request named by callers": (make_kinds, FEW),
+    "kind of request named by callers": (make_kinds, SMALL_SIZES),
 }
 
 
-def things() -> None:
-    """Bytes per thing kept."""
-    for name, (make, sizes) in THINGS.items():
+def measure_objects() -> None:
+    """Measures the bytes of each type of object."""
+    for name, (make, sizes) in OBJECT_FACTORIES.items():
         make(10)
-        each = []
+        bytes_per_object = []
         for count in sizes:
             gc.collect()
             tracemalloc.start()
-            kept = make(count)
+            objects = make(count)
             gc.collect()
-            used, _ = tracemalloc.get_traced_memory()
+            allocated, _ = tracemalloc.get_traced_memory()
             tracemalloc.stop()
-            del kept
-            each.append(used / count)
-        figures = ", ".join(f"{value:.0f}" for value in each)
+            del objects
+            bytes_per_object.append(allocated / count)
+        figures = ", ".join(f"{value:.0f}" for value in bytes_per_object)
         counts = ", ".join(map(str, sizes))
-        say(f"things: {name}: {figures} bytes each, of {counts}")
+        print_line(f"things: {name}: {figures} bytes each, of {counts}")
 
 
-async def _serve_round(
-    made: deployment_lib.Deployment, way: str, first: int
+async def _serve_requests(
+    deployment: deployment_lib.Deployment, call_kind: str, first: int
 ) -> None:
-    entry = made.entries[0].address
-    act = functools.partial(serve.call, made.session, entry, way)
+    entry = deployment.entries[0].address
+    call = functools.partial(serve.call, deployment.session, entry, call_kind)
 
-    async def work(start: int) -> None:
-        for number in range(start, first + REQUESTS, _AT_ONCE):
-            await act(number)
+    async def send_requests(start: int) -> None:
+        for number in range(start, first + REQUESTS_PER_ROUND, _CONCURRENCY):
+            await call(number)
 
-    await asyncio.gather(*(work(first + n) for n in range(_AT_ONCE)))
+    await asyncio.gather(
+        *(send_requests(first + n) for n in range(_CONCURRENCY))
+    )
 
 
-async def growth() -> None:
-    """Resident memory by requests served."""
-    for way in ("balance", "confirm-key"):
-        async with deployment_lib.deployed(2, direct=True) as made:
-            began = time.perf_counter()
+async def measure_growth() -> None:
+    """Measures the resident memory by requests served."""
+    for call_kind in ("balance", "confirm-key"):
+        async with deployment_lib.deployed(2, direct=True) as deployment:
+            start_time = time.perf_counter()
             for number in range(GROWTH_ROUNDS + 1):
                 sizes = [
                     f"{entry.use().resident / _MIB:.1f}"
-                    for entry in made.entries
+                    for entry in deployment.entries
                 ]
-                say(
-                    f"growth: {way}, {number * REQUESTS} served: MiB at the "
+                print_line(
+                    f"growth: {call_kind}, {number * REQUESTS_PER_ROUND} "
+                    "served: MiB at the "
                     f"host that serves and at the other: {', '.join(sizes)}"
                 )
                 if number < GROWTH_ROUNDS:
-                    await _serve_round(made, way, number * REQUESTS)
-            say(f"growth: {time.perf_counter() - began:.0f} s")
+                    await _serve_requests(
+                        deployment, call_kind, number * REQUESTS_PER_ROUND
+                    )
+            print_line(f"growth: {time.perf_counter() - start_time:.0f} s")
 
 
 def main() -> None:
-    """Runs the named parts, or all."""
+    """Runs the parts named on the command line, or all."""
     names = sys.argv[1:] or ["things", "growth"]
     if "things" in names:
-        things()
+        measure_objects()
     if "growth" in names:
-        uvloop.run(growth())
+        uvloop.run(measure_growth())
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity/meter.py
+++ b/benchmarks/capacity/meter.py
@@ -1,4 +1,4 @@
-"""Forwards connections on loopback and counts their bytes by class."""
+"""Forwarder on loopback that counts bytes by traffic class."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 import attrs
 
-_CHUNK = 1 << 16
-# Others on this machine may still call ports that they gave up; no one but
-# these measurements uses this address of the loopback.
-_IP = "127.0.77.1"
-_REQUEST = re.compile(rb"(?:GET|POST|DELETE) (/\S*) HTTP/1.1\r\n")
-_STREAM = re.compile(r"/streams/([^/?]+)")
+_CHUNK_BYTES = 1 << 16
+# An address of the loopback network that nothing else uses: other programs may
+# still connect to ports of 127.0.0.1 that they have released.
+_LISTEN_IP = "127.0.77.1"
+_REQUEST_LINE = re.compile(rb"(?:GET|POST|DELETE) (/\S*) HTTP/1.1\r\n")
+_STREAM_PATH = re.compile(r"/streams/([^/?]+)")
 
 
 @attrs.define
@@ -32,19 +32,19 @@
 
 
 class Meter:
-    """A forwarder in front of one address.
+    """A forwarder to one address that counts its traffic.
 
     Attributes:
-        counts: Traffic by class: a log stream, or the first part of a path.
-        address: Where it listens.
+        counts: Traffic by class: a log stream or the path of a request.
+        address: ``ip:port`` that it listens on.
     """
 
     def __init__(self, target: str, fixed: str = "") -> None:
-        """Makes a forwarder.
+        """Creates a forwarder that does not listen yet.
 
         Args:
             target: ``ip:port`` to forward to.
-            fixed: Class of all traffic, where it is not HTTP/1.1.
+            fixed: Class of all traffic, if it is not HTTP/1.1.
         """
         self.counts: dict[str, Count] = collections.defaultdict(Count)
         self.address = ""
@@ -54,28 +54,28 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, target: str = "") -> str:
-        """Listens; returns its ``ip:port``."""
+        """Starts to listen; returns its ``ip:port``."""
         self._target = target or self._target
         self._server = await asyncio.start_server(
-            self._serve, _IP, 0, limit=_CHUNK
+            self._serve, _LISTEN_IP, 0, limit=_CHUNK_BYTES
         )
         ip, port = self._server.sockets[0].getsockname()
         self.address = f"{ip}:{port}"
         return self.address
 
-    def aim(self, target: str) -> None:
-        """Sets where new connections go."""
+    def set_target(self, target: str) -> None:
+        """Sets the target of new connections."""
         self._target = target
 
     def stop(self) -> None:
-        """Closes everything."""
+        """Stops listening and closes all connections."""
         if self._server is not None:
             self._server.close()
         for task in self._tasks:
             task.cancel()
 
     def reset(self) -> None:
-        """Counts from nothing again."""
+        """Resets the counts."""
         self.counts.clear()
 
     async def _serve(
@@ -87,33 +87,35 @@
         task.add_done_callback(self._tasks.discard)
         ip, _, port = self._target.rpartition(":")
         try:
-            up_reader, up_writer = await asyncio.open_connection(ip, int(port))
+            target_reader, target_writer = await asyncio.open_connection(
+                ip, int(port)
+            )
         except OSError:
             writer.close()
             return
-        kind = [self._fixed or "other"]
+        traffic_class = [self._fixed or "other"]
         try:
             await asyncio.gather(
-                self._pump(reader, up_writer, kind, sent=True),
-                self._pump(up_reader, writer, kind, sent=False),
+                self._forward(reader, target_writer, traffic_class, sent=True),
+                self._forward(target_reader, writer, traffic_class, sent=False),
             )
         except (OSError, asyncio.CancelledError):
             pass
         finally:
             writer.close()
-            up_writer.close()
+            target_writer.close()
 
-    async def _pump(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        kind: list[str],
+        traffic_class: list[str],
         sent: bool,
     ) -> None:
-        while data := await reader.read(_CHUNK):
+        while data := await reader.read(_CHUNK_BYTES):
             if sent:
-                self._note_request(data, kind)
-            count = self.counts[kind[0]]
+                self._record_request(data, traffic_class)
+            count = self.counts[traffic_class[0]]
             if sent:
                 count.sent += len(data)
             else:
@@ -122,17 +124,17 @@
             await writer.drain()
         writer.close()
 
-    def _note_request(self, data: bytes, kind: list[str]) -> None:
-        found = _REQUEST.match(data)
-        if not found:
+    def _record_request(self, data: bytes, traffic_class: list[str]) -> None:
+        match = _REQUEST_LINE.match(data)
+        if not match:
             return
         if not self._fixed:
-            kind[0] = _class_of(found[1].decode())
-        self.counts[kind[0]].requests += 1
+            traffic_class[0] = _classify_path(match[1].decode())
+        self.counts[traffic_class[0]].requests += 1
 
 
-def _class_of(path: str) -> str:
-    stream = _STREAM.match(path)
-    if stream:
-        return f"log {stream[1]}"
+def _classify_path(path: str) -> str:
+    match = _STREAM_PATH.match(path)
+    if match:
+        return f"log {match[1]}"
     return path.split("?")[0]
--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -3,8 +3,9 @@
     python -m benchmarks.capacity.parts            all parts
     python -m benchmarks.capacity.parts hosts      one part
 
-Parts: ``hosts``, ``servers``, ``edit``, ``dispatch``. Processor time of this
-process, the lowest and highest of ``ROUNDS`` rounds. No process is started.
+Parts: ``hosts``, ``servers``, ``edit``, ``dispatch``. Prints the processor time
+of this process, as the minimum and maximum of ``ROUNDS`` rounds. Starts no
+other processes.
 """
 
 from __future__ import annotations
@@ -39,46 +40,48 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-HOSTS = (9, 36, 90, 180, 360)
-SERVERS = (10, 100, 300, 1000)
-ACCOUNTS = 100
-VERSIONS = 12
+HOST_COUNTS = (9, 36, 90, 180, 360)
+SERVER_COUNTS = (10, 100, 300, 1000)
+ACCOUNT_COUNT = 100
+VERSION_COUNT = 12
 ROUNDS = 3
 _NOW = 1_700_000_000.0
 _INCARNATION = 1_700_000_000_000
-_US = 1e6
-_NOBODY: frozenset[str] = frozenset()
+_MICROSECONDS_PER_SECOND = 1e6
+_EXCLUDED_SERVERS: frozenset[str] = frozenset()
 say = processes.say
 
 
-def time_call(act: Callable[[], object], calls: int = 100) -> str:
-    """Returns the microseconds of processor time of one call."""
-    each = []
+def time_call(call: Callable[[], object], calls: int = 100) -> str:
+    """Returns the range of the processor time of one call, in microseconds."""
+    times = []
     for _ in range(ROUNDS):
-        began = time.process_time()
+        start = time.process_time()
         for _ in range(calls):
-            act()
-        each.append((time.process_time() - began) / calls * _US)
-    return deployment_lib.spread(each)
+            call()
+        times.append(
+            (time.process_time() - start) / calls * _MICROSECONDS_PER_SECOND
+        )
+    return deployment_lib.spread(times)
 
 
-class _NoTable:
-    """A follower with a table that is always fresh."""
+class _FreshTableReplica:
+    """A table replica that is always fresh."""
 
     last_contact = time.time() + 3600
     revision = 1
 
     def snapshot(self) -> bytes | None:
-        """Returns nothing."""
+        """Returns no snapshot."""
         return None
 
-    def offer(self, payload: bytes) -> bool:
-        """Takes nothing."""
+    def adopt_if_newer(self, payload: bytes) -> bool:
+        """Rejects every snapshot."""
         return False
 
 
 def make_views(count: int) -> list[view.HostView]:
-    """Returns the views of that many hosts."""
+    """Returns the views of ``count`` hosts."""
     return [
         view.HostView(
             name=f"entry-{n:03}",
@@ -93,16 +96,16 @@
 
 
 def make_members(views: list[view.HostView]) -> membership.MembershipTask:
-    """Returns the membership of the first host, which knows all others."""
+    """Returns the membership task of the first host, which knows all."""
     task = membership.MembershipTask(
         views[0],
         _fetch_nothing,
         _find_nothing,
-        _NoTable(),
+        _FreshTableReplica(),
         clock=lambda: _NOW,
     )
     for host in views[1:]:
-        news = messages.MemberNews(
+        update = messages.MemberNews(
             host.name,
             host.incarnation,
             0,
@@ -112,7 +115,7 @@
             host.failure_domain,
             host.region,
         )
-        task._machine.members.apply(news, _NOW)
+        task._machine.members.apply(update, _NOW)
     return task
 
 
@@ -124,24 +127,26 @@
     return ""
 
 
-async def hosts() -> None:
-    """What grows with the number of entry hosts."""
+async def measure_hosts() -> None:
+    """Measures what grows with the number of entry hosts."""
     say("hosts: us of processor time a call")
-    for count in HOSTS:
+    for count in HOST_COUNTS:
         views = make_views(count)
         members = make_members(views)
-        near = peer_directory.PeerDirectory(members, lambda: _NOW)
+        directory = peer_directory.PeerDirectory(members, lambda: _NOW)
         live = members.live_hosts()
-        near.on_hosts(live)
-        shares = _make_shares(count)
-        figures = {
+        directory.on_hosts(live)
+        rate_shares = _make_rate_shares(count)
+        times_by_label = {
             "is the table fresh (each request)": time_call(members.freshness),
-            "holders (each bill's batch)": time_call(near.holders, 20),
+            "holders (each bill's batch)": time_call(directory.holders, 20),
             "who prefers whom (each change of hosts)": time_call(
-                functools.partial(near.on_hosts, live), 20
+                functools.partial(directory.on_hosts, live), 20
             ),
             "part of an account's rate (each second)": time_call(
-                functools.partial(shares._compute_fraction, "account-0", _NOW)
+                functools.partial(
+                    rate_shares._compute_fraction, "account-0", _NOW
+                )
             ),
             "homes of a session": time_call(
                 functools.partial(
@@ -150,36 +155,36 @@
             ),
         }
         members.clients.close()
-        for name, figure in figures.items():
-            say(f"    {count:4} hosts, {name}: {figure}")
+        for name, micros in times_by_label.items():
+            say(f"    {count:4} hosts, {name}: {micros}")
 
 
-def _make_shares(count: int) -> rates.RateShares:
-    shares = rates.RateShares(identity.Incarnation("entry-000", 1))
-    shares.on_hosts([f"entry-{n:03}" for n in range(count)], _NOW)
+def _make_rate_shares(count: int) -> rates.RateShares:
+    rate_shares = rates.RateShares(identity.Incarnation("entry-000", 1))
+    rate_shares.on_hosts([f"entry-{n:03}" for n in range(count)], _NOW)
     for n in range(count):
         weights = (limit_records.DemandWeight("account-0", 1.0),)
         report = limit_records.DemandReport(f"entry-{n:03}", 1, weights)
-        shares.on_report(report, _NOW)
-    return shares
+        rate_shares.on_report(report, _NOW)
+    return rate_shares
 
 
 def big_table(servers: int) -> model.Table:
-    """Returns a table of that many servers, most of them engines."""
+    """Returns a table of ``servers`` servers, most of them engines."""
     plain = max(1, servers // 10)
     engines = {f"engine-{n}": _address(n) for n in range(servers - plain)}
     plains = {f"plain-{n}": _address(5000 + n) for n in range(plain)}
-    return rows.make_table(engines, plains, ACCOUNTS, VERSIONS)
+    return rows.make_table(engines, plains, ACCOUNT_COUNT, VERSION_COUNT)
 
 
 def _address(number: int) -> str:
     return f"10.0.{number // 250}.{number % 250}:80"
 
 
-async def servers() -> None:
-    """What grows with the number of backend servers."""
+async def measure_servers() -> None:
+    """Measures what grows with the number of backend servers."""
     say("servers: us of processor time a call")
-    for count in SERVERS:
+    for count in SERVER_COUNTS:
         table = big_table(count)
         router = router_lib.Router("d0", 1, "entry-0")
         in_force = model.ActiveTable(1, table)
@@ -193,7 +198,7 @@
         for report in reports:
             router.on_load(report, _NOW)
         query = routing.RouteQuery("e.1.1", "account-0", "bench-model")
-        figures = {
+        times_by_label = {
             "the router takes a table (each edit)": time_call(
                 functools.partial(router.on_table, in_force), 5
             ),
@@ -201,27 +206,27 @@
                 functools.partial(router.on_load, reports[0], _NOW)
             ),
             "a choice": time_call(
-                functools.partial(router.choose, query, _NOBODY, _NOW)
+                functools.partial(router.choose, query, _EXCLUDED_SERVERS, _NOW)
             ),
         }
-        for name, figure in figures.items():
-            say(f"    {count:4} servers, {name}: {figure}")
+        for name, micros in times_by_label.items():
+            say(f"    {count:4} servers, {name}: {micros}")
 
 
-async def edit() -> None:
-    """What one edit of one row costs each host that follows the table."""
-    say(f"edit: one row, {ACCOUNTS} accounts, {VERSIONS} versions")
-    for count in SERVERS:
+async def measure_edit() -> None:
+    """Measures the edit of one row at a host that follows the table."""
+    say(f"edit: one row, {ACCOUNT_COUNT} accounts, {VERSION_COUNT} versions")
+    for count in SERVER_COUNTS:
         table = big_table(count)
         fold = fold_lib.TableFold()
         first = edits.TableEdit(
             "e0", -1, "bench", _NOW, edits.diff(model.Table(), table)
         )
         offset = 0
-        began = time.process_time()
+        start = time.process_time()
         fold.apply(offset, first)
-        whole = time.process_time() - began
-        each = []
+        whole_table_seconds = time.process_time() - start
+        times = []
         size = 0
         for number in range(10):
             row = attrs.evolve(
@@ -235,66 +240,71 @@
             )
             size = len(payload)
             offset += 1
-            began = time.process_time()
-            verdict = fold.apply(offset, codec.decode(payload))
-            each.append((time.process_time() - began) * 1000)
-            assert isinstance(verdict, fold_lib.Accepted), verdict
-        began = time.process_time()
+            start = time.process_time()
+            result = fold.apply(offset, codec.decode(payload))
+            times.append((time.process_time() - start) * 1000)
+            assert isinstance(result, fold_lib.Accepted), result
+        start = time.process_time()
         snapshot = snapshots.encode_snapshot(fold)
-        made = (time.process_time() - began) * 1000
-        began = time.process_time()
+        encode_millis = (time.process_time() - start) * 1000
+        start = time.process_time()
         codec.decode(snapshot)
-        read = (time.process_time() - began) * 1000
+        decode_millis = (time.process_time() - start) * 1000
         say(
             f"    {count:4} servers: edit of {size} bytes, "
-            f"{deployment_lib.spread(each)} ms to fold; the whole table "
-            f"{whole * 1000:.1f} ms; snapshot {len(snapshot) / 1000:.1f} KB, "
-            f"{made:.1f} ms to make, {read:.1f} ms to decode; "
+            f"{deployment_lib.spread(times)} ms to fold; the whole table "
+            f"{whole_table_seconds * 1000:.1f} ms; "
+            f"snapshot {len(snapshot) / 1000:.1f} KB, "
+            f"{encode_millis:.1f} ms to make, "
+            f"{decode_millis:.1f} ms to decode; "
             f"first edit {len(codec.encode(first)) / 1000:.1f} KB"
         )
 
 
-class _Methods:
-    """Behaviour that varies by the type of a message, as methods."""
+class _Dispatcher:
+    """Dispatches on the type of a message with methods."""
 
     @functools.singledispatchmethod
-    def take(self, message: object) -> object:
-        """Takes a message."""
+    def handle(self, message: object) -> object:
+        """Handles a message."""
         raise NotImplementedError(type(message).__name__)
 
-    @take.register
+    @handle.register
     def _(self, message: int) -> object:
         return message
 
 
 @functools.singledispatch
-def _take(message: object, owner: object) -> object:
+def _handle(message: object, owner: object) -> object:
     raise NotImplementedError(type(message).__name__)
 
 
-@_take.register
+@_handle.register
 def _(message: int, owner: object) -> object:
     return message
 
 
-async def dispatch() -> None:
-    """What it costs to choose behaviour by a message's type."""
-    methods = _Methods()
-    method = time_call(lambda: methods.take(1), 100_000)
-    function = time_call(lambda: _take(1, methods), 100_000)
-    say(f"dispatch: us a call: a method {method}, a function {function}")
+async def measure_dispatch() -> None:
+    """Measures dispatch on the type of a message."""
+    dispatcher = _Dispatcher()
+    method_micros = time_call(lambda: dispatcher.handle(1), 100_000)
+    function_micros = time_call(lambda: _handle(1, dispatcher), 100_000)
+    say(
+        f"dispatch: us a call: a method {method_micros},"
+        f" a function {function_micros}"
+    )
 
 
 _PARTS = {
-    "hosts": hosts,
-    "servers": servers,
-    "edit": edit,
-    "dispatch": dispatch,
+    "hosts": measure_hosts,
+    "servers": measure_servers,
+    "edit": measure_edit,
+    "dispatch": measure_dispatch,
 }
 
 
 def main() -> None:
-    """Runs the named parts, or all."""
+    """Runs the parts named on the command line, or all."""
     for name in sys.argv[1:] or _PARTS:
         asyncio.run(_PARTS[name]())
 
--- a/benchmarks/capacity/processes.py
+++ b/benchmarks/capacity/processes.py
@@ -1,4 +1,4 @@
-"""Starts the programs as processes and reads what the kernel counts."""
+"""Starts programs as processes and reads their resource usage."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 if TYPE_CHECKING:
     from types import TracebackType
 
-START_SECONDS = 60.0
-_TICKS = os.sysconf("SC_CLK_TCK")
+START_TIMEOUT = 60.0
+_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 _KIB = 1024
 _SCRIPTS = pathlib.Path(sys.executable).parent
-_READY = "LISTENING "
+_LISTENING_PREFIX = "LISTENING "
 
 
 def say(text: str) -> None:
@@ -29,11 +29,11 @@
 
 @attrs.frozen
 class Use:
-    """What a process has used.
+    """Resource usage of a process.
 
     Attributes:
         seconds: Processor time since its start.
-        resident: Bytes of memory now.
+        resident: Current resident memory in bytes.
     """
 
     seconds: float
@@ -53,29 +53,29 @@
     process: asyncio.subprocess.Process
 
     def use(self) -> Use:
-        """Returns what it has used so far."""
+        """Returns the resource usage so far."""
         root = pathlib.Path(f"/proc/{self.process.pid}")
         fields = (root / "stat").read_text().rpartition(")")[2].split()
-        seconds = (int(fields[11]) + int(fields[12])) / _TICKS
+        cpu_seconds = (int(fields[11]) + int(fields[12])) / _TICKS_PER_SECOND
         status = dict(
             line.split(":", 1)
             for line in (root / "status").read_text().splitlines()
         )
-        return Use(seconds, int(status["VmRSS"].split()[0]) * _KIB)
+        return Use(cpu_seconds, int(status["VmRSS"].split()[0]) * _KIB)
 
 
 class Fleet:
-    """Programs that end with the block.
+    """Context manager that kills the programs it started.
 
     Attributes:
-        programs: Those started.
+        programs: All programs started.
     """
 
     def __init__(self) -> None:
         self.programs: list[Program] = []
 
     async def __aenter__(self) -> Fleet:
-        """Starts nothing yet; a stop signal ends the block."""
+        """Installs a handler by which SIGTERM cancels the block."""
         task = asyncio.current_task()
         assert task is not None
         loop = asyncio.get_running_loop()
@@ -88,7 +88,7 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Ends every program by its id."""
+        """Kills all programs that still run."""
         asyncio.get_running_loop().remove_signal_handler(signal.SIGTERM)
         for program in self.programs:
             if program.process.returncode is None:
@@ -101,7 +101,7 @@
 
         Args:
             words: Name of the program and its arguments.
-            tells: Whether it prints where it listens; waited for.
+            tells: Whether to wait for the line with its address.
         """
         process = await asyncio.create_subprocess_exec(
             str(_SCRIPTS / words[0]),
@@ -119,11 +119,15 @@
         if not tells:
             return program
         assert process.stdout is not None
-        async with asyncio.timeout(START_SECONDS):
+        async with asyncio.timeout(START_TIMEOUT):
             line = (await process.stdout.readline()).decode()
-        if not line.startswith(_READY):
-            raise RuntimeError(f"{words[0]} said {line!r}")
-        return attrs.evolve(program, address=line[len(_READY) :].strip())
+        if not line.startswith(_LISTENING_PREFIX):
+            raise RuntimeError(
+                f"{words[0]} printed {line!r} instead of its address"
+            )
+        return attrs.evolve(
+            program, address=line[len(_LISTENING_PREFIX) :].strip()
+        )
 
 
 async def run_command(*words: str) -> tuple[float, float, int]:
@@ -134,16 +138,16 @@
         bytes.
     """
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    start = loop.time()
     process = await asyncio.create_subprocess_exec(
         str(_SCRIPTS / words[0]),
         *words[1:],
         stdout=asyncio.subprocess.DEVNULL,
         stderr=asyncio.subprocess.DEVNULL,
     )
-    peak, seconds = 0, 0.0
+    peak_bytes, cpu_seconds = 0, 0.0
     root = pathlib.Path(f"/proc/{process.pid}")
-    # Sampled, as the kernel forgets a child's peak once it is reaped.
+    # Sampled, because the peak is no longer available once the child is reaped.
     while process.returncode is None:
         try:
             text = (root / "status").read_text()
@@ -152,8 +156,8 @@
             break
         for line in text.splitlines():
             if line.startswith("VmHWM"):
-                peak = int(line.split()[1]) * _KIB
-        seconds = (int(fields[11]) + int(fields[12])) / _TICKS
+                peak_bytes = int(line.split()[1]) * _KIB
+        cpu_seconds = (int(fields[11]) + int(fields[12])) / _TICKS_PER_SECOND
         await asyncio.sleep(0.005)
     await process.wait()
-    return seconds, loop.time() - began, peak
+    return cpu_seconds, loop.time() - start, peak_bytes
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -1,4 +1,4 @@
-"""Tables of any size for the measurements."""
+"""Builds tables of any size for the measurements."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 KEY = "bench-key"
 DOMAINS = 7
-PRICE = 500  # Micros a call.
-_PLENTY = 10**12
+CALL_PRICE = 500  # Micros.
+_SPEND_LIMIT = 10**12
 
 
-class _Keyed(Protocol):
+class _KeyedRow(Protocol):
     """A row of any sheet."""
 
     @property
@@ -40,12 +40,12 @@
     """
     names = [f"account-{n}" for n in range(accounts)]
     return model.Table(
-        accounts={name: _account(name, n) for n, name in enumerate(names)},
-        versions=_keyed(_version(n + 1) for n in range(versions)),
-        grants=_keyed(
+        accounts={name: _make_account(name, n) for n, name in enumerate(names)},
+        versions=_by_key(_make_version(n + 1) for n in range(versions)),
+        grants=_by_key(
             model.Grant(name, "bench-model", "*", 0.5) for name in names
         ),
-        services=_keyed(
+        services=_by_key(
             (
                 model.Service("llm", model.ServiceKind.ENGINE, 60.0, ()),
                 model.Service(
@@ -53,33 +53,33 @@
                 ),
             )
         ),
-        calls=_keyed(
+        calls=_by_key(
             (
-                _call("POST", "/confirm", False),
-                _call("GET", "/balance/*", True),
+                _make_call("POST", "/confirm", False),
+                _make_call("GET", "/balance/*", True),
             )
         ),
-        servers=_keyed(
+        servers=_by_key(
             (
-                *_servers(engines, "llm"),
-                *_servers(plain, "counter-api"),
+                *_make_servers(engines, "llm"),
+                *_make_servers(plain, "counter-api"),
             )
         ),
-        limits=_keyed((model.Limit("entry_concurrency", 10_000.0),)),
+        limits=_by_key((model.Limit("entry_concurrency", 10_000.0),)),
     )
 
 
-def _keyed(rows: Iterable[_Keyed]) -> dict[str, Any]:
+def _by_key(rows: Iterable[_KeyedRow]) -> dict[str, Any]:
     return {row.key: row for row in rows}
 
 
-def _account(name: str, number: int) -> model.Account:
+def _make_account(name: str, number: int) -> model.Account:
     key = KEY if number == 0 else f"key-{number}"
     digest = hashlib.sha256(key.encode()).hexdigest()
-    return model.Account(name, (digest,), _PLENTY, 1e5, 10_000)
+    return model.Account(name, (digest,), _SPEND_LIMIT, 1e5, 10_000)
 
 
-def _version(number: int) -> model.Version:
+def _make_version(number: int) -> model.Version:
     return model.Version(
         "bench-model",
         str(number),
@@ -94,13 +94,20 @@
     )
 
 
-def _call(method: str, path: str, idempotent: bool) -> model.Call:
+def _make_call(method: str, path: str, idempotent: bool) -> model.Call:
     return model.Call(
-        "counter-api", method, path, idempotent, model.Priority.URGENT, PRICE
+        "counter-api",
+        method,
+        path,
+        idempotent,
+        model.Priority.URGENT,
+        CALL_PRICE,
     )
 
 
-def _servers(addresses: dict[str, str], service: str) -> list[model.Server]:
+def _make_servers(
+    addresses: dict[str, str], service: str
+) -> list[model.Server]:
     return [
         model.Server(name, service, address, f"d{n % DOMAINS}", 1000, True)
         for n, (name, address) in enumerate(addresses.items())
--- a/benchmarks/capacity/serve.py
+++ b/benchmarks/capacity/serve.py
@@ -1,13 +1,13 @@
-"""Measures what an entry host spends on callers' requests.
+"""Measures what an entry host spends on requests of callers.
 
     python -m benchmarks.capacity.serve           all parts
     python -m benchmarks.capacity.serve tokens    one part
 
 Parts: ``balance``, ``confirm`` and ``confirm-key`` (plain calls by rate),
 ``tokens`` (streams by their length), ``rate`` (streams by requests a second),
-``most`` (tokens a second that one process carries). Processor time is that of
-one entry process alone, its idle time taken off; two entries run, so that
-bills are held by a peer.
+``most`` (tokens a second that one process sustains). Processor time is that of
+one entry process above its idle usage; two entry hosts run, so that a peer
+holds the bills.
 """
 
 from __future__ import annotations
@@ -33,63 +33,63 @@
 
     import aiohttp
 
-RATES = (25, 50, 100, 200)  # Requests a second.
-LENGTHS = (16, 64, 256, 512)  # Tokens an answer.
+CALL_RATES = (25, 50, 100, 200)  # Requests a second.
+STREAM_LENGTHS = (16, 64, 256, 512)  # Tokens per response.
 STREAM_RATES = (2, 5, 10, 20)  # Requests a second, of 128 tokens each.
-AT_ONCE = (16, 32, 64, 128, 192, 256)  # Streams at once.
+STREAM_COUNTS = (16, 32, 64, 128, 192, 256)  # Concurrent streams.
 ROUNDS = 3
-SECONDS = 4.0
+ROUND_SECONDS = 4.0
 IDLE_SECONDS = 6.0
-TOKEN_SECONDS = 0.01  # The engine's pace.
-_US = 1e6
+TOKEN_INTERVAL = 0.01  # Of the engine.
+_MICROSECONDS_PER_SECOND = 1e6
 _HEADERS = {"Authorization": f"Bearer {rows.KEY}"}
-say = processes.say
+print_line = processes.say
 
 
 @attrs.define
-class Seen:
-    """What callers saw.
+class StreamResults:
+    """Streams as seen by their callers.
 
     Attributes:
-        firsts: Milliseconds to the first token.
-        gaps: Milliseconds between tokens.
-        failed: Answers that were not whole.
+        first_token_ms: Milliseconds to the first token.
+        token_gap_ms: Milliseconds between tokens.
+        failed: Number of incomplete responses.
     """
 
-    firsts: list[float] = attrs.field(factory=list)
-    gaps: list[float] = attrs.field(factory=list)
+    first_token_ms: list[float] = attrs.field(factory=list)
+    token_gap_ms: list[float] = attrs.field(factory=list)
     failed: int = 0
 
 
 async def call(
-    session: aiohttp.ClientSession, entry: str, way: str, number: int
+    session: aiohttp.ClientSession, entry: str, call_kind: str, number: int
 ) -> None:
-    """Makes a plain call: ``balance``, ``confirm`` or ``confirm-key``."""
+    """Sends a plain call: ``balance``, ``confirm`` or ``confirm-key``."""
     url = f"http://{entry}/v1/services/counter-api"
     headers = dict(_HEADERS)
-    if way == "balance":
-        async with session.get(f"{url}/balance/7", headers=headers) as reply:
-            text = await reply.text()
-            assert reply.status == 200, text
+    if call_kind == "balance":
+        async with session.get(f"{url}/balance/7", headers=headers) as response:
+            text = await response.text()
+            assert response.status == 200, text
         return
-    if way == "confirm-key":
+    if call_kind == "confirm-key":
         headers["Idempotency-Key"] = f"k{number}-{time.time()}"
     body = json.dumps({"id": f"{number}-{time.time()}", "amount": 1})
     async with session.post(
         f"{url}/confirm", headers=headers, data=body
-    ) as reply:
-        text = await reply.text()
-        assert reply.status == 200, text
+    ) as response:
+        text = await response.text()
+        assert response.status == 200, text
 
 
 async def stream(
     session: aiohttp.ClientSession,
     entry: str,
     tokens: int,
-    seen: Seen,
+    results: StreamResults,
     number: int = 0,
 ) -> None:
-    """Reads one streamed answer."""
+    """Reads one streamed response and adds it to the results."""
     body = {
         "model": "bench-model@1",
         "stream": True,
@@ -101,190 +101,215 @@
     last = time.perf_counter()
     frames, done, text = 0, False, b""
     url = f"http://{entry}/v1/chat/completions"
-    async with session.post(url, headers=_HEADERS, json=body) as reply:
-        if reply.status != 200:
-            seen.failed += 1
-            say(f"refused: {(await reply.text())[:200]}")
+    async with session.post(url, headers=_HEADERS, json=body) as response:
+        if response.status != 200:
+            results.failed += 1
+            print_line(f"refused: {(await response.text())[:200]}")
             return
-        async for line in reply.content:
+        async for line in response.content:
             if line.startswith(b"data: [DONE]"):
                 done = True
             if not line.startswith(b"data: {"):
                 continue
             text = line
             now = time.perf_counter()
-            found = seen.gaps if frames else seen.firsts
-            found.append((now - last) * 1000)
+            samples = results.token_gap_ms if frames else results.first_token_ms
+            samples.append((now - last) * 1000)
             last = now
             frames += 1
     if not done or frames < tokens:
-        seen.failed += 1
-        say(f"failed after {frames} frames: {text[:300]!r}")
+        results.failed += 1
+        print_line(f"failed after {frames} frames: {text[:300]!r}")
 
 
 async def open_loop(
-    rate: float, seconds: float, make: Callable[[int], Awaitable[None]]
+    rate: float, seconds: float, send: Callable[[int], Awaitable[None]]
 ) -> int:
-    """Starts calls at random times; returns how many, once all ended."""
-    began = time.perf_counter()
+    """Starts calls at random times; returns how many, after all completed."""
+    start = time.perf_counter()
     due = 0.0
     tasks: list[asyncio.Future[None]] = []
     while (due := due + random.expovariate(rate)) < seconds:
-        await asyncio.sleep(max(began + due - time.perf_counter(), 0))
-        tasks.append(asyncio.ensure_future(make(len(tasks))))
+        await asyncio.sleep(max(start + due - time.perf_counter(), 0))
+        tasks.append(asyncio.ensure_future(send(len(tasks))))
     await asyncio.gather(*tasks)
     return len(tasks)
 
 
-async def idle_cores(entry: processes.Program) -> float:
-    """Returns the share of a core that an entry uses when nobody calls."""
+async def measure_idle_core(entry: processes.Program) -> float:
+    """Returns the fraction of a core that an idle entry host uses."""
     before = entry.use().seconds
     await asyncio.sleep(IDLE_SECONDS)
     return (entry.use().seconds - before) / IDLE_SECONDS
 
 
 @attrs.define
-class Timed:
-    """Processor time of an entry over a block, idle time taken off."""
+class CpuTimer:
+    """Measures the processor time of an entry host above its idle usage."""
 
     entry: processes.Program
-    idle: float
-    began: float = 0.0
-    used: float = 0.0
-    wall: float = 0.0
+    idle_core: float
+    start_time: float = 0.0
+    start_cpu: float = 0.0
+    wall_seconds: float = 0.0
 
     def start(self) -> None:
-        """Begins."""
-        self.began, self.used = time.perf_counter(), self.entry.use().seconds
+        """Starts a measurement."""
+        self.start_time, self.start_cpu = (
+            time.perf_counter(),
+            self.entry.use().seconds,
+        )
 
     def end(self) -> float:
-        """Returns seconds of processor time."""
-        self.wall = time.perf_counter() - self.began
-        used = self.entry.use().seconds - self.used
-        return used - self.idle * self.wall
-
-
-async def calls(way: str) -> None:
-    """Processor time a call, by rate."""
-    async with deployment_lib.deployed(2, direct=True) as made:
-        entry = made.entries[0]
-        timed = Timed(entry, await idle_cores(entry))
-        act = functools.partial(call, made.session, entry.address, way)
-        for rate in RATES:
-            each = []
+        """Returns the processor time since the start, in seconds."""
+        self.wall_seconds = time.perf_counter() - self.start_time
+        used = self.entry.use().seconds - self.start_cpu
+        return used - self.idle_core * self.wall_seconds
+
+
+async def measure_calls(call_kind: str) -> None:
+    """Measures the processor time per call, by rate."""
+    async with deployment_lib.deployed(2, direct=True) as deployment:
+        entry = deployment.entries[0]
+        timer = CpuTimer(entry, await measure_idle_core(entry))
+        send_call = functools.partial(
+            call, deployment.session, entry.address, call_kind
+        )
+        for rate in CALL_RATES:
+            micros = []
             for _ in range(ROUNDS):
-                timed.start()
-                count = await open_loop(rate, SECONDS, act)
-                each.append(timed.end() / count * _US)
-            say(f"{way}: {rate}/s: {deployment_lib.spread(each)} us a request")
+                timer.start()
+                count = await open_loop(rate, ROUND_SECONDS, send_call)
+                micros.append(timer.end() / count * _MICROSECONDS_PER_SECOND)
+            print_line(
+                f"{call_kind}: {rate}/s: "
+                f"{deployment_lib.spread(micros)} us a request"
+            )
         resident = entry.use().resident / (1 << 20)
-        say(f"{way}: {resident:.1f} MiB resident at the end")
+        print_line(f"{call_kind}: {resident:.1f} MiB resident at the end")
 
 
-_ENGINE = (
-    *("--token-time", str(TOKEN_SECONDS), "--prefill-time", "0"),
+_ENGINE_FLAGS = (
+    *("--token-time", str(TOKEN_INTERVAL), "--prefill-time", "0"),
     *("--answer-tokens", "1000"),
 )
 
 
-async def tokens() -> None:
-    """Processor time a stream, by its length."""
+async def measure_tokens() -> None:
+    """Measures the processor time per stream, by its length."""
     async with deployment_lib.deployed(
-        2, engine_words=_ENGINE, direct=True
-    ) as made:
-        entry = made.entries[0]
-        timed = Timed(entry, await idle_cores(entry))
+        2, engine_words=_ENGINE_FLAGS, direct=True
+    ) as deployment:
+        entry = deployment.entries[0]
+        timer = CpuTimer(entry, await measure_idle_core(entry))
         means = []
-        for length in LENGTHS:
+        for length in STREAM_LENGTHS:
             rate = 1500 / length / 1.0
-            each, seen = [], Seen()
+            micros, results = [], StreamResults()
             for _ in range(ROUNDS):
-                timed.start()
+                timer.start()
                 count = await open_loop(
                     min(rate, 40),
-                    SECONDS,
+                    ROUND_SECONDS,
                     functools.partial(
-                        stream, made.session, entry.address, length, seen
+                        stream,
+                        deployment.session,
+                        entry.address,
+                        length,
+                        results,
                     ),
                 )
-                each.append(timed.end() / count * _US)
-            means.append(statistics.mean(each))
-            say(
-                f"tokens: {length} an answer: {deployment_lib.spread(each)} us"
-                f" a request, failed {seen.failed}; "
-                f"gap p95 {statistics.quantiles(seen.gaps, n=20)[18]:.1f} ms"
-                f" ({TOKEN_SECONDS * 1000:.0f} ms at the engine)"
+                micros.append(timer.end() / count * _MICROSECONDS_PER_SECOND)
+            means.append(statistics.mean(micros))
+            print_line(
+                f"tokens: {length} an answer: "
+                f"{deployment_lib.spread(micros)} us"
+                f" a request, failed {results.failed}; "
+                f"gap p95 "
+                f"{statistics.quantiles(results.token_gap_ms, n=20)[18]:.1f} ms"
+                f" ({TOKEN_INTERVAL * 1000:.0f} ms at the engine)"
             )
-        slope, base = statistics.linear_regression(LENGTHS, means)
-        say(f"tokens: {base:.0f} us a request and {slope:.1f} us a token")
+        slope, base = statistics.linear_regression(STREAM_LENGTHS, means)
+        print_line(
+            f"tokens: {base:.0f} us a request and {slope:.1f} us a token"
+        )
 
 
-async def rate() -> None:
-    """Processor time a stream of 128 tokens, by requests a second."""
+async def measure_rates() -> None:
+    """Measures the processor time per token, by requests a second."""
     async with deployment_lib.deployed(
-        2, engine_words=_ENGINE, direct=True
-    ) as made:
-        entry = made.entries[0]
-        timed = Timed(entry, await idle_cores(entry))
-        for wanted in STREAM_RATES:
-            each, seen = [], Seen()
+        2, engine_words=_ENGINE_FLAGS, direct=True
+    ) as deployment:
+        entry = deployment.entries[0]
+        timer = CpuTimer(entry, await measure_idle_core(entry))
+        for rate in STREAM_RATES:
+            micros, results = [], StreamResults()
             for _ in range(ROUNDS):
-                timed.start()
+                timer.start()
                 count = await open_loop(
-                    wanted,
-                    SECONDS,
+                    rate,
+                    ROUND_SECONDS,
                     functools.partial(
-                        stream, made.session, entry.address, 128, seen
+                        stream, deployment.session, entry.address, 128, results
                     ),
                 )
-                each.append(timed.end() / count / 128 * _US)
-            say(
-                f"rate: {wanted}/s of 128 tokens: "
-                f"{deployment_lib.spread(each)} us a token; first token p95 "
-                f"{statistics.quantiles(seen.firsts, n=20)[18]:.1f} ms, gap "
-                f"p95 {statistics.quantiles(seen.gaps, n=20)[18]:.1f} ms, "
-                f"failed {seen.failed}"
+                micros.append(
+                    timer.end() / count / 128 * _MICROSECONDS_PER_SECOND
+                )
+            print_line(
+                f"rate: {rate}/s of 128 tokens: "
+                f"{deployment_lib.spread(micros)} us a token; first token p95 "
+                f"{statistics.quantiles(results.first_token_ms, n=20)[18]:.1f}"
+                " ms, gap p95 "
+                f"{statistics.quantiles(results.token_gap_ms, n=20)[18]:.1f}"
+                " ms, "
+                f"failed {results.failed}"
             )
 
 
-async def most() -> None:
-    """Streams at once until an entry process is full."""
-    words = ("--token-time", "0.02", *_ENGINE[2:])
+async def measure_capacity() -> None:
+    """Measures the capacity of an entry process in concurrent streams."""
+    engine_flags = ("--token-time", "0.02", *_ENGINE_FLAGS[2:])
     async with deployment_lib.deployed(
-        2, engine_words=words, direct=True
-    ) as made:
-        entry = made.entries[0]
-        for count in AT_ONCE:
-            seen = Seen()
-            timed = Timed(entry, 0.0)
-            timed.start()
+        2, engine_words=engine_flags, direct=True
+    ) as deployment:
+        entry = deployment.entries[0]
+        for count in STREAM_COUNTS:
+            results = StreamResults()
+            timer = CpuTimer(entry, 0.0)
+            timer.start()
             await asyncio.gather(
                 *(
-                    stream(made.session, entry.address, 300, seen)
+                    stream(deployment.session, entry.address, 300, results)
                     for _ in range(count)
                 )
             )
-            used = timed.end()
-            gaps = statistics.quantiles(seen.gaps, n=20)[18]
-            say(
-                f"most: {count} streams: {count * 300 / timed.wall:.0f} "
-                f"tokens/s, {used / timed.wall:.0%} of a core, gap p95 "
-                f"{gaps:.1f} ms (20 at the engine), failed {seen.failed}, "
+            used = timer.end()
+            gap_p95 = statistics.quantiles(results.token_gap_ms, n=20)[18]
+            print_line(
+                f"most: {count} streams: "
+                f"{count * 300 / timer.wall_seconds:.0f} "
+                f"tokens/s, {used / timer.wall_seconds:.0%} of a core, gap p95 "
+                f"{gap_p95:.1f} ms (20 at the engine), "
+                f"failed {results.failed}, "
                 f"{entry.use().resident / (1 << 20):.1f} MiB"
             )
 
 
-WAYS = ("balance", "confirm", "confirm-key")
+CALL_KINDS = ("balance", "confirm", "confirm-key")
 _PARTS: dict[str, Callable[[], Coroutine[Any, Any, None]]] = {
-    "tokens": tokens,
-    "rate": rate,
-    "most": most,
-    **{way: functools.partial(calls, way) for way in WAYS},
+    "tokens": measure_tokens,
+    "rate": measure_rates,
+    "most": measure_capacity,
+    **{
+        call_kind: functools.partial(measure_calls, call_kind)
+        for call_kind in CALL_KINDS
+    },
 }
 
 
 def main() -> None:
-    """Runs the named parts, or all."""
+    """Runs the parts named on the command line, or all."""
     random.seed(1)
     for name in sys.argv[1:] or _PARTS:
         uvloop.run(_PARTS[name]())
--- a/benchmarks/capacity/tree.py
+++ b/benchmarks/capacity/tree.py
@@ -1,10 +1,11 @@
-"""Measures one question between relays, against engines and asking hosts.
+"""Measures a copy request between relays by engines and requesting hosts.
 
     python -m benchmarks.capacity.tree
 
-Processor time of this process for one question: written by the host that
-asks, read and answered by its source, and the answer read, without sockets.
-Also the bytes of question and answer. No process is started.
+Prints the processor time of this process for one request, without sockets: at
+its source, which decodes and handles it and encodes the response, and at the
+requesting host, which decodes the response. Also prints the bytes of request
+and response. Starts no other processes.
 """
 
 from __future__ import annotations
@@ -31,16 +32,16 @@
 from hoistmoor.relay.store import follower as follower_lib
 from hoistmoor.relay.store import store_gate
 
-ENGINES = (45, 300, 1000)
-ASKING = (17, 51)  # Hosts that ask one source, today and at size.
-ROUTES = 3  # Routes with counts in a roll-out.
-BUSY_OF_OWN = 10  # Engines at which one host has work.
+ENGINE_COUNTS = (45, 300, 1000)
+REQUESTING_HOST_COUNTS = (17, 51)  # Per source, today and at the planned size.
+ROUTE_COUNT = 3  # Routes with counts in a rollout.
+BUSY_ENGINES_PER_HOST = 10  # Engines with work of one host.
 WORK = 12345.0
 TOPICS = ("operator", "servers", "phases", "hosts")
 
 
-class _NoTopic:
-    """A topic that nobody reads."""
+class _UnusedTopic:
+    """A topic that is never read."""
 
     async def newest(self) -> topics.Batch:
         raise NotImplementedError
@@ -54,12 +55,12 @@
         raise NotImplementedError
 
 
-def _state(engines: int) -> state_lib.RelayState:
-    nowhere = os.open(os.devnull, os.O_WRONLY)
+def _make_state(engines: int) -> state_lib.RelayState:
+    null_descriptor = os.open(os.devnull, os.O_WRONLY)
     clock = time.monotonic
     state = state_lib.RelayState(
         clock=clock,
-        log=event_log.EventLog("h", clock, nowhere),
+        log=event_log.EventLog("h", clock, null_descriptor),
         counters=metrics.RelayMetrics(),
         router=router_lib.Router(
             "z", bounds_lib.Bounds(), hashing.RandomGenerator.from_seed(1)
@@ -68,7 +69,7 @@
         outstanding=outstanding.OutstandingWork(),
         run_name="h-1",
     )
-    for name in _names(engines):
+    for name in _engine_names(engines):
         state.router.fleet.put(
             server_lib.ServerEntry(name, "llm", "10.0.0.1:80")
         )
@@ -76,25 +77,25 @@
     return state
 
 
-def _names(engines: int) -> list[str]:
+def _engine_names(engines: int) -> list[str]:
     return [f"i-{number:010x}" for number in range(engines)]
 
 
-def _question(engines: int, host: str) -> peer_codec.CopyRequest:
+def _make_request(engines: int, host: str) -> peer_codec.CopyRequest:
     tally = evidence_lib.Tally(12, 1, 1)
     counts = {
         f"r-{number}": evidence_lib.RouteEvidence(tally, tally)
-        for number in range(ROUTES)
+        for number in range(ROUTE_COUNT)
     }
     return peer_codec.CopyRequest(
         dict.fromkeys(TOPICS, 100),
         host,
-        dict.fromkeys(_names(engines)[:BUSY_OF_OWN], WORK),
+        dict.fromkeys(_engine_names(engines)[:BUSY_ENGINES_PER_HOST], WORK),
         (evidence_lib.Evidence("llm", 7, f"{host}-1", counts),),
     )
 
 
-def _answers(
+def _make_handler(
     state: state_lib.RelayState,
 ) -> request_handler_lib.PeerRequestHandler:
     gate = store_gate.StoreGate()
@@ -102,7 +103,7 @@
         name: follower_lib.TopicFollower(
             state,
             name,
-            _NoTopic(),
+            _UnusedTopic(),
             lambda update: update.batch.records,
             wait=0.0,
             pause=0.0,
@@ -110,41 +111,43 @@
         )
         for name in TOPICS
     }
-    for each in followers.values():
-        each.replica = replication.TopicReplica()
-        each.replica.apply(topics.Batch((), 100, is_snapshot=True))
+    for follower in followers.values():
+        follower.replica = replication.TopicReplica()
+        follower.replica.apply(topics.Batch((), 100, is_snapshot=True))
     return request_handler_lib.PeerRequestHandler(state, followers)
 
 
-def _answer(
-    answers: request_handler_lib.PeerRequestHandler, asked: bytes
+def _handle(
+    handler: request_handler_lib.PeerRequestHandler, encoded_request: bytes
 ) -> bytes:
-    question = peer_codec.decode_request(asked)
-    return peer_codec.encode(answers.answer(question))
+    request = peer_codec.decode_request(encoded_request)
+    return peer_codec.encode(handler.answer(request))
 
 
 def main() -> None:
-    """Prints a row for each size."""
-    for engines in ENGINES:
-        for asking in ASKING:
-            answers = _answers(_state(engines))
-            for number in range(asking):
-                answers.answer(_question(engines, f"h{number}"))
-            asked = peer_codec.encode(_question(engines, "h0"))
-            answer = peer_codec.encode(
-                answers.answer(peer_codec.decode_request(asked))
+    """Prints a line for each size."""
+    for engines in ENGINE_COUNTS:
+        for requesting_hosts in REQUESTING_HOST_COUNTS:
+            handler = _make_handler(_make_state(engines))
+            for number in range(requesting_hosts):
+                handler.answer(_make_request(engines, f"h{number}"))
+            encoded_request = peer_codec.encode(_make_request(engines, "h0"))
+            encoded_response = peer_codec.encode(
+                handler.answer(peer_codec.decode_request(encoded_request))
             )
 
-            at_source = parts.time_call(
-                functools.partial(_answer, answers, asked)
+            source_micros = parts.time_call(
+                functools.partial(_handle, handler, encoded_request)
             )
-            at_asking = parts.time_call(
-                functools.partial(peer_codec.decode_answer, answer)
+            requesting_micros = parts.time_call(
+                functools.partial(peer_codec.decode_answer, encoded_response)
             )
             parts.say(
-                f"{engines} engines, {asking} hosts that ask:"
-                f" question {len(asked)} B, answer {len(answer)} B;"
-                f" source {at_source} us, asking host {at_asking} us"
+                f"{engines} engines, {requesting_hosts} hosts that ask:"
+                f" question {len(encoded_request)} B,"
+                f" answer {len(encoded_response)} B;"
+                f" source {source_micros} us,"
+                f" asking host {requesting_micros} us"
             )
 
 
--- a/benchmarks/claim_shards.py
+++ b/benchmarks/claim_shards.py
@@ -1,14 +1,15 @@
-"""What a host reads and spends on claims that are spread over shards.
+"""Measures traffic and processor time of a host that follows claim shards.
 
     python benchmarks/claim_shards.py 180         180 shards over 360 hosts
     python benchmarks/claim_shards.py 180 360     one after another
 
-One host of 360 runs in this process on the log stand-in, a process of its own,
-behind a forwarder that counts bytes both ways (so processor time includes the
-forwarder). 170 keyed requests a second are spread evenly over all shards. The
-host serves those of the shards that it is the preferred follower of; records
-of its other shards are appended past the forwarder, by a process of their own.
-Two hosts are measured: one that follows the median number, and the fullest.
+One host of 360 runs in this process. It reads the log stand-in, a separate
+process, through a forwarder that counts bytes both ways, so that its processor
+time includes the forwarder. 170 keyed requests a second are spread evenly over
+all shards. The host serves those of the shards that it is the preferred
+follower of; another process appends the records of its other shards directly
+to the log. Measures the host that follows the median number of shards and the
+one that follows most.
 """
 
 from __future__ import annotations
@@ -34,41 +35,48 @@
 from hoistmoor.entry import once as once_lib
 
 HOSTS = {f"entry-{n}": f"10.0.0.{n}:80" for n in range(360)}
-KEYED = 170.0  # Requests a second in all.
-SPELL = 20.0  # Seconds.
-SETTLE = 3.0  # Seconds.
+KEYED_REQUEST_RATE = 170.0  # Requests a second at all hosts together.
+MEASURED_SECONDS = 20.0
+SETTLE_SECONDS = 3.0
 _BODY = b'{"confirmed": true, "receipt": "TX-0123456789"}'
 
 
-def answer(number: int) -> permits.StoredAnswer:
-    """Returns the answer to a confirm."""
+def make_stored_answer(number: int) -> permits.StoredAnswer:
+    """Returns the stored response of a confirm request."""
     name = f"entry-1.18c1f2a3b4c.{number:x}"
     return permits.StoredAnswer(200, "application/json", _BODY, name)
 
 
-async def pipe(
-    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, meter: list[int]
+async def copy_bytes(
+    reader: asyncio.StreamReader,
+    writer: asyncio.StreamWriter,
+    byte_count: list[int],
 ) -> None:
-    """Copies bytes and counts them."""
+    """Copies bytes until the end of the stream and counts them."""
     with contextlib.suppress(ConnectionError):
         while data := await reader.read(65536):
-            meter[0] += len(data)
+            byte_count[0] += len(data)
             writer.write(data)
     writer.close()
 
 
-async def feed_others(url: str, shards: int, theirs: list[int]) -> None:
-    """Appends a claim and its end for each request of others, evenly."""
-    rate = KEYED / shards * len(theirs)
+async def append_claims_of_other_hosts(
+    url: str, shards: int, foreign_shards: list[int]
+) -> None:
+    """Appends claims and their ends for the requests of other hosts."""
+    rate = KEYED_REQUEST_RATE / shards * len(foreign_shards)
     async with sessions.make_session() as session:
         client = log_client.LogClient(session, url)
         for number in range(10**9):
-            shard = theirs[number % len(theirs)]
+            shard = foreign_shards[number % len(foreign_shards)]
             stream = placement.stream_of(shard, shards)
             key = records.key_digest("shop", f"{time.time()}")
             claim = records.Claim(key, number + 1, "f" * 32)
             end = records.Ended(
-                key, number + 1, outcomes.Outcome.DONE, answer(number)
+                key,
+                number + 1,
+                outcomes.Outcome.DONE,
+                make_stored_answer(number),
             )
             for ends, claims in (((), (claim,)), ((end,), ())):
                 batch = records.ClaimBatch(
@@ -78,42 +86,47 @@
             await asyncio.sleep(1 / rate)
 
 
-def feed(url: str, shards: int, theirs: list[int]) -> None:
-    """Runs ``feed_others`` as a process."""
-    asyncio.run(feed_others(url, shards, theirs))
+def run_appender(url: str, shards: int, foreign_shards: list[int]) -> None:
+    """Entry point of the process that appends claims of other hosts."""
+    asyncio.run(append_claims_of_other_hosts(url, shards, foreign_shards))
 
 
 async def serve(
-    once: once_lib.AtMostOnceGuard, key: str, counted: list[float]
+    guard: once_lib.AtMostOnceGuard, key: str, latencies: list[float]
 ) -> None:
-    """Serves one keyed request."""
+    """Serves one keyed request and records how long its claim takes."""
     began = time.perf_counter()
-    permit = await once.begin("shop", key, "f" * 32, "r", time.time() + 5)
+    permit = await guard.begin("shop", key, "f" * 32, "r", time.time() + 5)
     if isinstance(permit, permits.Permit):
-        counted.append((time.perf_counter() - began) * 1000)
-        await once.finish(permit, outcomes.Outcome.DONE, answer(1))
+        latencies.append((time.perf_counter() - began) * 1000)
+        await guard.finish(permit, outcomes.Outcome.DONE, make_stored_answer(1))
 
 
-async def measure(url: str, shards: int, host: str, mine: list[int]) -> None:
-    """Prints one host's figures."""
-    meter, tasks = [0], []
-    times: list[float] = []
+async def measure(
+    url: str, shards: int, host: str, followed_shards: list[int]
+) -> None:
+    """Measures one host and prints the results."""
+    byte_count, tasks = [0], []
+    latencies: list[float] = []
     target = url.removeprefix("http://").split(":")
 
     async def accept(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        far_reader, far_writer = await asyncio.open_connection(*target)
+        target_reader, target_writer = await asyncio.open_connection(*target)
         await asyncio.gather(
-            pipe(reader, far_writer, meter), pipe(far_reader, writer, meter)
+            copy_bytes(reader, target_writer, byte_count),
+            copy_bytes(target_reader, writer, byte_count),
         )
 
     server = await asyncio.start_server(accept, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    first = [s for s in mine if placement.followers(s, HOSTS)[0] == host]
+    preferred_shards = [
+        s for s in followed_shards if placement.followers(s, HOSTS)[0] == host
+    ]
     async with sessions.make_session() as session:
         client = log_client.LogClient(session, f"http://127.0.0.1:{port}")
-        once = once_lib.AtMostOnceGuard(
+        guard = once_lib.AtMostOnceGuard(
             client,
             identity.Incarnation(host, 7),
             HOSTS[host],
@@ -122,76 +135,83 @@
             shard_count=shards,
             live_hosts=lambda: HOSTS,
         )
-        once.start()
-        await asyncio.sleep(SETTLE)
-        meter[0], used = 0, time.process_time()
-        rate = KEYED / shards * len(first)
-        count = round(rate * SPELL)
+        guard.start()
+        await asyncio.sleep(SETTLE_SECONDS)
+        byte_count[0], cpu_seconds = 0, time.process_time()
+        rate = KEYED_REQUEST_RATE / shards * len(preferred_shards)
+        count = round(rate * MEASURED_SECONDS)
         number = 0
         for _ in range(count):
             while True:
                 number += 1
                 key = f"{time.time()}-{number}"
                 digest = records.key_digest("shop", key)
-                if placement.shard_of(digest, shards) in first:
+                if placement.shard_of(digest, shards) in preferred_shards:
                     break
-            tasks.append(asyncio.ensure_future(serve(once, key, times)))
-            await asyncio.sleep(SPELL / count)
+            tasks.append(asyncio.ensure_future(serve(guard, key, latencies)))
+            await asyncio.sleep(MEASURED_SECONDS / count)
         if not count:
-            await asyncio.sleep(SPELL)
+            await asyncio.sleep(MEASURED_SECONDS)
         await asyncio.gather(*tasks)
-        used = time.process_time() - used
-        read = meter[0] / SPELL / 1000
-        await once.stop()
+        cpu_seconds = time.process_time() - cpu_seconds
+        kilobytes_per_second = byte_count[0] / MEASURED_SECONDS / 1000
+        await guard.stop()
     server.close()
-    middle = f"{sorted(times)[len(times) // 2]:.1f} ms" if times else "none"
+    median = (
+        f"{sorted(latencies)[len(latencies) // 2]:.1f} ms"
+        if latencies
+        else "none"
+    )
     sys.stdout.write(
-        f"{shards} shards, a host with {len(mine)}, preferred for "
-        f"{len(first)}: {read:.2f} KB/s both ways, {used / SPELL * 100:.2f}% "
-        f"of a core, {len(times)} claims, median {middle}\n"
+        f"{shards} shards, a host with {len(followed_shards)}, preferred for "
+        f"{len(preferred_shards)}: {kilobytes_per_second:.2f} KB/s "
+        f"both ways, {cpu_seconds / MEASURED_SECONDS * 100:.2f}% "
+        f"of a core, {len(latencies)} claims, median {median}\n"
     )
 
 
 async def run(shards: int) -> None:
-    """Measures an ordinary host and the fullest."""
-    mine = collections.defaultdict(list)
+    """Measures the host with the median and the one with most shards."""
+    followed_shards = collections.defaultdict(list)
     for shard in range(shards):
         for host in placement.followers(shard, HOSTS):
-            mine[host].append(shard)
-    ordered = sorted(mine, key=lambda host: (len(mine[host]), host))
-    for host in (ordered[len(ordered) // 2], ordered[-1]):
+            followed_shards[host].append(shard)
+    hosts_by_load = sorted(
+        followed_shards, key=lambda host: (len(followed_shards[host]), host)
+    )
+    for host in (hosts_by_load[len(hosts_by_load) // 2], hosts_by_load[-1]):
         standin = await asyncio.create_subprocess_exec(
             os.path.join(os.path.dirname(sys.executable), "hoistmoor-standin"),
             *("log", "--listen", "127.0.0.1:0"),
             stdout=asyncio.subprocess.PIPE,
         )
-        feeder = None
+        appender = None
         try:
             assert standin.stdout
             line = (await standin.stdout.readline()).decode().split()
             url = f"http://{line[-1]}"
-            theirs = [
+            foreign_shards = [
                 s
-                for s in mine[host]
+                for s in followed_shards[host]
                 if placement.followers(s, HOSTS)[0] != host
             ]
-            if theirs:
-                feeder = multiprocessing.get_context("spawn").Process(
-                    target=feed, args=(url, shards, theirs)
+            if foreign_shards:
+                appender = multiprocessing.get_context("spawn").Process(
+                    target=run_appender, args=(url, shards, foreign_shards)
                 )
-                feeder.start()
-            await measure(url, shards, host, mine[host])
+                appender.start()
+            await measure(url, shards, host, followed_shards[host])
         finally:
-            if feeder is not None:
-                feeder.kill()
+            if appender is not None:
+                appender.kill()
             standin.kill()
             await standin.wait()
 
 
 def main() -> None:
-    """Measures each number of shards named."""
-    for word in sys.argv[1:] or ("180",):
-        uvloop.run(run(int(word)))
+    """Measures each number of shards named on the command line."""
+    for argument in sys.argv[1:] or ("180",):
+        uvloop.run(run(int(argument)))
 
 
 if __name__ == "__main__":
--- a/benchmarks/once.py
+++ b/benchmarks/once.py
@@ -3,9 +3,8 @@
     python benchmarks/once.py             all parts
     python benchmarks/once.py latency     one part
 
-Parts: fold, memory, bytes, appends, latency. All but the last run on a log in
-memory; the last starts the log stand-in inside this process, over TCP on
-loopback.
+Parts: fold, memory, bytes, appends, latency. All but the last use an in-memory
+log; the last runs the log stand-in inside this process, over TCP on loopback.
 """
 
 from __future__ import annotations
@@ -44,70 +43,74 @@
 
 _FINGERPRINT = "0123456789abcdef0123456789abcdef"
 _BODY = b'{"confirmed": true, "receipt": "TX-0123456789"}'
-_SIZES = (10_000, 20_000, 40_000, 80_000)
+_KEY_COUNTS = (10_000, 20_000, 40_000, 80_000)
 
 
-def _print(text: str) -> None:
+def _print_line(text: str) -> None:
     sys.stdout.write(f"{text}\n")
 
 
-def _answer(request_id: str) -> permits.StoredAnswer:
+def _make_stored_response(request_id: str) -> permits.StoredAnswer:
     return permits.StoredAnswer(200, "application/json", _BODY, request_id)
 
 
 def _claim_batches(keys: int) -> list[records.ClaimBatch]:
-    """Returns a claim and an end, one a batch, for each key."""
-    made = []
+    """Returns a batch with a claim and a batch with its end for each key."""
+    batches = []
     for serial in range(1, keys + 1):
         key = records.key_digest("shop", f"order-{serial}")
         host = f"entry-{serial % 9}"
         claim = records.Claim(key, serial, _FINGERPRINT)
         ended = records.Ended(
-            key, serial, outcomes.Outcome.DONE, _answer(f"{host}.1.{serial:x}")
+            key,
+            serial,
+            outcomes.Outcome.DONE,
+            _make_stored_response(f"{host}.1.{serial:x}"),
         )
         for ends, claims in (((), (claim,)), ((ended,), ())):
-            made.append(
+            batches.append(
                 records.ClaimBatch(host, 7, "10.0.0.1:8080", ends, claims)
             )
-    return made
+    return batches
 
 
-def fold() -> None:
-    """Time to fold a claim and its end, decoding included and not."""
-    for keys in _SIZES:
+def measure_fold() -> None:
+    """Measures the time to fold and to decode a claim and its end."""
+    for keys in _KEY_COUNTS:
         batches = _claim_batches(keys)
         payloads = [codec.encode(batch) for batch in batches]
         view = view_lib.KeyView()
         began = time.perf_counter()
         for offset, batch in enumerate(batches):
             view.apply(offset, 0.0, batch)
-        folded = time.perf_counter() - began
+        fold_seconds = time.perf_counter() - began
         began = time.perf_counter()
         for payload in payloads:
             codec.decode(payload)
-        decoded = time.perf_counter() - began
-        _print(
-            f"fold: {keys} keys: {folded / keys * 1e6:.2f} us a key to fold, "
-            f"{decoded / keys * 1e6:.2f} us to decode"
+        decode_seconds = time.perf_counter() - began
+        _print_line(
+            f"fold: {keys} keys: "
+            f"{fold_seconds / keys * 1e6:.2f} us a key to fold, "
+            f"{decode_seconds / keys * 1e6:.2f} us to decode"
         )
 
 
-def memory() -> None:
-    """Memory of a key that is done, in the view."""
-    for keys in _SIZES:
+def measure_memory() -> None:
+    """Measures the memory of a completed key in the view."""
+    for keys in _KEY_COUNTS:
         payloads = [codec.encode(batch) for batch in _claim_batches(keys)]
         gc.collect()
         tracemalloc.start()
         view = view_lib.KeyView()
         for offset, payload in enumerate(payloads):
             view.apply(offset, 0.0, codec.decode(payload))
-        used, _ = tracemalloc.get_traced_memory()
+        allocated, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
-        _print(f"memory: {keys} keys: {used / keys:.0f} bytes a key")
+        _print_line(f"memory: {keys} keys: {allocated / keys:.0f} bytes a key")
 
 
-def sizes() -> None:
-    """Bytes on the log."""
+def measure_sizes() -> None:
+    """Measures the encoded size of claims, ends and bills."""
     for count in (1, 10, 100):
         batches = _claim_batches(count)
         claims = tuple(claim for b in batches for claim in b.claims)
@@ -117,45 +120,45 @@
             ("ends", records.ClaimBatch("entry-1", 7, "a:1", ends, ())),
         ):
             size = len(codec.encode(batch))
-            _print(f"bytes: {count} {name}: {size / count:.0f} bytes each")
+            _print_line(f"bytes: {count} {name}: {size / count:.0f} bytes each")
         batch = bills.BillBatch(
-            "entry-1", 7, "e", tuple(_bill(n) for n in range(count))
+            "entry-1", 7, "e", tuple(_make_bill(n) for n in range(count))
         )
         size = len(codec.encode(batch))
-        _print(f"bytes: {count} bills: {size / count:.0f} bytes each")
+        _print_line(f"bytes: {count} bills: {size / count:.0f} bytes each")
 
 
-def _bill(serial: int, host: str = "entry-1") -> bills.Bill:
+def _make_bill(serial: int, host: str = "entry-1") -> bills.Bill:
     request_id = f"{host}.18c1f2a3b4c.{serial:x}"
     return bills.Bill(
         "shop", request_id, "moor-large@2", 812, 230, 4521, 1, time.time(), 17
     )
 
 
-class MemoryLog:
-    """A log in memory with a short delay, which counts appends."""
+class InMemoryLog:
+    """An in-memory log with a short delay for appends."""
 
     def __init__(self, delay: float = 0.002) -> None:
         self.delay = delay
         self.records: dict[str, list[log_client.LogRecord]] = {}
-        self.grown: dict[str, asyncio.Event] = {}
+        self.appended: dict[str, asyncio.Event] = {}
 
     async def append(self, stream: str, payload: bytes) -> int:
-        """Stores a record."""
+        """Appends a record and returns its offset."""
         await asyncio.sleep(self.delay)
         stored = self.records.setdefault(stream, [])
         record = log_client.LogRecord(len(stored), time.time(), payload)
         stored.append(record)
-        self.grown.pop(stream, asyncio.Event()).set()
+        self.appended.pop(stream, asyncio.Event()).set()
         return record.offset
 
     async def read(
         self, stream: str, start: int, limit: int = 500, wait: float = 0.0
     ) -> log_client.LogPage:
-        """Returns records; waits for one."""
+        """Returns records from ``start`` on; waits for the first if asked."""
         stored = self.records.setdefault(stream, [])
         if start >= len(stored) and wait:
-            event = self.grown.setdefault(stream, asyncio.Event())
+            event = self.appended.setdefault(stream, asyncio.Event())
             await event.wait()
         page = tuple(stored[start : start + limit])
         return log_client.LogPage(0, start + len(page), page)
@@ -165,8 +168,8 @@
         return log_client.LogBounds(0, len(self.records.get(stream, ())))
 
 
-class _AllHold:
-    """Peers that hold everything at once."""
+class _InstantHolders:
+    """Peers that hold bills without delay."""
 
     def __init__(self, hosts: int) -> None:
         self.hosts = hosts
@@ -181,16 +184,16 @@
         return bool(incarnation)
 
     async def hold_bills(self, batch_id: str, batch: bytes) -> None:
-        """Does as if it kept them."""
+        """Accepts the batch without storing it."""
 
     async def release_bills(self, batch_ids: tuple[str, ...]) -> None:
-        """Does as if it dropped them."""
+        """Accepts the release."""
 
 
-async def _load(
+async def _run_open_loop(
     seconds: float, rate: float, serve: Callable[[int], object]
 ) -> int:
-    """Starts ``serve`` with open-loop arrivals; returns how many."""
+    """Calls ``serve`` with open-loop arrivals; returns how many."""
     random.seed(1)
     tasks = []
     began = time.perf_counter()
@@ -204,15 +207,15 @@
     return serial
 
 
-async def _appends(
+async def _measure_appends(
     hosts: int, rate: float, seconds: float, shards: int = 1
 ) -> None:
-    log = MemoryLog()
-    onces, billers = [], []
+    log = InMemoryLog()
+    guards, billers = [], []
     addresses = {f"entry-{number}": str(number) for number in range(hosts)}
     for number in range(hosts):
         incarnation = identity.Incarnation(f"entry-{number}", 7)
-        onces.append(
+        guards.append(
             once_lib.AtMostOnceGuard(
                 log,
                 incarnation,
@@ -223,49 +226,54 @@
                 live_hosts=lambda: addresses,
             )
         )
-        billers.append(biller_lib.Biller(log, incarnation, _AllHold(hosts)))
-        onces[-1].start()
+        billers.append(
+            biller_lib.Biller(log, incarnation, _InstantHolders(hosts))
+        )
+        guards[-1].start()
         billers[-1].start()
 
     async def serve(serial: int) -> None:
         number = serial % hosts
-        once = onces[number]
-        permit = await _begin(once, serial)
+        guard = guards[number]
+        permit = await _begin(guard, serial)
         if isinstance(permit, permits.ForwardTo):
-            once = onces[int(permit.address)]
-            permit = await _begin(once, serial, forwarded=True)
+            guard = guards[int(permit.address)]
+            permit = await _begin(guard, serial, forwarded=True)
         assert isinstance(permit, permits.Permit), permit
-        await once.finish(permit, outcomes.Outcome.DONE, _answer("r"))
-        await billers[number].secure(_bill(serial, f"entry-{number}"))
-
-    cpu = time.process_time()
-    served = await _load(seconds, rate, serve)
-    cpu = time.process_time() - cpu
-    for each in (*onces, *billers):
-        await each.drain(10)
-    for each in (*onces, *billers):
-        await each.stop()
+        await guard.finish(
+            permit, outcomes.Outcome.DONE, _make_stored_response("r")
+        )
+        await billers[number].secure(_make_bill(serial, f"entry-{number}"))
+
+    cpu_seconds = time.process_time()
+    served = await _run_open_loop(seconds, rate, serve)
+    cpu_seconds = time.process_time() - cpu_seconds
+    for component in (*guards, *billers):
+        await component.drain(10)
+    for component in (*guards, *billers):
+        await component.stop()
     claims = sum(
-        len(kept)
-        for stream, kept in log.records.items()
+        len(stored)
+        for stream, stored in log.records.items()
         if stream.startswith(streams.CLAIMS)
     )
-    written = len(log.records[streams.BILLS])
-    _print(
+    bill_appends = len(log.records[streams.BILLS])
+    _print_line(
         f"appends: {hosts} hosts, {shards} shards, "
         f"{served / seconds:.0f} keyed requests/s: "
         f"{claims / seconds:.0f} appends/s of claims, "
-        f"{written / seconds:.0f} of bills; "
-        f"{claims / served:.2f} and {written / served:.2f} a "
-        f"request; {cpu / served * 1e6:.0f} us of processor time a request, "
+        f"{bill_appends / seconds:.0f} of bills; "
+        f"{claims / served:.2f} and {bill_appends / served:.2f} a "
+        f"request; {cpu_seconds / served * 1e6:.0f} us of processor time "
+        "a request, "
         "all hosts and the log together"
     )
 
 
 async def _begin(
-    once: once_lib.AtMostOnceGuard, serial: int, forwarded: bool = False
+    guard: once_lib.AtMostOnceGuard, serial: int, forwarded: bool = False
 ) -> permits.BeginResult:
-    return await once.begin(
+    return await guard.begin(
         "shop",
         f"k{serial}",
         "f",
@@ -275,8 +283,8 @@
     )
 
 
-def appends() -> None:
-    """Appends as requests and hosts grow."""
+def measure_appends() -> None:
+    """Measures appends by rate, number of hosts and number of shards."""
     for hosts, rate in (
         (1, 50),
         (1, 200),
@@ -285,12 +293,12 @@
         (9, 200),
         (36, 100),
     ):
-        uvloop.run(_appends(hosts, float(rate), 4.0))
+        uvloop.run(_measure_appends(hosts, float(rate), 4.0))
     for shards in (1, 2, 4, 8):
-        uvloop.run(_appends(36, 200.0, 4.0, shards))
+        uvloop.run(_measure_appends(36, 200.0, 4.0, shards))
 
 
-async def _latency() -> None:
+async def _measure_latency() -> None:
     application = web.Application()
     log_standin.LogStandin(fault_book.FaultBook()).add_routes(application)
     runner = web.AppRunner(application)
@@ -300,14 +308,14 @@
     port = runner.addresses[0][1]
     async with aiohttp.ClientSession() as session:
         log = log_client.LogClient(session, f"http://127.0.0.1:{port}")
-        once = once_lib.AtMostOnceGuard(
+        guard = once_lib.AtMostOnceGuard(
             log,
             identity.Incarnation("entry-1", 7),
             "a:1",
             [b"s"],
             lambda _: True,
         )
-        once.start()
+        guard.start()
         samples: dict[str, list[float]] = {
             "none": [],
             "ticket": [],
@@ -315,50 +323,55 @@
         }
         for serial in range(600):
             for kind, times in samples.items():
-                key = _key(once, kind, serial)
+                key = _make_key(guard, kind, serial)
                 began = time.perf_counter()
-                permit = await once.begin(
+                permit = await guard.begin(
                     "shop", key, "f", f"r{serial}", time.time() + 30
                 )
                 assert isinstance(permit, permits.Permit), permit
-                await once.finish(permit, outcomes.Outcome.DONE, _answer("r"))
+                await guard.finish(
+                    permit, outcomes.Outcome.DONE, _make_stored_response("r")
+                )
                 times.append((time.perf_counter() - began) * 1000)
-        await once.drain(10)
-        await once.stop()
+        await guard.drain(10)
+        await guard.stop()
     await runner.cleanup()
     for kind, times in samples.items():
-        cuts = statistics.quantiles(times, n=100)
-        _print(
-            f"latency: {kind}: median {cuts[49]:.3f} ms, 99th {cuts[98]:.3f} ms"
+        percentiles = statistics.quantiles(times, n=100)
+        _print_line(
+            f"latency: {kind}: median {percentiles[49]:.3f} ms, "
+            f"99th {percentiles[98]:.3f} ms"
         )
 
 
-def _key(once: once_lib.AtMostOnceGuard, kind: str, serial: int) -> str | None:
+def _make_key(
+    guard: once_lib.AtMostOnceGuard, kind: str, serial: int
+) -> str | None:
     if kind == "ticket":
-        return once.issue_ticket("shop")
+        return guard.issue_ticket("shop")
     return f"k{serial}" if kind == "claim" else None
 
 
-def latency() -> None:
-    """What ``begin`` and ``finish`` take, against the log stand-in."""
-    uvloop.run(_latency())
+def measure_latency() -> None:
+    """Measures ``begin`` and ``finish`` against the log stand-in."""
+    uvloop.run(_measure_latency())
 
 
 _PARTS = {
-    "fold": fold,
-    "memory": memory,
-    "bytes": sizes,
-    "appends": appends,
-    "latency": latency,
+    "fold": measure_fold,
+    "memory": measure_memory,
+    "bytes": measure_sizes,
+    "appends": measure_appends,
+    "latency": measure_latency,
 }
 
 
 def main() -> None:
-    """Runs the named parts, or all."""
+    """Runs the parts named on the command line, or all."""
     for name in sys.argv[1:] or _PARTS:
         _PARTS[name]()
     peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
-    _print(f"peak memory {peak // 1024} MB")
+    _print_line(f"peak memory {peak // 1024} MB")
 
 
 if __name__ == "__main__":
--- a/benchmarks/path.sh
+++ b/benchmarks/path.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# The last process of `make bench`; run from the root of the clone.
+# Runs the measurements of `make bench`; start it from the repository root.
 set -eu
 entry=http://127.0.0.1:23101
 hoistmoor-load wait http://127.0.0.1:23000/hosts http://127.0.0.1:23001/load \
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,7 +1,7 @@
-"""Placement on load reports that each host polls, wide and at today's sizes.
+"""Measures placement on polled load reports, in wide and current deployments.
 
 Run with ``python benchmarks/placement.py [SIZE ...]``; see ``SIZES``. The
-router is driven on a virtual clock at the entry hosts' rate of polls.
+router runs on a virtual clock and polls at the rate of the entry hosts.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 _TABLES = pathlib.Path(__file__).parents[1] / "examples"
 SIZES = ("wide", "wide-probed", "today", "today-busy", "today-probed")
 SEEDS = (1, 2, 3)
-WIDE_S = 120.0  # Virtual seconds; a run takes a minute or two.
-TODAY_S = 600.0
+WIDE_SECONDS = 120.0  # Virtual time; a run takes one to two minutes.
+TODAY_SECONDS = 600.0  # Virtual time.
 BUSY_LOAD = 2.0
-BUSY_SHARE = 0.8  # Of the plain pool's capacity that is offered.
+BUSY_FRACTION = 0.8  # Load of the plain pool as a fraction of its capacity.
 
 
 @attrs.frozen
-class Row:
-    """What one run is judged by.
+class Result:
+    """Results of one simulation.
 
     Attributes:
         confirm_p50: Median milliseconds of a plain call.
@@ -41,11 +41,11 @@
         first_token_p50: Median seconds to the first token.
         first_token_p95: Its 95th percentile.
         wait_p95: 95th percentile of the seconds from a model attempt to its
-            first token, whether the answer is held or not.
-        declines: Attempts that a server declined, as a share of requests.
-        refused: Refusals, as a share of requests.
-        unserved: Requests that got no answer, as a share.
-        age: Median age of the report of a chosen server, in seconds.
+            first token, whether or not the response is held back.
+        declines: Attempts that a server declined, per request.
+        refused: Refusals per request.
+        unserved: Fraction of requests without a response.
+        age: Median age in seconds of the load report of the chosen server.
     """
 
     confirm_p50: float
@@ -59,17 +59,20 @@
     age: float
 
 
-def run(size: str, seed: int) -> Row:
-    """Runs one size with one seed."""
+def run(size: str, seed: int) -> Result:
+    """Simulates one size with one seed."""
     deployment = deployment_lib.load(_TABLES / "taemsuk")
-    scenario = scenarios.Scenario(size, TODAY_S)
+    scenario = scenarios.Scenario(size, TODAY_SECONDS)
     if size.startswith("wide"):
         deployment = wide.of(deployment)
-        scenario = scenarios.Scenario(size, WIDE_S)
+        scenario = scenarios.Scenario(size, WIDE_SECONDS)
     elif size == "today-busy":
-        plain = BUSY_SHARE * scenarios.half_load(deployment) / BUSY_LOAD
+        plain_load = BUSY_FRACTION * scenarios.half_load(deployment) / BUSY_LOAD
         scenario = attrs.evolve(
-            scenario, load=BUSY_LOAD, plain_load=plain, length=TODAY_S / 2
+            scenario,
+            load=BUSY_LOAD,
+            plain_load=plain_load,
+            length=TODAY_SECONDS / 2,
         )
     world = runs.make_world(deployment, scenario, seed)
     policy = hoistmoor_policy.RouterPolicy(deployment, seed)
@@ -81,23 +84,23 @@
         seed,
         is_probing=size.endswith("-probed"),
     )
-    shaped = attrs.evolve(
+    scaled = attrs.evolve(
         deployment, plain_rate=deployment.plain_rate * scenario.plain_load
     )
     arrivals = deployment_lib.arrivals(
-        shaped, scenario.length, scenario.load, seed, diurnal=False
+        scaled, scenario.length, scenario.load, seed, diurnal=False
     )
     measures = simulation.run(arrivals)
-    return _row(measures, simulation, len(arrivals))
+    return _make_result(measures, simulation, len(arrivals))
 
 
-def _row(
+def _make_result(
     measures: measures_lib.Measures,
     simulation: polling.PolledSimulation,
     requests: int,
-) -> Row:
+) -> Result:
     unserved = measures.given_up + measures.plain_given_up
-    return Row(
+    return Result(
         1000 * float(np.percentile(measures.plain_s, 50)),
         1000 * float(np.percentile(measures.plain_s, 99)),
         float(np.percentile(measures.first_token_s, 50)),
@@ -119,16 +122,17 @@
     )
     for size in sys.argv[1:] or SIZES:
         for seed in SEEDS:
-            began = time.process_time()
-            row = run(size, seed)
+            start = time.process_time()
+            result = run(size, seed)
             write(
-                f"{size:12} {seed:5} {row.confirm_p50:12.0f} "
-                f"{row.confirm_p99:7.0f} {row.first_token_p50:16.2f} "
-                f"{row.first_token_p95:6.2f} {row.wait_p95:14.2f} "
-                f"{row.declines:9.2%} "
-                f"{row.refused:8.2%} {row.unserved:9.2%} {row.age:6.1f}\n"
+                f"{size:12} {seed:5} {result.confirm_p50:12.0f} "
+                f"{result.confirm_p99:7.0f} {result.first_token_p50:16.2f} "
+                f"{result.first_token_p95:6.2f} {result.wait_p95:14.2f} "
+                f"{result.declines:9.2%} "
+                f"{result.refused:8.2%} {result.unserved:9.2%} "
+                f"{result.age:6.1f}\n"
             )
-            sys.stderr.write(f"{time.process_time() - began:.0f} s\n")
+            sys.stderr.write(f"{time.process_time() - start:.0f} s\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/promises.py
+++ b/benchmarks/promises.py
@@ -1,4 +1,4 @@
-"""What the promises cost, and how they hold over many requests and kills.
+"""Measures billing under load and kills, departures, and appends.
 
 Drives real processes with the harness and the checks of the system tests:
 
@@ -34,13 +34,13 @@
 
     from hoistmoor.clients import log
 
-REQUESTS = 24_000  # Some reach a host that is down, and do not count.
-KILL_EVERY = 3_000  # Requests between two kills.
+REQUEST_COUNT = 24_000  # Includes those that reach a host that is down.
+REQUESTS_PER_KILL = 3_000
 WORKERS = 48
-ROUNDS = 20  # Leavings of each kind.
+DEPARTURE_ROUNDS = 20  # For each kind of departure.
 HOST_COUNTS = (2, 4, 8, 16)
 RATES = (50, 150)  # Requests a second over all hosts.
-SECONDS = 8.0  # Of load for each number of hosts and rate.
+LOAD_SECONDS = 8.0  # For each number of hosts and rate.
 STREAMS = (
     streams.TABLE,
     streams.CLAIMS,
@@ -49,13 +49,13 @@
     streams.DECISIONS,
     limits_records.STREAM,
 )
-_STEP = 0.01  # Seconds between looks.
+_POLL_INTERVAL = 0.01
 
 Deployment = system_deployment.Deployment
 Hosts = list[system_processes.Program]
 
 
-def _print(line: str) -> None:
+def _print_line(line: str) -> None:
     sys.stdout.write(line + "\n")
     sys.stdout.flush()
 
@@ -69,11 +69,11 @@
             try:
                 await part(deployment)
             finally:
-                await deployment.processes.end()
+                await deployment.processes.kill_all()
 
 
-async def _ask(deployment: Deployment, host: Any, number: int) -> None:
-    """Sends a request of one of three kinds in turn."""
+async def _send_request(deployment: Deployment, host: Any, number: int) -> None:
+    """Sends a request; ``number`` selects one of three kinds."""
     caller = deployment.caller
     mark = caller.mark()
     kinds: tuple[Callable[[], Awaitable[Any]], ...] = (
@@ -84,16 +84,16 @@
     await kinds[number % len(kinds)]()
 
 
-# Billed once, with kills.
+# Bills while hosts are killed.
 
 
 @attrs.define
-class Kills:
-    """Kills a host after every so many requests and starts it again.
+class HostKiller:
+    """Kills and restarts the entry hosts in turn.
 
     Attributes:
         deployment: The processes.
-        hosts: Those that run, in turn.
+        hosts: The running entry hosts.
         count: Kills so far.
     """
 
@@ -101,8 +101,8 @@
     hosts: Hosts
     count: int = 0
 
-    async def strike(self) -> None:
-        """Kills the next host and starts another of its name."""
+    async def kill_next(self) -> None:
+        """Kills the next host and restarts it under the same name."""
         at = self.count % len(self.hosts)
         self.count += 1
         await self.deployment.kill(self.hosts[at])
@@ -112,62 +112,71 @@
 
 
 async def bills(deployment: Deployment) -> None:
-    """Prints how bills and answers agree over many requests and kills."""
+    """Prints whether bills match responses over many requests and kills."""
     hosts = await deployment.start(hosts=3, engines=3, counters=3)
-    kills = Kills(deployment, hosts)
-    numbers = iter(range(REQUESTS))
+    killer = HostKiller(deployment, hosts)
+    numbers = iter(range(REQUEST_COUNT))
     start = time.monotonic()
 
     async def work() -> None:
         for number in numbers:
-            await _ask(deployment, hosts[number % len(hosts)], number)
-
-    async def strike() -> None:
-        for due in range(KILL_EVERY, REQUESTS, KILL_EVERY):
-            while len(deployment.caller.answers) < due:
-                await asyncio.sleep(_STEP)
-            await kills.strike()
-
-    await asyncio.gather(strike(), *(work() for _ in range(WORKERS)))
-    took = time.monotonic() - start
+            await _send_request(deployment, hosts[number % len(hosts)], number)
+
+    async def kill_hosts() -> None:
+        for threshold in range(
+            REQUESTS_PER_KILL, REQUEST_COUNT, REQUESTS_PER_KILL
+        ):
+            while len(deployment.caller.answers) < threshold:
+                await asyncio.sleep(_POLL_INTERVAL)
+            await killer.kill_next()
+
+    await asyncio.gather(kill_hosts(), *(work() for _ in range(WORKERS)))
+    elapsed = time.monotonic() - start
     history = await deployment.history()
-    _print(f"{len(deployment.caller.answers)} requests in {took:.0f} s")
-    _print(f"{kills.count} kills with restarts, of {len(hosts)} hosts")
+    _print_line(f"{len(deployment.caller.answers)} requests in {elapsed:.0f} s")
+    _print_line(f"{killer.count} kills with restarts, of {len(hosts)} hosts")
     _print_bills(history, deployment)
 
 
 def _print_bills(history: events.History, deployment: Deployment) -> None:
-    told = history.told
-    refused = collections.Counter(word.reason for word in told if word.reason)
-    written = history.of(events.Billed)
-    billed = {(bill.account, bill.request_id) for bill in written}
-    whole = {
-        (history.asked[word.call_id].account, word.request_id)
-        for word in told
-        if word.whole
+    responses = history.told
+    refused = collections.Counter(
+        response.reason for response in responses if response.reason
+    )
+    bills_on_log = history.of(events.Billed)
+    billed = {(bill.account, bill.request_id) for bill in bills_on_log}
+    completed = {
+        (history.asked[response.call_id].account, response.request_id)
+        for response in responses
+        if response.whole
     }
-    ran = {run.request_id for run in history.runs}
-    _print(
-        f"{len(whole)} answered, {sum(refused.values())} refused "
+    executed = {run.request_id for run in history.runs}
+    _print_line(
+        f"{len(completed)} answered, {sum(refused.values())} refused "
         f"{dict(refused)}, {len(history.of(events.Cut))} cut"
     )
-    _print(f"{len(written)} bills on the log, {len(billed)} apart from repeats")
-    _print(f"answers without a bill: {len(whole - billed)}")
-    _print(
+    _print_line(
+        f"{len(bills_on_log)} bills on the log, "
+        f"{len(billed)} apart from repeats"
+    )
+    _print_line(f"answers without a bill: {len(completed - billed)}")
+    _print_line(
         "bills without a run: "
-        f"{len({id_ for _, id_ in billed if id_ not in ran})}"
+        f"{len({id_ for _, id_ in billed if id_ not in executed})}"
     )
-    found = checker.check(
+    violations = checker.check(
         history, ("POST /confirm",), frozenset(deployment.crashed)
     )
-    _print(f"violations of any promise: {len(found)} {found[:3]}")
+    _print_line(
+        f"violations of any promise: {len(violations)} {violations[:3]}"
+    )
 
 
-# Leaving servers.
+# Departures of backend servers.
 
 
-async def leaving(deployment: Deployment) -> None:
-    """Prints how long a leaving backend server gets new work."""
+async def departures(deployment: Deployment) -> None:
+    """Prints how long a leaving backend server gets new requests."""
     hosts = await deployment.start(hosts=3, engines=1, counters=2)
     stop = asyncio.Event()
     numbers = itertools.count()
@@ -177,55 +186,65 @@
             next(numbers)
             await deployment.caller.confirm(host, deployment.caller.mark())
 
-    # Two callers at each of two hosts; the third hears of it by the others.
-    running = [asyncio.create_task(traffic(host)) for host in hosts[:2] * 2]
+    # Two callers at each of two hosts; the third host learns of departures
+    # only by gossip.
+    tasks = [asyncio.create_task(traffic(host)) for host in hosts[:2] * 2]
     try:
-        await _rounds(deployment, hosts, "list", _leave_by_list)
-        await _rounds(deployment, hosts, "own word", _leave_by_word)
+        await _measure_departures(
+            deployment, hosts, "list", _leave_by_host_list
+        )
+        await _measure_departures(
+            deployment, hosts, "own word", _leave_by_announcement
+        )
     finally:
         stop.set()
-        await asyncio.gather(*running)
+        await asyncio.gather(*tasks)
 
 
-async def _leave_by_list(deployment: Deployment) -> None:
+async def _leave_by_host_list(deployment: Deployment) -> None:
     await deployment.list_backend("counter-1", "leaving")
 
 
-async def _leave_by_word(deployment: Deployment) -> None:
-    await deployment.processes.fault("counter-1", "leaving")
+async def _leave_by_announcement(deployment: Deployment) -> None:
+    await deployment.processes.inject_fault("counter-1", "leaving")
 
 
-async def _rounds(
+async def _measure_departures(
     deployment: Deployment,
     hosts: Hosts,
     name: str,
-    leave: Callable[[Deployment], Awaitable[None]],
+    announce_departure: Callable[[Deployment], Awaitable[None]],
 ) -> None:
-    last: list[float] = []
-    known: list[float] = []
-    heard: list[float] = []
+    last_request_seconds: list[float] = []
+    traffic_host_seconds: list[float] = []
+    idle_host_seconds: list[float] = []
     address = deployment.program("counter-1").address
-    for _ in range(ROUNDS):
+    for _ in range(DEPARTURE_ROUNDS):
         await _await_work(deployment, "counter-1")
         start = time.time()
-        await leave(deployment)
+        await announce_departure(deployment)
         times = await asyncio.gather(
-            *(_await_known(deployment, host, address) for host in hosts)
+            *(
+                _await_leaving_status(deployment, host, address)
+                for host in hosts
+            )
         )
-        await asyncio.sleep(0.5)  # What was sent before has run by now.
+        await asyncio.sleep(0.5)  # Earlier requests have completed by now.
         runs = await deployment.runs_of("counter-1")
-        last.append(max(0.0, max(run.at for run in runs) - start))
-        known.append(max(times[:2]) - start)
-        heard.append(times[2] - start)
+        last_request_seconds.append(
+            max(0.0, max(run.at for run in runs) - start)
+        )
+        traffic_host_seconds.append(max(times[:2]) - start)
+        idle_host_seconds.append(times[2] - start)
         await deployment.replace_counter("counter-1")
-    _print(f"by {name}, {ROUNDS} times, seconds:")
-    _print_times("last new request that ran there", last)
-    _print_times("known at both hosts with traffic", known)
-    _print_times("known at the host without traffic", heard)
+    _print_line(f"by {name}, {DEPARTURE_ROUNDS} times, seconds:")
+    _print_times("last new request that ran there", last_request_seconds)
+    _print_times("known at both hosts with traffic", traffic_host_seconds)
+    _print_times("known at the host without traffic", idle_host_seconds)
 
 
 def _print_times(name: str, times: list[float]) -> None:
-    _print(
+    _print_line(
         f"  {name}: median {statistics.median(times):.2f}, "
         f"worst {max(times):.2f}"
     )
@@ -235,16 +254,16 @@
     async def works() -> bool:
         return bool(await deployment.runs_of(name))
 
-    await system_processes.wait_until(works, f"{name} gets work")
+    await system_processes.wait_until(works, f"{name} gets requests")
 
 
-async def _await_known(
+async def _await_leaving_status(
     deployment: Deployment, host: system_processes.Program, address: str
 ) -> float:
     await deployment.await_all(
         [host],
         lambda status: address in status["leaving_servers"],
-        f"{host.name} knows",
+        f"{host.name} knows the departure",
     )
     return time.time()
 
@@ -253,55 +272,57 @@
 
 
 async def appends() -> None:
-    """Prints the appends a second of each stream by hosts and rate."""
+    """Prints appends a second by stream, number of hosts and rate."""
     names = "  ".join(f"{name:>9}" for name in STREAMS)
-    _print(f"hosts  asked/s  done/s  {names}      all")
+    _print_line(f"hosts  asked/s  done/s  {names}      all")
     for hosts in HOST_COUNTS:
         await _with_deployment(
-            lambda deployment, hosts=hosts: _appends_of(deployment, hosts)
+            lambda deployment, hosts=hosts: _measure_appends(deployment, hosts)
         )
 
 
-async def _appends_of(deployment: Deployment, count: int) -> None:
+async def _measure_appends(deployment: Deployment, count: int) -> None:
     hosts = await deployment.start(hosts=count, engines=2, counters=2)
     for rate in (0, *RATES):
-        before = await _offsets(deployment.log)
+        before = await _next_offsets(deployment.log)
         start = time.monotonic()
-        await _load(deployment, hosts, rate)
-        took = time.monotonic() - start
-        after = await _offsets(deployment.log)
-        done = rate * SECONDS / took
-        each = [(after[name] - before[name]) / took for name in STREAMS]
-        shown = "  ".join(f"{value:9.1f}" for value in each)
-        _print(f"{count:5}  {rate:7}  {done:6.0f}  {shown}  {sum(each):7.1f}")
+        await _send_load(deployment, hosts, rate)
+        elapsed = time.monotonic() - start
+        after = await _next_offsets(deployment.log)
+        done = rate * LOAD_SECONDS / elapsed
+        rates = [(after[name] - before[name]) / elapsed for name in STREAMS]
+        shown = "  ".join(f"{value:9.1f}" for value in rates)
+        _print_line(
+            f"{count:5}  {rate:7}  {done:6.0f}  {shown}  {sum(rates):7.1f}"
+        )
 
 
-async def _load(deployment: Deployment, hosts: Hosts, rate: int) -> None:
+async def _send_load(deployment: Deployment, hosts: Hosts, rate: int) -> None:
     if not rate:
-        await asyncio.sleep(SECONDS)
+        await asyncio.sleep(LOAD_SECONDS)
         return
     start = time.monotonic()
-    running = []
-    for number in range(int(rate * SECONDS)):
+    tasks = []
+    for number in range(int(rate * LOAD_SECONDS)):
         host = hosts[number % len(hosts)]
-        # Each host gets each kind.
+        # Every host gets requests of every kind.
         kind = number // len(hosts)
-        running.append(asyncio.create_task(_ask(deployment, host, kind)))
-        wait = start + (number + 1) / rate - time.monotonic()
-        await asyncio.sleep(max(0.0, wait))
-    await asyncio.gather(*running)
+        tasks.append(asyncio.create_task(_send_request(deployment, host, kind)))
+        delay = start + (number + 1) / rate - time.monotonic()
+        await asyncio.sleep(max(0.0, delay))
+    await asyncio.gather(*tasks)
 
 
-async def _offsets(client: log.LogClient) -> dict[str, int]:
+async def _next_offsets(client: log.LogClient) -> dict[str, int]:
     return {name: (await client.bounds(name)).next for name in STREAMS}
 
 
 async def main(part: str) -> None:
-    """Runs one part."""
+    """Runs one part of the benchmark."""
     if part == "appends":
         await appends()
     else:
-        await _with_deployment({"bills": bills, "leaving": leaving}[part])
+        await _with_deployment({"bills": bills, "leaving": departures}[part])
 
 
 if __name__ == "__main__":
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -1,8 +1,8 @@
-"""Cost of one routing decision, against a full scan and a body's parse.
+"""Measures a routing decision against a full scan and parsing a body.
 
 Run with ``python benchmarks/routing.py``. Each figure is the median of
-several rounds in one process; the three are measured in turns, so that a busy
-machine slows all of them alike.
+several rounds in one process. Rounds of the three alternate, so that a busy
+machine slows all of them equally.
 """
 
 from __future__ import annotations
@@ -23,21 +23,21 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-VERSIONS = 12
-SIZES = (10, 100, 300, 1000)
+VERSION_COUNT = 12
+ENGINE_COUNTS = (10, 100, 300, 1000)
 ROUNDS = 15
-CALLS = 2000
-SCANS = 20
+CALLS_PER_ROUND = 2000
+SCANS_PER_ROUND = 20
 BODY_BYTES = 4096
-DOMAINS = 7
-ACCOUNTS = 10
+DOMAIN_COUNT = 7
+ACCOUNT_COUNT = 10
 KINDS = ("answer", "summary", "receipt")
-PLANNED_S = 120  # Virtual seconds over which plans are kept up.
-WARM_RATINGS = 2000
+PLANNING_SECONDS = 120  # Virtual seconds of ``measure_planning``.
+WARM_UP_RATINGS = 2000
 
 
-def make_table(runners: int) -> model.Table:
-    """Returns a table with 12 versions of 4 models over ``runners``."""
+def make_table(engine_count: int) -> model.Table:
+    """Returns a table of 12 versions of 4 models on some engines."""
     versions = [
         model.Version(
             model=f"model-{i % 4}",
@@ -51,18 +51,18 @@
             exposure_cap=0,
             replicas=2,
         )
-        for i in range(VERSIONS)
+        for i in range(VERSION_COUNT)
     ]
     servers = [
         model.Server(
             f"runner-{i}",
             "llm",
             f"10.0.{i // 250}.{i % 250}:80",
-            f"domain-{i % DOMAINS}",
+            f"domain-{i % DOMAIN_COUNT}",
             16,
             checks_fencing=True,
         )
-        for i in range(runners)
+        for i in range(engine_count)
     ]
     grants = [model.Grant("big", f"model-{i}", "*", 0.9) for i in range(4)]
     return model.Table(
@@ -76,7 +76,7 @@
 
 
 def make_router(table: model.Table) -> router_lib.Router:
-    """Returns a router with a load report of each runner."""
+    """Returns a router with a load report of each engine."""
     router = router_lib.Router("domain-0", 1, "host-0")
     router.on_table(model.ActiveTable(1, table))
     for i, name in enumerate(table.servers):
@@ -87,10 +87,10 @@
     return router
 
 
-def scan(
+def full_scan(
     router: router_lib.Router, table: model.Table, account: str
 ) -> tuple[float, str, str]:
-    """Chooses as a full scan does: every version on every runner."""
+    """Chooses by comparing every version on every engine."""
     best = (float("inf"), "", "")
     for key, row in table.versions.items():
         if row.stage is not model.Stage.ACTIVE:
@@ -130,17 +130,20 @@
     return orjson.dumps({**body, "user": filler})
 
 
-def time_per_call(act: Callable[[], object], calls: int) -> float:
-    """Returns the mean microseconds of one call."""
+def time_per_call(call: Callable[[], object], calls: int) -> float:
+    """Returns the mean time of one call, in microseconds."""
     start = time.perf_counter()
     for _ in range(calls):
-        act()
+        call()
     return (time.perf_counter() - start) / calls * 1e6
 
 
-def measure(runners: int, model_name: str) -> tuple[float, float, float]:
-    """Returns the median microseconds of a decision, a scan and a parse."""
-    table = make_table(runners)
+def measure(engine_count: int, model_name: str) -> tuple[float, float, float]:
+    """Returns the median times of a decision, a scan and a parse.
+
+    All are in microseconds.
+    """
+    table = make_table(engine_count)
     router = make_router(table)
     queries = [
         messages.RouteQuery(
@@ -149,40 +152,45 @@
         for i in range(256)
     ]
     body = make_body()
-    nobody: frozenset[str] = frozenset()
-    turn = iter(range(10**9))
+    excluded: frozenset[str] = frozenset()
+    serial = iter(range(10**9))
 
     def decide() -> object:
-        return router.choose(queries[next(turn) & 255], nobody, 2.0)
+        return router.choose(queries[next(serial) & 255], excluded, 2.0)
 
     rounds = [
         (
-            time_per_call(decide, CALLS),
-            time_per_call(lambda: scan(router, table, "big"), SCANS),
-            time_per_call(lambda: orjson.loads(body), CALLS),
+            time_per_call(decide, CALLS_PER_ROUND),
+            time_per_call(
+                lambda: full_scan(router, table, "big"), SCANS_PER_ROUND
+            ),
+            time_per_call(lambda: orjson.loads(body), CALLS_PER_ROUND),
         )
         for _ in range(ROUNDS)
     ]
-    decision, full, parse = zip(*rounds, strict=True)
+    decision, scan_time, parse = zip(*rounds, strict=True)
     return (
         statistics.median(decision),
-        statistics.median(full),
+        statistics.median(scan_time),
         statistics.median(parse),
     )
 
 
-def measure_news(runners: int) -> dict[str, float]:
-    """Returns the mean microseconds of each kind of news, and of a plan."""
-    table = make_table(runners)
+def measure_updates(engine_count: int) -> dict[str, float]:
+    """Returns the mean times of each kind of update and of a plan.
+
+    All are in microseconds.
+    """
+    table = make_table(engine_count)
     router = make_router(table)
     names = list(table.servers)
-    turn = iter(range(10**9))
+    serial = iter(range(10**9))
 
-    def report() -> None:
-        number = next(turn)
+    def update_load() -> None:
+        number = next(serial)
         router.on_load(
             messages.LoadReport(
-                names[number % runners],
+                names[number % engine_count],
                 1,
                 "live",
                 3,
@@ -194,80 +202,89 @@
             2.0 + number,
         )
 
-    def rate() -> None:
-        number = next(turn)
-        tag = quality_estimates.make_answer_id(
+    def update_rating() -> None:
+        number = next(serial)
+        answer_id = quality_estimates.make_answer_id(
             f"a{number}", 0.9, escalated=False
         )
         router.on_rating(
             messages.Rating(
-                tag, "model-1", "v1", "answer", number % 10 > 0, float(number)
+                answer_id,
+                "model-1",
+                "v1",
+                "answer",
+                number % 10 > 0,
+                float(number),
             ),
             float(number),
         )
 
-    def plan_anew() -> None:
+    def replan() -> None:
         router.catalog.policies.entries.clear()
         router.catalog.auto_options("big", "answer", 0.0)
 
     in_force = model.ActiveTable(2, table)
     return {
-        "load report": time_per_call(report, CALLS),
-        "rating": time_per_call(rate, CALLS),
-        "plan": time_per_call(plan_anew, SCANS),
+        "load report": time_per_call(update_load, CALLS_PER_ROUND),
+        "rating": time_per_call(update_rating, CALLS_PER_ROUND),
+        "plan": time_per_call(replan, SCANS_PER_ROUND),
         "plan of a shared menu": time_per_call(
-            lambda: router.catalog.auto_options("big", "answer", 0.0), SCANS
+            lambda: router.catalog.auto_options("big", "answer", 0.0),
+            SCANS_PER_ROUND,
         ),
         "table edit": time_per_call(lambda: router.on_table(in_force), 5),
     }
 
 
 def measure_planning(grant_sets: int, ratings: int) -> float:
-    """Returns the share of a core that keeping up all plans takes.
+    """Returns the fraction of a core that keeping all plans current takes.
 
-    Ten accounts with three kinds of request each are asked about twice a
-    second, while ratings come in; their own cost is left out.
+    Twice a second the router plans for ten accounts with three kinds of
+    request each, while ratings arrive; the cost of the ratings themselves is
+    not counted.
 
     Args:
-        grant_sets: Sets of granted versions that differ between accounts.
+        grant_sets: Number of different sets of granted versions.
         ratings: Ratings per second.
     """
     table = make_table(10)
     grants = [
         model.Grant(f"account-{i}", f"model-{m}", "*", 0.85 + 0.01 * i)
-        for i in range(ACCOUNTS)
+        for i in range(ACCOUNT_COUNT)
         for m in range(4)
         if m == 0 or m != i % grant_sets
     ]
     table = attrs.evolve(table, grants={row.key: row for row in grants})
     router = make_router(table)
-    for number in range(WARM_RATINGS):
-        rate(router, number, float(number))
-    start = float(WARM_RATINGS)
+    for number in range(WARM_UP_RATINGS):
+        apply_rating(router, number, float(number))
+    start = float(WARM_UP_RATINGS)
     spent = 0.0
-    for second in range(PLANNED_S):
+    for second in range(PLANNING_SECONDS):
         for number in range(ratings):
-            rate(router, second * ratings + number, start + second)
-        for half in (0.0, 0.5):
+            apply_rating(router, second * ratings + number, start + second)
+        for offset in (0.0, 0.5):
             began = time.process_time()
-            for account in range(ACCOUNTS):
+            for account in range(ACCOUNT_COUNT):
                 for kind in KINDS:
                     router.options_for(
                         f"account-{account}",
                         model.AUTO_MODEL,
                         kind,
-                        start + second + half,
+                        start + second + offset,
                     )
             spent += time.process_time() - began
-    return spent / PLANNED_S
+    return spent / PLANNING_SECONDS
 
 
-def rate(router: router_lib.Router, number: int, now: float) -> None:
-    """Hands the router a rating of one version and kind in turn."""
-    tag = quality_estimates.make_answer_id(f"a{number}", 0.9, escalated=False)
+def apply_rating(router: router_lib.Router, number: int, now: float) -> None:
+    """Applies a rating, of each version and kind in turn."""
+    answer_id = quality_estimates.make_answer_id(
+        f"a{number}", 0.9, escalated=False
+    )
     router.on_rating(
         messages.Rating(
-            tag,
+            answer_id,
             f"model-{number % 4}",
             f"v{number // 4 % 3}",
             KINDS[number // 12 % 3],
@@ -279,28 +296,31 @@
 
 
 def main() -> None:
-    """Prints the tables."""
+    """Prints the report."""
     write = sys.stdout.write
-    write(f"{VERSIONS} versions; microseconds; body {len(make_body())} bytes\n")
+    write(
+        f"{VERSION_COUNT} versions; microseconds; "
+        f"body {len(make_body())} bytes\n"
+    )
     write("runners model     decision  full scan  scan/decision  parse\n")
-    for runners in SIZES:
+    for engine_count in ENGINE_COUNTS:
         for name in ("auto", "model-1"):
-            decision, full, parse = measure(runners, name)
+            decision, scan_time, parse = measure(engine_count, name)
             write(
-                f"{runners:7} {name:8} {decision:9.2f} {full:10.1f} "
-                f"{full / decision:14.1f} {parse:6.2f}\n"
+                f"{engine_count:7} {name:8} {decision:9.2f} {scan_time:10.1f} "
+                f"{scan_time / decision:14.1f} {parse:6.2f}\n"
             )
-    for runners in SIZES:
-        news = measure_news(runners)
-        shown = ", ".join(f"{name} {us:.1f}" for name, us in news.items())
-        write(f"{runners:7} {shown}\n")
+    for engine_count in ENGINE_COUNTS:
+        updates = measure_updates(engine_count)
+        text = ", ".join(f"{name} {us:.1f}" for name, us in updates.items())
+        write(f"{engine_count:7} {text}\n")
     for grant_sets in (1, 4):
         for ratings in (1, 85):
-            share = measure_planning(grant_sets, ratings)
+            fraction = measure_planning(grant_sets, ratings)
             write(
-                f"{ACCOUNTS} accounts, {len(KINDS)} kinds, "
+                f"{ACCOUNT_COUNT} accounts, {len(KINDS)} kinds, "
                 f"{grant_sets} sets of grants, {ratings} ratings/s: "
-                f"plans take {share:.2%} of a core\n"
+                f"plans take {fraction:.2%} of a core\n"
             )
 
 
--- a/benchmarks/security.py
+++ b/benchmarks/security.py
@@ -1,10 +1,10 @@
-"""Measures what the authentication of peers and TLS cost.
+"""Measures the cost of peer authentication and of TLS.
 
     python benchmarks/security.py
 
-Ways take turns, round by round, so that all meet the machine in the same
-state; the least of the rounds counts. Processor time is that of both ends
-together, in one process; bytes are those of both directions.
+Variants alternate round by round, so that all run under the same conditions;
+the minimum of the rounds counts. Processor time is that of both ends together,
+in one process; bytes are those of both directions.
 """
 
 from __future__ import annotations
@@ -35,16 +35,16 @@
     import ssl
 
 ROUNDS = 7
-CALLS = 1000  # In each round.
-HANDSHAKES = 60
+CALLS_PER_ROUND = 1000
+HANDSHAKES_PER_ROUND = 60
 SECRETS = ("a-secret-of-the-benchmark", "the-one-before-it-in-use")
 _TLS = pathlib.Path(__file__).parents[1] / "tests" / "fixtures" / "tls"
-_BATCH = b"x" * 4096  # About forty bills.
-_US = 1e6
+_BATCH = b"x" * 4096  # The size of about forty bills.
+_MICROSECONDS_PER_SECOND = 1e6
 
 
-class _Tap:
-    """Passes bytes on between a client and a server, and counts them."""
+class _CountingForwarder:
+    """Forwards bytes between a client and a server, and counts them."""
 
     def __init__(self, port: int) -> None:
         self.port = port
@@ -53,9 +53,9 @@
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        out = await asyncio.open_connection("127.0.0.1", self.port)
+        target = await asyncio.open_connection("127.0.0.1", self.port)
         await asyncio.gather(
-            self._copy(reader, out[1]), self._copy(out[0], writer)
+            self._copy(reader, target[1]), self._copy(target[0], writer)
         )
 
     async def _copy(
@@ -69,14 +69,14 @@
 
 
 @attrs.frozen
-class Way:
-    """One way to call a peer.
+class PeerVariant:
+    """A variant of authentication and encryption between peers.
 
     Attributes:
-        name: What is printed.
-        signed: Whether calls and replies are signed.
-        secrets: Secrets of the caller; the callee knows them the other way
-            round, as in the midst of a rotation.
+        name: Label in the report.
+        signed: Whether calls and responses are signed.
+        secrets: Secrets of the caller; the callee has them in reverse order,
+            as during a rotation.
         encrypted: Whether TLS is used.
     """
 
@@ -86,51 +86,55 @@
     encrypted: bool = False
 
 
-WAYS = (
-    Way("open", signed=False),
-    Way("signed", signed=True),
-    Way("signed, in rotation", signed=True, secrets=SECRETS),
-    Way("signed, TLS", signed=True, encrypted=True),
+VARIANTS = (
+    PeerVariant("open", signed=False),
+    PeerVariant("signed", signed=True),
+    PeerVariant("signed, in rotation", signed=True, secrets=SECRETS),
+    PeerVariant("signed, TLS", signed=True, encrypted=True),
 )
 
 
 @attrs.define
-class Pair:
-    """A caller and a callee, with a direct connection and a tapped one.
+class PeerPair:
+    """A caller and a callee, connected directly and through a forwarder.
 
     Attributes:
-        direct: Calls on the direct connection.
-        tapped: Calls on the other.
-        tap: Counts its bytes.
-        verifier: The callee's; it is called by one address at a time.
+        direct: Client of the direct connection.
+        counted: Client of the connection through the forwarder.
+        forwarder: Counts the bytes of that connection.
+        verifier: Verifier of the callee; it accepts calls to one address at a
+            time.
     """
 
     direct: client.PeerClient
-    tapped: client.PeerClient
-    tap: _Tap
+    counted: client.PeerClient
+    forwarder: _CountingForwarder
     verifier: calls.Verifier
 
 
-def _files() -> tls_lib.TlsFiles:
+def _tls_files() -> tls_lib.TlsFiles:
     names = ("host.crt", "host.key", "ca.crt")
     return tls_lib.TlsFiles(*(str(_TLS / name) for name in names))
 
 
-def _client(
-    way: Way, address: str, signer: calls.Signer, files: tls_lib.TlsFiles
+def _make_client(
+    variant: PeerVariant,
+    address: str,
+    signer: calls.Signer,
+    files: tls_lib.TlsFiles,
 ) -> client.PeerClient:
     return client.PeerClient(
         address,
-        signing.CallSigning(signer, time.time) if way.signed else None,
-        files.peer_client_context if way.encrypted else None,
+        signing.CallSigning(signer, time.time) if variant.signed else None,
+        files.peer_client_context if variant.encrypted else None,
     )
 
 
 @contextlib.asynccontextmanager
-async def open_pair(way: Way) -> AsyncIterator[Pair]:
-    """Yields both ends, ready."""
-    files = _files()
-    digest = _digest()
+async def open_pair(variant: PeerVariant) -> AsyncIterator[PeerPair]:
+    """Yields connected peers after a first call on each connection."""
+    files = _tls_files()
+    digest = _make_digest()
 
     async def ping(_digest: peer_pb2.Digest) -> peer_pb2.Digest:
         return digest
@@ -138,34 +142,36 @@
     async def hold(_batch_id: str, _batch: bytes) -> None:
         return None
 
-    verifier = calls.Verifier("", way.secrets[::-1], time.time())
+    verifier = calls.Verifier("", variant.secrets[::-1], time.time())
     callee = server.PeerServer(
         handlers.PeerHandlers(ping=ping, hold_bills=hold),
-        guard.CallGuard(verifier, time.time) if way.signed else None,
-        files.peer_context if way.encrypted else None,
+        guard.CallGuard(verifier, time.time) if variant.signed else None,
+        files.peer_context if variant.encrypted else None,
     )
     await callee.start("127.0.0.1", 0)
-    tap = _Tap(callee.port)
-    tapping = await asyncio.start_server(tap.serve, "127.0.0.1", 0)
-    tap_port = tapping.sockets[0].getsockname()[1]
-    signer = calls.Signer("entry-1", 1_800_000_000_000, way.secrets)
-    pair = Pair(
-        _client(way, f"127.0.0.1:{callee.port}", signer, files),
-        _client(way, f"127.0.0.1:{tap_port}", signer, files),
-        tap,
+    forwarder = _CountingForwarder(callee.port)
+    forwarder_server = await asyncio.start_server(
+        forwarder.serve, "127.0.0.1", 0
+    )
+    forwarder_port = forwarder_server.sockets[0].getsockname()[1]
+    signer = calls.Signer("entry-1", 1_800_000_000_000, variant.secrets)
+    pair = PeerPair(
+        _make_client(variant, f"127.0.0.1:{callee.port}", signer, files),
+        _make_client(variant, f"127.0.0.1:{forwarder_port}", signer, files),
+        forwarder,
         verifier,
     )
-    for peer in (pair.tapped, pair.direct):
+    for peer in (pair.counted, pair.direct):
         verifier.callee = peer.address
         await peer.ping(digest)
     yield pair
-    for peer in (pair.tapped, pair.direct):
+    for peer in (pair.counted, pair.direct):
         peer.close()
-    tapping.close()
+    forwarder_server.close()
     await callee.close()
 
 
-def _digest() -> peer_pb2.Digest:
+def _make_digest() -> peer_pb2.Digest:
     return peer_pb2.Digest(
         sender="entry-001", incarnation=1_800_000_000_000, table_mark=9
     )
@@ -174,126 +180,145 @@
 async def processor_time(
     call: Callable[[], Awaitable[object]], n: int
 ) -> float:
-    """Returns microseconds of processor time a call."""
-    started = time.process_time()
+    """Returns the mean processor time of a call, in microseconds."""
+    start = time.process_time()
     for _ in range(n):
         await call()
-    return (time.process_time() - started) / n * _US
+    return (time.process_time() - start) / n * _MICROSECONDS_PER_SECOND
 
 
-async def wire_bytes(way: Way) -> float:
+async def wire_bytes(variant: PeerVariant) -> float:
     """Returns the bytes of one ping over a warm connection."""
-    async with open_pair(way) as pair:
-        pair.verifier.callee = pair.tapped.address
-        await pair.tapped.ping(_digest())
-        pair.tap.count = 0
+    async with open_pair(variant) as pair:
+        pair.verifier.callee = pair.counted.address
+        await pair.counted.ping(_make_digest())
+        pair.forwarder.count = 0
         for _ in range(200):
-            await pair.tapped.ping(_digest())
-        return pair.tap.count / 200
+            await pair.counted.ping(_make_digest())
+        return pair.forwarder.count / 200
 
 
 async def measure_peers() -> None:
-    """Prints what a call between hosts takes."""
-    say("peers' calls: us of processor time, both ends; bytes, both ways")
-    say(f"{'way':<22}{'ping':>8}{'4 KB of bills':>15}{'bytes a ping':>14}")
-    least: dict[tuple[str, str], float] = {}
+    """Prints the cost of calls between hosts."""
+    print_line(
+        "peers' calls: us of processor time, both ends; bytes, both ways"
+    )
+    print_line(
+        f"{'way':<22}{'ping':>8}{'4 KB of bills':>15}{'bytes a ping':>14}"
+    )
+    minimum: dict[tuple[str, str], float] = {}
     for _ in range(ROUNDS):
-        for way in WAYS:
-            async with open_pair(way) as pair:
+        for variant in VARIANTS:
+            async with open_pair(variant) as pair:
                 peer = pair.direct
-                jobs: dict[str, Callable[[], Awaitable[object]]] = {
-                    "ping": lambda peer=peer: peer.ping(_digest()),
+                calls_by_name: dict[str, Callable[[], Awaitable[object]]] = {
+                    "ping": lambda peer=peer: peer.ping(_make_digest()),
                     "bills": lambda peer=peer: peer.hold_bills("b", _BATCH),
                 }
-                for name, job in jobs.items():
-                    took = await processor_time(job, CALLS)
-                    key = (way.name, name)
-                    least[key] = min(took, least.get(key, took))
-    for way in WAYS:
-        size = await wire_bytes(way)
-        ping, bills = least[way.name, "ping"], least[way.name, "bills"]
-        say(f"{way.name:<22}{ping:>8.0f}{bills:>15.0f}{size:>14.0f}")
-
-
-def measure_parts() -> None:
-    """Prints what signing and judging take by themselves."""
+                for name, call in calls_by_name.items():
+                    micros = await processor_time(call, CALLS_PER_ROUND)
+                    key = (variant.name, name)
+                    minimum[key] = min(micros, minimum.get(key, micros))
+    for variant in VARIANTS:
+        size = await wire_bytes(variant)
+        ping, bills = (
+            minimum[variant.name, "ping"],
+            minimum[variant.name, "bills"],
+        )
+        print_line(f"{variant.name:<22}{ping:>8.0f}{bills:>15.0f}{size:>14.0f}")
+
+
+def measure_signing() -> None:
+    """Prints the cost of signing and of verifying alone."""
     signer = calls.Signer("entry-1", 1, SECRETS)
-    for secrets, what in ((SECRETS, "first"), (SECRETS[::-1], "second")):
+    for secrets, position in ((SECRETS, "first"), (SECRETS[::-1], "second")):
         verifier = calls.Verifier("10.0.0.1:1", secrets, time.time() - 1)
-        body = _digest().SerializeToString()
-        spent = {"sign": 0.0, "judge": 0.0}
+        body = _make_digest().SerializeToString()
+        cpu_nanoseconds = {"sign": 0.0, "judge": 0.0}
         for _ in range(5000):
             at = time.process_time_ns()
             signed = signer.sign("/p/Ping", "10.0.0.1:1", body, time.time())
-            between = time.process_time_ns()
+            signed_at = time.process_time_ns()
             call = verifier.verify("/p/Ping", signed.header, time.time())
             assert isinstance(call, calls.AuthenticatedCall)
             assert call.matches_body(body)
             header = call.sign_reply(body)
-            spent["judge"] += time.process_time_ns() - between
-            spent["sign"] += between - at
+            cpu_nanoseconds["judge"] += time.process_time_ns() - signed_at
+            cpu_nanoseconds["sign"] += signed_at - at
             assert signer.verify_reply(signed, header, body)
-        sign, judge = spent["sign"] / 5e6, spent["judge"] / 5e6
-        say(
-            f"by the callee's {what} secret: sign {sign:.1f} us, "
-            f"judge and sign the reply {judge:.1f} us"
+        sign, verify = (
+            cpu_nanoseconds["sign"] / 5e6,
+            cpu_nanoseconds["judge"] / 5e6,
+        )
+        print_line(
+            f"by the callee's {position} secret: sign {sign:.1f} us, "
+            f"judge and sign the reply {verify:.1f} us"
         )
 
 
-async def _answer(_http: web.Request) -> web.Response:
+async def _respond(_http: web.Request) -> web.Response:
     return web.Response(body=b"x" * 400)
 
 
 async def measure_callers() -> None:
-    """Prints what TLS costs on the callers' port, both ends together."""
-    files = _files()
-    say("callers' port: us of processor time a request, both ends")
+    """Prints the cost of TLS on the port for callers."""
+    files = _tls_files()
+    print_line("callers' port: us of processor time a request, both ends")
     for name, context, link in (
         ("plain", None, tls_lib.PLAIN),
         ("TLS", files.caller_context, files.link),
     ):
-        kept, fresh = await _measure_port(context, link)
-        say(f"{name:<22}{kept:>8.0f} kept connection{fresh:>9.0f} a new one")
+        reused, new = await _measure_caller_port(context, link)
+        print_line(
+            f"{name:<22}{reused:>8.0f} kept connection{new:>9.0f} a new one"
+        )
 
 
-async def _measure_port(
+async def _measure_caller_port(
     context: ssl.SSLContext | None, link: tls_lib.Link
 ) -> tuple[float, float]:
     application = web.Application()
-    application.router.add_post("/", _answer)
+    application.router.add_post("/", _respond)
     runner = web.AppRunner(application, access_log=None)
     await runner.setup()
     site = web.TCPSite(runner, "127.0.0.1", 0, ssl_context=context)
     await site.start()
     port = runner.addresses[0][1]
     url = link.url(f"127.0.0.1:{port}", "/")
-    took = []
-    for closing, count in ((False, CALLS), (True, HANDSHAKES)):
-        connector = aiohttp.TCPConnector(force_close=closing)
+    micros = []
+    for force_close, count in (
+        (False, CALLS_PER_ROUND),
+        (True, HANDSHAKES_PER_ROUND),
+    ):
+        connector = aiohttp.TCPConnector(force_close=force_close)
         async with aiohttp.ClientSession(connector=connector) as session:
 
-            async def ask(session: aiohttp.ClientSession = session) -> None:
+            async def send_request(
+                session: aiohttp.ClientSession = session,
+            ) -> None:
                 async with session.post(
                     url, data=b"x" * 600, ssl=link.verify
-                ) as answer:
-                    await answer.read()
-
-            await ask()
-            rounds = [await processor_time(ask, count) for _ in range(ROUNDS)]
-            took.append(min(rounds))
+                ) as response:
+                    await response.read()
+
+            await send_request()
+            rounds = [
+                await processor_time(send_request, count) for _ in range(ROUNDS)
+            ]
+            micros.append(min(rounds))
     await runner.cleanup()
-    return took[0], took[1]
+    return micros[0], micros[1]
 
 
-def say(line: str) -> None:
-    """Prints a line at once."""
+def print_line(line: str) -> None:
+    """Prints one line of the report at once."""
     sys.stdout.write(f"{line}\n")
     sys.stdout.flush()
 
 
 async def main() -> None:
-    """Prints all of it."""
-    measure_parts()
+    """Prints the report."""
+    measure_signing()
     await measure_peers()
     await measure_callers()
 
--- a/benchmarks/steward.py
+++ b/benchmarks/steward.py
@@ -1,8 +1,8 @@
 """Measures the steward: records on the log, takeovers, and reconcile passes.
 
 Run ``python benchmarks/steward.py``. Leases run on a virtual clock with the
-real decisions; plans and read-backs are timed in processor time of this
-process, the latter against one engine stand-in in a process of its own.
+real lease logic. Plans and read-backs are measured in processor time of this
+process, the latter against one engine stand-in in a separate process.
 """
 
 from __future__ import annotations
@@ -28,76 +28,82 @@
 from hoistmoor.steward import background_tasks
 from hoistmoor.steward import engines
 
-HOSTS = (4, 9, 36, 100, 360)
-RUNNERS = (10, 100, 300, 1000)
-VERSIONS = 12
-HOUR = 3600.0
-READ_LAG = 0.02  # Seconds until others have read a record.
-KILL_EVERY = 300.0  # Seconds between deaths of the acting steward.
-DOMAINS = 7
+HOST_COUNTS = (4, 9, 36, 100, 360)
+ENGINE_COUNTS = (10, 100, 300, 1000)
+VERSION_COUNT = 12
+HOUR_SECONDS = 3600.0
+READ_DELAY = 0.02  # From an append until other stewards have read it.
+KILL_INTERVAL = 300.0  # Between kills of the acting steward.
+DOMAIN_COUNT = 7
 
 
-def write_line(line: str) -> None:
+def print_line(line: str) -> None:
     """Prints one line of the report."""
     sys.stdout.write(f"{line}\n")
 
 
 @attrs.define
-class Hour:
-    """One virtual hour of stewards that only keep the lease.
+class LeaseSimulation:
+    """Simulates one hour of stewards that only maintain the lease.
 
     Attributes:
-        hosts: How many there are.
-        kills: Whether the acting one ends every ``KILL_EVERY`` seconds.
+        hosts: Number of stewards, one per host.
+        has_kills: Whether the acting steward is killed every
+            ``KILL_INTERVAL`` seconds.
+        actors: The running stewards.
+        records: Time and payload of the records on the log.
+        outages: Seconds from each kill until another steward acts.
     """
 
     hosts: int
-    kills: bool
+    has_kills: bool
     actors: list[actor_lib.Actor] = attrs.field(factory=list)
     records: list[tuple[float, bytes]] = attrs.field(factory=list)
     outages: list[float] = attrs.field(factory=list)
 
     def run(self) -> None:
-        """Plays the hour."""
+        """Simulates the hour."""
         for number in range(self.hosts):
             self.start(f"host{number}", 0.0)
-        next_kill = KILL_EVERY
+        next_kill = KILL_INTERVAL
         killed_at: float | None = None
-        for tick in range(int(HOUR / background_tasks.LEASE_CHECK_INTERVAL)):
+        for tick in range(
+            int(HOUR_SECONDS / background_tasks.LEASE_CHECK_INTERVAL)
+        ):
             for index, actor in enumerate(self.actors):
                 phase = (
                     background_tasks.LEASE_CHECK_INTERVAL * index / self.hosts
                 )
                 now = tick * background_tasks.LEASE_CHECK_INTERVAL + phase
-                self.look(actor, now)
+                self.poll(actor, now)
                 if actor.active_fencing_token(now) is None:
                     continue
                 if killed_at is not None:
                     self.outages.append(now - killed_at)
                     killed_at = None
-                if self.kills and now >= next_kill:
+                if self.has_kills and now >= next_kill:
                     self.kill(index, now)
                     killed_at = now
-                    next_kill += KILL_EVERY
+                    next_kill += KILL_INTERVAL
 
     def start(self, host: str, now: float) -> actor_lib.Actor:
-        """Starts one steward process."""
-        me = identity.Incarnation(host, int(now * 1000))
-        actor = actor_lib.Actor(me)
+        """Starts a steward at a host."""
+        incarnation = identity.Incarnation(host, int(now * 1000))
+        actor = actor_lib.Actor(incarnation)
         actor.begin(0, now)
         self.actors.append(actor)
         return actor
 
     def kill(self, index: int, now: float) -> None:
-        """Ends one steward and starts another at the same host."""
+        """Kills a steward and starts another at the same host."""
         self.start(self.actors[index].incarnation.host, now)
         self.actors[index] = self.actors.pop()
 
-    def look(self, actor: actor_lib.Actor, now: float) -> None:
-        """Lets one steward read, and append if it should."""
+    def poll(self, actor: actor_lib.Actor, now: float) -> None:
+        """Lets a steward read the log and append a lease record if due."""
         for offset in range(actor.fold.next_offset, len(self.records)):
             at, payload = self.records[offset]
-            if at + READ_LAG > now:
+            if at + READ_DELAY > now:
                 break
             actor.on_record(offset, at, codec.decode(payload), now)
         record = actor.lease_record(now)
@@ -106,29 +112,32 @@
 
 
 def measure_leases() -> None:
-    """Prints records an hour and the time until another steward acts."""
-    write_line(
+    """Prints records per hour and the time until another steward acts."""
+    print_line(
         "hosts  appends/h  bytes/h  |  with kills: appends/h  "
         "requests/kill  until another acts: median, worst (lease periods)"
     )
-    for hosts in HOSTS:
-        quiet, killed = Hour(hosts, False), Hour(hosts, True)
-        quiet.run()
-        killed.run()
-        size = sum(len(payload) for _, payload in quiet.records)
-        requests = sum(b"lease_request" in row for _, row in killed.records)
-        waits = sorted(
-            wait / lease_lib.LEASE_SECONDS for wait in killed.outages
+    for hosts in HOST_COUNTS:
+        undisturbed, disturbed = (
+            LeaseSimulation(hosts, False),
+            LeaseSimulation(hosts, True),
         )
-        write_line(
-            f"{hosts:5}  {len(quiet.records):9}  {size:7}  |  "
-            f"{len(killed.records):24}  {requests / len(waits):13.2f}  "
-            f"{waits[len(waits) // 2]:.2f}, {waits[-1]:.2f}"
+        undisturbed.run()
+        disturbed.run()
+        size = sum(len(payload) for _, payload in undisturbed.records)
+        requests = sum(b"lease_request" in row for _, row in disturbed.records)
+        gaps = sorted(
+            gap / lease_lib.LEASE_SECONDS for gap in disturbed.outages
+        )
+        print_line(
+            f"{hosts:5}  {len(undisturbed.records):9}  {size:7}  |  "
+            f"{len(disturbed.records):24}  {requests / len(gaps):13.2f}  "
+            f"{gaps[len(gaps) // 2]:.2f}, {gaps[-1]:.2f}"
         )
 
 
-def make_table(runners: int, address: str) -> model.Table:
-    """Returns a pool of that many engines with ``VERSIONS`` versions."""
+def make_table(engine_count: int, address: str) -> model.Table:
+    """Returns a table with a pool of engines."""
     versions = [
         model.Version(
             "m",
@@ -140,13 +149,13 @@
             1,
             0.8,
             0,
-            max(1, runners // 4),
+            max(1, engine_count // 4),
         )
-        for n in range(VERSIONS)
+        for n in range(VERSION_COUNT)
     ]
     rows = [
-        model.Server(f"s{n}", "llm", address, f"d{n % DOMAINS}", 8, True)
-        for n in range(runners)
+        model.Server(f"s{n}", "llm", address, f"d{n % DOMAIN_COUNT}", 8, True)
+        for n in range(engine_count)
     ]
     service = model.Service("llm", model.ServiceKind.ENGINE, 60.0, ())
     return model.Table(
@@ -156,8 +165,10 @@
     )
 
 
-def settle(table: model.Table) -> dict[str, placement.EngineCondition]:
-    """Returns the conditions in which no order is due."""
+def make_settled_conditions(
+    table: model.Table,
+) -> dict[str, placement.EngineCondition]:
+    """Returns engine conditions in which the planner has nothing to do."""
     conditions = {
         name: placement.EngineCondition(fencing=0) for name in table.servers
     }
@@ -173,43 +184,43 @@
 
 
 def time_plan(table: model.Table, passes: int = 5) -> float:
-    """Returns seconds of processor time for one plan with nothing to do."""
-    conditions = settle(table)
+    """Returns the processor time of a plan without orders, in seconds."""
+    conditions = make_settled_conditions(table)
     planner = planner_lib.Planner()
     view = rollouts.RolloutView()
-    began = time.process_time()
+    start = time.process_time()
     for _ in range(passes):
         planner.plan(table, view, conditions, 0, 0.0)
-    return (time.process_time() - began) / passes
+    return (time.process_time() - start) / passes
 
 
 async def time_reads(table: model.Table) -> float:
-    """Returns seconds of processor time for reading each engine once."""
+    """Returns the processor time of reading each engine, in seconds."""
     async with sessions.make_session() as session:
         monitor = engines.EngineMonitor(engine_clients.EngineClient(session))
         rows = engines.listed_engines(table)
         await monitor.read_all(rows[:10], frozenset())
-        began = time.process_time()
+        start = time.process_time()
         await monitor.read_all(rows, frozenset())
-        return time.process_time() - began
+        return time.process_time() - start
 
 
 def measure_passes(address: str) -> None:
-    """Prints what one reconcile pass costs, and its share of a core."""
-    write_line("runners  plan ms  read-back ms  pass every s  share of a core")
-    for runners in RUNNERS:
-        table = make_table(runners, address)
+    """Prints the cost of a reconcile pass, and its fraction of a core."""
+    print_line("runners  plan ms  read-back ms  pass every s  share of a core")
+    for engine_count in ENGINE_COUNTS:
+        table = make_table(engine_count, address)
         plan = time_plan(table)
-        reads = asyncio.run(time_reads(table))
-        period = engines.pass_interval(runners)
-        write_line(
-            f"{runners:7}  {plan * 1e3:7.2f}  {reads * 1e3:12.1f}  "
-            f"{period:12.0f}  {(plan + reads) / period:14.2%}"
+        read_back = asyncio.run(time_reads(table))
+        interval = engines.pass_interval(engine_count)
+        print_line(
+            f"{engine_count:7}  {plan * 1e3:7.2f}  {read_back * 1e3:12.1f}  "
+            f"{interval:12.0f}  {(plan + read_back) / interval:14.2%}"
         )
 
 
 def main() -> None:
-    """Measures everything."""
+    """Prints the report."""
     measure_leases()
     standin = pathlib.Path(sys.executable).parent / "hoistmoor-standin"
     with subprocess.Popen(
--- a/benchmarks/steward_process.py
+++ b/benchmarks/steward_process.py
@@ -1,9 +1,9 @@
-"""Measures whole steward processes: one that acts and one that stands by.
+"""Measures steward processes: the acting one and one on standby.
 
-Run ``python benchmarks/steward_process.py``. For each size of pool it starts
-a platform stand-in, one engine stand-in that stands for every runner, and two
-stewards; then it reads their processor time and memory from ``/proc`` over
-at least one reconcile pass. Takes about five minutes.
+Run ``python benchmarks/steward_process.py``. For each size of pool, starts a
+platform stand-in, one engine stand-in that serves as all engines, and two
+stewards; then reads their processor time and memory from ``/proc`` over at
+least one reconcile pass. Takes about five minutes.
 """
 
 from __future__ import annotations
@@ -27,18 +27,19 @@
 from hoistmoor.steward import engines
 from hoistmoor.steward import stream
 
-RUNNERS = (10, 100, 300, 1000)
-SETTLE = 25.0  # Seconds until one acts and has told all engines its number.
-MIN_WINDOW = 30.0
-DOMAINS = 7
+ENGINE_COUNTS = (10, 100, 300, 1000)
+# Until a steward acts and all engines have its fencing token.
+SETTLE_SECONDS = 25.0
+MIN_WINDOW_SECONDS = 30.0
+DOMAIN_COUNT = 7
 _SCRIPTS = pathlib.Path(sys.executable).parent
-_TICKS = os.sysconf("SC_CLK_TCK")
+_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 _SECRET = "not-much-of-a-secret"
 
 
 @attrs.frozen
 class Usage:
-    """What a process has used so far.
+    """Resource usage of a process.
 
     Attributes:
         cpu: Seconds of processor time.
@@ -49,24 +50,22 @@
     memory: int
 
     @classmethod
-    def of(cls, process: int) -> Usage:
-        """Returns the usage of the process with that id."""
-        stat = pathlib.Path(f"/proc/{process}/stat").read_text()
+    def of_process(cls, pid: int) -> Usage:
+        """Returns the usage of a process."""
+        stat = pathlib.Path(f"/proc/{pid}/stat").read_text()
         fields = stat.rpartition(")")[2].split()
-        pages = int(
-            pathlib.Path(f"/proc/{process}/statm").read_text().split()[1]
-        )
-        cpu = (int(fields[11]) + int(fields[12])) / _TICKS
+        pages = int(pathlib.Path(f"/proc/{pid}/statm").read_text().split()[1])
+        cpu = (int(fields[11]) + int(fields[12])) / _TICKS_PER_SECOND
         return cls(cpu, pages * os.sysconf("SC_PAGE_SIZE"))
 
 
 def start(
-    stack: contextlib.ExitStack, program: str, *words: str
+    stack: contextlib.ExitStack, program: str, *arguments: str
 ) -> subprocess.Popen[str]:
-    """Starts a program that is ended with the stack."""
+    """Starts a program that is terminated when the stack closes."""
     process = stack.enter_context(
         subprocess.Popen(
-            [str(_SCRIPTS / program), *words],
+            [str(_SCRIPTS / program), *arguments],
             env={"HOISTMOOR_SECRET": _SECRET},
             stdout=subprocess.PIPE,
             stderr=subprocess.DEVNULL,
@@ -77,20 +76,20 @@
     return process
 
 
-def address_of(process: subprocess.Popen[str]) -> str:
-    """Returns where a stand-in listens."""
+def read_address(process: subprocess.Popen[str]) -> str:
+    """Returns the address that a stand-in prints on start."""
     assert process.stdout
     return process.stdout.readline().split()[1]
 
 
-def make_table(runners: int, address: str) -> model.Table:
-    """Returns a pool in which nothing is left to change."""
+def make_table(engine_count: int, address: str) -> model.Table:
+    """Returns a table that the engine already conforms to."""
     row = model.Version(
-        "m", "1", "llm", model.Stage.ACTIVE, 1, 1, 1, 0.8, 0, runners
+        "m", "1", "llm", model.Stage.ACTIVE, 1, 1, 1, 0.8, 0, engine_count
     )
     servers = [
-        model.Server(f"s{n}", "llm", address, f"d{n % DOMAINS}", 8, True)
-        for n in range(runners)
+        model.Server(f"s{n}", "llm", address, f"d{n % DOMAIN_COUNT}", 8, True)
+        for n in range(engine_count)
     ]
     service = model.Service("llm", model.ServiceKind.ENGINE, 60.0, ())
     return model.Table(
@@ -101,7 +100,7 @@
 
 
 async def publish(url: str, table: model.Table) -> None:
-    """Puts the table on the log."""
+    """Appends the table to the log."""
     changes = edits.diff(model.Table(), table)
     edit = edits.TableEdit("first", -1, "bench", 0.0, changes)
     async with sessions.make_session() as session:
@@ -109,8 +108,8 @@
         await client.append(streams.TABLE, codec.encode(edit))
 
 
-async def holder(url: str) -> str:
-    """Returns the host that holds the lease."""
+async def read_lease_holder(url: str) -> str:
+    """Returns the host that holds the lease, or an empty string."""
     async with sessions.make_session() as session:
         reader = stream.StewardStream(log.LogClient(session, url))
         await reader.catch_up()
@@ -118,14 +117,14 @@
         return lease.holder.host if lease else ""
 
 
-def measure(runners: int) -> None:
-    """Prints one line of the report."""
+def measure(engine_count: int) -> None:
+    """Measures one size of pool and prints a line."""
     with contextlib.ExitStack() as stack:
-        url = "http://" + address_of(
+        url = "http://" + read_address(
             start(stack, "hoistmoor-standin", "platform")
         )
         engine = start(stack, "hoistmoor-standin", "engine", "--serve", "m@1")
-        table = make_table(runners, address_of(engine))
+        table = make_table(engine_count, read_address(engine))
         asyncio.run(publish(url, table))
         stewards = {
             host: start(
@@ -135,15 +134,17 @@
             ).pid
             for host in ("a", "b")
         }  # fmt: skip
-        time.sleep(SETTLE)
-        window = max(MIN_WINDOW, engines.pass_interval(runners) * 1.05)
-        before = {host: Usage.of(pid) for host, pid in stewards.items()}
-        time.sleep(window)
-        after = {host: Usage.of(pid) for host, pid in stewards.items()}
-        acting = asyncio.run(holder(url))
-        cells = [f"{runners:7}"]
-        for host in sorted(stewards, key=lambda host: host != acting):
-            cpu = (after[host].cpu - before[host].cpu) / window
+        time.sleep(SETTLE_SECONDS)
+        window_seconds = max(
+            MIN_WINDOW_SECONDS, engines.pass_interval(engine_count) * 1.05
+        )
+        before = {host: Usage.of_process(pid) for host, pid in stewards.items()}
+        time.sleep(window_seconds)
+        after = {host: Usage.of_process(pid) for host, pid in stewards.items()}
+        acting_host = asyncio.run(read_lease_holder(url))
+        cells = [f"{engine_count:7}"]
+        for host in sorted(stewards, key=lambda host: host != acting_host):
+            cpu = (after[host].cpu - before[host].cpu) / window_seconds
             memory = after[host].memory / (1 << 20)
             cells.append(f"{cpu:7.2%}  {memory:6.1f} MiB")
         sys.stdout.write("  |  ".join(cells) + "\n")
@@ -151,10 +152,10 @@
 
 
 def main() -> None:
-    """Measures every size."""
+    """Prints the report."""
     sys.stdout.write("runners  |  acting: core, memory  |  standing by\n")
-    for runners in RUNNERS:
-        measure(runners)
+    for engine_count in ENGINE_COUNTS:
+        measure(engine_count)
 
 
 if __name__ == "__main__":
--- a/benchmarks/table.py
+++ b/benchmarks/table.py
@@ -1,10 +1,10 @@
-"""What the table costs a host, by its size.
+"""Measures what the table costs a host, by the size of the table.
 
-Run ``python benchmarks/table.py``. Prints, for four sizes: the processor time
-to decode, judge and apply an edit of one row, the whole-table check in it, the
-bytes of the edit and of a snapshot, the time to make and to read a snapshot,
-and the memory of a host's state; then the slope of each per 1,000 rows, and
-the share of one core that 2,200 edits a day take.
+Run ``python benchmarks/table.py``. Prints for four sizes: the processor time to
+decode, validate and apply an edit of one row, the part of it that the check of
+the whole table takes, the bytes of the edit and of a snapshot, the time to make
+and to read a snapshot, and the memory of a host's state; then the slope of each
+per 1,000 rows, and the fraction of one core that 2,200 edits a day take.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-SIZES = (100, 300, 1000, 2000)  # Rows in all sheets together.
-EDITS = 200  # Timed edits per size.
-REPEATS = 15  # Timings of everything else per size.
+ROW_COUNTS = (100, 300, 1000, 2000)  # Rows in all sheets together.
+EDITS_PER_SIZE = 200
+REPEATS_PER_SIZE = 15  # For everything but edits.
 EDITS_PER_DAY = 2200
 SECONDS_PER_DAY = 86_400
 
 
 @attrs.frozen
 class Cost:
-    """What one size of table costs; times in milliseconds."""
+    """Costs of a table of one size; times are in milliseconds."""
 
     rows: int
     edit_ms: float
@@ -51,7 +51,7 @@
 
 
 def make_table(rows: int) -> model.Table:
-    """Returns a sound table: half servers, the rest accounts and grants."""
+    """Returns a valid table: half servers, the rest accounts and grants."""
     servers, accounts = rows // 2, rows // 8
     grants = rows - servers - accounts - 13
     versions = [
@@ -90,65 +90,73 @@
 
 
 def measure(rows: int) -> Cost:
-    """Returns what a table of ``rows`` rows costs."""
+    """Measures the costs of a table with ``rows`` rows."""
     table = make_table(rows)
     current = fold.TableFold()
-    whole = edits.diff(model.Table(), table)
-    first = edits.TableEdit("first", -1, "bench", 0.0, whole)
-    if not isinstance(current.apply(0, first), fold.Accepted):
-        sys.exit("the bench's table is unsound")
-    payloads = [_edit(table, n) for n in range(EDITS)]
+    initial_rows = edits.diff(model.Table(), table)
+    initial_edit = edits.TableEdit("first", -1, "bench", 0.0, initial_rows)
+    if not isinstance(current.apply(0, initial_edit), fold.Accepted):
+        sys.exit("the initial table of the benchmark was rejected")
+    payloads = [_make_edit(table, n) for n in range(EDITS_PER_SIZE)]
     times = [
-        _time(lambda n=n, p=p: current.apply(n + 1, fold.decode_record(p)))
+        _time_call(lambda n=n, p=p: current.apply(n + 1, fold.decode_record(p)))
         for n, p in enumerate(payloads)
     ]
-    if current.active.revision != EDITS:
-        sys.exit("an edit of the bench was rejected")
+    if current.active.revision != EDITS_PER_SIZE:
+        sys.exit("an edit of the benchmark was rejected")
     snapshot = snapshots.encode_snapshot(current)
     return Cost(
         rows=rows,
         edit_ms=statistics.median(times),
         edit_worst_ms=max(times),
-        check_ms=_median(lambda: check.check_table(_fresh(table))),
+        check_ms=_median_time(
+            lambda: check.check_table(_copy_without_indexes(table))
+        ),
         edit_bytes=len(payloads[0]),
         snapshot_bytes=len(snapshot),
-        snapshot_make_ms=_median(lambda: snapshots.encode_snapshot(current)),
-        snapshot_read_ms=_median(lambda: codec.decode(snapshot)),
+        snapshot_make_ms=_median_time(
+            lambda: snapshots.encode_snapshot(current)
+        ),
+        snapshot_read_ms=_median_time(lambda: codec.decode(snapshot)),
         state_bytes=_state_bytes(snapshot),
     )
 
 
 def main() -> None:
     """Prints the costs and their slopes."""
-    costs = [measure(rows) for rows in SIZES]
-    names = [field.name for field in attrs.fields(Cost)]
-    _print_row(names)
+    costs = [measure(rows) for rows in ROW_COUNTS]
+    columns = [field.name for field in attrs.fields(Cost)]
+    _print_row(columns)
     for cost in costs:
-        _print_row([_show(getattr(cost, name)) for name in names])
-    sizes = np.array(SIZES) / 1000
+        _print_row(
+            [_format_number(getattr(cost, column)) for column in columns]
+        )
+    sizes = np.array(ROW_COUNTS) / 1000
     slopes = [
-        np.polyfit(sizes, [getattr(cost, name) for cost in costs], 1)[0]
-        for name in names[1:]
+        np.polyfit(sizes, [getattr(cost, column) for cost in costs], 1)[0]
+        for column in columns[1:]
     ]
-    _print_row(["slope/1000", *(_show(float(slope)) for slope in slopes)])
-    busy = costs[-1].edit_ms / 1000 * EDITS_PER_DAY / SECONDS_PER_DAY
+    _print_row(
+        ["slope/1000", *(_format_number(float(slope)) for slope in slopes)]
+    )
+    core_fraction = costs[-1].edit_ms / 1000 * EDITS_PER_DAY / SECONDS_PER_DAY
     sys.stdout.write(
-        f"{EDITS_PER_DAY} edits a day at {SIZES[-1]} rows:"
-        f" {busy:.6%} of one core\n"
+        f"{EDITS_PER_DAY} edits a day at {ROW_COUNTS[-1]} rows:"
+        f" {core_fraction:.6%} of one core\n"
     )
 
 
 def _state_bytes(snapshot: bytes) -> int:
-    """Returns what a host's fold takes in memory."""
+    """Returns the memory of a host's table fold, in bytes."""
     tracemalloc.start()
-    before, _ = tracemalloc.get_traced_memory()
-    kept = fold.TableFold.from_snapshot(codec.decode(snapshot))
-    after, _ = tracemalloc.get_traced_memory()
+    allocated_before, _ = tracemalloc.get_traced_memory()
+    restored = fold.TableFold.from_snapshot(codec.decode(snapshot))
+    allocated_after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return after - before if kept else 0
+    return allocated_after - allocated_before if restored else 0
 
 
-def _edit(table: model.Table, n: int) -> bytes:
+def _make_edit(table: model.Table, n: int) -> bytes:
     key = f"runner-{n % len(table.servers)}"
     row = attrs.evolve(table.servers[key], concurrency=20 + n)
     change = edits.RowSet("servers", key, row)
@@ -160,22 +168,22 @@
     return {row.key: row for row in rows}
 
 
-def _fresh(table: model.Table) -> model.Table:
+def _copy_without_indexes(table: model.Table) -> model.Table:
     """Returns a copy without cached indexes, as after each edit."""
     return attrs.evolve(table)
 
 
-def _time(call: Callable[[], object]) -> float:
+def _time_call(call: Callable[[], object]) -> float:
     start = time.process_time_ns()
     call()
     return (time.process_time_ns() - start) / 1e6
 
 
-def _median(call: Callable[[], object]) -> float:
-    return statistics.median(_time(call) for _ in range(REPEATS))
+def _median_time(call: Callable[[], object]) -> float:
+    return statistics.median(_time_call(call) for _ in range(REPEATS_PER_SIZE))
 
 
-def _show(number: float) -> str:
+def _format_number(number: float) -> str:
     return str(number) if isinstance(number, int) else f"{number:.3f}"
 
 
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -1,8 +1,8 @@
-"""False alarms and delay of the test for a version that turns bad.
+"""Measures false alarms and delays in the detection of degraded versions.
 
-Run with ``python benchmarks/turns.py``. Ratings of three kinds go to the real
-router; the truth per kind differs from the prior, and the test must not take
-that for a turn.
+Run with ``python benchmarks/turns.py``. The real router gets ratings of three
+kinds of request whose true quality differs from the prior; the test must not
+mistake that difference for a degradation.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 KINDS = {"easy": 0.94, "usual": 0.88, "hard": 0.80}
 PRIOR = 0.88
-STREAMS = 40
-RATINGS = 4000
-TURN_AT = 400
+STREAM_COUNT = 40
+RATING_COUNT = 4000
+DEGRADED_FROM = 400
 CONFIDENCES = (0.5, 0.7, 0.85, 0.93, 0.97)
 
 
 def make_router(confidence: float) -> router_lib.Router:
-    """Returns a router with two versions and that withdraw confidence."""
+    """Returns a router with two versions and the given withdraw confidence."""
     rows = [
         model.Version(
             model=name,
@@ -55,30 +55,32 @@
 
 
 @attrs.define
-class Stream:
+class RatingStream:
     """Ratings of one version.
 
     Attributes:
-        source: Its randomness.
-        turned: Share that a turned version keeps of each kind's quality.
-        kind: Kind that is hit; empty for all.
-        ramp: Ratings until the turn is complete.
+        rng: Source of randomness.
+        quality_factor: Fraction of its quality that a degraded version keeps.
+        degraded_kind: Kind that degrades; empty for all.
+        ramp: Number of ratings until the degradation is complete.
     """
 
-    source: random.Random
-    turned: float = 1.0
-    kind: str = ""
+    rng: random.Random
+    quality_factor: float = 1.0
+    degraded_kind: str = ""
     ramp: int = 0
 
     def rating(self, number: int) -> messages.Rating:
-        """Returns the rating of that number."""
-        kind = self.source.choice(list(KINDS))
-        confidence = self.source.choice(CONFIDENCES)
-        # Confidence tells something of quality, less than the prior holds.
-        chance = KINDS[kind] + 0.2 * (confidence - 0.79)
-        depth = min(1.0, max(0.0, (number - TURN_AT) / max(1, self.ramp)))
-        if self.kind in ("", kind):
-            chance *= 1.0 - (1.0 - self.turned) * depth
+        """Returns the rating with the given number."""
+        kind = self.rng.choice(list(KINDS))
+        confidence = self.rng.choice(CONFIDENCES)
+        # Confidence predicts quality, but less than the prior assumes.
+        probability = KINDS[kind] + 0.2 * (confidence - 0.79)
+        progress = min(
+            1.0, max(0.0, (number - DEGRADED_FROM) / max(1, self.ramp))
+        )
+        if self.degraded_kind in ("", kind):
+            probability *= 1.0 - (1.0 - self.quality_factor) * progress
         return messages.Rating(
             quality_estimates.make_answer_id(
                 f"a{number}", confidence, escalated=False
@@ -86,15 +88,17 @@
             "watched",
             "1",
             kind,
-            self.source.random() < chance,
+            self.rng.random() < probability,
             float(number),
         )
 
 
-def until_withdrawn(stream: Stream, confidence: float) -> int | None:
-    """Returns the number of ratings until the first withdrawal."""
+def ratings_until_withdrawn(
+    stream: RatingStream, confidence: float
+) -> int | None:
+    """Returns the number of ratings before a withdrawal, or None."""
     router = make_router(confidence)
-    for number in range(RATINGS):
+    for number in range(RATING_COUNT):
         router.on_rating(stream.rating(number), 5.0 * number)
         if router.drain_effects():
             return number
@@ -105,36 +109,43 @@
     """Prints both tables."""
     write = sys.stdout.write
     for confidence in (0.95, limits.DEFINITIONS["withdraw_confidence"].default):
-        alarms = [
-            until_withdrawn(Stream(random.Random(seed)), confidence)
-            for seed in range(STREAMS)
+        withdrawals = [
+            ratings_until_withdrawn(
+                RatingStream(random.Random(seed)), confidence
+            )
+            for seed in range(STREAM_COUNT)
         ]
-        count = sum(alarm is not None for alarm in alarms)
-        seen = sum(RATINGS if a is None else a for a in alarms)
+        count = sum(withdrawal is not None for withdrawal in withdrawals)
+        rating_total = sum(
+            RATING_COUNT if withdrawal is None else withdrawal
+            for withdrawal in withdrawals
+        )
         write(
-            f"confidence {confidence}: {count} false alarms in {seen} "
+            f"confidence {confidence}: {count} false alarms in {rating_total} "
             f"ratings; stated at most one in "
             f"{sequential.threshold(confidence):.0f} for each test\n"
         )
-        _write_delays(confidence)
+        _write_detection_delays(confidence)
 
 
-def _write_delays(confidence: float) -> None:
+def _write_detection_delays(confidence: float) -> None:
     cases = {
         "to 0.4 of it, at once": (0.4, "", 0),
         "to 0.7 of it, at once": (0.7, "", 0),
         "to 0.4 over 200 ratings": (0.4, "", 200),
         "to 0.4, kind usual only": (0.4, "usual", 0),
     }
-    for name, (turned, kind, ramp) in cases.items():
+    for name, (quality_factor, kind, ramp) in cases.items():
         delays = []
-        for seed in range(STREAMS // 2):
-            stream = Stream(random.Random(1000 + seed), turned, kind, ramp)
-            found = until_withdrawn(stream, confidence)
-            if found is None or found >= TURN_AT:
-                delays.append((found or RATINGS) - TURN_AT)
+        for seed in range(STREAM_COUNT // 2):
+            stream = RatingStream(
+                random.Random(1000 + seed), quality_factor, kind, ramp
+            )
+            withdrawn_after = ratings_until_withdrawn(stream, confidence)
+            if withdrawn_after is None or withdrawn_after >= DEGRADED_FROM:
+                delays.append((withdrawn_after or RATING_COUNT) - DEGRADED_FROM)
         limit = sequential.min_detection_delay(
-            PRIOR, PRIOR * turned, confidence
+            PRIOR, PRIOR * quality_factor, confidence
         )
         limit *= len(KINDS) if kind else 1
         sys.stdout.write(
--- a/tests/ci/test_ci_known_red.py
+++ b/tests/ci/test_ci_known_red.py
@@ -1,4 +1,4 @@
-"""CI passes over the listed failures and over nothing else."""
+"""Tests that CI tolerates the listed test failures and no others."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 SCRIPT = pathlib.Path(__file__).parents[2] / ".ci" / "known_red.py"
 LISTED = "tests/a.py::test_one[x y] | a lost wake-up | 7\n"
 SUMMARY = "FAILED tests/a.py::test_one[x y] - assert 1 == 2\n"
-CLOSING = "1 failed, 3 passed in 0.1s\n"
+TOTALS = "1 failed, 3 passed in 0.1s\n"
 
 
 @pytest.fixture
 def known_red() -> types.ModuleType:
-    """The script as a module."""
+    """Loads the script as a module."""
     spec = importlib.util.spec_from_file_location("known_red", SCRIPT)
     assert spec is not None
     assert spec.loader is not None
@@ -30,17 +30,17 @@
     return module
 
 
-def test_a_listed_failure_passes_and_is_printed(
+def test_listed_failure_passes_and_is_printed(
     known_red: types.ModuleType,
 ) -> None:
-    lines = known_red.judge(SUMMARY + CLOSING, LISTED)
+    lines = known_red.judge(SUMMARY + TOTALS, LISTED)
     assertions.assert_that(lines, matchers.Equals([LISTED.strip()]))
 
 
 @pytest.mark.parametrize(
     ("output", "listed"),
     [
-        (SUMMARY + CLOSING, ""),
+        (SUMMARY + TOTALS, ""),
         (SUMMARY + "FAILED tests/b.py::test_two\n", LISTED),
         ("ERROR tests/a.py - ImportError\n" + SUMMARY, LISTED),
         ("INTERNALERROR> boom\n", LISTED),
@@ -49,7 +49,7 @@
         (SUMMARY, LISTED * 4),
     ],
 )
-def test_anything_else_fails(
+def test_any_other_output_fails(
     known_red: types.ModuleType, output: str, listed: str
 ) -> None:
     with pytest.raises(known_red.KnownRedError):
