--- a/tests/docs/docs_blocks.py
+++ b/tests/docs/docs_blocks.py
@@ -1,6 +1,6 @@
-"""Tables of the docs that are written from the sources.
+"""Generates the tables in the docs from the sources.
 
-Run as a program (``make docs``) it puts them in place.
+Run as a program (``make docs``), it writes them into the pages.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 DOCS = pathlib.Path(__file__).parents[2] / "docs"
 _BLOCK = r"(<!-- {name}: written by `make docs` -->\n).*?(<!-- end -->)"
 
-# Which side can do something about a reason, and what.
-_OPERATORS: dict[refusals.Reason, str] = {
+# What an operator can do about a reason; the others are left to the caller.
+_OPERATOR_ADVICE: dict[refusals.Reason, str] = {
     refusals.Reason.NOT_GRANTED: "Add a row to `grants` if they should.",
     refusals.Reason.WRONG_KEY: "Put the key's SHA-256 into `accounts`.",
     refusals.Reason.UNKNOWN_CALL: "Add a row to `calls` if it should exist.",
@@ -49,8 +49,9 @@
 }
 
 
-# Reasons that a request may end with after a byte of it has left the host.
-_AFTER_SENDING = {
+# Outcomes for the reasons that can end a request after the host has sent part
+# of it; for every other reason the request has not run.
+_OUTCOMES_AFTER_SENDING = {
     refusals.Reason.DEADLINE_EXCEEDED: "`not_run` or `unknown`",
     refusals.Reason.STOPPING: "`not_run` or `unknown`",
     refusals.Reason.BILL_UNSECURED: "`not_run` or `done`",
@@ -61,56 +62,59 @@
 }
 
 
-def _table(header: str, rows: list[str]) -> str:
+def _markdown_table(header: str, rows: list[str]) -> str:
     columns = header.count("|") - 1
     return "\n".join([header, "|" + "---|" * columns, *rows]) + "\n"
 
 
 def render_refusals() -> str:
-    """Returns the table of the callers' page."""
+    """Returns the table of refusal reasons for callers."""
     rows = [
         f"| `{reason}` | {rule.status.value} "
-        f"| {_AFTER_SENDING.get(reason, '`not_run`')} | {_advice(reason)} "
+        f"| {_OUTCOMES_AFTER_SENDING.get(reason, '`not_run`')} "
+        f"| {_retry_advice(reason)} "
         f"| {rule.retry_after} | {rule.remedy} |"
         for reason, rule in refusals.RULES.items()
     ]
-    return _table(
+    return _markdown_table(
         "| Reason | Status | Outcome | Try again | Retry-After, s | Do |", rows
     )
 
 
-def _advice(reason: refusals.Reason) -> str:
+def _retry_advice(reason: refusals.Reason) -> str:
     if not refusals.RULES[reason].retryable:
         return "no"
-    return "if `not_run`" if reason in _AFTER_SENDING else "yes"
+    return "if `not_run`" if reason in _OUTCOMES_AFTER_SENDING else "yes"
 
 
 def render_refusals_for_operators() -> str:
-    """Returns the table of the operators' page."""
+    """Returns the table of refusal reasons for operators."""
     rows = [
-        f"| `{reason}` | {_OPERATORS.get(reason, 'Callers.')} |"
+        f"| `{reason}` | {_OPERATOR_ADVICE.get(reason, 'Callers.')} |"
         for reason in refusals.Reason
     ]
-    return _table("| Reason | What you can do |", rows)
+    return _markdown_table("| Reason | What you can do |", rows)
 
 
 def render_metrics() -> str:
-    """Returns the table of the metrics' page."""
+    """Returns the table of metrics."""
     rows = [
         f"| `{metric.name}` | {metric.kind} | {metric.meaning} |"
         for metric in metrics.METRICS.values()
     ]
-    return _table("| Name | Kind | Meaning |", rows)
+    return _markdown_table("| Name | Kind | Meaning |", rows)
 
 
 def render_settings() -> str:
-    """Returns the table of the settings' page."""
+    """Returns the table of settings of the entry host and the steward."""
     programs = (settings_lib.EntrySettings, settings_lib.StewardSettings)
     rows = [
         _setting_row(field, programs)
         for field in attrs.fields(settings_lib.EntrySettings)
     ]
-    return _table("| Flag | Variable | Default | Meaning | Steward |", rows)
+    return _markdown_table(
+        "| Flag | Variable | Default | Meaning | Steward |", rows
+    )
 
 
 def _setting_row(
@@ -123,12 +127,12 @@
     return (
         f"| {'none' if arg.hidden else flag} "
         f"| `{environment.variable_of(field.name)}` "
-        f"| {_default(field)} | {arg.help or 'Keys that sign.'} "
+        f"| {_default_text(field)} | {arg.help or 'Keys that sign.'} "
         f"| {'yes' if in_steward else 'no'} |"
     )
 
 
-def _default(field: attrs.Attribute[typing.Any]) -> str:
+def _default_text(field: attrs.Attribute[typing.Any]) -> str:
     if field.default is attrs.NOTHING or field.name == "secret":
         return "must be given"
     return f"`{field.default}`" if field.default != "" else "empty"
@@ -147,18 +151,18 @@
 
 
 def fill(text: str, name: str, block: str) -> str:
-    """Returns a page with ``block`` between the markers called ``name``."""
+    """Returns the page text with ``block`` between the markers ``name``."""
     pattern = re.compile(_BLOCK.format(name=re.escape(name)), re.DOTALL)
     filled, count = pattern.subn(
         lambda match: f"{match[1]}\n{block}\n{match[2]}", text
     )
     if count != 1:
-        raise ValueError(f"the page has {count} blocks called {name}")
+        raise ValueError(f"expected one block named {name}, found {count}")
     return filled
 
 
 def main() -> None:
-    """Writes each block into its page."""
+    """Writes each generated table into its page."""
     for page, name, render in BLOCKS:
         path = DOCS / page
         path.write_text(fill(path.read_text(), name, render()))
--- a/tests/docs/test_docs_in_step.py
+++ b/tests/docs/test_docs_in_step.py
@@ -1,4 +1,4 @@
-"""Pages are in step with the sources."""
+"""Tests that the generated tables in the docs match the sources."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     docs_blocks.BLOCKS,
     ids=[name for _, name, _ in docs_blocks.BLOCKS],
 )
-def test_tables_are_as_the_sources_say(
+def test_tables_match_the_sources(
     page: str, name: str, render: Callable[[], str]
 ) -> None:
     text = (docs_blocks.DOCS / page).read_text()
@@ -29,7 +29,7 @@
     )
 
 
-def test_each_reason_has_a_rule_with_a_time_to_come_back() -> None:
+def test_each_reason_has_a_rule_with_a_retry_after() -> None:
     assertions.assert_that(
         set(refusals.RULES), matchers.Equals(set(refusals.Reason))
     )
--- a/tests/docs/test_docs_proofs.py
+++ b/tests/docs/test_docs_proofs.py
@@ -1,4 +1,4 @@
-"""The page of proofs names tests and mutations that exist."""
+"""Tests that ``docs/proofs.md`` names existing tests, paths and mutations."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 ROOT = pathlib.Path(__file__).parents[2]
 PAGE = (ROOT / "docs" / "proofs.md").read_text()
-_TEST = re.compile(r"`(\w+\.py)::(\w+)`")
-_FILE = re.compile(r"`(tests/[\w/]+(?:\.py)?)`")
-_MUTATION = re.compile(r"\(`broken_entry`:\s([^)]*)\)")
+_TEST_REFERENCE = re.compile(r"`(\w+\.py)::(\w+)`")
+_PATH_REFERENCE = re.compile(r"`(tests/[\w/]+(?:\.py)?)`")
+_MUTATION_LIST = re.compile(r"\(`broken_entry`:\s([^)]*)\)")
 
 
-def _names_in(path: pathlib.Path) -> set[str]:
+def _function_names(path: pathlib.Path) -> set[str]:
     tree = ast.parse(path.read_text())
     return {
         node.name
@@ -29,14 +29,16 @@
     files = {path.name: path for path in (ROOT / "tests").rglob("test_*.py")}
     missing = [
         (file, name)
-        for file, name in _TEST.findall(PAGE)
-        if file not in files or name not in _names_in(files[file])
+        for file, name in _TEST_REFERENCE.findall(PAGE)
+        if file not in files or name not in _function_names(files[file])
     ]
     assertions.assert_that(missing, matchers.Equals([]))
 
 
 def test_named_paths_exist() -> None:
-    missing = [p for p in _FILE.findall(PAGE) if not (ROOT / p).exists()]
+    missing = [
+        p for p in _PATH_REFERENCE.findall(PAGE) if not (ROOT / p).exists()
+    ]
     assertions.assert_that(missing, matchers.Equals([]))
 
 
@@ -46,7 +48,7 @@
     known = set(re.findall(r'"(\w+)":', table))
     named = {
         name
-        for group in _MUTATION.findall(PAGE)
+        for group in _MUTATION_LIST.findall(PAGE)
         for name in re.findall(r"`(\w+)`", group)
     }
     assertions.assert_that(named, matchers.Equals(known))
