--- a/benchmarks/capacity/console.py
+++ b/benchmarks/capacity/console.py
@@ -45,7 +45,7 @@
 ROUNDS = 3
 _MIB = 1 << 20
 _NEWEST_REVISION = 10**9  # Newer than any revision that a publisher waits for.
-print_line = processes.say
+print_line = processes.print_line
 
 
 def make_status_body(count: int) -> dict[str, Any]:
@@ -155,8 +155,8 @@
         wall_seconds.append(elapsed)
         peak_bytes = max(peak_bytes, memory)
     print_line(
-        f"{name}: {deployment_lib.spread(cpu_seconds)} s of processor time, "
-        f"{deployment_lib.spread(wall_seconds)} s in all, "
+        f"{name}: {deployment_lib.format_range(cpu_seconds)} s of processor time, "
+        f"{deployment_lib.format_range(wall_seconds)} s in all, "
         f"peak {peak_bytes / _MIB:.0f} MiB"
     )
 
@@ -184,7 +184,7 @@
 
 async def measure_publish() -> None:
     """Measures ``hoistmoor table publish`` of a new table, by hosts."""
-    table = parts.big_table(SERVER_COUNT)
+    table = parts.make_table(SERVER_COUNT)
     with tempfile.TemporaryDirectory() as directory:
         for name, text in sheets.render_sheets(table).items():
             (pathlib.Path(directory) / name).write_text(text)
--- a/benchmarks/capacity/deployment.py
+++ b/benchmarks/capacity/deployment.py
@@ -87,7 +87,7 @@
             log_address = self.log_meter.address
         words = (
             ("--host", f"entry-{number}"),
-            ("--failure-domain", f"d{number % rows.DOMAINS}"),
+            ("--failure-domain", f"d{number % rows.DOMAIN_COUNT}"),
             ("--listen", "127.0.0.1:0"),
             ("--peer-listen", f"127.0.0.1:{port}"),
             ("--peer-advertise", f"127.0.0.1:{port}" if direct else advertised),
@@ -100,7 +100,7 @@
         self.entries.append(entry)
         row = {
             "address": entry.address,
-            "failure_domain": f"d{number % rows.DOMAINS}",
+            "failure_domain": f"d{number % rows.DOMAIN_COUNT}",
             "role": "entry",
         }
         url = f"http://{self.platform.address}/hosts/entry-{number}"
@@ -128,12 +128,12 @@
         for meter in (self.log_meter, *self.peer_meters, *self.load_meters):
             meter.reset()
 
-    def traffic(self) -> dict[str, meter_lib.Count]:
+    def traffic(self) -> dict[str, meter_lib.Traffic]:
         """Returns the traffic of all entry hosts by class."""
-        total: dict[str, meter_lib.Count] = {}
+        total: dict[str, meter_lib.Traffic] = {}
         for meter in (self.log_meter, *self.peer_meters, *self.load_meters):
             for name, count in meter.counts.items():
-                class_total = total.setdefault(name, meter_lib.Count())
+                class_total = total.setdefault(name, meter_lib.Traffic())
                 class_total.requests += count.requests
                 class_total.sent += count.sent
                 class_total.received += count.received
@@ -146,7 +146,7 @@
 
 
 @contextlib.asynccontextmanager
-async def deployed(
+async def run_deployment(
     hosts: int,
     servers: int = 2,
     accounts: int = 10,
@@ -230,7 +230,7 @@
                 meter.stop()
 
 
-def spread(values: list[float]) -> str:
+def format_range(values: list[float]) -> str:
     """Formats the minimum and maximum of ``values``."""
     digits = 3 - math.ceil(math.log10(max(*values, 1e-6)))
     digits = max(0, digits)
--- a/benchmarks/capacity/followers.py
+++ b/benchmarks/capacity/followers.py
@@ -37,7 +37,7 @@
 ROUND_SECONDS = 6.0
 _SETTLE_SECONDS = 5.0
 _BODY = b'{"confirmed": true, "receipt": "TX-0123456789"}'
-print_line = processes.say
+print_line = processes.print_line
 
 
 @attrs.frozen
@@ -151,7 +151,7 @@
     """Prints the costs of following one stream, by its rate."""
     source = SOURCES[name]
     platform_words = ("--rating-share", "1", "--rating-delay", "0.1")
-    async with deployment_lib.deployed(
+    async with deployment_lib.run_deployment(
         2, platform_words=platform_words
     ) as deployment:
         await asyncio.sleep(_SETTLE_SECONDS)
@@ -162,13 +162,13 @@
             core_fractions, count = [], 0
             for _ in range(ROUNDS):
                 cpu_before = [
-                    entry.use().seconds for entry in deployment.entries
+                    entry.usage().seconds for entry in deployment.entries
                 ]
                 count += await append_records(
                     deployment, source, rate, first_number + count
                 )
                 cpu_seconds = [
-                    entry.use().seconds - start
+                    entry.usage().seconds - start
                     for entry, start in zip(
                         deployment.entries, cpu_before, strict=True
                     )
@@ -187,7 +187,7 @@
                 )
             line = (
                 f"{name}: {rate}/s: "
-                f"{deployment_lib.spread([c * 100 for c in core_fractions])}%"
+                f"{deployment_lib.format_range([c * 100 for c in core_fractions])}%"
                 " of a core,"
                 f" {traffic.requests / seconds:.1f} reads/s,"
                 f" {bytes_per_second / 1000:.2f} KB/s"
@@ -198,7 +198,7 @@
                     for c in core_fractions
                 ]
                 line += (
-                    f"; together {deployment_lib.spread(micros_per_record)} us"
+                    f"; together {deployment_lib.format_range(micros_per_record)} us"
                     f" and {(bytes_per_second - idle_bytes) / rate:.0f}"
                     " bytes a record"
                 )
--- a/benchmarks/capacity/idle.py
+++ b/benchmarks/capacity/idle.py
@@ -29,7 +29,7 @@
 _SETTLE_SECONDS = 5.0  # Until the gossip after the start has ended.
 _LEASE_SECONDS = 10.0  # Until one steward acts.
 _MIB = 1 << 20
-print_line = processes.say
+print_line = processes.print_line
 
 
 async def measure(
@@ -41,16 +41,16 @@
     hosts = len(deployment.entries)
     deployment.reset_meters()
     for _ in range(ROUNDS):
-        cpu_before = [entry.use().seconds for entry in deployment.entries]
+        cpu_before = [entry.usage().seconds for entry in deployment.entries]
         await run_round(deployment, edits_a_minute)
         cpu_seconds = [
-            entry.use().seconds - start
+            entry.usage().seconds - start
             for entry, start in zip(deployment.entries, cpu_before, strict=True)
         ]
         core_percents.append(statistics.mean(cpu_seconds) / ROUND_SECONDS * 100)
-    resident = [entry.use().resident / _MIB for entry in deployment.entries]
+    resident = [entry.usage().resident / _MIB for entry in deployment.entries]
     print_line(
-        f"{name}: {deployment_lib.spread(core_percents)}% of a core a host, "
+        f"{name}: {deployment_lib.format_range(core_percents)}% of a core a host, "
         f"{statistics.mean(resident):.1f} MiB resident"
     )
     seconds = ROUNDS * ROUND_SECONDS * hosts
@@ -84,21 +84,25 @@
 async def measure_hosts() -> None:
     """Measures by the number of entry hosts."""
     for count in HOST_COUNTS:
-        async with deployment_lib.deployed(count) as deployment:
+        async with deployment_lib.run_deployment(count) as deployment:
             await measure(deployment, f"hosts {count}")
 
 
 async def measure_servers() -> None:
     """Measures by the number of backend servers in the table."""
     for count in SERVER_COUNTS:
-        async with deployment_lib.deployed(2, servers=count) as deployment:
+        async with deployment_lib.run_deployment(
+            2, servers=count
+        ) as deployment:
             await measure(deployment, f"servers {count}")
 
 
 async def measure_accounts() -> None:
     """Measures by the number of client accounts in the table."""
     for count in ACCOUNT_COUNTS:
-        async with deployment_lib.deployed(2, accounts=count) as deployment:
+        async with deployment_lib.run_deployment(
+            2, accounts=count
+        ) as deployment:
             await measure(deployment, f"accounts {count}")
 
 
@@ -107,7 +111,7 @@
 
     The table has 300 servers and 100 accounts.
     """
-    async with deployment_lib.deployed(2, 300, 100) as deployment:
+    async with deployment_lib.run_deployment(2, 300, 100) as deployment:
         for count in EDIT_RATES:
             await measure(deployment, f"edits {count} a minute", count)
 
@@ -118,14 +122,16 @@
     Figures are the mean of the acting steward and one on standby.
     """
     for count in SERVER_COUNTS:
-        async with deployment_lib.deployed(0, servers=count) as deployment:
+        async with deployment_lib.run_deployment(
+            0, servers=count
+        ) as deployment:
             for number in range(2):
                 steward = await deployment.fleet.start(
                     *("hoistmoor-steward", "--host", f"entry-{number}"),
                     *("--failure-domain", f"d{number}"),
                     *("--listen", "127.0.0.1:0", "--log-level", "error"),
                     *("--log-url", f"http://{deployment.log_meter.address}"),
-                    tells=False,
+                    has_address=False,
                 )
                 deployment.entries.append(steward)
             await asyncio.sleep(_LEASE_SECONDS)
--- a/benchmarks/capacity/memory.py
+++ b/benchmarks/capacity/memory.py
@@ -40,7 +40,7 @@
 _CONCURRENCY = 16
 _NOW = 1_700_000_000.0
 _MIB = 1 << 20
-print_line = processes.say
+print_line = processes.print_line
 
 
 def make_pins(count: int) -> object:
@@ -55,12 +55,12 @@
 
 def make_members(count: int) -> object:
     """Returns a membership task that knows ``count`` hosts."""
-    return parts.make_members(parts.make_views(count))
+    return parts.make_membership_task(parts.make_views(count))
 
 
 def make_router(count: int) -> object:
     """Returns a router with a load report of each backend server."""
-    table = parts.big_table(count)
+    table = parts.make_table(count)
     router = router_lib.Router("d0", 1, "entry-0")
     router.on_table(model.ActiveTable(1, table))
     for name in table.servers:
@@ -95,7 +95,7 @@
 def make_kinds(count: int) -> object:
     """Returns a router with a rated request of each of ``count`` kinds."""
     router = router_lib.Router("d0", 1, "entry-0")
-    table = parts.big_table(10)
+    table = parts.make_table(10)
     router.on_table(model.ActiveTable(1, table))
     for n in range(count):
         kind = f"kind-{n}"
@@ -143,7 +143,9 @@
     deployment: deployment_lib.Deployment, call_kind: str, first: int
 ) -> None:
     entry = deployment.entries[0].address
-    call = functools.partial(serve.call, deployment.session, entry, call_kind)
+    call = functools.partial(
+        serve.send_plain_call, deployment.session, entry, call_kind
+    )
 
     async def send_requests(start: int) -> None:
         for number in range(start, first + REQUESTS_PER_ROUND, _CONCURRENCY):
@@ -157,11 +159,11 @@
 async def measure_growth() -> None:
     """Measures the resident memory by requests served."""
     for call_kind in ("balance", "confirm-key"):
-        async with deployment_lib.deployed(2, direct=True) as deployment:
+        async with deployment_lib.run_deployment(2, direct=True) as deployment:
             start_time = time.perf_counter()
             for number in range(GROWTH_ROUNDS + 1):
                 sizes = [
-                    f"{entry.use().resident / _MIB:.1f}"
+                    f"{entry.usage().resident / _MIB:.1f}"
                     for entry in deployment.entries
                 ]
                 print_line(
--- a/benchmarks/capacity/meter.py
+++ b/benchmarks/capacity/meter.py
@@ -17,7 +17,7 @@
 
 
 @attrs.define
-class Count:
+class Traffic:
     """Traffic of one class.
 
     Attributes:
@@ -46,7 +46,7 @@
             target: ``ip:port`` to forward to.
             fixed: Class of all traffic, if it is not HTTP/1.1.
         """
-        self.counts: dict[str, Count] = collections.defaultdict(Count)
+        self.counts: dict[str, Traffic] = collections.defaultdict(Traffic)
         self.address = ""
         self._target = target
         self._fixed = fixed
--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -49,7 +49,7 @@
 _INCARNATION = 1_700_000_000_000
 _MICROSECONDS_PER_SECOND = 1e6
 _EXCLUDED_SERVERS: frozenset[str] = frozenset()
-say = processes.say
+print_line = processes.print_line
 
 
 def time_call(call: Callable[[], object], calls: int = 100) -> str:
@@ -62,7 +62,7 @@
         times.append(
             (time.process_time() - start) / calls * _MICROSECONDS_PER_SECOND
         )
-    return deployment_lib.spread(times)
+    return deployment_lib.format_range(times)
 
 
 class _FreshTableReplica:
@@ -88,14 +88,16 @@
             incarnation=_INCARNATION + n,
             http_address=f"10.{n % 7}.{n // 250}.{n % 250}:8080",
             peer_address=f"10.{n % 7}.{n // 250}.{n % 250}:8081",
-            failure_domain=f"d{n % rows.DOMAINS}",
+            failure_domain=f"d{n % rows.DOMAIN_COUNT}",
             region=f"region-{n % 3}",
         )
         for n in range(count)
     ]
 
 
-def make_members(views: list[view.HostView]) -> membership.MembershipTask:
+def make_membership_task(
+    views: list[view.HostView],
+) -> membership.MembershipTask:
     """Returns the membership task of the first host, which knows all."""
     task = membership.MembershipTask(
         views[0],
@@ -129,10 +131,10 @@
 
 async def measure_hosts() -> None:
     """Measures what grows with the number of entry hosts."""
-    say("hosts: us of processor time a call")
+    print_line("hosts: us of processor time a call")
     for count in HOST_COUNTS:
         views = make_views(count)
-        members = make_members(views)
+        members = make_membership_task(views)
         directory = peer_directory.PeerDirectory(members, lambda: _NOW)
         live = members.live_hosts()
         directory.on_hosts(live)
@@ -156,7 +158,7 @@
         }
         members.clients.close()
         for name, micros in times_by_label.items():
-            say(f"    {count:4} hosts, {name}: {micros}")
+            print_line(f"    {count:4} hosts, {name}: {micros}")
 
 
 def _make_rate_shares(count: int) -> rates.RateShares:
@@ -169,7 +171,7 @@
     return rate_shares
 
 
-def big_table(servers: int) -> model.Table:
+def make_table(servers: int) -> model.Table:
     """Returns a table of ``servers`` servers, most of them engines."""
     plain = max(1, servers // 10)
     engines = {f"engine-{n}": _address(n) for n in range(servers - plain)}
@@ -183,9 +185,9 @@
 
 async def measure_servers() -> None:
     """Measures what grows with the number of backend servers."""
-    say("servers: us of processor time a call")
+    print_line("servers: us of processor time a call")
     for count in SERVER_COUNTS:
-        table = big_table(count)
+        table = make_table(count)
         router = router_lib.Router("d0", 1, "entry-0")
         in_force = model.ActiveTable(1, table)
         router.on_table(in_force)
@@ -210,14 +212,16 @@
             ),
         }
         for name, micros in times_by_label.items():
-            say(f"    {count:4} servers, {name}: {micros}")
+            print_line(f"    {count:4} servers, {name}: {micros}")
 
 
 async def measure_edit() -> None:
     """Measures the edit of one row at a host that follows the table."""
-    say(f"edit: one row, {ACCOUNT_COUNT} accounts, {VERSION_COUNT} versions")
+    print_line(
+        f"edit: one row, {ACCOUNT_COUNT} accounts, {VERSION_COUNT} versions"
+    )
     for count in SERVER_COUNTS:
-        table = big_table(count)
+        table = make_table(count)
         fold = fold_lib.TableFold()
         first = edits.TableEdit(
             "e0", -1, "bench", _NOW, edits.diff(model.Table(), table)
@@ -250,9 +254,9 @@
         start = time.process_time()
         codec.decode(snapshot)
         decode_millis = (time.process_time() - start) * 1000
-        say(
+        print_line(
             f"    {count:4} servers: edit of {size} bytes, "
-            f"{deployment_lib.spread(times)} ms to fold; the whole table "
+            f"{deployment_lib.format_range(times)} ms to fold; the whole table "
             f"{whole_table_seconds * 1000:.1f} ms; "
             f"snapshot {len(snapshot) / 1000:.1f} KB, "
             f"{encode_millis:.1f} ms to make, "
@@ -289,7 +293,7 @@
     dispatcher = _Dispatcher()
     method_micros = time_call(lambda: dispatcher.handle(1), 100_000)
     function_micros = time_call(lambda: _handle(1, dispatcher), 100_000)
-    say(
+    print_line(
         f"dispatch: us a call: a method {method_micros},"
         f" a function {function_micros}"
     )
--- a/benchmarks/capacity/processes.py
+++ b/benchmarks/capacity/processes.py
@@ -21,14 +21,14 @@
 _LISTENING_PREFIX = "LISTENING "
 
 
-def say(text: str) -> None:
+def print_line(text: str) -> None:
     """Prints one line at once."""
     sys.stdout.write(f"{text}\n")
     sys.stdout.flush()
 
 
 @attrs.frozen
-class Use:
+class ResourceUsage:
     """Resource usage of a process.
 
     Attributes:
@@ -52,7 +52,7 @@
     address: str
     process: asyncio.subprocess.Process
 
-    def use(self) -> Use:
+    def usage(self) -> ResourceUsage:
         """Returns the resource usage so far."""
         root = pathlib.Path(f"/proc/{self.process.pid}")
         fields = (root / "stat").read_text().rpartition(")")[2].split()
@@ -61,7 +61,9 @@
             line.split(":", 1)
             for line in (root / "status").read_text().splitlines()
         )
-        return Use(cpu_seconds, int(status["VmRSS"].split()[0]) * _KIB)
+        return ResourceUsage(
+            cpu_seconds, int(status["VmRSS"].split()[0]) * _KIB
+        )
 
 
 class Fleet:
@@ -96,7 +98,7 @@
         for program in self.programs:
             await program.process.wait()
 
-    async def start(self, *words: str, tells: bool = True) -> Program:
+    async def start(self, *words: str, has_address: bool = True) -> Program:
         """Starts a program.
 
         Args:
@@ -116,7 +118,7 @@
         )
         program = Program("", process)
         self.programs.append(program)
-        if not tells:
+        if not has_address:
             return program
         assert process.stdout is not None
         async with asyncio.timeout(START_TIMEOUT):
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -11,7 +11,7 @@
     from collections.abc import Iterable
 
 KEY = "bench-key"
-DOMAINS = 7
+DOMAIN_COUNT = 7
 CALL_PRICE = 500  # Micros.
 _SPEND_LIMIT = 10**12
 
@@ -109,6 +109,6 @@
     addresses: dict[str, str], service: str
 ) -> list[model.Server]:
     return [
-        model.Server(name, service, address, f"d{n % DOMAINS}", 1000, True)
+        model.Server(name, service, address, f"d{n % DOMAIN_COUNT}", 1000, True)
         for n, (name, address) in enumerate(addresses.items())
     ]
--- a/benchmarks/capacity/serve.py
+++ b/benchmarks/capacity/serve.py
@@ -43,7 +43,7 @@
 TOKEN_INTERVAL = 0.01  # Of the engine.
 _MICROSECONDS_PER_SECOND = 1e6
 _HEADERS = {"Authorization": f"Bearer {rows.KEY}"}
-print_line = processes.say
+print_line = processes.print_line
 
 
 @attrs.define
@@ -61,7 +61,7 @@
     failed: int = 0
 
 
-async def call(
+async def send_plain_call(
     session: aiohttp.ClientSession, entry: str, call_kind: str, number: int
 ) -> None:
     """Sends a plain call: ``balance``, ``confirm`` or ``confirm-key``."""
@@ -138,9 +138,9 @@
 
 async def measure_idle_core(entry: processes.Program) -> float:
     """Returns the fraction of a core that an idle entry host uses."""
-    before = entry.use().seconds
+    before = entry.usage().seconds
     await asyncio.sleep(IDLE_SECONDS)
-    return (entry.use().seconds - before) / IDLE_SECONDS
+    return (entry.usage().seconds - before) / IDLE_SECONDS
 
 
 @attrs.define
@@ -157,23 +157,23 @@
         """Starts a measurement."""
         self.start_time, self.start_cpu = (
             time.perf_counter(),
-            self.entry.use().seconds,
+            self.entry.usage().seconds,
         )
 
     def end(self) -> float:
         """Returns the processor time since the start, in seconds."""
         self.wall_seconds = time.perf_counter() - self.start_time
-        used = self.entry.use().seconds - self.start_cpu
+        used = self.entry.usage().seconds - self.start_cpu
         return used - self.idle_core * self.wall_seconds
 
 
 async def measure_calls(call_kind: str) -> None:
     """Measures the processor time per call, by rate."""
-    async with deployment_lib.deployed(2, direct=True) as deployment:
+    async with deployment_lib.run_deployment(2, direct=True) as deployment:
         entry = deployment.entries[0]
         timer = CpuTimer(entry, await measure_idle_core(entry))
         send_call = functools.partial(
-            call, deployment.session, entry.address, call_kind
+            send_plain_call, deployment.session, entry.address, call_kind
         )
         for rate in CALL_RATES:
             micros = []
@@ -183,9 +183,9 @@
                 micros.append(timer.end() / count * _MICROSECONDS_PER_SECOND)
             print_line(
                 f"{call_kind}: {rate}/s: "
-                f"{deployment_lib.spread(micros)} us a request"
+                f"{deployment_lib.format_range(micros)} us a request"
             )
-        resident = entry.use().resident / (1 << 20)
+        resident = entry.usage().resident / (1 << 20)
         print_line(f"{call_kind}: {resident:.1f} MiB resident at the end")
 
 
@@ -197,7 +197,7 @@
 
 async def measure_tokens() -> None:
     """Measures the processor time per stream, by its length."""
-    async with deployment_lib.deployed(
+    async with deployment_lib.run_deployment(
         2, engine_words=_ENGINE_FLAGS, direct=True
     ) as deployment:
         entry = deployment.entries[0]
@@ -223,7 +223,7 @@
             means.append(statistics.mean(micros))
             print_line(
                 f"tokens: {length} an answer: "
-                f"{deployment_lib.spread(micros)} us"
+                f"{deployment_lib.format_range(micros)} us"
                 f" a request, failed {results.failed}; "
                 f"gap p95 "
                 f"{statistics.quantiles(results.token_gap_ms, n=20)[18]:.1f} ms"
@@ -237,7 +237,7 @@
 
 async def measure_rates() -> None:
     """Measures the processor time per token, by requests a second."""
-    async with deployment_lib.deployed(
+    async with deployment_lib.run_deployment(
         2, engine_words=_ENGINE_FLAGS, direct=True
     ) as deployment:
         entry = deployment.entries[0]
@@ -258,7 +258,7 @@
                 )
             print_line(
                 f"rate: {rate}/s of 128 tokens: "
-                f"{deployment_lib.spread(micros)} us a token; first token p95 "
+                f"{deployment_lib.format_range(micros)} us a token; first token p95 "
                 f"{statistics.quantiles(results.first_token_ms, n=20)[18]:.1f}"
                 " ms, gap p95 "
                 f"{statistics.quantiles(results.token_gap_ms, n=20)[18]:.1f}"
@@ -270,7 +270,7 @@
 async def measure_capacity() -> None:
     """Measures the capacity of an entry process in concurrent streams."""
     engine_flags = ("--token-time", "0.02", *_ENGINE_FLAGS[2:])
-    async with deployment_lib.deployed(
+    async with deployment_lib.run_deployment(
         2, engine_words=engine_flags, direct=True
     ) as deployment:
         entry = deployment.entries[0]
@@ -292,7 +292,7 @@
                 f"tokens/s, {used / timer.wall_seconds:.0%} of a core, gap p95 "
                 f"{gap_p95:.1f} ms (20 at the engine), "
                 f"failed {results.failed}, "
-                f"{entry.use().resident / (1 << 20):.1f} MiB"
+                f"{entry.usage().resident / (1 << 20):.1f} MiB"
             )
 
 
--- a/benchmarks/capacity/size.py
+++ b/benchmarks/capacity/size.py
@@ -63,7 +63,7 @@
 STEWARD_CORE = 0.33  # Percent, mean of two (idle stewards).
 STEWARD_BYTES = 930.0  # Without read-backs of engines (idle stewards).
 STEWARD_CALLS = 2.7  # A second (idle stewards).
-print_line = processes.say
+print_line = processes.print_line
 
 
 @attrs.frozen
--- a/benchmarks/capacity/tree.py
+++ b/benchmarks/capacity/tree.py
@@ -142,7 +142,7 @@
             requesting_micros = parts.time_call(
                 functools.partial(peer_codec.decode_answer, encoded_response)
             )
-            parts.say(
+            parts.print_line(
                 f"{engines} engines, {requesting_hosts} hosts that ask:"
                 f" question {len(encoded_request)} B,"
                 f" answer {len(encoded_response)} B;"
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -67,7 +67,9 @@
         deployment = large_deployment.at_design_scale(deployment)
         scenario = scenarios.Scenario(size, WIDE_SECONDS)
     elif size == "today-busy":
-        plain_load = BUSY_FRACTION * scenarios.half_load_factor(deployment) / BUSY_LOAD
+        plain_load = (
+            BUSY_FRACTION * scenarios.half_load_factor(deployment) / BUSY_LOAD
+        )
         scenario = attrs.evolve(
             scenario,
             load=BUSY_LOAD,
--- a/benchmarks/promises.py
+++ b/benchmarks/promises.py
@@ -146,7 +146,10 @@
     bills_on_log = history.events_of(events.Billed)
     billed = {(bill.account, bill.request_id) for bill in bills_on_log}
     completed = {
-        (history.requests_by_call[response.call_id].account, response.request_id)
+        (
+            history.requests_by_call[response.call_id].account,
+            response.request_id,
+        )
         for response in responses
         if response.whole
     }
--- a/tests/docs/docs_blocks.py
+++ b/tests/docs/docs_blocks.py
@@ -150,7 +150,7 @@
 )
 
 
-def fill(text: str, name: str, block: str) -> str:
+def fill_block(text: str, name: str, block: str) -> str:
     """Returns the page text with ``block`` between the markers ``name``."""
     pattern = re.compile(_BLOCK.format(name=re.escape(name)), re.DOTALL)
     filled, count = pattern.subn(
@@ -165,7 +165,7 @@
     """Writes each generated table into its page."""
     for page, name, render in BLOCKS:
         path = DOCS / page
-        path.write_text(fill(path.read_text(), name, render()))
+        path.write_text(fill_block(path.read_text(), name, render()))
 
 
 if __name__ == "__main__":
--- a/tests/docs/test_docs_in_step.py
+++ b/tests/docs/test_docs_generated_tables.py
@@ -25,7 +25,7 @@
 ) -> None:
     text = (docs_blocks.DOCS / page).read_text()
     assertions.assert_that(
-        text, matchers.Equals(docs_blocks.fill(text, name, render()))
+        text, matchers.Equals(docs_blocks.fill_block(text, name, render()))
     )
 
 
