--- a/benchmarks/capacity/console.py
+++ b/benchmarks/capacity/console.py
@@ -105,9 +105,9 @@
     async def start(self) -> None:
         """Starts to listen and lists the hosts."""
         application = web.Application(client_max_size=1 << 24)
-        fault_registry = fault_registry.FaultRegistry()
-        log_standin.LogStandin(fault_registry).add_routes(application)
-        host_list = hosts_standin.HostListStandin(fault_registry)
+        registry = fault_registry.FaultRegistry()
+        log_standin.LogStandin(registry).add_routes(application)
+        host_list = hosts_standin.HostListStandin(registry)
         host_list.add_routes(application)
         application.router.add_get("/status", self._status)
         self._runner = web.AppRunner(application)
@@ -155,7 +155,8 @@
         wall_seconds.append(elapsed)
         peak_bytes = max(peak_bytes, memory)
     print_line(
-        f"{name}: {deployment_lib.format_range(cpu_seconds)} s of processor time, "
+        f"{name}: {deployment_lib.format_range(cpu_seconds)} s of processor "
+        "time, "
         f"{deployment_lib.format_range(wall_seconds)} s in all, "
         f"peak {peak_bytes / _MIB:.0f} MiB"
     )
--- a/benchmarks/capacity/followers.py
+++ b/benchmarks/capacity/followers.py
@@ -159,7 +159,7 @@
         first_number = 0
         for rate in RATES:
             deployment.reset_meters()
-            core_fractions, count = [], 0
+            core_shares, count = [], 0
             for _ in range(ROUNDS):
                 cpu_before = [
                     entry.usage().seconds for entry in deployment.entries
@@ -173,9 +173,7 @@
                         deployment.entries, cpu_before, strict=True
                     )
                 ]
-                core_fractions.append(
-                    statistics.mean(cpu_seconds) / ROUND_SECONDS
-                )
+                core_shares.append(statistics.mean(cpu_seconds) / ROUND_SECONDS)
             first_number += count
             seconds = ROUNDS * ROUND_SECONDS * len(deployment.entries)
             traffic = deployment.traffic()[source.traffic_class]
@@ -183,22 +181,22 @@
             if not rate:
                 idle_bytes, idle_core_fraction = (
                     bytes_per_second,
-                    statistics.mean(core_fractions),
+                    statistics.mean(core_shares),
                 )
             line = (
                 f"{name}: {rate}/s: "
-                f"{deployment_lib.format_range([c * 100 for c in core_fractions])}%"
+                f"{deployment_lib.format_range([c * 100 for c in core_shares])}%"
                 " of a core,"
                 f" {traffic.requests / seconds:.1f} reads/s,"
                 f" {bytes_per_second / 1000:.2f} KB/s"
             )
             if rate:
                 micros_per_record = [
-                    (c - idle_core_fraction) / rate * 1e6
-                    for c in core_fractions
+                    (c - idle_core_fraction) / rate * 1e6 for c in core_shares
                 ]
                 line += (
-                    f"; together {deployment_lib.format_range(micros_per_record)} us"
+                    "; together "
+                    f"{deployment_lib.format_range(micros_per_record)} us"
                     f" and {(bytes_per_second - idle_bytes) / rate:.0f}"
                     " bytes a record"
                 )
--- a/benchmarks/capacity/idle.py
+++ b/benchmarks/capacity/idle.py
@@ -50,7 +50,8 @@
         core_percents.append(statistics.mean(cpu_seconds) / ROUND_SECONDS * 100)
     resident = [entry.usage().resident / _MIB for entry in deployment.entries]
     print_line(
-        f"{name}: {deployment_lib.format_range(core_percents)}% of a core a host, "
+        f"{name}: {deployment_lib.format_range(core_percents)}% of a core a "
+        "host, "
         f"{statistics.mean(resident):.1f} MiB resident"
     )
     seconds = ROUNDS * ROUND_SECONDS * hosts
--- a/benchmarks/capacity/processes.py
+++ b/benchmarks/capacity/processes.py
@@ -103,7 +103,7 @@
 
         Args:
             words: Name of the program and its arguments.
-            tells: Whether to wait for the line with its address.
+            has_address: Whether to wait for the line with its address.
         """
         process = await asyncio.create_subprocess_exec(
             str(_SCRIPTS / words[0]),
--- a/benchmarks/capacity/serve.py
+++ b/benchmarks/capacity/serve.py
@@ -258,7 +258,8 @@
                 )
             print_line(
                 f"rate: {rate}/s of 128 tokens: "
-                f"{deployment_lib.format_range(micros)} us a token; first token p95 "
+                f"{deployment_lib.format_range(micros)} us a token; first token "
+                "p95 "
                 f"{statistics.quantiles(results.first_token_ms, n=20)[18]:.1f}"
                 " ms, gap p95 "
                 f"{statistics.quantiles(results.token_gap_ms, n=20)[18]:.1f}"
