--- a/tests/soak/conftest.py
+++ b/tests/soak/conftest.py
@@ -1,3 +1,3 @@
-"""The soak's modules stand beside its test."""
+"""Puts the modules of the soak test on the import path."""
 
 from __future__ import annotations
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,12 +1,12 @@
-"""A randomized soak of real relays, with faults from outside them.
+"""Randomized soak test of relay processes under external faults.
 
     python tests/soak/soak.py --seeds 1 2 3 --seconds 20
 
-It starts a store, backend servers and relays as processes, sends requests
-over kept connections, and stops, pauses, kills and restarts relays, harms
-links and the store, by a schedule that the seed gives. At the end it checks
-the promises from what callers and backend servers saw, and prints each one
-that was broken with the seed.
+The soak starts a store, backend servers and relays as processes and sends
+requests over persistent connections. Meanwhile it stops, pauses, kills and
+restarts relays and injects faults into the links and the store. The seed
+determines the schedule. At the end it checks the invariants against what
+callers and backend servers observed and prints every violation.
 """
 
 from __future__ import annotations
@@ -33,36 +33,36 @@
     from collections.abc import Awaitable, Callable
 
 CALLERS = 12
-PAUSE = (0.02, 0.2)  # Seconds between two requests of a caller.
-FAULT_PAUSE = (0.3, 2.5)  # Seconds between two faults.
-FAULT_TIME = (0.5, 3.0)  # Seconds that a fault lasts.
-REWIND_AWAY = (0.0, 2.0)  # Seconds until the store comes back from a copy.
-REWIND_AGE = (0.2, 9.0)  # Seconds since that copy was made.
-CALM = 8.0  # Seconds without faults at the end.
-RECOVERED = 6.0  # Seconds of these after which requests must be served.
+REQUEST_INTERVAL_RANGE = (0.02, 0.2)  # Seconds, for each caller.
+FAULT_INTERVAL_RANGE = (0.3, 2.5)  # Seconds.
+FAULT_DURATION_RANGE = (0.5, 3.0)  # Seconds.
+RESTORE_DOWNTIME_RANGE = (0.0, 2.0)  # Seconds until the store is restored.
+RESTORED_COPY_AGE_RANGE = (0.2, 9.0)  # Seconds.
+QUIET_SECONDS = 8.0  # Phase without faults at the end.
+RECOVERY_SECONDS = 6.0  # Of the quiet phase; then requests must be served.
 DEADLINE_MS = 5000
-REVOKE_AT = 0.4  # Part of the time after which a key is taken away.
-CRASH_PAUSE = (0.5, 4.0)  # Seconds between two tries of what ends servers.
-BACK_AFTER = 0.5  # Seconds until a backend server that ended is started again.
-MOST_CRASHES = 3  # Tries that may reach servers when all is calm.
-NOT_KNOWN = frozenset({401, 403, 404})
-NOT_RUN = frozenset({408, 421, 429, 503})
+REVOKE_AT_FRACTION = 0.4  # Of the fault phase; then a key is revoked.
+CRASH_INTERVAL_RANGE = (0.5, 4.0)  # Seconds between crash requests.
+RESTART_DELAY = 0.5  # Seconds until an ended backend server is restarted.
+MAX_QUIET_CRASHES = 3  # Crash requests that may reach servers after recovery.
+CONFIGURATION_REFUSALS = frozenset({401, 403, 404})
+NOT_EXECUTED = frozenset({408, 421, 429, 503})
 
 
 @attrs.define
 class Call:
-    """One request of a caller, and what it saw.
+    """One request of a caller and the response that it received.
 
     Attributes:
-        request_id: Its id.
+        request_id: Id of the request.
         kind: Name of the route.
-        key: The key it was sent with.
-        sent_at: Steady time at which it was sent.
+        key: API key of the request.
+        sent_at: Monotonic time at which the request was sent.
         relay: Name of the relay.
-        status: Status of the answer; 0 without one.
-        is_whole: Whether the answer ended as it should.
-        body: What came of the answer.
-        ended_at: Steady time of its end.
+        status: Status of the response; 0 without one.
+        is_whole: Whether the response was received completely.
+        body: Received bytes of the response.
+        ended_at: Monotonic time at which the exchange ended.
     """
 
     request_id: str
@@ -78,7 +78,14 @@
 
 @attrs.define
 class Span:
-    """Time in which something was disturbed."""
+    """Period in which a fault may affect requests.
+
+    Attributes:
+        relay: Name of the affected relay, or ``all``.
+        what: Kind of fault.
+        first: Monotonic time of its start.
+        last: Monotonic time of its end.
+    """
 
     relay: str
     what: str
@@ -87,7 +94,7 @@
 
 
 class Soak:
-    """One run with one seed."""
+    """One soak run with one seed."""
 
     def __init__(
         self, world: soak_world.World, seed: int, seconds: float
@@ -97,101 +104,101 @@
         self.spans: list[Span] = []
         self.stops: list[Span] = []
         self.revoked_at = float("inf")
-        self._draw = random.Random(seed)
-        self._seconds = seconds
+        self._random = random.Random(seed)
+        self._fault_seconds = seconds
         self._faulty = True
-        self._busy: set[str] = set()
+        self._reserved: set[str] = set()
         self.crashes = 0
 
     async def run(self) -> list[str]:
-        """Plays the run; returns what was broken."""
-        tasks = [asyncio.create_task(self._balance())]
-        await self._until_ready()
+        """Executes the run and returns the violations."""
+        tasks = [asyncio.create_task(self._poll_readiness())]
+        await self._await_rotation()
         tasks += [
-            asyncio.create_task(self._call_on(number))
+            asyncio.create_task(self._run_caller(number))
             for number in range(CALLERS)
         ]
-        tasks.append(asyncio.create_task(self._revoke()))
-        tasks.append(asyncio.create_task(self._crash()))
-        tasks.append(asyncio.create_task(self._restart_ended()))
-        await self._disturb()
-        calm_from = time.monotonic()
-        await asyncio.sleep(CALM)
+        tasks.append(asyncio.create_task(self._revoke_key()))
+        tasks.append(asyncio.create_task(self._send_crash_requests()))
+        tasks.append(asyncio.create_task(self._restart_ended_backends()))
+        await self._inject_faults()
+        quiet_since = time.monotonic()
+        await asyncio.sleep(QUIET_SECONDS)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        return self.broken(calm_from)
+        return self.find_violations(quiet_since)
 
-    async def _until_ready(self) -> None:
+    async def _await_rotation(self) -> None:
         async with asyncio.timeout(soak_world.START_TIMEOUT):
             while not any(relay.in_rotation for relay in self.world.relays):
                 await asyncio.sleep(0.1)
 
-    async def _balance(self) -> None:
-        """Asks each relay once a second, as the balancer does."""
+    async def _poll_readiness(self) -> None:
+        """Polls each relay once a second, as the load balancer does."""
         while True:
             for relay in self.world.relays:
                 status = await self.world.ask(f"http://{relay.ready}/")
                 relay.in_rotation = status == 200
             await asyncio.sleep(1.0)
 
-    async def _revoke(self) -> None:
-        await asyncio.sleep(self._seconds * REVOKE_AT)
+    async def _revoke_key(self) -> None:
+        await asyncio.sleep(self._fault_seconds * REVOKE_AT_FRACTION)
         manifest = soak_world.configuration(2, ["k1"])
         await self.world.put("keyed.op", "config", manifest)
         self.revoked_at = time.monotonic()
 
-    async def _crash(self) -> None:
-        """Sends a request that ends servers, at any relay, again and again."""
-        draw = random.Random(self._draw.random())
+    async def _send_crash_requests(self) -> None:
+        """Repeatedly sends a crash request to a random relay."""
+        rng = random.Random(self._random.random())
         async with aiohttp.ClientSession() as session:
             while True:
-                await asyncio.sleep(draw.uniform(*CRASH_PAUSE))
-                relay = draw.choice(self.world.relays)
+                await asyncio.sleep(rng.uniform(*CRASH_INTERVAL_RANGE))
+                relay = rng.choice(self.world.relays)
                 self.crashes += 1
                 call = Call(
                     f"crash.{self.crashes}", "stream", "k1", 0.0, relay.listen
                 )
                 await self._send(session, call, relay, soak_backend.CRASH_PATH)
 
-    async def _restart_ended(self) -> None:
-        """Starts backend servers again that have ended by themselves."""
+    async def _restart_ended_backends(self) -> None:
+        """Restarts backend servers that crashed or exited."""
         while True:
             await asyncio.sleep(0.1)
             for backend in self.world.backends:
                 assert backend.process is not None
-                if backend.process.poll() is None or not self._take(
+                if backend.process.poll() is None or not self._reserve(
                     backend.name
                 ):
                     continue
-                span = self._span("all", "crash")
-                span.first -= 0.5  # It was noticed late.
-                await asyncio.sleep(BACK_AFTER)
+                span = self._open_span("all", "crash")
+                span.first -= 0.5  # Polling detects the end with a delay.
+                await asyncio.sleep(RESTART_DELAY)
                 backend.start()
                 span.last = time.monotonic() + 1.0
-                self._busy.discard(backend.name)
+                self._reserved.discard(backend.name)
 
-    async def _call_on(self, number: int) -> None:
-        """Sends requests one after the other, on connections that are kept."""
-        draw = random.Random(self._draw.random())
+    async def _run_caller(self, number: int) -> None:
+        """Sends sequential requests over persistent connections."""
+        rng = random.Random(self._random.random())
         count = 0
         async with aiohttp.ClientSession() as session:
             while True:
                 relays = [r for r in self.world.relays if r.in_rotation]
-                relay = draw.choice(relays or self.world.relays)
+                relay = rng.choice(relays or self.world.relays)
                 count += 1
-                await self._call(session, relay, f"c{number}.{count}", draw)
-                await asyncio.sleep(draw.uniform(*PAUSE))
+                await self._call(session, relay, f"c{number}.{count}", rng)
+                await asyncio.sleep(rng.uniform(*REQUEST_INTERVAL_RANGE))
 
     async def _call(
         self,
         session: aiohttp.ClientSession,
         relay: soak_world.RelayHost,
         request_id: str,
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
-        kind = draw.choice(["once", "again", "stream"])
-        key = draw.choice(["k1", "k1", "k2"])
+        kind = rng.choice(["once", "again", "stream"])
+        key = rng.choice(["k1", "k1", "k2"])
         call = Call(request_id, kind, key, time.monotonic(), relay.program.name)
         self.calls.append(call)
         await self._send(session, call, relay, f"/{kind}/x")
@@ -214,50 +221,50 @@
         try:
             async with session.post(
                 url, headers=headers, data=b"body", timeout=timeout
-            ) as reply:
-                call.status = reply.status
-                async for data in reply.content.iter_any():
+            ) as response:
+                call.status = response.status
+                async for data in response.content.iter_any():
                     call.body += data
                 call.is_whole = True
         except (aiohttp.ClientError, TimeoutError):
             call.is_whole = False
         call.ended_at = time.monotonic()
 
-    async def _disturb(self) -> None:
-        end = time.monotonic() + self._seconds
+    async def _inject_faults(self) -> None:
+        end = time.monotonic() + self._fault_seconds
         faults: list[Callable[[], Awaitable[None]]] = [
             self._stop_relay,
             self._kill_relay,
             self._pause_relay,
-            self._hang_up_relays,
-            self._harm_backend_link,
-            self._harm_store_link,
-            self._harm_store,
-            self._rewind_store,
+            self._reload_relays,
+            self._disrupt_backend_link,
+            self._disrupt_store_link,
+            self._disrupt_store,
+            self._restore_older_store,
             self._kill_backend,
         ]
         running: set[asyncio.Task[None]] = set()
         while time.monotonic() < end:
-            fault = self._draw.choice(faults)
-            running.add(asyncio.create_task(_as_task(fault)))
-            await asyncio.sleep(self._draw.uniform(*FAULT_PAUSE))
+            fault = self._random.choice(faults)
+            running.add(asyncio.create_task(_run_fault(fault)))
+            await asyncio.sleep(self._random.uniform(*FAULT_INTERVAL_RANGE))
         await asyncio.gather(*running)
 
-    def _span(self, relay: str, what: str) -> Span:
+    def _open_span(self, relay: str, what: str) -> Span:
         span = Span(relay, what, time.monotonic())
         self.spans.append(span)
         return span
 
-    def _take(self, name: str) -> bool:
-        """Keeps two faults from the same process; others overlap."""
-        if name in self._busy:
+    def _reserve(self, name: str) -> bool:
+        """Reserves a process, so that it has one fault at a time."""
+        if name in self._reserved:
             return False
-        self._busy.add(name)
+        self._reserved.add(name)
         return True
 
     async def _stop_relay(self) -> None:
-        relay = self._draw.choice(self.world.relays)
-        if not self._take(relay.program.name):
+        relay = self._random.choice(self.world.relays)
+        if not self._reserve(relay.program.name):
             return
         stop = Span(relay.program.name, "stop", time.monotonic())
         self.stops.append(stop)
@@ -266,92 +273,96 @@
         relay.program.start()
         stop.last = time.monotonic()
         await asyncio.sleep(1.0)
-        self._busy.discard(relay.program.name)
+        self._reserved.discard(relay.program.name)
 
-    async def _hang_up_relays(self) -> None:
-        """Tells relays to look at their settings; it must cut nothing."""
+    async def _reload_relays(self) -> None:
+        """Makes relays reload their settings, which must abort no request."""
         for relay in self.world.relays:
             relay.program.send(signal.SIGHUP)
 
     async def _kill_relay(self) -> None:
-        relay = self._draw.choice(self.world.relays)
-        if not self._take(relay.program.name):
+        relay = self._random.choice(self.world.relays)
+        if not self._reserve(relay.program.name):
             return
-        span = self._span(relay.program.name, "kill")
+        span = self._open_span(relay.program.name, "kill")
         relay.program.send(signal.SIGKILL)
         await relay.program.end(1.0)
-        await asyncio.sleep(self._draw.uniform(*FAULT_TIME))
+        await asyncio.sleep(self._random.uniform(*FAULT_DURATION_RANGE))
         relay.program.start()
         await asyncio.sleep(2.0)
         span.last = time.monotonic()
-        self._busy.discard(relay.program.name)
+        self._reserved.discard(relay.program.name)
 
     async def _pause_relay(self) -> None:
-        relay = self._draw.choice(self.world.relays)
-        if not self._take(relay.program.name):
+        relay = self._random.choice(self.world.relays)
+        if not self._reserve(relay.program.name):
             return
-        span = self._span(relay.program.name, "pause")
+        span = self._open_span(relay.program.name, "pause")
         relay.program.send(signal.SIGSTOP)
-        await asyncio.sleep(self._draw.uniform(0.5, 7.0))
+        await asyncio.sleep(self._random.uniform(0.5, 7.0))
         relay.program.send(signal.SIGCONT)
         await asyncio.sleep(1.0)
         span.last = time.monotonic()
-        self._busy.discard(relay.program.name)
+        self._reserved.discard(relay.program.name)
 
-    async def _harm_backend_link(self) -> None:
-        await self._harm(self._draw.choice(self.world.backend_links), "")
+    async def _disrupt_backend_link(self) -> None:
+        await self._disrupt_link(
+            self._random.choice(self.world.backend_links), ""
+        )
 
-    async def _harm_store_link(self) -> None:
-        relay = self._draw.choice(self.world.relays)
-        await self._harm(relay.store_link, relay.program.name)
+    async def _disrupt_store_link(self) -> None:
+        relay = self._random.choice(self.world.relays)
+        await self._disrupt_link(relay.store_link, relay.program.name)
 
-    async def _harm(self, link: soak_proxy.Proxy, relay: str) -> None:
-        fault = self._draw.choice(soak_proxy.FAULTS)
-        span = self._span(relay or "all", f"link {fault}")
+    async def _disrupt_link(self, link: soak_proxy.Proxy, relay: str) -> None:
+        fault = self._random.choice(soak_proxy.FAULTS)
+        span = self._open_span(relay or "all", f"link {fault}")
         link.harm(fault)
-        await asyncio.sleep(self._draw.uniform(*FAULT_TIME))
+        await asyncio.sleep(self._random.uniform(*FAULT_DURATION_RANGE))
         link.harm("")
         span.last = time.monotonic() + 1.0
 
-    async def _harm_store(self) -> None:
-        fault = self._draw.choice(["down", "silent", "slow", "lost", "forget"])
-        span = self._span("all", f"store {fault}")
+    async def _disrupt_store(self) -> None:
+        fault = self._random.choice(
+            ["down", "silent", "slow", "lost", "forget"]
+        )
+        span = self._open_span("all", f"store {fault}")
         await self.world.set_store_fault(fault)
-        await asyncio.sleep(self._draw.uniform(*FAULT_TIME))
+        await asyncio.sleep(self._random.uniform(*FAULT_DURATION_RANGE))
         await self.world.set_store_fault("")
         span.last = time.monotonic() + 1.0
 
-    async def _rewind_store(self) -> None:
-        """The store is away and comes back from an older copy of itself."""
-        span = self._span("all", "store rewind")
+    async def _restore_older_store(self) -> None:
+        """Takes the store down and restores it from an older copy."""
+        span = self._open_span("all", "store rewind")
         await self.world.set_store_fault("down")
-        await asyncio.sleep(self._draw.uniform(*REWIND_AWAY))
-        age = self._draw.uniform(*REWIND_AGE)
+        await asyncio.sleep(self._random.uniform(*RESTORE_DOWNTIME_RANGE))
+        age = self._random.uniform(*RESTORED_COPY_AGE_RANGE)
         await self.world.set_store_fault("rewind", seconds=f"{age:.3f}")
         span.last = time.monotonic() + 1.0
 
     async def _kill_backend(self) -> None:
-        backend = self._draw.choice(self.world.backends)
-        if not self._take(backend.name):
+        backend = self._random.choice(self.world.backends)
+        if not self._reserve(backend.name):
             return
-        span = self._span("all", "backend")
+        span = self._open_span("all", "backend")
         backend.send(signal.SIGKILL)
         await backend.end(1.0)
-        await asyncio.sleep(self._draw.uniform(*FAULT_TIME))
+        await asyncio.sleep(self._random.uniform(*FAULT_DURATION_RANGE))
         backend.start()
         span.last = time.monotonic() + 1.0
-        self._busy.discard(backend.name)
+        self._reserved.discard(backend.name)
 
-    def broken(self, calm_from: float) -> list[str]:
-        """Returns each promise that the run broke."""
+    def find_violations(self, quiet_since: float) -> list[str]:
+        """Returns each violation of an invariant."""
         runs: dict[str, list[dict[str, object]]] = collections.defaultdict(list)
         for run in self.world.runs():
             runs[str(run["run"])].append(run)
         known = {call.request_id: call for call in self.calls}
-        found = []
+        violations = []
         for call in self.calls:
-            found += self._check_call(call, runs.get(call.request_id, []))
-        found += soak_words.broken(
+            violations += self._check_call(call, runs.get(call.request_id, []))
+        violations += soak_words.broken(
             {call.request_id: call for call in self.calls},
             list(self.world.runs()),
             list(self.world.declined()),
@@ -360,32 +371,37 @@
         crashed = {name for name in runs if name.startswith("crash.")}
         late = sum(
             any(
-                float(str(run["at"])) > calm_from + RECOVERED
+                float(str(run["at"])) > quiet_since + RECOVERY_SECONDS
                 for run in runs[each]
             )
             for each in crashed
         )
-        if late > MOST_CRASHES:
-            found.append(f"{late} tries of what ends servers, when calm")
+        if late > MAX_QUIET_CRASHES:
+            violations.append(
+                f"{late} crash requests reached servers after recovery"
+            )
         for request_id in runs.keys() - known.keys() - crashed:
-            found.append(f"nobody asked for {request_id}, and it ran")
+            violations.append(f"{request_id} was executed and never requested")
         served = [
             call.status == 200
             for call in self.calls
             if call.key == "k1"
-            and call.sent_at > calm_from + RECOVERED
+            and call.sent_at > quiet_since + RECOVERY_SECONDS
             and call.ended_at
-            and not self._lacked_servers(call)
+            and not self._may_lack_servers(call)
         ]
         if not served or sum(served) < 0.9 * len(served):
-            found.append(f"{sum(served)} of {len(served)} served when calm")
-        return found
+            violations.append(
+                f"{sum(served)} of {len(served)} served after recovery"
+            )
+        return violations
 
-    def _lacked_servers(self, call: Call) -> bool:
-        """Returns whether what ends servers may have ended all of a call's.
+    def _may_lack_servers(self, call: Call) -> bool:
+        """Returns whether a crash may have left a request without servers.
 
-        A few tries of it may reach servers when all is calm, and one ends both
-        of the streams' servers: all who call then are refused, rightly.
+        A few crash requests may reach servers in the quiet phase. One of them
+        can end both servers of the streaming service, and requests during that
+        time are refused correctly.
         """
         return call.kind == "stream" and any(
             span.what == "crash" and span.first < call.sent_at < span.last
@@ -401,23 +417,28 @@
         is_once = call.kind == "once"
         whole = call.status == 200 and call.is_whole
         checks = {
-            "ran more than once": is_once and len(runs) > 1,
-            "was refused and ran": is_once and runs and call.status in NOT_RUN,
-            "got another answer": whole and call.body != _due(call),
-            "ran with a key taken away before": late and runs,
-            "was cut by a stop": self._was_cut_by_a_stop(call, runs),
-            "was refused as an older configuration says": call.key == "k1"
-            and call.status in NOT_KNOWN,
-            "ran as another account": any(
+            "was executed more than once": is_once and len(runs) > 1,
+            "was refused and executed": is_once
+            and runs
+            and call.status in NOT_EXECUTED,
+            "received an unexpected response": whole
+            and call.body != _expected_body(call),
+            "was executed with a revoked key": late and runs,
+            "was aborted by a graceful stop": self._was_aborted_by_stop(
+                call, runs
+            ),
+            "was refused by an outdated configuration": call.key == "k1"
+            and call.status in CONFIGURATION_REFUSALS,
+            "was executed for another account": any(
                 run["tenant"] != "farm" or run["key"] for run in runs
             ),
-            "got more time than its caller has": any(
+            "was executed with a deadline beyond its caller's": any(
                 int(str(run["left_ms"])) > DEADLINE_MS for run in runs
             ),
         }
         return [f"{name} {what}" for what, wrong in checks.items() if wrong]
 
-    def _was_cut_by_a_stop(
+    def _was_aborted_by_stop(
         self, call: Call, runs: list[dict[str, object]]
     ) -> bool:
         if call.is_whole or not runs or not call.ended_at:
@@ -430,7 +451,7 @@
         )
 
 
-def _due(call: Call) -> bytes:
+def _expected_body(call: Call) -> bytes:
     if call.kind != "stream":
         return soak_backend.body_of(call.request_id)
     return b"".join(
@@ -439,48 +460,50 @@
     )
 
 
-async def _as_task(fault: Callable[[], Awaitable[None]]) -> None:
+async def _run_fault(fault: Callable[[], Awaitable[None]]) -> None:
     await fault()
 
 
 async def play(
     seed: int, seconds: float, relays: int, folder: pathlib.Path
 ) -> list[str]:
-    """Plays one seed; returns what was broken."""
+    """Runs the soak with one seed and returns the violations."""
     async with aiohttp.ClientSession() as session:
         world = soak_world.World(folder, session)
         try:
             await world.start(relays)
             soak = Soak(world, seed, seconds)
-            found = await soak.run()
+            violations = await soak.run()
         finally:
             await world.stop()
     served = sum(call.status == 200 for call in soak.calls)
     sys.stdout.write(
-        f"seed {seed}: {len(soak.calls)} calls, {served} served,"
-        f" {len(soak.spans)} disturbances, {len(found)} broken\n"
+        f"seed {seed}: {len(soak.calls)} requests, {served} served,"
+        f" {len(soak.spans)} fault periods, {len(violations)} violations\n"
     )
     sys.stdout.flush()
-    return found
+    return violations
 
 
 def main() -> int:
-    """Plays the seeds of the command line; returns 1 if any broke."""
+    """Runs the seeds of the command line; returns 1 after a violation."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, nargs="+", required=True)
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--relays", type=int, default=3)
     parser.add_argument("--logs", type=pathlib.Path, default=None)
-    words = parser.parse_args()
+    arguments = parser.parse_args()
     failed = False
-    for seed in words.seeds:
-        folder = words.logs or pathlib.Path(tempfile.mkdtemp())
+    for seed in arguments.seeds:
+        folder = arguments.logs or pathlib.Path(tempfile.mkdtemp())
         folder = folder / f"seed-{seed}"
         folder.mkdir(parents=True, exist_ok=True)
-        found = asyncio.run(play(seed, words.seconds, words.relays, folder))
-        for line in found[:20]:
+        violations = asyncio.run(
+            play(seed, arguments.seconds, arguments.relays, folder)
+        )
+        for line in violations[:20]:
             sys.stdout.write(f"  {line}\n")
-        if found:
+        if violations:
             failed = True
             sys.stdout.write(f"  logs: {folder}\n")
     return int(failed)
--- a/tests/soak/soak_backend.py
+++ b/tests/soak/soak_backend.py
@@ -1,10 +1,10 @@
-"""A backend server of the soak, as a process of its own.
+"""A backend server of the soak, run as a separate process.
 
     python tests/soak/soak_backend.py ID SERVICE LISTEN LISTED STORE
 
-It lists itself in the store under the address LISTED, tells on standard
-output each run that it begins or declines, and answers with bytes that name
-the request.
+The server registers in the store under the address LISTED, writes a line to
+standard output for each request that it executes or declines, and sends
+responses that contain the request id.
 """
 
 from __future__ import annotations
@@ -18,65 +18,66 @@
 from aiohttp import web
 import orjson
 
-HEARTBEAT = 1.0  # Seconds between two entries.
-EVENTS = 5  # Of each stream.
-PAUSE = 0.04  # Seconds between two events.
-CRASH_PATH = "/stream/crash"  # A request that ends whoever runs it.
-WORK = 0.02  # Seconds of a plain request.
-POLL = 0.02  # Seconds between two looks at the clock.
-# What servers say of themselves, by the second of a period that all share. No
-# request ends a server of this service, and in each phase two of its three may
-# be used, so callers are to be served all the time once all is calm.
-PERIOD = 14.0
-LIMITED = "i-desk-1"  # Names a limit, and then what is none.
-RESTING = "i-desk-2"  # Turns all away and asks for rest.
-LEAVING = "i-desk-0"  # Says that it leaves, ends, and is started anew.
+HEARTBEAT_INTERVAL = 1.0  # Seconds between two registrations.
+EVENTS = 5  # Events of each stream.
+EVENT_INTERVAL = 0.04  # Seconds between two events of a stream.
+CRASH_PATH = "/stream/crash"  # Crashes the server that executes it.
+WORK_SECONDS = 0.02  # Execution time of a plain request.
+POLL_INTERVAL = 0.02  # Seconds.
+# Servers report a limit, a rest or a departure at fixed times of a cycle that
+# all of them share. No request crashes a server of this service, and in each
+# phase two of its three servers are eligible, so that requests can always be
+# served while there are no faults.
+CYCLE_SECONDS = 14.0
+LIMITED = "i-desk-1"  # Reports a valid and then an invalid limit.
+RESTING = "i-desk-2"  # Declines all requests and requests a rest.
+LEAVING = "i-desk-0"  # Announces its departure, exits and is restarted.
 LIMIT_PHASE = (0.0, 3.0)
-NO_LIMIT_PHASE = (3.0, 4.0)
+INVALID_LIMIT_PHASE = (3.0, 4.0)
 REST_PHASE = (4.5, 6.5)
 LEAVING_PHASE = (7.0, 11.0)
 LIMIT = "4.5"
-NO_LIMIT = "soon"
+INVALID_LIMIT = "soon"
 
 _HEADERS = "Hoistmoor-Request-Id", "Hoistmoor-Tenant", "Hoistmoor-Deadline-Ms"
 
 
 def body_of(request_id: str) -> bytes:
-    """Returns the answer to a plain request."""
+    """Returns the response body of a plain request."""
     return f"answer to {request_id}\n".encode() * 20
 
 
 def event_of(request_id: str, number: int) -> bytes:
-    """Returns one event of the answer to a stream."""
+    """Returns one event of a streamed response."""
     return f"id: {number}\ndata: {request_id} {number}\n\n".encode()
 
 
-def is_in(phase: tuple[float, float], now: float) -> bool:
-    """Returns whether a phase of the period is under way."""
+def is_in_phase(phase: tuple[float, float], now: float) -> bool:
+    """Returns whether a phase of the cycle is active at a time."""
     first, last = phase
-    return first <= now % PERIOD < last
+    return first <= now % CYCLE_SECONDS < last
 
 
-def words(server_id: str, now: float) -> dict[str, str]:
-    """Returns what a server says of itself in an answer."""
-    if server_id == LIMITED and is_in(LIMIT_PHASE, now):
+def report_headers(server_id: str, now: float) -> dict[str, str]:
+    """Returns the response headers in which a server reports its state."""
+    if server_id == LIMITED and is_in_phase(LIMIT_PHASE, now):
         return {"Server-Limit": LIMIT}
-    if server_id == LIMITED and is_in(NO_LIMIT_PHASE, now):
-        return {"Server-Limit": NO_LIMIT}
-    if server_id == LEAVING and is_in(LEAVING_PHASE, now):
+    if server_id == LIMITED and is_in_phase(INVALID_LIMIT_PHASE, now):
+        return {"Server-Limit": INVALID_LIMIT}
+    if server_id == LEAVING and is_in_phase(LEAVING_PHASE, now):
         return {"Server-Leaving": "1"}
     return {}
 
 
 class Backend:
-    """Runs requests and tells each on standard output."""
+    """Executes requests and records them on standard output."""
 
     def __init__(self, server_id: str) -> None:
         self.server_id = server_id
         self.born = int(time.time() * 1000)
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Runs one request."""
+        """Executes or declines one request."""
         request_id, tenant, left = (
             request.headers.get(name, "") for name in _HEADERS
         )
@@ -85,17 +86,17 @@
                 status=421, headers={"Hoistmoor-Request-Id": request_id}
             )
         now = time.monotonic()
-        rest = REST_PHASE[1] - now % PERIOD
-        rests = self.server_id == RESTING and is_in(REST_PHASE, now)
-        said = words(self.server_id, now)
-        self._tell(
+        rest = REST_PHASE[1] - now % CYCLE_SECONDS
+        rests = self.server_id == RESTING and is_in_phase(REST_PHASE, now)
+        reports = report_headers(self.server_id, now)
+        self._write_line(
             {
                 "declined" if rests else "run": request_id,
                 "at": now,
                 "server": self.server_id,
                 "born": self.born,
                 "rest": rest if rests else 0.0,
-                "says": list(said),
+                "says": list(reports),
                 "path": request.path,
                 "tenant": tenant,
                 "left_ms": left,
@@ -117,45 +118,45 @@
             "Hoistmoor-Request-Id": request_id,
             "Hoistmoor-Response-Signature": "soak",
             "Hoistmoor-Instance-Load": "1,0,8",
-            **said,
+            **reports,
         }
         if request.path.startswith("/stream/"):
             return await self._stream(request, request_id, headers)
-        await asyncio.sleep(WORK)
+        await asyncio.sleep(WORK_SECONDS)
         return web.Response(body=body_of(request_id), headers=headers)
 
-    def _tell(self, line: dict[str, object]) -> None:
+    def _write_line(self, line: dict[str, object]) -> None:
         sys.stdout.buffer.write(orjson.dumps(line) + b"\n")
         sys.stdout.buffer.flush()
 
-    async def end_as_said(self) -> None:
-        """Ends once it has said for a while that it leaves."""
-        while not is_in(LEAVING_PHASE, time.monotonic()):
-            await asyncio.sleep(POLL)
-        while is_in(LEAVING_PHASE, time.monotonic()):
-            await asyncio.sleep(POLL)
+    async def exit_after_departure(self) -> None:
+        """Exits at the end of the phase that announces the departure."""
+        while not is_in_phase(LEAVING_PHASE, time.monotonic()):
+            await asyncio.sleep(POLL_INTERVAL)
+        while is_in_phase(LEAVING_PHASE, time.monotonic()):
+            await asyncio.sleep(POLL_INTERVAL)
         os._exit(0)
 
     async def _stream(
         self, request: web.Request, request_id: str, headers: dict[str, str]
     ) -> web.StreamResponse:
         first = int(request.headers.get("Last-Event-Id", "0")) + 1
-        answer = web.StreamResponse(
+        response = web.StreamResponse(
             headers={**headers, "Content-Type": "text/event-stream"}
         )
-        answer.enable_chunked_encoding()
-        await answer.prepare(request)
+        response.enable_chunked_encoding()
+        await response.prepare(request)
         for number in range(first, EVENTS + 1):
-            await asyncio.sleep(PAUSE)
-            await answer.write(event_of(request_id, number))
-        await answer.write_eof()
-        return answer
+            await asyncio.sleep(EVENT_INTERVAL)
+            await response.write(event_of(request_id, number))
+        await response.write_eof()
+        return response
 
 
-async def keep_listed(
+async def keep_registered(
     server_id: str, service: str, listed: str, store: str, born: int
 ) -> None:
-    """Writes the entry again and again; the store may be away."""
+    """Registers the server periodically, also after failures of the store."""
     entry = orjson.dumps(
         {
             "service": service,
@@ -166,7 +167,7 @@
             "state": "ready",
             "warmup_left_ms": 0,
             "sequence": 1,
-            # Each start of a server is another server.
+            # Identifies the incarnation of the server.
             "born": born,
         }
     )
@@ -178,13 +179,15 @@
                 async with session.post(url, params=query, data=entry):
                     pass
             except aiohttp.ClientError as error:
-                sys.stderr.write(f"{server_id} is not listed: {error}\n")
-            await asyncio.sleep(HEARTBEAT)
+                sys.stderr.write(
+                    f"{server_id} could not be registered: {error}\n"
+                )
+            await asyncio.sleep(HEARTBEAT_INTERVAL)
 
 
-async def serve(words: list[str]) -> None:
-    """Serves until the process is ended."""
-    server_id, service, listen, listed, store = words
+async def serve(arguments: list[str]) -> None:
+    """Serves requests until the process ends."""
+    server_id, service, listen, listed, store = arguments
     ip, _, port = listen.rpartition(":")
     backend = Backend(server_id)
     runner = web.ServerRunner(
@@ -192,9 +195,9 @@
     )
     await runner.setup()
     await web.TCPSite(runner, ip, int(port)).start()
-    tasks = [keep_listed(server_id, service, listed, store, backend.born)]
+    tasks = [keep_registered(server_id, service, listed, store, backend.born)]
     if server_id == LEAVING:
-        tasks.append(backend.end_as_said())
+        tasks.append(backend.exit_after_departure())
     await asyncio.gather(*tasks)
 
 
--- a/tests/soak/soak_proxy.py
+++ b/tests/soak/soak_proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy between two processes, with faults that can be set."""
+"""A loopback TCP proxy with injectable faults."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 import attrs
 
-DELAY = 0.2  # Seconds that a delayed link holds bytes back.
+DELAY = 0.2  # Seconds by which a delayed link holds back data.
 _BLOCK = 65536
-_CALM, _DELAYED, _SILENT, _ONE_WAY, _RESET = (
+_NO_FAULT, _DELAYED, _SILENT, _ONE_WAY, _RESET = (
     "",
     "delay",
     "silent",
@@ -23,19 +23,19 @@
 
 @attrs.define(eq=False)
 class Proxy:
-    """Passes connections on to one address.
+    """Forwards connections to one address.
 
     Attributes:
-        target: ``ip:port``.
-        listen: ``ip:port``; set once it listens.
-        fault: What the link does now, see ``FAULTS``; empty for nothing.
+        target: ``ip:port`` that connections are forwarded to.
+        listen: ``ip:port`` of the proxy; empty until it listens.
+        fault: Active fault, one of ``FAULTS``; empty for none.
     """
 
     target: str
     listen: str = ""
-    fault: str = _CALM
+    fault: str = _NO_FAULT
     _server: asyncio.Server | None = None
-    _comeback: asyncio.Task[None] | None = None
+    _reopening: asyncio.Task[None] | None = None
     _writers: set[asyncio.StreamWriter] = attrs.field(factory=set)
 
     async def start(self) -> None:
@@ -45,16 +45,19 @@
         self.listen = f"{ip}:{port}"
 
     def harm(self, fault: str) -> None:
-        """Sets the fault; a reset strikes what is open, and then is over."""
-        self.fault = _CALM if fault == _RESET else fault
+        """Sets the active fault.
+
+        A reset affects the connections that are open now and does not last.
+        """
+        self.fault = _NO_FAULT if fault == _RESET else fault
         if fault == _RESET:
             for writer in tuple(self._writers):
                 _reset(writer)
 
     def close(self) -> None:
-        """Ends all connections."""
-        if self._comeback is not None:
-            self._comeback.cancel()
+        """Stops listening and aborts all connections."""
+        if self._reopening is not None:
+            self._reopening.cancel()
         if self._server is not None:
             self._server.close()
         for writer in tuple(self._writers):
@@ -65,55 +68,56 @@
     ) -> None:
         ip, _, port = self.target.rpartition(":")
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 ip, int(port)
             )
         except OSError:
             _reset(writer)
             return
-        self._writers |= {writer, far_writer}
+        self._writers |= {writer, target_writer}
         try:
             await asyncio.gather(
-                self._pass(reader, far_writer, is_answer=False),
-                self._pass(far_reader, writer, is_answer=True),
+                self._forward(reader, target_writer, is_response=False),
+                self._forward(target_reader, writer, is_response=True),
             )
         finally:
-            self._writers -= {writer, far_writer}
+            self._writers -= {writer, target_writer}
             writer.close()
-            far_writer.close()
+            target_writer.close()
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         *,
-        is_answer: bool,
+        is_response: bool,
     ) -> None:
         try:
             while data := await reader.read(_BLOCK):
-                await self._hold(is_answer)
+                await self._apply_fault(is_response)
                 writer.write(data)
                 await writer.drain()
-            if is_answer:
-                await self._refuse_while_away()
+            if is_response:
+                await self._close_while_target_is_down()
         except OSError:
-            if is_answer:
-                await self._refuse_while_away()
+            if is_response:
+                await self._close_while_target_is_down()
             _reset(writer)
             return
-        # A half-closed connection is not used by HTTP: end both halves.
+        # HTTP does not use half-closed connections, so both directions end.
         writer.close()
 
-    async def _refuse_while_away(self) -> None:
-        """Takes no connections while the target takes none, as it would."""
+    async def _close_while_target_is_down(self) -> None:
+        """Refuses connections while the target refuses them."""
         is_up = await self._is_target_up()
-        if self._server is None or is_up:  # Another connection may have been.
+        # Another connection may have stopped the listener meanwhile.
+        if self._server is None or is_up:
             return
         self._server.close()
         self._server = None
-        self._comeback = asyncio.create_task(self._come_back())
+        self._reopening = asyncio.create_task(self._reopen_with_target())
 
-    async def _come_back(self) -> None:
+    async def _reopen_with_target(self) -> None:
         while not await self._is_target_up():
             await asyncio.sleep(0.05)
         ip, _, port = self.listen.rpartition(":")
@@ -128,17 +132,17 @@
         writer.close()
         return True
 
-    async def _hold(self, is_answer: bool) -> None:
+    async def _apply_fault(self, is_response: bool) -> None:
         if self.fault == _DELAYED:
             await asyncio.sleep(DELAY)
-        while self.fault == _SILENT or (self.fault == _ONE_WAY and is_answer):
+        while self.fault == _SILENT or (self.fault == _ONE_WAY and is_response):
             await asyncio.sleep(0.05)
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    opened = writer.get_extra_info("socket")
+    connection = writer.get_extra_info("socket")
     with contextlib.suppress(OSError, AttributeError):
-        opened.setsockopt(
+        connection.setsockopt(
             socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
         )
     writer.transport.abort()
--- a/tests/soak/soak_words.py
+++ b/tests/soak/soak_words.py
@@ -1,7 +1,7 @@
-"""Checks that relays heeded what backend servers said of themselves.
+"""Checks that relays follow the reports of backend servers.
 
-What a relay did while it, a link or all was disturbed is left out: a word may
-not have reached it, or it may have started anew.
+Requests of a relay during a fault of the relay or of a link are not checked:
+the report may not have arrived, or the relay may have restarted since.
 """
 
 from __future__ import annotations
@@ -15,9 +15,10 @@
 
     Line = dict[str, Any]
 
-LEAVING_HEARD = 2.0  # Seconds until a relay must have heeded a word.
-REST_HEARD = 0.5
-MOST_IN_REST = 2  # Requests that may reach a server in its rest.
+# Seconds until a relay must follow a departure and a requested rest.
+LEAVING_DELAY = 2.0
+REST_DELAY = 0.5
+MAX_REQUESTS_IN_REST = 2
 
 
 def broken(
@@ -26,76 +27,78 @@
     declined: list[Line],
     spans: list[soak.Span],
 ) -> list[str]:
-    """Returns each promise to a server that a relay broke.
+    """Returns each case of a relay ignoring the report of a server.
 
     Args:
-        calls: By the request's id.
-        runs: What backend servers ran.
-        declined: What they turned away.
-        spans: When a relay, a link or all was disturbed.
+        calls: Requests of callers by their ids.
+        runs: Executions on backend servers.
+        declined: Requests that backend servers declined.
+        spans: Periods of faults of relays and links.
     """
     return [
-        *_after_leaving(calls, runs, spans),
-        *_in_rests(calls, runs, declined, spans),
+        *_check_departures(calls, runs, spans),
+        *_check_rests(calls, runs, declined, spans),
     ]
 
 
-def _after_leaving(
+def _check_departures(
     calls: Mapping[str, soak.Call], runs: list[Line], spans: list[soak.Span]
 ) -> Iterable[str]:
-    passed_on: dict[tuple[str, str, int], float] = {}
+    announcements: dict[tuple[str, str, int], float] = {}
     for run in runs:
         call = calls.get(run["run"])
         if call is None or not (call.is_whole and call.status == 200):
             continue
         if "Server-Leaving" in run["says"]:
             key = (call.relay, run["server"], run["born"])
-            ended = passed_on.get(key, call.ended_at)
-            passed_on[key] = min(ended, call.ended_at)
+            ended = announcements.get(key, call.ended_at)
+            announcements[key] = min(ended, call.ended_at)
     for run in runs:
         call = calls.get(run["run"])
         if call is None:
             continue
-        said = passed_on.get((call.relay, run["server"], run["born"]))
-        if said is None or call.sent_at <= said + LEAVING_HEARD:
+        announced_at = announcements.get(
+            (call.relay, run["server"], run["born"])
+        )
+        if announced_at is None or call.sent_at <= announced_at + LEAVING_DELAY:
             continue
-        if not _disturbed(spans, call.relay, said, run["at"]):
+        if not _is_disturbed(spans, call.relay, announced_at, run["at"]):
             yield (
                 f"{call.request_id} reached {run['server']} from {call.relay},"
-                f" which had passed on {call.sent_at - said:.3f} s before that"
-                " it leaves"
+                f" {call.sent_at - announced_at:.3f} s after the relay"
+                " forwarded the server's departure"
             )
 
 
-def _in_rests(
+def _check_rests(
     calls: Mapping[str, soak.Call],
     runs: list[Line],
     declined: list[Line],
     spans: list[soak.Span],
 ) -> Iterable[str]:
-    arrived: dict[tuple[str, str], list[float]] = {}
+    arrivals: dict[tuple[str, str], list[float]] = {}
     for line in [*runs, *declined]:
         call = calls.get(line.get("run") or line["declined"])
         if call is not None:
             key = (call.relay, line["server"])
-            arrived.setdefault(key, []).append(line["at"])
+            arrivals.setdefault(key, []).append(line["at"])
     for line in declined:
         call = calls.get(line["declined"])
         if call is None:
             continue
-        first, last = line["at"] + REST_HEARD, line["at"] + line["rest"]
-        times = arrived[call.relay, line["server"]]
+        first, last = line["at"] + REST_DELAY, line["at"] + line["rest"]
+        times = arrivals[call.relay, line["server"]]
         count = sum(first < at < last for at in times)
-        if count > MOST_IN_REST and not _disturbed(
+        if count > MAX_REQUESTS_IN_REST and not _is_disturbed(
             spans, call.relay, line["at"], last
         ):
             yield (
-                f"{line['server']} asked {call.relay} for {line['rest']:.3f} s"
-                f" of rest and got {count} requests"
+                f"{line['server']} asked {call.relay} for a rest of"
+                f" {line['rest']:.3f} s and received {count} requests"
             )
 
 
-def _disturbed(
+def _is_disturbed(
     spans: list[soak.Span], relay: str, first: float, last: float
 ) -> bool:
     return any(
--- a/tests/soak/soak_world.py
+++ b/tests/soak/soak_world.py
@@ -1,4 +1,4 @@
-"""The processes of a soak: store, backend servers, relays, and their links."""
+"""Processes of a soak: the store, backend servers, relays and their links."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-HERE = pathlib.Path(__file__).parent
+_DIRECTORY = pathlib.Path(__file__).parent
 SERVICES = {"desk": 3, "llm": 2}
-START_TIMEOUT = 30.0  # Seconds; a busy machine starts slowly.
+START_TIMEOUT = 30.0  # Seconds; processes start slowly on a busy machine.
 REVOKE_MS = 5000
 GRACE_S = 8
 
 
-# Below the ports that the system gives to outgoing connections, so that none
-# of these takes a port between its choice and its use.
+# Lies below the ephemeral ports of the system, so that no outgoing connection
+# takes a port between its selection and its use.
 _PORTS = range(20000, 32000)
 _next_port = _PORTS.start + (os.getpid() * 40) % len(_PORTS)
 
 
 def free_ports(count: int) -> int:
-    """Returns the first of some ports in a row that nobody uses now."""
+    """Returns the first of several consecutive unused ports."""
     global _next_port  # noqa: PLW0603
     while True:
         first, _next_port = _next_port, _next_port + count
@@ -53,12 +53,12 @@
 
 
 def free_address() -> str:
-    """Returns an address of loopback that nobody uses now."""
+    """Returns an unused loopback address."""
     return f"127.0.0.1:{free_ports(1)}"
 
 
 def configuration(version: int, keys: list[str]) -> bytes:
-    """Returns a manifest with three routes and one tenant."""
+    """Returns a manifest with three routes and one client account."""
     shared: dict[str, Any] = {
         "host": "soak.example",
         "target_latency_ms": 500,
@@ -94,14 +94,14 @@
 
 @attrs.define(eq=False)
 class Program:
-    """One process that the soak started.
+    """One process of the soak.
 
     Attributes:
-        name: For people.
-        command: How it is started.
-        environment: Variables that it gets besides.
-        log: Where its output goes; all its runs append to it.
-        process: The process, once started.
+        name: Name in logs and schedules.
+        command: Command line.
+        environment: Additional environment variables.
+        log: Output file, shared by all incarnations of the process.
+        process: Current incarnation; None before the first start.
     """
 
     name: str
@@ -111,7 +111,7 @@
     process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Starts it, or starts it again."""
+        """Starts or restarts the process."""
         with self.log.open("ab") as output:
             self.process = subprocess.Popen(
                 self.command,
@@ -121,12 +121,12 @@
             )
 
     def send(self, number: signal.Signals) -> None:
-        """Sends a signal if it runs."""
+        """Sends a signal if the process is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     async def end(self, timeout: float) -> None:
-        """Waits for its end, and kills it if that takes too long."""
+        """Waits for the process to exit and kills it after a timeout."""
         assert self.process is not None
         loop = asyncio.get_running_loop()
         limit = loop.time() + timeout
@@ -139,14 +139,14 @@
 
 @attrs.define(eq=False)
 class RelayHost:
-    """A relay and the address at which callers reach it.
+    """A relay and its addresses.
 
     Attributes:
-        program: The process.
+        program: Process of the relay.
         listen: ``ip:port`` for callers.
-        ready: ``ip:port`` of the balancer's question.
-        store_link: Its way to the store.
-        in_rotation: Whether the balancer sends callers there.
+        ready: ``ip:port`` of the readiness check.
+        store_link: Proxy between the relay and the store.
+        in_rotation: Whether the load balancer sends requests to it.
     """
 
     program: Program
@@ -157,14 +157,14 @@
 
 
 class World:
-    """All processes of one run.
+    """All processes of one soak run.
 
     Attributes:
-        folder: Logs and settings.
-        relays: The relays.
-        backends: The backend servers.
-        backend_links: Ways from the relays to each backend server.
-        session: For calls of the soak itself.
+        folder: Directory of logs and settings.
+        relays: Relays.
+        backends: Backend servers.
+        backend_links: Proxies between the relays and each backend server.
+        session: HTTP session for requests of the soak itself.
     """
 
     def __init__(
@@ -180,7 +180,7 @@
             "store",
             [
                 sys.executable,
-                str(HERE.parent / "store_standin.py"),
+                str(_DIRECTORY.parent / "store_standin.py"),
                 self.store_address,
             ],
             folder / "store.log",
@@ -188,18 +188,18 @@
 
     @property
     def programs(self) -> list[Program]:
-        """All processes."""
+        """Store, backend servers and relays."""
         return [self._store, *self.backends, *(r.program for r in self.relays)]
 
     @property
     def links(self) -> list[soak_proxy.Proxy]:
-        """All links."""
+        """Links to the backend servers and to the store."""
         return [*self.backend_links, *(r.store_link for r in self.relays)]
 
     async def start(self, relays: int) -> None:
-        """Starts all processes and waits until each answers."""
+        """Starts all processes and waits until the store and relays respond."""
         self._store.start()
-        await self._until_answers(f"http://{self.store_address}/")
+        await self._await_response(f"http://{self.store_address}/")
         await self.put("keyed.op", "config", configuration(1, ["k1", "k2"]))
         for service, count in SERVICES.items():
             for number in range(count):
@@ -212,10 +212,10 @@
         listen = free_address()
         link = soak_proxy.Proxy(listen)
         await link.start()
-        words = [name, service, listen, link.listen, self.store_address]
+        arguments = [name, service, listen, link.listen, self.store_address]
         program = Program(
             name,
-            [sys.executable, str(HERE / "soak_backend.py"), *words],
+            [sys.executable, str(_DIRECTORY / "soak_backend.py"), *arguments],
             self.folder / f"{name}.log",
         )
         program.start()
@@ -252,52 +252,52 @@
         )
         program.start()
         self.relays.append(RelayHost(program, listen, ready, link))
-        await self._until_answers(f"http://{ready}/")
+        await self._await_response(f"http://{ready}/")
 
-    async def _until_answers(self, url: str) -> None:
+    async def _await_response(self, url: str) -> None:
         async with asyncio.timeout(START_TIMEOUT):
             while await self.ask(url) is None:
                 await asyncio.sleep(0.05)
 
     async def ask(self, url: str) -> int | None:
-        """Returns the status of a GET, or None without an answer."""
+        """Returns the status of a GET request, or None without a response."""
         try:
             timeout = aiohttp.ClientTimeout(total=0.8)
-            async with self.session.get(url, timeout=timeout) as reply:
-                return reply.status
+            async with self.session.get(url, timeout=timeout) as response:
+                return response.status
         except (aiohttp.ClientError, TimeoutError):
             return None
 
     async def put(self, topic: str, key: str, value: bytes) -> None:
-        """Writes to the store as an operator does."""
+        """Writes an entry to the store as an operator does."""
         query = {"topic": topic, "key": key}
         url = f"http://{self.store_address}/admin/put"
-        async with self.session.post(url, params=query, data=value) as reply:
-            reply.raise_for_status()
+        async with self.session.post(url, params=query, data=value) as response:
+            response.raise_for_status()
 
-    async def set_store_fault(self, fault: str, **words: str) -> None:
-        """Has the store misbehave, or behave again."""
+    async def set_store_fault(self, fault: str, **options: str) -> None:
+        """Sets the fault of the store; an empty one restores it."""
         url = f"http://{self.store_address}/admin/fault"
-        query = {"fault": fault, **words}
-        async with self.session.post(url, params=query) as reply:
-            reply.raise_for_status()
+        query = {"fault": fault, **options}
+        async with self.session.post(url, params=query) as response:
+            response.raise_for_status()
 
     def runs(self) -> Iterator[dict[str, Any]]:
-        """Yields each run that a backend server began."""
+        """Yields a line for each request that a backend server executed."""
         return self._lines(b'{"run"')
 
     def declined(self) -> Iterator[dict[str, Any]]:
-        """Yields each request that a backend server turned away."""
+        """Yields a line for each request that a backend server declined."""
         return self._lines(b'{"declined"')
 
-    def _lines(self, begin: bytes) -> Iterator[dict[str, Any]]:
+    def _lines(self, prefix: bytes) -> Iterator[dict[str, Any]]:
         for backend in self.backends:
             for line in backend.log.read_bytes().splitlines():
-                if line.startswith(begin):
+                if line.startswith(prefix):
                     yield orjson.loads(line)
 
     async def stop(self) -> None:
-        """Ends every process that was started here, by its id."""
+        """Kills every process of this run and closes the links."""
         for program in self.programs:
             program.send(signal.SIGCONT)
             program.send(signal.SIGKILL)
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded run of the soak, and the seeds that ever failed."""
+"""Runs a short soak with a fixed seed and with every seed that failed."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 if TYPE_CHECKING:
     import pathlib
 
-SECONDS = 5.0  # Of disturbances; calm follows.
+FAULT_PHASE_SECONDS = 5.0  # A phase without faults follows.
 
-# Each seed that ever failed, with its cause.
+# Seeds that failed in the past, each with its cause.
 REGRESSIONS: tuple[int, ...] = ()
 
 
@@ -22,5 +22,5 @@
 async def test_a_short_soak_breaks_nothing(
     tmp_path: pathlib.Path, seed: int
 ) -> None:
-    found = await soak.play(seed, SECONDS, 2, tmp_path)
-    assertions.assert_that(found, matchers.Equals([]))
+    violations = await soak.play(seed, FAULT_PHASE_SECONDS, 2, tmp_path)
+    assertions.assert_that(violations, matchers.Equals([]))
