--- a/tests/system/broken_entry.py
+++ b/tests/system/broken_entry.py
@@ -1,7 +1,8 @@
-"""Runs ``hoistmoor-entry`` with one mechanism taken out.
+"""Runs ``hoistmoor-entry`` with one mechanism disabled.
 
-The proofs are shown to fail first: each mutation removes what carries one
-promise, and the same check has to find it.
+Each mutation disables the mechanism behind one invariant, and the check of
+that invariant must then report a violation. This shows that the system tests
+can fail.
 """
 
 from __future__ import annotations
@@ -68,20 +69,20 @@
 
 
 def _sessions() -> None:
-    async def pin_for(
+    async def resolve_pin(
         self: Any, account: str, value: str, name: str, new: str
     ) -> session_affinity.SessionPin:
         return session_affinity.SessionPin(
             value or new, None, session_affinity.PinStatus.NEW, None
         )
 
-    async def remember(
+    async def pin_version(
         self: Any, account: str, session: str, name: str, version: str
     ) -> str:
         return version
 
-    session_affinity.SessionAffinity.resolve_pin = pin_for  # type: ignore[method-assign]
-    session_affinity.SessionAffinity.pin_version = remember  # type: ignore[method-assign]
+    session_affinity.SessionAffinity.resolve_pin = resolve_pin  # type: ignore[method-assign]
+    session_affinity.SessionAffinity.pin_version = pin_version  # type: ignore[method-assign]
 
 
 def _drain() -> None:
@@ -102,10 +103,10 @@
 
 
 def _freshness() -> None:
-    def judge(evidence: freshness.Evidence) -> freshness.Freshness:
+    def assess(evidence: freshness.Evidence) -> freshness.Freshness:
         return freshness.Freshness(True, freshness.Reason.LOG_HEARD)
 
-    freshness.assess = judge
+    freshness.assess = assess
 
 
 def _recheck() -> None:
--- a/tests/system/conftest.py
+++ b/tests/system/conftest.py
@@ -1,4 +1,4 @@
-"""A deployment for each test, ended with it."""
+"""Fixtures that start a deployment and a statsd listener for each test."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
     tmp_path: pathlib.Path,
 ) -> AsyncIterator[system_deployment.Deployment]:
     async with system_deployment.open_session() as session:
-        made = system_deployment.Deployment(session, tmp_path)
+        created = system_deployment.Deployment(session, tmp_path)
         try:
-            yield made
+            yield created
         finally:
-            await made.processes.end()
+            await created.processes.end()
 
 
 @pytest.fixture
 async def statsd() -> AsyncIterator[system_statsd.Statsd]:
-    """Listens on a port of the system's choice."""
+    """Yields a statsd listener on an ephemeral port."""
     loop = asyncio.get_running_loop()
     transport, protocol = await loop.create_datagram_endpoint(
         system_statsd.Statsd, local_addr=("127.0.0.1", 0)
--- a/tests/system/system_caller.py
+++ b/tests/system/system_caller.py
@@ -1,4 +1,4 @@
-"""A caller that records all it asked and all it was told."""
+"""A caller that records its requests and their responses."""
 
 from __future__ import annotations
 
@@ -14,32 +14,32 @@
 from hoistmoor.core import outcomes
 from hoistmoor.history import events
 
-_CHAT = "/v1/chat/completions"
-_DATA = b"data: "
+_CHAT_PATH = "/v1/chat/completions"
+_EVENT_PREFIX = b"data: "
 
 
 @attrs.define
 class Answer:
-    """What came back, as the caller saw it.
+    """A response as the caller received it.
 
     Attributes:
-        status: HTTP status; 0 where none came.
-        headers: Headers of the answer.
-        body: Bytes of the answer.
-        ended: Whether the body came to its end.
-        unreached: Whether no connection could be opened.
+        status: HTTP status; 0 without a response.
+        headers: Headers of the response.
+        body: Received bytes of the body.
+        is_complete: Whether the body was received completely.
+        connection_failed: Whether the connection could not be opened.
     """
 
     status: int = 0
     headers: dict[str, str] = attrs.field(factory=dict)
     body: bytes = b""
-    ended: bool = False
-    unreached: bool = False
+    is_complete: bool = False
+    connection_failed: bool = False
 
     @property
     def error(self) -> dict[str, Any]:
-        """The refusal in the answer, or an empty object."""
-        last = self.body.strip().rpartition(_DATA)[2]
+        """The refusal in the response, or an empty object."""
+        last = self.body.strip().rpartition(_EVENT_PREFIX)[2]
         try:
             parsed = orjson.loads(last)
         except orjson.JSONDecodeError:
@@ -49,28 +49,35 @@
 
     @property
     def frames(self) -> list[dict[str, Any]]:
-        """The chunks of a streamed answer."""
+        """The events of a streamed response."""
         payloads = [
-            line.removeprefix(_DATA)
+            line.removeprefix(_EVENT_PREFIX)
             for line in self.body.split(b"\n\n")
-            if line.startswith(_DATA) and b"[DONE]" not in line
+            if line.startswith(_EVENT_PREFIX) and b"[DONE]" not in line
         ]
         return [orjson.loads(payload) for payload in payloads]
 
 
 class Caller:
-    """Sends requests and keeps the history of them."""
+    """Sends requests and records them in a history.
+
+    Attributes:
+        session: HTTP session of the requests.
+        events: Recorded history.
+        answers: Responses by call id.
+        patience: Seconds after which the caller closes the connection.
+    """
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self.session = session
         self.events: list[events.Event] = []
-        self.answers: dict[int, Answer] = {}  # By call id.
-        self.patience = 30.0  # Seconds until it hangs up.
+        self.answers: dict[int, Answer] = {}
+        self.patience = 30.0
         self._call_ids = itertools.count(1)
         self._marks = itertools.count(1)
 
     def mark(self) -> str:
-        """Returns a text that no other request has."""
+        """Returns a unique text that identifies a request body."""
         return f"m{next(self._marks):06d}"
 
     async def confirm(
@@ -81,16 +88,22 @@
         account: str = system_table.ACCOUNT,
         deadline: float = 8.0,
     ) -> events.Told | None:
-        """Sends one confirm; returns the final word, or None for a cut."""
-        asked = self._ask(host, account, "POST /confirm", key, mark)
-        answer = await self._send(
+        """Sends one confirm call.
+
+        Returns:
+            The final response, or None without a complete one.
+        """
+        request = self._record_request(
+            host, account, "POST /confirm", key, mark
+        )
+        response = await self._send(
             host,
             "POST",
             "/v1/services/counter/confirm",
             {"id": mark},
             _headers(account, key, "", deadline),
         )
-        return self._record(asked, answer, _mark_of_call(answer))
+        return self._record_response(request, response, _echoed_mark(response))
 
     async def chat(
         self,
@@ -102,25 +115,31 @@
         deadline: float = 8.0,
         account: str = system_table.ACCOUNT,
     ) -> events.Told | None:
-        """Sends one streamed chat; returns the final word, or None."""
-        asked = self._ask(host, account, model, "", mark, session)
+        """Sends one streamed chat request.
+
+        Returns:
+            The final response, or None without a complete one.
+        """
+        request = self._record_request(host, account, model, "", mark, session)
         body = {
             "model": model,
             "stream": True,
             "messages": [{"role": "user", "content": f"question {mark}"}],
         }
         headers = _headers(account, "", header or session, deadline)
-        answer = await self._send(host, "POST", _CHAT, body, headers)
-        return self._record(asked, answer, "", own=_is_own(answer))
+        response = await self._send(host, "POST", _CHAT_PATH, body, headers)
+        return self._record_response(
+            request, response, "", own=_belongs_to_request(response)
+        )
 
     async def ticket(self, host: Any) -> str:
-        """Takes a ticket."""
-        answer = await self._send(
+        """Requests a ticket and returns it."""
+        response = await self._send(
             host, "POST", "/v1/tickets", None, _headers(system_table.ACCOUNT)
         )
-        return str(orjson.loads(answer.body)["ticket"])
+        return str(orjson.loads(response.body)["ticket"])
 
-    def _ask(
+    def _record_request(
         self,
         host: Any,
         account: str,
@@ -129,7 +148,7 @@
         mark: str,
         session: str = "",
     ) -> events.Asked:
-        asked = events.Asked(
+        request = events.Asked(
             next(self._call_ids),
             time.time(),
             host.name,
@@ -139,8 +158,8 @@
             mark,
             session,
         )
-        self.events.append(asked)
-        return asked
+        self.events.append(request)
+        return request
 
     async def _send(
         self,
@@ -150,7 +169,7 @@
         body: Any,
         headers: dict[str, str],
     ) -> Answer:
-        answer = Answer()
+        response = Answer()
         data = None if body is None else orjson.dumps(body)
         try:
             async with self.session.request(
@@ -159,49 +178,49 @@
                 data=data,
                 headers=headers,
                 timeout=aiohttp.ClientTimeout(total=self.patience),
-            ) as response:
-                answer.status = response.status
-                answer.headers = dict(response.headers)
-                async for piece in response.content.iter_any():
-                    answer.body += piece
-                answer.ended = True
+            ) as http_response:
+                response.status = http_response.status
+                response.headers = dict(http_response.headers)
+                async for chunk in http_response.content.iter_any():
+                    response.body += chunk
+                response.is_complete = True
         except aiohttp.ClientConnectorError:
-            answer.unreached = True
+            response.connection_failed = True
         except (aiohttp.ClientError, TimeoutError, OSError):
-            answer.ended = False
-        return answer
+            response.is_complete = False
+        return response
 
-    def _record(
+    def _record_response(
         self,
-        asked: events.Asked,
-        answer: Answer,
+        request: events.Asked,
+        response: Answer,
         mark: str,
         *,
         own: bool = True,
     ) -> events.Told | None:
-        self.answers[asked.call_id] = answer
-        if answer.unreached:
-            self.events.remove(asked)
+        self.answers[request.call_id] = response
+        if response.connection_failed:
+            self.events.remove(request)
             return None
-        if not answer.ended:
-            self.events.append(events.Cut(asked.call_id, time.time()))
+        if not response.is_complete:
+            self.events.append(events.Cut(request.call_id, time.time()))
             return None
-        error = answer.error
-        told = events.Told(
-            call_id=asked.call_id,
+        error = response.error
+        final = events.Told(
+            call_id=request.call_id,
             at=time.time(),
             outcome=outcomes.Outcome(error.get("outcome", "done")),
             key_outcome=error.get("key_outcome", ""),
             reason=error.get("type", ""),
-            request_id=answer.headers.get("X-Hoistmoor-Request-Id", ""),
-            version=answer.headers.get("X-Hoistmoor-Version", ""),
-            whole=not error and _has_end_mark(answer),
+            request_id=response.headers.get("X-Hoistmoor-Request-Id", ""),
+            version=response.headers.get("X-Hoistmoor-Version", ""),
+            whole=not error and _has_end_marker(response),
             mark=mark,
             own=own,
-            moved="X-Hoistmoor-Session-Moved" in answer.headers,
+            moved="X-Hoistmoor-Session-Moved" in response.headers,
         )
-        self.events.append(told)
-        return told
+        self.events.append(final)
+        return final
 
 
 def _headers(
@@ -218,27 +237,27 @@
     return headers
 
 
-def _mark_of_call(answer: Answer) -> str:
+def _echoed_mark(response: Answer) -> str:
     try:
-        parsed = orjson.loads(answer.body)
+        parsed = orjson.loads(response.body)
     except orjson.JSONDecodeError:
         return ""
     return str(parsed.get("id", ""))
 
 
-def _has_end_mark(answer: Answer) -> bool:
-    if "event-stream" not in answer.headers.get("Content-Type", ""):
+def _has_end_marker(response: Answer) -> bool:
+    if "event-stream" not in response.headers.get("Content-Type", ""):
         return True
-    return b"data: [DONE]" in answer.body
+    return b"data: [DONE]" in response.body
 
 
-def _is_own(answer: Answer) -> bool:
-    """Returns whether each frame names the request, and none is missing."""
-    if answer.error or not answer.frames:
+def _belongs_to_request(response: Answer) -> bool:
+    """Returns whether the stream is complete and of its own request."""
+    if response.error or not response.frames:
         return True
-    request_id = answer.headers.get("X-Hoistmoor-Request-Id", "")
-    for frame in answer.frames:
+    request_id = response.headers.get("X-Hoistmoor-Request-Id", "")
+    for frame in response.frames:
         if not frame["attempt_id"].startswith(f"{request_id}."):
             return False
-    usage = answer.frames[-1].get("usage") or {}
-    return usage.get("completion_tokens") == len(answer.frames) - 1
+    usage = response.frames[-1].get("usage") or {}
+    return usage.get("completion_tokens") == len(response.frames) - 1
--- a/tests/system/system_deployment.py
+++ b/tests/system/system_deployment.py
@@ -1,4 +1,4 @@
-"""A whole deployment of real processes, and the history of a run on it."""
+"""A deployment of processes and the history of a test run on it."""
 
 from __future__ import annotations
 
@@ -30,19 +30,20 @@
     import aiohttp
 
 PLATFORM = "platform"
-IN_FORCE_BOUND = 3.0  # Seconds, from the users' letter.
+IN_FORCE_BOUND = 3.0  # Seconds; a requirement of the users.
 
 
 class Deployment:
-    """Stand-ins, entry hosts, and callers that record what they see.
+    """Stand-ins, entry hosts and a caller that records its requests.
 
     Attributes:
-        processes: Every program.
+        processes: All processes.
         caller: Sends requests.
-        table: The newest table published.
-        crashed: Hosts that were killed.
-        entry_words: How an entry host is started.
-        entry_flags: More flags for it, by name; later ones count.
+        table: Latest published table.
+        crashed: Names of the killed hosts.
+        events: Events other than those of the caller.
+        entry_words: Command that starts an entry host.
+        entry_flags: Additional flags by host; they override the others.
     """
 
     def __init__(
@@ -59,7 +60,7 @@
         self._session = session
         self._logs = logs
 
-    # Set-up.
+    # Setup.
 
     async def start(
         self,
@@ -68,7 +69,14 @@
         counters: int = 2,
         platform: tuple[str, ...] = (),
     ) -> list[system_processes.Program]:
-        """Starts everything and returns the entry hosts, ready for work."""
+        """Starts all processes and returns the entry hosts once they serve.
+
+        Args:
+            hosts: Number of entry hosts.
+            engines: Number of engines.
+            counters: Number of counter servers.
+            platform: Additional flags of the platform.
+        """
         await self.processes.start(
             PLATFORM, "hoistmoor-standin", "platform", *platform
         )
@@ -106,7 +114,7 @@
         )  # fmt: skip
 
     async def start_entry(self, name: str) -> system_processes.Program:
-        """Starts an entry host and lists it."""
+        """Starts an entry host and adds it to the list of hosts."""
         number = int(name.rpartition("-")[2])
         domain = system_table.DOMAINS[number % len(system_table.DOMAINS)]
         program = await self.processes.start(
@@ -123,7 +131,7 @@
     async def list_host(
         self, program: system_processes.Program, domain: str
     ) -> None:
-        """Puts an entry host on the platform's list."""
+        """Adds an entry host to the list of hosts of the platform."""
         url = f"{self.program(PLATFORM).url}/hosts/{program.name}"
         row = {
             "address": program.address,
@@ -131,11 +139,11 @@
             "role": "entry",
             "incarnation": int(time.time() * 1000),
         }
-        async with self._session.put(url, json=row) as answer:
-            assert answer.status == 200, await answer.text()
+        async with self._session.put(url, json=row) as response:
+            assert response.status == 200, await response.text()
 
     async def list_backend(self, name: str, state: str) -> None:
-        """Puts a backend server, as it runs now, on the platform's list."""
+        """Adds the current incarnation of a backend server to the list."""
         program = self.program(name)
         load = await self.processes.get(f"{program.url}/load")
         row = {
@@ -146,14 +154,15 @@
             "incarnation": load["incarnation"],
         }
         url = f"{self.program(PLATFORM).url}/hosts/{name}"
-        async with self._session.put(url, json=row) as answer:
-            assert answer.status == 200, await answer.text()
+        async with self._session.put(url, json=row) as response:
+            assert response.status == 200, await response.text()
 
     async def await_ready(self, *hosts: system_processes.Program) -> None:
-        """Returns once each host takes new work."""
+        """Waits until each host accepts new requests."""
         for host in hosts:
             await system_processes.until(
-                lambda host=host: self._is_ready(host), f"{host.name} ready"
+                lambda host=host: self._is_ready(host),
+                f"{host.name} ready",
             )
 
     async def _is_ready(self, host: system_processes.Program) -> bool:
@@ -163,27 +172,28 @@
     async def _await_members(
         self, hosts: list[system_processes.Program]
     ) -> None:
-        async def all_known() -> bool:
+        async def all_joined() -> bool:
             statuses = [await self.status(host) for host in hosts]
             return all(
-                status and len(_alive(status)) == len(hosts)
+                status and len(_alive_hosts(status)) == len(hosts)
                 for status in statuses
             )
 
-        await system_processes.until(all_known, "all hosts know each other")
+        await system_processes.until(all_joined, "all hosts are members")
 
     async def _await_service(
         self, hosts: list[system_processes.Program]
     ) -> None:
-        """Returns once each host has answered; these requests are no part.
+        """Waits until each host has served a request.
 
-        On a busy machine the first load reports come late.
+        On a busy machine the first load reports arrive late. The requests sent
+        here are not recorded in the history.
         """
-        warming = system_caller.Caller(self._session)
+        unrecorded_caller = system_caller.Caller(self._session)
 
         async def serves(host: system_processes.Program) -> bool:
-            told = await warming.chat(host, "warm-up")
-            return told is not None and told.whole
+            response = await unrecorded_caller.chat(host, "warm-up")
+            return response is not None and response.whole
 
         for host in hosts:
             await system_processes.until(
@@ -191,18 +201,18 @@
             )
 
     def program(self, name: str) -> system_processes.Program:
-        """Returns a running program."""
+        """Returns the latest program of a name."""
         return self.processes.programs[name]
 
     async def status(self, host: system_processes.Program) -> Any:
-        """Returns a host's word on itself, or None."""
+        """Returns the status of a host, or None without a response."""
         return await self.processes.get(f"{host.url}/status")
 
     # Operators.
 
     @property
     def log(self) -> log.LogClient:
-        """A client of the log."""
+        """A new client of the log."""
         return log.LogClient(self._session, self.program(PLATFORM).url)
 
     async def publish(
@@ -211,12 +221,13 @@
         base: model.Table | None = None,
         base_revision: int | None = None,
     ) -> int:
-        """Appends the edit that makes ``table``; returns its revision.
+        """Appends the edit that produces a table and returns its revision.
 
         Args:
-            table: What the operator wants.
-            base: What the operator started from; None for the newest.
-            base_revision: Offset of the last record the operator had seen.
+            table: Table after the edit.
+            base: Table that the edit is based on; None for the latest.
+            base_revision: Offset of the last record that the operator read;
+                None for the latest.
         """
         bounds = await self.log.bounds(streams.TABLE)
         seen = bounds.next - 1 if base_revision is None else base_revision
@@ -232,14 +243,18 @@
         self.events.append(
             events.Accepted(time.time(), revision, IN_FORCE_BOUND)
         )
-        self._note_rights(table, revision, before)
+        self._record_rights(table, revision, before)
         self.table = table
         return revision
 
-    def _note_rights(
+    def _record_rights(
         self, table: model.Table, revision: int, before: float
     ) -> None:
-        """Records what the edit allows from now, and forbids soon."""
+        """Records the rights and versions that an edit changes.
+
+        New rights apply immediately; removed rights and withdrawn versions may
+        be used until the edit must be in force.
+        """
         due = time.time() + IN_FORCE_BOUND
         old, new = _rights(self.table), _rights(table)
         self.events += [
@@ -258,7 +273,7 @@
     async def await_revision(
         self, revision: int, *hosts: system_processes.Program
     ) -> float:
-        """Returns when each host had a revision in force."""
+        """Waits until each host has a revision in force; returns the time."""
         for host in hosts:
             await system_processes.until(
                 lambda host=host: self._has_revision(host, revision),
@@ -282,22 +297,22 @@
         )
         return bool(status["table_revision"] >= revision)
 
-    # Failures.
+    # Faults.
 
     async def kill(self, host: system_processes.Program) -> None:
-        """Ends a host at once."""
+        """Kills a host."""
         self.crashed.add(host.name)
         await host.kill()
 
     async def stop(self, host: system_processes.Program) -> None:
-        """Asks a host to stop gracefully."""
+        """Requests a graceful stop of a host."""
         self.events.append(events.StopAsked(time.time(), host.name))
         host.ask_to_stop()
 
     async def replace_counter(self, name: str) -> system_processes.Program:
-        """Kills a counter and starts another at its address.
+        """Kills a counter server and starts another at its address.
 
-        What the old one ran stays in the history. The new one has the same
+        Executions of the old one stay in the history. The new one has the same
         name and a later incarnation.
         """
         old = self.program(name)
@@ -314,7 +329,13 @@
         holds: Callable[[Any], bool],
         what: str,
     ) -> None:
-        """Returns once what each host says of itself fulfils ``holds``."""
+        """Waits until the status of each host satisfies a condition.
+
+        Args:
+            hosts: Hosts to query.
+            holds: Condition on the status.
+            what: Describes the condition in the error of a timeout.
+        """
 
         async def met() -> bool:
             statuses = [await self.status(host) for host in hosts]
@@ -322,18 +343,18 @@
 
         await system_processes.until(met, what)
 
-    # The verdict.
+    # History checks.
 
     async def history(self) -> events.History:
-        """Returns the whole history, bills and runs read at the end."""
+        """Returns the complete history, including bills and executions."""
         await self.await_bills()
-        gathered = [*self.events, *self.caller.events]
-        gathered += await self._runs()
-        gathered += await self._bills()
-        return events.History(tuple(gathered))
+        recorded = [*self.events, *self.caller.events]
+        recorded += await self._runs()
+        recorded += await self._bills()
+        return events.History(tuple(recorded))
 
     async def violations(self) -> tuple[events.Violation, ...]:
-        """Returns every promise that the run broke; keeps what broke one."""
+        """Returns the violations of the history, which is saved for them."""
         history = await self.history()
         found = checker.check(
             history, system_table.ONCE_ITEMS, frozenset(self.crashed)
@@ -344,15 +365,15 @@
         return found
 
     async def await_bills(self) -> None:
-        """Waits until each whole answer has its bill on the log.
+        """Waits until the log has a bill for each complete response.
 
-        A bill that never comes is for the check to report, so that the wait
-        ends where the stream has stood still for a while.
+        The wait ends without an error after 200 polls, because the check
+        reports missing bills.
         """
         wanted = {
-            told.request_id
-            for told in self.caller.events
-            if isinstance(told, events.Told) and told.whole
+            response.request_id
+            for response in self.caller.events
+            if isinstance(response, events.Told) and response.whole
         }
         for _ in range(200):
             found = {bill.request_id for bill in await self._bills()}
@@ -368,12 +389,12 @@
         return found
 
     async def runs_of(self, name: str) -> list[events.Ran]:
-        """Returns what a backend server has run since it started."""
+        """Returns the executions of the current incarnation of a server."""
         found: list[events.Ran] = []
         while True:
             url = f"{self.program(name).url}/_executions?since={len(found)}"
             page = await self.processes.get(url)
-            found += [_ran(name, row) for row in page["executions"]]
+            found += [_execution_event(name, row) for row in page["executions"]]
             if not page["executions"]:
                 return found
 
@@ -384,13 +405,13 @@
         while offset < bounds.next:
             page = await self.log.read(streams.BILLS, offset)
             for record in page.records:
-                found += _billed(record)
+                found += _bill_events(record)
             offset = page.records[-1].offset + 1
         return found
 
 
 def _rights(table: model.Table) -> set[tuple[str, str]]:
-    """Returns which accounts may use which items, as runs name them."""
+    """Returns pairs of an account and an item that it may use."""
     found = {
         (account, version.key)
         for account in table.accounts
@@ -412,11 +433,11 @@
     }
 
 
-def _alive(status: Any) -> list[Any]:
+def _alive_hosts(status: Any) -> list[Any]:
     return [host for host in status["hosts"] if host["state"] == "alive"]
 
 
-def _ran(server: str, row: dict[str, Any]) -> events.Ran:
+def _execution_event(server: str, row: dict[str, Any]) -> events.Ran:
     is_engine = server.startswith("engine-")
     subject = row["subject"]
     return events.Ran(
@@ -425,16 +446,16 @@
         item=subject if is_engine else f"{row['method']} {row['path']}",
         attempt_id=row["attempt_id"],
         key=row["idempotency_key"],
-        mark="" if is_engine else _mark_in(subject),
+        mark="" if is_engine else _mark_of(subject),
         done=row["state"] == "done",
     )
 
 
-def _mark_in(body: str) -> str:
+def _mark_of(body: str) -> str:
     return body.partition('"id":"')[2].partition('"')[0]
 
 
-def _billed(record: log.LogRecord) -> list[events.Billed]:
+def _bill_events(record: log.LogRecord) -> list[events.Billed]:
     try:
         batch = codec.decode(record.payload)
     except errors.CodecError:
@@ -448,5 +469,5 @@
 
 
 def open_session() -> aiohttp.ClientSession:
-    """Returns a session for callers."""
+    """Returns an HTTP session for callers."""
     return sessions.make_session(total_timeout=30.0)
--- a/tests/system/system_links.py
+++ b/tests/system/system_links.py
@@ -1,22 +1,22 @@
-"""Forwards the connections between entry hosts, and cuts them."""
+"""Proxies that forward and abort the connections between entry hosts."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 
-_CHUNK = 1 << 16
-_LISTEN = "127.0.0.1"
-_TARGET = "127.0.0.2"  # The host itself listens here, on the same port.
+_CHUNK_BYTES = 1 << 16
+_LINK_IP = "127.0.0.1"
+_HOST_IP = "127.0.0.2"  # The host listens here, on the same port.
 
 
 class Link:
-    """All connections to one host's peer port.
+    """A proxy in front of the peer port of one host.
 
     Attributes:
-        port: Where the link and the host listen, each on its own address.
-        is_down: Whether new connections are cut at once.
-        cuts: Connections cut so far.
+        port: Port of the link and of the host, which differ in address.
+        is_down: Whether new connections are aborted immediately.
+        cuts: Number of aborted connections.
     """
 
     def __init__(self) -> None:
@@ -28,21 +28,21 @@
 
     @property
     def flags(self) -> tuple[str, ...]:
-        """Flags of an entry whose peers come over this link."""
+        """Flags of an entry host whose peers connect through this link."""
         return (
             "--peer-listen",
-            f"{_TARGET}:{self.port}",
+            f"{_HOST_IP}:{self.port}",
             "--peer-advertise",
-            f"{_LISTEN}:{self.port}",
+            f"{_LINK_IP}:{self.port}",
         )
 
     async def open(self) -> None:
-        """Listens."""
-        self._server = await asyncio.start_server(self._serve, _LISTEN, 0)
+        """Starts to listen."""
+        self._server = await asyncio.start_server(self._serve, _LINK_IP, 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def close(self) -> None:
-        """Stops listening and cuts."""
+        """Stops listening and aborts all connections."""
         self.is_down = True
         self.cut()
         if self._server is not None:
@@ -50,7 +50,7 @@
             await self._server.wait_closed()
 
     def cut(self) -> None:
-        """Cuts every open connection."""
+        """Aborts every open connection."""
         for writer in tuple(self._writers):
             writer.transport.abort()
             self.cuts += 1
@@ -63,23 +63,24 @@
             writer.transport.abort()
             return
         try:
-            up_reader, up_writer = await asyncio.open_connection(
-                _TARGET, self.port
+            host_reader, host_writer = await asyncio.open_connection(
+                _HOST_IP, self.port
             )
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, up_writer}
+        self._writers |= {writer, host_writer}
         await asyncio.gather(
-            self._pump(reader, up_writer), self._pump(up_reader, writer)
+            self._forward(reader, host_writer),
+            self._forward(host_reader, writer),
         )
-        self._writers -= {writer, up_writer}
+        self._writers -= {writer, host_writer}
 
-    async def _pump(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         with contextlib.suppress(OSError):
-            while data := await reader.read(_CHUNK):
+            while data := await reader.read(_CHUNK_BYTES):
                 writer.write(data)
                 await writer.drain()
         writer.close()
--- a/tests/system/system_statsd.py
+++ b/tests/system/system_statsd.py
@@ -1,33 +1,33 @@
-"""A listener in statsd's place."""
+"""A UDP listener in place of a statsd server."""
 
 from __future__ import annotations
 
 import asyncio
 
-BOUND = 30.0  # Seconds after which a datagram counts as never coming.
+TIMEOUT = 30.0  # Seconds to wait for a datagram.
 
 
 class Statsd(asyncio.DatagramProtocol):
-    """Keeps every datagram in statsd's place.
+    """Stores the datagrams that it receives.
 
     Attributes:
-        address: ``ip:port`` to send to.
-        lines: What came, in order.
+        address: ``ip:port`` on which it listens.
+        lines: Received datagrams in order.
     """
 
     def __init__(self) -> None:
         self.address = ""
         self.lines: list[str] = []
-        self._news = asyncio.Event()
+        self._received = asyncio.Event()
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        """Takes one datagram."""
+        """Stores one datagram."""
         self.lines.append(data.decode())
-        self._news.set()
+        self._received.set()
 
     async def wait_for(self, line: str) -> None:
-        """Returns once ``line`` has come."""
-        async with asyncio.timeout(BOUND):
+        """Waits until ``line`` has been received."""
+        async with asyncio.timeout(TIMEOUT):
             while line not in self.lines:
-                await self._news.wait()
-                self._news.clear()
+                await self._received.wait()
+                self._received.clear()
--- a/tests/system/system_strangers.py
+++ b/tests/system/system_strangers.py
@@ -1,4 +1,4 @@
-"""One who reaches the hosts' ports but knows no secret of the deployment."""
+"""A peer that reaches the hosts but lacks the secret of the deployment."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
     from collections.abc import Callable
 
 SECRET = "a-secret-from-elsewhere"
-SERVER = "127.0.0.9:9000"  # Said to be leaving, in a forged ping.
+SERVER = "127.0.0.9:9000"  # Leaving server of a forged ping.
 
 
 async def try_all(
     peer_address: str, incarnation: int, clock: Callable[[], float]
 ) -> list[str]:
-    """Tries calls that would do harm; returns those that were taken."""
+    """Attempts harmful peer calls and returns those that were accepted."""
     signer = calls.Signer("entry-1", incarnation, (SECRET,))
     peer = client.PeerClient(peer_address, signing.CallSigning(signer, clock))
     forged = peer_pb2.Digest(sender="entry-1", incarnation=incarnation)
@@ -33,15 +33,15 @@
         "keep_session": lambda: peer.keep_session("a", "s", b"{}"),
         "shares": lambda: peer.shares(b"{}"),
     }
-    taken = []
+    accepted = []
     for name, attempt in attempts.items():
         try:
             await attempt()
         except errors.PeerDistrustError:
             continue
         except errors.PeerError as error:
-            taken.append(f"{name}: {error}")
+            accepted.append(f"{name}: {error}")
         else:
-            taken.append(name)
+            accepted.append(name)
     peer.close()
-    return taken
+    return accepted
--- a/tests/system/system_table.py
+++ b/tests/system/system_table.py
@@ -1,4 +1,4 @@
-"""The small table of the process tests."""
+"""The table of the system tests."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def bearer(account: str) -> str:
-    """Returns the key of a client account."""
+    """Returns the API key of a client account."""
     return f"key-of-{account}"
 
 
@@ -32,13 +32,18 @@
     )  # fmt: skip
 
 
-def _server(name: str, service: str, address: str, at: int) -> model.Server:
-    domain = DOMAINS[at % len(DOMAINS)]
+def _server(name: str, service: str, address: str, index: int) -> model.Server:
+    domain = DOMAINS[index % len(DOMAINS)]
     return model.Server(name, service, address, domain, 64, False)
 
 
 def make(engines: dict[str, str], counters: dict[str, str]) -> model.Table:
-    """Returns the table for backend servers at these addresses."""
+    """Returns a table that lists backend servers by their addresses.
+
+    Args:
+        engines: Addresses of the engines by name.
+        counters: Addresses of the counter servers by name.
+    """
     rows = [_account(ACCOUNT), _account(OTHER)]
     versions = [_version("1", 1000, 0.7), _version("2", 10_000, 0.95)]
     grants = [model.Grant(ACCOUNT, "khao", "*", 0.8)]
@@ -55,11 +60,11 @@
         ),
     ]
     servers = [
-        _server(name, "llm", address, at)
-        for at, (name, address) in enumerate(engines.items())
+        _server(name, "llm", address, index)
+        for index, (name, address) in enumerate(engines.items())
     ] + [
-        _server(name, "counter", address, at)
-        for at, (name, address) in enumerate(counters.items())
+        _server(name, "counter", address, index)
+        for index, (name, address) in enumerate(counters.items())
     ]
     return model.Table(
         accounts={row.key: row for row in rows},
--- a/tests/system/system_transcript.py
+++ b/tests/system/system_transcript.py
@@ -1,4 +1,4 @@
-"""Writes down a session as everybody saw it, without what varies."""
+"""Records a session as text, with placeholders for varying parts."""
 
 from __future__ import annotations
 
@@ -18,63 +18,73 @@
     import system_deployment
 
 _SCRIPTS = pathlib.Path(sys.executable).parent
-_TOLD = (
+_RECORDED_HEADERS = (
     "X-Hoistmoor-Version",
     "X-Hoistmoor-Why",
     "X-Hoistmoor-Session-Moved",
     "X-Hoistmoor-Outcome",
     "Retry-After",
 )
-# What varies from run to run, and what stands for it.
-_VARYING = (
+# Parts that vary between runs, and their placeholders.
+_PLACEHOLDERS = (
     (re.compile(r"127\.0\.0\.1:\d+"), "ADDRESS"),
     (re.compile(r"\b[0-9a-f]{32}\b"), "EDIT"),
     (re.compile(r"\btkt\.[\w.=-]+"), "TICKET"),
     (re.compile(r"\d{4}-\d\d-\d\d[T ][\d:.]+(\+00:00|Z)?"), "TIME"),
     (re.compile(r"\+ *\d+\.\d+ s"), "+TIME"),
     (re.compile(r"\b\d+\.\d+ ?(ms|s)\b"), "TIME"),
-    # The threshold follows what was answered before.
+    # The threshold depends on earlier responses.
     (re.compile(r"\bbelow (bucket )?\d+\b"), r"below \1N"),
 )
-_REQUEST = re.compile(r"\b(entry-\d+)\.[0-9a-f]{8,}\.[0-9a-f]+\b")
+_REQUEST_ID = re.compile(r"\b(entry-\d+)\.[0-9a-f]{8,}\.[0-9a-f]+\b")
 
 
 class Transcript:
-    """The lines of one session."""
+    """Records the lines of one session.
+
+    Attributes:
+        deployment: Deployment under test.
+        lines: Recorded lines.
+    """
 
     def __init__(self, deployment: system_deployment.Deployment) -> None:
         self.deployment = deployment
         self.lines: list[str] = []
 
     def say(self, heading: str) -> None:
-        """Begins a part."""
+        """Adds a heading."""
         self.lines += ["", f"# {heading}"]
 
     def note(self, text: str) -> None:
         """Adds a line."""
         self.lines.append(text)
 
-    def answered(self, what: str, told: events.Told | None) -> None:
-        """Adds what a caller got for a request."""
+    def answered(self, what: str, final: events.Told | None) -> None:
+        """Adds the response to a request.
+
+        Args:
+            what: Describes the request.
+            final: Final response; None without a complete one.
+        """
         self.lines.append(f"{what}")
-        if told is None:
-            self.lines.append("  no final word")
+        if final is None:
+            self.lines.append("  no final response")
             return
-        answer = self.deployment.caller.answers[told.call_id]
-        self.lines.append(f"  {answer.status} {told.request_id}")
+        response = self.deployment.caller.answers[final.call_id]
+        self.lines.append(f"  {response.status} {final.request_id}")
         self.lines += [
-            f"  {name}: {answer.headers[name]}"
-            for name in _TOLD
-            if name in answer.headers
+            f"  {name}: {response.headers[name]}"
+            for name in _RECORDED_HEADERS
+            if name in response.headers
         ]
-        self.lines.append(f"  {_body(answer)}")
+        self.lines.append(f"  {_describe_body(response)}")
 
     async def console(self, *words: str, show: str = "") -> None:
-        """Runs ``hoistmoor`` and adds what it printed and its exit code.
+        """Runs ``hoistmoor`` and adds its output and exit code.
 
         Args:
-            words: What comes after the program's name.
-            show: The command as the transcript has it; empty for ``words``.
+            words: Arguments of the program.
+            show: Arguments to record instead of ``words``, unless empty.
         """
         process = await asyncio.create_subprocess_exec(
             str(_SCRIPTS / "hoistmoor"),
@@ -92,27 +102,27 @@
         self.lines += [f"  ! {line}" for line in error.decode().splitlines()]
         self.lines.append(f"  exit {process.returncode}")
 
-    async def explain(self, told: events.Told) -> None:
-        """Adds what ``hoistmoor explain`` says of a request."""
+    async def explain(self, final: events.Told) -> None:
+        """Adds the output of ``hoistmoor explain`` for a request."""
         url = self.deployment.program("platform").url
-        await self.console("explain", told.request_id, "--log-url", url)
+        await self.console("explain", final.request_id, "--log-url", url)
 
     async def records(self, *only: str) -> None:
-        """Adds what ran and what was billed of what the caller was told of.
+        """Adds the executions and bills of requests with a final response.
 
         Args:
-            only: Ids of the requests to add; none for all.
+            only: Ids of the requests to add; all if empty.
         """
         history = await self.deployment.history()
-        told = set(only) or {word.request_id for word in history.told}
+        request_ids = set(only) or {final.request_id for final in history.told}
         billed = {bill.request_id: bill for bill in history.of(events.Billed)}
         runs = [
             run
-            for run in sorted(history.runs, key=_place)
-            if run.request_id in told
+            for run in sorted(history.runs, key=_sort_key)
+            if run.request_id in request_ids
         ]
         for run in runs:
-            done = "" if run.done else ", not to its end"
+            done = "" if run.done else ", not completed"
             self.lines.append(f"{run.attempt_id} ran {run.item}{done}")
         for request_id in dict.fromkeys(run.request_id for run in runs):
             bill = billed[request_id]
@@ -121,35 +131,38 @@
             )
 
     def text(self) -> str:
-        """Returns all lines, with names for what varies."""
-        found = "\n".join(self.lines).strip() + "\n"
-        for pattern, name in _VARYING:
-            found = pattern.sub(name, found)
+        """Returns all lines, with placeholders for varying parts."""
+        text = "\n".join(self.lines).strip() + "\n"
+        for pattern, name in _PLACEHOLDERS:
+            text = pattern.sub(name, text)
         numbers: dict[str, str] = {}
-        return _REQUEST.sub(lambda match: _short(match, numbers), found)
+        return _REQUEST_ID.sub(lambda match: _short_id(match, numbers), text)
+
 
+def _sort_key(run: events.Ran) -> tuple[str, int, int]:
+    """Returns the sort key of an execution.
 
-def _place(run: events.Ran) -> tuple[str, int, int]:
-    """Returns what orders runs, since times of concurrent ones vary."""
+    Executions are not sorted by time, as it varies for concurrent ones.
+    """
     host, _, serial, attempt = run.attempt_id.rsplit(".", 3)
     return host, int(serial, 16), int(attempt)
 
 
-def _short(match: re.Match[str], numbers: dict[str, str]) -> str:
-    """Returns a request's host and its place among those mentioned."""
-    short = f"{match[1]}/{len(numbers) + 1}"
-    return numbers.setdefault(match[0], short)
+def _short_id(match: re.Match[str], numbers: dict[str, str]) -> str:
+    """Returns the host of a request and its position in the transcript."""
+    short_id = f"{match[1]}/{len(numbers) + 1}"
+    return numbers.setdefault(match[0], short_id)
 
 
-def _body(answer: system_caller.Answer) -> str:
-    if answer.error:
-        error: dict[str, Any] = dict(answer.error)
+def _describe_body(response: system_caller.Answer) -> str:
+    if response.error:
+        error: dict[str, Any] = dict(response.error)
         return orjson.dumps(error, option=orjson.OPT_SORT_KEYS).decode()
-    if answer.frames:
-        return f"{len(answer.frames)} frames, {_ending(answer)}"
-    return answer.body.decode()
+    if response.frames:
+        return f"{len(response.frames)} frames, {_describe_end(response)}"
+    return response.body.decode()
 
 
-def _ending(answer: system_caller.Answer) -> str:
-    done = b"data: [DONE]" in answer.body
-    return "ended by its mark" if done else "cut short"
+def _describe_end(response: system_caller.Answer) -> str:
+    done = b"data: [DONE]" in response.body
+    return "ended by its end marker" if done else "cut short"
--- a/tests/system/test_system_answers.py
+++ b/tests/system/test_system_answers.py
@@ -1,4 +1,7 @@
-"""Whole answers, however late, crossed or cut the backend server's are."""
+"""Tests that callers get complete responses of their own requests.
+
+Backend servers send late, interchanged and truncated responses.
+"""
 
 from __future__ import annotations
 
@@ -38,11 +41,11 @@
     caller = deployment.caller
     for engine in ("engine-1", "engine-2"):
         await deployment.processes.fault(engine, kind, match=CHAT, **fields)
-    told = []
+    responses = []
     for _ in range(4):
-        told += await asyncio.gather(
+        responses += await asyncio.gather(
             *(caller.chat(host, caller.mark()) for host in hosts * 3)
         )
-    seen = {word.reason for word in told}
+    seen = {response.reason for response in responses}
     assertions.assert_that(seen - reasons, matchers.Equals(set()))
     assertions.assert_that(await deployment.violations(), matchers.Equals(()))
--- a/tests/system/test_system_bad_input.py
+++ b/tests/system/test_system_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input gets a typed refusal at once and harms no other request."""
+"""Tests that invalid input is refused and affects no other request."""
 
 from __future__ import annotations
 
@@ -20,83 +20,111 @@
 
 CHAT = "/v1/chat/completions"
 COUNTER = "/v1/services/counter"
-KEY = {"Authorization": f"Bearer {system_table.bearer(system_table.ACCOUNT)}"}
-GOOD = {"model": "khao", "messages": [{"role": "user", "content": "hello"}]}
+HEADERS = {
+    "Authorization": f"Bearer {system_table.bearer(system_table.ACCOUNT)}"
+}
+CHAT_BODY = {
+    "model": "khao",
+    "messages": [{"role": "user", "content": "hello"}],
+}
 MIB = 1 << 20
 
 
-def _json(**changes: Any) -> bytes:
-    return orjson.dumps({**GOOD, **changes})
+def _chat_body(**changes: Any) -> bytes:
+    return orjson.dumps({**CHAT_BODY, **changes})
 
 
 @attrs.frozen
-class Bad:
-    """One bad request.
+class InvalidRequest:
+    """An invalid request.
 
     Attributes:
-        reason: Reason of the refusal that it must get.
-        status: HTTP status that goes with it.
-        path: Path below the entry.
-        body: Body as sent.
-        headers: Headers as sent.
+        reason: Expected reason of the refusal.
+        status: Expected HTTP status.
+        path: Path of the request.
+        body: Body of the request.
+        headers: Headers of the request.
         method: HTTP method.
     """
 
     reason: str
     status: int
     path: str = CHAT
-    body: bytes = attrs.field(default=_json(), repr=False)
-    headers: dict[str, str] = attrs.field(factory=lambda: KEY)
+    body: bytes = attrs.field(default=_chat_body(), repr=False)
+    headers: dict[str, str] = attrs.field(factory=lambda: HEADERS)
     method: str = "POST"
 
 
-def _with(name: str, value: str) -> dict[str, str]:
-    return {**KEY, name: value}
+def _headers_with(name: str, value: str) -> dict[str, str]:
+    return {**HEADERS, name: value}
 
 
 CASES = (
-    Bad("no_key", 401, headers={}),
-    Bad("no_key", 401, headers={"Authorization": "Basic abc"}),
-    Bad("wrong_key", 401, headers={"Authorization": "Bearer nobody"}),
-    Bad("bad_body", 400, body=b"{"),
-    Bad("bad_body", 400, body=b"[]"),
-    Bad("bad_body", 400, body=b"\xff\xfe"),
-    Bad("bad_body", 400, body=_json(messages="hello")),
-    Bad("bad_body", 400, body=_json(max_tokens=0)),
-    Bad("bad_body", 400, body=_json(stream="yes")),
-    Bad("body_too_large", 413, body=b"x" * (MIB + 1)),
-    Bad("unknown_model", 404, body=_json(model="nothing")),
-    Bad("unknown_service", 404, path="/v1/services/nothing/confirm"),
-    Bad("unknown_call", 404, path=f"{COUNTER}/nothing"),
-    Bad("unknown_call", 404, path=f"{COUNTER}/confirm", method="DELETE"),
-    Bad("deadline_past", 400, headers=_with("X-Hoistmoor-Deadline", "5")),
-    Bad("bad_header", 400, headers=_with("X-Hoistmoor-Deadline", "soon")),
-    Bad("bad_header", 400, headers=_with("X-Hoistmoor-Deadline", "+nan")),
-    Bad("bad_header", 400, headers=_with("X-Hoistmoor-Deadline", "+inf")),
-    Bad("bad_header", 400, headers=_with("X-Hoistmoor-Priority", "first")),
-    Bad("bad_header", 400, headers=_with("Idempotency-Key", "k" * 201)),
-    Bad(
+    InvalidRequest("no_key", 401, headers={}),
+    InvalidRequest("no_key", 401, headers={"Authorization": "Basic abc"}),
+    InvalidRequest(
+        "wrong_key", 401, headers={"Authorization": "Bearer nobody"}
+    ),
+    InvalidRequest("bad_body", 400, body=b"{"),
+    InvalidRequest("bad_body", 400, body=b"[]"),
+    InvalidRequest("bad_body", 400, body=b"\xff\xfe"),
+    InvalidRequest("bad_body", 400, body=_chat_body(messages="hello")),
+    InvalidRequest("bad_body", 400, body=_chat_body(max_tokens=0)),
+    InvalidRequest("bad_body", 400, body=_chat_body(stream="yes")),
+    InvalidRequest("body_too_large", 413, body=b"x" * (MIB + 1)),
+    InvalidRequest("unknown_model", 404, body=_chat_body(model="nothing")),
+    InvalidRequest("unknown_service", 404, path="/v1/services/nothing/confirm"),
+    InvalidRequest("unknown_call", 404, path=f"{COUNTER}/nothing"),
+    InvalidRequest(
+        "unknown_call", 404, path=f"{COUNTER}/confirm", method="DELETE"
+    ),
+    InvalidRequest(
+        "deadline_past", 400, headers=_headers_with("X-Hoistmoor-Deadline", "5")
+    ),
+    InvalidRequest(
+        "bad_header", 400, headers=_headers_with("X-Hoistmoor-Deadline", "soon")
+    ),
+    InvalidRequest(
+        "bad_header", 400, headers=_headers_with("X-Hoistmoor-Deadline", "+nan")
+    ),
+    InvalidRequest(
+        "bad_header", 400, headers=_headers_with("X-Hoistmoor-Deadline", "+inf")
+    ),
+    InvalidRequest(
+        "bad_header",
+        400,
+        headers=_headers_with("X-Hoistmoor-Priority", "first"),
+    ),
+    InvalidRequest(
+        "bad_header", 400, headers=_headers_with("Idempotency-Key", "k" * 201)
+    ),
+    InvalidRequest(
         "ticket_invalid",
         400,
         path=f"{COUNTER}/confirm",
         body=b"{}",
-        headers=_with("Idempotency-Key", "tkt.nonsense"),
+        headers=_headers_with("Idempotency-Key", "tkt.nonsense"),
     ),
 )
 
 
 async def _send(
-    session: aiohttp.ClientSession, host: system_processes.Program, bad: Bad
+    session: aiohttp.ClientSession,
+    host: system_processes.Program,
+    invalid: InvalidRequest,
 ) -> list[object]:
     async with session.request(
-        bad.method, host.url + bad.path, data=bad.body, headers=bad.headers
-    ) as answer:
-        error = orjson.loads(await answer.read())["error"]
+        invalid.method,
+        host.url + invalid.path,
+        data=invalid.body,
+        headers=invalid.headers,
+    ) as response:
+        error = orjson.loads(await response.read())["error"]
         return [
             error["type"],
-            answer.status,
+            response.status,
             error["outcome"],
-            int(answer.headers["Retry-After"]) > 0,
+            int(response.headers["Retry-After"]) > 0,
         ]
 
 
@@ -106,9 +134,9 @@
     hosts = await deployment.start(hosts=2)
     caller = deployment.caller
     good = [caller.chat(hosts[0], caller.mark()) for _ in range(20)]
-    bad = [_send(caller.session, hosts[0], case) for case in CASES]
-    told, refused = await asyncio.gather(
-        asyncio.gather(*good), asyncio.gather(*bad)
+    invalid = [_send(caller.session, hosts[0], case) for case in CASES]
+    responses, refused = await asyncio.gather(
+        asyncio.gather(*good), asyncio.gather(*invalid)
     )
     for case, found in zip(CASES, refused, strict=True):
         assertions.assert_that(
@@ -116,7 +144,11 @@
             matchers.Equals([case.reason, case.status, "not_run", True]),
             f"{case}",
         )
-    served = [word for word in told if word is not None and word.whole]
+    served = [
+        response
+        for response in responses
+        if response is not None and response.whole
+    ]
     assertions.assert_that(len(served), matchers.Equals(len(good)))
     assertions.assert_that(await deployment.violations(), matchers.Equals(()))
 
@@ -128,35 +160,40 @@
     hosts = await deployment.start(hosts=2)
     caller = deployment.caller
     await asyncio.gather(
-        *(_leave_half_way(hosts[0], model, turn) for turn in range(20))
+        *(_disconnect(hosts[0], model, index) for index in range(20))
     )
-    told = [await caller.chat(hosts[0], caller.mark(), model) for _ in range(5)]
+    responses = [
+        await caller.chat(hosts[0], caller.mark(), model) for _ in range(5)
+    ]
     assertions.assert_that(
-        [(word.reason, word.whole) if word else None for word in told],
+        [
+            (response.reason, response.whole) if response else None
+            for response in responses
+        ],
         matchers.Equals([("", True)] * 5),
     )
     assertions.assert_that(await deployment.violations(), matchers.Equals(()))
 
 
-async def _leave_half_way(
-    host: system_processes.Program, model: str, turn: int
+async def _disconnect(
+    host: system_processes.Program, model: str, index: int
 ) -> None:
-    """Sends part or all of a request, and resets the connection.
+    """Sends a request partly or completely and resets the connection.
 
-    Even turns leave in the middle of the body, odd ones after the head of
-    the answer has come.
+    Callers with an even index disconnect within the body, the others after the
+    first line of the response.
     """
-    body = _json(model=model, stream=True)
+    body = _chat_body(model=model, stream=True)
     head = (
         f"POST {CHAT} HTTP/1.1\r\nHost: x\r\n"
-        f"Authorization: {KEY['Authorization']}\r\n"
+        f"Authorization: {HEADERS['Authorization']}\r\n"
         f"Content-Length: {len(body)}\r\n\r\n"
     ).encode()
     address, _, port = host.address.rpartition(":")
     reader, writer = await asyncio.open_connection(address, int(port))
-    writer.write(head + (body if turn % 2 else body[:10]))
+    writer.write(head + (body if index % 2 else body[:10]))
     await writer.drain()
-    if turn % 2:
+    if index % 2:
         await reader.readline()
     raw = writer.get_extra_info("socket")
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
--- a/tests/system/test_system_bills.py
+++ b/tests/system/test_system_bills.py
@@ -1,4 +1,4 @@
-"""Billed once, through outages, lost replies and crashes."""
+"""Tests that requests are billed once despite outages and crashes."""
 
 from __future__ import annotations
 
@@ -15,17 +15,19 @@
 BILLS = "/streams/bills"
 
 
-async def _no_violations(deployment: system_deployment.Deployment) -> None:
+async def _assert_no_violations(
+    deployment: system_deployment.Deployment,
+) -> None:
     assertions.assert_that(await deployment.violations(), matchers.Equals(()))
 
 
-async def _ask_some(
+async def _send_requests(
     deployment: system_deployment.Deployment, hosts: list, count: int
 ) -> list:
     caller = deployment.caller
     calls = []
-    for turn in range(count):
-        host = hosts[turn % len(hosts)]
+    for index in range(count):
+        host = hosts[index % len(hosts)]
         calls.append(caller.confirm(host, caller.mark()))
         calls.append(caller.chat(host, caller.mark(), "auto"))
     return await asyncio.gather(*calls)
@@ -47,39 +49,41 @@
     await deployment.processes.fault(
         "platform", kind, match=BILLS, method="POST", **fields
     )
-    await _ask_some(deployment, hosts, 12)
-    await _no_violations(deployment)
+    await _send_requests(deployment, hosts, 12)
+    await _assert_no_violations(deployment)
 
 
 async def test_a_host_dies_after_its_answers(
     deployment: system_deployment.Deployment,
 ) -> None:
     hosts = await deployment.start(hosts=3)
-    await _ask_some(deployment, hosts, 9)
+    await _send_requests(deployment, hosts, 9)
     await deployment.processes.fault(
         "platform", "outage", match=BILLS, method="POST"
     )
-    told = await _ask_some(deployment, hosts[:1], 6)
+    responses = await _send_requests(deployment, hosts[:1], 6)
     assertions.assert_that(
-        [word.reason for word in told], matchers.Equals([""] * 12)
+        [response.reason for response in responses], matchers.Equals([""] * 12)
     )
-    # Peers hold the bills; they outlive the host, and the outage.
+    # The bills that peers hold must survive the host and the outage.
     await deployment.kill(hosts[0])
     await deployment.processes.clear_faults("platform")
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
 async def test_a_host_alone_without_the_log_takes_no_billed_work(
     deployment: system_deployment.Deployment,
 ) -> None:
     hosts = await deployment.start(hosts=1)
-    await _ask_some(deployment, hosts, 2)
+    await _send_requests(deployment, hosts, 2)
     await deployment.processes.fault("platform", "outage", match=BILLS)
-    words = []
+    responses = []
     for _ in range(30):
-        words += await _ask_some(deployment, hosts, 1)
-        if words[-1].reason == "bill_unsecured":
+        responses += await _send_requests(deployment, hosts, 1)
+        if responses[-1].reason == "bill_unsecured":
             break
-    assertions.assert_that(words[-1].reason, matchers.Equals("bill_unsecured"))
+    assertions.assert_that(
+        responses[-1].reason, matchers.Equals("bill_unsecured")
+    )
     await deployment.processes.clear_faults("platform")
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
--- a/tests/system/test_system_configuration.py
+++ b/tests/system/test_system_configuration.py
@@ -1,4 +1,4 @@
-"""Accepted edits: in force everywhere in time, and never undone."""
+"""Tests that accepted edits reach every host in time and persist."""
 
 from __future__ import annotations
 
@@ -23,7 +23,9 @@
     from hoistmoor.core.table import model
 
 
-async def _no_violations(deployment: system_deployment.Deployment) -> None:
+async def _assert_no_violations(
+    deployment: system_deployment.Deployment,
+) -> None:
     assertions.assert_that(await deployment.violations(), matchers.Equals(()))
 
 
@@ -32,12 +34,12 @@
     return attrs.evolve(table, versions={**table.versions, row.key: row})
 
 
-async def _watch(
+async def _record_revisions(
     deployment: system_deployment.Deployment,
     hosts: Iterable[system_processes.Program],
     stop: asyncio.Event,
 ) -> None:
-    """Records the revision of each host that runs, over and over."""
+    """Repeatedly records the revision of each running host."""
     while not stop.is_set():
         for host in hosts:
             if not host.frozen and host.process.returncode is None:
@@ -50,7 +52,9 @@
 ) -> None:
     hosts = await deployment.start(hosts=5)
     stop = asyncio.Event()
-    watching = asyncio.create_task(_watch(deployment, hosts[1:], stop))
+    recording = asyncio.create_task(
+        _record_revisions(deployment, hosts[1:], stop)
+    )
     for price in range(1, 11):
         if price == 4:
             hosts[0].freeze()
@@ -62,8 +66,8 @@
         awake = [host for host in hosts if not host.frozen]
         await deployment.await_revision(revision, *awake)
     stop.set()
-    await watching
-    await _no_violations(deployment)
+    await recording
+    await _assert_no_violations(deployment)
 
 
 async def test_a_host_that_starts_in_an_outage_takes_the_table_of_peers(
@@ -76,12 +80,12 @@
     newcomer = await deployment.start_entry("entry-3")
     await deployment.await_revision(revision, newcomer)
     await deployment.await_ready(newcomer)
-    told = await deployment.caller.chat(newcomer, deployment.caller.mark())
-    assertions.assert_that(told.outcome, matchers.Is(outcomes.Outcome.DONE))
+    response = await deployment.caller.chat(newcomer, deployment.caller.mark())
+    assertions.assert_that(response.outcome, matchers.Is(outcomes.Outcome.DONE))
     await deployment.processes.clear_faults("platform")
     later = await deployment.publish(_with_price(deployment.table, 8))
     await deployment.await_revision(later, *hosts, newcomer)
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
 async def test_a_host_cut_off_alone_takes_no_new_work(
@@ -92,17 +96,18 @@
     for host in hosts[1:]:
         host.freeze()
     await system_processes.until(
-        lambda: _refuses(deployment, hosts[0]), "the lone host refuses"
+        lambda: _is_stale(deployment, hosts[0]),
+        "the isolated host refuses requests",
     )
-    told = await deployment.caller.chat(hosts[0], deployment.caller.mark())
-    assertions.assert_that(told.reason, matchers.Equals("table_stale"))
+    response = await deployment.caller.chat(hosts[0], deployment.caller.mark())
+    assertions.assert_that(response.reason, matchers.Equals("table_stale"))
     for program in (deployment.program("platform"), *hosts[1:]):
         program.thaw()
     await deployment.await_ready(*hosts)
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
-async def _refuses(
+async def _is_stale(
     deployment: system_deployment.Deployment,
     host: system_processes.Program,
 ) -> bool:
@@ -120,7 +125,7 @@
         await deployment.publish(_with_price(base, price), base, before)
         for price in range(1, 9)
     ]
-    # All but the first were made from a base that it had changed.
+    # The first edit changed the base of the others, so they are rejected.
     deployment.events = [
         event
         for event in deployment.events
@@ -133,4 +138,4 @@
         {status["table_revision"] for status in statuses},
         matchers.Equals({racing[0]}),
     )
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
--- a/tests/system/test_system_explain.py
+++ b/tests/system/test_system_explain.py
@@ -1,4 +1,4 @@
-"""Every decision can be asked for, also once its host is gone."""
+"""Tests that decisions can be explained, also after their host stopped."""
 
 from __future__ import annotations
 
@@ -19,8 +19,10 @@
     host: system_processes.Program,
     request_id: str,
 ) -> Any:
-    answer = await deployment.processes.get(f"{host.url}/explain/{request_id}")
-    return answer if answer and "error" not in answer else None
+    decision = await deployment.processes.get(
+        f"{host.url}/explain/{request_id}"
+    )
+    return decision if decision and "error" not in decision else None
 
 
 async def test_decisions_are_found_at_any_host_and_outlive_theirs(
@@ -30,11 +32,11 @@
     caller = deployment.caller
     served = await caller.chat(hosts[0], caller.mark(), "auto")
     refused = await caller.chat(hosts[0], caller.mark(), "no-such-model")
-    for told in (served, refused):
+    for response in (served, refused):
         for host in hosts:
-            found = await _explain(deployment, host, told.request_id)
+            found = await _explain(deployment, host, response.request_id)
             assertions.assert_that(
-                found["request_id"], matchers.Equals(told.request_id)
+                found["request_id"], matchers.Equals(response.request_id)
             )
     await deployment.stop(hosts[0])
     await hosts[0].exit_code()
--- a/tests/system/test_system_faults.py
+++ b/tests/system/test_system_faults.py
@@ -1,4 +1,4 @@
-"""Faults together, and the same fault twice."""
+"""Tests combined and repeated faults."""
 
 from __future__ import annotations
 
@@ -39,29 +39,31 @@
 
 @pytest.fixture
 async def links() -> AsyncIterator[list[system_links.Link]]:
-    made = [system_links.Link() for _ in range(3)]
-    for link in made:
+    created = [system_links.Link() for _ in range(3)]
+    for link in created:
         await link.open()
-    yield made
-    for link in made:
+    yield created
+    for link in created:
         await link.close()
 
 
-async def _no_violations(deployment: system_deployment.Deployment) -> None:
+async def _assert_no_violations(
+    deployment: system_deployment.Deployment,
+) -> None:
     assertions.assert_that(await deployment.violations(), matchers.Equals(()))
 
 
-async def _confirm_some(
+async def _send_confirms(
     deployment: system_deployment.Deployment, hosts: Hosts, count: int
 ) -> list[Any]:
-    """Sends confirms without a key, with a ticket and with an own key."""
+    """Sends confirm calls without a key, with a ticket and with a key."""
     caller = deployment.caller
     calls = []
-    for turn in range(count):
-        host = hosts[turn % len(hosts)]
+    for index in range(count):
+        host = hosts[index % len(hosts)]
         mark = caller.mark()
-        key = await caller.ticket(host) if turn % 3 == 1 else ""
-        if turn % 3 == 2:
+        key = await caller.ticket(host) if index % 3 == 1 else ""
+        if index % 3 == 2:
             key = f"own-{mark}"
         calls.append(caller.confirm(host, mark, key))
     return await asyncio.gather(*calls)
@@ -91,26 +93,26 @@
         deployment.entry_flags[f"entry-{number}"] = link.flags
     hosts = await deployment.start(hosts=3)
     for _ in range(5):
-        asking = asyncio.create_task(_confirm_some(deployment, hosts, 12))
+        traffic = asyncio.create_task(_send_confirms(deployment, hosts, 12))
         for link in links:
             link.cut()
-        await asking
-    # Now for good, while the log takes no bills either: each host is alone.
+        await traffic
+    # Isolate the hosts from each other and from the stream of bills.
     for link in links:
         link.is_down = True
         link.cut()
     await deployment.processes.fault(
         PLATFORM, "outage", match=BILLS, method="POST"
     )
-    await _confirm_some(deployment, hosts, 12)
+    await _send_confirms(deployment, hosts, 12)
     for link in links:
         link.is_down = False
     await deployment.processes.clear_faults(PLATFORM)
-    await _confirm_some(deployment, hosts, 12)
+    await _send_confirms(deployment, hosts, 12)
     assertions.assert_that(
         sum(link.cuts for link in links), matchers.GreaterThan(0)
     )
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
 async def test_the_log_is_slow_for_everything(
@@ -122,14 +124,18 @@
         PLATFORM, "delay", match=STREAMS, seconds=0.4
     )
     calls = []
-    for turn in range(6):
+    for index in range(6):
         mark = caller.mark()
-        calls += [caller.confirm(host, mark, f"key-{turn}") for host in hosts]
+        calls += [caller.confirm(host, mark, f"key-{index}") for host in hosts]
         calls += [caller.chat(host, caller.mark(), "auto") for host in hosts]
-    told = await asyncio.gather(*calls)
-    done = [word for word in told if word and word.outcome is DONE]
-    assertions.assert_that(len(done), matchers.GreaterThan(len(told) // 2))
-    await _no_violations(deployment)
+    responses = await asyncio.gather(*calls)
+    done = [
+        response
+        for response in responses
+        if response and response.outcome is DONE
+    ]
+    assertions.assert_that(len(done), matchers.GreaterThan(len(responses) // 2))
+    await _assert_no_violations(deployment)
 
 
 async def test_the_list_lags_while_a_backend_server_leaves_and_returns(
@@ -137,33 +143,35 @@
 ) -> None:
     hosts = await deployment.start(hosts=3)
     address = deployment.program("counter-1").address
-    # The list says that it is live from here on, whatever happens.
+    # The list keeps the state live while the server leaves and returns.
     await deployment.list_backend("counter-1", "live")
     for _ in range(2):
-        await _confirm_some(deployment, hosts, 9)
+        await _send_confirms(deployment, hosts, 9)
         await deployment.processes.fault("counter-1", "leaving")
         await deployment.await_all(
             hosts,
             lambda status: address in status["leaving_servers"],
-            "all hosts know that it leaves",
+            "all hosts know of its departure",
         )
         before = await deployment.runs_of("counter-1")
-        await _confirm_some(deployment, hosts, 12)
+        await _send_confirms(deployment, hosts, 12)
         after = await deployment.runs_of("counter-1")
         assertions.assert_that(after, matchers.Equals(before))
         await deployment.replace_counter("counter-1")
         await deployment.await_all(
             hosts,
             lambda status: address not in status["leaving_servers"],
-            "all hosts know that another is there",
+            "all hosts know of its replacement",
         )
 
-        async def returned() -> bool:
-            await _confirm_some(deployment, hosts, 6)
+        async def has_executions() -> bool:
+            await _send_confirms(deployment, hosts, 6)
             return bool(await deployment.runs_of("counter-1"))
 
-        await system_processes.until(returned, "the new one gets work")
-    await _no_violations(deployment)
+        await system_processes.until(
+            has_executions, "the replacement gets requests"
+        )
+    await _assert_no_violations(deployment)
 
 
 async def test_the_owner_is_frozen_during_an_outage(
@@ -171,7 +179,7 @@
 ) -> None:
     hosts = await deployment.start(hosts=3)
     caller = deployment.caller
-    await _confirm_some(deployment, hosts, 6)
+    await _send_confirms(deployment, hosts, 6)
     for counter in ("counter-1", "counter-2"):
         await deployment.processes.fault(
             counter, "delay", match="/confirm", seconds=0.5, count=2
@@ -196,13 +204,13 @@
     await asyncio.gather(*first)
     await deployment.processes.clear_faults(PLATFORM)
     assertions.assert_that(
-        [word.outcome for word in others if word.outcome is DONE],
+        [response.outcome for response in others if response.outcome is DONE],
         matchers.Equals([]),
     )
     await deployment.await_ready(*hosts)
     await caller.confirm(hosts[1], keyed, "frozen")
     await caller.confirm(hosts[2], ticketed, ticket)
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
 async def test_the_holder_of_bills_dies_and_then_their_owner(
@@ -210,30 +218,30 @@
 ) -> None:
     deployment.entry_flags["entry-1"] = ("--statsd", statsd.address)
     owner, holder = await deployment.start(hosts=2)
-    await _confirm_some(deployment, [owner], 3)
+    await _send_confirms(deployment, [owner], 3)
     await deployment.processes.fault(
         PLATFORM, "outage", match=BILLS, method="POST"
     )
-    told = await _confirm_some(deployment, [owner], 9)
+    responses = await _send_confirms(deployment, [owner], 9)
     assertions.assert_that(
-        {word.outcome for word in told}, matchers.Equals({DONE})
+        {response.outcome for response in responses}, matchers.Equals({DONE})
     )
-    heir = await deployment.start_entry("entry-3")
-    await deployment.await_ready(heir)
-    before = _held(statsd)
+    newcomer = await deployment.start_entry("entry-3")
+    await deployment.await_ready(newcomer)
+    before = _held_bills(statsd)
     await deployment.kill(holder)
 
     async def held_again() -> bool:
-        return _held(statsd) >= before + len(told)
+        return _held_bills(statsd) >= before + len(responses)
 
     await system_processes.until(held_again, "the bills are held again")
     await deployment.kill(owner)
-    await _await_dead(deployment, [heir], owner)
+    await _await_dead(deployment, [newcomer], owner)
     await deployment.processes.clear_faults(PLATFORM)
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
-def _held(statsd: system_statsd.Statsd) -> int:
+def _held_bills(statsd: system_statsd.Statsd) -> int:
     prefix = "hoistmoor.bill.held:"
     return sum(
         int(line.removeprefix(prefix).partition("|")[0])
@@ -247,19 +255,19 @@
 ) -> None:
     hosts = await deployment.start(hosts=3)
     caller = deployment.caller
-    for turn in range(2):
-        keys = [f"kill-{turn}-{n}" for n in range(12)]
+    for index in range(2):
+        keys = [f"kill-{index}-{n}" for n in range(12)]
         marks = [caller.mark() for _ in keys]
-        asking = [
+        traffic = [
             asyncio.create_task(caller.confirm(hosts[0], mark, key))
             for mark, key in zip(marks, keys, strict=True)
         ]
-        await asyncio.wait(asking, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait(traffic, return_when=asyncio.FIRST_COMPLETED)
         await deployment.kill(hosts[0])
-        await asyncio.gather(*asking)
+        await asyncio.gather(*traffic)
         hosts[0] = await deployment.start_entry("entry-1")
         await deployment.await_ready(hosts[0])
-        # The same keys at the same name, and at another host.
+        # Reuse the keys at the restarted host and at another one.
         for host in (hosts[0], hosts[1]):
             await asyncio.gather(
                 *(
@@ -267,29 +275,29 @@
                     for mark, key in zip(marks, keys, strict=True)
                 )
             )
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
 async def test_the_log_goes_down_twice(
     deployment: system_deployment.Deployment,
 ) -> None:
     hosts = await deployment.start(hosts=3)
-    await _confirm_some(deployment, hosts, 9)
+    await _send_confirms(deployment, hosts, 9)
     for _ in range(2):
         await deployment.processes.fault(PLATFORM, "outage", match=STREAMS)
-        told = await _confirm_some(deployment, hosts, 9)
-        keyed = {word.reason for word in told[2::3]}
+        responses = await _send_confirms(deployment, hosts, 9)
+        keyed = {response.reason for response in responses[2::3]}
         assertions.assert_that(
             keyed, matchers.Equals({refusals.Reason.CLAIM_UNAVAILABLE})
         )
         await deployment.processes.clear_faults(PLATFORM)
 
         async def takes_keys() -> bool:
-            words = await _confirm_some(deployment, hosts, 9)
-            return {word.outcome for word in words} == {DONE}
+            retried = await _send_confirms(deployment, hosts, 9)
+            return {response.outcome for response in retried} == {DONE}
 
         await system_processes.until(takes_keys, "keys are taken again")
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
 async def test_backend_servers_are_frozen_with_calls_in_service(
@@ -302,7 +310,7 @@
     for counter in counters:
         counter.freeze()
     cases = [(caller.mark(), key) for key in ("", "own", ticket)]
-    told = await asyncio.gather(
+    responses = await asyncio.gather(
         *(
             caller.confirm(hosts[0], mark, key, deadline=1.5)
             for mark, key in cases
@@ -311,32 +319,38 @@
     for counter in counters:
         counter.thaw()
     assertions.assert_that(
-        {word.outcome for word in told},
+        {response.outcome for response in responses},
         matchers.Equals({outcomes.Outcome.UNKNOWN}),
     )
-    # The key is spent, whatever became of the call.
+    # The key may not be used again, whatever the outcome of the call.
     await asyncio.gather(
         *(caller.confirm(hosts[1], mark, key) for mark, key in cases[1:])
     )
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
 async def _withdraw(
-    deployment: system_deployment.Deployment, version: str, awake: Hosts
+    deployment: system_deployment.Deployment, version: str, running: Hosts
 ) -> int:
-    """Returns the edit's revision once it binds every host."""
+    """Withdraws a version and waits until no host may use it.
+
+    Returns:
+        The revision of the edit.
+    """
     table = deployment.table
     row = attrs.evolve(table.versions[version], stage=model.Stage.WITHDRAWN)
     revision = await deployment.publish(
         attrs.evolve(table, versions={**table.versions, row.key: row})
     )
-    await deployment.await_revision(revision, *awake)
-    due = _due(deployment)
+    await deployment.await_revision(revision, *running)
+    due = _withdrawal_time(deployment)
 
-    async def is_due() -> bool:
+    async def is_withdrawn_everywhere() -> bool:
         return time.time() > due
 
-    await system_processes.until(is_due, "the withdrawal binds every host")
+    await system_processes.until(
+        is_withdrawn_everywhere, "the withdrawal to apply to every host"
+    )
     return revision
 
 
@@ -346,7 +360,7 @@
     caller = deployment.caller
     await caller.chat(hosts[0], caller.mark(), session="kept")
     hosts[0].freeze()
-    # They wait in the sockets of the frozen host.
+    # The requests wait in socket buffers of the frozen host.
     waiting = [
         asyncio.create_task(
             caller.chat(hosts[0], caller.mark(), session=session, deadline=30)
@@ -366,12 +380,12 @@
     hosts = await deployment.start(hosts=3)
     await _withdraw_while_frozen(deployment, hosts)
     caller = deployment.caller
-    told = await caller.chat(hosts[0], caller.mark(), session="kept")
-    assertions.assert_that(told.version, matchers.Equals(system_table.DEAR))
-    await _no_violations(deployment)
+    response = await caller.chat(hosts[0], caller.mark(), session="kept")
+    assertions.assert_that(response.version, matchers.Equals(system_table.DEAR))
+    await _assert_no_violations(deployment)
 
 
-async def _pause_half_way(
+async def _freeze_during_requests(
     deployment: system_deployment.Deployment, hosts: Hosts
 ) -> None:
     caller = deployment.caller
@@ -380,8 +394,8 @@
         await deployment.processes.fault(
             engine, "delay", match="/v1/chat", seconds=0.5
         )
-    # A hard question: the cheap version's answer is not good enough.
-    asked = [
+    # The confidence of the cheap version is too low for this question.
+    requests = [
         asyncio.create_task(
             caller.chat(hosts[0], "m000008", "auto", deadline=30)
         )
@@ -389,21 +403,24 @@
     ]
 
     async def all_sent() -> bool:
-        seen = [await _seen(deployment, engine) for engine in engines]
-        return sum(seen) == len(asked)
+        counts = [
+            await _count_requests(deployment, engine) for engine in engines
+        ]
+        return sum(counts) == len(requests)
 
     await system_processes.until(all_sent, "all are at the engines")
     hosts[0].freeze()
     await _withdraw(deployment, system_table.DEAR, hosts[1:])
-    # The answers are there before the edit is.
+    # The responses arrive before the edit.
     await deployment.processes.fault(
         PLATFORM, "delay", match="/streams/table", method="GET", seconds=1.0
     )
     hosts[0].thaw()
-    told = await asyncio.gather(*asked)
+    responses = await asyncio.gather(*requests)
     await deployment.processes.clear_faults(PLATFORM)
     assertions.assert_that(
-        [word for word in told if not word.whole], matchers.Equals([])
+        [response for response in responses if not response.whole],
+        matchers.Equals([]),
     )
 
 
@@ -411,12 +428,14 @@
     deployment: system_deployment.Deployment,
 ) -> None:
     hosts = await deployment.start(hosts=3, platform=("--rating-share", "0"))
-    await _pause_half_way(deployment, hosts)
-    await _no_violations(deployment)
+    await _freeze_during_requests(deployment, hosts)
+    await _assert_no_violations(deployment)
 
 
-async def _seen(deployment: system_deployment.Deployment, name: str) -> int:
-    """Returns how many requests came to the one fault that is on."""
+async def _count_requests(
+    deployment: system_deployment.Deployment, name: str
+) -> int:
+    """Returns the number of requests that met the only active fault."""
     url = f"{deployment.program(name).url}/_faults"
     page = await deployment.processes.get(url)
     return int(page["faults"][0]["seen"])
@@ -425,18 +444,18 @@
 async def _list_as_leaving(
     deployment: system_deployment.Deployment, hosts: Hosts
 ) -> None:
-    """Sends work once every host has read that a backend server leaves."""
+    """Sends requests after every host read that a backend server leaves."""
     await deployment.list_backend("counter-1", "leaving")
     await deployment.processes.fault(
         PLATFORM, "delay", match="/hosts", seconds=0
     )
 
     async def all_have_read() -> bool:
-        return await _seen(deployment, PLATFORM) > 2 * len(hosts)
+        return await _count_requests(deployment, PLATFORM) > 2 * len(hosts)
 
     await system_processes.until(all_have_read, "the list was read twice")
     deployment.events.append(events.ServerLeft(time.time(), "counter-1"))
-    await _confirm_some(deployment, hosts, 18)
+    await _send_confirms(deployment, hosts, 18)
 
 
 async def test_a_server_listed_as_leaving_gets_no_work(
@@ -444,14 +463,14 @@
 ) -> None:
     hosts = await deployment.start(hosts=3)
     await _list_as_leaving(deployment, hosts)
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
 @pytest.mark.parametrize(
-    ("mutation", "scenario", "promise"),
+    ("mutation", "scenario", "invariant"),
     [
         ("freshness", _withdraw_while_frozen, withdrawals.WITHDRAWN),
-        ("recheck", _pause_half_way, withdrawals.WITHDRAWN),
+        ("recheck", _freeze_during_requests, withdrawals.WITHDRAWN),
         ("leaving", _list_as_leaving, withdrawals.LEAVING),
     ],
 )
@@ -459,19 +478,19 @@
     deployment: system_deployment.Deployment,
     mutation: str,
     scenario: Callable[[system_deployment.Deployment, Hosts], Awaitable[None]],
-    promise: str,
+    invariant: str,
 ) -> None:
     broken = str(pathlib.Path(__file__).parent / "broken_entry.py")
     deployment.entry_words = (sys.executable, broken, mutation)
-    # Ratings would move the threshold at which an answer is good enough.
+    # Ratings would change the confidence threshold of responses.
     hosts = await deployment.start(hosts=3, platform=("--rating-share", "0"))
     await scenario(deployment, hosts)
     found = {violation.promise for violation in await deployment.violations()}
-    assertions.assert_that(found, matchers.Contains(promise))
+    assertions.assert_that(found, matchers.Contains(invariant))
 
 
-def _due(deployment: system_deployment.Deployment) -> float:
-    """Returns from when the withdrawn version may get no new work."""
+def _withdrawal_time(deployment: system_deployment.Deployment) -> float:
+    """Returns when the withdrawn version may no longer get new requests."""
     found = [e for e in deployment.events if isinstance(e, events.Withdrawn)]
     return found[-1].at
 
@@ -498,7 +517,7 @@
         )
         for price in (1, 2)
     ]
-    # The second was made from a row that the first changed.
+    # The first edit changed a row of the second, which is rejected.
     deployment.events = [
         event
         for event in deployment.events
@@ -513,4 +532,4 @@
         {status["table_revision"] for status in statuses},
         matchers.Equals({racing[0]}),
     )
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
--- a/tests/system/test_system_faults_pairs.py
+++ b/tests/system/test_system_faults_pairs.py
@@ -1,4 +1,4 @@
-"""Any two faults at once, under traffic of every kind."""
+"""Tests pairs of simultaneous faults under traffic of every kind."""
 
 from __future__ import annotations
 
@@ -19,20 +19,21 @@
     from collections.abc import Awaitable, Callable
 
 PLATFORM = "platform"
-PAIRS = 3  # Pairs of faults a test.
-LASTS = 40  # Answers for which a fault stays.
-WORKERS = 24
-PATIENCE = 4.0  # Seconds until a caller hangs up on a frozen host.
+PAIRS = 3  # Pairs of faults per test.
+FAULT_RESPONSES = 40  # Responses during which a fault is active.
+CALLERS = 24
+CALLER_TIMEOUT = 4.0  # Seconds; ends requests to a frozen host.
 
 
 @attrs.define
-class Storm:
-    """Traffic, and faults that come and go by the count of answers.
+class FaultScenario:
+    """Traffic with faults that last for a number of responses.
 
     Attributes:
-        deployment: The processes.
-        hosts: Those that are asked, in turn.
-        done: Ends the traffic.
+        deployment: Deployment under test.
+        hosts: Hosts that receive requests in turn.
+        done: Whether the traffic should end.
+        numbers: Numbers of the requests.
     """
 
     deployment: system_deployment.Deployment
@@ -40,8 +41,8 @@
     done: bool = False
     numbers: itertools.count[int] = attrs.field(factory=itertools.count)
 
-    async def ask(self) -> None:
-        """Sends one request after another, of each kind in turn."""
+    async def send_requests(self) -> None:
+        """Sends sequential requests of each kind in turn."""
         caller = self.deployment.caller
         while not self.done:
             number = next(self.numbers)
@@ -59,35 +60,35 @@
                 await caller.chat(host, mark, session=session, deadline=3.0)
 
     async def _confirm_twice(self, number: int, mark: str) -> None:
-        """Sends the same confirm under one key to two hosts."""
+        """Sends the same confirm call with one key to two hosts."""
         for at in (number, number + 1):
             host = self.hosts[at % len(self.hosts)]
             await self.deployment.caller.confirm(
                 host, mark, f"own-{mark}", deadline=3.0
             )
 
-    async def await_answers(self, count: int = LASTS) -> None:
-        """Returns after so many answers more."""
+    async def await_responses(self, count: int = FAULT_RESPONSES) -> None:
+        """Waits for a number of further responses."""
         caller = self.deployment.caller
-        due = len(caller.answers) + count
+        target = len(caller.answers) + count
 
-        async def come() -> bool:
-            return len(caller.answers) >= due
+        async def received() -> bool:
+            return len(caller.answers) >= target
 
-        await system_processes.until(come, f"{count} answers")
+        await system_processes.until(received, f"{count} responses")
 
-    # Faults. The first host dies, the second freezes, the third goes on.
+    # Faults. They kill the first host and freeze the second; the third runs on.
 
     async def kill(self) -> None:
-        """Kills a host, and starts another of its name."""
+        """Kills a host and starts another with its name."""
         await self.deployment.kill(self.hosts[0])
-        await self.await_answers()
+        await self.await_responses()
         self.hosts[0] = await self.deployment.start_entry("entry-1")
 
     async def freeze(self) -> None:
-        """Pauses a host."""
+        """Suspends a host."""
         self.hosts[1].freeze()
-        await self.await_answers()
+        await self.await_responses()
         self.hosts[1].thaw()
 
     async def outage(self) -> None:
@@ -95,53 +96,53 @@
         await self._fault(PLATFORM, "outage", match="/streams")
 
     async def lose_replies(self) -> None:
-        """Has the log keep records and lose its replies."""
+        """Makes the log store records and lose the replies."""
         await self._fault(
             PLATFORM, "apply_but_lose_reply", match="/streams", method="POST"
         )
 
     async def slow_log(self) -> None:
-        """Slows the log down."""
+        """Delays responses of the log."""
         await self._fault(PLATFORM, "delay", match="/streams", seconds=0.3)
 
     async def cut_calls(self) -> None:
-        """Has a backend server run calls and cut the connection."""
+        """Makes a backend server execute calls and drop the connection."""
         await self._fault(
             "counter-1", "apply_but_lose_reply", match="/confirm", count=10
         )
 
     async def cut_streams(self) -> None:
-        """Has an engine cut its streams."""
+        """Makes an engine truncate its streams."""
         await self._fault(
             "engine-1", "cut_after_bytes", match="/v1/chat", bytes=400
         )
 
     async def cross_frames(self) -> None:
-        """Has an engine mix up its frames."""
+        """Makes an engine interchange frames of its streams."""
         await self._fault("engine-2", "crossed_frames", match="/v1/chat")
 
     async def replace_server(self) -> None:
-        """Has a backend server leave, and another come at its address."""
+        """Replaces a leaving backend server by another at its address."""
         await self.deployment.processes.fault("counter-2", "leaving")
-        await self.await_answers()
+        await self.await_responses()
         await self.deployment.replace_counter("counter-2")
 
     async def _fault(self, name: str, kind: str, **fields: object) -> None:
         number = await self.deployment.processes.fault(name, kind, **fields)
-        await self.await_answers()
+        await self.await_responses()
         await self.deployment.processes.clear_fault(name, number)
 
 
-FAULTS: tuple[Callable[[Storm], Awaitable[None]], ...] = (
-    Storm.kill,
-    Storm.freeze,
-    Storm.outage,
-    Storm.lose_replies,
-    Storm.slow_log,
-    Storm.cut_calls,
-    Storm.cut_streams,
-    Storm.cross_frames,
-    Storm.replace_server,
+FAULTS: tuple[Callable[[FaultScenario], Awaitable[None]], ...] = (
+    FaultScenario.kill,
+    FaultScenario.freeze,
+    FaultScenario.outage,
+    FaultScenario.lose_replies,
+    FaultScenario.slow_log,
+    FaultScenario.cut_calls,
+    FaultScenario.cut_streams,
+    FaultScenario.cross_frames,
+    FaultScenario.replace_server,
 )
 
 
@@ -150,23 +151,25 @@
     deployment: system_deployment.Deployment, seed: int
 ) -> None:
     hosts = await deployment.start(hosts=3)
-    deployment.caller.patience = PATIENCE
-    storm = Storm(deployment, hosts)
-    asking = [asyncio.create_task(storm.ask()) for _ in range(WORKERS)]
-    draws = random.Random(seed)
+    deployment.caller.patience = CALLER_TIMEOUT
+    scenario = FaultScenario(deployment, hosts)
+    traffic = [
+        asyncio.create_task(scenario.send_requests()) for _ in range(CALLERS)
+    ]
+    rng = random.Random(seed)
     for _ in range(PAIRS):
-        pair = draws.sample(FAULTS, 2)
-        await storm.await_answers()
-        await asyncio.gather(*(fault(storm) for fault in pair))
-        await deployment.await_ready(*storm.hosts)
-        # The bills of a host that died come by its holder, which must live.
+        pair = rng.sample(FAULTS, 2)
+        await scenario.await_responses()
+        await asyncio.gather(*(fault(scenario) for fault in pair))
+        await deployment.await_ready(*scenario.hosts)
+        # A killed host's bills are written by their holder, which must run.
         await deployment.await_bills()
-    storm.done = True
-    await asyncio.gather(*asking)
-    told = await deployment.caller.confirm(
-        storm.hosts[0], deployment.caller.mark()
+    scenario.done = True
+    await asyncio.gather(*traffic)
+    response = await deployment.caller.confirm(
+        scenario.hosts[0], deployment.caller.mark()
     )
     assertions.assert_that(
-        told.version, matchers.Equals(f"counter {system_table.CONFIRM}")
+        response.version, matchers.Equals(f"counter {system_table.CONFIRM}")
     )
     assertions.assert_that(await deployment.violations(), matchers.Equals(()))
--- a/tests/system/test_system_golden.py
+++ b/tests/system/test_system_golden.py
@@ -1,7 +1,7 @@
-"""Whole sessions in real processes, against golden files.
+"""Compares transcripts of complete sessions with golden files.
 
-After a change that is meant, ``pytest tests/system/test_system_golden.py
---snapshot-update`` writes the files anew; read the difference.
+After an intended change, update the files with ``pytest
+tests/system/test_system_golden.py --snapshot-update`` and review the diff.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 
 
 class GoldenFile(single_file.SingleFileSnapshotExtension):
-    """One text file a test, named after it."""
+    """Stores the snapshot of each test in a text file named after it."""
 
     _write_mode = single_file.WriteMode.TEXT
     file_extension = "txt"
 
     @classmethod
     def dirname(cls, *, test_location: PyTestLocation) -> str:
-        """Returns where the files are."""
+        """Returns the directory of the golden files."""
         directory = pathlib.Path(test_location.filepath).parent
         return str(directory / "golden" / test_location.basename)
 
@@ -57,7 +57,9 @@
     return system_transcript.Transcript(deployment)
 
 
-async def _no_violations(deployment: system_deployment.Deployment) -> None:
+async def _assert_no_violations(
+    deployment: system_deployment.Deployment,
+) -> None:
     assertions.assert_that(await deployment.violations(), matchers.Equals(()))
 
 
@@ -66,44 +68,46 @@
     transcript: system_transcript.Transcript,
     golden: SnapshotAssertion,
 ) -> None:
-    # Without ratings each plan rests on the table alone.
+    # Without ratings, plans depend only on the table.
     await deployment.start(
         hosts=1, engines=1, counters=1, platform=("--rating-share", "0")
     )
-    told = []
+    responses = []
     for kind, mark, step in (
         ("an easy question", "m000002", "bucket 8 is confident"),
         ("a hard question", "m000008", "bucket 3 is below"),
     ):
         transcript.say(kind)
-        told.append(await _ask_by_the_usual_plan(deployment, mark, step))
-        transcript.answered(f"agents ask auto: question {mark}", told[-1])
-        await transcript.explain(told[-1])
-    transcript.say("what ran, and what was billed")
-    await transcript.records(*(word.request_id for word in told))
+        responses.append(await _ask_with_regular_plan(deployment, mark, step))
+        transcript.answered(f"agents ask auto: question {mark}", responses[-1])
+        await transcript.explain(responses[-1])
+    transcript.say("executions and bills")
+    await transcript.records(*(response.request_id for response in responses))
     assert transcript.text() == golden
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
-async def _ask_by_the_usual_plan(
+async def _ask_with_regular_plan(
     deployment: system_deployment.Deployment, mark: str, step: str
 ) -> events.Told:
-    """Asks until the request is none of those that try another plan.
+    """Repeats a request until it is not an exploration of another plan.
 
     Args:
-        deployment: The processes.
-        mark: Names the question; the engine's confidence goes with it.
-        step: How what the usual plan makes of that begins.
+        deployment: Deployment under test.
+        mark: Identifies the question and determines the engine's confidence.
+        step: Start of the step that the regular plan records for it.
     """
     host = deployment.program("entry-1")
     for _ in range(50):
-        told = await deployment.caller.chat(host, mark, "auto")
+        response = await deployment.caller.chat(host, mark, "auto")
         found = await deployment.processes.get(
-            f"{host.url}/explain/{told.request_id}"
+            f"{host.url}/explain/{response.request_id}"
         )
-        if any(taken["detail"].startswith(step) for taken in found["steps"]):
-            return told
-    raise AssertionError(f"never: {step}")
+        if any(
+            recorded["detail"].startswith(step) for recorded in found["steps"]
+        ):
+            return response
+    raise AssertionError(f"no request had the step {step!r}")
 
 
 async def test_a_version_withdrawn_in_mid_session(
@@ -117,26 +121,26 @@
     row = attrs.evolve(table.versions[system_table.DEAR], weight=0.0001)
     await _publish(deployment, row)
     transcript.say("a session begins")
-    told = await caller.chat(hosts[0], caller.mark(), session="village")
-    transcript.answered("agents ask khao in a session at entry-1", told)
+    response = await caller.chat(hosts[0], caller.mark(), session="village")
+    transcript.answered("agents ask khao in a session at entry-1", response)
     cheap = deployment.table.versions[system_table.CHEAP]
-    transcript.say("khao@1 drains: sessions stay")
+    transcript.say("khao@1 drains: sessions keep it")
     await _publish(deployment, attrs.evolve(cheap, stage=model.Stage.DRAINING))
     for host in hosts:
-        told = await caller.chat(host, caller.mark(), session="village")
-        transcript.answered(f"the same session at {host.name}", told)
-    transcript.say("khao@1 is withdrawn: the session moves, and says so")
+        response = await caller.chat(host, caller.mark(), session="village")
+        transcript.answered(f"the same session at {host.name}", response)
+    transcript.say("khao@1 is withdrawn: the session moves to another version")
     await _publish(deployment, attrs.evolve(cheap, stage=model.Stage.WITHDRAWN))
     for host in hosts:
-        told = await caller.chat(host, caller.mark(), session="village")
-        transcript.answered(f"the same session at {host.name}", told)
-    told = await caller.chat(hosts[0], caller.mark(), "khao@1")
-    transcript.answered("agents ask khao@1 by name", told)
-    await transcript.explain(told)
-    transcript.say("what ran, and what was billed")
+        response = await caller.chat(host, caller.mark(), session="village")
+        transcript.answered(f"the same session at {host.name}", response)
+    response = await caller.chat(hosts[0], caller.mark(), "khao@1")
+    transcript.answered("agents ask khao@1 by name", response)
+    await transcript.explain(response)
+    transcript.say("executions and bills")
     await transcript.records()
     assert transcript.text() == golden
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
 async def _publish(
@@ -161,42 +165,44 @@
 ) -> None:
     hosts = await deployment.start(hosts=2, engines=1, counters=1)
     caller = deployment.caller
-    transcript.say("the log is up")
+    transcript.say("the log is available")
     for host in hosts:
-        told = await caller.confirm(host, caller.mark())
-        transcript.answered(f"agents confirm at {host.name}, no key", told)
+        response = await caller.confirm(host, caller.mark())
+        transcript.answered(f"agents confirm at {host.name}, no key", response)
     ticket, mark = await caller.ticket(hosts[0]), caller.mark()
-    transcript.note("agents take a ticket at entry-1")
+    transcript.note("agents request a ticket at entry-1")
     await deployment.processes.fault(PLATFORM, "outage", match=STREAMS)
-    transcript.say("the log goes down")
+    transcript.say("an outage of the log begins")
     own = caller.mark()
-    told = await caller.confirm(hosts[0], own, "receipt-17")
-    transcript.answered("agents confirm at entry-1, own key", told)
-    told = await caller.confirm(hosts[1], mark, ticket)
-    transcript.answered("agents confirm at entry-2, ticket", told)
-    told = await caller.confirm(hosts[0], mark, ticket)
-    transcript.answered("the same again at entry-1", told)
+    response = await caller.confirm(hosts[0], own, "receipt-17")
+    transcript.answered("agents confirm at entry-1, own key", response)
+    response = await caller.confirm(hosts[1], mark, ticket)
+    transcript.answered("agents confirm at entry-2, ticket", response)
+    response = await caller.confirm(hosts[0], mark, ticket)
+    transcript.answered("the same request at entry-1", response)
     await deployment.processes.clear_faults(PLATFORM)
-    transcript.say("the log is back")
+    transcript.say("the log is available again")
     await _await_claims(deployment)
     for host in hosts:
-        told = await caller.confirm(host, own, "receipt-17")
-        transcript.answered(f"agents confirm at {host.name}, own key", told)
-    transcript.say("what ran, and what was billed")
+        response = await caller.confirm(host, own, "receipt-17")
+        transcript.answered(f"agents confirm at {host.name}, own key", response)
+    transcript.say("executions and bills")
     await transcript.records()
     assert transcript.text() == golden
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
 async def _await_claims(deployment: system_deployment.Deployment) -> None:
-    """Returns once each host takes claims again."""
+    """Waits until each host can write claims again."""
     caller = deployment.caller
     for name in ("entry-1", "entry-2"):
         host = deployment.program(name)
-        told = None
-        while told is None or told.reason:
+        response = None
+        while response is None or response.reason:
             await asyncio.sleep(0.05)
-            told = await caller.confirm(host, caller.mark(), f"probe-{name}")
+            response = await caller.confirm(
+                host, caller.mark(), f"probe-{name}"
+            )
 
 
 async def test_a_racing_edit(
@@ -207,32 +213,32 @@
 ) -> None:
     await deployment.start(hosts=2, engines=1, counters=1)
     url = deployment.program(PLATFORM).url
-    sheets = {name: tmp_path / name for name in ("anong", "birna")}
+    directories = {name: tmp_path / name for name in ("anong", "birna")}
 
     async def table(command: str, name: str, *more: str) -> None:
         words = ("table", command)
-        place = (str(sheets[name]),)
+        location = (str(directories[name]),)
         if command == "show":
-            place = ("--out", str(sheets[name]))
+            location = ("--out", str(directories[name]))
         await transcript.console(
-            *words, *place, *more, "--log-url", url,
-            show=" ".join((*words, *place[:-1], name, *more)),
+            *words, *location, *more, "--log-url", url,
+            show=" ".join((*words, *location[:-1], name, *more)),
         )  # fmt: skip
 
     transcript.say("two operators fetch the table")
-    for name in sheets:
+    for name in directories:
         await table("show", name)
-    transcript.say("both change the price of khao@2; birna also a limit")
+    transcript.say("both change the price of khao@2, and birna also a limit")
     for name, price in (("anong", "9000"), ("birna", "8000")):
-        path = sheets[name] / "versions.csv"
+        path = directories[name] / "versions.csv"
         path.write_text(path.read_text().replace("10000", price))
-    path = sheets["birna"] / "accounts.csv"
+    path = directories["birna"] / "accounts.csv"
     path.write_text(path.read_text().replace("1000", "2000", 1))
-    for name in sheets:
+    for name in directories:
         await table("diff", name)
-    for name in sheets:
+    for name in directories:
         await table("publish", name, "--author", name)
-    transcript.say("birna fetches anew and changes the limit alone")
+    transcript.say("birna fetches the table again and changes only the limit")
     await table("show", "birna")
     path.write_text(path.read_text().replace("1000", "2000", 1))
     await table("publish", "birna", "--author", "birna")
@@ -270,18 +276,18 @@
     transcript.say("entry-1 is asked to stop with two requests in flight")
     await deployment.stop(hosts[0])
     await _await_state(deployment, "stopping")
-    told = await caller.chat(hosts[0], caller.mark(), "khao@1")
-    transcript.answered("a new chat", told)
+    response = await caller.chat(hosts[0], caller.mark(), "khao@1")
+    transcript.answered("a new chat", response)
     for name, task in running.items():
-        transcript.answered(f"{name} that was in flight", await task)
+        transcript.answered(f"{name} in flight", await task)
     transcript.note(f"entry-1 exits with {await hosts[0].exit_code()}")
-    transcript.say("the other host goes on")
-    told = await caller.confirm(hosts[1], caller.mark())
-    transcript.answered("a confirm at entry-2", told)
-    transcript.say("what ran, and what was billed")
+    transcript.say("entry-2 still serves requests")
+    response = await caller.confirm(hosts[1], caller.mark())
+    transcript.answered("a confirm at entry-2", response)
+    transcript.say("executions and bills")
     await transcript.records()
     assert transcript.text() == golden
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
 async def _await_in_flight(
--- a/tests/system/test_system_metrics.py
+++ b/tests/system/test_system_metrics.py
@@ -1,4 +1,4 @@
-"""A running entry counts each refusal and each retry under its reason."""
+"""Tests that an entry host counts refusals and retries by their reasons."""
 
 from __future__ import annotations
 
--- a/tests/system/test_system_mutations.py
+++ b/tests/system/test_system_mutations.py
@@ -1,4 +1,4 @@
-"""Each proof fails where the mechanism behind its promise is taken out."""
+"""Tests that each check fails without the mechanism behind its invariant."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
     Hosts = list[system_processes.Program]
     Scenario = Callable[[system_deployment.Deployment, Hosts], Awaitable[None]]
 
-_BROKEN = str(pathlib.Path(__file__).parent / "broken_entry.py")
+_BROKEN_ENTRY = str(pathlib.Path(__file__).parent / "broken_entry.py")
 
 
-async def _one_key_at_all_hosts(
+async def _confirm_with_one_key(
     deployment: system_deployment.Deployment, hosts: Hosts
 ) -> None:
     caller = deployment.caller
@@ -53,11 +53,12 @@
             counter, "apply_but_lose_reply", match="/confirm"
         )
     caller = deployment.caller
-    for host in hosts * 3:  # On a busy machine some are refused unrun.
+    # On a busy machine, some requests are refused without execution.
+    for host in hosts * 3:
         await caller.confirm(host, caller.mark())
 
 
-async def _chats(
+async def _chat_in_session(
     deployment: system_deployment.Deployment, hosts: Hosts
 ) -> None:
     caller = deployment.caller
@@ -65,7 +66,7 @@
         await caller.chat(host, caller.mark(), session="one-session")
 
 
-async def _sessions_across_an_edit(
+async def _edit_between_chats(
     deployment: system_deployment.Deployment, hosts: Hosts
 ) -> None:
     caller = deployment.caller
@@ -82,14 +83,14 @@
         await caller.chat(hosts[1], caller.mark(), session=name)
 
 
-async def _crossed(
+async def _chat_with_crossed_frames(
     deployment: system_deployment.Deployment, hosts: Hosts
 ) -> None:
     for engine in ("engine-1", "engine-2"):
         await deployment.processes.fault(
             engine, "crossed_frames", match="/v1/chat"
         )
-    await _chats(deployment, hosts)
+    await _chat_in_session(deployment, hosts)
 
 
 async def _chat_without_grant(
@@ -113,7 +114,7 @@
     )
     await deployment.await_revision(revision, *hosts)
     withdrawn = [e for e in deployment.events if hasattr(e, "version")]
-    # The check allows three seconds; here every host has it in force now.
+    # The check allows 3 seconds, but here every host has the edit in force.
     deployment.events = [
         attrs.evolve(event, at=event.at - 3.0) if event in withdrawn else event
         for event in deployment.events
@@ -143,16 +144,16 @@
 
 
 @pytest.mark.parametrize(
-    ("mutation", "scenario", "promise"),
+    ("mutation", "scenario", "invariant"),
     [
-        ("claims", _one_key_at_all_hosts, at_most_once.PROMISE),
+        ("claims", _confirm_with_one_key, at_most_once.PROMISE),
         ("resend", _confirm_with_lost_answer, at_most_once.PROMISE),
         ("not_run", _confirm_with_lost_answer, not_run.PROMISE),
-        ("bills", _chats, billing.PROMISE),
-        ("frames", _crossed, whole_answers.PROMISE),
+        ("bills", _chat_in_session, billing.PROMISE),
+        ("frames", _chat_with_crossed_frames, whole_answers.PROMISE),
         ("grants", _chat_without_grant, grants.PROMISE),
         ("withdrawals", _chat_after_withdrawal, withdrawals.WITHDRAWN),
-        ("sessions", _sessions_across_an_edit, sessions.PROMISE),
+        ("sessions", _edit_between_chats, sessions.PROMISE),
         ("drain", _stop_with_request_in_flight, stops.PROMISE),
     ],
 )
@@ -160,10 +161,10 @@
     deployment: system_deployment.Deployment,
     mutation: str,
     scenario: Scenario,
-    promise: str,
+    invariant: str,
 ) -> None:
-    deployment.entry_words = (sys.executable, _BROKEN, mutation)
+    deployment.entry_words = (sys.executable, _BROKEN_ENTRY, mutation)
     hosts = await deployment.start(hosts=2)
     await scenario(deployment, hosts)
     found = {violation.promise for violation in await deployment.violations()}
-    assertions.assert_that(found, matchers.Contains(promise))
+    assertions.assert_that(found, matchers.Contains(invariant))
--- a/tests/system/test_system_once.py
+++ b/tests/system/test_system_once.py
@@ -1,4 +1,4 @@
-"""At most once, and a true ``not_run``, under failure."""
+"""Tests at-most-once execution and ``not_run`` outcomes under faults."""
 
 from __future__ import annotations
 
@@ -19,15 +19,17 @@
 
     from hoistmoor.history import events
 
-PATIENCE = 20.0  # Seconds; only a hang of a busy machine comes near.
+STALE_TABLE_TIMEOUT = 20.0  # Seconds; reached only if a busy machine hangs.
 CLAIMS = "/streams/claims"
-NEAREST = "counter-2"  # It stands in the failure domain of the first host.
+NEAREST = "counter-2"  # In the failure domain of the first host.
 DONE = outcomes.Outcome.DONE
 NOT_RUN = outcomes.Outcome.NOT_RUN
 UNKNOWN = outcomes.Outcome.UNKNOWN
 
 
-async def _no_violations(deployment: system_deployment.Deployment) -> None:
+async def _assert_no_violations(
+    deployment: system_deployment.Deployment,
+) -> None:
     assertions.assert_that(await deployment.violations(), matchers.Equals(()))
 
 
@@ -37,13 +39,17 @@
     hosts = await deployment.start(hosts=3)
     caller = deployment.caller
     calls = []
-    for turn in range(20):
+    for index in range(20):
         mark = caller.mark()
-        calls += [caller.confirm(host, mark, f"key-{turn}") for host in hosts]
-    told = await asyncio.gather(*calls)
-    done = [word for word in told if word and word.outcome is DONE]
+        calls += [caller.confirm(host, mark, f"key-{index}") for host in hosts]
+    responses = await asyncio.gather(*calls)
+    done = [
+        response
+        for response in responses
+        if response and response.outcome is DONE
+    ]
     assertions.assert_that(len(done), matchers.GreaterThan(19))
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
 @pytest.mark.parametrize("hang", [False, True])
@@ -61,11 +67,15 @@
         hang=hang,
     )
     mark = caller.mark()
-    for turn in range(6):
-        await caller.confirm(hosts[turn % 2], mark, "lost-reply")
-    words = [w for w in deployment.caller.events if hasattr(w, "outcome")]
-    assertions.assert_that(words[-1].outcome, matchers.Is(DONE))
-    await _no_violations(deployment)
+    for index in range(6):
+        await caller.confirm(hosts[index % 2], mark, "lost-reply")
+    responses = [
+        response
+        for response in deployment.caller.events
+        if hasattr(response, "outcome")
+    ]
+    assertions.assert_that(responses[-1].outcome, matchers.Is(DONE))
+    await _assert_no_violations(deployment)
 
 
 async def test_the_log_is_down(
@@ -86,7 +96,7 @@
     assertions.assert_that(ticketed.outcome, matchers.Is(DONE))
     assertions.assert_that(repeated.outcome, matchers.Is(DONE))
     await deployment.processes.clear_faults("platform")
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
 async def test_the_owner_dies_after_dispatch(
@@ -116,29 +126,29 @@
         ticket_again.reason,
         matchers.Equals(refusals.Reason.TICKET_ISSUER_GONE),
     )
-    for word in (again, ticket_again):
-        assertions.assert_that(word.key_outcome, matchers.Equals(UNKNOWN))
-    await _no_violations(deployment)
+    for response in (again, ticket_again):
+        assertions.assert_that(response.key_outcome, matchers.Equals(UNKNOWN))
+    await _assert_no_violations(deployment)
 
 
-async def _confirm_past_a_stale_table(
+async def _confirm_despite_stale_table(
     deployment: system_deployment.Deployment,
     host: system_processes.Program,
     mark: str,
 ) -> events.Told:
-    """Asks as a caller does that is told to come back.
+    """Repeats a confirm call while it is refused because of a stale table.
 
-    A host that wakes up refuses until it has read the table again; no other
-    refusal is allowed for.
+    A host that resumes refuses requests until it has read the table again. Any
+    other refusal fails the test.
     """
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(STALE_TABLE_TIMEOUT):
         while True:
-            told = await deployment.caller.confirm(host, mark, "paused")
-            assert told is not None
-            if told.outcome is not NOT_RUN:
-                return told
+            response = await deployment.caller.confirm(host, mark, "paused")
+            assert response is not None
+            if response.outcome is not NOT_RUN:
+                return response
             assertions.assert_that(
-                told.reason, matchers.Equals(refusals.Reason.TABLE_STALE)
+                response.reason, matchers.Equals(refusals.Reason.TABLE_STALE)
             )
             await asyncio.sleep(0.05)
 
@@ -165,16 +175,16 @@
     other = await caller.confirm(hosts[1], mark, "paused", deadline=2.0)
     hosts[0].thaw()
     await first
-    last = await _confirm_past_a_stale_table(deployment, hosts[1], mark)
+    last = await _confirm_despite_stale_table(deployment, hosts[1], mark)
     assertions.assert_that(other.outcome, matchers.Not(matchers.Is(DONE)))
     assertions.assert_that(last.outcome, matchers.Is(DONE))
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
 @pytest.mark.parametrize(
     ("kind", "fields", "outcome"),
     [
-        ("decline", {}, NOT_RUN),  # Where the retry budget is spent.
+        ("decline", {}, NOT_RUN),  # If the retry budget is exhausted.
         ("cut_before_answer", {}, UNKNOWN),
         ("apply_but_lose_reply", {}, UNKNOWN),
         ("cut_after_bytes", {"bytes": 5}, UNKNOWN),
@@ -190,16 +200,16 @@
     hosts = await deployment.start(hosts=2)
     caller = deployment.caller
     await deployment.processes.fault(NEAREST, kind, match="/confirm", **fields)
-    told = []
-    for turn in range(12):
+    responses = []
+    for index in range(12):
         ticket = await caller.ticket(hosts[0])
-        key = ("", f"own-{turn}", ticket)[turn % 3]
-        told.append(await caller.confirm(hosts[0], caller.mark(), key))
-    seen = {word.outcome for word in told}
+        key = ("", f"own-{index}", ticket)[index % 3]
+        responses.append(await caller.confirm(hosts[0], caller.mark(), key))
+    seen = {response.outcome for response in responses}
     assertions.assert_that(seen, matchers.Contains(outcome))
     assertions.assert_that(seen - {DONE, outcome}, matchers.Equals(set()))
     await deployment.processes.clear_faults(NEAREST)
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
 async def _has_claim(deployment: system_deployment.Deployment) -> bool:
@@ -229,12 +239,16 @@
     hosts: list[system_processes.Program],
     name: str,
 ) -> None:
-    async def known() -> bool:
+    async def is_dead_everywhere() -> bool:
         for host in hosts:
             status = await deployment.status(host)
-            states = {h["host"]: h["state"] for h in status["hosts"]}
+            states = {
+                member["host"]: member["state"] for member in status["hosts"]
+            }
             if states.get(name) not in (None, "dead"):
                 return False
         return True
 
-    await system_processes.until(known, f"{name} is known to be dead")
+    await system_processes.until(
+        is_dead_everywhere, f"{name} is known to be dead"
+    )
--- a/tests/system/test_system_path.py
+++ b/tests/system/test_system_path.py
@@ -1,4 +1,4 @@
-"""The whole path in real processes, with nothing going wrong."""
+"""Tests requests of each kind without faults."""
 
 from __future__ import annotations
 
@@ -18,18 +18,22 @@
     hosts = await deployment.start(hosts=3)
     caller = deployment.caller
     calls = []
-    for turn in range(30):
-        host = hosts[turn % len(hosts)]
+    for index in range(30):
+        host = hosts[index % len(hosts)]
         ticket = await caller.ticket(host)
         calls += [
             caller.chat(host, caller.mark()),
             caller.chat(host, caller.mark(), "auto"),
-            caller.chat(host, caller.mark(), session=f"s{turn % 5}"),
+            caller.chat(host, caller.mark(), session=f"s{index % 5}"),
             caller.confirm(host, caller.mark()),
-            caller.confirm(host, caller.mark(), f"own-{turn}"),
+            caller.confirm(host, caller.mark(), f"own-{index}"),
             caller.confirm(host, caller.mark(), ticket),
         ]
-    told = await asyncio.gather(*calls)
-    refused = [word.reason for word in told if word is None or word.reason]
+    responses = await asyncio.gather(*calls)
+    refused = [
+        response.reason
+        for response in responses
+        if response is None or response.reason
+    ]
     assertions.assert_that(refused, matchers.Equals([]))
     assertions.assert_that(await deployment.violations(), matchers.Equals(()))
--- a/tests/system/test_system_security.py
+++ b/tests/system/test_system_security.py
@@ -1,4 +1,4 @@
-"""Hosts without the secret stay outside; secrets change with nobody refused."""
+"""Tests secrets of hosts and operators, secret rotation and TLS."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
     Hosts = list[system_processes.Program]
 
-OLD, NEW = system_processes.SECRET, "the-secret-that-comes-next"
+OLD_SECRET, NEW_SECRET = system_processes.SECRET, "the-secret-that-comes-next"
 OPERATOR_KEY = "a-key-of-an-operator"
 _TLS = pathlib.Path(__file__).parents[1] / "fixtures" / "tls"
-_BROKEN = pathlib.Path(__file__).parent / "broken_entry.py"
+_BROKEN_ENTRY = pathlib.Path(__file__).parent / "broken_entry.py"
 
 
-def _alive(status: dict[str, Any]) -> set[str]:
+def _alive_hosts(status: dict[str, Any]) -> set[str]:
     return {
         host["host"] for host in status["hosts"] if host["state"] == "alive"
     }
@@ -46,10 +46,10 @@
     hosts = await deployment.start(hosts=2)
     statuses = [await deployment.status(host) for host in hosts]
     for status in statuses:
-        taken = await system_strangers.try_all(
+        accepted = await system_strangers.try_all(
             status["peer_address"], status["incarnation"], time.time
         )
-        assertions.assert_that(taken, matchers.Equals([]))
+        assertions.assert_that(accepted, matchers.Equals([]))
 
     variables = deployment.processes.variables
     variables["HOISTMOOR_SECRET"] = system_strangers.SECRET
@@ -63,51 +63,51 @@
     for host in hosts:
         status = await deployment.status(host)
         assertions.assert_that(
-            _alive(status), matchers.Equals({"entry-1", "entry-2"})
+            _alive_hosts(status), matchers.Equals({"entry-1", "entry-2"})
         )
         assertions.assert_that(status["leaving_servers"], matchers.Equals([]))
     status = await deployment.status(outsider)
-    assertions.assert_that(_alive(status), matchers.Equals({"entry-3"}))
+    assertions.assert_that(_alive_hosts(status), matchers.Equals({"entry-3"}))
 
     await deployment.processes.fault("platform", "outage", match="/streams")
     caller = deployment.caller
-    for host in hosts:  # Each holds the other's bills; nobody the outsider's.
-        told = await caller.confirm(
+    for host in hosts:  # They hold each other's bills, but none of entry-3.
+        response = await caller.confirm(
             host, caller.mark(), await caller.ticket(host)
         )
-        assert told is not None
-        assertions.assert_that(told.reason, matchers.Equals(""))
+        assert response is not None
+        assertions.assert_that(response.reason, matchers.Equals(""))
 
     async def is_refusing() -> bool:
-        told = await caller.chat(outsider, caller.mark())
-        return told is not None and bool(told.reason)
+        response = await caller.chat(outsider, caller.mark())
+        return response is not None and bool(response.reason)
 
-    await system_processes.until(is_refusing, "entry-3 takes no work")
+    await system_processes.until(is_refusing, "entry-3 refuses requests")
     await deployment.processes.clear_faults("platform")
     assertions.assert_that(await deployment.violations(), matchers.Equals(()))
-    _check_no_key_in(tmp_path)
+    _assert_no_key_in_logs(tmp_path)
 
 
 async def test_without_the_check_a_stranger_is_served(
     deployment: system_deployment.Deployment,
 ) -> None:
-    """Shows that the proof above catches a missing check."""
-    deployment.entry_words = (sys.executable, str(_BROKEN), "peer_guard")
+    """Shows that the preceding test detects a missing check."""
+    deployment.entry_words = (sys.executable, str(_BROKEN_ENTRY), "peer_guard")
     (host,) = await deployment.start(hosts=1)
     status = await deployment.status(host)
-    taken = await system_strangers.try_all(
+    accepted = await system_strangers.try_all(
         status["peer_address"], status["incarnation"], time.time
     )
-    assertions.assert_that(len(taken), matchers.GreaterThan(5))
+    assertions.assert_that(len(accepted), matchers.GreaterThan(5))
 
 
-def _check_no_key_in(logs: pathlib.Path) -> None:
-    keys = [OLD, NEW, system_strangers.SECRET, OPERATOR_KEY]
+def _assert_no_key_in_logs(logs: pathlib.Path) -> None:
+    keys = [OLD_SECRET, NEW_SECRET, system_strangers.SECRET, OPERATOR_KEY]
     keys.append(system_table.bearer(system_table.ACCOUNT))
     for path in logs.glob("*.log"):
         text = path.read_text()
         for key in keys:
-            assert key not in text, f"{path.name} has a key in it"
+            assert key not in text, f"{path.name} contains a key"
 
 
 # Rotation.
@@ -125,33 +125,33 @@
     body = {"model": "khao", "messages": [{"role": "user", "content": "q"}]}
     async with session.post(
         f"{host.url}/v1/chat/completions", json=body, headers=headers
-    ) as answer:
-        await answer.read()
-        return answer
+    ) as response:
+        await response.read()
+        return response
 
 
-async def _use_all(
+async def _use_tokens_and_tickets(
     deployment: system_deployment.Deployment, hosts: Hosts
 ) -> None:
-    """Uses tokens and tickets of each host at each host."""
+    """Uses session tokens and tickets of each host at each host."""
     session = deployment.processes.session
     caller = deployment.caller
     for issuer in hosts:
         first = await _chat(session, issuer)
         token = first.headers["X-Hoistmoor-Session"]
         for host in hosts:
-            answer = await _chat(session, host, token)
-            assertions.assert_that(answer.status, matchers.Equals(200))
+            chat_response = await _chat(session, host, token)
+            assertions.assert_that(chat_response.status, matchers.Equals(200))
             ticket = await caller.ticket(issuer)
-            told = await caller.confirm(host, caller.mark(), ticket)
-            assert told is not None
-            assertions.assert_that(told.reason, matchers.Equals(""))
+            response = await caller.confirm(host, caller.mark(), ticket)
+            assert response is not None
+            assertions.assert_that(response.reason, matchers.Equals(""))
 
 
-async def _replace(
+async def _restart(
     deployment: system_deployment.Deployment, name: str, secret: str
 ) -> None:
-    """Restarts a host with another list of secrets."""
+    """Restarts a host with other secrets."""
     old = deployment.program(name)
     await deployment.stop(old)
     await old.exit_code()
@@ -163,32 +163,36 @@
         hosts = [deployment.program(f"entry-{n}") for n in (1, 2)]
         statuses = [await deployment.status(host) for host in hosts]
         return all(
-            status and _alive(status) == {"entry-1", "entry-2"}
+            status and _alive_hosts(status) == {"entry-1", "entry-2"}
             for status in statuses
         )
 
-    await system_processes.until(all_joined, f"{name} is back")
+    await system_processes.until(all_joined, f"{name} is a member again")
 
 
 async def test_a_secret_is_changed_in_three_steps_with_nobody_refused(
     deployment: system_deployment.Deployment, tmp_path: pathlib.Path
 ) -> None:
     await deployment.start(hosts=2)
-    for secret in (f"{OLD},{NEW}", f"{NEW},{OLD}", NEW):
+    for secret in (
+        f"{OLD_SECRET},{NEW_SECRET}",
+        f"{NEW_SECRET},{OLD_SECRET}",
+        NEW_SECRET,
+    ):
         for name in ("entry-1", "entry-2"):
-            await _replace(deployment, name, secret)
-            # After entry-1 one host is a step ahead of the other.
+            await _restart(deployment, name, secret)
+            # Between the two restarts, the hosts have different secrets.
             hosts = [deployment.program(f"entry-{n}") for n in (1, 2)]
-            await _use_all(deployment, hosts)
+            await _use_tokens_and_tickets(deployment, hosts)
     for name in ("entry-1", "entry-2"):
         assert "Refused" not in _log_of(tmp_path, name)
-    _check_no_key_in(tmp_path)
+    _assert_no_key_in_logs(tmp_path)
 
 
 async def _grant_to_both(
     deployment: system_deployment.Deployment, host: system_processes.Program
 ) -> None:
-    """Lets both accounts use the model, so that only the token differs."""
+    """Grants the model to both accounts, so that only the token differs."""
     table = deployment.table
     (grant,) = table.grants.values()
     other = attrs.evolve(grant, account=system_table.OTHER)
@@ -211,9 +215,9 @@
     caller = deployment.caller
     ticket = await caller.ticket(host)
     forged = ticket[:-2] + ("AA" if ticket[-2:] != "AA" else "BB")
-    told = await caller.confirm(host, caller.mark(), forged)
-    assert told is not None
-    assertions.assert_that(told.reason, matchers.Equals("ticket_invalid"))
+    response = await caller.confirm(host, caller.mark(), forged)
+    assert response is not None
+    assertions.assert_that(response.reason, matchers.Equals("ticket_invalid"))
     assertions.assert_that(await deployment.violations(), matchers.Equals(()))
 
 
@@ -229,20 +233,22 @@
     deployment.entry_flags["entry-9"] = ("--log-level", "info")
     host = await deployment.start_entry("entry-9")
     caller_key = system_table.bearer(system_table.ACCOUNT)
-    wanted = {"": 401, caller_key: 401, known: 401, OPERATOR_KEY: 200}
+    expected = {"": 401, caller_key: 401, known: 401, OPERATOR_KEY: 200}
     session = deployment.processes.session
-    for key, status in wanted.items():
+    for key, status in expected.items():
         headers = {"Authorization": f"Bearer {key}"} if key else {}
-        async with session.get(f"{host.url}/status", headers=headers) as told:
-            assertions.assert_that(told.status, matchers.Equals(status))
-    for path in ("/healthz", "/peer-address"):  # Open to all.
-        async with session.get(host.url + path) as told:
-            assertions.assert_that(told.status, matchers.Equals(200))
-    async with session.get(f"{host.url}/explain/entry-9.1.1") as told:
-        assertions.assert_that(told.status, matchers.Equals(401))
+        async with session.get(
+            f"{host.url}/status", headers=headers
+        ) as response:
+            assertions.assert_that(response.status, matchers.Equals(status))
+    for path in ("/healthz", "/peer-address"):  # Need no key.
+        async with session.get(host.url + path) as response:
+            assertions.assert_that(response.status, matchers.Equals(200))
+    async with session.get(f"{host.url}/explain/entry-9.1.1") as response:
+        assertions.assert_that(response.status, matchers.Equals(401))
     assert "open to all" in _log_of(tmp_path, "entry-1")
     assert "open to all" not in _log_of(tmp_path, "entry-9")
-    _check_no_key_in(tmp_path)
+    _assert_no_key_in_logs(tmp_path)
 
 
 # TLS.
@@ -264,26 +270,26 @@
     async def all_joined() -> bool:
         for host in hosts:
             url = link.url(host.address, "/status")
-            async with session.get(url, ssl=link.verify) as answer:
-                status = await answer.json()
-            if len(_alive(status)) < 2 or status["state"] != "ready":
+            async with session.get(url, ssl=link.verify) as response:
+                status = await response.json()
+            if len(_alive_hosts(status)) < 2 or status["state"] != "ready":
                 return False
         return True
 
-    await system_processes.until(all_joined, "both hosts know each other")
-    for path in ("status", "peer-address"):  # No plain connections.
+    await system_processes.until(all_joined, "both hosts are members")
+    for path in ("status", "peer-address"):  # Plain HTTP is refused.
         assert await deployment.processes.get(f"{hosts[0].url}/{path}") is None
     headers = {
         "Authorization": f"Bearer {system_table.bearer(system_table.ACCOUNT)}"
     }
     url = link.url(hosts[0].address, "/v1/tickets")
-    async with session.post(url, headers=headers, ssl=link.verify) as answer:
-        headers["Idempotency-Key"] = (await answer.json())["ticket"]
+    async with session.post(url, headers=headers, ssl=link.verify) as response:
+        headers["Idempotency-Key"] = (await response.json())["ticket"]
     url = link.url(hosts[1].address, "/v1/services/counter/confirm")
     async with session.post(
         url, json={"id": "m1"}, headers=headers, ssl=link.verify
-    ) as answer:  # Forwarded to its issuer.
-        assertions.assert_that(answer.status, matchers.Equals(200))
+    ) as response:  # Forwarded to the issuer of the ticket.
+        assertions.assert_that(response.status, matchers.Equals(200))
 
 
 @pytest.mark.parametrize("name", ["host", "stranger"])
@@ -302,17 +308,19 @@
     link = tls.make_client(str(_TLS / "ca.crt"))
     url = link.url(deployment.program("entry-1").address, "/status")
     session = deployment.processes.session
-    wanted = 2 if name == "host" else 1
+    expected = 2 if name == "host" else 1
 
     async def has_read_the_list() -> bool:
-        async with session.get(url, ssl=link.verify) as answer:
-            status = await answer.json()
-        return status["state"] == "ready" and len(_alive(status)) == wanted
+        async with session.get(url, ssl=link.verify) as response:
+            status = await response.json()
+        return (
+            status["state"] == "ready" and len(_alive_hosts(status)) == expected
+        )
 
-    await system_processes.until(has_read_the_list, f"{wanted} hosts known")
+    await system_processes.until(has_read_the_list, f"{expected} hosts known")
 
 
-# A paused host.
+# Paused hosts.
 
 
 async def test_a_host_that_was_paused_is_let_in_again(
@@ -322,18 +330,18 @@
     hosts[1].freeze()
 
     async def is_dead() -> bool:
-        return "entry-2" not in _alive(await deployment.status(hosts[0]))
+        return "entry-2" not in _alive_hosts(await deployment.status(hosts[0]))
 
-    await system_processes.until(is_dead, "entry-2 is missed")
+    await system_processes.until(is_dead, "entry-2 is considered dead")
     hosts[1].thaw()
 
     async def are_both_alive() -> bool:
         return all(
             [
-                len(_alive(await deployment.status(host))) == len(hosts)
+                len(_alive_hosts(await deployment.status(host))) == len(hosts)
                 for host in hosts
             ]
         )
 
-    await system_processes.until(are_both_alive, "entry-2 is back")
-    await _use_all(deployment, hosts)
+    await system_processes.until(are_both_alive, "entry-2 is a member again")
+    await _use_tokens_and_tickets(deployment, hosts)
--- a/tests/system/test_system_stops.py
+++ b/tests/system/test_system_stops.py
@@ -1,4 +1,4 @@
-"""Graceful stops, and backend servers that leave."""
+"""Tests graceful stops and leaving backend servers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,9 @@
     import system_deployment
 
 
-async def _no_violations(deployment: system_deployment.Deployment) -> None:
+async def _assert_no_violations(
+    deployment: system_deployment.Deployment,
+) -> None:
     assertions.assert_that(await deployment.violations(), matchers.Equals(()))
 
 
@@ -35,21 +37,21 @@
         for _ in range(12)
     ]
     await system_processes.until(
-        lambda: _in_flight(deployment, hosts[0], 12), "12 in flight"
+        lambda: _has_in_flight(deployment, hosts[0], 12), "12 in flight"
     )
     if log_is_down:
         await deployment.processes.fault("platform", "outage", match="/streams")
     await deployment.stop(hosts[0])
-    told = await asyncio.gather(*running)
+    responses = await asyncio.gather(*running)
     late = await caller.chat(hosts[0], caller.mark())
     code = await hosts[0].exit_code()
     assertions.assert_that(
-        [word.reason for word in told], matchers.Equals([""] * 12)
+        [response.reason for response in responses], matchers.Equals([""] * 12)
     )
     assertions.assert_that(code, matchers.Equals(0))
     assertions.assert_that(late.reason, matchers.Equals("stopping"))
     await deployment.processes.clear_faults("platform")
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
 async def test_a_stop_cuts_no_request_on_a_kept_connection(
@@ -58,21 +60,23 @@
     hosts = await deployment.start(hosts=2)
     caller = deployment.caller
 
-    async def ask_until_gone() -> None:
-        told = await caller.confirm(hosts[0], caller.mark())
-        while told is not None:
-            told = await caller.confirm(hosts[0], caller.mark())
+    async def send_until_disconnected() -> None:
+        response = await caller.confirm(hosts[0], caller.mark())
+        while response is not None:
+            response = await caller.confirm(hosts[0], caller.mark())
 
-    asking = [asyncio.create_task(ask_until_gone()) for _ in range(16)]
+    traffic = [
+        asyncio.create_task(send_until_disconnected()) for _ in range(16)
+    ]
     while len(caller.events) < 200:
         await asyncio.sleep(0.01)
     await deployment.stop(hosts[0])
-    await asyncio.gather(*asking)
+    await asyncio.gather(*traffic)
     await hosts[0].exit_code()
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
-async def _in_flight(
+async def _has_in_flight(
     deployment: system_deployment.Deployment,
     host: system_processes.Program,
     count: int,
@@ -89,22 +93,22 @@
     caller = deployment.caller
     counter = deployment.program("counter-1")
     if by_list:
-        await _list_leaving(deployment, counter)
+        await _list_as_leaving(deployment, counter)
     else:
         await deployment.processes.fault("counter-1", "leaving")
     await system_processes.until(
         lambda: _all_know(deployment, hosts, counter.address),
-        "all hosts know that it leaves",
+        "all hosts know of its departure",
     )
-    before = await _executions(deployment, counter)
-    for turn in range(30):
-        await caller.confirm(hosts[turn % 3], caller.mark())
-    after = await _executions(deployment, counter)
+    before = await _count_executions(deployment, counter)
+    for index in range(30):
+        await caller.confirm(hosts[index % 3], caller.mark())
+    after = await _count_executions(deployment, counter)
     assertions.assert_that(after, matchers.Equals(before))
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
-async def _list_leaving(
+async def _list_as_leaving(
     deployment: system_deployment.Deployment,
     program: system_processes.Program,
 ) -> None:
@@ -116,8 +120,8 @@
         "state": "leaving",
         "incarnation": 2**53,
     }
-    async with deployment.processes.session.put(url, json=row) as answer:
-        assert answer.status == 200
+    async with deployment.processes.session.put(url, json=row) as response:
+        assert response.status == 200
 
 
 async def _all_know(
@@ -129,7 +133,7 @@
     return all(address in status["leaving_servers"] for status in statuses)
 
 
-async def _executions(
+async def _count_executions(
     deployment: system_deployment.Deployment,
     program: system_processes.Program,
 ) -> int:
--- a/tests/system/test_system_versions.py
+++ b/tests/system/test_system_versions.py
@@ -1,4 +1,4 @@
-"""Grants, withdrawals and sessions while operators edit the table."""
+"""Tests grants, withdrawals and sessions during edits of the table."""
 
 from __future__ import annotations
 
@@ -21,7 +21,9 @@
 SESSIONS = tuple(f"session-{n}" for n in range(6))
 
 
-async def _no_violations(deployment: system_deployment.Deployment) -> None:
+async def _assert_no_violations(
+    deployment: system_deployment.Deployment,
+) -> None:
     assertions.assert_that(await deployment.violations(), matchers.Equals(()))
 
 
@@ -31,24 +33,24 @@
 
 
 def _without_grant(table: model.Table) -> model.Table:
-    dear = model.Grant(system_table.ACCOUNT, "khao", "2", 0.8)
-    return attrs.evolve(table, grants={dear.key: dear})
+    expensive = model.Grant(system_table.ACCOUNT, "khao", "2", 0.8)
+    return attrs.evolve(table, grants={expensive.key: expensive})
 
 
-async def _traffic(
+async def _send_traffic(
     deployment: system_deployment.Deployment,
     hosts: list[system_processes.Program],
     stop: asyncio.Event,
 ) -> None:
     caller = deployment.caller
-    turn = 0
+    index = 0
     while not stop.is_set():
-        turn += 1
-        host = hosts[turn % len(hosts)]
+        index += 1
+        host = hosts[index % len(hosts)]
         await asyncio.gather(
             caller.chat(host, caller.mark()),
             caller.chat(host, caller.mark(), "auto"),
-            caller.chat(host, caller.mark(), session=SESSIONS[turn % 6]),
+            caller.chat(host, caller.mark(), session=SESSIONS[index % 6]),
         )
 
 
@@ -58,16 +60,16 @@
 ) -> None:
     hosts = await deployment.start(hosts=3)
     stop = asyncio.Event()
-    traffic = asyncio.create_task(_traffic(deployment, hosts, stop))
-    await _await_answers(deployment, 30)
+    traffic = asyncio.create_task(_send_traffic(deployment, hosts, stop))
+    await _await_responses(deployment, 30)
     revision = await deployment.publish(edit(deployment.table))
     await deployment.await_revision(revision, *hosts)
-    await _await_answers(deployment, len(deployment.caller.events) // 2 + 60)
+    await _await_responses(deployment, len(deployment.caller.events) // 2 + 60)
     stop.set()
     await traffic
 
 
-async def _await_answers(
+async def _await_responses(
     deployment: system_deployment.Deployment, count: int
 ) -> None:
     while len(deployment.caller.events) < 2 * count:
@@ -81,14 +83,14 @@
         deployment,
         lambda table: _with_version(table, stage=model.Stage.WITHDRAWN),
     )
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
 async def test_a_grant_is_taken_away_under_traffic(
     deployment: system_deployment.Deployment,
 ) -> None:
     await _edit_under_traffic(deployment, _without_grant)
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
 async def test_sessions_stay_while_a_version_drains(
@@ -98,7 +100,7 @@
         deployment,
         lambda table: _with_version(table, stage=model.Stage.DRAINING),
     )
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
 
 
 async def test_sessions_stay_when_weights_change_and_a_host_dies(
@@ -107,7 +109,7 @@
     hosts = await deployment.start(hosts=3)
     caller = deployment.caller
     for session in SESSIONS:
-        # Two first requests at two hosts at once.
+        # Concurrent first requests of a session at two hosts.
         await asyncio.gather(
             caller.chat(hosts[0], caller.mark(), session=session),
             caller.chat(hosts[1], caller.mark(), session=session),
@@ -120,4 +122,4 @@
     for session in SESSIONS:
         await caller.chat(hosts[2], caller.mark(), session=session)
         await caller.chat(hosts[1], caller.mark(), session=session)
-    await _no_violations(deployment)
+    await _assert_no_violations(deployment)
