--- a/benchmarks/promises.py
+++ b/benchmarks/promises.py
@@ -75,7 +75,7 @@
 async def _send_request(deployment: Deployment, host: Any, number: int) -> None:
     """Sends a request; ``number`` selects one of three kinds."""
     caller = deployment.caller
-    mark = caller.mark()
+    mark = caller.make_mark()
     kinds: tuple[Callable[[], Awaitable[Any]], ...] = (
         lambda: caller.confirm(host, mark),
         lambda: caller.confirm(host, mark, f"own-{mark}"),
@@ -126,14 +126,16 @@
         for threshold in range(
             REQUESTS_PER_KILL, REQUEST_COUNT, REQUESTS_PER_KILL
         ):
-            while len(deployment.caller.answers) < threshold:
+            while len(deployment.caller.responses) < threshold:
                 await asyncio.sleep(_POLL_INTERVAL)
             await killer.kill_next()
 
     await asyncio.gather(kill_hosts(), *(work() for _ in range(WORKERS)))
     elapsed = time.monotonic() - start
     history = await deployment.history()
-    _print_line(f"{len(deployment.caller.answers)} requests in {elapsed:.0f} s")
+    _print_line(
+        f"{len(deployment.caller.responses)} requests in {elapsed:.0f} s"
+    )
     _print_line(f"{killer.count} kills with restarts, of {len(hosts)} hosts")
     _print_bills(history, deployment)
 
@@ -187,7 +189,7 @@
     async def traffic(host: system_processes.Program) -> None:
         while not stop.is_set():
             next(numbers)
-            await deployment.caller.confirm(host, deployment.caller.mark())
+            await deployment.caller.confirm(host, deployment.caller.make_mark())
 
     # Two callers at each of two hosts; the third host learns of departures
     # only by gossip.
@@ -233,7 +235,7 @@
             )
         )
         await asyncio.sleep(0.5)  # Earlier requests have completed by now.
-        runs = await deployment.runs_of("counter-1")
+        runs = await deployment.executions_of("counter-1")
         last_request_seconds.append(
             max(0.0, max(run.at for run in runs) - start)
         )
@@ -255,7 +257,7 @@
 
 async def _await_work(deployment: Deployment, name: str) -> None:
     async def works() -> bool:
-        return bool(await deployment.runs_of(name))
+        return bool(await deployment.executions_of(name))
 
     await system_processes.wait_until(works, f"{name} gets requests")
 
@@ -263,7 +265,7 @@
 async def _await_leaving_status(
     deployment: Deployment, host: system_processes.Program, address: str
 ) -> float:
-    await deployment.await_all(
+    await deployment.await_statuses(
         [host],
         lambda status: address in status["leaving_servers"],
         f"{host.name} knows the departure",
--- a/src/hoistmoor/entry/session_affinity.py
+++ b/src/hoistmoor/entry/session_affinity.py
@@ -44,7 +44,7 @@
     Attributes:
         session: Name of the session.
         version: Key of the version; None if the router may choose one, in
-            which case ``remember`` must be called with its choice.
+            which case ``pin_version`` must be called with its choice.
         status: How the request affects the session's version.
         moved_from: Key of the previous version, if the session moved.
     """
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -50,7 +50,7 @@
 
 
 @attrs.define
-class Call:
+class RequestRecord:
     """One request of a caller and the response that it received.
 
     Attributes:
@@ -60,7 +60,7 @@
         sent_at: Monotonic time at which the request was sent.
         relay: Name of the relay.
         status: Status of the response; 0 without one.
-        is_whole: Whether the response was received completely.
+        is_complete: Whether the response was received completely.
         body: Received bytes of the response.
         ended_at: Monotonic time at which the exchange ended.
     """
@@ -71,38 +71,38 @@
     sent_at: float
     relay: str
     status: int = 0
-    is_whole: bool = False
+    is_complete: bool = False
     body: bytes = b""
     ended_at: float = 0.0
 
 
 @attrs.define
-class Span:
+class FaultPeriod:
     """Period in which a fault may affect requests.
 
     Attributes:
         relay: Name of the affected relay, or ``all``.
-        what: Kind of fault.
-        first: Monotonic time of its start.
-        last: Monotonic time of its end.
+        kind: Kind of fault.
+        started_at: Monotonic time of its start.
+        ended_at: Monotonic time of its end.
     """
 
     relay: str
-    what: str
-    first: float
-    last: float = float("inf")
+    kind: str
+    started_at: float
+    ended_at: float = float("inf")
 
 
 class Soak:
     """One soak run with one seed."""
 
     def __init__(
-        self, world: soak_world.World, seed: int, seconds: float
+        self, world: soak_world.Environment, seed: int, seconds: float
     ) -> None:
         self.world = world
-        self.calls: list[Call] = []
-        self.spans: list[Span] = []
-        self.stops: list[Span] = []
+        self.calls: list[RequestRecord] = []
+        self.spans: list[FaultPeriod] = []
+        self.stops: list[FaultPeriod] = []
         self.revoked_at = float("inf")
         self._random = random.Random(seed)
         self._fault_seconds = seconds
@@ -138,7 +138,7 @@
         """Polls each relay once a second, as the load balancer does."""
         while True:
             for relay in self.world.relays:
-                status = await self.world.ask(f"http://{relay.ready}/")
+                status = await self.world.get_status(f"http://{relay.ready}/")
                 relay.in_rotation = status == 200
             await asyncio.sleep(1.0)
 
@@ -156,7 +156,7 @@
                 await asyncio.sleep(rng.uniform(*CRASH_INTERVAL_RANGE))
                 relay = rng.choice(self.world.relays)
                 self.crashes += 1
-                call = Call(
+                call = RequestRecord(
                     f"crash.{self.crashes}", "stream", "k1", 0.0, relay.listen
                 )
                 await self._send(session, call, relay, soak_backend.CRASH_PATH)
@@ -172,10 +172,10 @@
                 ):
                     continue
                 span = self._open_span("all", "crash")
-                span.first -= 0.5  # Polling detects the end with a delay.
+                span.started_at -= 0.5  # Polling detects the end with a delay.
                 await asyncio.sleep(RESTART_DELAY)
                 backend.start()
-                span.last = time.monotonic() + 1.0
+                span.ended_at = time.monotonic() + 1.0
                 self._reserved.discard(backend.name)
 
     async def _run_caller(self, number: int) -> None:
@@ -199,14 +199,16 @@
     ) -> None:
         kind = rng.choice(["once", "again", "stream"])
         key = rng.choice(["k1", "k1", "k2"])
-        call = Call(request_id, kind, key, time.monotonic(), relay.program.name)
+        call = RequestRecord(
+            request_id, kind, key, time.monotonic(), relay.program.name
+        )
         self.calls.append(call)
         await self._send(session, call, relay, f"/{kind}/x")
 
     async def _send(
         self,
         session: aiohttp.ClientSession,
-        call: Call,
+        call: RequestRecord,
         relay: soak_world.RelayHost,
         path: str,
     ) -> None:
@@ -225,9 +227,9 @@
                 call.status = response.status
                 async for data in response.content.iter_any():
                     call.body += data
-                call.is_whole = True
+                call.is_complete = True
         except (aiohttp.ClientError, TimeoutError):
-            call.is_whole = False
+            call.is_complete = False
         call.ended_at = time.monotonic()
 
     async def _inject_faults(self) -> None:
@@ -250,8 +252,8 @@
             await asyncio.sleep(self._random.uniform(*FAULT_INTERVAL_RANGE))
         await asyncio.gather(*running)
 
-    def _open_span(self, relay: str, what: str) -> Span:
-        span = Span(relay, what, time.monotonic())
+    def _open_span(self, relay: str, what: str) -> FaultPeriod:
+        span = FaultPeriod(relay, what, time.monotonic())
         self.spans.append(span)
         return span
 
@@ -266,31 +268,31 @@
         relay = self._random.choice(self.world.relays)
         if not self._reserve(relay.program.name):
             return
-        stop = Span(relay.program.name, "stop", time.monotonic())
+        stop = FaultPeriod(relay.program.name, "stop", time.monotonic())
         self.stops.append(stop)
-        relay.program.send(signal.SIGTERM)
-        await relay.program.end(soak_world.GRACE_S)
+        relay.program.send_signal(signal.SIGTERM)
+        await relay.program.wait_or_kill(soak_world.STOP_GRACE_SECONDS)
         relay.program.start()
-        stop.last = time.monotonic()
+        stop.ended_at = time.monotonic()
         await asyncio.sleep(1.0)
         self._reserved.discard(relay.program.name)
 
     async def _reload_relays(self) -> None:
         """Makes relays reload their settings, which must abort no request."""
         for relay in self.world.relays:
-            relay.program.send(signal.SIGHUP)
+            relay.program.send_signal(signal.SIGHUP)
 
     async def _kill_relay(self) -> None:
         relay = self._random.choice(self.world.relays)
         if not self._reserve(relay.program.name):
             return
         span = self._open_span(relay.program.name, "kill")
-        relay.program.send(signal.SIGKILL)
-        await relay.program.end(1.0)
+        relay.program.send_signal(signal.SIGKILL)
+        await relay.program.wait_or_kill(1.0)
         await asyncio.sleep(self._random.uniform(*FAULT_DURATION_RANGE))
         relay.program.start()
         await asyncio.sleep(2.0)
-        span.last = time.monotonic()
+        span.ended_at = time.monotonic()
         self._reserved.discard(relay.program.name)
 
     async def _pause_relay(self) -> None:
@@ -298,11 +300,11 @@
         if not self._reserve(relay.program.name):
             return
         span = self._open_span(relay.program.name, "pause")
-        relay.program.send(signal.SIGSTOP)
+        relay.program.send_signal(signal.SIGSTOP)
         await asyncio.sleep(self._random.uniform(0.5, 7.0))
-        relay.program.send(signal.SIGCONT)
+        relay.program.send_signal(signal.SIGCONT)
         await asyncio.sleep(1.0)
-        span.last = time.monotonic()
+        span.ended_at = time.monotonic()
         self._reserved.discard(relay.program.name)
 
     async def _disrupt_backend_link(self) -> None:
@@ -314,13 +316,15 @@
         relay = self._random.choice(self.world.relays)
         await self._disrupt_link(relay.store_link, relay.program.name)
 
-    async def _disrupt_link(self, link: soak_proxy.Proxy, relay: str) -> None:
+    async def _disrupt_link(
+        self, link: soak_proxy.LinkProxy, relay: str
+    ) -> None:
         fault = self._random.choice(soak_proxy.FAULTS)
         span = self._open_span(relay or "all", f"link {fault}")
-        link.harm(fault)
+        link.inject_fault(fault)
         await asyncio.sleep(self._random.uniform(*FAULT_DURATION_RANGE))
-        link.harm("")
-        span.last = time.monotonic() + 1.0
+        link.inject_fault("")
+        span.ended_at = time.monotonic() + 1.0
 
     async def _disrupt_store(self) -> None:
         fault = self._random.choice(
@@ -330,7 +334,7 @@
         await self.world.set_store_fault(fault)
         await asyncio.sleep(self._random.uniform(*FAULT_DURATION_RANGE))
         await self.world.set_store_fault("")
-        span.last = time.monotonic() + 1.0
+        span.ended_at = time.monotonic() + 1.0
 
     async def _restore_older_store(self) -> None:
         """Takes the store down and restores it from an older copy."""
@@ -339,33 +343,33 @@
         await asyncio.sleep(self._random.uniform(*RESTORE_DOWNTIME_RANGE))
         age = self._random.uniform(*RESTORED_COPY_AGE_RANGE)
         await self.world.set_store_fault("rewind", seconds=f"{age:.3f}")
-        span.last = time.monotonic() + 1.0
+        span.ended_at = time.monotonic() + 1.0
 
     async def _kill_backend(self) -> None:
         backend = self._random.choice(self.world.backends)
         if not self._reserve(backend.name):
             return
         span = self._open_span("all", "backend")
-        backend.send(signal.SIGKILL)
-        await backend.end(1.0)
+        backend.send_signal(signal.SIGKILL)
+        await backend.wait_or_kill(1.0)
         await asyncio.sleep(self._random.uniform(*FAULT_DURATION_RANGE))
         backend.start()
-        span.last = time.monotonic() + 1.0
+        span.ended_at = time.monotonic() + 1.0
         self._reserved.discard(backend.name)
 
     def find_violations(self, quiet_since: float) -> list[str]:
         """Returns each violation of an invariant."""
         runs: dict[str, list[dict[str, object]]] = collections.defaultdict(list)
-        for run in self.world.runs():
+        for run in self.world.executions():
             runs[str(run["run"])].append(run)
         known = {call.request_id: call for call in self.calls}
         violations = []
         for call in self.calls:
             violations += self._check_call(call, runs.get(call.request_id, []))
-        violations += soak_words.broken(
+        violations += soak_words.find_violations(
             {call.request_id: call for call in self.calls},
-            list(self.world.runs()),
-            list(self.world.declined()),
+            list(self.world.executions()),
+            list(self.world.declined_requests()),
             [*self.spans, *self.stops],
         )
         crashed = {name for name in runs if name.startswith("crash.")}
@@ -396,7 +400,7 @@
             )
         return violations
 
-    def _may_lack_servers(self, call: Call) -> bool:
+    def _may_lack_servers(self, call: RequestRecord) -> bool:
         """Returns whether a crash may have left a request without servers.
 
         A few crash requests may reach servers in the quiet phase. One of them
@@ -404,18 +408,19 @@
         time are refused correctly.
         """
         return call.kind == "stream" and any(
-            span.what == "crash" and span.first < call.sent_at < span.last
+            span.kind == "crash"
+            and span.started_at < call.sent_at < span.ended_at
             for span in self.spans
         )
 
     def _check_call(
-        self, call: Call, runs: list[dict[str, object]]
+        self, call: RequestRecord, runs: list[dict[str, object]]
     ) -> list[str]:
         name = f"{call.kind} {call.request_id} at {call.relay}"
         bound = self.revoked_at + soak_world.REVOKE_MS / 1000
         late = call.key == "k2" and call.sent_at > bound
         is_once = call.kind == "once"
-        whole = call.status == 200 and call.is_whole
+        whole = call.status == 200 and call.is_complete
         checks = {
             "was executed more than once": is_once and len(runs) > 1,
             "was refused and executed": is_once
@@ -439,23 +444,23 @@
         return [f"{name} {what}" for what, wrong in checks.items() if wrong]
 
     def _was_aborted_by_stop(
-        self, call: Call, runs: list[dict[str, object]]
+        self, call: RequestRecord, runs: list[dict[str, object]]
     ) -> bool:
-        if call.is_whole or not runs or not call.ended_at:
+        if call.is_complete or not runs or not call.ended_at:
             return False
         return not any(
             span.relay in ("all", call.relay)
-            and span.first < call.ended_at
-            and span.last > call.sent_at
+            and span.started_at < call.ended_at
+            and span.ended_at > call.sent_at
             for span in self.spans
         )
 
 
-def _expected_body(call: Call) -> bytes:
+def _expected_body(call: RequestRecord) -> bytes:
     if call.kind != "stream":
-        return soak_backend.body_of(call.request_id)
+        return soak_backend.response_body(call.request_id)
     return b"".join(
-        soak_backend.event_of(call.request_id, number)
+        soak_backend.response_event(call.request_id, number)
         for number in range(1, soak_backend.EVENTS + 1)
     )
 
@@ -464,12 +469,12 @@
     await fault()
 
 
-async def play(
+async def run_seed(
     seed: int, seconds: float, relays: int, folder: pathlib.Path
 ) -> list[str]:
     """Runs the soak with one seed and returns the violations."""
     async with aiohttp.ClientSession() as session:
-        world = soak_world.World(folder, session)
+        world = soak_world.Environment(folder, session)
         try:
             await world.start(relays)
             soak = Soak(world, seed, seconds)
@@ -499,7 +504,7 @@
         folder = folder / f"seed-{seed}"
         folder.mkdir(parents=True, exist_ok=True)
         violations = asyncio.run(
-            play(seed, arguments.seconds, arguments.relays, folder)
+            run_seed(seed, arguments.seconds, arguments.relays, folder)
         )
         for line in violations[:20]:
             sys.stdout.write(f"  {line}\n")
--- a/tests/soak/soak_backend.py
+++ b/tests/soak/soak_backend.py
@@ -42,12 +42,12 @@
 _HEADERS = "Hoistmoor-Request-Id", "Hoistmoor-Tenant", "Hoistmoor-Deadline-Ms"
 
 
-def body_of(request_id: str) -> bytes:
+def response_body(request_id: str) -> bytes:
     """Returns the response body of a plain request."""
     return f"answer to {request_id}\n".encode() * 20
 
 
-def event_of(request_id: str, number: int) -> bytes:
+def response_event(request_id: str, number: int) -> bytes:
     """Returns one event of a streamed response."""
     return f"id: {number}\ndata: {request_id} {number}\n\n".encode()
 
@@ -123,7 +123,7 @@
         if request.path.startswith("/stream/"):
             return await self._stream(request, request_id, headers)
         await asyncio.sleep(WORK_SECONDS)
-        return web.Response(body=body_of(request_id), headers=headers)
+        return web.Response(body=response_body(request_id), headers=headers)
 
     def _write_line(self, line: dict[str, object]) -> None:
         sys.stdout.buffer.write(orjson.dumps(line) + b"\n")
@@ -148,7 +148,7 @@
         await response.prepare(request)
         for number in range(first, EVENTS + 1):
             await asyncio.sleep(EVENT_INTERVAL)
-            await response.write(event_of(request_id, number))
+            await response.write(response_event(request_id, number))
         await response.write_eof()
         return response
 
--- a/tests/soak/soak_proxy.py
+++ b/tests/soak/soak_proxy.py
@@ -22,7 +22,7 @@
 
 
 @attrs.define(eq=False)
-class Proxy:
+class LinkProxy:
     """Forwards connections to one address.
 
     Attributes:
@@ -44,7 +44,7 @@
         ip, port = self._server.sockets[0].getsockname()
         self.listen = f"{ip}:{port}"
 
-    def harm(self, fault: str) -> None:
+    def inject_fault(self, fault: str) -> None:
         """Sets the active fault.
 
         A reset affects the connections that are open now and does not last.
--- a/tests/soak/soak_words.py
+++ b/tests/soak/soak_words.py
@@ -21,11 +21,11 @@
 MAX_REQUESTS_IN_REST = 2
 
 
-def broken(
-    calls: Mapping[str, soak.Call],
+def find_violations(
+    calls: Mapping[str, soak.RequestRecord],
     runs: list[Line],
     declined: list[Line],
-    spans: list[soak.Span],
+    spans: list[soak.FaultPeriod],
 ) -> list[str]:
     """Returns each case of a relay ignoring the report of a server.
 
@@ -42,12 +42,14 @@
 
 
 def _check_departures(
-    calls: Mapping[str, soak.Call], runs: list[Line], spans: list[soak.Span]
+    calls: Mapping[str, soak.RequestRecord],
+    runs: list[Line],
+    spans: list[soak.FaultPeriod],
 ) -> Iterable[str]:
     announcements: dict[tuple[str, str, int], float] = {}
     for run in runs:
         call = calls.get(run["run"])
-        if call is None or not (call.is_whole and call.status == 200):
+        if call is None or not (call.is_complete and call.status == 200):
             continue
         if "Server-Leaving" in run["says"]:
             key = (call.relay, run["server"], run["born"])
@@ -71,10 +73,10 @@
 
 
 def _check_rests(
-    calls: Mapping[str, soak.Call],
+    calls: Mapping[str, soak.RequestRecord],
     runs: list[Line],
     declined: list[Line],
-    spans: list[soak.Span],
+    spans: list[soak.FaultPeriod],
 ) -> Iterable[str]:
     arrivals: dict[tuple[str, str], list[float]] = {}
     for line in [*runs, *declined]:
@@ -99,12 +101,12 @@
 
 
 def _is_disturbed(
-    spans: list[soak.Span], relay: str, first: float, last: float
+    spans: list[soak.FaultPeriod], relay: str, first: float, last: float
 ) -> bool:
     return any(
         span.relay in ("all", relay)
-        and not span.what.startswith("store")
-        and span.first < last
-        and span.last > first
+        and not span.kind.startswith("store")
+        and span.started_at < last
+        and span.ended_at > first
         for span in spans
     )
--- a/tests/soak/soak_world.py
+++ b/tests/soak/soak_world.py
@@ -24,7 +24,7 @@
 SERVICES = {"desk": 3, "llm": 2}
 START_TIMEOUT = 30.0  # Seconds; processes start slowly on a busy machine.
 REVOKE_MS = 5000
-GRACE_S = 8
+STOP_GRACE_SECONDS = 8
 
 
 # Lies below the ephemeral ports of the system, so that no outgoing connection
@@ -120,12 +120,12 @@
                 env={**os.environ, **self.environment},
             )
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Sends a signal if the process is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
-    async def end(self, timeout: float) -> None:
+    async def wait_or_kill(self, timeout: float) -> None:
         """Waits for the process to exit and kills it after a timeout."""
         assert self.process is not None
         loop = asyncio.get_running_loop()
@@ -152,11 +152,11 @@
     program: Program
     listen: str
     ready: str
-    store_link: soak_proxy.Proxy
+    store_link: soak_proxy.LinkProxy
     in_rotation: bool = False
 
 
-class World:
+class Environment:
     """All processes of one soak run.
 
     Attributes:
@@ -174,7 +174,7 @@
         self.session = session
         self.relays: list[RelayHost] = []
         self.backends: list[Program] = []
-        self.backend_links: list[soak_proxy.Proxy] = []
+        self.backend_links: list[soak_proxy.LinkProxy] = []
         self.store_address = free_address()
         self._store = Program(
             "store",
@@ -192,7 +192,7 @@
         return [self._store, *self.backends, *(r.program for r in self.relays)]
 
     @property
-    def links(self) -> list[soak_proxy.Proxy]:
+    def links(self) -> list[soak_proxy.LinkProxy]:
         """Links to the backend servers and to the store."""
         return [*self.backend_links, *(r.store_link for r in self.relays)]
 
@@ -210,7 +210,7 @@
     async def _start_backend(self, service: str, number: int) -> None:
         name = f"i-{service}-{number}"
         listen = free_address()
-        link = soak_proxy.Proxy(listen)
+        link = soak_proxy.LinkProxy(listen)
         await link.start()
         arguments = [name, service, listen, link.listen, self.store_address]
         program = Program(
@@ -223,7 +223,7 @@
         self.backend_links.append(link)
 
     async def _start_relay(self, number: int) -> None:
-        link = soak_proxy.Proxy(self.store_address)
+        link = soak_proxy.LinkProxy(self.store_address)
         await link.start()
         listen, ready = free_address(), free_address()
         internal = free_ports(2)
@@ -235,7 +235,7 @@
             "internal_port_range": [internal, internal + 1],
             "bounds": {
                 "revoke_ms": REVOKE_MS,
-                "grace_s": GRACE_S,
+                "grace_s": STOP_GRACE_SECONDS,
                 "retry_budget_ratio": 0.9,
                 "retry_window_s": 10,
                 "session_s": 5,
@@ -256,10 +256,10 @@
 
     async def _await_response(self, url: str) -> None:
         async with asyncio.timeout(START_TIMEOUT):
-            while await self.ask(url) is None:
+            while await self.get_status(url) is None:
                 await asyncio.sleep(0.05)
 
-    async def ask(self, url: str) -> int | None:
+    async def get_status(self, url: str) -> int | None:
         """Returns the status of a GET request, or None without a response."""
         try:
             timeout = aiohttp.ClientTimeout(total=0.8)
@@ -282,11 +282,11 @@
         async with self.session.post(url, params=query) as response:
             response.raise_for_status()
 
-    def runs(self) -> Iterator[dict[str, Any]]:
+    def executions(self) -> Iterator[dict[str, Any]]:
         """Yields a line for each request that a backend server executed."""
         return self._lines(b'{"run"')
 
-    def declined(self) -> Iterator[dict[str, Any]]:
+    def declined_requests(self) -> Iterator[dict[str, Any]]:
         """Yields a line for each request that a backend server declined."""
         return self._lines(b'{"declined"')
 
@@ -299,8 +299,8 @@
     async def stop(self) -> None:
         """Kills every process of this run and closes the links."""
         for program in self.programs:
-            program.send(signal.SIGCONT)
-            program.send(signal.SIGKILL)
+            program.send_signal(signal.SIGCONT)
+            program.send_signal(signal.SIGKILL)
         for program in self.programs:
             if program.process is not None:
                 program.process.wait()
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -22,5 +22,5 @@
 async def test_a_short_soak_breaks_nothing(
     tmp_path: pathlib.Path, seed: int
 ) -> None:
-    violations = await soak.play(seed, FAULT_PHASE_SECONDS, 2, tmp_path)
+    violations = await soak.run_seed(seed, FAULT_PHASE_SECONDS, 2, tmp_path)
     assertions.assert_that(violations, matchers.Equals([]))
--- a/tests/system/conftest.py
+++ b/tests/system/conftest.py
@@ -27,11 +27,11 @@
 
 
 @pytest.fixture
-async def statsd() -> AsyncIterator[system_statsd.Statsd]:
+async def statsd() -> AsyncIterator[system_statsd.StatsdListener]:
     """Yields a statsd listener on an ephemeral port."""
     loop = asyncio.get_running_loop()
     transport, protocol = await loop.create_datagram_endpoint(
-        system_statsd.Statsd, local_addr=("127.0.0.1", 0)
+        system_statsd.StatsdListener, local_addr=("127.0.0.1", 0)
     )
     host, port = transport.get_extra_info("sockname")
     protocol.address = f"{host}:{port}"
--- a/tests/system/system_caller.py
+++ b/tests/system/system_caller.py
@@ -19,7 +19,7 @@
 
 
 @attrs.define
-class Answer:
+class CallerResponse:
     """A response as the caller received it.
 
     Attributes:
@@ -64,19 +64,19 @@
     Attributes:
         session: HTTP session of the requests.
         events: Recorded history.
-        answers: Responses by call id.
-        patience: Seconds after which the caller closes the connection.
+        responses: Responses by call id.
+        timeout_seconds: Seconds after which the caller closes the connection.
     """
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self.session = session
         self.events: list[events.Event] = []
-        self.answers: dict[int, Answer] = {}
-        self.patience = 30.0
+        self.responses: dict[int, CallerResponse] = {}
+        self.timeout_seconds = 30.0
         self._call_ids = itertools.count(1)
         self._marks = itertools.count(1)
 
-    def mark(self) -> str:
+    def make_mark(self) -> str:
         """Returns a unique text that identifies a request body."""
         return f"m{next(self._marks):06d}"
 
@@ -132,7 +132,7 @@
             request, response, "", own=_belongs_to_request(response)
         )
 
-    async def ticket(self, host: Any) -> str:
+    async def request_ticket(self, host: Any) -> str:
         """Requests a ticket and returns it."""
         response = await self._send(
             host, "POST", "/v1/tickets", None, _headers(system_table.ACCOUNT)
@@ -168,8 +168,8 @@
         path: str,
         body: Any,
         headers: dict[str, str],
-    ) -> Answer:
-        response = Answer()
+    ) -> CallerResponse:
+        response = CallerResponse()
         data = None if body is None else orjson.dumps(body)
         try:
             async with self.session.request(
@@ -177,7 +177,7 @@
                 host.url + path,
                 data=data,
                 headers=headers,
-                timeout=aiohttp.ClientTimeout(total=self.patience),
+                timeout=aiohttp.ClientTimeout(total=self.timeout_seconds),
             ) as http_response:
                 response.status = http_response.status
                 response.headers = dict(http_response.headers)
@@ -193,12 +193,12 @@
     def _record_response(
         self,
         request: events.Asked,
-        response: Answer,
+        response: CallerResponse,
         mark: str,
         *,
         own: bool = True,
     ) -> events.Told | None:
-        self.answers[request.call_id] = response
+        self.responses[request.call_id] = response
         if response.connection_failed:
             self.events.remove(request)
             return None
@@ -227,7 +227,7 @@
     account: str, key: str = "", session: str = "", deadline: float = 8.0
 ) -> dict[str, str]:
     headers = {
-        "Authorization": f"Bearer {system_table.bearer(account)}",
+        "Authorization": f"Bearer {system_table.api_key(account)}",
         "X-Hoistmoor-Deadline": f"+{deadline:g}",
     }
     if key:
@@ -237,7 +237,7 @@
     return headers
 
 
-def _echoed_mark(response: Answer) -> str:
+def _echoed_mark(response: CallerResponse) -> str:
     try:
         parsed = orjson.loads(response.body)
     except orjson.JSONDecodeError:
@@ -245,13 +245,13 @@
     return str(parsed.get("id", ""))
 
 
-def _has_end_marker(response: Answer) -> bool:
+def _has_end_marker(response: CallerResponse) -> bool:
     if "event-stream" not in response.headers.get("Content-Type", ""):
         return True
     return b"data: [DONE]" in response.body
 
 
-def _belongs_to_request(response: Answer) -> bool:
+def _belongs_to_request(response: CallerResponse) -> bool:
     """Returns whether the stream is complete and of its own request."""
     if response.error or not response.frames:
         return True
--- a/tests/system/system_deployment.py
+++ b/tests/system/system_deployment.py
@@ -42,7 +42,7 @@
         table: Latest published table.
         crashed: Names of the killed hosts.
         events: Events other than those of the caller.
-        entry_words: Command that starts an entry host.
+        entry_command: Command that starts an entry host.
         entry_flags: Additional flags by host; they override the others.
     """
 
@@ -54,7 +54,7 @@
         self.table = model.Table()
         self.crashed: set[str] = set()
         self.events: list[events.Event] = []
-        self.entry_words: tuple[str, ...] = ("hoistmoor-entry",)
+        self.entry_command: tuple[str, ...] = ("hoistmoor-entry",)
         self.entry_flags: dict[str, tuple[str, ...]] = {}
         self._edits = itertools.count(1)
         self._session = session
@@ -86,7 +86,7 @@
             *(self._start_engine(name) for name in engine_names),
             *(self._start_counter(name) for name in counter_names),
         )
-        table = system_table.make(
+        table = system_table.make_table(
             {name: self.program(name).address for name in engine_names},
             {name: self.program(name).address for name in counter_names},
         )
@@ -102,8 +102,8 @@
     async def _start_engine(self, name: str) -> None:
         await self.processes.start(
             name, "hoistmoor-standin", "engine", "--name", name,
-            "--serve", f"{system_table.CHEAP}=0.7",
-            "--serve", f"{system_table.DEAR}=0.95",
+            "--serve", f"{system_table.CHEAP_VERSION}=0.7",
+            "--serve", f"{system_table.EXPENSIVE_VERSION}=0.95",
             "--token-time", "0.001", "--capacity", "64",
         )  # fmt: skip
 
@@ -118,7 +118,7 @@
         number = int(name.rpartition("-")[2])
         domain = system_table.DOMAINS[number % len(system_table.DOMAINS)]
         program = await self.processes.start(
-            name, *self.entry_words, "--host", name,
+            name, *self.entry_command, "--host", name,
             "--failure-domain", domain,
             "--listen", "127.0.0.1:0", "--peer-listen", "127.0.0.1:0",
             "--log-url", self.program(PLATFORM).url,
@@ -316,14 +316,14 @@
         name and a later incarnation.
         """
         old = self.program(name)
-        self.events += await self.runs_of(name)
+        self.events += await self.executions_of(name)
         await old.kill()
         return await self.processes.start(
             name, "hoistmoor-standin", "service", "--name", name,
             "--capacity", "64", "--listen", old.address,
         )  # fmt: skip
 
-    async def await_all(
+    async def await_statuses(
         self,
         hosts: Iterable[system_processes.Program],
         holds: Callable[[Any], bool],
@@ -385,10 +385,10 @@
         found: list[events.Ran] = []
         for name in self.processes.programs:
             if name.startswith(("engine-", "counter-")):
-                found += await self.runs_of(name)
+                found += await self.executions_of(name)
         return found
 
-    async def runs_of(self, name: str) -> list[events.Ran]:
+    async def executions_of(self, name: str) -> list[events.Ran]:
         """Returns the executions of the current incarnation of a server."""
         found: list[events.Ran] = []
         while True:
--- a/tests/system/system_links.py
+++ b/tests/system/system_links.py
@@ -10,19 +10,19 @@
 _HOST_IP = "127.0.0.2"  # The host listens here, on the same port.
 
 
-class Link:
+class PeerLink:
     """A proxy in front of the peer port of one host.
 
     Attributes:
         port: Port of the link and of the host, which differ in address.
         is_down: Whether new connections are aborted immediately.
-        cuts: Number of aborted connections.
+        aborted_count: Number of aborted connections.
     """
 
     def __init__(self) -> None:
         self.port = 0
         self.is_down = False
-        self.cuts = 0
+        self.aborted_count = 0
         self._writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
 
@@ -44,16 +44,16 @@
     async def close(self) -> None:
         """Stops listening and aborts all connections."""
         self.is_down = True
-        self.cut()
+        self.abort_connections()
         if self._server is not None:
             self._server.close()
             await self._server.wait_closed()
 
-    def cut(self) -> None:
+    def abort_connections(self) -> None:
         """Aborts every open connection."""
         for writer in tuple(self._writers):
             writer.transport.abort()
-            self.cuts += 1
+            self.aborted_count += 1
         self._writers.clear()
 
     async def _serve(
--- a/tests/system/system_statsd.py
+++ b/tests/system/system_statsd.py
@@ -7,7 +7,7 @@
 TIMEOUT = 30.0  # Seconds to wait for a datagram.
 
 
-class Statsd(asyncio.DatagramProtocol):
+class StatsdListener(asyncio.DatagramProtocol):
     """Stores the datagrams that it receives.
 
     Attributes:
@@ -25,7 +25,7 @@
         self.lines.append(data.decode())
         self._received.set()
 
-    async def wait_for(self, line: str) -> None:
+    async def await_line(self, line: str) -> None:
         """Waits until ``line`` has been received."""
         async with asyncio.timeout(TIMEOUT):
             while line not in self.lines:
--- a/tests/system/system_strangers.py
+++ b/tests/system/system_strangers.py
@@ -13,15 +13,15 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-SECRET = "a-secret-from-elsewhere"
+WRONG_SECRET = "a-secret-from-elsewhere"
 SERVER = "127.0.0.9:9000"  # Leaving server of a forged ping.
 
 
-async def try_all(
+async def attempt_calls(
     peer_address: str, incarnation: int, clock: Callable[[], float]
 ) -> list[str]:
     """Attempts harmful peer calls and returns those that were accepted."""
-    signer = calls.Signer("entry-1", incarnation, (SECRET,))
+    signer = calls.Signer("entry-1", incarnation, (WRONG_SECRET,))
     peer = client.PeerClient(peer_address, signing.CallSigning(signer, clock))
     forged = peer_pb2.Digest(sender="entry-1", incarnation=incarnation)
     attempts = {
--- a/tests/system/system_table.py
+++ b/tests/system/system_table.py
@@ -7,21 +7,21 @@
 from hoistmoor.core.table import model
 
 ACCOUNT = "agents"
-OTHER = "auditors"
-CONFIRM = "POST /confirm"
-ONCE_ITEMS = (CONFIRM,)
-CHEAP = "khao@1"
-DEAR = "khao@2"
+OTHER_ACCOUNT = "auditors"
+CONFIRM_ITEM = "POST /confirm"
+ONCE_ITEMS = (CONFIRM_ITEM,)
+CHEAP_VERSION = "khao@1"
+EXPENSIVE_VERSION = "khao@2"
 DOMAINS = ("bangna", "latkrabang", "nonburi")
 
 
-def bearer(account: str) -> str:
+def api_key(account: str) -> str:
     """Returns the API key of a client account."""
     return f"key-of-{account}"
 
 
 def _account(name: str) -> model.Account:
-    digest = hashlib.sha256(bearer(name).encode()).hexdigest()
+    digest = hashlib.sha256(api_key(name).encode()).hexdigest()
     return model.Account(name, (digest,), 10**12, 10_000, 1_000)
 
 
@@ -37,14 +37,16 @@
     return model.Server(name, service, address, domain, 64, False)
 
 
-def make(engines: dict[str, str], counters: dict[str, str]) -> model.Table:
+def make_table(
+    engines: dict[str, str], counters: dict[str, str]
+) -> model.Table:
     """Returns a table that lists backend servers by their addresses.
 
     Args:
         engines: Addresses of the engines by name.
         counters: Addresses of the counter servers by name.
     """
-    rows = [_account(ACCOUNT), _account(OTHER)]
+    rows = [_account(ACCOUNT), _account(OTHER_ACCOUNT)]
     versions = [_version("1", 1000, 0.7), _version("2", 10_000, 0.95)]
     grants = [model.Grant(ACCOUNT, "khao", "*", 0.8)]
     services = [
--- a/tests/system/system_transcript.py
+++ b/tests/system/system_transcript.py
@@ -51,15 +51,15 @@
         self.deployment = deployment
         self.lines: list[str] = []
 
-    def say(self, heading: str) -> None:
+    def add_heading(self, heading: str) -> None:
         """Adds a heading."""
         self.lines += ["", f"# {heading}"]
 
-    def note(self, text: str) -> None:
+    def add_line(self, text: str) -> None:
         """Adds a line."""
         self.lines.append(text)
 
-    def answered(self, what: str, final: events.Told | None) -> None:
+    def add_response(self, what: str, final: events.Told | None) -> None:
         """Adds the response to a request.
 
         Args:
@@ -70,7 +70,7 @@
         if final is None:
             self.lines.append("  no final response")
             return
-        response = self.deployment.caller.answers[final.call_id]
+        response = self.deployment.caller.responses[final.call_id]
         self.lines.append(f"  {response.status} {final.request_id}")
         self.lines += [
             f"  {name}: {response.headers[name]}"
@@ -79,7 +79,7 @@
         ]
         self.lines.append(f"  {_describe_body(response)}")
 
-    async def console(self, *words: str, show: str = "") -> None:
+    async def run_console(self, *words: str, show: str = "") -> None:
         """Runs ``hoistmoor`` and adds its output and exit code.
 
         Args:
@@ -105,9 +105,9 @@
     async def explain(self, final: events.Told) -> None:
         """Adds the output of ``hoistmoor explain`` for a request."""
         url = self.deployment.program("platform").url
-        await self.console("explain", final.request_id, "--log-url", url)
+        await self.run_console("explain", final.request_id, "--log-url", url)
 
-    async def records(self, *only: str) -> None:
+    async def add_executions(self, *only: str) -> None:
         """Adds the executions and bills of requests with a final response.
 
         Args:
@@ -134,7 +134,7 @@
                 f"{request_id} billed to {bill.account}: {bill.amount}"
             )
 
-    def text(self) -> str:
+    def render(self) -> str:
         """Returns all lines, with placeholders for varying parts."""
         text = "\n".join(self.lines).strip() + "\n"
         for pattern, name in _PLACEHOLDERS:
@@ -158,7 +158,7 @@
     return numbers.setdefault(match[0], short_id)
 
 
-def _describe_body(response: system_caller.Answer) -> str:
+def _describe_body(response: system_caller.CallerResponse) -> str:
     if response.error:
         error: dict[str, Any] = dict(response.error)
         return orjson.dumps(error, option=orjson.OPT_SORT_KEYS).decode()
@@ -167,6 +167,6 @@
     return response.body.decode()
 
 
-def _describe_end(response: system_caller.Answer) -> str:
+def _describe_end(response: system_caller.CallerResponse) -> str:
     done = b"data: [DONE]" in response.body
     return "ended by its end marker" if done else "cut short"
--- a/tests/system/test_system_answers.py
+++ b/tests/system/test_system_answers.py
@@ -46,7 +46,7 @@
     responses = []
     for _ in range(4):
         responses += await asyncio.gather(
-            *(caller.chat(host, caller.mark()) for host in hosts * 3)
+            *(caller.chat(host, caller.make_mark()) for host in hosts * 3)
         )
     seen = {response.reason for response in responses}
     assertions.assert_that(seen - reasons, matchers.Equals(set()))
--- a/tests/system/test_system_bad_input.py
+++ b/tests/system/test_system_bad_input.py
@@ -21,7 +21,7 @@
 CHAT = "/v1/chat/completions"
 COUNTER = "/v1/services/counter"
 HEADERS = {
-    "Authorization": f"Bearer {system_table.bearer(system_table.ACCOUNT)}"
+    "Authorization": f"Bearer {system_table.api_key(system_table.ACCOUNT)}"
 }
 CHAT_BODY = {
     "model": "khao",
@@ -133,7 +133,7 @@
 ) -> None:
     hosts = await deployment.start(hosts=2)
     caller = deployment.caller
-    good = [caller.chat(hosts[0], caller.mark()) for _ in range(20)]
+    good = [caller.chat(hosts[0], caller.make_mark()) for _ in range(20)]
     invalid = [_send(caller.session, hosts[0], case) for case in CASES]
     responses, refused = await asyncio.gather(
         asyncio.gather(*good), asyncio.gather(*invalid)
@@ -163,7 +163,7 @@
         *(_disconnect(hosts[0], model, index) for index in range(20))
     )
     responses = [
-        await caller.chat(hosts[0], caller.mark(), model) for _ in range(5)
+        await caller.chat(hosts[0], caller.make_mark(), model) for _ in range(5)
     ]
     assertions.assert_that(
         [
--- a/tests/system/test_system_bills.py
+++ b/tests/system/test_system_bills.py
@@ -28,8 +28,8 @@
     calls = []
     for index in range(count):
         host = hosts[index % len(hosts)]
-        calls.append(caller.confirm(host, caller.mark()))
-        calls.append(caller.chat(host, caller.mark(), "auto"))
+        calls.append(caller.confirm(host, caller.make_mark()))
+        calls.append(caller.chat(host, caller.make_mark(), "auto"))
     return await asyncio.gather(*calls)
 
 
--- a/tests/system/test_system_configuration.py
+++ b/tests/system/test_system_configuration.py
@@ -30,7 +30,9 @@
 
 
 def _with_price(table: model.Table, price: int) -> model.Table:
-    row = attrs.evolve(table.versions[system_table.DEAR], output_price=price)
+    row = attrs.evolve(
+        table.versions[system_table.EXPENSIVE_VERSION], output_price=price
+    )
     return attrs.evolve(table, versions={**table.versions, row.key: row})
 
 
@@ -82,7 +84,9 @@
     newcomer = await deployment.start_entry("entry-3")
     await deployment.await_revision(revision, newcomer)
     await deployment.await_ready(newcomer)
-    response = await deployment.caller.chat(newcomer, deployment.caller.mark())
+    response = await deployment.caller.chat(
+        newcomer, deployment.caller.make_mark()
+    )
     assertions.assert_that(response.outcome, matchers.Is(outcomes.Outcome.DONE))
     await deployment.processes.clear_faults("platform")
     later = await deployment.publish(_with_price(deployment.table, 8))
@@ -101,7 +105,9 @@
         lambda: _is_stale(deployment, hosts[0]),
         "the isolated host refuses requests",
     )
-    response = await deployment.caller.chat(hosts[0], deployment.caller.mark())
+    response = await deployment.caller.chat(
+        hosts[0], deployment.caller.make_mark()
+    )
     assertions.assert_that(response.reason, matchers.Equals("table_stale"))
     for program in (deployment.program("platform"), *hosts[1:]):
         program.thaw()
--- a/tests/system/test_system_explain.py
+++ b/tests/system/test_system_explain.py
@@ -30,8 +30,8 @@
 ) -> None:
     hosts = await deployment.start(hosts=2)
     caller = deployment.caller
-    served = await caller.chat(hosts[0], caller.mark(), "auto")
-    refused = await caller.chat(hosts[0], caller.mark(), "no-such-model")
+    served = await caller.chat(hosts[0], caller.make_mark(), "auto")
+    refused = await caller.chat(hosts[0], caller.make_mark(), "no-such-model")
     for response in (served, refused):
         for host in hosts:
             found = await _explain(deployment, host, response.request_id)
--- a/tests/system/test_system_faults.py
+++ b/tests/system/test_system_faults.py
@@ -38,8 +38,8 @@
 
 
 @pytest.fixture
-async def links() -> AsyncIterator[list[system_links.Link]]:
-    created = [system_links.Link() for _ in range(3)]
+async def links() -> AsyncIterator[list[system_links.PeerLink]]:
+    created = [system_links.PeerLink() for _ in range(3)]
     for link in created:
         await link.open()
     yield created
@@ -61,8 +61,8 @@
     calls = []
     for index in range(count):
         host = hosts[index % len(hosts)]
-        mark = caller.mark()
-        key = await caller.ticket(host) if index % 3 == 1 else ""
+        mark = caller.make_mark()
+        key = await caller.request_ticket(host) if index % 3 == 1 else ""
         if index % 3 == 2:
             key = f"own-{mark}"
         calls.append(caller.confirm(host, mark, key))
@@ -79,7 +79,7 @@
     hosts: Hosts,
     dead: system_processes.Program,
 ) -> None:
-    await deployment.await_all(
+    await deployment.await_statuses(
         hosts,
         lambda status: _state_of(status, dead.name) == "dead",
         f"{dead.name} is known to be dead",
@@ -87,7 +87,7 @@
 
 
 async def test_connections_between_hosts_are_cut_again_and_again(
-    deployment: system_deployment.Deployment, links: list[system_links.Link]
+    deployment: system_deployment.Deployment, links: list[system_links.PeerLink]
 ) -> None:
     for number, link in enumerate(links, 1):
         deployment.entry_flags[f"entry-{number}"] = link.flags
@@ -95,12 +95,12 @@
     for _ in range(5):
         traffic = asyncio.create_task(_send_confirms(deployment, hosts, 12))
         for link in links:
-            link.cut()
+            link.abort_connections()
         await traffic
     # Isolate the hosts from each other and from the stream of bills.
     for link in links:
         link.is_down = True
-        link.cut()
+        link.abort_connections()
     await deployment.processes.inject_fault(
         PLATFORM, "outage", match=BILLS, method="POST"
     )
@@ -110,7 +110,7 @@
     await deployment.processes.clear_faults(PLATFORM)
     await _send_confirms(deployment, hosts, 12)
     assertions.assert_that(
-        sum(link.cuts for link in links), matchers.GreaterThan(0)
+        sum(link.aborted_count for link in links), matchers.GreaterThan(0)
     )
     await _assert_no_violations(deployment)
 
@@ -125,9 +125,11 @@
     )
     calls = []
     for index in range(6):
-        mark = caller.mark()
+        mark = caller.make_mark()
         calls += [caller.confirm(host, mark, f"key-{index}") for host in hosts]
-        calls += [caller.chat(host, caller.mark(), "auto") for host in hosts]
+        calls += [
+            caller.chat(host, caller.make_mark(), "auto") for host in hosts
+        ]
     responses = await asyncio.gather(*calls)
     done = [
         response
@@ -148,17 +150,17 @@
     for _ in range(2):
         await _send_confirms(deployment, hosts, 9)
         await deployment.processes.inject_fault("counter-1", "leaving")
-        await deployment.await_all(
+        await deployment.await_statuses(
             hosts,
             lambda status: address in status["leaving_servers"],
             "all hosts know of its departure",
         )
-        before = await deployment.runs_of("counter-1")
+        before = await deployment.executions_of("counter-1")
         await _send_confirms(deployment, hosts, 12)
-        after = await deployment.runs_of("counter-1")
+        after = await deployment.executions_of("counter-1")
         assertions.assert_that(after, matchers.Equals(before))
         await deployment.replace_counter("counter-1")
-        await deployment.await_all(
+        await deployment.await_statuses(
             hosts,
             lambda status: address not in status["leaving_servers"],
             "all hosts know of its replacement",
@@ -166,7 +168,7 @@
 
         async def has_executions() -> bool:
             await _send_confirms(deployment, hosts, 6)
-            return bool(await deployment.runs_of("counter-1"))
+            return bool(await deployment.executions_of("counter-1"))
 
         await system_processes.wait_until(
             has_executions, "the replacement gets requests"
@@ -184,13 +186,13 @@
         await deployment.processes.inject_fault(
             counter, "delay", match="/confirm", seconds=0.5, count=2
         )
-    ticket = await caller.ticket(hosts[0])
-    keyed, ticketed = caller.mark(), caller.mark()
+    ticket = await caller.request_ticket(hosts[0])
+    keyed, ticketed = caller.make_mark(), caller.make_mark()
     first = [
         asyncio.create_task(caller.confirm(hosts[0], keyed, "frozen")),
         asyncio.create_task(caller.confirm(hosts[0], ticketed, ticket)),
     ]
-    await deployment.await_all(
+    await deployment.await_statuses(
         hosts[:1], lambda status: status["in_flight"] == 2, "both in flight"
     )
     await deployment.processes.inject_fault(PLATFORM, "outage", match=STREAMS)
@@ -214,7 +216,8 @@
 
 
 async def test_the_holder_of_bills_dies_and_then_their_owner(
-    deployment: system_deployment.Deployment, statsd: system_statsd.Statsd
+    deployment: system_deployment.Deployment,
+    statsd: system_statsd.StatsdListener,
 ) -> None:
     deployment.entry_flags["entry-1"] = ("--statsd", statsd.address)
     owner, holder = await deployment.start(hosts=2)
@@ -241,7 +244,7 @@
     await _assert_no_violations(deployment)
 
 
-def _held_bills(statsd: system_statsd.Statsd) -> int:
+def _held_bills(statsd: system_statsd.StatsdListener) -> int:
     prefix = "hoistmoor.bill.held:"
     return sum(
         int(line.removeprefix(prefix).partition("|")[0])
@@ -257,7 +260,7 @@
     caller = deployment.caller
     for index in range(2):
         keys = [f"kill-{index}-{n}" for n in range(12)]
-        marks = [caller.mark() for _ in keys]
+        marks = [caller.make_mark() for _ in keys]
         traffic = [
             asyncio.create_task(caller.confirm(hosts[0], mark, key))
             for mark, key in zip(marks, keys, strict=True)
@@ -307,11 +310,11 @@
 ) -> None:
     hosts = await deployment.start(hosts=2)
     caller = deployment.caller
-    ticket = await caller.ticket(hosts[0])
+    ticket = await caller.request_ticket(hosts[0])
     counters = [deployment.program(f"counter-{n}") for n in (1, 2)]
     for counter in counters:
         counter.freeze()
-    cases = [(caller.mark(), key) for key in ("", "own", ticket)]
+    cases = [(caller.make_mark(), key) for key in ("", "own", ticket)]
     responses = await asyncio.gather(
         *(
             caller.confirm(hosts[0], mark, key, deadline=1.5)
@@ -360,16 +363,20 @@
     deployment: system_deployment.Deployment, hosts: Hosts
 ) -> None:
     caller = deployment.caller
-    await caller.chat(hosts[0], caller.mark(), session="kept")
+    await caller.chat(hosts[0], caller.make_mark(), session="kept")
     hosts[0].freeze()
     # The requests wait in socket buffers of the frozen host.
     waiting = [
         asyncio.create_task(
-            caller.chat(hosts[0], caller.mark(), session=session, deadline=30)
+            caller.chat(
+                hosts[0], caller.make_mark(), session=session, deadline=30
+            )
         )
         for session in ("kept", "", "", "", "")
     ]
-    revision = await _withdraw(deployment, system_table.CHEAP, hosts[1:])
+    revision = await _withdraw(
+        deployment, system_table.CHEAP_VERSION, hosts[1:]
+    )
     hosts[0].thaw()
     await asyncio.gather(*waiting)
     await deployment.await_ready(hosts[0])
@@ -382,8 +389,10 @@
     hosts = await deployment.start(hosts=3)
     await _withdraw_while_frozen(deployment, hosts)
     caller = deployment.caller
-    response = await caller.chat(hosts[0], caller.mark(), session="kept")
-    assertions.assert_that(response.version, matchers.Equals(system_table.DEAR))
+    response = await caller.chat(hosts[0], caller.make_mark(), session="kept")
+    assertions.assert_that(
+        response.version, matchers.Equals(system_table.EXPENSIVE_VERSION)
+    )
     await _assert_no_violations(deployment)
 
 
@@ -412,7 +421,7 @@
 
     await system_processes.wait_until(all_sent, "all are at the engines")
     hosts[0].freeze()
-    await _withdraw(deployment, system_table.DEAR, hosts[1:])
+    await _withdraw(deployment, system_table.EXPENSIVE_VERSION, hosts[1:])
     # The responses arrive before the edit.
     await deployment.processes.inject_fault(
         PLATFORM, "delay", match="/streams/table", method="GET", seconds=1.0
@@ -483,7 +492,7 @@
     invariant: str,
 ) -> None:
     broken = str(pathlib.Path(__file__).parent / "broken_entry.py")
-    deployment.entry_words = (sys.executable, broken, mutation)
+    deployment.entry_command = (sys.executable, broken, mutation)
     # Ratings would change the confidence threshold of responses.
     hosts = await deployment.start(hosts=3, platform=("--rating-share", "0"))
     await scenario(deployment, hosts)
@@ -503,7 +512,7 @@
     hosts = await deployment.start(hosts=3)
     base = deployment.table
     before = (await deployment.log.bounds(streams.TABLE)).next - 1
-    row = base.versions[system_table.DEAR]
+    row = base.versions[system_table.EXPENSIVE_VERSION]
     hosts[0].freeze()
     racing = [
         await deployment.publish(
--- a/tests/system/test_system_faults_pairs.py
+++ b/tests/system/test_system_faults_pairs.py
@@ -47,7 +47,7 @@
         while not self.done:
             number = next(self.numbers)
             host = self.hosts[number % len(self.hosts)]
-            mark = caller.mark()
+            mark = caller.make_mark()
             kind = number // len(self.hosts) % 4
             if kind == 0:
                 await caller.confirm(host, mark, deadline=3.0)
@@ -70,10 +70,10 @@
     async def await_responses(self, count: int = FAULT_RESPONSES) -> None:
         """Waits for a number of further responses."""
         caller = self.deployment.caller
-        target = len(caller.answers) + count
+        target = len(caller.responses) + count
 
         async def received() -> bool:
-            return len(caller.answers) >= target
+            return len(caller.responses) >= target
 
         await system_processes.wait_until(received, f"{count} responses")
 
@@ -153,7 +153,7 @@
     deployment: system_deployment.Deployment, seed: int
 ) -> None:
     hosts = await deployment.start(hosts=3)
-    deployment.caller.patience = CALLER_TIMEOUT
+    deployment.caller.timeout_seconds = CALLER_TIMEOUT
     scenario = FaultScenario(deployment, hosts)
     traffic = [
         asyncio.create_task(scenario.send_requests()) for _ in range(CALLERS)
@@ -169,9 +169,10 @@
     scenario.done = True
     await asyncio.gather(*traffic)
     response = await deployment.caller.confirm(
-        scenario.hosts[0], deployment.caller.mark()
+        scenario.hosts[0], deployment.caller.make_mark()
     )
     assertions.assert_that(
-        response.version, matchers.Equals(f"counter {system_table.CONFIRM}")
+        response.version,
+        matchers.Equals(f"counter {system_table.CONFIRM_ITEM}"),
     )
     assertions.assert_that(await deployment.violations(), matchers.Equals(()))
--- a/tests/system/test_system_golden.py
+++ b/tests/system/test_system_golden.py
@@ -77,13 +77,17 @@
         ("an easy question", "m000002", "bucket 8 is confident"),
         ("a hard question", "m000008", "bucket 3 is below"),
     ):
-        transcript.say(kind)
+        transcript.add_heading(kind)
         responses.append(await _ask_with_regular_plan(deployment, mark, step))
-        transcript.answered(f"agents ask auto: question {mark}", responses[-1])
+        transcript.add_response(
+            f"agents ask auto: question {mark}", responses[-1]
+        )
         await transcript.explain(responses[-1])
-    transcript.say("executions and bills")
-    await transcript.records(*(response.request_id for response in responses))
-    assert transcript.text() == golden
+    transcript.add_heading("executions and bills")
+    await transcript.add_executions(
+        *(response.request_id for response in responses)
+    )
+    assert transcript.render() == golden
     await _assert_no_violations(deployment)
 
 
@@ -118,28 +122,38 @@
     hosts = await deployment.start(hosts=2, engines=1, counters=1)
     caller = deployment.caller
     table = deployment.table
-    row = attrs.evolve(table.versions[system_table.DEAR], weight=0.0001)
+    row = attrs.evolve(
+        table.versions[system_table.EXPENSIVE_VERSION], weight=0.0001
+    )
     await _publish(deployment, row)
-    transcript.say("a session begins")
-    response = await caller.chat(hosts[0], caller.mark(), session="village")
-    transcript.answered("agents ask khao in a session at entry-1", response)
-    cheap = deployment.table.versions[system_table.CHEAP]
-    transcript.say("khao@1 drains: sessions keep it")
+    transcript.add_heading("a session begins")
+    response = await caller.chat(
+        hosts[0], caller.make_mark(), session="village"
+    )
+    transcript.add_response("agents ask khao in a session at entry-1", response)
+    cheap = deployment.table.versions[system_table.CHEAP_VERSION]
+    transcript.add_heading("khao@1 drains: sessions keep it")
     await _publish(deployment, attrs.evolve(cheap, stage=model.Stage.DRAINING))
     for host in hosts:
-        response = await caller.chat(host, caller.mark(), session="village")
-        transcript.answered(f"the same session at {host.name}", response)
-    transcript.say("khao@1 is withdrawn: the session moves to another version")
+        response = await caller.chat(
+            host, caller.make_mark(), session="village"
+        )
+        transcript.add_response(f"the same session at {host.name}", response)
+    transcript.add_heading(
+        "khao@1 is withdrawn: the session moves to another version"
+    )
     await _publish(deployment, attrs.evolve(cheap, stage=model.Stage.WITHDRAWN))
     for host in hosts:
-        response = await caller.chat(host, caller.mark(), session="village")
-        transcript.answered(f"the same session at {host.name}", response)
-    response = await caller.chat(hosts[0], caller.mark(), "khao@1")
-    transcript.answered("agents ask khao@1 by name", response)
+        response = await caller.chat(
+            host, caller.make_mark(), session="village"
+        )
+        transcript.add_response(f"the same session at {host.name}", response)
+    response = await caller.chat(hosts[0], caller.make_mark(), "khao@1")
+    transcript.add_response("agents ask khao@1 by name", response)
     await transcript.explain(response)
-    transcript.say("executions and bills")
-    await transcript.records()
-    assert transcript.text() == golden
+    transcript.add_heading("executions and bills")
+    await transcript.add_executions()
+    assert transcript.render() == golden
     await _assert_no_violations(deployment)
 
 
@@ -165,30 +179,34 @@
 ) -> None:
     hosts = await deployment.start(hosts=2, engines=1, counters=1)
     caller = deployment.caller
-    transcript.say("the log is available")
+    transcript.add_heading("the log is available")
     for host in hosts:
-        response = await caller.confirm(host, caller.mark())
-        transcript.answered(f"agents confirm at {host.name}, no key", response)
-    ticket, mark = await caller.ticket(hosts[0]), caller.mark()
-    transcript.note("agents request a ticket at entry-1")
+        response = await caller.confirm(host, caller.make_mark())
+        transcript.add_response(
+            f"agents confirm at {host.name}, no key", response
+        )
+    ticket, mark = await caller.request_ticket(hosts[0]), caller.make_mark()
+    transcript.add_line("agents request a ticket at entry-1")
     await deployment.processes.inject_fault(PLATFORM, "outage", match=STREAMS)
-    transcript.say("an outage of the log begins")
-    own = caller.mark()
+    transcript.add_heading("an outage of the log begins")
+    own = caller.make_mark()
     response = await caller.confirm(hosts[0], own, "receipt-17")
-    transcript.answered("agents confirm at entry-1, own key", response)
+    transcript.add_response("agents confirm at entry-1, own key", response)
     response = await caller.confirm(hosts[1], mark, ticket)
-    transcript.answered("agents confirm at entry-2, ticket", response)
+    transcript.add_response("agents confirm at entry-2, ticket", response)
     response = await caller.confirm(hosts[0], mark, ticket)
-    transcript.answered("the same request at entry-1", response)
+    transcript.add_response("the same request at entry-1", response)
     await deployment.processes.clear_faults(PLATFORM)
-    transcript.say("the log is available again")
+    transcript.add_heading("the log is available again")
     await _await_claims(deployment)
     for host in hosts:
         response = await caller.confirm(host, own, "receipt-17")
-        transcript.answered(f"agents confirm at {host.name}, own key", response)
-    transcript.say("executions and bills")
-    await transcript.records()
-    assert transcript.text() == golden
+        transcript.add_response(
+            f"agents confirm at {host.name}, own key", response
+        )
+    transcript.add_heading("executions and bills")
+    await transcript.add_executions()
+    assert transcript.render() == golden
     await _assert_no_violations(deployment)
 
 
@@ -201,7 +219,7 @@
         while response is None or response.reason:
             await asyncio.sleep(0.05)
             response = await caller.confirm(
-                host, caller.mark(), f"probe-{name}"
+                host, caller.make_mark(), f"probe-{name}"
             )
 
 
@@ -220,15 +238,17 @@
         location = (str(directories[name]),)
         if command == "show":
             location = ("--out", str(directories[name]))
-        await transcript.console(
+        await transcript.run_console(
             *words, *location, *more, "--log-url", url,
             show=" ".join((*words, *location[:-1], name, *more)),
         )  # fmt: skip
 
-    transcript.say("two operators fetch the table")
+    transcript.add_heading("two operators fetch the table")
     for name in directories:
         await table("show", name)
-    transcript.say("both change the price of khao@2, and birna also a limit")
+    transcript.add_heading(
+        "both change the price of khao@2, and birna also a limit"
+    )
     for name, price in (("anong", "9000"), ("birna", "8000")):
         path = directories[name] / "versions.csv"
         path.write_text(path.read_text().replace("10000", price))
@@ -238,14 +258,16 @@
         await table("diff", name)
     for name in directories:
         await table("publish", name, "--author", name)
-    transcript.say("birna fetches the table again and changes only the limit")
+    transcript.add_heading(
+        "birna fetches the table again and changes only the limit"
+    )
     await table("show", "birna")
     path.write_text(path.read_text().replace("1000", "2000", 1))
     await table("publish", "birna", "--author", "birna")
-    await transcript.console(
+    await transcript.run_console(
         "table", "history", "--log-url", url, show="table history"
     )
-    assert transcript.text() == golden
+    assert transcript.render() == golden
     bounds = await deployment.log.bounds(streams.TABLE)
     assertions.assert_that(bounds.next, matchers.Equals(3))
 
@@ -266,34 +288,36 @@
     running = {}
     for count, (name, call) in enumerate(
         {
-            "a chat": caller.chat(hosts[0], caller.mark(), "khao@1"),
-            "a confirm": caller.confirm(hosts[0], caller.mark()),
+            "a chat": caller.chat(hosts[0], caller.make_mark(), "khao@1"),
+            "a confirm": caller.confirm(hosts[0], caller.make_mark()),
         }.items(),
         start=1,
     ):
         running[name] = asyncio.create_task(call)
         await _await_in_flight(deployment, count)
-    transcript.say("entry-1 is asked to stop with two requests in flight")
+    transcript.add_heading(
+        "entry-1 is asked to stop with two requests in flight"
+    )
     await deployment.stop(hosts[0])
     await _await_state(deployment, "stopping")
-    response = await caller.chat(hosts[0], caller.mark(), "khao@1")
-    transcript.answered("a new chat", response)
+    response = await caller.chat(hosts[0], caller.make_mark(), "khao@1")
+    transcript.add_response("a new chat", response)
     for name, task in running.items():
-        transcript.answered(f"{name} in flight", await task)
-    transcript.note(f"entry-1 exits with {await hosts[0].exit_code()}")
-    transcript.say("entry-2 still serves requests")
-    response = await caller.confirm(hosts[1], caller.mark())
-    transcript.answered("a confirm at entry-2", response)
-    transcript.say("executions and bills")
-    await transcript.records()
-    assert transcript.text() == golden
+        transcript.add_response(f"{name} in flight", await task)
+    transcript.add_line(f"entry-1 exits with {await hosts[0].exit_code()}")
+    transcript.add_heading("entry-2 still serves requests")
+    response = await caller.confirm(hosts[1], caller.make_mark())
+    transcript.add_response("a confirm at entry-2", response)
+    transcript.add_heading("executions and bills")
+    await transcript.add_executions()
+    assert transcript.render() == golden
     await _assert_no_violations(deployment)
 
 
 async def _await_in_flight(
     deployment: system_deployment.Deployment, count: int
 ) -> None:
-    await deployment.await_all(
+    await deployment.await_statuses(
         [deployment.program("entry-1")],
         lambda status: status["in_flight"] >= count,
         f"{count} in flight",
@@ -303,7 +327,7 @@
 async def _await_state(
     deployment: system_deployment.Deployment, state: str
 ) -> None:
-    await deployment.await_all(
+    await deployment.await_statuses(
         [deployment.program("entry-1")],
         lambda status: status["state"] == state,
         f"entry-1 is {state}",
--- a/tests/system/test_system_metrics.py
+++ b/tests/system/test_system_metrics.py
@@ -15,7 +15,8 @@
 
 
 async def _start_entry(
-    deployment: system_deployment.Deployment, statsd: system_statsd.Statsd
+    deployment: system_deployment.Deployment,
+    statsd: system_statsd.StatsdListener,
 ) -> system_processes.Program:
     platform = deployment.program("platform")
     host = await deployment.processes.start(
@@ -30,22 +31,23 @@
 
 
 async def test_refusals_and_retries_are_counted_by_reason(
-    deployment: system_deployment.Deployment, statsd: system_statsd.Statsd
+    deployment: system_deployment.Deployment,
+    statsd: system_statsd.StatsdListener,
 ) -> None:
     await deployment.start(hosts=1, engines=1, counters=2)
     host = await _start_entry(deployment, statsd)
     caller = deployment.caller
-    refused = await caller.confirm(host, caller.mark(), account="nobody")
+    refused = await caller.confirm(host, caller.make_mark(), account="nobody")
     assert refused is not None
     assertions.assert_that(refused.reason, matchers.Equals("wrong_key"))
-    await statsd.wait_for("hoistmoor.refusal.wrong_key:1|c")
+    await statsd.await_line("hoistmoor.refusal.wrong_key:1|c")
     for counter in ("counter-1", "counter-2"):
         await deployment.processes.inject_fault(
             counter, "decline", match="/confirm", count=1
         )
-    served = await caller.confirm(host, caller.mark())
+    served = await caller.confirm(host, caller.make_mark())
     assert served is not None
-    await statsd.wait_for("hoistmoor.retry.backend_declined:1|c")
+    await statsd.await_line("hoistmoor.retry.backend_declined:1|c")
     assertions.assert_that(
         [line for line in statsd.lines if "nobody" in line],
         matchers.Equals([]),
--- a/tests/system/test_system_mutations.py
+++ b/tests/system/test_system_mutations.py
@@ -39,7 +39,7 @@
     deployment: system_deployment.Deployment, hosts: Hosts
 ) -> None:
     caller = deployment.caller
-    mark = caller.mark()
+    mark = caller.make_mark()
     await asyncio.gather(
         *(caller.confirm(host, mark, "same") for host in hosts)
     )
@@ -55,7 +55,7 @@
     caller = deployment.caller
     # On a busy machine, some requests are refused without execution.
     for host in hosts * 3:
-        await caller.confirm(host, caller.mark())
+        await caller.confirm(host, caller.make_mark())
 
 
 async def _chat_in_session(
@@ -63,7 +63,7 @@
 ) -> None:
     caller = deployment.caller
     for host in hosts * 4:
-        await caller.chat(host, caller.mark(), session="one-session")
+        await caller.chat(host, caller.make_mark(), session="one-session")
 
 
 async def _edit_between_chats(
@@ -72,15 +72,15 @@
     caller = deployment.caller
     names = [f"session-{n}" for n in range(8)]
     for name in names:
-        await caller.chat(hosts[0], caller.mark(), session=name)
+        await caller.chat(hosts[0], caller.make_mark(), session=name)
     table = deployment.table
-    row = attrs.evolve(table.versions[system_table.CHEAP], weight=0.001)
+    row = attrs.evolve(table.versions[system_table.CHEAP_VERSION], weight=0.001)
     revision = await deployment.publish(
         attrs.evolve(table, versions={**table.versions, row.key: row})
     )
     await deployment.await_revision(revision, *hosts)
     for name in names:
-        await caller.chat(hosts[1], caller.mark(), session=name)
+        await caller.chat(hosts[1], caller.make_mark(), session=name)
 
 
 async def _chat_with_crossed_frames(
@@ -98,7 +98,7 @@
 ) -> None:
     caller = deployment.caller
     await caller.chat(
-        hosts[0], caller.mark(), "auto", account=system_table.OTHER
+        hosts[0], caller.make_mark(), "auto", account=system_table.OTHER_ACCOUNT
     )
 
 
@@ -107,7 +107,7 @@
 ) -> None:
     table = deployment.table
     row = attrs.evolve(
-        table.versions[system_table.CHEAP], stage=model.Stage.WITHDRAWN
+        table.versions[system_table.CHEAP_VERSION], stage=model.Stage.WITHDRAWN
     )
     revision = await deployment.publish(
         attrs.evolve(table, versions={**table.versions, row.key: row})
@@ -121,7 +121,7 @@
     ]
     caller = deployment.caller
     for host in hosts * 4:
-        await caller.chat(host, caller.mark())
+        await caller.chat(host, caller.make_mark())
 
 
 async def _stop_with_request_in_flight(
@@ -132,7 +132,7 @@
             engine, "delay", match="/v1/chat", seconds=7.0
         )
     caller = deployment.caller
-    running = asyncio.create_task(caller.chat(hosts[0], caller.mark()))
+    running = asyncio.create_task(caller.chat(hosts[0], caller.make_mark()))
 
     async def in_flight() -> bool:
         status = await deployment.status(hosts[0])
@@ -163,7 +163,7 @@
     scenario: Scenario,
     invariant: str,
 ) -> None:
-    deployment.entry_words = (sys.executable, _BROKEN_ENTRY, mutation)
+    deployment.entry_command = (sys.executable, _BROKEN_ENTRY, mutation)
     hosts = await deployment.start(hosts=2)
     await scenario(deployment, hosts)
     found = {violation.promise for violation in await deployment.violations()}
--- a/tests/system/test_system_once.py
+++ b/tests/system/test_system_once.py
@@ -40,7 +40,7 @@
     caller = deployment.caller
     calls = []
     for index in range(20):
-        mark = caller.mark()
+        mark = caller.make_mark()
         calls += [caller.confirm(host, mark, f"key-{index}") for host in hosts]
     responses = await asyncio.gather(*calls)
     done = [
@@ -66,7 +66,7 @@
         count=3,
         hang=hang,
     )
-    mark = caller.mark()
+    mark = caller.make_mark()
     for index in range(6):
         await caller.confirm(hosts[index % 2], mark, "lost-reply")
     responses = [
@@ -83,12 +83,12 @@
 ) -> None:
     hosts = await deployment.start(hosts=2)
     caller = deployment.caller
-    ticket = await caller.ticket(hosts[0])
+    ticket = await caller.request_ticket(hosts[0])
     await deployment.processes.inject_fault(
         "platform", "outage", match="/streams"
     )
-    keyed = await caller.confirm(hosts[0], caller.mark(), "while-down")
-    mark = caller.mark()
+    keyed = await caller.confirm(hosts[0], caller.make_mark(), "while-down")
+    mark = caller.make_mark()
     ticketed = await caller.confirm(hosts[1], mark, ticket)
     repeated = await caller.confirm(hosts[0], mark, ticket)
     assertions.assert_that(
@@ -110,10 +110,10 @@
         await deployment.processes.inject_fault(
             counter, "delay", match="/confirm", seconds=1.0
         )
-    mark = caller.mark()
+    mark = caller.make_mark()
     first = asyncio.create_task(caller.confirm(hosts[0], mark, "owner-dies"))
-    ticket = await caller.ticket(hosts[0])
-    ticket_mark = caller.mark()
+    ticket = await caller.request_ticket(hosts[0])
+    ticket_mark = caller.make_mark()
     second = asyncio.create_task(caller.confirm(hosts[0], ticket_mark, ticket))
     await _await_in_flight(deployment, hosts[0], 2)
     await deployment.kill(hosts[0])
@@ -168,7 +168,7 @@
         count=1,
         hang=True,
     )
-    mark = caller.mark()
+    mark = caller.make_mark()
     first = asyncio.create_task(caller.confirm(hosts[0], mark, "paused"))
     await system_processes.wait_until(
         lambda: _has_claim(deployment), "the claim is on the log"
@@ -206,9 +206,11 @@
     )
     responses = []
     for index in range(12):
-        ticket = await caller.ticket(hosts[0])
+        ticket = await caller.request_ticket(hosts[0])
         key = ("", f"own-{index}", ticket)[index % 3]
-        responses.append(await caller.confirm(hosts[0], caller.mark(), key))
+        responses.append(
+            await caller.confirm(hosts[0], caller.make_mark(), key)
+        )
     seen = {response.outcome for response in responses}
     assertions.assert_that(seen, matchers.Contains(outcome))
     assertions.assert_that(seen - {DONE, outcome}, matchers.Equals(set()))
--- a/tests/system/test_system_path.py
+++ b/tests/system/test_system_path.py
@@ -20,14 +20,14 @@
     calls = []
     for index in range(30):
         host = hosts[index % len(hosts)]
-        ticket = await caller.ticket(host)
+        ticket = await caller.request_ticket(host)
         calls += [
-            caller.chat(host, caller.mark()),
-            caller.chat(host, caller.mark(), "auto"),
-            caller.chat(host, caller.mark(), session=f"s{index % 5}"),
-            caller.confirm(host, caller.mark()),
-            caller.confirm(host, caller.mark(), f"own-{index}"),
-            caller.confirm(host, caller.mark(), ticket),
+            caller.chat(host, caller.make_mark()),
+            caller.chat(host, caller.make_mark(), "auto"),
+            caller.chat(host, caller.make_mark(), session=f"s{index % 5}"),
+            caller.confirm(host, caller.make_mark()),
+            caller.confirm(host, caller.make_mark(), f"own-{index}"),
+            caller.confirm(host, caller.make_mark(), ticket),
         ]
     responses = await asyncio.gather(*calls)
     refused = [
--- a/tests/system/test_system_security.py
+++ b/tests/system/test_system_security.py
@@ -46,13 +46,13 @@
     hosts = await deployment.start(hosts=2)
     statuses = [await deployment.status(host) for host in hosts]
     for status in statuses:
-        accepted = await system_strangers.try_all(
+        accepted = await system_strangers.attempt_calls(
             status["peer_address"], status["incarnation"], time.time
         )
         assertions.assert_that(accepted, matchers.Equals([]))
 
     variables = deployment.processes.variables
-    variables["HOISTMOOR_SECRET"] = system_strangers.SECRET
+    variables["HOISTMOOR_SECRET"] = system_strangers.WRONG_SECRET
     outsider = await deployment.start_entry("entry-3")
 
     async def was_refused() -> bool:
@@ -75,13 +75,13 @@
     caller = deployment.caller
     for host in hosts:  # They hold each other's bills, but none of entry-3.
         response = await caller.confirm(
-            host, caller.mark(), await caller.ticket(host)
+            host, caller.make_mark(), await caller.request_ticket(host)
         )
         assert response is not None
         assertions.assert_that(response.reason, matchers.Equals(""))
 
     async def is_refusing() -> bool:
-        response = await caller.chat(outsider, caller.mark())
+        response = await caller.chat(outsider, caller.make_mark())
         return response is not None and bool(response.reason)
 
     await system_processes.wait_until(is_refusing, "entry-3 refuses requests")
@@ -94,18 +94,22 @@
     deployment: system_deployment.Deployment,
 ) -> None:
     """Shows that the preceding test detects a missing check."""
-    deployment.entry_words = (sys.executable, str(_BROKEN_ENTRY), "peer_guard")
+    deployment.entry_command = (
+        sys.executable,
+        str(_BROKEN_ENTRY),
+        "peer_guard",
+    )
     (host,) = await deployment.start(hosts=1)
     status = await deployment.status(host)
-    accepted = await system_strangers.try_all(
+    accepted = await system_strangers.attempt_calls(
         status["peer_address"], status["incarnation"], time.time
     )
     assertions.assert_that(len(accepted), matchers.GreaterThan(5))
 
 
 def _assert_no_key_in_logs(logs: pathlib.Path) -> None:
-    keys = [OLD_SECRET, NEW_SECRET, system_strangers.SECRET, OPERATOR_KEY]
-    keys.append(system_table.bearer(system_table.ACCOUNT))
+    keys = [OLD_SECRET, NEW_SECRET, system_strangers.WRONG_SECRET, OPERATOR_KEY]
+    keys.append(system_table.api_key(system_table.ACCOUNT))
     for path in logs.glob("*.log"):
         text = path.read_text()
         for key in keys:
@@ -121,7 +125,7 @@
     token: str = "",
     account: str = system_table.ACCOUNT,
 ) -> aiohttp.ClientResponse:
-    headers = {"Authorization": f"Bearer {system_table.bearer(account)}"}
+    headers = {"Authorization": f"Bearer {system_table.api_key(account)}"}
     if token:
         headers["X-Hoistmoor-Session"] = token
     body = {"model": "khao", "messages": [{"role": "user", "content": "q"}]}
@@ -144,8 +148,8 @@
         for host in hosts:
             chat_response = await _chat(session, host, token)
             assertions.assert_that(chat_response.status, matchers.Equals(200))
-            ticket = await caller.ticket(issuer)
-            response = await caller.confirm(host, caller.mark(), ticket)
+            ticket = await caller.request_ticket(issuer)
+            response = await caller.confirm(host, caller.make_mark(), ticket)
             assert response is not None
             assertions.assert_that(response.reason, matchers.Equals(""))
 
@@ -197,7 +201,7 @@
     """Grants the model to both accounts, so that only the token differs."""
     table = deployment.table
     (grant,) = table.grants.values()
-    other = attrs.evolve(grant, account=system_table.OTHER)
+    other = attrs.evolve(grant, account=system_table.OTHER_ACCOUNT)
     grants = {**table.grants, other.key: other}
     revision = await deployment.publish(attrs.evolve(table, grants=grants))
     await deployment.await_revision(revision, host)
@@ -210,14 +214,14 @@
     session = deployment.processes.session
     await _grant_to_both(deployment, host)
     token = (await _chat(session, host)).headers["X-Hoistmoor-Session"]
-    own = await _chat(session, host, "", system_table.OTHER)
+    own = await _chat(session, host, "", system_table.OTHER_ACCOUNT)
     assertions.assert_that(own.status, matchers.Equals(200))
-    stolen = await _chat(session, host, token, system_table.OTHER)
+    stolen = await _chat(session, host, token, system_table.OTHER_ACCOUNT)
     assertions.assert_that(stolen.status, matchers.Equals(400))
     caller = deployment.caller
-    ticket = await caller.ticket(host)
+    ticket = await caller.request_ticket(host)
     forged = ticket[:-2] + ("AA" if ticket[-2:] != "AA" else "BB")
-    response = await caller.confirm(host, caller.mark(), forged)
+    response = await caller.confirm(host, caller.make_mark(), forged)
     assert response is not None
     assertions.assert_that(response.reason, matchers.Equals("ticket_invalid"))
     assertions.assert_that(await deployment.violations(), matchers.Equals(()))
@@ -234,7 +238,7 @@
     deployment.processes.variables["HOISTMOOR_OPERATOR_KEYS"] = known
     deployment.entry_flags["entry-9"] = ("--log-level", "info")
     host = await deployment.start_entry("entry-9")
-    caller_key = system_table.bearer(system_table.ACCOUNT)
+    caller_key = system_table.api_key(system_table.ACCOUNT)
     expected = {"": 401, caller_key: 401, known: 401, OPERATOR_KEY: 200}
     session = deployment.processes.session
     for key, status in expected.items():
@@ -282,7 +286,7 @@
     for path in ("status", "peer-address"):  # Plain HTTP is refused.
         assert await deployment.processes.get(f"{hosts[0].url}/{path}") is None
     headers = {
-        "Authorization": f"Bearer {system_table.bearer(system_table.ACCOUNT)}"
+        "Authorization": f"Bearer {system_table.api_key(system_table.ACCOUNT)}"
     }
     url = link.url(hosts[0].address, "/v1/tickets")
     async with session.post(url, headers=headers, ssl=link.verify) as response:
--- a/tests/system/test_system_stops.py
+++ b/tests/system/test_system_stops.py
@@ -27,13 +27,13 @@
     hosts = await deployment.start(hosts=3)
     caller = deployment.caller
     for host in hosts:
-        await caller.confirm(host, caller.mark())
+        await caller.confirm(host, caller.make_mark())
     for engine in ("engine-1", "engine-2"):
         await deployment.processes.inject_fault(
             engine, "delay", match="/v1/chat", seconds=0.5
         )
     running = [
-        asyncio.create_task(caller.chat(hosts[0], caller.mark()))
+        asyncio.create_task(caller.chat(hosts[0], caller.make_mark()))
         for _ in range(12)
     ]
     await system_processes.wait_until(
@@ -45,7 +45,7 @@
         )
     await deployment.stop(hosts[0])
     responses = await asyncio.gather(*running)
-    late = await caller.chat(hosts[0], caller.mark())
+    late = await caller.chat(hosts[0], caller.make_mark())
     code = await hosts[0].exit_code()
     assertions.assert_that(
         [response.reason for response in responses], matchers.Equals([""] * 12)
@@ -63,9 +63,9 @@
     caller = deployment.caller
 
     async def send_until_disconnected() -> None:
-        response = await caller.confirm(hosts[0], caller.mark())
+        response = await caller.confirm(hosts[0], caller.make_mark())
         while response is not None:
-            response = await caller.confirm(hosts[0], caller.mark())
+            response = await caller.confirm(hosts[0], caller.make_mark())
 
     traffic = [
         asyncio.create_task(send_until_disconnected()) for _ in range(16)
@@ -104,7 +104,7 @@
     )
     before = await _count_executions(deployment, counter)
     for index in range(30):
-        await caller.confirm(hosts[index % 3], caller.mark())
+        await caller.confirm(hosts[index % 3], caller.make_mark())
     after = await _count_executions(deployment, counter)
     assertions.assert_that(after, matchers.Equals(before))
     await _assert_no_violations(deployment)
--- a/tests/system/test_system_versions.py
+++ b/tests/system/test_system_versions.py
@@ -28,7 +28,7 @@
 
 
 def _with_version(table: model.Table, **changes: object) -> model.Table:
-    row = attrs.evolve(table.versions[system_table.CHEAP], **changes)
+    row = attrs.evolve(table.versions[system_table.CHEAP_VERSION], **changes)
     return attrs.evolve(table, versions={**table.versions, row.key: row})
 
 
@@ -48,9 +48,9 @@
         index += 1
         host = hosts[index % len(hosts)]
         await asyncio.gather(
-            caller.chat(host, caller.mark()),
-            caller.chat(host, caller.mark(), "auto"),
-            caller.chat(host, caller.mark(), session=SESSIONS[index % 6]),
+            caller.chat(host, caller.make_mark()),
+            caller.chat(host, caller.make_mark(), "auto"),
+            caller.chat(host, caller.make_mark(), session=SESSIONS[index % 6]),
         )
 
 
@@ -111,8 +111,8 @@
     for session in SESSIONS:
         # Concurrent first requests of a session at two hosts.
         await asyncio.gather(
-            caller.chat(hosts[0], caller.mark(), session=session),
-            caller.chat(hosts[1], caller.mark(), session=session),
+            caller.chat(hosts[0], caller.make_mark(), session=session),
+            caller.chat(hosts[1], caller.make_mark(), session=session),
         )
     revision = await deployment.publish(
         _with_version(deployment.table, weight=50.0)
@@ -120,6 +120,6 @@
     await deployment.await_revision(revision, *hosts)
     await deployment.kill(hosts[0])
     for session in SESSIONS:
-        await caller.chat(hosts[2], caller.mark(), session=session)
-        await caller.chat(hosts[1], caller.mark(), session=session)
+        await caller.chat(hosts[2], caller.make_mark(), session=session)
+        await caller.chat(hosts[1], caller.make_mark(), session=session)
     await _assert_no_violations(deployment)
