--- a/src/hoistmoor/clients/hosts.py
+++ b/src/hoistmoor/clients/hosts.py
@@ -25,15 +25,16 @@
 
 @attrs.frozen
 class ListedHost:
-    """One entry of the host list.
+    """A host on the host list: an entry host or a backend server.
 
     Attributes:
-        name: Name of the host or backend server.
+        name: Name of the host.
         address: ``ip:port`` of its HTTP endpoint.
         failure_domain: Failure domain in which it runs.
         role: Whether it is an entry host or a backend server.
         state: Whether it is about to leave.
-        incarnation: Increases each time the host is replaced or restarted.
+        incarnation: Number that the platform increases each time the host is
+            replaced or restarted.
     """
 
     name: str
--- a/src/hoistmoor/core/relay/beliefs/topics.py
+++ b/src/hoistmoor/core/relay/beliefs/topics.py
@@ -6,7 +6,8 @@
 
 import attrs
 
-OFFSET_BITS = 40  # Bits of a serial number; no topic has 2**40 records.
+# Bits of the offset in a serial number; no topic has 2**40 records.
+OFFSET_BITS = 40
 
 
 # A tuple, so that comparisons are cheap: the positions of all records exchanged
@@ -71,7 +72,7 @@
     Attributes:
         records: Records in order.
         end: Position at which to continue reading.
-        is_snapshot: Whether the batch holds all existing keys.
+        is_snapshot: Whether the records are the current values of all keys.
     """
 
     records: tuple[Record, ...]
--- a/src/hoistmoor/core/requests/parsing.py
+++ b/src/hoistmoor/core/requests/parsing.py
@@ -30,7 +30,7 @@
 _MAX_HEADER_CHARS = 4096
 _MAX_KEY_CHARS = 200
 _MAX_KIND_CHARS = 64
-_BYTES_PER_TOKEN = 4
+_ESTIMATED_BYTES_PER_TOKEN = 4
 _DEFAULT_MAX_TOKENS = 256
 _MAX_TOKENS = 32_768
 _PREFIX_BLOCK_BYTES = 512
@@ -64,11 +64,13 @@
 
     Attributes:
         bearer: API key of the caller.
-        idempotency_key: Idempotency key or ticket sent by the caller, if any.
+        idempotency_key: Idempotency key sent by the caller, if any. It may be a
+            ticket, which is a key that this service issued.
         session: Session header as sent, if any.
         deadline: Deadline set by the caller, if any; seconds since the epoch.
         priority: Priority set by the caller, if any.
-        kind: Label that the caller gave to this kind of request.
+        kind: Label by which the caller groups its requests; ``chat`` by
+            default. Evidence is kept per label.
         forwarded: Whether another host of the deployment forwarded it.
     """
 
@@ -134,6 +136,8 @@
         number = float("nan")
     relative = value.startswith("+")
     deadline = now + number if relative else number
+    # The negation also rejects NaN. The maximum itself is rejected, although
+    # the text for the caller says "at most".
     if not deadline < now + _MAX_DEADLINE_SECONDS:
         raise refusal_error(
             refusals.Reason.BAD_HEADER,
@@ -260,7 +264,7 @@
 
     Args:
         envelope: Envelope of the request.
-        kind: Label that the caller gave to this kind of request.
+        kind: Label by which the caller groups its requests.
         body: The parsed body.
         raw: The body as sent.
     """
@@ -272,13 +276,14 @@
         kind=kind,
         body=body,
         raw=raw,
-        prompt_tokens=max(1, len(prompt) // _BYTES_PER_TOKEN),
+        prompt_tokens=max(1, len(prompt) // _ESTIMATED_BYTES_PER_TOKEN),
         max_tokens=body.get("max_tokens", _DEFAULT_MAX_TOKENS),
         prefix=_prefix_hashes(prompt),
     )
 
 
 def _prefix_hashes(prompt: bytes) -> tuple[int, ...]:
+    """Returns a hash per block, each of the prompt up to the block's end."""
     blocks = min(len(prompt) // _PREFIX_BLOCK_BYTES, _MAX_PREFIX_BLOCKS)
     digest = xxhash.xxh3_64()
     hashes = []
--- a/src/hoistmoor/core/routing/fleet.py
+++ b/src/hoistmoor/core/routing/fleet.py
@@ -19,7 +19,7 @@
 # Bounds of the rest of a server that declined a call for lack of capacity.
 MIN_CAPACITY_REST_S = 0.01
 MAX_CAPACITY_REST_S = 1.0
-_AVERAGE_WEIGHT = 0.02  # Weight of the latest attempt in the usual duration.
+_AVERAGE_WEIGHT = 0.02  # Weight of the latest attempt in the average duration.
 
 
 @attrs.define(eq=False)
@@ -32,9 +32,10 @@
         by_name: Servers by name.
         by_address: Servers by address.
         pools: Pools by key of the version or name of the plain service.
-        average_durations: Moving average of the seconds per token by version,
-            or per call by plain service.
-        rests: Heap of (end of rest, server name).
+        average_durations: Moving average of the seconds per unit, by key of the
+            pool. A unit is a token of a version or a call to a plain service.
+        rests: Heap of (end of rest, server name). A rest is the time for which
+            a server gets no new calls, as it was ejected or lacked capacity.
         keys_by_service: Keys of the pools by service.
     """
 
@@ -48,7 +49,10 @@
     keys_by_service: dict[str, tuple[str, ...]] = attrs.field(factory=dict)
 
     def on_table(self, table: model.Table) -> None:
-        """Rebuilds the pools and keeps the state of each server."""
+        """Rebuilds the pools.
+
+        Keeps the state of servers whose name and address are unchanged.
+        """
         self.keys_by_service = _keys_by_service(table)
         known = self.by_name
         self.by_name = {}
@@ -161,8 +165,8 @@
             self._rest_at_capacity(server, now)
         elif not result.cancelled:
             key = version or server.row.service
-            pace = self._relative_duration(key, result)
-            server.health.record(result.ok, pace)
+            relative_duration = self._relative_duration(key, result)
+            server.health.record(result.ok, relative_duration)
             if result.ok:
                 server.record_duration(result.seconds)
             self._eject_if_due(server, now)
@@ -183,17 +187,17 @@
     def _relative_duration(
         self, key: str, result: messages.AttemptResult
     ) -> float:
-        """Returns the duration of a call as a multiple of the usual one."""
-        pace = result.seconds / max(1, result.tokens)
-        average = self.average_durations.get(key, pace)
+        """Returns the duration of a call as a multiple of the average one."""
+        seconds_per_unit = result.seconds / max(1, result.tokens)
+        average = self.average_durations.get(key, seconds_per_unit)
         if result.ok:
             # Caps the sample, so that a slow server does not raise the average
             # that it is compared with.
-            capped = min(pace, 2.0 * average)
+            capped = min(seconds_per_unit, 2.0 * average)
             self.average_durations[key] = average + _AVERAGE_WEIGHT * (
                 capped - average
             )
-        return pace / max(1e-9, average)
+        return seconds_per_unit / max(1e-9, average)
 
     def _eject_if_due(self, server: servers.ServerState, now: float) -> None:
         if server.health.is_ejected or not server.health.is_outlier():
@@ -205,10 +209,11 @@
             )
 
     def _enforce_ejection_limit(self, pools: Iterable[servers.Pool]) -> None:
-        """Readmits servers until at most half of each pool is ejected.
+        """Readmits servers until at most half of each given pool is ejected.
 
         A pool may exceed the limit after it has lost members.
         """
+        # Without rests no server is ejected: ``rests`` has an entry for each.
         if not self.rests:
             return
         for pool in pools:
--- a/src/hoistmoor/core/routing/health.py
+++ b/src/hoistmoor/core/routing/health.py
@@ -27,7 +27,7 @@
         consecutive_failures: Consecutive failed attempts.
         failure_rate: Moving average of failures, 0 to 1.
         relative_duration: Moving average of durations, each as a multiple of
-            the usual one for its version and length; 0 before the first.
+            the average one for its version and length; 0 before the first.
         attempts: Attempts since the server was last readmitted.
         ejections: Consecutive ejections; each one doubles the rest.
         ejected_until: End of the ejection; 0 if the server is not ejected.
@@ -58,8 +58,8 @@
 
         Args:
             ok: Whether the attempt yielded a complete answer.
-            relative_duration: Duration as a multiple of the usual one; ignored
-                for a failed attempt.
+            relative_duration: Duration as a multiple of the average one;
+                ignored for a failed attempt.
         """
         self.attempts += 1
         self.consecutive_failures = 0 if ok else self.consecutive_failures + 1
@@ -116,7 +116,10 @@
             self.readmit()
 
     def readmit(self) -> None:
-        """Ends the ejection and resets all statistics but ``ejections``."""
+        """Ends the ejection and resets the statistics.
+
+        ``ejections`` is kept, and one more failure ejects the server again.
+        """
         self.ejected_until = 0.0
         self.consecutive_failures = (
             MAX_CONSECUTIVE_FAILURES - 1
--- a/src/hoistmoor/core/routing/servers.py
+++ b/src/hoistmoor/core/routing/servers.py
@@ -101,7 +101,7 @@
         correction: Sum of ``recent_changes``.
         mean_duration: Moving average of the duration of a call; 0 before the
             first.
-        others: Estimated calls in flight from other hosts.
+        other_calls: Estimated calls in flight from other hosts.
         fair_share: Number of calls that this host may always have in flight,
             if calls are short.
         load: Estimated calls in flight from all hosts.
--- a/src/hoistmoor/core/security/replays.py
+++ b/src/hoistmoor/core/security/replays.py
@@ -1,4 +1,4 @@
-"""Replay detection by a sliding window of sequence numbers per caller."""
+"""Replay detection by a sliding window of serials per caller."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     seen: int = 0
     last_seen_at: float = 0.0
 
-    def is_new(self, serial: int) -> bool:
+    def record(self, serial: int) -> bool:
         ahead = serial - self.highest
         if ahead > 0:
             shifted = self.seen << ahead if ahead < WINDOW_SIZE else 0
@@ -34,13 +34,14 @@
 class ReplayWindows:
     """Detects replayed calls of all callers.
 
-    A caller numbers its calls from 1. One bit per serial distinguishes calls
-    that arrive out of order from replays. Serials below the window count as
-    seen.
+    A caller gives each call a serial, counting from 1. One bit per serial
+    distinguishes calls that arrive out of order from replays. Serials
+    below the window count as seen.
 
     Args:
         lifetime: Seconds without a call after which a caller's window is
-            removed. Calls of that age must be rejected by their timestamp.
+            removed. Calls of that age must be rejected by their timestamp
+            before ``record`` is called.
     """
 
     def __init__(self, lifetime: float) -> None:
@@ -59,7 +60,7 @@
         window = self._windows.setdefault(caller, _Window())
         window.last_seen_at = now
         self._windows.move_to_end(caller)
-        return window.is_new(serial)
+        return window.record(serial)
 
     def _remove_expired(self, now: float) -> None:
         """Removes up to two expired callers, the least recently seen first."""
--- a/src/hoistmoor/core/steward/actor.py
+++ b/src/hoistmoor/core/steward/actor.py
@@ -1,9 +1,9 @@
 """The state of one steward and the records that it should append next.
 
 Whether a steward considers itself *active* only avoids useless work; safety
-does not depend on it. The fold rejects records that a former active steward
-appends too late. Engines reject its late orders by their fencing token, or the
-current active steward corrects them.
+does not depend on it. All readers reject the records that a former active
+steward appends after it has lost the lease. Engines reject its late orders by
+their fencing token, or the current active steward corrects them.
 """
 
 from __future__ import annotations
@@ -24,7 +24,8 @@
 if TYPE_CHECKING:
     from hoistmoor.core.table import model
 
-# Minimum interval between lease records, as the last may not be read back yet.
+# Minimum interval between two lease records, as the first one may not have been
+# read back yet.
 LEASE_RETRY_SECONDS = 1.0
 
 
@@ -40,8 +41,8 @@
         lease_observed_at: Local time at which the last lease change was read.
         lease_record_sent_at: Local time at which the last lease record was
             sent.
-        confirmed_at: Local time at which the last lease record that was read
-            back as accepted had been sent.
+        confirmed_at: Value of ``lease_record_sent_at`` when a change of this
+            process's lease was last read.
     """
 
     incarnation: identity.Incarnation
@@ -50,7 +51,8 @@
     policy: evidence.EvidencePolicy = attrs.field(
         factory=evidence.EvidencePolicy
     )
-    lease_observed_at: float = float("inf")  # No record was read yet.
+    # Infinite until ``begin``, so that the lease is not requested before.
+    lease_observed_at: float = float("inf")
     lease_record_sent_at: float = float("-inf")
     confirmed_at: float = float("-inf")
 
@@ -98,7 +100,10 @@
         return self.fencing
 
     def lease_record(self, now: float) -> Any | None:
-        """Returns the lease request or renewal to append now, or None."""
+        """Returns the lease request or renewal to append now, or None.
+
+        The record is counted as sent.
+        """
         if not self.fold.complete:
             return None
         if now - self.lease_record_sent_at < LEASE_RETRY_SECONDS:
@@ -140,7 +145,9 @@
         ratings_next: int,
         now: float,
     ) -> records.EvidenceCounted | None:
-        """Returns the record for a range of counted ratings, or None.
+        """Returns the evidence record for a range of ratings, or None.
+
+        Evidence is the number of good and bad ratings of each version.
 
         Args:
             counts: Ratings in the range, by version.
@@ -159,7 +166,7 @@
         """Returns whether to append a snapshot of this stream now.
 
         Args:
-            first: Oldest offset still on the log.
+            first: Oldest offset that the stream still holds.
             now: Local time, in seconds.
         """
         return self.active_fencing_token(now) is not None and snapshots.is_due(
--- a/src/hoistmoor/entry/attempts.py
+++ b/src/hoistmoor/entry/attempts.py
@@ -1,4 +1,4 @@
-"""A single attempt at a backend server, run as a task of its request."""
+"""A single attempt to run a request at a backend server, in its own task."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Inbox(Protocol):
-    """Receives the events of an attempt."""
+    """The inbox of a request, to which its attempts post events."""
 
     def post(self, event: messages.Event) -> None:
         """Queues an event without waiting."""
@@ -54,8 +54,9 @@
             attempt_id: Identifies the attempt.
             backend_request: The request to the backend server.
             timeout: Seconds until the deadline of the request.
-            channel: Its credits limit how far to read ahead of the caller.
-            inbox: Receives the events.
+            channel: Gives one credit per frame, which limits how many frames
+                are read ahead of the caller.
+            inbox: Inbox of the request.
         """
         self.attempt_id = attempt_id
         self._backend_request = backend_request
@@ -63,7 +64,7 @@
         self._inbox = inbox
         self._status = _OK
         self._content_type = ""
-        self._chunks = chunks.ChunkParser()
+        self._chunk_parser = chunks.ChunkParser()
         self._exchange = exchange_lib.Exchange(
             session,
             exchange_lib.BackendRequest(
@@ -84,7 +85,7 @@
 
     @property
     def dropped_frames(self) -> int:
-        """How many frames were dropped for belonging to another attempt."""
+        """Number of heads and events of other attempts that were dropped."""
         return self._exchange.dropped_parts
 
     def start(self) -> None:
@@ -120,12 +121,12 @@
 
     @_on_part.register
     async def _(self, part: exchange_lib.BodyChunk) -> None:
-        if self._is_engine_error:
+        if self._is_failed_stream:
             return
         if self._backend_request.is_streaming:
             if chunks.event_payload(part.data) == chunks.DONE:
                 return
-            self._chunks.read(part.data)
+            self._chunk_parser.read(part.data)
         await self._channel.acquire_credit()
         self._inbox.post(messages.FrameReceived(self.attempt_id, part.data))
 
@@ -135,13 +136,16 @@
             reason = self._exchange.not_run_reason or "no reason given"
             self._fail(self.state, f"the backend server declined: {reason}")
             return
-        if self._is_engine_error:
+        if self._is_failed_stream:
             self._fail(
                 outcomes.ExchangeState.ANSWERED,
                 f"the engine answered {self._status}",
             )
             return
-        if self._backend_request.is_streaming and not self._chunks.is_complete:
+        if (
+            self._backend_request.is_streaming
+            and not self._chunk_parser.is_complete
+        ):
             self._fail(
                 outcomes.ExchangeState.ANSWERING,
                 "the engine's stream ended without a finish reason",
@@ -152,13 +156,14 @@
         )
 
     @property
-    def _is_engine_error(self) -> bool:
+    def _is_failed_stream(self) -> bool:
+        # A response that is not streamed is passed on with any status.
         return self._backend_request.is_streaming and self._status != _OK
 
     @property
     def _metadata(self) -> messages.ResponseMetadata:
         if self._backend_request.is_streaming:
-            return self._chunks.metadata
+            return self._chunk_parser.metadata
         return messages.ResponseMetadata(self._status, self._content_type)
 
     def _fail(self, state: outcomes.ExchangeState, detail: str) -> None:
--- a/src/hoistmoor/entry/peer_directory.py
+++ b/src/hoistmoor/entry/peer_directory.py
@@ -1,4 +1,4 @@
-"""Adapters that give other components their view of the membership."""
+"""Finds other entry hosts for billing, claims, shares and readiness checks."""
 
 from __future__ import annotations
 
@@ -23,17 +23,18 @@
     from hoistmoor.entry import membership
     from hoistmoor.utils import tls
 
-_CONTACT_TIMEOUT_SECONDS = 1.0
-MAX_HOLDERS = 3  # Peers that may hold one batch.
+_PEER_ADDRESS_TIMEOUT_SECONDS = 1.0
+MAX_HOLDERS = 3  # Peers that may hold a batch of bills.
 MAX_RECENT_HOLDERS = 8  # Includes the preferred holders.
-MAX_SHARE_PEERS = 5  # Peers that may be asked for a share.
+MAX_SHARE_PEERS = 5  # Peers returned to exchange spend shares with.
 
-_DISCOVERY_SECONDS = 30.0  # Until then, a new host may not know all others.
+# For this long after its start, a host may not know all others.
+_DISCOVERY_SECONDS = 30.0
 _MILLISECONDS_PER_SECOND = 1000.0
 
 
 @attrs.frozen
-class _Contact:
+class _PeerAddressResponse:
     peer_address: str
 
 
@@ -59,10 +60,11 @@
         return max(1, len(self.members.live_hosts()))
 
     def holders(self) -> Sequence[bill_holders.Holder]:
-        """Returns live peers to hold batches, preferred ones first.
+        """Returns live peers to hold batches of bills, preferred ones first.
 
-        Preferred peers are in other failure domains. Formerly preferred ones
-        follow, as they may still hold bills.
+        Preferred peers are in other failure domains; they are remembered as
+        recent holders. Formerly preferred ones follow, as they may still hold
+        batches of bills.
         """
         preferred = [self._holder(host) for host in self._preferred_holders]
         incarnations = {holder.incarnation for holder in preferred}
@@ -74,7 +76,10 @@
         return preferred + former
 
     def on_hosts(self, live: tuple[view.HostView, ...]) -> None:
-        """Updates the live hosts, this one included."""
+        """Chooses the preferred holders from the live hosts.
+
+        ``live`` includes this host.
+        """
         own = self.members.own
         self._preferred_holders = preference.preferred_peers(
             own, live, MAX_HOLDERS
@@ -91,7 +96,10 @@
         return holder
 
     def share_peers(self) -> Sequence[share_exchange.SharePeer]:
-        """Returns a random sample of the other live hosts."""
+        """Returns a random sample of the other live hosts.
+
+        Spend shares are requested from them and handed over to them.
+        """
         own = self.members.own.name
         hosts = [h for h in self.members.live_hosts() if h.name != own]
         return [
@@ -102,7 +110,12 @@
         ]
 
     def is_alive(self, incarnation: identity.Incarnation) -> bool:
-        """Returns whether a process may be running; True in case of doubt."""
+        """Returns whether a process may be running.
+
+        True also for a process newer than the known one and, soon after this
+        host's start, for an unknown host. ``HostView.incarnation`` is only the
+        number of an ``identity.Incarnation``.
+        """
         host = self.members.host(incarnation.host)
         if host is None:
             return self._is_discovering
@@ -116,7 +129,10 @@
         return self._clock() - started < _DISCOVERY_SECONDS
 
     def longest_running_address(self) -> str:
-        """Returns ``ip:port`` of the longest-running live host."""
+        """Returns ``ip:port`` of the longest-running live host.
+
+        Empty if no host is live.
+        """
         live = self.members.live_hosts()
         if not live:
             return ""
@@ -139,7 +155,7 @@
 
 
 class PeerFinder:
-    """Asks a listed entry host for its peer address."""
+    """Asks an entry host on the platform's host list for its peer address."""
 
     def __init__(self, session: aiohttp.ClientSession, link: tls.Link) -> None:
         self._session = session
@@ -151,11 +167,11 @@
         Raises:
             PlatformError: The host does not respond or sends no address.
         """
-        contact = await service_client.fetch_json(
+        response = await service_client.fetch_json(
             self._session,
             self._link.url(host.address, "/peer-address"),
-            _Contact,
-            _CONTACT_TIMEOUT_SECONDS,
+            _PeerAddressResponse,
+            _PEER_ADDRESS_TIMEOUT_SECONDS,
             verify=self._link.verify,
         )
-        return contact.peer_address
+        return response.peer_address
--- a/src/hoistmoor/entry/pin_store.py
+++ b/src/hoistmoor/entry/pin_store.py
@@ -35,6 +35,7 @@
 
         Raises:
             PeerError: The call failed, or the host's address is unknown.
+            CodecError: The response is not a known record.
         """
         peer = self._peer(host)
         payload = await peer.find_session(key.account, key.wire_name)
@@ -43,8 +44,11 @@
     async def keep(self, host: str, pin: pins.Pin) -> pins.Pin:
         """Offers ``pin`` to ``host`` and returns the pin that it stores.
 
+        If the response contains no pin, ``pin`` itself is returned.
+
         Raises:
             PeerError: The call failed, or the host's address is unknown.
+            CodecError: The response is not a known record.
         """
         peer = self._peer(host)
         key = pin.key
@@ -57,12 +61,13 @@
         if address is None:
             raise errors.PeerUnreachableError(
                 f"the peer address of host {host} is unknown",
-                "Wait for the next heartbeat.",
+                "Try again after the next exchange of gossip.",
             )
         return self.clients.get(address)
 
 
 def _decode_pin(payload: bytes) -> pins.Pin | None:
+    """Returns None if the payload is empty or another type of record."""
     if not payload:
         return None
     pin = codec.decode(payload)
--- a/src/hoistmoor/entry/pool_queues.py
+++ b/src/hoistmoor/entry/pool_queues.py
@@ -17,6 +17,8 @@
 
     from hoistmoor.core.table import model
 
+# Sent to callers. OVERLOADED means that the queue is full, or that the request
+# is not expected to finish before its deadline.
 _REFUSAL_DETAILS = {
     refusals.Reason.OVERLOADED: "It could not start before its deadline.",
     refusals.Reason.DEADLINE_EXCEEDED: "No slot came free in time.",
@@ -109,7 +111,8 @@
         """Removes a request whose task was cancelled."""
         if self.pool(name).admission.cancel(entry.serial):
             return
-        # It may have received its slot just before.
+        # The request may have received its slot just before. It counts as
+        # failed, so that its time does not affect the service time.
         if not future.cancelled() and isinstance(future.result(), queue.Start):
             self.release(name, entry.priority, 0.0, pools.Result.FAILED)
 
@@ -122,7 +125,7 @@
             if not waiter.future.done():
                 waiter.future.set_result(effect)
             elif isinstance(effect, queue.Start):
-                # The task was cancelled but has not run yet.
+                # The task was cancelled but has not run since.
                 cancelled_entries.append(waiter.entry)
         self._set_timer(name)
         for entry in cancelled_entries:
--- a/src/hoistmoor/standins/engine.py
+++ b/src/hoistmoor/standins/engine.py
@@ -33,7 +33,7 @@
         name: Name of the backend server.
         incarnation: Incarnation of the backend server.
         quality: Fraction of good responses by version key.
-        loaded: Version keys loaded at the start.
+        loaded: Keys of the versions present at the start.
         capacity: Maximum number of requests in service.
         queue_limit: Maximum number of waiting requests.
         token_time: Seconds per token.
@@ -42,10 +42,11 @@
         answer_tokens: Mean length of a response in tokens.
         load_time: Seconds to load a version.
         cache_blocks: Capacity of the prefix cache in blocks.
-        event_lag: Seconds until a cache event is published.
+        event_lag: Seconds for which a new cache event is hidden from readers.
         report_interval: Seconds between load reports.
         honours_fencing: Whether orders with stale fencing tokens are refused.
-        seed: Seed that determines which prompts are hard.
+        seed: Seed of the difficulty of prompts, which decides whether a
+            response is good.
     """
 
     name: str
@@ -108,7 +109,7 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Whether new work is declined."""
+        """Whether the engine is leaving and declines all new work."""
         return (
             self.stopping
             or self.fault_registry.find(faults.Leaving) is not None
@@ -212,7 +213,10 @@
         return responses.json_response({"cancelled": True})
 
     async def handle_cache_events(self, request: web.Request) -> web.Response:
-        """Returns the cache events that lag and gaps leave visible."""
+        """Returns the cache events older than the lag.
+
+        Events that a ``Gap`` fault omits are left out.
+        """
         lag = self.settings.event_lag + self.fault_registry.extra_lag(
             "/cache-events"
         )
--- a/src/hoistmoor/standins/prefix_cache.py
+++ b/src/hoistmoor/standins/prefix_cache.py
@@ -1,4 +1,4 @@
-"""A bounded prefix cache that publishes its changes as events."""
+"""A bounded prefix cache that records its changes as events."""
 
 from __future__ import annotations
 
@@ -62,13 +62,13 @@
         while len(self._blocks) > self.capacity:
             evicted.append(self._blocks.popitem(last=False)[0])
         if stored or evicted:
-            self._publish(now, stored, tuple(evicted))
+            self._record_event(now, stored, tuple(evicted))
         return hits
 
     def visible_events(
         self, since: int, until: float
     ) -> tuple[int, list[CacheEvent]]:
-        """Returns the next sequence number to read and the visible events.
+        """Returns the next sequence number to read and a range of events.
 
         Args:
             since: First sequence number to return.
@@ -87,7 +87,7 @@
                 return count
         return len(blocks)
 
-    def _publish(
+    def _record_event(
         self, now: float, stored: tuple[int, ...], evicted: tuple[int, ...]
     ) -> None:
         self.events.append(CacheEvent(now, self.next_sequence, stored, evicted))
