--- a/benchmarks/standins.py
+++ b/benchmarks/standins.py
@@ -165,18 +165,18 @@
     return delays
 
 
-def chat(address: str, serial: int) -> exchange.BackendRequest:
+def chat(address: str, serial: int) -> exchange.HttpRequest:
     """Returns a streamed request for ``TOKENS`` tokens."""
     body = (
         b'{"model":"demo@1","stream":true,"max_tokens":%d,'
         b'"messages":[{"role":"user","content":"q%d"}]}' % (TOKENS, serial)
     )
     url = f"http://{address}/v1/chat/completions"
-    return exchange.BackendRequest("POST", url, f"b.1.{serial}", body=body)
+    return exchange.HttpRequest("POST", url, f"b.1.{serial}", body=body)
 
 
 async def read_all(
-    session: aiohttp.ClientSession, request: exchange.BackendRequest
+    session: aiohttp.ClientSession, request: exchange.HttpRequest
 ) -> int:
     """Returns how many frames an exchange gave."""
     frames = 0
@@ -235,7 +235,7 @@
                 await reply.read()
 
         async def exchanged(session: aiohttp.ClientSession) -> None:
-            request = exchange.BackendRequest("POST", url, "b.1.1", body=body)
+            request = exchange.HttpRequest("POST", url, "b.1.1", body=body)
             await read_all(session, request)
 
         ways = {
--- a/benchmarks/steward.py
+++ b/benchmarks/steward.py
@@ -100,7 +100,7 @@
             if at + READ_LAG > now:
                 break
             actor.on_record(offset, at, codec.decode(payload), now)
-        record = actor.lease_record(now)
+        record = actor.next_lease_record(now)
         if record is not None:
             self.records.append((now, codec.encode(record)))
 
--- a/src/hoistmoor/clients/exchange.py
+++ b/src/hoistmoor/clients/exchange.py
@@ -58,7 +58,7 @@
 
 
 @attrs.frozen
-class BackendRequest:
+class HttpRequest:
     """A request to a backend server.
 
     Attributes:
@@ -128,7 +128,7 @@
     def __init__(
         self,
         session: aiohttp.ClientSession,
-        request: BackendRequest,
+        request: HttpRequest,
         timeouts: Timeouts | None = None,
         dialect: dialect_lib.Dialect = dialect_lib.NATIVE,
     ) -> None:
@@ -282,7 +282,7 @@
 
 
 def _make_headers(
-    request: BackendRequest, attempt_header: str
+    request: HttpRequest, attempt_header: str
 ) -> CIMultiDict[str]:
     headers = CIMultiDict(request.headers)
     headers[attempt_header] = request.attempt_id
--- a/src/hoistmoor/core/requests/parsing.py
+++ b/src/hoistmoor/core/requests/parsing.py
@@ -19,7 +19,7 @@
 
     from hoistmoor.core import identity
 
-KEY_HEADER = "Idempotency-Key"
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
 SESSION_HEADER = "X-Hoistmoor-Session"
 DEADLINE_HEADER = "X-Hoistmoor-Deadline"
 PRIORITY_HEADER = "X-Hoistmoor-Priority"
@@ -95,7 +95,9 @@
     """
     return Headers(
         bearer=_parse_bearer(headers),
-        idempotency_key=_optional_text(headers, KEY_HEADER, _MAX_KEY_CHARS),
+        idempotency_key=_optional_text(
+            headers, IDEMPOTENCY_KEY_HEADER, _MAX_KEY_CHARS
+        ),
         session=_optional_text(headers, SESSION_HEADER, _MAX_HEADER_CHARS),
         deadline=_parse_deadline(headers, now),
         priority=_parse_priority(headers),
--- a/src/hoistmoor/core/requests/wire.py
+++ b/src/hoistmoor/core/requests/wire.py
@@ -15,7 +15,7 @@
 ATTEMPT_HEADER = "X-Attempt-Id"
 PRIORITY_HEADER = "X-Priority"
 TIMEOUT_HEADER = "X-Timeout-Ms"
-KEY_HEADER = "Idempotency-Key"
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
 SSE = "text/event-stream"
 JSON = "application/json"
 
@@ -95,7 +95,7 @@
     if request.content_type:
         headers["Content-Type"] = request.content_type
     if request.envelope.idempotency_key:
-        headers[KEY_HEADER] = request.envelope.idempotency_key
+        headers[IDEMPOTENCY_KEY_HEADER] = request.envelope.idempotency_key
     return BackendRequest(
         method=request.call.method,
         url=f"http://{choice.address}{request.path}",
--- a/src/hoistmoor/core/routing/fleet.py
+++ b/src/hoistmoor/core/routing/fleet.py
@@ -32,8 +32,9 @@
         by_name: Servers by name.
         by_address: Servers by address.
         pools: Pools by key of the version or name of the plain service.
-        average_durations: Moving average of the seconds per unit, by key of the
-            pool. A unit is a token of a version or a call to a plain service.
+        average_seconds_per_unit: Moving average of the seconds per unit, by key
+            of the pool. A unit is a token of a version or a call to a plain
+            service.
         rests: Heap of (end of rest, server name). A rest is the time for which
             a server gets no new calls, as it was ejected or lacked capacity.
         keys_by_service: Keys of the pools by service.
@@ -43,8 +44,8 @@
     hosts: int = 1
     by_name: dict[str, servers.ServerState] = attrs.field(factory=dict)
     by_address: dict[str, servers.ServerState] = attrs.field(factory=dict)
-    pools: dict[str, servers.Pool] = attrs.field(factory=dict)
-    average_durations: dict[str, float] = attrs.field(factory=dict)
+    pools: dict[str, servers.ServerPool] = attrs.field(factory=dict)
+    average_seconds_per_unit: dict[str, float] = attrs.field(factory=dict)
     rests: list[tuple[float, str]] = attrs.field(factory=list)
     keys_by_service: dict[str, tuple[str, ...]] = attrs.field(factory=dict)
 
@@ -57,7 +58,7 @@
         known = self.by_name
         self.by_name = {}
         self.pools = {
-            key: servers.Pool(key)
+            key: servers.ServerPool(key)
             for keys in self.keys_by_service.values()
             for key in keys
         }
@@ -86,7 +87,7 @@
 
     def _update_pools(
         self, server: servers.ServerState
-    ) -> tuple[servers.Pool, ...]:
+    ) -> tuple[servers.ServerPool, ...]:
         """Updates the pools of ``server`` and returns the previous ones."""
         previous = server.pools
         for pool in previous:
@@ -142,7 +143,7 @@
             server.record_change(now, 1)
             self.refresh(server)
 
-    def on_hosts(self, hosts: int) -> None:
+    def set_host_count(self, hosts: int) -> None:
         """Sets the number of known entry hosts."""
         self.hosts = max(1, hosts)
         for server in self.by_name.values():
@@ -189,12 +190,12 @@
     ) -> float:
         """Returns the duration of a call as a multiple of the average one."""
         seconds_per_unit = result.seconds / max(1, result.tokens)
-        average = self.average_durations.get(key, seconds_per_unit)
+        average = self.average_seconds_per_unit.get(key, seconds_per_unit)
         if result.ok:
             # Caps the sample, so that a slow server does not raise the average
             # that it is compared with.
             capped = min(seconds_per_unit, 2.0 * average)
-            self.average_durations[key] = average + _AVERAGE_WEIGHT * (
+            self.average_seconds_per_unit[key] = average + _AVERAGE_WEIGHT * (
                 capped - average
             )
         return seconds_per_unit / max(1e-9, average)
@@ -208,7 +209,9 @@
                 self.rests, (server.health.ejected_until, server.name)
             )
 
-    def _enforce_ejection_limit(self, pools: Iterable[servers.Pool]) -> None:
+    def _enforce_ejection_limit(
+        self, pools: Iterable[servers.ServerPool]
+    ) -> None:
         """Readmits servers until at most half of each given pool is ejected.
 
         A pool may exceed the limit after it has lost members.
@@ -233,7 +236,7 @@
                 server.health.end_rests(now)
                 self.refresh(server)
 
-    def expire_reports(self, pool: servers.Pool, now: float) -> None:
+    def expire_reports(self, pool: servers.ServerPool, now: float) -> None:
         """Discards the reported loads of servers that stopped reporting."""
         for server in _without_recent_report(pool, now):
             server.discard_load()
@@ -241,7 +244,7 @@
 
 
 def _without_recent_report(
-    pool: servers.Pool, now: float
+    pool: servers.ServerPool, now: float
 ) -> Iterator[servers.ServerState]:
     for server in pool.servers.values():
         if server.report and server.report.at < now - REPORT_TTL_S:
@@ -256,11 +259,11 @@
     return (report.incarnation, report.at) < (than.incarnation, than.at)
 
 
-def _count_ejected(pool: servers.Pool) -> int:
+def _count_ejected(pool: servers.ServerPool) -> int:
     return sum(s.health.is_ejected for s in pool.servers.values())
 
 
-def _can_eject_one_more(pool: servers.Pool) -> bool:
+def _can_eject_one_more(pool: servers.ServerPool) -> bool:
     return _count_ejected(pool) + 1 <= len(pool.servers) // 2
 
 
--- a/src/hoistmoor/core/routing/placement.py
+++ b/src/hoistmoor/core/routing/placement.py
@@ -31,7 +31,9 @@
 
 
 def pick_server(
-    pool: servers.Pool, excluded: frozenset[str], rng: hashing.RandomGenerator
+    pool: servers.ServerPool,
+    excluded: frozenset[str],
+    rng: hashing.RandomGenerator,
 ) -> tuple[servers.ServerState | None, Scores]:
     """Draws two ready servers and returns the better one.
 
@@ -81,7 +83,7 @@
 
 
 def _pick_by_scan(
-    pool: servers.Pool, excluded: frozenset[str]
+    pool: servers.ServerPool, excluded: frozenset[str]
 ) -> tuple[servers.ServerState | None, Scores]:
     """Selects the best server by a full scan, used only for rare retries."""
     ready = [
@@ -96,7 +98,7 @@
 
 
 def prefer_cached(
-    pool: servers.Pool,
+    pool: servers.ServerPool,
     holders: tuple[str, ...],
     held_share: float,
     least_loaded: servers.ServerState,
@@ -125,7 +127,7 @@
 
 
 def servers_to_probe(
-    pool: servers.Pool,
+    pool: servers.ServerPool,
     chosen: servers.ServerState,
     excluded: frozenset[str],
     rng: hashing.RandomGenerator,
@@ -159,7 +161,7 @@
 
 
 def pick_least_loaded(
-    pool: servers.Pool, names: tuple[str, ...]
+    pool: servers.ServerPool, names: tuple[str, ...]
 ) -> servers.ServerState | None:
     """Returns the ready server of ``names`` with the lowest score, if any."""
     found = [pool.servers[name] for name in names if name in pool.servers]
--- a/src/hoistmoor/core/routing/routing_state.py
+++ b/src/hoistmoor/core/routing/routing_state.py
@@ -88,12 +88,12 @@
 
     @property
     def hosts(self) -> int:
-        """Number of known entry hosts; see ``on_hosts``."""
+        """Number of known entry hosts; see ``set_host_count``."""
         return self.fleet.hosts
 
     @hosts.setter
     def hosts(self, hosts: int) -> None:
-        self.on_hosts(hosts)
+        self.set_host_count(hosts)
 
     def on_table(self, in_force: model.ActiveTable) -> None:
         """Applies a table unless a newer one is in force."""
@@ -172,13 +172,13 @@
         """Handles the loss of evidence records before offset ``first``."""
         self.budget.ledger.on_gap(first)
 
-    def on_hosts(self, hosts: int) -> None:
+    def set_host_count(self, hosts: int) -> None:
         """Sets the number of known entry hosts.
 
         It determines the size of this host's slices of exposure caps and its
         fair share of a server. Both are safe if hosts disagree on the number.
         """
-        self.fleet.on_hosts(hosts)
+        self.fleet.set_host_count(hosts)
 
     def on_cache_event(self, event: messages.CacheEvent, now: float) -> None:
         """Applies a change of a backend server's prefix cache."""
--- a/src/hoistmoor/core/routing/servers.py
+++ b/src/hoistmoor/core/routing/servers.py
@@ -54,7 +54,7 @@
 
 
 @attrs.define(eq=False)
-class Pool:
+class ServerPool:
     """Backend servers that can serve one version or one plain service.
 
     Attributes:
@@ -124,7 +124,7 @@
     fair_share: int = 1
     load: int = 0
     health: health.Health = attrs.field(factory=health.Health)
-    pools: tuple[Pool, ...] = ()
+    pools: tuple[ServerPool, ...] = ()
 
     @property
     def name(self) -> str:
--- a/src/hoistmoor/core/steward/actor.py
+++ b/src/hoistmoor/core/steward/actor.py
@@ -41,8 +41,8 @@
         lease_observed_at: Local time at which the last lease change was read.
         lease_record_sent_at: Local time at which the last lease record was
             sent.
-        confirmed_at: Value of ``lease_record_sent_at`` when a change of this
-            process's lease was last read.
+        confirmed_lease_sent_at: Value of ``lease_record_sent_at`` when a
+            change of this process's lease was last read.
     """
 
     incarnation: identity.Incarnation
@@ -54,7 +54,7 @@
     # Infinite until ``begin``, so that the lease is not requested before.
     lease_observed_at: float = float("inf")
     lease_record_sent_at: float = float("-inf")
-    confirmed_at: float = float("-inf")
+    confirmed_lease_sent_at: float = float("-inf")
 
     @property
     def lease(self) -> lease_lib.Lease | None:
@@ -90,16 +90,19 @@
         if self.lease != before:
             self.lease_observed_at = now
             if self.fencing is not None:
-                self.confirmed_at = self.lease_record_sent_at
+                self.confirmed_lease_sent_at = self.lease_record_sent_at
         return result
 
     def active_fencing_token(self, now: float) -> int | None:
         """Returns the fencing token if this steward is active, else None."""
-        if not self.fold.complete or now - self.confirmed_at >= self.duration:
+        if (
+            not self.fold.complete
+            or now - self.confirmed_lease_sent_at >= self.duration
+        ):
             return None
         return self.fencing
 
-    def lease_record(self, now: float) -> Any | None:
+    def next_lease_record(self, now: float) -> Any | None:
         """Returns the lease request or renewal to append now, or None.
 
         The record is counted as sent.
--- a/src/hoistmoor/entry/admission_control.py
+++ b/src/hoistmoor/entry/admission_control.py
@@ -125,7 +125,7 @@
         """Applies a new table."""
         self.in_force = in_force
         self.share_sync.on_table(in_force)
-        self.pool_queues.resize(in_force.table, self.pool_queues.host_count)
+        self.pool_queues.update(in_force.table, self.pool_queues.host_count)
 
     def on_hosts(self, hosts: Iterable[rendezvous.EntryHost]) -> None:
         """Updates the live entry hosts, this one included."""
@@ -134,7 +134,7 @@
         shares.on_hosts([host.name for host in hosts], now)
         count = shares.host_count(now)
         self.share_sync.ledger.hosts = count
-        self.pool_queues.resize(self.in_force.table, count)
+        self.pool_queues.update(self.in_force.table, count)
 
     async def admit(
         self,
--- a/src/hoistmoor/entry/attempts.py
+++ b/src/hoistmoor/entry/attempts.py
@@ -67,7 +67,7 @@
         self._chunk_parser = chunks.ChunkParser()
         self._exchange = exchange_lib.Exchange(
             session,
-            exchange_lib.BackendRequest(
+            exchange_lib.HttpRequest(
                 backend_request.method,
                 backend_request.url,
                 str(attempt_id),
@@ -84,7 +84,7 @@
         return self._exchange.state
 
     @property
-    def dropped_frames(self) -> int:
+    def dropped_parts(self) -> int:
         """Number of heads and events of other attempts that were dropped."""
         return self._exchange.dropped_parts
 
--- a/src/hoistmoor/entry/factory.py
+++ b/src/hoistmoor/entry/factory.py
@@ -179,7 +179,9 @@
         return membership.MembershipTask(
             own,
             hosts.HostListClient(self._session, settings.hosts_base).fetch,
-            peer_directory_lib.PeerFinder(self._session, self._auth.link).find,
+            peer_directory_lib.PeerAddressClient(
+                self._session, self._auth.link
+            ).find,
             follower,
             clients=self._auth.clients,
             clock=self._clock,
@@ -303,7 +305,7 @@
         neighbours.on_hosts(live)
         parts.admission.on_hosts(live)
         parts.sessions.on_hosts(live)
-        parts.router.on_hosts(max(1, len(live)))
+        parts.router.set_host_count(max(1, len(live)))
         parts.metrics.gauge("peers.alive", len(live))
 
     tables.add(on_table)
--- a/src/hoistmoor/entry/peer_directory.py
+++ b/src/hoistmoor/entry/peer_directory.py
@@ -154,7 +154,7 @@
         return host.peer_address if host else None
 
 
-class PeerFinder:
+class PeerAddressClient:
     """Asks an entry host on the platform's host list for its peer address."""
 
     def __init__(self, session: aiohttp.ClientSession, link: tls.Link) -> None:
--- a/src/hoistmoor/entry/pool_queues.py
+++ b/src/hoistmoor/entry/pool_queues.py
@@ -55,7 +55,7 @@
         for timer in self._timers.values():
             timer.cancel()
 
-    def resize(self, table: model.Table, hosts: int) -> None:
+    def update(self, table: model.Table, hosts: int) -> None:
         """Applies a new table or a new number of live hosts."""
         self.table = table
         self.host_count = hosts
--- a/src/hoistmoor/load/experiment/hoistmoor_policy.py
+++ b/src/hoistmoor/load/experiment/hoistmoor_policy.py
@@ -39,7 +39,7 @@
             for i in range(deployment.hosts)
         ]
         for router in self.routers:
-            router.on_hosts(deployment.hosts)
+            router.set_host_count(deployment.hosts)
 
     def on_table(self, table: model.Table, revision: int) -> None:
         """Applies a new table on each host."""
--- a/src/hoistmoor/relay/front/backend_connector.py
+++ b/src/hoistmoor/relay/front/backend_connector.py
@@ -84,7 +84,7 @@
         """
         return exchange_lib.Exchange(
             self.sessions.for_route(request.route),
-            exchange_lib.BackendRequest(
+            exchange_lib.HttpRequest(
                 method=head.method,
                 url=f"http://{send.server.entry.address}{head.target}",
                 attempt_id=request.request_id,
--- a/src/hoistmoor/standins/engine.py
+++ b/src/hoistmoor/standins/engine.py
@@ -191,7 +191,7 @@
         )
 
     def _prefill_time(self, prompt: prompts.Prompt) -> float:
-        hits = self.cache.touch(prompt.blocks, time.time())
+        hits = self.cache.add(prompt.blocks, time.time())
         cached = hits / len(prompt.blocks) if prompt.blocks else 0.0
         uncached_tokens = prompt.tokens * (1.0 - cached)
         return uncached_tokens / 1000 * self.settings.prefill_time
@@ -220,7 +220,7 @@
         lag = self.settings.event_lag + self.fault_registry.extra_lag(
             "/cache-events"
         )
-        next_sequence, rows = self.cache.visible_events(
+        next_sequence, rows = self.cache.events_between(
             int(request.query.get("since", "0")), time.time() - lag
         )
         gap = self.fault_registry.find(faults.Gap)
--- a/src/hoistmoor/standins/prefix_cache.py
+++ b/src/hoistmoor/standins/prefix_cache.py
@@ -47,7 +47,7 @@
         """Fraction of the capacity in use, 0 to 1."""
         return len(self._blocks) / max(1, self.capacity)
 
-    def touch(self, blocks: tuple[int, ...], now: float) -> int:
+    def add(self, blocks: tuple[int, ...], now: float) -> int:
         """Adds the blocks of a prompt and marks them as recently used.
 
         Returns:
@@ -65,7 +65,7 @@
             self._record_event(now, stored, tuple(evicted))
         return hits
 
-    def visible_events(
+    def events_between(
         self, since: int, until: float
     ) -> tuple[int, list[CacheEvent]]:
         """Returns the next sequence number to read and a range of events.
--- a/src/hoistmoor/steward/background_tasks.py
+++ b/src/hoistmoor/steward/background_tasks.py
@@ -85,7 +85,7 @@
     """Requests the lease when it is free, and renews it while held."""
     was_active = False
     while True:
-        record = context.stream.actor.lease_record(context.clock())
+        record = context.stream.actor.next_lease_record(context.clock())
         if record is not None:
             try:
                 await context.append(record)
--- a/tests/clients/test_clients_exchange.py
+++ b/tests/clients/test_clients_exchange.py
@@ -49,8 +49,8 @@
 LAST_CHUNK = b"0\r\n\r\n"
 
 
-def make_request(address: str, method: str = "POST") -> exchange.BackendRequest:
-    return exchange.BackendRequest(
+def make_request(address: str, method: str = "POST") -> exchange.HttpRequest:
+    return exchange.HttpRequest(
         method, f"http://{address}/confirm", ATTEMPT, body=b'{"id":"1"}'
     )
 
--- a/tests/clients/test_clients_exchange_sweep.py
+++ b/tests/clients/test_clients_exchange_sweep.py
@@ -43,8 +43,8 @@
 CANCEL_STEPS = 60  # More steps than a complete exchange takes.
 
 
-def make_request(address: str, attempt: str) -> exchange.BackendRequest:
-    return exchange.BackendRequest(
+def make_request(address: str, attempt: str) -> exchange.HttpRequest:
+    return exchange.HttpRequest(
         "POST", f"http://{address}/confirm", attempt, body=b"{}"
     )
 
--- a/tests/clients/test_clients_sessions.py
+++ b/tests/clients/test_clients_sessions.py
@@ -32,7 +32,7 @@
     session: aiohttp.ClientSession, address: str, attempt: str
 ) -> tuple[outcomes.ExchangeState, bytes]:
     """Sends a GET; returns its final state and the received body."""
-    request = exchange.BackendRequest("GET", f"http://{address}/", attempt)
+    request = exchange.HttpRequest("GET", f"http://{address}/", attempt)
     opened = exchange.Exchange(session, request)
     ended = await ended_exchange.run(opened)
     return opened.state, b"".join(ended.chunks)
--- a/tests/core/steward/steward_world.py
+++ b/tests/core/steward/steward_world.py
@@ -174,7 +174,7 @@
 
     def decide_lease(self, steward: Steward) -> None:
         """Adds the due lease record to ``in_flight``."""
-        record = steward.actor.lease_record(self.now)
+        record = steward.actor.next_lease_record(self.now)
         if record is not None:
             self.in_flight.append(record)
 
--- a/tests/standins/conftest.py
+++ b/tests/standins/conftest.py
@@ -63,7 +63,7 @@
     ) -> tuple[exchange.Exchange, list[bytes]]:
         """Streams a completion; returns its exchange and its frames."""
         body = orjson.dumps(self.chat_body(stream=True))
-        request = exchange.BackendRequest(
+        request = exchange.HttpRequest(
             "POST", self.url + _CHAT_PATH, attempt, body=body
         )
         opened = exchange.Exchange(self.session, request)
--- a/tests/standins/test_standins_main.py
+++ b/tests/standins/test_standins_main.py
@@ -59,7 +59,7 @@
         sessions.make_session() as session,
     ):
         url = f"http://{address}/v1/chat/completions"
-        request = exchange.BackendRequest("POST", url, "a", body=BODY)
+        request = exchange.HttpRequest("POST", url, "a", body=BODY)
         opened = exchange.Exchange(session, request)
         async with opened:
             async for part in opened:
@@ -89,7 +89,7 @@
             url = f"http://{address}/confirm"
             while True:
                 attempt = f"h.{caller}.{sum(states.values())}"
-                request = exchange.BackendRequest("POST", url, attempt)
+                request = exchange.HttpRequest("POST", url, attempt)
                 opened = exchange.Exchange(session, request)
                 await ended_exchange.run(opened)
                 states[opened.state] += 1
