--- a/benchmarks/standins.py
+++ b/benchmarks/standins.py
@@ -179,7 +179,7 @@
     return delays
 
 
-def make_chat_request(address: str, serial: int) -> exchange.BackendRequest:
+def make_chat_request(address: str, serial: int) -> exchange.HttpRequest:
     """Returns a streamed request for ``TOKENS_PER_STREAM`` tokens."""
     body = (
         b'{"model":"demo@1","stream":true,"max_tokens":%d,'
@@ -187,11 +187,11 @@
         % (TOKENS_PER_STREAM, serial)
     )
     url = f"http://{address}/v1/chat/completions"
-    return exchange.BackendRequest("POST", url, f"b.1.{serial}", body=body)
+    return exchange.HttpRequest("POST", url, f"b.1.{serial}", body=body)
 
 
 async def read_all(
-    session: aiohttp.ClientSession, request: exchange.BackendRequest
+    session: aiohttp.ClientSession, request: exchange.HttpRequest
 ) -> int:
     """Reads a response to its end; returns the number of chunks."""
     frames = 0
@@ -254,7 +254,7 @@
                 await response.read()
 
         async def call_by_exchange(session: aiohttp.ClientSession) -> None:
-            request = exchange.BackendRequest("POST", url, "b.1.1", body=body)
+            request = exchange.HttpRequest("POST", url, "b.1.1", body=body)
             await read_all(session, request)
 
         variants = {
--- a/benchmarks/steward.py
+++ b/benchmarks/steward.py
@@ -106,7 +106,7 @@
             if at + READ_DELAY > now:
                 break
             actor.on_record(offset, at, codec.decode(payload), now)
-        record = actor.lease_record(now)
+        record = actor.next_lease_record(now)
         if record is not None:
             self.records.append((now, codec.encode(record)))
 
--- a/src/hoistmoor/core/routing/fleet.py
+++ b/src/hoistmoor/core/routing/fleet.py
@@ -19,7 +19,7 @@
 # Bounds of the rest of a server that declined a call for lack of capacity.
 MIN_CAPACITY_REST_S = 0.01
 MAX_CAPACITY_REST_S = 1.0
-_AVERAGE_WEIGHT = 0.02  # Weight of the latest attempt in the usual duration.
+_AVERAGE_WEIGHT = 0.02  # Weight of the latest attempt in the average duration.
 
 
 @attrs.define(eq=False)
@@ -32,9 +32,11 @@
         by_name: Servers by name.
         by_address: Servers by address.
         pools: Pools by key of the version or name of the plain service.
-        average_durations: Moving average of the seconds per token by version,
-            or per call by plain service.
-        rests: Heap of (end of rest, server name).
+        average_seconds_per_unit: Moving average of the seconds per unit, by key
+            of the pool. A unit is a token of a version or a call to a plain
+            service.
+        rests: Heap of (end of rest, server name). A rest is the time for which
+            a server gets no new calls, as it was ejected or lacked capacity.
         keys_by_service: Keys of the pools by service.
     """
 
@@ -42,18 +44,21 @@
     hosts: int = 1
     by_name: dict[str, servers.ServerState] = attrs.field(factory=dict)
     by_address: dict[str, servers.ServerState] = attrs.field(factory=dict)
-    pools: dict[str, servers.Pool] = attrs.field(factory=dict)
-    average_durations: dict[str, float] = attrs.field(factory=dict)
+    pools: dict[str, servers.ServerPool] = attrs.field(factory=dict)
+    average_seconds_per_unit: dict[str, float] = attrs.field(factory=dict)
     rests: list[tuple[float, str]] = attrs.field(factory=list)
     keys_by_service: dict[str, tuple[str, ...]] = attrs.field(factory=dict)
 
     def on_table(self, table: model.Table) -> None:
-        """Rebuilds the pools and keeps the state of each server."""
+        """Rebuilds the pools.
+
+        Keeps the state of servers whose name and address are unchanged.
+        """
         self.keys_by_service = _keys_by_service(table)
         known = self.by_name
         self.by_name = {}
         self.pools = {
-            key: servers.Pool(key)
+            key: servers.ServerPool(key)
             for keys in self.keys_by_service.values()
             for key in keys
         }
@@ -82,7 +87,7 @@
 
     def _update_pools(
         self, server: servers.ServerState
-    ) -> tuple[servers.Pool, ...]:
+    ) -> tuple[servers.ServerPool, ...]:
         """Updates the pools of ``server`` and returns the previous ones."""
         previous = server.pools
         for pool in previous:
@@ -138,7 +143,7 @@
             server.record_change(now, 1)
             self.refresh(server)
 
-    def on_hosts(self, hosts: int) -> None:
+    def set_host_count(self, hosts: int) -> None:
         """Sets the number of known entry hosts."""
         self.hosts = max(1, hosts)
         for server in self.by_name.values():
@@ -161,8 +166,8 @@
             self._rest_at_capacity(server, now)
         elif not result.cancelled:
             key = version or server.row.service
-            pace = self._relative_duration(key, result)
-            server.health.record(result.ok, pace)
+            relative_duration = self._relative_duration(key, result)
+            server.health.record(result.ok, relative_duration)
             if result.ok:
                 server.record_duration(result.seconds)
             self._eject_if_due(server, now)
@@ -183,17 +188,17 @@
     def _relative_duration(
         self, key: str, result: messages.AttemptResult
     ) -> float:
-        """Returns the duration of a call as a multiple of the usual one."""
-        pace = result.seconds / max(1, result.tokens)
-        average = self.average_durations.get(key, pace)
+        """Returns the duration of a call as a multiple of the average one."""
+        seconds_per_unit = result.seconds / max(1, result.tokens)
+        average = self.average_seconds_per_unit.get(key, seconds_per_unit)
         if result.ok:
             # Caps the sample, so that a slow server does not raise the average
             # that it is compared with.
-            capped = min(pace, 2.0 * average)
-            self.average_durations[key] = average + _AVERAGE_WEIGHT * (
+            capped = min(seconds_per_unit, 2.0 * average)
+            self.average_seconds_per_unit[key] = average + _AVERAGE_WEIGHT * (
                 capped - average
             )
-        return pace / max(1e-9, average)
+        return seconds_per_unit / max(1e-9, average)
 
     def _eject_if_due(self, server: servers.ServerState, now: float) -> None:
         if server.health.is_ejected or not server.health.is_outlier():
@@ -204,11 +209,14 @@
                 self.rests, (server.health.ejected_until, server.name)
             )
 
-    def _enforce_ejection_limit(self, pools: Iterable[servers.Pool]) -> None:
-        """Readmits servers until at most half of each pool is ejected.
+    def _enforce_ejection_limit(
+        self, pools: Iterable[servers.ServerPool]
+    ) -> None:
+        """Readmits servers until at most half of each given pool is ejected.
 
         A pool may exceed the limit after it has lost members.
         """
+        # Without rests no server is ejected: ``rests`` has an entry for each.
         if not self.rests:
             return
         for pool in pools:
@@ -228,7 +236,7 @@
                 server.health.end_rests(now)
                 self.refresh(server)
 
-    def expire_reports(self, pool: servers.Pool, now: float) -> None:
+    def expire_reports(self, pool: servers.ServerPool, now: float) -> None:
         """Discards the reported loads of servers that stopped reporting."""
         for server in _without_recent_report(pool, now):
             server.discard_load()
@@ -236,7 +244,7 @@
 
 
 def _without_recent_report(
-    pool: servers.Pool, now: float
+    pool: servers.ServerPool, now: float
 ) -> Iterator[servers.ServerState]:
     for server in pool.servers.values():
         if server.report and server.report.at < now - REPORT_TTL_S:
@@ -251,11 +259,11 @@
     return (report.incarnation, report.at) < (than.incarnation, than.at)
 
 
-def _count_ejected(pool: servers.Pool) -> int:
+def _count_ejected(pool: servers.ServerPool) -> int:
     return sum(s.health.is_ejected for s in pool.servers.values())
 
 
-def _can_eject_one_more(pool: servers.Pool) -> bool:
+def _can_eject_one_more(pool: servers.ServerPool) -> bool:
     return _count_ejected(pool) + 1 <= len(pool.servers) // 2
 
 
--- a/src/hoistmoor/core/routing/servers.py
+++ b/src/hoistmoor/core/routing/servers.py
@@ -54,7 +54,7 @@
 
 
 @attrs.define(eq=False)
-class Pool:
+class ServerPool:
     """Backend servers that can serve one version or one plain service.
 
     Attributes:
@@ -101,7 +101,7 @@
         correction: Sum of ``recent_changes``.
         mean_duration: Moving average of the duration of a call; 0 before the
             first.
-        others: Estimated calls in flight from other hosts.
+        other_calls: Estimated calls in flight from other hosts.
         fair_share: Number of calls that this host may always have in flight,
             if calls are short.
         load: Estimated calls in flight from all hosts.
@@ -124,7 +124,7 @@
     fair_share: int = 1
     load: int = 0
     health: health.Health = attrs.field(factory=health.Health)
-    pools: tuple[Pool, ...] = ()
+    pools: tuple[ServerPool, ...] = ()
 
     @property
     def name(self) -> str:
