--- a/src/hoistmoor/relay/records.py
+++ b/src/hoistmoor/relay/records.py
@@ -90,4 +90,4 @@
         KeyError,
         zlib.error,
     ) as error:
-        raise ValueError(f"invalid {kind.__name__}: {error!r}") from error
+        raise ValueError(f"not a {kind.__name__}: {error!r}") from error
