--- a/src/hoistmoor/core/routing/fleet.py
+++ b/src/hoistmoor/core/routing/fleet.py
@@ -28,7 +28,7 @@
 
     Attributes:
         local_domain: This host's failure domain.
-        hosts: Number of known entry hosts.
+        hosts: Number of live entry hosts.
         by_name: Servers by name.
         by_address: Servers by address.
         pools: Pools by key of the version or name of the plain service.
@@ -144,7 +144,7 @@
             self.refresh(server)
 
     def set_host_count(self, hosts: int) -> None:
-        """Sets the number of known entry hosts."""
+        """Sets the number of live entry hosts."""
         self.hosts = max(1, hosts)
         for server in self.by_name.values():
             share = server.row.concurrency // self.hosts
--- a/src/hoistmoor/core/routing/routing_state.py
+++ b/src/hoistmoor/core/routing/routing_state.py
@@ -88,7 +88,7 @@
 
     @property
     def hosts(self) -> int:
-        """Number of known entry hosts; see ``set_host_count``."""
+        """Number of live entry hosts; see ``set_host_count``."""
         return self.fleet.hosts
 
     @hosts.setter
@@ -173,7 +173,7 @@
         self.budget.ledger.on_gap(first)
 
     def set_host_count(self, hosts: int) -> None:
-        """Sets the number of known entry hosts.
+        """Sets the number of live entry hosts.
 
         It determines the size of this host's slices of exposure caps and its
         fair share of a server. Both are safe if hosts disagree on the number.
