--- a/src/hoistmoor/core/limits/local_shares.py
+++ b/src/hoistmoor/core/limits/local_shares.py
@@ -14,9 +14,8 @@
 from hoistmoor.core.limits import records
 
 CHUNK_SECONDS = 600.0  # Seconds of local demand that one ask covers.
-LOW_WATER_SECONDS = (
-    120.0  # Below this many seconds of demand, more is requested.
-)
+# Below this many seconds of demand, more is requested.
+LOW_WATER_SECONDS = 120.0
 IDLE_SECONDS = 600.0  # Time after which an unneeded amount is returned.
 FLOOR_DIVISOR = 8  # All floors together are the limit divided by this.
 # Before a host knows the other hosts, it assumes at least this many of them, so
--- a/src/hoistmoor/core/relay/beliefs/replication.py
+++ b/src/hoistmoor/core/relay/beliefs/replication.py
@@ -24,9 +24,8 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-MAX_RECENT_CHANGES = (
-    512  # Changes per topic that are kept for incremental copies.
-)
+# Changes per topic that are kept for incremental copies.
+MAX_RECENT_CHANGES = 512
 # Sources in the own failure domain that are asked before the store. At times
 # the store refuses a third of the hosts; the probability that all four are
 # among them is then 1%.
--- a/src/hoistmoor/core/relay/versions/phases.py
+++ b/src/hoistmoor/core/relay/versions/phases.py
@@ -18,9 +18,8 @@
 
 SPREAD_AT = 0.6  # Fraction of the duration after which all requests move.
 COMPLETE_AT = 0.85  # Fraction after which the old version is retired.
-MIN_TARGET_RESPONSES = (
-    12  # Target responses, over all hosts, before all requests move.
-)
+# Target responses, over all hosts, before all requests move.
+MIN_TARGET_RESPONSES = 12
 # Seconds after its last counts record for which a host takes part in the turns.
 ACTIVE_SECONDS = 8.0
 TURN_SECONDS = 0.6  # Seconds that a host waits for each host ahead of it.
--- a/src/hoistmoor/core/relay/versions/rollouts.py
+++ b/src/hoistmoor/core/relay/versions/rollouts.py
@@ -10,9 +10,8 @@
 from hoistmoor.core.relay.versions import progress as progress_lib
 from hoistmoor.core.relay.versions import sessions as sessions_lib
 
-TRIAL_FRACTION = (
-    0.1  # Maximum fraction of the requests of a service in a trial.
-)
+# Maximum fraction of the requests of a service in a trial.
+TRIAL_FRACTION = 0.1
 SLOW_FACTOR = 3.5  # Multiple of the average duration that counts as slow.
 
 _OrderKey = tuple[str, float, int]
--- a/src/hoistmoor/core/routing/degradation.py
+++ b/src/hoistmoor/core/routing/degradation.py
@@ -25,12 +25,10 @@
 TOLERANCE = 0.02
 TOLERANCE_Z = 1.0  # Uncertainty of the baseline, in standard deviations.
 ESCALATED_Z = 2.5  # The same for answers after an escalation.
-MIN_BASELINE_RATINGS = (
-    10  # Ratings before the baselines are first estimated anew.
-)
-MAX_REESTIMATION_STATISTIC = (
-    20.0  # Statistic from which the baselines are not estimated anew.
-)
+# Ratings before the baselines are first estimated.
+MIN_BASELINE_RATINGS = 10
+# Test statistic from which the baselines are not estimated again.
+MAX_REESTIMATION_STATISTIC = 20.0
 
 
 @attrs.define
--- a/src/hoistmoor/core/routing/health.py
+++ b/src/hoistmoor/core/routing/health.py
@@ -11,9 +11,8 @@
 MAX_FAILURE_RATE = 0.5
 FAILURE_WEIGHT = 0.15  # Weight of the latest attempt in the failure rate.
 DURATION_WEIGHT = 0.1  # Weight of the latest attempt in the relative duration.
-MAX_RELATIVE_DURATION = (
-    3.0  # Relative duration above which a server is an outlier.
-)
+# Relative duration above which a server is an outlier.
+MAX_RELATIVE_DURATION = 3.0
 MIN_ATTEMPTS = 8  # Attempts before rates and durations are evaluated.
 FIRST_REST_S = 5.0
 MAX_REST_S = 60.0
--- a/src/hoistmoor/core/routing/policy_cache.py
+++ b/src/hoistmoor/core/routing/policy_cache.py
@@ -17,9 +17,8 @@
 
 MIN_AGE_S = 5.0  # Minimum age before changed estimates are applied.
 MAX_AGE_S = 60.0  # Maximum age, regardless of changes.
-MIN_REFRESH_INTERVAL_S = (
-    0.25  # Minimum interval between refreshes over all entries.
-)
+# Minimum interval between refreshes over all entries.
+MIN_REFRESH_INTERVAL_S = 0.25
 # New ratings that cause a refresh, as a share of the weight of all ratings.
 CHANGED_RATINGS = 0.005
 # New answers that cause a refresh, as a share of those at the last refresh.
--- a/src/hoistmoor/core/routing/sequential.py
+++ b/src/hoistmoor/core/routing/sequential.py
@@ -87,7 +87,7 @@
     """Returns a lower bound of the mean detection delay, in ratings.
 
     The bound holds for any test with this false alarm rate. It is the
-    information bound ``log(A) / KL(turned, baseline)`` (G. Lorden 1971), with
+    information bound ``log(A) / KL(degraded, baseline)`` (G. Lorden 1971), with
     which measured delays are compared.
 
     Args:
--- a/src/hoistmoor/core/security/calls.py
+++ b/src/hoistmoor/core/security/calls.py
@@ -26,9 +26,8 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-CLOCK_TOLERANCE_SECONDS = (
-    10.0  # Maximum difference from the callee's clock, in seconds.
-)
+# Maximum difference from the callee's clock, in seconds.
+CLOCK_TOLERANCE_SECONDS = 10.0
 _PURPOSE = "hoistmoor peer call 1"
 _MS_PER_SECOND = 1000
 _MAX_HEADER_CHARS = 512
@@ -198,7 +197,7 @@
     Args:
         callee: ``ip:port`` at which other hosts call this process.
         secrets: Secrets of the deployment; a call may be signed with any.
-        started: When the process began to accept calls, in seconds since
+        started_at: When the process began to accept calls, in seconds since
             the epoch. Earlier calls are rejected, because the previous
             process at this address may have executed them.
     """
--- a/src/hoistmoor/core/table/snapshots.py
+++ b/src/hoistmoor/core/table/snapshots.py
@@ -16,9 +16,8 @@
 
 # Replaying 200 edits of a table of 2,000 rows takes about a second.
 MAX_RECORDS_BETWEEN = 200
-MIN_SECONDS_BETWEEN = (
-    10.0  # Holds even if retention is about to delete the last one.
-)
+# Holds even if retention is about to delete the last one.
+MIN_SECONDS_BETWEEN = 10.0
 
 
 @attrs.frozen
--- a/src/hoistmoor/load/calls.py
+++ b/src/hoistmoor/load/calls.py
@@ -9,9 +9,8 @@
 
 from hoistmoor.core import outcomes
 
-SERIAL_PLACEHOLDER = (
-    "{serial}"  # Placeholder in a prompt for the number of the request.
-)
+# Placeholder in a prompt for the number of the request.
+SERIAL_PLACEHOLDER = "{serial}"
 
 
 class KeyUse(enum.StrEnum):
--- a/src/hoistmoor/load/experiment/engine.py
+++ b/src/hoistmoor/load/experiment/engine.py
@@ -17,9 +17,8 @@
 from hoistmoor.load.experiment import clock
 
 DOUBLING_BATCH_SIZE = 16.0  # Batch size that doubles the duration of a call.
-PREFILL_SECONDS_PER_TOKEN = (
-    0.0004  # Seconds per prompt token that is not cached.
-)
+# Seconds per prompt token that is not cached.
+PREFILL_SECONDS_PER_TOKEN = 0.0004
 BLOCK_TOKENS = 64
 MAX_CACHE_BLOCKS = 400
 MAX_QUEUE_FRACTION = 1.0  # Maximum queue length, as a multiple of the capacity.
--- a/src/hoistmoor/load/experiment/polling.py
+++ b/src/hoistmoor/load/experiment/polling.py
@@ -29,9 +29,8 @@
 MAX_POLLS_PER_SECOND = 6.0
 POLLS_PER_DISPATCH = 2
 MAX_REQUESTED_POLLS = 12
-PROBE_REPORT_INTERVAL = (
-    1.0  # Maximum age of the load that a probed server reports.
-)
+# Maximum age of the load that a probed server reports.
+PROBE_REPORT_INTERVAL = 1.0
 
 
 @attrs.define(eq=False)
--- a/src/hoistmoor/relay/store/lease_monitor.py
+++ b/src/hoistmoor/relay/store/lease_monitor.py
@@ -12,9 +12,8 @@
 if TYPE_CHECKING:
     from hoistmoor.relay import state as state_lib
 
-POLL_INTERVAL = (
-    0.25  # Seconds between two checks; the longest delay of a log line.
-)
+# Seconds between two checks; the longest delay of a log line.
+POLL_INTERVAL = 0.25
 
 
 class LeaseMonitor:
--- a/src/hoistmoor/relay/versions/rollout_task.py
+++ b/src/hoistmoor/relay/versions/rollout_task.py
@@ -22,9 +22,8 @@
     from hoistmoor.relay.store import ports
     from hoistmoor.relay.store import store_gate
 
-POLL_INTERVAL = (
-    1.0  # Seconds between two checks; a rollback may take five seconds.
-)
+# Seconds between two checks; a rollback may take five seconds.
+POLL_INTERVAL = 1.0
 
 
 class RolloutTask:
--- a/src/hoistmoor/standins/programs.py
+++ b/src/hoistmoor/standins/programs.py
@@ -24,7 +24,7 @@
 
 _Flags = TypeVar("_Flags")
 
-_LINGER_SECONDS = 0.5  # See ``runner.Program.linger``.
+_LINGER_SECONDS = 0.5  # See ``runner.Program.linger_seconds``.
 
 
 def _make_log(
--- a/tests/system_processes.py
+++ b/tests/system_processes.py
@@ -15,9 +15,8 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-WAIT_TIMEOUT = (
-    60.0  # Maximum seconds to wait for a condition, a start or an exit.
-)
+# Maximum seconds to wait for a condition, a start or an exit.
+WAIT_TIMEOUT = 60.0
 SECRET = "not-much-of-a-secret"
 _SCRIPTS = pathlib.Path(sys.executable).parent
 _READY = b"LISTENING "
