--- a/src/hoistmoor/clients/events.py
+++ b/src/hoistmoor/clients/events.py
@@ -42,7 +42,7 @@
             yield event
         if len(buffer) > MAX_EVENT_BYTES:
             raise EventTooLargeError(
-                f"an event of the stream exceeds {MAX_EVENT_BYTES} bytes",
+                f"an event is longer than {MAX_EVENT_BYTES} bytes",
                 "Check that the backend server sends server-sent events.",
             )
         self._buffer = buffer
